--- /dev/null
+++ b/tests/pinned.rs
@@ -0,0 +1,170 @@
+//! The decisions, pinned: seeded histories over settings of all kinds give the actions that they gave when
+//! `pinned.txt` was written. A change that means to leave the decisions alone leaves every digest as it is.
+//!
+//! Actions are written in a text of this file's own, so that renames in the code don't touch it. To write the
+//! digests of a change that is meant: `PINNED_WRITE=1 cargo test --package doortrack --test pinned`.
+
+mod common;
+
+use std::fmt::Write;
+
+use common::{At, MS, World, contract};
+use doortrack::*;
+use fastrand::Rng;
+
+const SEEDS: u64 = 64;
+const STEPS: usize = 500;
+const PINNED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/pinned.txt");
+
+/// Settings drawn from the seed: every kind of stop and of the free value, with and without each limit.
+fn settings(rng: &mut Rng) -> ServiceContract {
+    let base = contract();
+    let mut terms = ServiceContract {
+        cores: rng.u32(1..9),
+        memory_kb: rng.choice([3_000.0, 20_000.0, 200_000.0]).unwrap(),
+        customers: vec![rng.choice([0.5, 8.0, 50.0]).unwrap(), 20.0],
+        over_share: rng.choice([0.0, 0.05, 0.6]).unwrap(),
+        by_work: rng.bool(),
+        nodes: rng.choice([1, 10, 300]).unwrap(),
+        stop: rng.choice([StopKind::Never, StopKind::Drop, StopKind::Pause]).unwrap(),
+        level: rng
+            .choice([LevelKind::None, LevelKind::LowestRank, LevelKind::InHand, LevelKind::Odds])
+            .unwrap(),
+        calls_share: rng.choice([None, Some(0.0), Some(0.4), Some(1.5), Some(12.0)]).unwrap(),
+        cold: rng.bool(),
+        tip_multiple: rng.choice([1.5, 2.0, 5.0, 8.0]).unwrap(),
+        longest_retry_after: rng.choice([0, 1000 * MS]).unwrap(),
+        ..base
+    };
+    for group in &mut terms.groups {
+        group.slo_time = rng.choice([400 * MS, 1500 * MS]).unwrap();
+        group.slo_stretch = rng.choice([0.0, 2.0]).unwrap();
+        group.benefit = rng.choice([0.2, 1.0, 4.0]).unwrap();
+        group.late_share = rng.choice([0.0, 0.5]).unwrap();
+    }
+    // A call may be left out of repeatable exchanges alone: the world takes a later one for the same call.
+    terms.groups[0].skip_share = rng.choice([0.0, 0.4]).unwrap();
+    terms
+}
+
+/// Reads one exchange with what a front end may pass on of it.
+fn arrive(world: &mut World, rng: &mut Rng) {
+    world.caller = rng.u64(1..40);
+    let due = rng.bool().then(|| rng.u64(0..5_000) * MS);
+    let age = rng.choice([0, 0, 0, 40 * MS, 700 * MS]).unwrap();
+    world.arrive(rng.u8(0..3), rng.u64(0..14), age, due, rng.u32(1..70) as f32);
+    if let Some(Event::Arrived(read)) = world.events.last_mut() {
+        read.work_hint = rng.bool().then(|| rng.u64(1..900) * MS);
+        read.rank = rng.f32();
+        read.retry = rng.u8(0..5) == 0;
+        read.held_back = (rng.u8(0..25) == 0).then(|| rng.u64(1..2_000) * MS);
+    }
+}
+
+fn end_call(world: &mut World, rng: &mut Rng) {
+    use CallOutcome::{Bounced, Completed, Dropped, Failed, TimedOut, Unreachable};
+    let outcome = rng
+        .choice([Completed, Completed, Completed, Failed, Bounced, TimedOut, Unreachable, Dropped])
+        .unwrap();
+    if let Some(id) = world.pick(At::Calling, rng.u32(..)) {
+        world.end_call(id, outcome);
+    }
+}
+
+/// One thing that may happen at a node, and time that passes now and then.
+fn play(world: &mut World, rng: &mut Rng) {
+    match rng.u8(0..24) {
+        0..=8 => arrive(world, rng),
+        9 => _ = world.arrive_together(1, rng.u64(1..14)),
+        10..=14 => {
+            let outcome = if rng.u8(0..9) == 0 { RunOutcome::Failed } else { RunOutcome::Completed };
+            if let Some(id) = world.pick(At::Running, rng.u32(..)) {
+                world.finish(id, outcome);
+            }
+        }
+        15..=16 => world.pick(At::Running, rng.u32(..)).into_iter().for_each(|id| world.need_call(id)),
+        17..=18 => end_call(world, rng),
+        19 => {
+            let at = rng.choice([At::Queued, At::Running, At::Calling]).unwrap();
+            world.pick(at, rng.u32(..)).into_iter().for_each(|id| world.caller_gone(id));
+        }
+        20 => world.busy = rng.choice([0.3, 0.94, 0.95, 1.0]).unwrap(),
+        21 => world.links = rng.u32(0..300) as f32,
+        22 if rng.u8(0..60) == 0 => world.leave_in(rng.u64(800..3_800) * MS),
+        _ => {}
+    }
+    if rng.u8(0..3) == 0 {
+        world.pass(rng.u64(1..120) * MS);
+    }
+}
+
+/// An action in a text that no rename touches; fractions to the bit.
+fn text(action: &Action) -> String {
+    match *action {
+        Action::Run { id } => format!("run {id}"),
+        Action::Reject { id, not_elsewhere, retry_after } => {
+            format!("reject {id} {not_elsewhere} {retry_after}")
+        }
+        Action::Fail { id } => format!("fail {id}"),
+        Action::Stop { id } => format!("stop {id}"),
+        Action::Call { id, limit } => format!("call {id} {limit}"),
+        Action::SkipCall { id } => format!("skip {id}"),
+        Action::Record { id, lasting } => format!("record {id} {lasting}"),
+        Action::Forget { id } => format!("forget {id}"),
+        Action::Attach { id } => format!("attach {id}"),
+        Action::Health { from_store, good } => format!("health {from_store} {good}"),
+        Action::Level { level } => format!("level {:08x}", level.to_bits()),
+        Action::IdleLimit { after } => format!("idle {after}"),
+        Action::Alarm { at, token } => format!("alarm {at} {token}"),
+    }
+}
+
+/// FNV-1a with 64 bits, written here so that no package's next version changes the digests.
+fn digest(actions: &[Action]) -> u64 {
+    let bytes = actions.iter().flat_map(|action| (text(action) + "\n").into_bytes());
+    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+}
+
+/// The actions of one seed's history, which ends early at a stop.
+fn history(seed: u64) -> Vec<Action> {
+    let mut rng = Rng::with_seed(seed);
+    let mut world = World::new(settings(&mut rng), seed);
+    for _ in 0..STEPS {
+        if world.leave.is_some_and(|(_, stop)| world.now + 120 * MS >= stop) {
+            break;
+        }
+        play(&mut world, &mut rng);
+    }
+    world.pass(9_000 * MS);
+    world.done
+}
+
+/// How often each kind of action came, so that the text shows what the histories reach.
+fn counts(actions: &[Action]) -> String {
+    let kinds = [
+        "run", "reject", "fail", "stop", "call", "skip", "record", "forget", "attach", "health", "level",
+        "idle",
+    ];
+    let mut line = String::new();
+    for kind in kinds {
+        let count = actions.iter().filter(|action| text(action).starts_with(&format!("{kind} "))).count();
+        write!(line, " {kind} {count}").unwrap();
+    }
+    line
+}
+
+#[test]
+fn the_decisions_are_those_that_were_pinned() {
+    let mut found = String::new();
+    for seed in 0..SEEDS {
+        let actions = history(seed);
+        writeln!(found, "{seed} {:016x}{}", digest(&actions), counts(&actions)).unwrap();
+    }
+    if std::env::var_os("PINNED_WRITE").is_some() {
+        std::fs::write(PINNED, &found).unwrap();
+    }
+    let pinned = std::fs::read_to_string(PINNED).expect("pinned.txt stands beside this test");
+    let differ: Vec<_> = pinned.lines().zip(found.lines()).filter(|(before, now)| before != now).collect();
+    assert!(differ.is_empty(), "{} of {SEEDS} histories differ, the first: {:?}", differ.len(), differ[0]);
+    assert_eq!(pinned.lines().count(), found.lines().count());
+}
