--- a/bench/benches/budgets.rs
+++ b/bench/benches/budgets.rs
@@ -9,9 +9,10 @@
 
 fn checks(criterion: &mut Criterion) {
     let me: Name = "n0".into();
-    for (what, kind) in
-        [("rate", Kind::Rate { burst: 1_000 }), ("concurrency", Kind::Concurrency { max_hold: 10 })]
-    {
+    for (what, kind) in [
+        ("rate", Kind::Rate { burst: 1_000 }),
+        ("concurrency", Kind::Concurrency { max_hold: 10 }),
+    ] {
         let list: Vec<Budget> = (0..200)
             .map(|nth| Budget {
                 name: format!("b{nth}").into(),
@@ -22,7 +23,10 @@
                 max_per_node: 1_000_000,
             })
             .collect();
-        let who = NodeId { name: me.clone(), incarnation: Incarnation(1) };
+        let who = NodeId {
+            name: me.clone(),
+            incarnation: Incarnation(1),
+        };
         let mut budgets = Budgets::new(who, 1, Parameters::default(), &list, 1, 0);
         let (mut now, mut index) = (1_000_000, 0);
         criterion.bench_function(&format!("check of a {what}, one of 200"), |bencher| {
@@ -35,7 +39,9 @@
         });
     }
     let zero = std::time::Instant::now();
-    criterion.bench_function("reading the clock", |bencher| bencher.iter(|| zero.elapsed()));
+    criterion.bench_function("reading the clock", |bencher| {
+        bencher.iter(|| zero.elapsed())
+    });
 }
 
 criterion_group!(benches, checks);
--- a/bench/benches/codecs.rs
+++ b/bench/benches/codecs.rs
@@ -12,9 +12,12 @@
         group.throughput(Throughput::Elements(1));
         group.bench_function("read a request", |bencher| {
             bencher.iter(|| {
-                let (mut reader, mut input, mut bytes) = (RequestReader::new(protocol), &request[..], 0);
+                let (mut reader, mut input, mut bytes) =
+                    (RequestReader::new(protocol), &request[..], 0);
                 while let Ok(Some(piece)) = reader.next(&mut input) {
-                    if let Piece::Params { bytes: part, .. } | Piece::Stdin { bytes: part, .. } = piece {
+                    if let Piece::Params { bytes: part, .. } | Piece::Stdin { bytes: part, .. } =
+                        piece
+                    {
                         bytes += part.len();
                     }
                 }
@@ -22,7 +25,8 @@
             })
         });
         let block: Vec<u8> = {
-            let (mut reader, mut input, mut block) = (RequestReader::new(protocol), &request[..], Vec::new());
+            let (mut reader, mut input, mut block) =
+                (RequestReader::new(protocol), &request[..], Vec::new());
             while let Ok(Some(piece)) = reader.next(&mut input) {
                 if let Piece::Params { bytes, .. } = piece {
                     block.extend(bytes);
@@ -34,8 +38,15 @@
             bencher.iter(|| protocol.pairs(&block).map(|pairs| pairs.len()))
         });
         let mut out = Vec::with_capacity(4096);
-        let headers = [("Content-Type", "application/octet-stream"), ("X-Load-Signal", "0.25")];
-        let head = || Head { status: "200 OK", headers: &headers, more: b"" };
+        let headers = [
+            ("Content-Type", "application/octet-stream"),
+            ("X-Load-Signal", "0.25"),
+        ];
+        let head = || Head {
+            status: "200 OK",
+            headers: &headers,
+            more: b"",
+        };
         group.bench_function("write an answer", |bencher| {
             bencher.iter(|| {
                 out.clear();
--- a/bench/benches/routes.rs
+++ b/bench/benches/routes.rs
@@ -10,11 +10,20 @@
         1 => format!("(header(\"x-yard\") ?? \"\") == \"yard-{n}\" && method == \"POST\""),
         _ => format!("(segment(0) ?? \"\") in [\"yard-{n}\", \"dock-{n}\"] && body_length < 4096"),
     };
-    (0..count).map(|n| Rule { when: when(n), group: "look".into(), ..Rule::default() }).collect()
+    (0..count)
+        .map(|n| Rule {
+            when: when(n),
+            group: "look".into(),
+            ..Rule::default()
+        })
+        .collect()
 }
 
 fn names() -> Names {
-    Names { groups: vec![("look".into(), false)], ..Names::default() }
+    Names {
+        groups: vec![("look".into(), false)],
+        ..Names::default()
+    }
 }
 
 fn routes(criterion: &mut Criterion) {
@@ -27,9 +36,12 @@
         });
         let (table, _) = Table::build(&rules, &names(), Limits::default()).expect("sound rules");
         let last = (count - 1) / 3 * 3;
-        let request = Written { path: format!("/yard-{last}/book"), ..Written::default() }
-            .header("host", "booking.example.org")
-            .header("x-yard", "none");
+        let request = Written {
+            path: format!("/yard-{last}/book"),
+            ..Written::default()
+        }
+        .header("host", "booking.example.org")
+        .header("x-yard", "none");
         let mut scratch = Scratch::default();
         group.bench_function(BenchmarkId::new("match", count), |bencher| {
             bencher.iter(|| table.classify(&request, &mut scratch))
--- a/bench/src/bin/bad-servers.rs
+++ b/bench/src/bin/bad-servers.rs
@@ -55,27 +55,60 @@
 
 impl Mood {
     fn of(byte: u8) -> Mood {
-        [Mood::Sound, Mood::Hangs, Mood::Fails, Mood::Breaks, Mood::Slow][usize::from(byte)]
+        [
+            Mood::Sound,
+            Mood::Hangs,
+            Mood::Fails,
+            Mood::Breaks,
+            Mood::Slow,
+        ][usize::from(byte)]
     }
 }
 
 fn server(protocol: Protocol, work: Duration, mood: Arc<AtomicU8>) -> Server {
-    Server::start(protocol, move |_| match Mood::of(mood.load(Ordering::Relaxed)) {
-        Mood::Sound => Act::Answer { status: "200 OK", body: b"done".into(), after: work },
-        Mood::Slow => Act::Answer { status: "200 OK", body: b"done".into(), after: work * 10 },
-        Mood::Hangs => Act::Hang,
-        Mood::Fails => Act::Answer { status: "503 No", body: Vec::new(), after: Duration::ZERO },
-        Mood::Breaks => Act::Cut { body: b"done".into(), at: 0, how: CutBy::Close },
+    Server::start(protocol, move |_| {
+        match Mood::of(mood.load(Ordering::Relaxed)) {
+            Mood::Sound => Act::Answer {
+                status: "200 OK",
+                body: b"done".into(),
+                after: work,
+            },
+            Mood::Slow => Act::Answer {
+                status: "200 OK",
+                body: b"done".into(),
+                after: work * 10,
+            },
+            Mood::Hangs => Act::Hang,
+            Mood::Fails => Act::Answer {
+                status: "503 No",
+                body: Vec::new(),
+                after: Duration::ZERO,
+            },
+            Mood::Breaks => Act::Cut {
+                body: b"done".into(),
+                at: 0,
+                how: CutBy::Close,
+            },
+        }
     })
 }
 
 /// One exchange: its part of the play, from 0 to 1, and whether it was completed in time.
 type Told = (f64, bool);
 
-fn play(words: &Words, protocol: Protocol, bad: usize, mood: Mood, aside: bool) -> (Vec<Told>, String) {
+fn play(
+    words: &Words,
+    protocol: Protocol,
+    bad: usize,
+    mood: Mood,
+    aside: bool,
+) -> (Vec<Told>, String) {
     let moods: Vec<Arc<AtomicU8>> = (0..4).map(|_| Arc::new(AtomicU8::new(0))).collect();
     let work = Duration::from_millis(words.work_ms);
-    let servers: Vec<Server> = moods.iter().map(|mood| server(protocol, work, mood.clone())).collect();
+    let servers: Vec<Server> = moods
+        .iter()
+        .map(|mood| server(protocol, work, mood.clone()))
+        .collect();
     let mut plan = Plan::new(&words.node);
     let at = plan.port(9091);
     plan.config["settings"]["family_info"]["cores"] = json!(64);
@@ -94,8 +127,14 @@
     drop(doortrack_standins::bed::connect(at));
     thread::sleep(Duration::from_millis(100));
     let told = ask(words, at, |part| {
-        let now = if (0.25..0.75).contains(&part) { mood } else { Mood::Sound };
-        moods[..bad].iter().for_each(|of| of.store(now as u8, Ordering::Relaxed));
+        let now = if (0.25..0.75).contains(&part) {
+            mood
+        } else {
+            Mood::Sound
+        };
+        moods[..bad]
+            .iter()
+            .for_each(|of| of.store(now as u8, Ordering::Relaxed));
     });
     (told, log_line(bed))
 }
@@ -113,8 +152,20 @@
             thread::spawn(move || {
                 // Half of them may run twice, half may not.
                 let key = format!("{nth:032x}");
-                let ask = Ask::new(nth, if nth % 2 == 0 { "/svc/look" } else { "/svc/pay" }, b"");
-                let ask = if nth % 2 == 0 { ask } else { ask.with("HTTP_IDEMPOTENCY_KEY", &key) };
+                let ask = Ask::new(
+                    nth,
+                    if nth % 2 == 0 {
+                        "/svc/look"
+                    } else {
+                        "/svc/pay"
+                    },
+                    b"",
+                );
+                let ask = if nth % 2 == 0 {
+                    ask
+                } else {
+                    ask.with("HTTP_IDEMPOTENCY_KEY", &key)
+                };
                 let good = matches!(ask.send(at, Protocol::Uwsgi).seen(), Seen::Completed(_));
                 // From when it was due: a caller that came late counts what it waited.
                 let in_time = good && start.elapsed() <= due + within;
@@ -122,7 +173,9 @@
             })
         })
         .collect();
-    threads.into_iter().for_each(|thread| thread.join().unwrap());
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().unwrap());
     told.lock().unwrap().clone()
 }
 
@@ -130,22 +183,39 @@
 fn log_line(bed: Bed) -> String {
     bed.signal("-TERM");
     let (_, log) = bed.end();
-    let line = log.lines().rfind(|line| line.contains("so far of servers")).unwrap_or_default().to_string();
+    let line = log
+        .lines()
+        .rfind(|line| line.contains("so far of servers"))
+        .unwrap_or_default()
+        .to_string();
     let find = |key: &str| {
         let rest = line.split(&format!(" {key}=")).nth(1).unwrap_or_default();
         rest.split(' ').next().unwrap_or_default().to_string()
     };
-    format!("retries {} of {} begun, put aside {}", find("retries"), find("begun"), find("put_aside"))
+    format!(
+        "retries {} of {} begun, put aside {}",
+        find("retries"),
+        find("begun"),
+        find("put_aside")
+    )
 }
 
 /// Percent in time while it is bad, from half a second after it began, and after its end.
 fn shares(words: &Words, told: &[Told]) -> (f64, f64, f64) {
     let share = |from: f64, till: f64| {
-        let part: Vec<&Told> = told.iter().filter(|(part, _)| (from..till).contains(part)).collect();
-        100.0 * part.iter().filter(|(_, in_time)| *in_time).count() as f64 / part.len().max(1) as f64
+        let part: Vec<&Told> = told
+            .iter()
+            .filter(|(part, _)| (from..till).contains(part))
+            .collect();
+        100.0 * part.iter().filter(|(_, in_time)| *in_time).count() as f64
+            / part.len().max(1) as f64
     };
     let found = 0.25 + 0.5 / words.seconds;
-    (share(0.25, 0.75), share(found, 0.75), share(0.75 + 0.5 / words.seconds, 1.0))
+    (
+        share(0.25, 0.75),
+        share(found, 0.75),
+        share(0.75 + 0.5 / words.seconds, 1.0),
+    )
 }
 
 fn main() {
--- a/bench/src/bin/budgets.rs
+++ b/bench/src/bin/budgets.rs
@@ -32,15 +32,36 @@
     reserved: u32,
 ) -> Outcome {
     let away = away_of(&faults);
-    let faults = faults.into_iter().map(|(at_ms, fault)| Timed { at_ms, fault }).collect();
-    let script = Script { nodes, ms, seed: 7, faults };
+    let faults = faults
+        .into_iter()
+        .map(|(at_ms, fault)| Timed { at_ms, fault })
+        .collect();
+    let script = Script {
+        nodes,
+        ms,
+        seed: 7,
+        faults,
+    };
     let kind = Kind::Rate { burst: LIMIT };
     let reserved_for = names(nodes);
-    let budget = Budget { name: "b".into(), kind, limit: LIMIT, reserved, reserved_for, max_per_node: LIMIT };
+    let budget = Budget {
+        name: "b".into(),
+        kind,
+        limit: LIMIT,
+        reserved,
+        reserved_for,
+        max_per_node: LIMIT,
+    };
     let options = Options {
-        parameters: Parameters { voters: names(VOTERS.min(nodes)), ..Parameters::default() },
+        parameters: Parameters {
+            voters: names(VOTERS.min(nodes)),
+            ..Parameters::default()
+        },
         budgets: vec![budget],
-        latency: Law::LogNormal { mean: 300.0, sigma: 0.5 },
+        latency: Law::LogNormal {
+            mean: 300.0,
+            sigma: 0.5,
+        },
         drift_ppm: (-10_000, 10_000),
         offset_ms: 500,
         demand: &|of, _, ms| if away(of, ms) { 0.0 } else { demand(of, ms) },
@@ -65,7 +86,9 @@
     let (limit, fixed) = (f64::from(LIMIT), f64::from(LIMIT) / nodes as f64);
     let (mut knows, mut fixes) = (0.0, 0.0);
     for ms in (from..till).step_by(10) {
-        let asked: Vec<f64> = (0..nodes).map(|of| if away(of, ms) { 0.0 } else { demand(of, ms) }).collect();
+        let asked: Vec<f64> = (0..nodes)
+            .map(|of| if away(of, ms) { 0.0 } else { demand(of, ms) })
+            .collect();
         knows += asked.iter().sum::<f64>().min(limit) / 100.0;
         fixes += asked.iter().map(|of| of.min(fixed)).sum::<f64>() / 100.0;
     }
@@ -79,7 +102,11 @@
         _ => None,
     });
     let starts: Vec<(usize, u64)> = starts.collect();
-    move |of, ms| starts.iter().any(|(who, at)| *who == of && ms + 1_000 >= *at && ms < *at)
+    move |of, ms| {
+        starts
+            .iter()
+            .any(|(who, at)| *who == of && ms + 1_000 >= *at && ms < *at)
+    }
 }
 
 fn put_to_use(what: &str, nodes: usize, faults: Vec<(u64, Fault)>, demand: Demand, reserved: u32) {
@@ -95,7 +122,11 @@
 }
 
 fn total(out: &Outcome, tenth: u64) -> u32 {
-    out.by_time.iter().filter(|((_, at), _)| *at == tenth).map(|(_, count)| *count).sum()
+    out.by_time
+        .iter()
+        .filter(|((_, at), _)| *at == tenth)
+        .map(|(_, count)| *count)
+        .sum()
 }
 
 /// Tenths of a second after `from_ms` from which on, for half a second, `enough` is used in each.
@@ -106,7 +137,9 @@
     };
     let from = from_ms / 100;
     let lasts = |tenth: &u64| (*tenth..tenth + 5).all(|tenth| f64::from(used(tenth)) >= enough);
-    (from..from + 150).find(lasts).map_or("never".into(), |at| format!("{} ms", (at - from) * 100))
+    (from..from + 150)
+        .find(lasts)
+        .map_or("never".into(), |at| format!("{} ms", (at - from) * 100))
 }
 
 fn jain(shares: &[u64]) -> f64 {
@@ -118,11 +151,21 @@
 fn main() {
     let limit = f64::from(LIMIT);
     for nodes in [9, 30] {
-        let still = move |of: usize, _: u64| if of == 7 { limit * 0.9 } else { limit * 0.2 / nodes as f64 };
+        let still = move |of: usize, _: u64| {
+            if of == 7 {
+                limit * 0.9
+            } else {
+                limit * 0.2 / nodes as f64
+            }
+        };
         put_to_use("skewed, always the same node", nodes, vec![], &still, 0);
         // Nine tenths of the limit at one node, which changes every 5 s; a little at the others.
         let skewed = move |of: usize, ms: u64| {
-            if (ms / 5_000) as usize % nodes == of { limit * 0.9 } else { limit * 0.2 / nodes as f64 }
+            if (ms / 5_000) as usize % nodes == of {
+                limit * 0.9
+            } else {
+                limit * 0.2 / nodes as f64
+            }
         };
         put_to_use("skewed, another node every 5 s", nodes, vec![], &skewed, 0);
         let mut release = Vec::new();
@@ -130,11 +173,27 @@
         for nth in 0..gone {
             let at = 12_000 + 7_000 * nth as u64 / gone as u64;
             release.push((at, Fault::Leave { nodes: vec![nth] }));
-            release.push((at + 1_000, Fault::Start { nodes: vec![nth], clock_ms: 0 }));
+            release.push((
+                at + 1_000,
+                Fault::Start {
+                    nodes: vec![nth],
+                    clock_ms: 0,
+                },
+            ));
         }
-        put_to_use("the same while six in ten are replaced within 7 s", nodes, release, &skewed, 0);
+        put_to_use(
+            "the same while six in ten are replaced within 7 s",
+            nodes,
+            release,
+            &skewed,
+            0,
+        );
         let every_second = move |of: usize, ms: u64| {
-            if (ms / 1_000) as usize % nodes == of { limit * 0.9 } else { limit * 0.2 / nodes as f64 }
+            if (ms / 1_000) as usize % nodes == of {
+                limit * 0.9
+            } else {
+                limit * 0.2 / nodes as f64
+            }
         };
         put_to_use("moving every second", nodes, vec![], &every_second, 0);
     }
@@ -146,12 +205,27 @@
     let after = from_when(&out, 15_000, 0.8 * limit * 0.9 / 10.0, Some(7));
     println!("demand that moves is followed to 80% after {after}");
     let hungry = |of: usize, _: u64| if of == 8 { limit * 2.0 } else { limit * 0.5 };
-    for (who, gone) in
-        [("a holder", 8), ("a voter", 0), ("a voter", 1), ("a voter", 2), ("a voter", 3), ("a voter", 4)]
-    {
-        let out = run(9, 30_000, 0, vec![(15_000, Fault::Kill { nodes: vec![gone] })], &hungry, 0);
+    for (who, gone) in [
+        ("a holder", 8),
+        ("a voter", 0),
+        ("a voter", 1),
+        ("a voter", 2),
+        ("a voter", 3),
+        ("a voter", 4),
+    ] {
+        let out = run(
+            9,
+            30_000,
+            0,
+            vec![(15_000, Fault::Kill { nodes: vec![gone] })],
+            &hungry,
+            0,
+        );
         let after = from_when(&out, 15_000, 0.93 * limit / 10.0, None);
-        println!("{who} dies ({} leaders in all): 93% of the limit in use again after {after}", out.leaders);
+        println!(
+            "{who} dies ({} leaders in all): 93% of the limit in use again after {after}",
+            out.leaders
+        );
     }
     let equal = |_: usize, _: u64| limit * 0.3;
     for nodes in [9, 30] {
@@ -165,8 +239,13 @@
     // How much allocations swing where needs do not.
     let steady = |of: usize, _: u64| limit * if of.is_multiple_of(2) { 0.4 } else { 0.6 };
     let out = run(2, 35_000, CALM_MS, vec![], &steady, 0);
-    let by_second: Vec<u32> =
-        (10..35).map(|s| (s * 10..s * 10 + 10).filter_map(|t| out.by_time.get(&(0, t))).sum()).collect();
+    let by_second: Vec<u32> = (10..35)
+        .map(|s| {
+            (s * 10..s * 10 + 10)
+                .filter_map(|t| out.by_time.get(&(0, t)))
+                .sum()
+        })
+        .collect();
     println!("two nodes that need 0.4 and 0.6: the first uses {by_second:?} a second");
     for nodes in [10, 30, 100, 300, 1_000, 3_000] {
         let little = move |_: usize, _: u64| limit * 0.8 / nodes as f64;
--- a/bench/src/bin/expression-tail.rs
+++ b/bench/src/bin/expression-tail.rs
@@ -19,7 +19,8 @@
 }
 
 fn timed(count: u64, mut what: impl FnMut()) -> Histogram<u64> {
-    let mut times = Histogram::new_with_bounds(1, 1_000_000_000, 3).expect("bounds that make sense");
+    let mut times =
+        Histogram::new_with_bounds(1, 1_000_000_000, 3).expect("bounds that make sense");
     for _ in 0..count {
         let start = Instant::now();
         what();
@@ -30,15 +31,28 @@
 
 fn main() {
     let (words, asked) = (Words::parse(), Written::example());
-    println!("{:<22} {:>10} {:>10} {:>10}", "ns", "median", "p99", "p99.9");
+    println!(
+        "{:<22} {:>10} {:>10} {:>10}",
+        "ns", "median", "p99", "p99.9"
+    );
     let line = |name: &str, times: &Histogram<u64>| {
         let at = |q| times.value_at_quantile(q);
-        println!("{name:<22} {:>10} {:>10} {:>10}", at(0.5), at(0.99), at(0.999));
+        println!(
+            "{name:<22} {:>10} {:>10} {:>10}",
+            at(0.5),
+            at(0.99),
+            at(0.999)
+        );
     };
     line("the clock alone", &timed(words.count, || {}));
     for (name, source) in TYPICAL {
         let program = infer(source, Limits::default()).expect("a sound source");
         let mut scratch = Scratch::default();
-        line(name, &timed(words.count, || _ = black_box(program.eval(&asked, &mut scratch))));
+        line(
+            name,
+            &timed(words.count, || {
+                _ = black_box(program.eval(&asked, &mut scratch))
+            }),
+        );
     }
 }
--- a/bench/src/bin/membership.rs
+++ b/bench/src/bin/membership.rs
@@ -21,7 +21,11 @@
 
 fn main() -> ExitCode {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let sizes: Vec<usize> = words.iter().skip(1).filter_map(|word| word.parse().ok()).collect();
+    let sizes: Vec<usize> = words
+        .iter()
+        .skip(1)
+        .filter_map(|word| word.parse().ok())
+        .collect();
     match words.first().map(String::as_str) {
         Some("sim") => sizes.iter().for_each(|nodes| simulated(*nodes)),
         Some("processes") => sizes.iter().for_each(|nodes| processes(*nodes)),
@@ -36,22 +40,30 @@
 
 /// Kills, one after the other, and when each was known to half and to all of those that remained.
 fn known(history: &History) -> Vec<(u64, u64)> {
-    let kills = history.entries.iter().filter_map(|entry| match &entry.what {
-        What::Fault { fault: Fault::Kill { nodes } } => Some((entry.at_ms, nodes[0])),
-        _ => None,
-    });
+    let kills = history
+        .entries
+        .iter()
+        .filter_map(|entry| match &entry.what {
+            What::Fault {
+                fault: Fault::Kill { nodes },
+            } => Some((entry.at_ms, nodes[0])),
+            _ => None,
+        });
     let kills: Vec<(u64, usize)> = kills.collect();
     let mut found = Vec::new();
     for (nth, (at, of)) in kills.iter().enumerate() {
         let left = history.nodes - nth - 1;
-        let told = history.entries.iter().filter_map(|entry| match &entry.what {
-            What::MemberChange { change, member: Some(member), .. }
-                if change == "dead" && *member == name(*of) =>
-            {
-                entry.at_ms.checked_sub(*at)
-            }
-            _ => None,
-        });
+        let told = history
+            .entries
+            .iter()
+            .filter_map(|entry| match &entry.what {
+                What::MemberChange {
+                    change,
+                    member: Some(member),
+                    ..
+                } if change == "dead" && *member == name(*of) => entry.at_ms.checked_sub(*at),
+                _ => None,
+            });
         let mut told: Vec<u64> = told.collect();
         told.sort_unstable();
         if told.len() >= left {
@@ -81,7 +93,9 @@
 fn kills(nodes: usize) -> Vec<Timed> {
     let kill = |nth: usize| Timed {
         at_ms: CALM + APART * nth as u64,
-        fault: Fault::Kill { nodes: vec![nodes - 1 - nth] },
+        fault: Fault::Kill {
+            nodes: vec![nodes - 1 - nth],
+        },
     };
     (0..KILLS.min(nodes / 2)).map(kill).collect()
 }
@@ -98,30 +112,65 @@
         }
     }
     let whole = last.values().all(|(_, members)| *members == history.nodes);
-    let when = last.values().map(|(when, _)| *when).max().unwrap_or_default();
-    if whole { when.saturating_sub(at) } else { u64::MAX }
+    let when = last
+        .values()
+        .map(|(when, _)| *when)
+        .max()
+        .unwrap_or_default();
+    if whole {
+        when.saturating_sub(at)
+    } else {
+        u64::MAX
+    }
 }
 
 fn cuts(nodes: usize, at: u64, till: u64) -> Vec<Timed> {
-    let (one, other): (Vec<usize>, Vec<usize>) = ((0..nodes / 2).collect(), (nodes / 2..nodes).collect());
+    let (one, other): (Vec<usize>, Vec<usize>) =
+        ((0..nodes / 2).collect(), (nodes / 2..nodes).collect());
     let pairs = [(one.clone(), other.clone()), (other, one)];
-    let cut = pairs.clone().map(|(from, to)| Timed { at_ms: at, fault: Fault::Cut { from, to } });
-    let mend = pairs.map(|(from, to)| Timed { at_ms: till, fault: Fault::Mend { from, to } });
+    let cut = pairs.clone().map(|(from, to)| Timed {
+        at_ms: at,
+        fault: Fault::Cut { from, to },
+    });
+    let mend = pairs.map(|(from, to)| Timed {
+        at_ms: till,
+        fault: Fault::Mend { from, to },
+    });
     cut.into_iter().chain(mend).collect()
 }
 
 fn simulated(nodes: usize) {
-    let options = |record_from_ms| Options { record_from_ms, ..Options::default() };
+    let options = |record_from_ms| Options {
+        record_from_ms,
+        ..Options::default()
+    };
     let (mut found, began) = (Vec::new(), Instant::now());
     for seed in 1..=if nodes > 500 { 1 } else { 5 } {
-        let script = Script { nodes, ms: CALM + APART * (KILLS as u64 + 1), seed, faults: kills(nodes) };
+        let script = Script {
+            nodes,
+            ms: CALM + APART * (KILLS as u64 + 1),
+            seed,
+            faults: kills(nodes),
+        };
         found.extend(known(&run(&script, &options(CALM)).0));
     }
     tell("simulated", nodes, &found);
     // Alike but for ten calm seconds more: the difference is what calm costs.
     let calm = |ms| {
-        let script = Script { nodes, ms, seed: 1, faults: Vec::new() };
-        run(&script, &Options { count_bytes: true, ..options(u64::MAX) }).1
+        let script = Script {
+            nodes,
+            ms,
+            seed: 1,
+            faults: Vec::new(),
+        };
+        run(
+            &script,
+            &Options {
+                count_bytes: true,
+                ..options(u64::MAX)
+            },
+        )
+        .1
     };
     let (short, long) = (calm(CALM), calm(CALM + 10_000));
     let each = |of: u64| of as f64 / nodes as f64 / 10.0;
@@ -129,27 +178,63 @@
         "simulated {nodes}: calm, {:.0} bytes and {:.1} datagrams a second sent by each, {:.0} ns an event",
         each(long.bytes - short.bytes),
         each(long.datagrams - short.datagrams),
-        (long.decisions_ns.saturating_sub(short.decisions_ns)) as f64 / (long.events - short.events) as f64,
+        (long.decisions_ns.saturating_sub(short.decisions_ns)) as f64
+            / (long.events - short.events) as f64,
     );
     if nodes <= 300 {
         let heals = (1..=3).map(|seed| {
-            let script = Script { nodes, ms: 40_000, seed, faults: cuts(nodes, 20_000, 30_000) };
+            let script = Script {
+                nodes,
+                ms: 40_000,
+                seed,
+                faults: cuts(nodes, 20_000, 30_000),
+            };
             whole_again(&run(&script, &options(0)).0, 30_000)
         });
-        println!("simulated {nodes}: whole again {} ms after a cut in halves", middle(heals.collect()));
+        println!(
+            "simulated {nodes}: whole again {} ms after a cut in halves",
+            middle(heals.collect())
+        );
     }
-    println!("simulated {nodes}: took {:.1} s", began.elapsed().as_secs_f64());
+    println!(
+        "simulated {nodes}: took {:.1} s",
+        began.elapsed().as_secs_f64()
+    );
 }
 
 /// Members wrongly declared dead while a twentieth of all datagrams is lost.
 fn loss(nodes: usize, seconds: u64) {
-    let rough = Fault::Links { loss: 0.05, doubled: 0.0, garbled: 0.0, delay_ms: 2 };
-    let faults = vec![Timed { at_ms: 5_000, fault: rough }];
-    let script = Script { nodes, ms: seconds * 1_000, seed: 1, faults };
-    let (history, _) = run(&script, &Options { record_from_ms: 5_000, ..Options::default() });
+    let rough = Fault::Links {
+        loss: 0.05,
+        doubled: 0.0,
+        garbled: 0.0,
+        delay_ms: 2,
+    };
+    let faults = vec![Timed {
+        at_ms: 5_000,
+        fault: rough,
+    }];
+    let script = Script {
+        nodes,
+        ms: seconds * 1_000,
+        seed: 1,
+        faults,
+    };
+    let (history, _) = run(
+        &script,
+        &Options {
+            record_from_ms: 5_000,
+            ..Options::default()
+        },
+    );
     let count = |wanted: &str| {
-        let is = |what: &What| matches!(what, What::MemberChange { change, .. } if change == wanted);
-        history.entries.iter().filter(|entry| is(&entry.what)).count()
+        let is =
+            |what: &What| matches!(what, What::MemberChange { change, .. } if change == wanted);
+        history
+            .entries
+            .iter()
+            .filter(|entry| is(&entry.what))
+            .count()
     };
     println!(
         "simulated {nodes}: {seconds} s with 5% lost: {} suspicions, {} deaths",
@@ -160,8 +245,17 @@
 
 fn cpu_ms(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace();
-    fields.skip(11).take(2).filter_map(|ticks| ticks.parse::<u64>().ok()).sum::<u64>() * 10
+    let fields = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or_default()
+        .split_whitespace();
+    fields
+        .skip(11)
+        .take(2)
+        .filter_map(|ticks| ticks.parse::<u64>().ok())
+        .sum::<u64>()
+        * 10
 }
 
 fn processes(nodes: usize) {
@@ -170,15 +264,24 @@
     let more = |_: usize| Value::Null;
     rig.begin();
     let began = Instant::now();
-    let until = |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(began.elapsed()));
+    let until =
+        |ms: u64| std::thread::sleep(Duration::from_millis(ms).saturating_sub(began.elapsed()));
     (0..nodes).for_each(|of| rig.start(of, of, &Value::Null).expect("a process"));
     until(8_000);
-    let cpu = |rig: &Rig| (0..nodes).filter_map(|of| rig.pid(of)).map(cpu_ms).sum::<u64>();
+    let cpu = |rig: &Rig| {
+        (0..nodes)
+            .filter_map(|of| rig.pid(of))
+            .map(cpu_ms)
+            .sum::<u64>()
+    };
     let (cpu_before, before) = (cpu(&rig), rig.relay.counts());
     until(CALM - 2_000);
     let (spent, after) = (cpu(&rig) - cpu_before, rig.relay.counts());
     let seconds = (CALM - 2_000 - 8_000) as f64 / 1_000.0;
-    let (bytes, sent) = (after.bytes - before.bytes, after.passed + after.lost - before.passed - before.lost);
+    let (bytes, sent) = (
+        after.bytes - before.bytes,
+        after.passed + after.lost - before.passed - before.lost,
+    );
     println!(
         "processes {nodes}: calm, {:.0} bytes and {:.1} datagrams a second sent by each, {:.2}% of a core",
         bytes as f64 / nodes as f64 / seconds,
@@ -191,8 +294,18 @@
     }
     let rest = CALM + APART * KILLS as u64;
     until(rest);
-    let dead: Vec<usize> = kills(nodes).iter().flat_map(|timed| timed.fault.nodes()).collect();
-    rig.take_up(&Fault::Start { nodes: dead, clock_ms: 0 }, &more).expect("starts");
+    let dead: Vec<usize> = kills(nodes)
+        .iter()
+        .flat_map(|timed| timed.fault.nodes())
+        .collect();
+    rig.take_up(
+        &Fault::Start {
+            nodes: dead,
+            clock_ms: 0,
+        },
+        &more,
+    )
+    .expect("starts");
     let cuts = cuts(nodes, rest + 8_000, rest + 18_000);
     for timed in &cuts {
         until(timed.at_ms);
--- a/bench/src/bin/reload.rs
+++ b/bench/src/bin/reload.rs
@@ -70,7 +70,8 @@
         let front = plan.port(9091);
         let start = |place: usize| Server::start(UWSGI, move |_| Act::ok(format!("p{place}")));
         let servers: Vec<Server> = (0..POOLS).map(start).collect();
-        let party = |nth: usize| json!({"name": format!("customer-{nth:05}"), "allowance_per_s": 1});
+        let party =
+            |nth: usize| json!({"name": format!("customer-{nth:05}"), "allowance_per_s": 1});
         plan.config["settings"]["parties"] = (0..words.customers).map(party).collect();
         plan.config["settings"]["family_info"]["cores"] = json!(64);
         for group in plan.config["settings"]["lanes"].as_array_mut().unwrap() {
@@ -80,7 +81,13 @@
         let version = |nth| installation(words.rules, front, &servers, nth);
         plan.installation = Some(version(0));
         let versions = (0..POOLS).map(|nth| version(nth).to_string()).collect();
-        let site = Site { bed: plan.start(), front, _servers: servers, versions, version: 0 };
+        let site = Site {
+            bed: plan.start(),
+            front,
+            _servers: servers,
+            versions,
+            version: 0,
+        };
         drop(connect(front));
         site
     }
@@ -105,22 +112,31 @@
 
     /// A figure of the process in kB.
     fn memory_kb(&self, name: &str) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.bed.program.id())).unwrap();
-        let line = status.lines().find_map(|line| line.strip_prefix(name)).unwrap();
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.bed.program.id())).unwrap();
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix(name))
+            .unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
     /// Processor time of the process so far; the system counts hundredths of a second.
     fn cpu_ms(&self) -> u64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.bed.program.id())).unwrap();
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.bed.program.id())).unwrap();
         let fields = stat.rsplit(')').next().unwrap().split_whitespace();
-        fields.skip(11).take(2).map(|ticks| ticks.parse::<u64>().unwrap()).sum::<u64>() * 10
+        fields
+            .skip(11)
+            .take(2)
+            .map(|ticks| ticks.parse::<u64>().unwrap())
+            .sum::<u64>()
+            * 10
     }
 }
 
 fn installation(rules: usize, front: SocketAddr, servers: &[Server], version: usize) -> Value {
-    let pool =
-        |server: &Server| json!({"protocol": "uwsgi", "addresses": [server.at.to_string()], "at_once": 64});
+    let pool = |server: &Server| json!({"protocol": "uwsgi", "addresses": [server.at.to_string()], "at_once": 64});
     let names = (0..servers.len()).map(|place| format!("p{place}"));
     let pools: serde_json::Map<String, Value> = names.zip(servers.iter().map(pool)).collect();
     let rule = |place: usize| {
@@ -129,21 +145,27 @@
         );
         json!({"when": when, "group": "look", "subject": "segment(1)", "rank": "0.5"})
     };
-    let probe =
-        json!({"when": "path == \"/probe\"", "group": "look", "servers": format!("p{}", version % POOLS)});
+    let probe = json!({"when": "path == \"/probe\"", "group": "look", "servers": format!("p{}", version % POOLS)});
     let rules: Vec<Value> = (1..rules).map(rule).chain([probe]).collect();
     json!({"fronts": [{"protocol": "uwsgi", "listen": front.to_string()}], "servers": pool(&servers[0]),
         "pools": pools, "rules": rules, "otherwise": "look"})
 }
 
 fn ask(front: SocketAddr, path: &str) -> Seen {
-    let pairs: [Pair; 3] =
-        [(b"REQUEST_METHOD", b"GET"), (b"PATH_INFO", path.as_bytes()), (b"HTTP_X_TENANT", b"customer-00001")];
+    let pairs: [Pair; 3] = [
+        (b"REQUEST_METHOD", b"GET"),
+        (b"PATH_INFO", path.as_bytes()),
+        (b"HTTP_X_TENANT", b"customer-00001"),
+    ];
     let mut out = Vec::new();
     write_request(UWSGI, &mut out, 1, false, &pairs, b"").unwrap();
     let mut sock = connect(front);
     sock.write_all(&out).unwrap();
-    Pending { sock, protocol: UWSGI }.seen()
+    Pending {
+        sock,
+        protocol: UWSGI,
+    }
+    .seen()
 }
 
 fn said(seen: &Seen) -> String {
@@ -155,8 +177,10 @@
 
 /// Sends requests at their times until told to end.
 fn call(front: SocketAddr, place: u32, rate: u32, over: &AtomicBool) -> Outcomes {
-    let mut outcomes =
-        Outcomes { micros: Histogram::new_with_max(60_000_000, 3).unwrap(), answers: BTreeMap::new() };
+    let mut outcomes = Outcomes {
+        micros: Histogram::new_with_max(60_000_000, 3).unwrap(),
+        answers: BTreeMap::new(),
+    };
     let begun = Instant::now();
     for nth in 0.. {
         let at = begun + Duration::from_secs(1) * (nth * CALLERS + place) / rate;
@@ -165,7 +189,9 @@
             break;
         }
         let seen = ask(front, "/elsewhere");
-        outcomes.micros.saturating_record(at.elapsed().as_micros() as u64);
+        outcomes
+            .micros
+            .saturating_record(at.elapsed().as_micros() as u64);
         *outcomes.answers.entry(said(&seen)).or_default() += 1;
     }
     outcomes
@@ -193,11 +219,16 @@
             }
         }
         over.store(true, Ordering::Relaxed);
-        let mut all =
-            Outcomes { micros: Histogram::new_with_max(60_000_000, 3).unwrap(), answers: BTreeMap::new() };
+        let mut all = Outcomes {
+            micros: Histogram::new_with_max(60_000_000, 3).unwrap(),
+            answers: BTreeMap::new(),
+        };
         for outcomes in callers.into_iter().map(|caller| caller.join().unwrap()) {
             all.micros.add(outcomes.micros).unwrap();
-            outcomes.answers.into_iter().for_each(|(said, n)| *all.answers.entry(said).or_default() += n);
+            outcomes
+                .answers
+                .into_iter()
+                .for_each(|(said, n)| *all.answers.entry(said).or_default() += n);
         }
         all
     })
@@ -234,7 +265,11 @@
         waits.push(worst.as_micros() as f64 / 1000.0);
         site.until_in_force();
     }
-    let what = if changes { "after each of some changes" } else { "without a change" };
+    let what = if changes {
+        "after each of some changes"
+    } else {
+        "without a change"
+    };
     println!("worst wait in 1.5 s {what}, one caller: {waits:.2?} ms");
 }
 
@@ -260,12 +295,25 @@
     site.bed.signal("-TERM");
     let (_, log) = site.bed.end();
     let figures = |name: &str| -> Vec<u64> {
-        let figure = |line: &str| line.split_once(name)?.1.split_whitespace().next()?.parse().ok();
+        let figure = |line: &str| {
+            line.split_once(name)?
+                .1
+                .split_whitespace()
+                .next()?
+                .parse()
+                .ok()
+        };
         log.lines().filter_map(figure).collect()
     };
     // How runs ended at the servers tells why requests were not completed.
-    log.lines().filter(|line| line.contains("so far of servers")).for_each(|line| println!("{line}"));
-    println!("by its log: held_us {:?}, built_ms {:?}", figures(" held_us="), figures(" built_ms="));
+    log.lines()
+        .filter(|line| line.contains("so far of servers"))
+        .for_each(|line| println!("{line}"));
+    println!(
+        "by its log: held_us {:?}, built_ms {:?}",
+        figures(" held_us="),
+        figures(" built_ms=")
+    );
 }
 
 fn main() {
--- a/bench/src/bin/storm.rs
+++ b/bench/src/bin/storm.rs
@@ -37,7 +37,11 @@
         let mut taken = self.taken.lock().unwrap_or_else(PoisonError::into_inner);
         while *taken >= SLOTS || stalls() {
             let wait = Duration::from_millis(5);
-            taken = self.free.wait_timeout(taken, wait).unwrap_or_else(PoisonError::into_inner).0;
+            taken = self
+                .free
+                .wait_timeout(taken, wait)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
         *taken += 1;
         drop(taken);
@@ -95,8 +99,12 @@
                     let front = fronts[nth as usize % fronts.len()];
                     let at = begins.elapsed();
                     let ask = Ask::new(nth, "/svc/look", b"berth");
-                    let seen = ask.try_send(front, Protocol::FastCgi).ok().map(|waits| waits.seen());
-                    let good = matches!(seen, Some(Seen::Completed(_))) && begins.elapsed() - at <= IN_TIME;
+                    let seen = ask
+                        .try_send(front, Protocol::FastCgi)
+                        .ok()
+                        .map(|waits| waits.seen());
+                    let good = matches!(seen, Some(Seen::Completed(_)))
+                        && begins.elapsed() - at <= IN_TIME;
                     told.push((at, good));
                     due = (due + every).max(begins.elapsed());
                 }
@@ -104,13 +112,24 @@
             })
         })
         .collect();
-    let told: Vec<(Duration, bool)> = callers.into_iter().filter_map(|of| of.join().ok()).flatten().collect();
+    let told: Vec<(Duration, bool)> = callers
+        .into_iter()
+        .filter_map(|of| of.join().ok())
+        .flatten()
+        .collect();
     let share = |from: Duration, till: Duration| {
-        let good = told.iter().filter(|(at, good)| *good && (from..till).contains(at)).count();
+        let good = told
+            .iter()
+            .filter(|(at, good)| *good && (from..till).contains(at))
+            .count();
         good as f64 / (OFFERED as f64 * (till - from).as_secs_f64())
     };
     let runs = runs.load(Ordering::Relaxed);
-    Came { before: share(Duration::from_secs(1), STALL.0), after: share(STALL.1, LASTS), runs }
+    Came {
+        before: share(Duration::from_secs(1), STALL.0),
+        after: share(STALL.1, LASTS),
+        runs,
+    }
 }
 
 fn main() {
--- a/bench/src/load.rs
+++ b/bench/src/load.rs
@@ -64,12 +64,23 @@
         let mut latencies = histogram();
         let (mut good, mut bad) = (0, 0);
         for thread in threads {
-            let part = thread.join().map_err(|_| io::Error::other("a caller's thread has ended"))??;
+            let part = thread
+                .join()
+                .map_err(|_| io::Error::other("a caller's thread has ended"))??;
             latencies.add(&part.0).map_err(io::Error::other)?;
             (good, bad) = (good + part.1, bad + part.2);
         }
-        let used = Used { cpu_us: after.cpu_us - before.cpu_us, memory_kb: after.memory_kb };
-        Ok(Played { latencies, good, bad, seconds: self.lasts.as_secs_f64(), used })
+        let used = Used {
+            cpu_us: after.cpu_us - before.cpu_us,
+            memory_kb: after.memory_kb,
+        };
+        Ok(Played {
+            latencies,
+            good,
+            bad,
+            seconds: self.lasts.as_secs_f64(),
+            used,
+        })
     }
 }
 
@@ -189,9 +200,20 @@
         let (out, hand, reader) = Default::default();
         let entry = self.conns.vacant_entry();
         // SAFETY: the socket is taken out of the poller before it is dropped.
-        unsafe { self.poller.add_with_mode(&sock, Event::readable(entry.key()), PollMode::Level)? };
+        unsafe {
+            self.poller
+                .add_with_mode(&sock, Event::readable(entry.key()), PollMode::Level)?
+        };
         let key = entry.key();
-        entry.insert(Conn { sock, out, written: 0, hand, reader, next_id: 0, watches_writes: false });
+        entry.insert(Conn {
+            sock,
+            out,
+            written: 0,
+            hand,
+            reader,
+            next_id: 0,
+            watches_writes: false,
+        });
         Ok(key)
     }
 
@@ -207,13 +229,16 @@
         let conn = &mut self.conns[key];
         conn.next_id = conn.next_id % 30_000 + 1;
         let id = conn.next_id;
-        self.template.stamp(&mut conn.out, id, self.next_try, unix_ms());
+        self.template
+            .stamp(&mut conn.out, id, self.next_try, unix_ms());
         conn.hand.push((id, due, Vec::new()));
         self.write(key)
     }
 
     fn write(&mut self, key: usize) -> io::Result<()> {
-        let Some(conn) = self.conns.get_mut(key) else { return Ok(()) };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return Ok(());
+        };
         while conn.written < conn.out.len() {
             match conn.sock.write(&conn.out[conn.written..]) {
                 Ok(n) => conn.written += n,
@@ -226,14 +251,20 @@
         }
         let wants = !conn.out.is_empty();
         if wants != conn.watches_writes {
-            self.poller.modify_with_mode(&conn.sock, Event::new(key, true, wants), PollMode::Level)?;
+            self.poller.modify_with_mode(
+                &conn.sock,
+                Event::new(key, true, wants),
+                PollMode::Level,
+            )?;
             conn.watches_writes = wants;
         }
         Ok(())
     }
 
     fn read(&mut self, key: usize) -> io::Result<()> {
-        let Some(conn) = self.conns.get_mut(key) else { return Ok(()) };
+        let Some(conn) = self.conns.get_mut(key) else {
+            return Ok(());
+        };
         let mut buffer = [0; 64 * 1024];
         let n = match conn.sock.read(&mut buffer) {
             Ok(n) => n,
@@ -247,14 +278,19 @@
                 let conn = self.conns.remove(key);
                 self.poller.delete(&conn.sock)?;
                 over.extend(
-                    conn.hand.into_iter().map(|(_, due, answer)| (due, answer.starts_with(b"HTTP/1.1 200"))),
+                    conn.hand
+                        .into_iter()
+                        .map(|(_, due, answer)| (due, answer.starts_with(b"HTTP/1.1 200"))),
                 );
             }
-            Protocol::FastCgi if n == 0 => return Err(io::Error::other("the node closed a connection")),
+            Protocol::FastCgi if n == 0 => {
+                return Err(io::Error::other("the node closed a connection"));
+            }
             Protocol::FastCgi => {
                 let mut input = &buffer[..n];
-                let find =
-                    |hand: &[(u16, Instant, Vec<u8>)], id| hand.iter().position(|(other, ..)| *other == id);
+                let find = |hand: &[(u16, Instant, Vec<u8>)], id| {
+                    hand.iter().position(|(other, ..)| *other == id)
+                };
                 while let Some(reply) = conn.reader.next(&mut input).map_err(io::Error::other)? {
                     match reply {
                         Reply::Stdout { id, bytes } => {
@@ -278,7 +314,8 @@
         let now = Instant::now();
         for (due, good) in over {
             if now >= self.from && now < self.till {
-                self.latencies.saturating_record((now - due).as_micros() as u64);
+                self.latencies
+                    .saturating_record((now - due).as_micros() as u64);
                 if good { self.good += 1 } else { self.bad += 1 }
             }
             if let Pace::Closed(_) = self.pace {
--- a/bench/src/main.rs
+++ b/bench/src/main.rs
@@ -95,7 +95,11 @@
     match play(&words) {
         Ok(rows) => {
             print(&rows);
-            match words.json.as_ref().map_or(Ok(()), |path| write(path, &rows)) {
+            match words
+                .json
+                .as_ref()
+                .map_or(Ok(()), |path| write(path, &rows))
+            {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => fail(&e.to_string()),
             }
--- a/bench/src/report.rs
+++ b/bench/src/report.rs
@@ -27,7 +27,9 @@
 
 impl Row {
     pub fn of(node: &str, place: &str, round: usize, played: &Played) -> Row {
-        let (all, at) = ((played.good + played.bad).max(1) as f64, |q| played.latencies.value_at_quantile(q));
+        let (all, at) = ((played.good + played.bad).max(1) as f64, |q| {
+            played.latencies.value_at_quantile(q)
+        });
         Row {
             node: node.to_string(),
             place: place.to_string(),
@@ -64,7 +66,10 @@
 pub fn print(rows: &[Row]) {
     let mut groups: BTreeMap<(String, String), Vec<&Row>> = BTreeMap::new();
     for row in rows {
-        groups.entry((row.place.clone(), row.node.clone())).or_default().push(row);
+        groups
+            .entry((row.place.clone(), row.node.clone()))
+            .or_default()
+            .push(row);
     }
     println!(
         "{:<10} {:<26} {:>9} {:>7} {:>9} {:>9} {:>9} {:>8} {:>6} {:>8} {:>6}",
--- a/bench/src/request.rs
+++ b/bench/src/request.rs
@@ -21,8 +21,16 @@
         let body = vec![b'x'; body];
         let ask = Ask::new(TRY, "/svc/look", &body).with("HTTP_X_REQUEST_START", STAMP);
         let mut bytes = ask.bytes(protocol);
-        let find = |what: &[u8]| bytes.windows(what.len()).position(|part| part == what).unwrap_or(0);
-        let (try_at, stamp_at) = (find(format!("{TRY:016x}").as_bytes()), find(STAMP.as_bytes()));
+        let find = |what: &[u8]| {
+            bytes
+                .windows(what.len())
+                .position(|part| part == what)
+                .unwrap_or(0)
+        };
+        let (try_at, stamp_at) = (
+            find(format!("{TRY:016x}").as_bytes()),
+            find(STAMP.as_bytes()),
+        );
         let mut ids_at = Vec::new();
         if protocol == Protocol::FastCgi {
             // Its connections are kept.
@@ -33,7 +41,12 @@
                 at += HEAD + usize::from(u16::from_be_bytes([bytes[at + 4], bytes[at + 5]]));
             }
         }
-        Template { bytes, try_at, stamp_at, ids_at }
+        Template {
+            bytes,
+            try_at,
+            stamp_at,
+            ids_at,
+        }
     }
 
     /// Appends the request of one exchange; `unix_ms` has thirteen digits for a while yet.
--- a/bench/src/target.rs
+++ b/bench/src/target.rs
@@ -62,7 +62,10 @@
                 beds[place] = member(&program, seed);
             }
         });
-        Others { over, thread: Some(thread) }
+        Others {
+            over,
+            thread: Some(thread),
+        }
     }
 }
 
@@ -103,8 +106,10 @@
             installation["fronts"] = json!([{"protocol": front.name(), "listen": at.to_string()}]);
         }
         if rules > 0 && front.is_some() {
-            let rule = |n| json!({"when": format!("path.starts_with(\"/yard-{n}/\")"), "group": "look"});
-            let last = json!({"when": "path == \"/svc/look\" && method == \"POST\"", "group": "look"});
+            let rule =
+                |n| json!({"when": format!("path.starts_with(\"/yard-{n}/\")"), "group": "look"});
+            let last =
+                json!({"when": "path == \"/svc/look\" && method == \"POST\"", "group": "look"});
             installation["rules"] = (1..rules).map(rule).chain([last]).collect();
         }
         match behind {
@@ -115,8 +120,7 @@
             }
             Behind::Servers(protocol) => {
                 let address = instant::server(protocol, 64)?;
-                installation["servers"] =
-                    json!({"protocol": protocol.name(), "addresses": [address.to_string()], "at_once": 64});
+                installation["servers"] = json!({"protocol": protocol.name(), "addresses": [address.to_string()], "at_once": 64});
             }
         }
         let link = plan.port(7400);
@@ -124,8 +128,10 @@
             installation["fleet"] = fleet(link, link);
         }
         // One of before knows no such file, and is asked where the platform does.
-        plan.installation =
-            installation.as_object().filter(|file| !file.is_empty()).map(|_| installation.clone());
+        plan.installation = installation
+            .as_object()
+            .filter(|file| !file.is_empty())
+            .map(|_| installation.clone());
         let bed = plan.start();
         let mut set = CpuSet::new();
         set.set(core);
@@ -134,17 +140,30 @@
         // Until its work is up a node refuses, and nobody asks it.
         std::thread::sleep(std::time::Duration::from_millis(300));
         let others = (nodes > 1).then(|| Others::start(program, nodes - 1, link));
-        Ok(Target { bed, at, _others: others })
+        Ok(Target {
+            bed,
+            at,
+            _others: others,
+        })
     }
 
     pub fn used(&self) -> Used {
         let folder = format!("/proc/{}", self.bed.program.id());
         let status = fs::read_to_string(format!("{folder}/status")).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let memory_kb = line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0);
+        let memory_kb = line
+            .and_then(|line| line.split_whitespace().next()?.parse().ok())
+            .unwrap_or(0);
         // The scheduler's own count is finer than the hundredths of `stat`.
         let run = fs::read_to_string(format!("{folder}/schedstat")).unwrap_or_default();
-        let ns: u64 = run.split_whitespace().next().and_then(|ns| ns.parse().ok()).unwrap_or(0);
-        Used { cpu_us: ns / 1000, memory_kb }
+        let ns: u64 = run
+            .split_whitespace()
+            .next()
+            .and_then(|ns| ns.parse().ok())
+            .unwrap_or(0);
+        Used {
+            cpu_us: ns / 1000,
+            memory_kb,
+        }
     }
 }
--- a/budgets/src/allocation.rs
+++ b/budgets/src/allocation.rs
@@ -13,7 +13,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Uses {
     /// A token bucket: `tokens` as of `counted`, at most `cap`, in fractions of [`TOKEN`].
-    Rate { tokens: u64, cap: u64, counted: Tenths },
+    Rate {
+        tokens: u64,
+        cap: u64,
+        counted: Tenths,
+    },
     /// Units held.
     Concurrency { in_use: Units },
 }
@@ -40,9 +44,17 @@
 impl Allocation {
     /// Nothing is leased yet; `name` is that of the node.
     pub fn new(budget: Budget, name: &str, now: Tenths, parameters: &Parameters) -> Allocation {
-        let held = if parameters.safeguards.held { budget.max_hold() } else { 0 };
+        let held = if parameters.safeguards.held {
+            budget.max_hold()
+        } else {
+            0
+        };
         let uses = match budget.kind {
-            Kind::Rate { .. } => Uses::Rate { tokens: 0, cap: 0, counted: now },
+            Kind::Rate { .. } => Uses::Rate {
+                tokens: 0,
+                cap: 0,
+                counted: now,
+            },
             Kind::Concurrency { .. } => Uses::Concurrency { in_use: 0 },
         };
         let mut allocation = Allocation {
@@ -65,7 +77,9 @@
     pub fn change(&mut self, budget: Budget, name: &str) {
         self.reserved = budget.reserved_at(name);
         // A lower limit holds at once for what this node may use.
-        self.leased = self.leased.min(budget.grantable(budget.limit(), budget.reserved()));
+        self.leased = self
+            .leased
+            .min(budget.grantable(budget.limit(), budget.reserved()));
         self.budget = budget;
         self.apply_cap();
     }
@@ -79,7 +93,9 @@
     /// Adapts the token bucket to what is allocated.
     fn apply_cap(&mut self) {
         let (usable, limit) = (self.reserved + self.leased, self.budget.limit());
-        if let (Uses::Rate { tokens, cap, .. }, Kind::Rate { burst }) = (&mut self.uses, self.budget.kind) {
+        if let (Uses::Rate { tokens, cap, .. }, Kind::Rate { burst }) =
+            (&mut self.uses, self.budget.kind)
+        {
             let all = u128::from(burst) * u128::from(TOKEN);
             *cap = (all * u128::from(usable.min(limit)) / u128::from(limit.max(1))) as u64;
             *tokens = (*tokens).min(*cap);
@@ -100,7 +116,12 @@
     /// Adds the tokens of the time since the last count.
     fn count(&mut self, now: Tenths, parameters: &Parameters) {
         let rate = self.reserved + self.leased;
-        if let Uses::Rate { tokens, cap, counted } = &mut self.uses {
+        if let Uses::Rate {
+            tokens,
+            cap,
+            counted,
+        } = &mut self.uses
+        {
             let span = now.saturating_sub(*counted);
             let mut more = rate.saturating_mul(span);
             if parameters.safeguards.drift {
@@ -115,7 +136,12 @@
     /// What may be used now, the reserved minimum included.
     pub fn usable(&mut self, now: Tenths, parameters: &Parameters) -> Units {
         self.settle(now, parameters);
-        self.leased + if now >= self.reserved_from { self.reserved } else { 0 }
+        self.leased
+            + if now >= self.reserved_from {
+                self.reserved
+            } else {
+                0
+            }
     }
 
     /// Acquires one unit.
@@ -137,7 +163,11 @@
                 }
             }
             Uses::Concurrency { in_use } => {
-                let taken = if *in_use < usable { Ok(()) } else { Err(parameters.round) };
+                let taken = if *in_use < usable {
+                    Ok(())
+                } else {
+                    Err(parameters.round)
+                };
                 *in_use += Units::from(taken.is_ok());
                 (taken, *in_use)
             }
@@ -170,13 +200,27 @@
     }
 
     /// The item of a report; with `round` it ends a round of the measured need.
-    pub fn item(&mut self, now: Tenths, parameters: &Parameters, round: bool, leaves: bool) -> ReportItem {
+    pub fn item(
+        &mut self,
+        now: Tenths,
+        parameters: &Parameters,
+        round: bool,
+        leaves: bool,
+    ) -> ReportItem {
         self.settle(now, parameters);
         let in_use = self.in_use();
-        let need = if round { self.need.round(now, &self.budget, in_use) } else { self.need.last() };
+        let need = if round {
+            self.need.round(now, &self.budget, in_use)
+        } else {
+            self.need.last()
+        };
         ReportItem {
             id: self.budget.id(),
-            need: if leaves { 0 } else { need.saturating_sub(self.reserved) },
+            need: if leaves {
+                0
+            } else {
+                need.saturating_sub(self.reserved)
+            },
             holding: self.leased.max(in_use.saturating_sub(self.reserved)),
             accepted: self.accepted,
             limit: self.budget.limit(),
@@ -197,9 +241,15 @@
         self.settle(now, parameters);
         let was = self.leased;
         // A leader that prolongs may not know that this has been granted to another since it was over here.
-        let max = if grant.prolongs && parameters.safeguards.prolong { was } else { Units::MAX };
-        self.leased =
-            grant.allocation.min(max).min(self.budget.grantable(self.budget.limit(), self.budget.reserved()));
+        let max = if grant.prolongs && parameters.safeguards.prolong {
+            was
+        } else {
+            Units::MAX
+        };
+        self.leased = grant.allocation.min(max).min(
+            self.budget
+                .grantable(self.budget.limit(), self.budget.reserved()),
+        );
         (self.till, self.accepted, self.ran_out) = (till, seq, None);
         self.apply_cap();
         (was, self.leased)
--- a/budgets/src/budgets.rs
+++ b/budgets/src/budgets.rs
@@ -10,7 +10,8 @@
 use crate::ledger::Ledger;
 use crate::voter::Voter;
 use crate::{
-    Action, Budget, Change, Envelope, Event, Grant, Id, MAX_ITEMS, Message, NodeId, Parameters, ReportItem,
+    Action, Budget, Change, Envelope, Event, Grant, Id, MAX_ITEMS, Message, NodeId, Parameters,
+    ReportItem,
 };
 
 /// Reports that are remembered, as an answer counts from when its report was sent.
@@ -51,7 +52,10 @@
 }
 
 fn indices(list: &[Budget]) -> BTreeMap<Id, usize> {
-    list.iter().enumerate().map(|(index, budget)| (budget.id(), index)).collect()
+    list.iter()
+        .enumerate()
+        .map(|(index, budget)| (budget.id(), index))
+        .collect()
 }
 
 impl Budgets {
@@ -65,15 +69,22 @@
         seed: u64,
         now: Tenths,
     ) -> Budgets {
-        let allocations =
-            list.iter().map(|budget| Allocation::new(budget.clone(), &me.name, now, &parameters)).collect();
-        let voter = parameters.voters.contains(&me.name).then(|| Voter::new(now, &parameters));
+        let allocations = list
+            .iter()
+            .map(|budget| Allocation::new(budget.clone(), &me.name, now, &parameters))
+            .collect();
+        let voter = parameters
+            .voters
+            .contains(&me.name)
+            .then(|| Voter::new(now, &parameters));
         let mut budgets = Budgets {
             voter,
             indices: indices(list),
             allocations,
             weight: weight.max(1),
-            leadership: Leadership::Follower { try_at: Tenths::MAX },
+            leadership: Leadership::Follower {
+                try_at: Tenths::MAX,
+            },
             ledger: Ledger::default(),
             voters: BTreeMap::new(),
             leader: None,
@@ -94,8 +105,12 @@
         // Those that start at one instant are not to seek votes at one instant, nor report ever after.
         let jitter = budgets.random(budgets.parameters.round);
         if let Some(voter) = &budgets.voter {
-            budgets.leadership = Leadership::Follower { try_at: voter.free_at() + jitter };
-            budgets.voters.insert(budgets.me.name.clone(), budgets.me.incarnation);
+            budgets.leadership = Leadership::Follower {
+                try_at: voter.free_at() + jitter,
+            };
+            budgets
+                .voters
+                .insert(budgets.me.name.clone(), budgets.me.incarnation);
         }
         budgets.report_at = now + budgets.random(budgets.parameters.round);
         budgets
@@ -112,7 +127,8 @@
         if self.superseded || self.allocations.is_empty() {
             return Tenths::MAX;
         }
-        self.report_at.min(self.leadership.next_due(&self.parameters))
+        self.report_at
+            .min(self.leadership.next_due(&self.parameters))
     }
 
     /// Handles one event at the time `now`, which must not go back. Actions are added to `out`, in order.
@@ -124,11 +140,15 @@
             Event::Tick => self.on_tick(now, out),
             Event::Received(envelope) => self.on_envelope(now, envelope, out),
             Event::Members(view) => {
-                let seen =
-                    |name: &Name| view.members.get(name).map(|member| (name.clone(), member.incarnation));
+                let seen = |name: &Name| {
+                    view.members
+                        .get(name)
+                        .map(|member| (name.clone(), member.incarnation))
+                };
                 self.voters = self.parameters.voters.iter().filter_map(seen).collect();
                 if self.voter.is_some() {
-                    self.voters.insert(self.me.name.clone(), self.me.incarnation);
+                    self.voters
+                        .insert(self.me.name.clone(), self.me.incarnation);
                 }
             }
             Event::Leave => {
@@ -148,11 +168,14 @@
     }
 
     fn change(&mut self, now: Tenths, list: Vec<Budget>) {
-        let mut old: Vec<Option<Allocation>> =
-            std::mem::take(&mut self.allocations).into_iter().map(Some).collect();
+        let mut old: Vec<Option<Allocation>> = std::mem::take(&mut self.allocations)
+            .into_iter()
+            .map(Some)
+            .collect();
         for budget in list {
             let same = |old: &&mut Option<Allocation>| {
-                old.as_ref().is_some_and(|old| old.budget.id() == budget.id())
+                old.as_ref()
+                    .is_some_and(|old| old.budget.id() == budget.id())
             };
             let allocation = match old.iter_mut().find(same).and_then(Option::take) {
                 Some(mut allocation) => {
@@ -163,7 +186,11 @@
             };
             self.allocations.push(allocation);
         }
-        let list: Vec<Budget> = self.allocations.iter().map(|allocation| allocation.budget.clone()).collect();
+        let list: Vec<Budget> = self
+            .allocations
+            .iter()
+            .map(|allocation| allocation.budget.clone())
+            .collect();
         self.indices = indices(&list);
         self.ledger.change(&list);
     }
@@ -175,7 +202,12 @@
         }
         // Who is short asks twice as often: what others give up is granted to it that much sooner.
         let short = self.allocations.iter().any(Allocation::is_short);
-        self.report_at = now + if short { self.parameters.round.div_ceil(2) } else { self.parameters.round };
+        self.report_at = now
+            + if short {
+                self.parameters.round.div_ceil(2)
+            } else {
+                self.parameters.round
+            };
         for (index, allocation) in self.allocations.iter_mut().enumerate() {
             if let Some(allocation) = allocation.ran_out(now, &self.parameters) {
                 out.push(Action::Report(Change::RanOut { index, allocation }));
@@ -193,9 +225,13 @@
 
     /// Reports these budgets to the leader, or, if none is known, to a voter that may know one.
     fn report(&mut self, now: Tenths, indices: &[usize], round: bool, out: &mut Vec<Action>) {
-        let Some(to) = self.leader.clone().or_else(|| self.next_asked()) else { return };
+        let Some(to) = self.leader.clone().or_else(|| self.next_asked()) else {
+            return;
+        };
         let (parameters, leaves) = (&self.parameters, self.leaving);
-        let items = indices.iter().map(|index| self.allocations[*index].item(now, parameters, round, leaves));
+        let items = indices
+            .iter()
+            .map(|index| self.allocations[*index].item(now, parameters, round, leaves));
         let items: Vec<ReportItem> = items.collect();
         for items in items.chunks(MAX_ITEMS) {
             self.seq += 1;
@@ -216,16 +252,24 @@
     }
 
     pub(crate) fn others(&self) -> impl Iterator<Item = NodeId> {
-        let all = self
-            .voters
-            .iter()
-            .map(|(name, incarnation)| NodeId { name: name.clone(), incarnation: *incarnation });
+        let all = self.voters.iter().map(|(name, incarnation)| NodeId {
+            name: name.clone(),
+            incarnation: *incarnation,
+        });
         all.filter(|who| who.name != self.me.name)
     }
 
     pub(crate) fn send(&mut self, to: NodeId, message: Message, out: &mut Vec<Action>) {
-        let envelope = Envelope { from: self.me.clone(), to, message };
-        if envelope.to == self.me { self.local.push_back(envelope) } else { out.push(Action::Send(envelope)) }
+        let envelope = Envelope {
+            from: self.me.clone(),
+            to,
+            message,
+        };
+        if envelope.to == self.me {
+            self.local.push_back(envelope)
+        } else {
+            out.push(Action::Send(envelope))
+        }
     }
 
     pub(crate) fn follow(&mut self, to: Option<NodeId>, out: &mut Vec<Action>) {
@@ -264,12 +308,24 @@
         }
     }
 
-    fn on_grant(&mut self, now: Tenths, from: &NodeId, seq: u64, grants: &[Grant], out: &mut Vec<Action>) {
+    fn on_grant(
+        &mut self,
+        now: Tenths,
+        from: &NodeId,
+        seq: u64,
+        grants: &[Grant],
+        out: &mut Vec<Action>,
+    ) {
         let in_order = self.parameters.safeguards.in_order;
         if self.leader.as_ref() != Some(from) || (in_order && seq < self.following_since) {
             return;
         }
-        let Some((_, sent)) = self.sent.iter().find(|(sent_seq, _)| *sent_seq == seq).copied() else {
+        let Some((_, sent)) = self
+            .sent
+            .iter()
+            .find(|(sent_seq, _)| *sent_seq == seq)
+            .copied()
+        else {
             return;
         };
         let till = sent + self.parameters.shortened_by_drift(self.parameters.lease);
@@ -279,7 +335,9 @@
         }
         let mut lowered = Vec::new();
         for grant in grants {
-            let Some(index) = self.indices.get(&grant.id).copied() else { continue };
+            let Some(index) = self.indices.get(&grant.id).copied() else {
+                continue;
+            };
             let allocation = &mut self.allocations[index];
             if seq <= allocation.accepted && in_order {
                 continue;
@@ -287,7 +345,12 @@
             let (was, is) = allocation.apply_grant(now, seq, *grant, till, &self.parameters);
             if was != is {
                 let lasts = till.saturating_sub(now);
-                out.push(Action::Report(Change::Allocation { index, was, allocation: is, lasts }));
+                out.push(Action::Report(Change::Allocation {
+                    index,
+                    was,
+                    allocation: is,
+                    lasts,
+                }));
             }
             if is < was {
                 lowered.push(index);
--- a/budgets/src/envelope.rs
+++ b/budgets/src/envelope.rs
@@ -36,7 +36,11 @@
     /// The candidate gives the vote of this ballot back.
     Release { ballot: u64 },
     /// A holder's needs, and what it may have in use.
-    Report { seq: u64, weight: u32, items: Vec<ReportItem> },
+    Report {
+        seq: u64,
+        weight: u32,
+        items: Vec<ReportItem>,
+    },
     /// The leader's answer to a report: what the holder may use, on a lease that runs from when it sent the
     /// report.
     Grant { seq: u64, grants: Vec<Grant> },
--- a/budgets/src/leadership.rs
+++ b/budgets/src/leadership.rs
@@ -32,7 +32,9 @@
 
     /// Counts a vote; one for a ballot that is not remembered is ignored.
     pub fn vote(&mut self, from: &Name, ballot: u64, parameters: &Parameters) {
-        let Some((_, sent)) = self.asked.iter().find(|(asked, _)| *asked == ballot) else { return };
+        let Some((_, sent)) = self.asked.iter().find(|(asked, _)| *asked == ballot) else {
+            return;
+        };
         let till = sent + parameters.shortened_by_drift(parameters.vote_duration);
         let known = self.votes.entry(from.clone()).or_default();
         *known = till.max(*known);
@@ -81,7 +83,10 @@
         match self {
             Leadership::Follower { try_at } => *try_at,
             Leadership::Candidate { till, .. } => *till,
-            Leadership::Leader(term) => term.renew_at.min(term.divide_at).min(term.election.till(parameters)),
+            Leadership::Leader(term) => term
+                .renew_at
+                .min(term.divide_at)
+                .min(term.election.till(parameters)),
         }
     }
 }
@@ -115,12 +120,17 @@
         let free_at = self.voter.as_ref().map_or(Tenths::MAX, Voter::free_at);
         if self.voters.len() < self.parameters.majority() || free_at > now {
             self.leadership = Leadership::Follower {
-                try_at: free_at.max(now + self.parameters.round).saturating_add(jitter),
+                try_at: free_at
+                    .max(now + self.parameters.round)
+                    .saturating_add(jitter),
             };
             return;
         }
         let till = now + self.parameters.round;
-        self.leadership = Leadership::Candidate { election: Election::default(), till };
+        self.leadership = Leadership::Candidate {
+            election: Election::default(),
+            till,
+        };
         self.ask_all(now, out);
     }
 
@@ -148,7 +158,9 @@
             Leadership::Candidate { election, .. } => election,
             Leadership::Leader(term) => &term.election,
         };
-        let Some(ballot) = election.last_ballot() else { return };
+        let Some(ballot) = election.last_ballot() else {
+            return;
+        };
         let others: Vec<NodeId> = self.others().collect();
         for who in [self.me.clone()].into_iter().chain(others) {
             self.send(who, Message::Release { ballot }, out);
@@ -163,7 +175,9 @@
     }
 
     fn step_down(&mut self, now: Tenths, out: &mut Vec<Action>) {
-        self.leadership = Leadership::Follower { try_at: now + self.parameters.round };
+        self.leadership = Leadership::Follower {
+            try_at: now + self.parameters.round,
+        };
         self.ledger = Ledger::default();
         self.follow(None, out);
         out.push(Action::Report(Change::SteppedDown));
@@ -176,7 +190,9 @@
         if held {
             self.step_down(now, out);
         }
-        self.leadership = Leadership::Follower { try_at: Tenths::MAX };
+        self.leadership = Leadership::Follower {
+            try_at: Tenths::MAX,
+        };
     }
 
     fn on_vote(&mut self, now: Tenths, from: &NodeId, ballot: u64, out: &mut Vec<Action>) {
@@ -188,12 +204,23 @@
                 if election.till(&self.parameters) > now {
                     let (renew_at, divide_at) = (now + self.parameters.round, now);
                     let election = std::mem::take(election);
-                    self.leadership = Leadership::Leader(Term { election, renew_at, since: now, divide_at });
-                    let list: Vec<Budget> =
-                        self.allocations.iter().map(|allocation| allocation.budget.clone()).collect();
+                    self.leadership = Leadership::Leader(Term {
+                        election,
+                        renew_at,
+                        since: now,
+                        divide_at,
+                    });
+                    let list: Vec<Budget> = self
+                        .allocations
+                        .iter()
+                        .map(|allocation| allocation.budget.clone())
+                        .collect();
                     self.ledger = Ledger::new(&list);
-                    let grants_after =
-                        if self.parameters.safeguards.settle { self.parameters.lease } else { 0 };
+                    let grants_after = if self.parameters.safeguards.settle {
+                        self.parameters.lease
+                    } else {
+                        0
+                    };
                     out.push(Action::Report(Change::Elected { grants_after }));
                     self.follow(Some(self.me.clone()), out);
                 }
@@ -214,14 +241,21 @@
                 let Some(voter) = &mut self.voter else { return };
                 let given = self.parameters.voters.contains(&from.name)
                     && voter.ask(now, &from, ballot, &self.parameters);
-                let answer = if given { Message::Vote { ballot } } else { Message::Refused { ballot } };
+                let answer = if given {
+                    Message::Vote { ballot }
+                } else {
+                    Message::Refused { ballot }
+                };
                 self.send(from, answer, out);
             }
             Message::Vote { ballot } if self.parameters.voters.contains(&from.name) => {
                 self.on_vote(now, &from, ballot, out);
             }
             Message::Release { ballot } => {
-                let released = self.voter.as_mut().is_some_and(|voter| voter.release(&from, ballot));
+                let released = self
+                    .voter
+                    .as_mut()
+                    .is_some_and(|voter| voter.release(&from, ballot));
                 let try_at = now + self.random(self.parameters.round);
                 if let Leadership::Follower { try_at: at } = &mut self.leadership
                     && released
@@ -231,7 +265,9 @@
                     *at = try_at.min(*at);
                 }
             }
-            Message::Report { seq, weight, items } => self.on_report(now, from, (seq, weight), &items, out),
+            Message::Report { seq, weight, items } => {
+                self.on_report(now, from, (seq, weight), &items, out)
+            }
             _ => {}
         }
     }
@@ -249,15 +285,28 @@
             Leadership::Leader(term) if term.election.till(&self.parameters) > now => {
                 let (parameters, since) = (&self.parameters, term.since);
                 let settled = |budget: &Budget| {
-                    let held = if parameters.safeguards.held { budget.max_hold() } else { 0 };
+                    let held = if parameters.safeguards.held {
+                        budget.max_hold()
+                    } else {
+                        0
+                    };
                     !parameters.safeguards.settle || now >= since + parameters.lease + held
                 };
-                let grants = self.ledger.report(now, &from, (seq, weight), items, settled, parameters);
+                let grants =
+                    self.ledger
+                        .report(now, &from, (seq, weight), items, settled, parameters);
                 grants.map(|grants| Message::Grant { seq, grants })
             }
             _ => {
-                let leader = self.voter.as_ref().and_then(|voter| voter.leader(now)).cloned();
-                Some(Message::Elsewhere { seq, leader: leader.filter(|leader| *leader != self.me) })
+                let leader = self
+                    .voter
+                    .as_ref()
+                    .and_then(|voter| voter.leader(now))
+                    .cloned();
+                Some(Message::Elsewhere {
+                    seq,
+                    leader: leader.filter(|leader| *leader != self.me),
+                })
             }
         };
         if let Some(answer) = answer {
--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -58,9 +58,15 @@
 impl HolderAccount {
     fn outstanding(&self, parameters: &Parameters) -> Units {
         if !parameters.safeguards.confirm {
-            return self.sent.back().map_or(self.holding, |(_, allocation)| *allocation);
+            return self
+                .sent
+                .back()
+                .map_or(self.holding, |(_, allocation)| *allocation);
         }
-        self.sent.iter().map(|(_, allocation)| *allocation).fold(self.holding, Units::max)
+        self.sent
+            .iter()
+            .map(|(_, allocation)| *allocation)
+            .fold(self.holding, Units::max)
     }
 
     fn send(&mut self, seq: u64, allocation: Units) {
@@ -81,8 +87,16 @@
             grantable: budget.grantable(budget.limit(), budget.reserved()),
             budget: budget.clone(),
         };
-        let indices = list.iter().enumerate().map(|(index, budget)| (budget.id(), index)).collect();
-        Ledger { accounts: list.iter().map(account).collect(), indices, ..Ledger::default() }
+        let indices = list
+            .iter()
+            .enumerate()
+            .map(|(index, budget)| (budget.id(), index))
+            .collect();
+        Ledger {
+            accounts: list.iter().map(account).collect(),
+            indices,
+            ..Ledger::default()
+        }
     }
 
     /// Changes the budgets; what is granted of those that remain is kept.
@@ -97,7 +111,10 @@
             self.holders.insert(who, Holder { accounts, ..holder });
         }
         for account in &mut self.accounts {
-            let before = old.indices.get(&account.budget.id()).map(|index| &old.accounts[*index]);
+            let before = old
+                .indices
+                .get(&account.budget.id())
+                .map(|index| &old.accounts[*index]);
             account.granted = before.map_or(0, |before| before.granted);
         }
         self.rotation = old.rotation;
@@ -118,20 +135,27 @@
         holder.weight = weight;
         let mut grants = Vec::with_capacity(items.len());
         for item in items {
-            let Some(index) = self.indices.get(&item.id).copied() else { continue };
+            let Some(index) = self.indices.get(&item.id).copied() else {
+                continue;
+            };
             let account = &mut self.accounts[index];
-            let grantable = account.budget.grantable(item.limit.min(account.budget.limit()), item.reserved);
+            let grantable = account
+                .budget
+                .grantable(item.limit.min(account.budget.limit()), item.reserved);
             account.grantable = account.grantable.min(grantable);
-            let held = holder.accounts.entry(index).or_insert_with(|| HolderAccount {
-                last_seq: 0,
-                need: 0,
-                holding: 0,
-                sent: VecDeque::new(),
-                target: 0,
-                till: 0,
-                limit: item.limit,
-                reserved: item.reserved,
-            });
+            let held = holder
+                .accounts
+                .entry(index)
+                .or_insert_with(|| HolderAccount {
+                    last_seq: 0,
+                    need: 0,
+                    holding: 0,
+                    sent: VecDeque::new(),
+                    target: 0,
+                    till: 0,
+                    limit: item.limit,
+                    reserved: item.reserved,
+                });
             if seq <= held.last_seq && parameters.safeguards.in_order {
                 continue;
             }
@@ -142,7 +166,11 @@
             (held.need, held.limit, held.reserved) = (item.need, item.limit, item.reserved);
             held.till = now
                 + parameters.lease
-                + if parameters.safeguards.held { account.budget.max_hold() } else { 0 };
+                + if parameters.safeguards.held {
+                    account.budget.max_hold()
+                } else {
+                    0
+                };
             // What others may have is theirs, whatever this one needs.
             let others = account.granted.saturating_sub(before);
             let free = account.grantable.saturating_sub(others);
@@ -151,7 +179,11 @@
             let allocation = wanted.min(free);
             held.send(seq, allocation);
             account.granted = others + held.outstanding(parameters);
-            grants.push(Grant { id: item.id, allocation, prolongs });
+            grants.push(Grant {
+                id: item.id,
+                allocation,
+                prolongs,
+            });
         }
         (!grants.is_empty()).then_some(grants)
     }
@@ -171,22 +203,37 @@
         }
         self.holders.retain(|_, holder| !holder.accounts.is_empty());
         let mut demands: Vec<Vec<HolderDemand>> = vec![Vec::new(); self.accounts.len()];
-        let mut seen: Vec<(Units, Units)> =
-            self.accounts.iter().map(|account| (account.budget.limit(), account.budget.reserved())).collect();
+        let mut seen: Vec<(Units, Units)> = self
+            .accounts
+            .iter()
+            .map(|account| (account.budget.limit(), account.budget.reserved()))
+            .collect();
         for (who, holder) in &self.holders {
             for (index, held) in &holder.accounts {
                 let max = self.accounts[*index].budget.max_grant(&who.name);
-                demands[*index].push(HolderDemand { need: held.need, weight: holder.weight, max });
+                demands[*index].push(HolderDemand {
+                    need: held.need,
+                    weight: holder.weight,
+                    max,
+                });
                 let (limit, reserved) = &mut seen[*index];
                 (*limit, *reserved) = (held.limit.min(*limit), held.reserved.max(*reserved));
             }
         }
-        let mut allocations: Vec<std::vec::IntoIter<Units>> = Vec::with_capacity(self.accounts.len());
-        for ((account, demands), (limit, reserved)) in self.accounts.iter_mut().zip(&demands).zip(seen) {
+        let mut allocations: Vec<std::vec::IntoIter<Units>> =
+            Vec::with_capacity(self.accounts.len());
+        for ((account, demands), (limit, reserved)) in
+            self.accounts.iter_mut().zip(&demands).zip(seen)
+        {
             account.grantable = account.budget.grantable(limit, reserved);
             allocations.push(
-                divide(account.grantable, account.budget.step(), demands, self.rotation / ROTATE_AFTER)
-                    .into_iter(),
+                divide(
+                    account.grantable,
+                    account.budget.step(),
+                    demands,
+                    self.rotation / ROTATE_AFTER,
+                )
+                .into_iter(),
             );
         }
         for holder in self.holders.values_mut() {
@@ -198,6 +245,8 @@
 
     /// What is granted of the budget at this index.
     pub fn granted(&self, index: usize) -> Units {
-        self.accounts.get(index).map_or(0, |account| account.granted)
+        self.accounts
+            .get(index)
+            .map_or(0, |account| account.granted)
     }
 }
--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -97,7 +97,12 @@
     /// The leader has not answered for some rounds.
     LeaderSilent(NodeId),
     /// The allocation of the budget at this index changed, and now lasts for `lasts`.
-    Allocation { index: usize, was: Units, allocation: Units, lasts: Tenths },
+    Allocation {
+        index: usize,
+        was: Units,
+        allocation: Units,
+        lasts: Tenths,
+    },
     /// The lease expired; `allocation` was on it.
     RanOut { index: usize, allocation: Units },
 }
@@ -110,7 +115,9 @@
             Change::SteppedDown => "stepped_down",
             Change::Leader(_) => "leader",
             Change::LeaderSilent(_) => "leader_silent",
-            Change::Allocation { was, allocation, .. } if allocation < was => "returned",
+            Change::Allocation {
+                was, allocation, ..
+            } if allocation < was => "returned",
             Change::Allocation { .. } => "taken",
             Change::RanOut { .. } => "ran_out",
         }
--- a/budgets/src/need.rs
+++ b/budgets/src/need.rs
@@ -30,7 +30,10 @@
 impl NeedEstimate {
     /// No need is known yet.
     pub fn new(now: Tenths) -> NeedEstimate {
-        NeedEstimate { since: now, ..NeedEstimate::default() }
+        NeedEstimate {
+            since: now,
+            ..NeedEstimate::default()
+        }
     }
 
     /// Counts a use that was asked for.
@@ -73,10 +76,25 @@
             }
         };
         let told = self.told;
-        let left = if smooth > told { told / LEFT_UP } else { told / LEFT_DOWN };
+        let left = if smooth > told {
+            told / LEFT_UP
+        } else {
+            told / LEFT_DOWN
+        };
         // Nothing is added for what comes by chance: what all needs leave over is divided as well.
-        let told = if smooth.abs_diff(told) > left { smooth } else { told };
-        *self = NeedEstimate { asked, rejected, peak, since: now, smooth, told };
+        let told = if smooth.abs_diff(told) > left {
+            smooth
+        } else {
+            told
+        };
+        *self = NeedEstimate {
+            asked,
+            rejected,
+            peak,
+            since: now,
+            smooth,
+            told,
+        };
         told
     }
 
--- a/budgets/src/parameters.rs
+++ b/budgets/src/parameters.rs
@@ -17,7 +17,9 @@
 /// The id of a budget; unique within an installation, which is checked when its file is read.
 pub fn id_of(name: &str, kind: Kind) -> Id {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(&[u8::from(matches!(kind, Kind::Rate { .. }))]).update(name.as_bytes());
+    hasher
+        .update(&[u8::from(matches!(kind, Kind::Rate { .. }))])
+        .update(name.as_bytes());
     let mut first = [0; 4];
     first.copy_from_slice(&hasher.finalize().as_bytes()[..4]);
     Id::from_le_bytes(first)
@@ -89,7 +91,11 @@
 
     /// The reserved minimum of the node of this name.
     pub fn reserved_at(&self, name: &str) -> Units {
-        if self.reserved_for.iter().any(|node| **node == *name) { self.reserved() } else { 0 }
+        if self.reserved_for.iter().any(|node| **node == *name) {
+            self.reserved()
+        } else {
+            0
+        }
     }
 
     /// Allocations are multiples of this: a smaller one holds less than one unit of the burst, and is
@@ -143,12 +149,20 @@
 impl Parameters {
     /// A span that has passed by the slowest admissible clock before `span` has by the fastest.
     pub(crate) fn shortened_by_drift(&self, span: Tenths) -> Tenths {
-        if self.safeguards.drift { span * (1_000 - self.drift) / (1_000 + self.drift) } else { span }
+        if self.safeguards.drift {
+            span * (1_000 - self.drift) / (1_000 + self.drift)
+        } else {
+            span
+        }
     }
 
     /// Votes that make a majority.
     pub(crate) fn majority(&self) -> usize {
-        if self.safeguards.majority { self.voters.len() / 2 + 1 } else { 1 }
+        if self.safeguards.majority {
+            self.voters.len() / 2 + 1
+        } else {
+            1
+        }
     }
 }
 
--- a/budgets/src/voter.rs
+++ b/budgets/src/voter.rs
@@ -22,19 +22,43 @@
 impl Voter {
     /// A voter that has just started.
     pub fn new(now: Tenths, parameters: &Parameters) -> Voter {
-        let silent = if parameters.safeguards.silent_start { parameters.vote_duration } else { 0 };
-        Voter { silent_until: now + silent, vote: None }
+        let silent = if parameters.safeguards.silent_start {
+            parameters.vote_duration
+        } else {
+            0
+        };
+        Voter {
+            silent_until: now + silent,
+            vote: None,
+        }
     }
 
     /// Handles a request for the vote; whether the candidate has it from now on, for `vote_duration`.
-    pub fn ask(&mut self, now: Tenths, from: &NodeId, ballot: u64, parameters: &Parameters) -> bool {
-        let taken = self.vote.as_ref().is_some_and(|vote| vote.till > now && vote.to != *from);
+    pub fn ask(
+        &mut self,
+        now: Tenths,
+        from: &NodeId,
+        ballot: u64,
+        parameters: &Parameters,
+    ) -> bool {
+        let taken = self
+            .vote
+            .as_ref()
+            .is_some_and(|vote| vote.till > now && vote.to != *from);
         if now < self.silent_until || taken {
             return false;
         }
-        let newest = self.vote.as_ref().filter(|vote| vote.to == *from).map_or(0, |vote| vote.ballot);
+        let newest = self
+            .vote
+            .as_ref()
+            .filter(|vote| vote.to == *from)
+            .map_or(0, |vote| vote.ballot);
         let till = now + parameters.vote_duration;
-        self.vote = Some(Vote { to: from.clone(), ballot: ballot.max(newest), till });
+        self.vote = Some(Vote {
+            to: from.clone(),
+            ballot: ballot.max(newest),
+            till,
+        });
         true
     }
 
@@ -47,11 +71,17 @@
 
     /// The node that has the vote now.
     pub fn leader(&self, now: Tenths) -> Option<&NodeId> {
-        self.vote.as_ref().filter(|vote| vote.till > now).map(|vote| &vote.to)
+        self.vote
+            .as_ref()
+            .filter(|vote| vote.till > now)
+            .map(|vote| &vote.to)
     }
 
     /// When the vote can next be given to another candidate.
     pub fn free_at(&self) -> Tenths {
-        self.vote.as_ref().map_or(0, |vote| vote.till).max(self.silent_until)
+        self.vote
+            .as_ref()
+            .map_or(0, |vote| vote.till)
+            .max(self.silent_until)
     }
 }
--- a/budgets/tests/holder.rs
+++ b/budgets/tests/holder.rs
@@ -18,19 +18,46 @@
 
 impl Holder {
     fn new(safeguards: Safeguards) -> Holder {
-        let leader = NodeId { name: "k".into(), incarnation: Incarnation(1) };
+        let leader = NodeId {
+            name: "k".into(),
+            incarnation: Incarnation(1),
+        };
         let voters: Arc<[Name]> = Arc::new([leader.name.clone()]);
-        let parameters = Parameters { voters, safeguards, ..Parameters::default() };
+        let parameters = Parameters {
+            voters,
+            safeguards,
+            ..Parameters::default()
+        };
         let (kind, reserved_for) = (Kind::Concurrency { max_hold: 0 }, Arc::new([]));
-        let list =
-            [Budget { name: "b".into(), kind, limit: 20, reserved: 0, reserved_for, max_per_node: 20 }];
-        let me = NodeId { name: "h".into(), incarnation: Incarnation(2) };
+        let list = [Budget {
+            name: "b".into(),
+            kind,
+            limit: 20,
+            reserved: 0,
+            reserved_for,
+            max_per_node: 20,
+        }];
+        let me = NodeId {
+            name: "h".into(),
+            incarnation: Incarnation(2),
+        };
         let mut budgets = Budgets::new(me, 1, parameters, &list, 1, 0);
         let mut view = View::default();
         let address = "127.0.0.1:1".parse().unwrap();
-        view.members.insert(leader.name.clone(), Member { incarnation: Incarnation(1), address, weight: 1 });
+        view.members.insert(
+            leader.name.clone(),
+            Member {
+                incarnation: Incarnation(1),
+                address,
+                weight: 1,
+            },
+        );
         budgets.handle(0, Event::Members(view), &mut Vec::new());
-        Holder { budgets, leader, now: 0 }
+        Holder {
+            budgets,
+            leader,
+            now: 0,
+        }
     }
 
     /// What it reports first when its turn comes, from `now` on.
@@ -40,7 +67,10 @@
             let mut out = Vec::new();
             self.budgets.handle(self.now, Event::Tick, &mut out);
             let seq = out.iter().find_map(|action| match action {
-                Action::Send(Envelope { message: Message::Report { seq, .. }, .. }) => Some(*seq),
+                Action::Send(Envelope {
+                    message: Message::Report { seq, .. },
+                    ..
+                }) => Some(*seq),
                 _ => None,
             });
             if let Some(seq) = seq {
@@ -50,13 +80,25 @@
     }
 
     fn hears(&mut self, message: Message) {
-        let envelope = Envelope { from: self.leader.clone(), to: self.budgets.me().clone(), message };
-        self.budgets.handle(self.now, Event::Received(envelope), &mut Vec::new());
+        let envelope = Envelope {
+            from: self.leader.clone(),
+            to: self.budgets.me().clone(),
+            message,
+        };
+        self.budgets
+            .handle(self.now, Event::Received(envelope), &mut Vec::new());
     }
 
     fn granted(&mut self, seq: u64, allocation: u64, prolongs: bool) -> u64 {
         let id = self.budgets.list().next().unwrap().id();
-        self.hears(Message::Grant { seq, grants: vec![Grant { id, allocation, prolongs }] });
+        self.hears(Message::Grant {
+            seq,
+            grants: vec![Grant {
+                id,
+                allocation,
+                prolongs,
+            }],
+        });
         self.budgets.exposed(0, self.now)
     }
 
@@ -83,14 +125,24 @@
     }
     // It stands still, so that it holds on to its leader; its report was sent, and takes its time.
     holder.now = granted_at + 1_500 * MS;
-    assert_eq!(holder.budgets.exposed(0, holder.now), 0, "its lease is over");
+    assert_eq!(
+        holder.budgets.exposed(0, holder.now),
+        0,
+        "its lease is over"
+    );
     holder.granted(late, 10, true)
 }
 
 #[test]
 fn what_is_over_is_not_prolonged() {
     assert_eq!(late_word(Safeguards::default()), 0);
-    assert_eq!(late_word(Safeguards { prolong: false, ..Safeguards::default() }), 10);
+    assert_eq!(
+        late_word(Safeguards {
+            prolong: false,
+            ..Safeguards::default()
+        }),
+        10
+    );
 }
 
 #[test]
@@ -108,7 +160,9 @@
 #[test]
 fn one_that_is_superseded_uses_nothing_more() {
     let mut holder = Holder::with_ten(Safeguards::default());
-    holder.budgets.handle(holder.now, Event::Superseded, &mut Vec::new());
+    holder
+        .budgets
+        .handle(holder.now, Event::Superseded, &mut Vec::new());
     assert_eq!(holder.budgets.exposed(0, holder.now), 0);
     assert_eq!(holder.budgets.next_due(), Tenths::MAX);
 }
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -52,7 +52,9 @@
 impl Fleet {
     fn parameters(&self) -> Parameters {
         Parameters {
-            voters: (0..self.nodes).map(|of| Name::from(format!("n{of}"))).collect(),
+            voters: (0..self.nodes)
+                .map(|of| Name::from(format!("n{of}")))
+                .collect(),
             round: ROUND,
             vote_duration: VOTE,
             lease: LEASE,
@@ -62,14 +64,24 @@
     }
 
     fn who(of: usize, incarnation: u64) -> NodeId {
-        NodeId { name: format!("n{of}").into(), incarnation: Incarnation(incarnation) }
+        NodeId {
+            name: format!("n{of}").into(),
+            incarnation: Incarnation(incarnation),
+        }
     }
 
     fn start(&self, of: usize, incarnation: u64, now: Tenths) -> Budgets {
         // What may be used counts as used.
         let kind = Kind::Rate { burst: 1 };
         let reserved_for = Arc::new([]);
-        let budget = Budget { name: "b".into(), kind, limit: 1, reserved: 0, reserved_for, max_per_node: 1 };
+        let budget = Budget {
+            name: "b".into(),
+            kind,
+            limit: 1,
+            reserved: 0,
+            reserved_for,
+            max_per_node: 1,
+        };
         Budgets::new(
             Self::who(of, incarnation),
             1,
@@ -86,7 +98,11 @@
             let address = "127.0.0.1:1".parse().unwrap();
             view.members.insert(
                 node.me().name.clone(),
-                Member { incarnation: node.me().incarnation, address, weight: 1 },
+                Member {
+                    incarnation: node.me().incarnation,
+                    address,
+                    weight: 1,
+                },
             );
         }
         view
@@ -112,7 +128,9 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let nodes = (0..self.nodes).map(|of| self.start(of, of as u64 + 1, 0)).collect();
+        let nodes = (0..self.nodes)
+            .map(|of| self.start(of, of as u64 + 1, 0))
+            .collect();
         let mut state = State {
             now: 0,
             nodes,
@@ -125,13 +143,22 @@
         let view = Self::view(&state);
         (0..self.nodes).for_each(|of| self.tell(&mut state, of, Event::Members(view.clone())));
         // In calm, all that is sent comes at once, until an allocation is granted: the search begins there.
-        let calm = Fleet { envelopes: 1_000, ..*self };
-        while state.nodes.iter().all(|node| node.exposed(0, state.now) == 0) {
+        let calm = Fleet {
+            envelopes: 1_000,
+            ..*self
+        };
+        while state
+            .nodes
+            .iter()
+            .all(|node| node.exposed(0, state.now) == 0)
+        {
             state.now += 1;
             for of in 0..self.nodes {
                 calm.tell(&mut state, of, Event::Tick);
                 while let Some(envelope) = state.net.first().cloned() {
-                    state = calm.next_state(&state, Step::Comes(envelope, false)).unwrap();
+                    state = calm
+                        .next_state(&state, Step::Comes(envelope, false))
+                        .unwrap();
                 }
             }
             assert!(state.now < 50, "nothing is ever granted");
@@ -197,7 +224,8 @@
                 state.nodes[of] = self.start(of, state.incarnation, now);
                 state.incarnation += 1;
                 let view = Self::view(&state);
-                (0..self.nodes).for_each(|of| self.tell(&mut state, of, Event::Members(view.clone())));
+                (0..self.nodes)
+                    .for_each(|of| self.tell(&mut state, of, Event::Members(view.clone())));
             }
             Step::Stops(of) => {
                 state.faults += 1;
@@ -214,12 +242,17 @@
     fn properties(&self) -> Vec<Property<Fleet>> {
         vec![
             Property::always("never more than the limit", |_, state: &State| {
-                let used: u64 = state.nodes.iter().map(|node| node.exposed(0, state.now)).sum();
+                let used: u64 = state
+                    .nodes
+                    .iter()
+                    .map(|node| node.exposed(0, state.now))
+                    .sum();
                 used <= 1_000
             }),
             Property::sometimes("an allocation is granted anew", |_, state: &State| {
                 state.nodes.iter().any(|node| {
-                    node.me().incarnation.0 > state.nodes.len() as u64 && node.exposed(0, state.now) > 0
+                    node.me().incarnation.0 > state.nodes.len() as u64
+                        && node.exposed(0, state.now) > 0
                 })
             }),
         ]
@@ -227,13 +260,27 @@
 }
 
 fn fleet(nodes: usize, safeguards: Safeguards) -> Fleet {
-    Fleet { nodes, safeguards, ticks: 6, faults: 1, envelopes: 3 }
+    Fleet {
+        nodes,
+        safeguards,
+        ticks: 6,
+        faults: 1,
+        envelopes: 3,
+    }
 }
 
 /// Exhaustive up to so many steps from where an allocation is granted.
 fn search(nodes: usize, faults: u8, depth: usize) -> usize {
-    let bounded = Fleet { faults, ..fleet(nodes, Safeguards::default()) };
-    let checker = bounded.checker().threads(2).target_max_depth(depth).spawn_bfs().join();
+    let bounded = Fleet {
+        faults,
+        ..fleet(nodes, Safeguards::default())
+    };
+    let checker = bounded
+        .checker()
+        .threads(2)
+        .target_max_depth(depth)
+        .spawn_bfs()
+        .join();
     checker.assert_no_discovery("never more than the limit");
     checker.unique_state_count()
 }
@@ -250,14 +297,22 @@
 #[ignore = "takes minutes"]
 fn within_wider_bounds_as_well() {
     for (nodes, faults, depth) in [(2, 1, 14), (2, 2, 12), (3, 1, 11), (3, 2, 10)] {
-        println!("{nodes} nodes, {faults} faults, {depth} steps: {} states", search(nodes, faults, depth));
+        println!(
+            "{nodes} nodes, {faults} faults, {depth} steps: {} states",
+            search(nodes, faults, depth)
+        );
     }
     assert_eq!(walk(3, Safeguards::default(), 0..50_000), None);
 }
 
 /// Walks drawn from seeds; the first that breaks the promise.
 fn walk(nodes: usize, safeguards: Safeguards, mut seeds: Range<u64>) -> Option<u64> {
-    let fleet = Fleet { faults: 4, ticks: 16, envelopes: 10, ..fleet(nodes, safeguards) };
+    let fleet = Fleet {
+        faults: 4,
+        ticks: 16,
+        envelopes: 10,
+        ..fleet(nodes, safeguards)
+    };
     let first = fleet.init_states().remove(0);
     let within = |state: &State| (fleet.properties()[0].condition)(&fleet, state);
     seeds.find(|seed| {
@@ -297,11 +352,46 @@
 fn each_safeguard_is_needed() {
     let all = Safeguards::default();
     let without = [
-        ("majority", 0, Safeguards { majority: false, ..all }),
-        ("settle", 1128, Safeguards { settle: false, ..all }),
-        ("confirm", 1835, Safeguards { confirm: false, ..all }),
-        ("run out", 1904, Safeguards { run_out: false, ..all }),
-        ("in order", 11629, Safeguards { in_order: false, ..all }),
+        (
+            "majority",
+            0,
+            Safeguards {
+                majority: false,
+                ..all
+            },
+        ),
+        (
+            "settle",
+            1128,
+            Safeguards {
+                settle: false,
+                ..all
+            },
+        ),
+        (
+            "confirm",
+            1835,
+            Safeguards {
+                confirm: false,
+                ..all
+            },
+        ),
+        (
+            "run out",
+            1904,
+            Safeguards {
+                run_out: false,
+                ..all
+            },
+        ),
+        (
+            "in order",
+            11629,
+            Safeguards {
+                in_order: false,
+                ..all
+            },
+        ),
     ];
     for (what, from, safeguards) in without {
         // Known to break it; the walks before are left to those who change something here.
@@ -314,19 +404,28 @@
 /// A voter that forgets its vote makes a second leader while the first is still one: something that no chance
 /// walk meets in thousands, as the time of the first is all but over.
 fn forgets_its_vote(safeguards: Safeguards) -> u64 {
-    let fleet = Fleet { envelopes: 1_000, ..fleet(3, safeguards) };
+    let fleet = Fleet {
+        envelopes: 1_000,
+        ..fleet(3, safeguards)
+    };
     let mut state = fleet.init_states().remove(0);
-    let leader = (0..3).find(|of| state.nodes[*of].is_leader(state.now)).unwrap();
+    let leader = (0..3)
+        .find(|of| state.nodes[*of].is_leader(state.now))
+        .unwrap();
     let (voter, other) = ((leader + 1) % 3, (leader + 2) % 3);
     // One turn of these, and all that comes of it between pairs that hear one another.
     let turn = |state: &mut State, nodes: &[usize], pairs: &[(usize, usize)]| {
         for of in nodes {
             fleet.tell(state, *of, Event::Tick);
             while let Some(envelope) = state.net.first().cloned() {
-                let [from, to] =
-                    [&envelope.from, &envelope.to].map(|who| who.name[1..].parse::<usize>().unwrap());
+                let [from, to] = [&envelope.from, &envelope.to]
+                    .map(|who| who.name[1..].parse::<usize>().unwrap());
                 let heard = pairs.contains(&(from, to)) || pairs.contains(&(to, from));
-                let step = if heard { Step::Comes(envelope, false) } else { Step::Lost(envelope) };
+                let step = if heard {
+                    Step::Comes(envelope, false)
+                } else {
+                    Step::Lost(envelope)
+                };
                 *state = fleet.next_state(state, step).unwrap();
             }
         }
@@ -345,7 +444,13 @@
             _ = state.nodes[of].acquire(0, state.now);
         }
         turn(&mut state, &[other, voter, leader], &[(other, voter)]);
-        most = most.max(state.nodes.iter().map(|node| node.exposed(0, state.now)).sum());
+        most = most.max(
+            state
+                .nodes
+                .iter()
+                .map(|node| node.exposed(0, state.now))
+                .sum(),
+        );
     }
     most
 }
@@ -353,5 +458,11 @@
 #[test]
 fn a_voter_that_has_just_started_keeps_silent() {
     assert_eq!(forgets_its_vote(Safeguards::default()), 1_000);
-    assert_eq!(forgets_its_vote(Safeguards { silent_start: false, ..Safeguards::default() }), 2_000);
+    assert_eq!(
+        forgets_its_vote(Safeguards {
+            silent_start: false,
+            ..Safeguards::default()
+        }),
+        2_000
+    );
 }
--- a/contract/src/lib.rs
+++ b/contract/src/lib.rs
@@ -56,15 +56,22 @@
 impl<'a> Part<'a> {
     pub fn find(&self, key: &str) -> Option<Part<'a>> {
         let value = self.value.get(key).filter(|v| !v.is_null())?;
-        Some(Part { value, path: format!("{}.{key}", self.path) })
+        Some(Part {
+            value,
+            path: format!("{}.{key}", self.path),
+        })
     }
 
     pub fn part(&self, key: &str) -> Result<Part<'a>, Fault> {
-        self.find(key).ok_or_else(|| format!("{}: needed key '{key}' is missing", self.path))
+        self.find(key)
+            .ok_or_else(|| format!("{}: needed key '{key}' is missing", self.path))
     }
 
     pub fn wrong<T>(&self, want: &str) -> Result<T, Fault> {
-        Err(format!("{}: {want} is wanted, found {}", self.path, self.value))
+        Err(format!(
+            "{}: {want} is wanted, found {}",
+            self.path, self.value
+        ))
     }
 
     pub fn number(&self) -> Result<f64, Fault> {
@@ -96,12 +103,18 @@
 
     pub fn flag(&self, key: &str) -> Result<bool, Fault> {
         let part = self.part(key)?;
-        part.value.as_bool().map_or_else(|| part.wrong("true or false"), Ok)
+        part.value
+            .as_bool()
+            .map_or_else(|| part.wrong("true or false"), Ok)
     }
 
     /// A flag that stands for no where it is absent.
     fn switch(&self, key: &str) -> Result<bool, Fault> {
-        if self.find(key).is_some() { self.flag(key) } else { Ok(false) }
+        if self.find(key).is_some() {
+            self.flag(key)
+        } else {
+            Ok(false)
+        }
     }
 
     pub fn word(&self, key: &str) -> Result<(&'a str, Part<'a>), Fault> {
@@ -114,8 +127,13 @@
 
     fn list(&self, key: &str) -> Result<Vec<Part<'a>>, Fault> {
         let part = self.part(key)?;
-        let Some(list) = part.value.as_array() else { return part.wrong("a list") };
-        let item = |(i, value)| Part { value, path: format!("{}[{i}]", part.path) };
+        let Some(list) = part.value.as_array() else {
+            return part.wrong("a list");
+        };
+        let item = |(i, value)| Part {
+            value,
+            path: format!("{}[{i}]", part.path),
+        };
         Ok(list.iter().enumerate().map(item).collect())
     }
 
@@ -123,7 +141,9 @@
     fn list_by_group(&self, key: &str, groups: usize) -> Result<Vec<Part<'a>>, Fault> {
         let list = self.list(key)?;
         if list.len() != groups {
-            return self.part(key)?.wrong(&format!("one item for each of the {groups} groups in 'lanes'"));
+            return self.part(key)?.wrong(&format!(
+                "one item for each of the {groups} groups in 'lanes'"
+            ));
         }
         Ok(list)
     }
@@ -139,12 +159,22 @@
     let calls = info.list_by_group("calls_by_class", lanes.len())?;
     let mut groups = Vec::new();
     for ((lane, skip), calls) in lanes.iter().zip(&skip).zip(&calls) {
-        let calls = calls.value.as_bool().map_or_else(|| calls.wrong("true or false"), Ok)?;
+        let calls = calls
+            .value
+            .as_bool()
+            .map_or_else(|| calls.wrong("true or false"), Ok)?;
         groups.push(group(lane, skip.fraction()?, calls)?);
     }
     let group_names = names(&lanes)?;
-    let parties = if top.find("parties").is_some() { top.list("parties")? } else { Vec::new() };
-    let customers = parties.iter().map(|p| p.num("allowance_per_s")).collect::<Result<_, _>>()?;
+    let parties = if top.find("parties").is_some() {
+        top.list("parties")?
+    } else {
+        Vec::new()
+    };
+    let customers = parties
+        .iter()
+        .map(|p| p.num("allowance_per_s"))
+        .collect::<Result<_, _>>()?;
     for party in parties.iter().filter(|party| party.find("share").is_some()) {
         party.share("share")?;
     }
@@ -180,7 +210,11 @@
         crowd_window: down(safety.us("overload_for")?),
         drain_grace: down(safety.us("drain_grace")?),
         idle_limit: down(info.us("keepalive_max")?),
-        longest_retry_after: if passes_on { down(bounds.us("max_retry_after")?) } else { 0 },
+        longest_retry_after: if passes_on {
+            down(bounds.us("max_retry_after")?)
+        } else {
+            0
+        },
         tick: up(top.us("tick")?),
     };
     Ok(Handed {
@@ -254,7 +288,11 @@
 
 fn gauge_places(info: &Part) -> Result<GaugePlaces, Fault> {
     let names = info.list("gauges")?;
-    let place = |name: &str| names.iter().position(|part| part.value.as_str() == Some(name));
+    let place = |name: &str| {
+        names
+            .iter()
+            .position(|part| part.value.as_str() == Some(name))
+    };
     Ok(GaugePlaces {
         busy_cores: place("core_use"),
         on_cores: place("on_cores"),
--- a/contract/tests/settings.rs
+++ b/contract/tests/settings.rs
@@ -29,7 +29,10 @@
 /// The shortest of three readings, as anything else on the machine only makes one longer.
 fn time_to_read(customers: usize) -> Duration {
     let settings = settings(customers);
-    let top = Part { value: &settings, path: "settings".into() };
+    let top = Part {
+        value: &settings,
+        path: "settings".into(),
+    };
     let once = || {
         let since = Instant::now();
         assert_eq!(read(&top).unwrap().customer_names.len(), customers);
@@ -44,13 +47,23 @@
     const TIMES: u32 = 32;
     let (few, many) = (time_to_read(FEW), time_to_read(FEW * TIMES as usize));
     // In proportion it is 32 times as long; compared each with each it would be 1,024 times.
-    assert!(many < few * TIMES * 8, "{few:?} for {FEW}, {many:?} for {TIMES} times as many");
+    assert!(
+        many < few * TIMES * 8,
+        "{few:?} for {FEW}, {many:?} for {TIMES} times as many"
+    );
 }
 
 #[test]
 fn a_name_that_stands_twice_is_told_with_its_path() {
     let mut settings = settings(3);
     settings["parties"][2]["name"] = json!("customer-000000");
-    let fault = read(&Part { value: &settings, path: "settings".into() }).unwrap_err();
-    assert!(fault.starts_with("settings.parties[2].name: a name that none before it has"), "{fault}");
+    let fault = read(&Part {
+        value: &settings,
+        path: "settings".into(),
+    })
+    .unwrap_err();
+    assert!(
+        fault.starts_with("settings.parties[2].name: a name that none before it has"),
+        "{fault}"
+    );
 }
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -37,7 +37,11 @@
         match fill(&mut input, &mut head).map_err(|e| format!("byte {place}: {e}"))? {
             0 => return Ok(()),
             12 => {}
-            got => return Err(format!("byte {place}: a header needs 12 bytes, the input ends after {got}")),
+            got => {
+                return Err(format!(
+                    "byte {place}: a header needs 12 bytes, the input ends after {got}"
+                ));
+            }
         }
         place += 12;
         let [a, b, c, d, clock @ ..] = head;
@@ -47,7 +51,9 @@
         let got = (&mut input).take(len as u64).read_to_end(&mut body);
         let got = got.map_err(|e| format!("byte {place}: {e}"))?;
         if got < len {
-            return Err(format!("byte {place}: the frame says {len} bytes, the input ends after {got}"));
+            return Err(format!(
+                "byte {place}: the frame says {len} bytes, the input ends after {got}"
+            ));
         }
         let mut reader = Reader::new(&body, place);
         while !reader.at_end() {
@@ -58,13 +64,17 @@
         reply.clear();
         reply.extend([0; 4]);
         for id in order.drain(..) {
-            let Some(node) = nodes.get_mut(&id).filter(|n| !n.batch.is_empty()) else { continue };
+            let Some(node) = nodes.get_mut(&id).filter(|n| !n.batch.is_empty()) else {
+                continue;
+            };
             node.door.handle(now, &node.batch, &mut actions);
             node.batch.clear();
-            actions.drain(..).for_each(|what: Action| wire::write(&mut reply, id, &what));
+            actions
+                .drain(..)
+                .for_each(|what: Action| wire::write(&mut reply, id, &what));
         }
-        let size =
-            u32::try_from(reply.len() - 4).map_err(|_| format!("byte {place}: the reply is too long"))?;
+        let size = u32::try_from(reply.len() - 4)
+            .map_err(|_| format!("byte {place}: the reply is too long"))?;
         reply[..4].copy_from_slice(&size.to_le_bytes());
         output
             .write_all(&reply)
@@ -73,17 +83,32 @@
     }
 }
 
-fn accept(record: Record, nodes: &mut BTreeMap<u32, Node>, order: &mut Vec<u32>) -> Result<(), Fault> {
+fn accept(
+    record: Record,
+    nodes: &mut BTreeMap<u32, Node>,
+    order: &mut Vec<u32>,
+) -> Result<(), Fault> {
     match record {
         Record::Provision { node, seed, text } => {
-            let Handed { contract, gauges, .. } = read(text).map_err(|e| format!("node {node}: {e}"))?;
+            let Handed {
+                contract, gauges, ..
+            } = read(text).map_err(|e| format!("node {node}: {e}"))?;
             let batch = vec![Event::Started];
-            nodes.insert(node, Node { door: Door::new(contract, seed), gauges, batch });
+            nodes.insert(
+                node,
+                Node {
+                    door: Door::new(contract, seed),
+                    gauges,
+                    batch,
+                },
+            );
             order.push(node);
         }
         Record::Killed { node } => drop(nodes.remove(&node)),
         Record::Event { node, what } => {
-            let known = nodes.get_mut(&node).ok_or_else(|| format!("node {node} was never started"))?;
+            let known = nodes
+                .get_mut(&node)
+                .ok_or_else(|| format!("node {node} was never started"))?;
             if known.batch.is_empty() {
                 order.push(node);
             }
@@ -95,7 +120,10 @@
 
 fn read(text: &[u8]) -> Result<Handed, Fault> {
     let value = serde_json::from_slice(text).map_err(|e| format!("env is not JSON: {e}"))?;
-    doortrack_contract::read(&Part { value: &value, path: "env".into() })
+    doortrack_contract::read(&Part {
+        value: &value,
+        path: "env".into(),
+    })
 }
 
 /// Reads until `buf` is full or the input ends; the number of bytes read.
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -4,9 +4,18 @@
 use doortrack_contract::{Fault, GaugePlaces, TENTH, down, up};
 
 pub enum Record<'a> {
-    Provision { node: u32, seed: u64, text: &'a [u8] },
-    Killed { node: u32 },
-    Event { node: u32, what: Event },
+    Provision {
+        node: u32,
+        seed: u64,
+        text: &'a [u8],
+    },
+    Killed {
+        node: u32,
+    },
+    Event {
+        node: u32,
+        what: Event,
+    },
 }
 
 pub struct Reader<'a> {
@@ -18,7 +27,11 @@
 
 impl<'a> Reader<'a> {
     pub fn new(bytes: &'a [u8], base: u64) -> Self {
-        Reader { bytes, pos: 0, base }
+        Reader {
+            bytes,
+            pos: 0,
+            base,
+        }
     }
 
     pub fn at_end(&self) -> bool {
@@ -33,7 +46,10 @@
         let rest = &self.bytes[self.pos..];
         if rest.len() < n {
             let left = rest.len();
-            return Err(format!("byte {}: {what} needs {n} bytes, the frame has {left} left", self.place()));
+            return Err(format!(
+                "byte {}: {what} needs {n} bytes, the frame has {left} left",
+                self.place()
+            ));
         }
         self.pos += n;
         Ok(&rest[..n])
@@ -80,10 +96,18 @@
             1 => {
                 let seed = self.u64("init_seed")?;
                 let len = self.u32("the length of env")? as usize;
-                return Ok(Record::Provision { node, seed, text: self.take(len, "env")? });
+                return Ok(Record::Provision {
+                    node,
+                    seed,
+                    text: self.take(len, "env")?,
+                });
             }
-            2 => Event::NeedsCall { id: self.u32("req")? },
-            3 => Event::CallerGone { id: self.u32("req")? },
+            2 => Event::NeedsCall {
+                id: self.u32("req")?,
+            },
+            3 => Event::CallerGone {
+                id: self.u32("req")?,
+            },
             4 => return Ok(Record::Killed { node }),
             5 => {
                 let token = self.u64("key_back")?;
@@ -108,7 +132,11 @@
             7 => {
                 let id = self.u32("req")?;
                 let outcome = self.call_outcome()?;
-                Event::CallEnded { id, outcome, took: up(self.u32("time_taken")?.into()) }
+                Event::CallEnded {
+                    id,
+                    outcome,
+                    took: up(self.u32("time_taken")?.into()),
+                }
             }
             8 => {
                 let id = self.u32("req")?;
@@ -116,7 +144,10 @@
                 self.u32("time_taken")?;
                 Event::RunEnded { id, outcome }
             }
-            _ => Event::Drain { age: 0, stop_at: down(self.u64("valid_until")?) },
+            _ => Event::Drain {
+                age: 0,
+                stop_at: down(self.u64("valid_until")?),
+            },
         };
         Ok(Record::Event { node, what })
     }
@@ -179,7 +210,9 @@
 }
 
 fn us32(time: Tenths) -> [u8; 4] {
-    u32::try_from(time.saturating_mul(TENTH)).unwrap_or(u32::MAX).to_le_bytes()
+    u32::try_from(time.saturating_mul(TENTH))
+        .unwrap_or(u32::MAX)
+        .to_le_bytes()
 }
 
 /// Adds one action to a reply.
@@ -193,7 +226,11 @@
     };
     match *action {
         Action::Run { id } => head(65, Some(id)),
-        Action::Reject { id, not_elsewhere, retry_after } => {
+        Action::Reject {
+            id,
+            not_elsewhere,
+            retry_after,
+        } => {
             head(66, Some(id));
             out.push(not_elsewhere.into());
             out.extend(us32(retry_after));
--- a/emulator/src/law.rs
+++ b/emulator/src/law.rs
@@ -66,8 +66,13 @@
     /// # Errors
     /// The first parameter out of range.
     pub fn check(self) -> Result<Law, LawFault> {
-        let positive =
-            |what, n: f64| if n > 0.0 && n.is_finite() { Ok(()) } else { Err(LawFault { what, found: n }) };
+        let positive = |what, n: f64| {
+            if n > 0.0 && n.is_finite() {
+                Ok(())
+            } else {
+                Err(LawFault { what, found: n })
+            }
+        };
         match self {
             Law::Fixed(mean) | Law::Exponential { mean } => positive("mean", mean)?,
             Law::LogNormal { mean, sigma } => {
@@ -77,14 +82,20 @@
             Law::Pareto { mean, shape } => {
                 positive("mean", mean)?;
                 if !(shape > 1.0 && shape.is_finite()) {
-                    return Err(LawFault { what: "shape", found: shape });
+                    return Err(LawFault {
+                        what: "shape",
+                        found: shape,
+                    });
                 }
             }
             Law::Bimodal { short, long, share } => {
                 positive("short", short)?;
                 positive("long", long)?;
                 if !(0.0..=1.0).contains(&share) {
-                    return Err(LawFault { what: "share", found: share });
+                    return Err(LawFault {
+                        what: "share",
+                        found: share,
+                    });
                 }
             }
         }
@@ -106,7 +117,9 @@
     pub fn draw(self, stream: &mut Stream) -> Micros {
         let drawn = match self {
             Law::Fixed(mean) => mean,
-            Law::Exponential { mean } => Exp::new(1.0 / mean).map_or(mean, |law| law.sample(stream)),
+            Law::Exponential { mean } => {
+                Exp::new(1.0 / mean).map_or(mean, |law| law.sample(stream))
+            }
             Law::LogNormal { mean, sigma } => {
                 let mu = mean.ln() - sigma * sigma / 2.0;
                 LogNormal::new(mu, sigma).map_or(mean, |law| law.sample(stream))
--- a/emulator/src/net.rs
+++ b/emulator/src/net.rs
@@ -28,7 +28,10 @@
 impl Default for Links {
     fn default() -> Links {
         Links {
-            latency: Law::LogNormal { mean: 300.0, sigma: 0.5 },
+            latency: Law::LogNormal {
+                mean: 300.0,
+                sigma: 0.5,
+            },
             between_zones: 0,
             zones_of_region: 0,
             between_regions: Law::Fixed(0.0),
@@ -106,8 +109,17 @@
 const MOST_KEPT: usize = 100;
 
 enum Event<M> {
-    Comes { from: MachineId, to: MachineId, start: u32, what: M },
-    Wakes { of: MachineId, start: u32, nth: u64 },
+    Comes {
+        from: MachineId,
+        to: MachineId,
+        start: u32,
+        what: M,
+    },
+    Wakes {
+        of: MachineId,
+        start: u32,
+        nth: u64,
+    },
     Marked(u64),
 }
 
@@ -120,9 +132,7 @@
         what: M,
     },
     /// The time it asked to be woken at has come.
-    Wakes {
-        of: MachineId,
-    },
+    Wakes { of: MachineId },
     /// A time that the caller marked, by its number.
     Mark(u64),
 }
@@ -223,24 +233,51 @@
         self.machines[of].running = Running::Up;
         let (now, start) = (self.queue.now(), self.machines[of].start);
         for (from, what) in std::mem::take(&mut self.machines[of].unread) {
-            self.queue.put(now, Event::Comes { from, to: of, start, what });
+            self.queue.put(
+                now,
+                Event::Comes {
+                    from,
+                    to: of,
+                    start,
+                    what,
+                },
+            );
         }
         self.wakes[of] += 1;
-        self.queue.put(now, Event::Wakes { of, start, nth: self.wakes[of] });
+        self.queue.put(
+            now,
+            Event::Wakes {
+                of,
+                start,
+                nth: self.wakes[of],
+            },
+        );
     }
 
     /// What last came to this machine, in whatever start, comes again.
     pub fn replay(&mut self, of: MachineId) {
         let (now, start) = (self.queue.now(), self.machines[of].start);
         for (from, what) in self.machines[of].kept.clone() {
-            self.queue.put(now, Event::Comes { from, to: of, start, what });
+            self.queue.put(
+                now,
+                Event::Comes {
+                    from,
+                    to: of,
+                    start,
+                    what,
+                },
+            );
         }
     }
 
     /// Cuts what `from` sends to `to`, or mends that cut.
     pub fn cut(&mut self, from: MachineId, to: MachineId, cut: bool) {
         let count = self.cuts.entry((from, to)).or_default();
-        *count = if cut { *count + 1 } else { count.saturating_sub(1) };
+        *count = if cut {
+            *count + 1
+        } else {
+            count.saturating_sub(1)
+        };
         if *count == 0 {
             self.cuts.remove(&(from, to));
         }
@@ -264,14 +301,29 @@
         let (from_zone, to_zone) = (self.machines[from].zone, self.machines[to].zone);
         let took = self.links.draw(from_zone, to_zone, &mut self.chance);
         let start = self.machines[to].start;
-        self.queue.put(self.queue.now() + took, Event::Comes { from, to, start, what });
+        self.queue.put(
+            self.queue.now() + took,
+            Event::Comes {
+                from,
+                to,
+                start,
+                what,
+            },
+        );
     }
 
     /// The machine wants to be woken when its clock shows so much. Only its last wish counts.
     pub fn wake(&mut self, of: MachineId, shown: Micros) {
         self.wakes[of] += 1;
         let (at, start) = (self.machines[of].clock.when(shown), self.machines[of].start);
-        self.queue.put(at, Event::Wakes { of, start, nth: self.wakes[of] });
+        self.queue.put(
+            at,
+            Event::Wakes {
+                of,
+                start,
+                nth: self.wakes[of],
+            },
+        );
     }
 
     /// [`Next::Mark`] comes at this true time.
@@ -287,11 +339,19 @@
                 Event::Marked(number) => return Some(Next::Mark(number)),
                 Event::Wakes { of, start, nth } => {
                     let machine = &self.machines[of];
-                    if machine.start == start && self.wakes[of] == nth && machine.running == Running::Up {
+                    if machine.start == start
+                        && self.wakes[of] == nth
+                        && machine.running == Running::Up
+                    {
                         return Some(Next::Wakes { of });
                     }
                 }
-                Event::Comes { from, to, start, what } => {
+                Event::Comes {
+                    from,
+                    to,
+                    start,
+                    what,
+                } => {
                     let machine = &mut self.machines[to];
                     match machine.running {
                         Running::Up if machine.start == start => {
@@ -303,7 +363,9 @@
                             }
                             return Some(Next::Hears { of: to, from, what });
                         }
-                        Running::Stopped if machine.start == start && machine.unread.len() < MOST_UNREAD => {
+                        Running::Stopped
+                            if machine.start == start && machine.unread.len() < MOST_UNREAD =>
+                        {
                             machine.unread.push((from, what));
                         }
                         _ => self.lost += 1,
--- a/emulator/src/queue.rs
+++ b/emulator/src/queue.rs
@@ -26,7 +26,11 @@
 
 impl<E> Default for Queue<E> {
     fn default() -> Self {
-        Queue { heap: Vec::new(), sequence: 0, now: 0 }
+        Queue {
+            heap: Vec::new(),
+            sequence: 0,
+            now: 0,
+        }
     }
 }
 
@@ -47,7 +51,11 @@
     /// Inserts an event. An event of the past happens now.
     pub fn put(&mut self, at: Micros, event: E) {
         self.sequence += 1;
-        self.heap.push(Entry { at: at.max(self.now), sequence: self.sequence, event });
+        self.heap.push(Entry {
+            at: at.max(self.now),
+            sequence: self.sequence,
+            event,
+        });
         let mut index = self.heap.len() - 1;
         while index > 0 {
             let parent = (index - 1) / WIDTH;
@@ -74,10 +82,17 @@
         loop {
             let first = index * WIDTH + 1;
             let children = first..(first + WIDTH).min(self.heap.len());
-            let least = children
-                .reduce(|one, other| if self.heap[other].is_before(&self.heap[one]) { other } else { one });
+            let least = children.reduce(|one, other| {
+                if self.heap[other].is_before(&self.heap[one]) {
+                    other
+                } else {
+                    one
+                }
+            });
             match least {
-                Some(least) if self.heap[least].is_before(&self.heap[index]) => self.heap.swap(index, least),
+                Some(least) if self.heap[least].is_before(&self.heap[index]) => {
+                    self.heap.swap(index, least)
+                }
                 _ => break,
             }
             index = least.unwrap_or(index);
--- a/emulator/src/station.rs
+++ b/emulator/src/station.rs
@@ -69,7 +69,14 @@
 
 impl Station {
     pub fn new(pace: Pace) -> Station {
-        Station { pace, jobs: Slab::new(), order: BinaryHeap::new(), given: 0.0, at: 0, sequence: 0 }
+        Station {
+            pace,
+            jobs: Slab::new(),
+            order: BinaryHeap::new(),
+            given: 0.0,
+            at: 0,
+            sequence: 0,
+        }
     }
 
     pub fn jobs(&self) -> usize {
@@ -104,8 +111,11 @@
         self.pass(now);
         self.sequence += 1;
         let done_at = self.given + work as f64;
-        let job = self.jobs.insert(Job { sequence: self.sequence });
-        self.order.push(Reverse((Work(done_at), self.sequence, job)));
+        let job = self.jobs.insert(Job {
+            sequence: self.sequence,
+        });
+        self.order
+            .push(Reverse((Work(done_at), self.sequence, job)));
         job
     }
 
@@ -118,7 +128,11 @@
     /// When the next job is done if none is started or stopped before; rounded up.
     pub fn next_end(&mut self) -> Option<Micros> {
         while let Some(Reverse((_, sequence, job))) = self.order.peek() {
-            if self.jobs.get(*job).is_some_and(|job| job.sequence == *sequence) {
+            if self
+                .jobs
+                .get(*job)
+                .is_some_and(|job| job.sequence == *sequence)
+            {
                 break;
             }
             self.order.pop();
--- a/emulator/tests/theory.rs
+++ b/emulator/tests/theory.rs
@@ -26,10 +26,20 @@
 /// Poisson arrivals at a station of so many cores, with at most `room` jobs.
 fn play(load: f64, cores: f64, work: Law, room: usize, count: u64, seed: u64) -> Seen {
     let (mut arrivals, mut works) = (stream(seed, 1), stream(seed, 2));
-    let between = Law::Exponential { mean: MEAN / (load * cores) };
-    let mut station = Station::new(Pace { cores, speed: 1.0, tip: 1e9, loss: 0.0 });
-    let (mut queue, mut seen, mut since) =
-        (Queue::default(), Seen::default(), BTreeMap::<JobId, Micros>::new());
+    let between = Law::Exponential {
+        mean: MEAN / (load * cores),
+    };
+    let mut station = Station::new(Pace {
+        cores,
+        speed: 1.0,
+        tip: 1e9,
+        loss: 0.0,
+    });
+    let (mut queue, mut seen, mut since) = (
+        Queue::default(),
+        Seen::default(),
+        BTreeMap::<JobId, Micros>::new(),
+    );
     let mut turn = 0;
     queue.put(between.draw(&mut arrivals), Event::Arrives);
     while let Some((now, event)) = queue.take() {
@@ -72,23 +82,44 @@
         .collect();
     let count = batches.len() as f64;
     let mean = batches.iter().sum::<f64>() / count;
-    let variance = batches.iter().map(|batch| (batch - mean).powi(2)).sum::<f64>() / (count - 1.0);
-    let t = StudentsT::new(0.0, 1.0, count - 1.0).unwrap().inverse_cdf(0.9995);
+    let variance = batches
+        .iter()
+        .map(|batch| (batch - mean).powi(2))
+        .sum::<f64>()
+        / (count - 1.0);
+    let t = StudentsT::new(0.0, 1.0, count - 1.0)
+        .unwrap()
+        .inverse_cdf(0.9995);
     (mean, t * (variance / count).sqrt())
 }
 
 fn erlang_b(cores: u32, offered: f64) -> f64 {
-    (1..=cores).fold(1.0, |blocked, n| offered * blocked / (f64::from(n) + offered * blocked))
+    (1..=cores).fold(1.0, |blocked, n| {
+        offered * blocked / (f64::from(n) + offered * blocked)
+    })
 }
 
 fn agrees(name: &str, seen: &Seen, wanted: f64) {
     let (mean, half) = interval(&seen.stays);
-    assert!((mean - wanted).abs() <= half, "{name}: {mean:.0} +- {half:.0}, {wanted:.0} by theory");
-    assert!(half < 0.1 * wanted, "{name}: +- {half:.0} of {wanted:.0} says little");
+    assert!(
+        (mean - wanted).abs() <= half,
+        "{name}: {mean:.0} +- {half:.0}, {wanted:.0} by theory"
+    );
+    assert!(
+        half < 0.1 * wanted,
+        "{name}: +- {half:.0} of {wanted:.0} says little"
+    );
     // Little's law holds on every play, to rounding.
-    let (there, rate) = (seen.area / seen.time as f64, seen.stays.len() as f64 / seen.time as f64);
+    let (there, rate) = (
+        seen.area / seen.time as f64,
+        seen.stays.len() as f64 / seen.time as f64,
+    );
     let all = seen.stays.iter().sum::<f64>() / seen.stays.len() as f64;
-    assert!((there - rate * all).abs() < 1e-6 * there, "{name}: {there} jobs, {}", rate * all);
+    assert!(
+        (there - rate * all).abs() < 1e-6 * there,
+        "{name}: {there} jobs, {}",
+        rate * all
+    );
 }
 
 #[test]
@@ -96,8 +127,21 @@
     for (name, work) in [
         ("exponential", Law::Exponential { mean: MEAN }),
         ("fixed", Law::Fixed(MEAN)),
-        ("log-normal", Law::LogNormal { mean: MEAN, sigma: 1.0 }),
-        ("bimodal", Law::Bimodal { short: MEAN / 2.0, long: MEAN * 5.5, share: 0.1 }),
+        (
+            "log-normal",
+            Law::LogNormal {
+                mean: MEAN,
+                sigma: 1.0,
+            },
+        ),
+        (
+            "bimodal",
+            Law::Bimodal {
+                short: MEAN / 2.0,
+                long: MEAN * 5.5,
+                share: 0.1,
+            },
+        ),
     ] {
         for load in [0.3, 0.7] {
             let seen = play(load, 1.0, work, usize::MAX, 200_000, 7);
@@ -113,29 +157,62 @@
         let blocked = erlang_b(cores, offered);
         let waits = blocked / (1.0 - load * (1.0 - blocked));
         let wanted = MEAN + waits * MEAN / (f64::from(cores) * (1.0 - load));
-        let seen = play(load, f64::from(cores), Law::Exponential { mean: MEAN }, usize::MAX, 300_000, 8);
+        let seen = play(
+            load,
+            f64::from(cores),
+            Law::Exponential { mean: MEAN },
+            usize::MAX,
+            300_000,
+            8,
+        );
         agrees(&format!("{cores} cores at {load}"), &seen, wanted);
     }
 }
 
 #[test]
 fn a_station_with_no_place_to_wait_loses_by_erlangs_formula() {
-    for work in [Law::Exponential { mean: MEAN }, Law::LogNormal { mean: MEAN, sigma: 1.0 }] {
+    for work in [
+        Law::Exponential { mean: MEAN },
+        Law::LogNormal {
+            mean: MEAN,
+            sigma: 1.0,
+        },
+    ] {
         let seen = play(0.9, 10.0, work, 10, 300_000, 9);
         let (found, wanted) = (seen.lost as f64 / seen.arrived as f64, erlang_b(10, 9.0));
-        assert!((found - wanted).abs() < 0.01, "{found} lost, {wanted} by theory");
+        assert!(
+            (found - wanted).abs() < 0.01,
+            "{found} lost, {wanted} by theory"
+        );
     }
 }
 
 #[test]
 fn same_seed_same_play_and_events_of_one_time_keep_their_order() {
-    let plays =
-        [0, 0, 1].map(|seed| play(0.6, 2.0, Law::Pareto { mean: MEAN, shape: 2.2 }, 50, 5000, seed).stays);
+    let plays = [0, 0, 1].map(|seed| {
+        play(
+            0.6,
+            2.0,
+            Law::Pareto {
+                mean: MEAN,
+                shape: 2.2,
+            },
+            50,
+            5000,
+            seed,
+        )
+        .stays
+    });
     assert_eq!(plays[0], plays[1]);
     assert_ne!(plays[0], plays[2]);
     let mut queue = Queue::default();
-    let times: Vec<Micros> = (0..5000u64).map(|n| n.wrapping_mul(2_654_435_761) % 97).collect();
-    times.iter().enumerate().for_each(|(nth, at)| queue.put(*at, nth));
+    let times: Vec<Micros> = (0..5000u64)
+        .map(|n| n.wrapping_mul(2_654_435_761) % 97)
+        .collect();
+    times
+        .iter()
+        .enumerate()
+        .for_each(|(nth, at)| queue.put(*at, nth));
     let mut wanted: Vec<(Micros, usize)> = times.iter().copied().zip(0..).collect();
     wanted.sort_unstable();
     let found: Vec<(Micros, usize)> = std::iter::from_fn(|| queue.take()).collect();
@@ -146,12 +223,19 @@
 
 #[test]
 fn a_crowd_costs_a_stop_frees_and_a_change_of_pace_counts_from_then_on() {
-    let pace = Pace { cores: 1.0, speed: 1.0, tip: 2.0, loss: 1.0 };
+    let pace = Pace {
+        cores: 1.0,
+        speed: 1.0,
+        tip: 2.0,
+        loss: 1.0,
+    };
     let mut station = Station::new(pace);
     let jobs: Vec<JobId> = (0..4).map(|_| station.begin(1000, 0)).collect();
     // Four on one core, twice the tip: each at a quarter, halved.
     assert_eq!(station.next_end(), Some(8000));
-    assert!(station.stop(jobs[0], 4000) && station.stop(jobs[1], 4000) && !station.stop(jobs[1], 4000));
+    assert!(
+        station.stop(jobs[0], 4000) && station.stop(jobs[1], 4000) && !station.stop(jobs[1], 4000)
+    );
     assert_eq!((station.next_end(), station.jobs()), (Some(5000), 2));
     station.change(Pace { speed: 0.5, ..pace }, 4500);
     assert_eq!(station.next_end(), Some(5500));
@@ -160,10 +244,24 @@
     assert_eq!(ends, [jobs[2], jobs[3]]);
     for law in [
         Law::Fixed(0.0),
-        Law::Pareto { mean: 1.0, shape: 1.0 },
-        Law::LogNormal { mean: 1.0, sigma: f64::NAN },
+        Law::Pareto {
+            mean: 1.0,
+            shape: 1.0,
+        },
+        Law::LogNormal {
+            mean: 1.0,
+            sigma: f64::NAN,
+        },
     ] {
         assert!(law.check().is_err(), "{law:?}");
     }
-    assert!(Law::Bimodal { short: 1.0, long: 2.0, share: 0.5 }.check().is_ok());
+    assert!(
+        Law::Bimodal {
+            short: 1.0,
+            long: 2.0,
+            share: 0.5
+        }
+        .check()
+        .is_ok()
+    );
 }
--- a/example/src/ask.rs
+++ b/example/src/ask.rs
@@ -16,7 +16,9 @@
 }
 
 pub fn ask(node: SocketAddr, protocol: Protocol, wish: Wish) -> io::Result<()> {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).map_err(io::Error::other)?;
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_err(io::Error::other)?;
     let script = format!("/svc/{}", wish.group);
     // Any name that is new with each try; the clock's will do for a person at a keyboard.
     let mut ask = Ask::new(since.as_nanos() as u64, &script, wish.text.as_bytes())
@@ -31,10 +33,15 @@
     }
     match seen {
         Seen::Completed(body) => println!("completed: {}", String::from_utf8_lossy(&body)),
-        Seen::Rejected { retry_after: Some(ms), .. } => {
+        Seen::Rejected {
+            retry_after: Some(ms),
+            ..
+        } => {
             println!("rejected: it never ran; come back in {ms} ms")
         }
-        Seen::Rejected { retry_after: None, .. } => println!("rejected: it never ran"),
+        Seen::Rejected {
+            retry_after: None, ..
+        } => println!("rejected: it never ran"),
         Seen::Failed => println!("failed: it may have run"),
         Seen::Unreadable(status, what) => println!("not understood: {status} {what}"),
         Seen::Nothing => println!("the connection ended without an answer"),
--- a/example/src/engine.rs
+++ b/example/src/engine.rs
@@ -34,7 +34,10 @@
     let door = TcpListener::bind(at)?;
     let registry = UdpSocket::bind(registry)?;
     registry.set_nonblocking(true)?;
-    println!("engine at {at}, registry at {}; waiting for a node", registry.local_addr()?);
+    println!(
+        "engine at {at}, registry at {}; waiting for a node",
+        registry.local_addr()?
+    );
     let (mut engine, up) = (Engine::default(), Instant::now());
     for link in door.incoming() {
         if let Err(e) = engine.speak(link?, &registry, up) {
@@ -62,7 +65,11 @@
                     }
                 }
                 Ok(_) => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    ) => {}
                 Err(e) => return Err(e),
             }
             self.work(last.elapsed().as_secs_f64());
@@ -84,20 +91,38 @@
     }
 
     /// Carries out one command; after ATTACH, the number of the last notice that the node has read.
-    fn carry_out(&mut self, command: &Value, up: Instant, out: &mut TcpStream) -> io::Result<Option<u64>> {
+    fn carry_out(
+        &mut self,
+        command: &Value,
+        up: Instant,
+        out: &mut TcpStream,
+    ) -> io::Result<Option<u64>> {
         let word = |key: &str| command[key].as_str().unwrap_or_default().to_string();
         match &*word("msg") {
             "ATTACH" => {
                 println!("a node attached");
                 let age = up.elapsed().as_millis() as u64;
-                writeln!(out, "{}", json!({"msg": "HELLO", "how": "WARM", "duration": age}))?;
+                writeln!(
+                    out,
+                    "{}",
+                    json!({"msg": "HELLO", "how": "WARM", "duration": age})
+                )?;
                 return Ok(command["serial"].as_u64());
             }
             "RUN" => {
                 let body = STANDARD.decode(word("blob")).unwrap_or_default();
                 let (group, began, left) = (word("service"), Instant::now(), WORK);
-                println!("run {} ({group}): {}", word("call"), String::from_utf8_lossy(&body));
-                self.runs.entry(word("call")).or_insert(Run { group, body, began, left });
+                println!(
+                    "run {} ({group}): {}",
+                    word("call"),
+                    String::from_utf8_lossy(&body)
+                );
+                self.runs.entry(word("call")).or_insert(Run {
+                    group,
+                    body,
+                    began,
+                    left,
+                });
             }
             "HALT" => {
                 if let Some(run) = self.runs.remove(&word("call")) {
@@ -108,7 +133,11 @@
             "STAT" => {
                 let wanted = self.runs.len() as f64;
                 let stats = [(wanted / CORES).min(1.0), wanted];
-                writeln!(out, "{}", json!({"msg": "STATS", "cookie": command["cookie"], "stats": stats}))?;
+                writeln!(
+                    out,
+                    "{}",
+                    json!({"msg": "STATS", "cookie": command["cookie"], "stats": stats})
+                )?;
             }
             _ => return Err(io::Error::other(format!("not a command: {command}"))),
         }
@@ -119,7 +148,11 @@
     fn work(&mut self, passed: f64) {
         let each = passed * (CORES / self.runs.len().max(1) as f64).min(1.0);
         self.runs.values_mut().for_each(|run| run.left -= each);
-        while let Some(call) = self.runs.iter().find(|(_, run)| run.left <= 0.0).map(|(call, _)| call.clone())
+        while let Some(call) = self
+            .runs
+            .iter()
+            .find(|(_, run)| run.left <= 0.0)
+            .map(|(call, _)| call.clone())
             && let Some(run) = self.runs.remove(&call)
         {
             let result = [run.group.as_bytes(), b" done: ", &run.body].concat();
@@ -129,7 +162,10 @@
 
     fn done(&mut self, call: &str, how: &str, run: &Run, result: &[u8]) {
         self.serial += 1;
-        let (took, blob) = (run.began.elapsed().as_millis() as u64, STANDARD.encode(result));
+        let (took, blob) = (
+            run.began.elapsed().as_millis() as u64,
+            STANDARD.encode(result),
+        );
         let notice = json!({"msg": "DONE", "serial": self.serial, "call": call, "how": how,
             "duration": took, "blob": blob});
         self.notices.push((self.serial, notice));
--- a/example/src/main.rs
+++ b/example/src/main.rs
@@ -70,8 +70,19 @@
     let done = match Words::parse().command {
         Command::Serve => engine::serve(ENGINE, REGISTRY),
         Command::Work { protocol, listen } => work(protocol.into(), listen),
-        Command::Ask { protocol, node, group, text, customer, idempotency_key } => {
-            let port = if matches!(protocol, Spoken::Uwsgi) { 9091 } else { 9090 };
+        Command::Ask {
+            protocol,
+            node,
+            group,
+            text,
+            customer,
+            idempotency_key,
+        } => {
+            let port = if matches!(protocol, Spoken::Uwsgi) {
+                9091
+            } else {
+                9090
+            };
             let node = node.unwrap_or(SocketAddr::from(([127, 0, 0, 1], port)));
             let wish = Wish {
                 group: &group,
@@ -97,7 +108,11 @@
         let body = String::from_utf8_lossy(&got.body).into_owned();
         println!("run: {body}");
         let body = format!("done: {body}").into_bytes();
-        Act::Answer { status: "200 OK", body, after: Duration::from_secs(1) }
+        Act::Answer {
+            status: "200 OK",
+            body,
+            after: Duration::from_secs(1),
+        }
     });
     println!("{protocol} server at {listen}");
     loop {
--- a/expr/src/ast.rs
+++ b/expr/src/ast.rs
@@ -9,7 +9,10 @@
 
 impl Span {
     pub fn with(self, other: Span) -> Span {
-        Span { from: self.from.min(other.from), to: self.to.max(other.to) }
+        Span {
+            from: self.from.min(other.from),
+            to: self.to.max(other.to),
+        }
     }
 }
 
--- a/expr/src/check.rs
+++ b/expr/src/check.rs
@@ -59,9 +59,20 @@
     dearest: (u64, Span),
 }
 
-pub(crate) fn compile(expr: &Expr, want: Option<&Type>, limits: Limits) -> Result<Program, Vec<Diagnostic>> {
+pub(crate) fn compile(
+    expr: &Expr,
+    want: Option<&Type>,
+    limits: Limits,
+) -> Result<Program, Vec<Diagnostic>> {
     let (nodes, names, faults) = Default::default();
-    let mut checker = Checker { limits, nodes, names, slots: 0, faults, dearest: (0, expr.span) };
+    let mut checker = Checker {
+        limits,
+        nodes,
+        names,
+        slots: 0,
+        faults,
+        dearest: (0, expr.span),
+    };
     let root = checker.check(expr);
     if let (Some(found), Some(want)) = (&root.ty, want)
         && found != want
@@ -71,26 +82,48 @@
     }
     if checker.faults.is_empty() && root.steps > limits.max_cost {
         let (steps, span) = checker.dearest;
-        let what = format!("this may take {} steps, and at most {} are allowed", root.steps, limits.max_cost);
-        checker.faults.push(Diagnostic::new(span, what, format!("{steps} of them here")));
+        let what = format!(
+            "this may take {} steps, and at most {} are allowed",
+            root.steps, limits.max_cost
+        );
+        checker
+            .faults
+            .push(Diagnostic::new(span, what, format!("{steps} of them here")));
     }
     if checker.faults.is_empty() && root.built > MOST_BUILT {
-        let what =
-            format!("this may build {} bytes of text, and at most {MOST_BUILT} are allowed", root.built);
-        checker.faults.push(Diagnostic::new(expr.span, what, "all of it"));
+        let what = format!(
+            "this may build {} bytes of text, and at most {MOST_BUILT} are allowed",
+            root.built
+        );
+        checker
+            .faults
+            .push(Diagnostic::new(expr.span, what, "all of it"));
     }
     checker.faults.sort_by_key(|fault| fault.span.from);
     match root.ty {
         Some(ty) if checker.faults.is_empty() => {
-            let cost = Cost { steps: root.steps, bytes: root.built };
-            Ok(Program { nodes: checker.nodes, root: root.place, ty, cost, limits })
+            let cost = Cost {
+                steps: root.steps,
+                bytes: root.built,
+            };
+            Ok(Program {
+                nodes: checker.nodes,
+                root: root.place,
+                ty,
+                cost,
+                limits,
+            })
         }
         _ => Err(checker.faults),
     }
 }
 
 fn inner(ty: &Type) -> Option<&Type> {
-    if let Type::Optional(of) = ty { Some(of) } else { None }
+    if let Type::Optional(of) = ty {
+        Some(of)
+    } else {
+        None
+    }
 }
 
 impl Checker {
@@ -106,14 +139,25 @@
 
     fn wrong(&mut self) -> Known {
         let place = self.node(Node::Bool(false));
-        Known { place, ty: None, steps: 0, built: 0, len: 0, items: Items::default() }
+        Known {
+            place,
+            ty: None,
+            steps: 0,
+            built: 0,
+            len: 0,
+            items: Items::default(),
+        }
     }
 
     fn mismatch(&mut self, span: Span, want: &Type, found: &Type) -> Known {
-        let mut fault =
-            Diagnostic::new(span, format!("{want} is wanted, this is {found}"), format!("{found}"));
+        let mut fault = Diagnostic::new(
+            span,
+            format!("{want} is wanted, this is {found}"),
+            format!("{found}"),
+        );
         if inner(found) == Some(want) {
-            fault = fault.help("it may be absent: say what stands for it then, as in `it ?? other`");
+            fault =
+                fault.help("it may be absent: say what stands for it then, as in `it ?? other`");
         } else if *want == Type::Str && *found == Type::Bytes {
             fault = fault.help("`text(it)` is the text of bytes, absent where they are none");
         } else if *want == Type::Bytes && *found == Type::Str {
@@ -129,10 +173,23 @@
         if own > self.dearest.0 {
             self.dearest = (own, span);
         }
-        let sum =
-            |of: &dyn Fn(&Known) -> u64| parts.iter().fold(0u64, |all, part| all.saturating_add(of(part)));
-        let (steps, built) = (sum(&|part| part.steps).saturating_add(own), sum(&|part| part.built));
-        Known { place, ty: Some(ty), steps, built, len: 0, items: Items::default() }
+        let sum = |of: &dyn Fn(&Known) -> u64| {
+            parts
+                .iter()
+                .fold(0u64, |all, part| all.saturating_add(of(part)))
+        };
+        let (steps, built) = (
+            sum(&|part| part.steps).saturating_add(own),
+            sum(&|part| part.built),
+        );
+        Known {
+            place,
+            ty: Some(ty),
+            steps,
+            built,
+            len: 0,
+            items: Items::default(),
+        }
     }
 
     /// Whether it is of this type; if not, that is told, unless it is wrong anyway.
@@ -165,62 +222,112 @@
             Kind::Any(parts) => self.junction(span, parts, Node::Any),
             Kind::Binary(op, left, right) => self.binary(span, *op, left, right),
             Kind::If(when, then, other) => self.choice(span, when, then, other),
-            Kind::Let { name, at, value, body } => self.binding(span, name, *at, value, body),
+            Kind::Let {
+                name,
+                at,
+                value,
+                body,
+            } => self.binding(span, name, *at, value, body),
             Kind::Call { name, at, args } => self.call(span, name, *at, args),
-            Kind::Each { at, .. } => {
-                self.fault(*at, "'->' can only stand in any, all and first", "no function of a list")
-            }
+            Kind::Each { at, .. } => self.fault(
+                *at,
+                "'->' can only stand in any, all and first",
+                "no function of a list",
+            ),
             Kind::Wrong => self.wrong(),
         }
     }
 
     fn constant(&mut self, span: Span, bytes: &[u8], ty: Type) -> Known {
         let known = self.known(span, Node::Text(bytes.into()), ty, 1, &[]);
-        Known { len: bytes.len() as u64, ..known }
+        Known {
+            len: bytes.len() as u64,
+            ..known
+        }
     }
 
     /// `let name = value; body`: the name is known in the body alone.
     fn binding(&mut self, span: Span, name: &str, at: Span, value: &Expr, body: &Expr) -> Known {
         let value = self.check(value);
-        let Some(slot) = self.bind(name, at, value.clone()) else { return self.wrong() };
+        let Some(slot) = self.bind(name, at, value.clone()) else {
+            return self.wrong();
+        };
         let body = self.check(body);
         self.names.pop();
-        let Some(ty) = body.ty.clone().filter(|_| value.ty.is_some()) else { return self.wrong() };
-        let node = Node::Let { slot, value: value.place, body: body.place };
+        let Some(ty) = body.ty.clone().filter(|_| value.ty.is_some()) else {
+            return self.wrong();
+        };
+        let node = Node::Let {
+            slot,
+            value: value.place,
+            body: body.place,
+        };
         let known = self.known(span, node, ty, 1, &[&value, &body]);
-        Known { len: body.len, items: body.items, ..known }
+        Known {
+            len: body.len,
+            items: body.items,
+            ..known
+        }
     }
 
     fn bind(&mut self, name: &str, at: Span, known: Known) -> Option<u8> {
         if self.slots >= MOST_NAMES {
-            self.fault(at, format!("at most {MOST_NAMES} names can be bound"), "one too many");
+            self.fault(
+                at,
+                format!("at most {MOST_NAMES} names can be bound"),
+                "one too many",
+            );
             return None;
         }
         // A slot is never used twice, so a list that is looked at later finds what was bound then.
         self.slots += 1;
         let slot = (self.slots - 1) as u8;
-        self.names.push(Bound { name: name.to_string(), slot, known });
+        self.names.push(Bound {
+            name: name.to_string(),
+            slot,
+            known,
+        });
         Some(slot)
     }
 
     fn name(&mut self, span: Span, name: &str) -> Known {
         if let Some(bound) = self.names.iter().rfind(|bound| bound.name == name) {
             let (slot, of) = (bound.slot, bound.known.clone());
-            let Some(ty) = of.ty.clone() else { return self.wrong() };
+            let Some(ty) = of.ty.clone() else {
+                return self.wrong();
+            };
             let known = self.known(span, Node::Slot(slot), ty, 1, &[]);
-            return Known { len: of.len, items: of.items, ..known };
+            return Known {
+                len: of.len,
+                items: of.items,
+                ..known
+            };
         }
         if let Some((field, ty)) = field(name) {
             let known = self.known(span, Node::Field(field), ty, 1, &[]);
             let variable = self.limits.variable;
             return match field {
                 Field::Method | Field::Front => Known { len: 64, ..known },
-                Field::Path | Field::Query => Known { len: variable, ..known },
-                Field::Body => Known { len: self.limits.body, ..known },
+                Field::Path | Field::Query => Known {
+                    len: variable,
+                    ..known
+                },
+                Field::Body => Known {
+                    len: self.limits.body,
+                    ..known
+                },
                 Field::Segments => {
                     let most = self.limits.segments;
-                    let items = Items { steps: most + through(variable), built: 0, len: variable };
-                    Known { len: most, items, ..known }
+                    let items = Items {
+                        steps: most + through(variable),
+                        built: 0,
+                        len: variable,
+                    };
+                    Known {
+                        len: most,
+                        items,
+                        ..known
+                    }
                 }
                 _ => known,
             };
@@ -229,7 +336,10 @@
         let bound: Vec<String> = self.names.iter().map(|bound| bound.name.clone()).collect();
         if let Some(usage) = usage(name) {
             fault = fault.help(format!("it is a function: `{usage}`"));
-        } else if let Some(near) = nearest(name, FIELDS.into_iter().chain(bound.iter().map(String::as_str))) {
+        } else if let Some(near) = nearest(
+            name,
+            FIELDS.into_iter().chain(bound.iter().map(String::as_str)),
+        ) {
             fault = fault.help(format!("perhaps '{near}' is meant"));
         }
         self.faults.push(fault);
@@ -238,13 +348,23 @@
 
     fn list(&mut self, span: Span, items: &[Expr]) -> Known {
         if items.len() > MOST_ITEMS {
-            return self.fault(span, format!("a list has at most {MOST_ITEMS} items"), "too long");
+            return self.fault(
+                span,
+                format!("a list has at most {MOST_ITEMS} items"),
+                "too long",
+            );
         }
         let known: Vec<Known> = items.iter().map(|item| self.check(item)).collect();
         let Some(first) = known.first() else {
-            return self.fault(span, "a list has at least one item, so that it has a type", "empty");
+            return self.fault(
+                span,
+                "a list has at least one item, so that it has a type",
+                "empty",
+            );
+        };
+        let Some(ty) = first.ty.clone() else {
+            return self.wrong();
         };
-        let Some(ty) = first.ty.clone() else { return self.wrong() };
         let mut good = true;
         for (item, known) in items.iter().zip(&known).skip(1) {
             good &= self.is(known, item.span, &ty);
@@ -252,8 +372,11 @@
         if !good {
             return self.wrong();
         }
-        let sum =
-            |of: &dyn Fn(&Known) -> u64| known.iter().fold(0u64, |all, item| all.saturating_add(of(item)));
+        let sum = |of: &dyn Fn(&Known) -> u64| {
+            known
+                .iter()
+                .fold(0u64, |all, item| all.saturating_add(of(item)))
+        };
         let items = Items {
             steps: sum(&|item| item.steps).saturating_add(known.len() as u64),
             built: sum(&|item| item.built),
@@ -261,6 +384,10 @@
         };
         let places = known.iter().map(|item| item.place).collect();
         let list = self.known(span, Node::List(places), ty.list(), 1, &[]);
-        Known { len: known.len() as u64, items, ..list }
+        Known {
+            len: known.len() as u64,
+            items,
+            ..list
+        }
     }
 }
--- a/expr/src/check/functions.rs
+++ b/expr/src/check/functions.rs
@@ -29,7 +29,8 @@
 impl Checker {
     pub(super) fn call(&mut self, span: Span, name: &str, at: Span, args: &[Expr]) -> Known {
         let Some(usage) = usage(name) else {
-            let mut fault = Diagnostic::new(at, format!("there is no function '{name}'"), "not known");
+            let mut fault =
+                Diagnostic::new(at, format!("there is no function '{name}'"), "not known");
             if FIELDS.contains(&name) {
                 fault = fault.help(format!("'{name}' is a value and is not called"));
             } else if let Some(near) = nearest(name, FUNCTIONS.iter().map(|(known, _)| *known)) {
@@ -41,14 +42,18 @@
         let wanted = match name {
             "split" | "substring" => 3..=3,
             "cidr" => 2..=64,
-            "matches" | "starts_with" | "ends_with" | "contains" | "get" | "min" | "max" | "any" | "all"
-            | "first" => 2..=2,
+            "matches" | "starts_with" | "ends_with" | "contains" | "get" | "min" | "max"
+            | "any" | "all" | "first" => 2..=2,
             _ => 1..=1,
         };
         if !wanted.contains(&args.len()) {
-            let fault =
-                Diagnostic::new(span, format!("'{name}' does not take {} values", args.len()), "this call");
-            self.faults.push(fault.help(format!("it is called as `{usage}`")));
+            let fault = Diagnostic::new(
+                span,
+                format!("'{name}' does not take {} values", args.len()),
+                "this call",
+            );
+            self.faults
+                .push(fault.help(format!("it is called as `{usage}`")));
             return self.wrong();
         }
         match name {
@@ -67,41 +72,103 @@
         if let Kind::Str(text) = &arg.kind {
             return Some(text);
         }
-        self.fault(arg.span, format!("{what} has to stand here as a text in quotes"), "not known beforehand");
+        self.fault(
+            arg.span,
+            format!("{what} has to stand here as a text in quotes"),
+            "not known beforehand",
+        );
         None
     }
 
     fn lookup(&mut self, span: Span, kind: &str, arg: &Expr) -> Known {
-        let Some(name) = self.literal(arg, "a name") else { return self.wrong() };
+        let Some(name) = self.literal(arg, "a name") else {
+            return self.wrong();
+        };
         let (node, own, ty) = match kind {
-            "parameter" => (Node::Parameter(name.into()), through(self.limits.variable), Type::Str),
-            "variable" => (Node::Variable { name: name.into(), raw: false }, LOOKUP, Type::Str),
-            "raw_header" => (Node::Variable { name: cgi_name(name).into(), raw: true }, LOOKUP, Type::Bytes),
-            _ => (Node::Variable { name: cgi_name(name).into(), raw: false }, LOOKUP, Type::Str),
+            "parameter" => (
+                Node::Parameter(name.into()),
+                through(self.limits.variable),
+                Type::Str,
+            ),
+            "variable" => (
+                Node::Variable {
+                    name: name.into(),
+                    raw: false,
+                },
+                LOOKUP,
+                Type::Str,
+            ),
+            "raw_header" => (
+                Node::Variable {
+                    name: cgi_name(name).into(),
+                    raw: true,
+                },
+                LOOKUP,
+                Type::Bytes,
+            ),
+            _ => (
+                Node::Variable {
+                    name: cgi_name(name).into(),
+                    raw: false,
+                },
+                LOOKUP,
+                Type::Str,
+            ),
         };
         // A text is looked through for what is none.
-        let own = own + if ty == Type::Str { through(self.limits.variable) } else { 0 };
+        let own = own
+            + if ty == Type::Str {
+                through(self.limits.variable)
+            } else {
+                0
+            };
         let known = self.known(span, node, ty.optional(), own, &[]);
-        Known { len: self.limits.variable, ..known }
+        Known {
+            len: self.limits.variable,
+            ..known
+        }
     }
 
     fn each(&mut self, span: Span, name: &str, list: &Expr, each: &Expr) -> Known {
         let of = self.check(list);
         let Some(Type::List(item)) = of.ty.clone() else {
             if let Some(ty) = of.ty {
-                self.fault(list.span, format!("a list is wanted, this is {ty}"), "no list");
+                self.fault(
+                    list.span,
+                    format!("a list is wanted, this is {ty}"),
+                    "no list",
+                );
             }
             return self.wrong();
         };
-        let Kind::Each { name: bound, at, body } = &each.kind else {
-            let fault = Diagnostic::new(each.span, "what is asked of each item is wanted here", "no '->'");
-            self.faults.push(fault.help(format!("as in `{name}(list, item -> item == \"x\")`")));
+        let Kind::Each {
+            name: bound,
+            at,
+            body,
+        } = &each.kind
+        else {
+            let fault = Diagnostic::new(
+                each.span,
+                "what is asked of each item is wanted here",
+                "no '->'",
+            );
+            self.faults
+                .push(fault.help(format!("as in `{name}(list, item -> item == \"x\")`")));
             return self.wrong();
         };
         let place = self.node(Node::Bool(false));
         let items = Items::default();
-        let known = Known { place, ty: Some((*item).clone()), steps: 1, built: 0, len: of.items.len, items };
-        let Some(slot) = self.bind(bound, *at, known) else { return self.wrong() };
+        let known = Known {
+            place,
+            ty: Some((*item).clone()),
+            steps: 1,
+            built: 0,
+            len: of.items.len,
+            items,
+        };
+        let Some(slot) = self.bind(bound, *at, known) else {
+            return self.wrong();
+        };
         let asked = self.check(body);
         self.names.pop();
         if !self.is(&asked, body.span, &Type::Bool) {
@@ -117,17 +184,34 @@
             .saturating_mul(asked.steps.saturating_add(1))
             .saturating_add(of.items.steps)
             .saturating_add(1);
-        let built = of.len.saturating_mul(asked.built).saturating_add(of.items.built);
-        let node = Node::Each { kind, list: of.place, slot, body: asked.place };
+        let built = of
+            .len
+            .saturating_mul(asked.built)
+            .saturating_add(of.items.built);
+        let node = Node::Each {
+            kind,
+            list: of.place,
+            slot,
+            body: asked.place,
+        };
         let known = self.known(span, node, ty, own, &[&of]);
-        Known { built: known.built.saturating_add(built), len: of.items.len, ..known }
+        Known {
+            built: known.built.saturating_add(built),
+            len: of.items.len,
+            ..known
+        }
     }
 
     fn matches(&mut self, span: Span, of: &Expr, pattern: &Expr) -> Known {
         let known = self.check(of);
         let good = self.is(&known, of.span, &Type::Str);
-        let Some(pattern_text) = self.literal(pattern, "a regular expression") else { return self.wrong() };
-        let built = RegexBuilder::new(pattern_text).size_limit(MOST_REGEX).dfa_size_limit(MOST_REGEX).build();
+        let Some(pattern_text) = self.literal(pattern, "a regular expression") else {
+            return self.wrong();
+        };
+        let built = RegexBuilder::new(pattern_text)
+            .size_limit(MOST_REGEX)
+            .dfa_size_limit(MOST_REGEX)
+            .build();
         let regex = match built {
             Ok(regex) => Box::new(regex),
             Err(regex::Error::CompiledTooBig(_)) => {
@@ -136,8 +220,16 @@
             }
             Err(e) => {
                 let what = e.to_string();
-                let last = what.lines().last().unwrap_or_default().trim_start_matches("error: ");
-                return self.fault(pattern.span, format!("no regular expression: {last}"), "here");
+                let last = what
+                    .lines()
+                    .last()
+                    .unwrap_or_default()
+                    .trim_start_matches("error: ");
+                return self.fault(
+                    pattern.span,
+                    format!("no regular expression: {last}"),
+                    "here",
+                );
             }
         };
         if !good {
@@ -145,13 +237,24 @@
         }
         // Linear in the text, by the library's word; no step is charged for less than a byte.
         let own = 2 + known.len;
-        self.known(span, Node::Matches { of: known.place, regex }, Type::Bool, own, &[&known])
+        self.known(
+            span,
+            Node::Matches {
+                of: known.place,
+                regex,
+            },
+            Type::Bool,
+            own,
+            &[&known],
+        )
     }
 
     fn split(&mut self, span: Span, args: &[Expr]) -> Known {
         let of = self.check(&args[0]);
         let good = self.is(&of, args[0].span, &Type::Str);
-        let Some(by) = self.literal(&args[1], "a separator") else { return self.wrong() };
+        let Some(by) = self.literal(&args[1], "a separator") else {
+            return self.wrong();
+        };
         if by.is_empty() {
             return self.fault(args[1].span, "a separator has at least one sign", "empty");
         }
@@ -167,25 +270,51 @@
         if !good {
             return self.wrong();
         }
-        let node = Node::Split { of: of.place, by: by.as_bytes().into(), most };
+        let node = Node::Split {
+            of: of.place,
+            by: by.as_bytes().into(),
+            most,
+        };
         let known = self.known(span, node, Type::Str.list(), 1, &[&of]);
-        let items = Items { steps: u64::from(most) + through(of.len), built: 0, len: of.len };
-        Known { len: most.into(), items, ..known }
+        let items = Items {
+            steps: u64::from(most) + through(of.len),
+            built: 0,
+            len: of.len,
+        };
+        Known {
+            len: most.into(),
+            items,
+            ..known
+        }
     }
 
     fn substring(&mut self, span: Span, args: &[Expr]) -> Known {
         let known: Vec<Known> = args.iter().map(|arg| self.check(arg)).collect();
         let mut good = true;
-        for ((arg, known), want) in args.iter().zip(&known).zip([Type::Str, Type::Int, Type::Int]) {
+        for ((arg, known), want) in args
+            .iter()
+            .zip(&known)
+            .zip([Type::Str, Type::Int, Type::Int])
+        {
             good &= self.is(known, arg.span, &want);
         }
         if !good {
             return self.wrong();
         }
         let len = known[0].len;
-        let node = Node::Substring { of: known[0].place, from: known[1].place, count: known[2].place };
+        let node = Node::Substring {
+            of: known[0].place,
+            from: known[1].place,
+            count: known[2].place,
+        };
         let own = 1 + through(len);
-        let known = self.known(span, node, Type::Str, own, &known.iter().collect::<Vec<_>>());
+        let known = self.known(
+            span,
+            node,
+            Type::Str,
+            own,
+            &known.iter().collect::<Vec<_>>(),
+        );
         Known { len, ..known }
     }
 
@@ -194,7 +323,9 @@
         let mut good = self.is(&of, args[0].span, &Type::Addr);
         let mut nets = Vec::new();
         for arg in &args[1..] {
-            let Some(text) = self.literal(arg, "a network") else { return self.wrong() };
+            let Some(text) = self.literal(arg, "a network") else {
+                return self.wrong();
+            };
             match network(text) {
                 Some(net) => nets.push(net),
                 None => {
@@ -211,26 +342,48 @@
             return self.wrong();
         }
         let own = 1 + nets.len() as u64;
-        self.known(span, Node::Networks { of: of.place, nets: nets.into() }, Type::Bool, own, &[&of])
+        self.known(
+            span,
+            Node::Networks {
+                of: of.place,
+                nets: nets.into(),
+            },
+            Type::Bool,
+            own,
+            &[&of],
+        )
     }
 
     /// Functions that look only at the types of one or two values.
     fn plain(&mut self, span: Span, name: &str, usage: &str, args: &[Expr]) -> Known {
         let known: Vec<Known> = args.iter().map(|arg| self.check(arg)).collect();
         let types: Option<Vec<Type>> = known.iter().map(|known| known.ty.clone()).collect();
-        let Some(types) = types else { return self.wrong() };
+        let Some(types) = types else {
+            return self.wrong();
+        };
         if let ("bytes", [Type::Str]) = (name, &types[..]) {
             // The same bytes under another type.
-            return Known { ty: Some(Type::Bytes), ..known[0].clone() };
+            return Known {
+                ty: Some(Type::Bytes),
+                ..known[0].clone()
+            };
         }
         let Some(found) = self.signature(name, &types, &known) else {
             return self.not_taken(span, name, usage, &types);
         };
         let with = known.get(1).map(|with| with.place);
-        let node = Node::Call { fun: found.function, of: known[0].place, with };
+        let node = Node::Call {
+            fun: found.function,
+            of: known[0].place,
+            with,
+        };
         let parts: Vec<&Known> = known.iter().collect();
         let whole = self.known(span, node, found.result, found.steps, &parts);
-        Known { built: whole.built.saturating_add(found.built), len: found.len, ..whole }
+        Known {
+            built: whole.built.saturating_add(found.built),
+            len: found.len,
+            ..whole
+        }
     }
 
     /// What a function of this name makes of values of these types, and what it costs at the most; none
@@ -239,32 +392,51 @@
         let (len, items) = (known[0].len, known[0].items);
         let scan = 1 + through(len);
         let other_len = known.get(1).map_or(0, |other| other.len);
-        let signature = |function, result, steps| Signature { function, result, steps, built: 0, len: 0 };
-        let text = |function, built| Signature { function, result: Type::Str, steps: scan, built, len };
+        let signature = |function, result, steps| Signature {
+            function,
+            result,
+            steps,
+            built: 0,
+            len: 0,
+        };
+        let text = |function, built| Signature {
+            function,
+            result: Type::Str,
+            steps: scan,
+            built,
+            len,
+        };
         let found = match (name, types) {
             ("lower", [Type::Str]) => text(Fun::Lower, len),
             ("upper", [Type::Str]) => text(Fun::Upper, len),
             ("trim", [Type::Str]) => text(Fun::Trim, 0),
             ("len", [Type::Str | Type::Bytes]) => signature(Fun::Length, Type::Int, 1),
-            ("len", [Type::List(_)]) => {
-                Signature { built: items.built, ..signature(Fun::Count, Type::Int, 1 + items.steps) }
-            }
+            ("len", [Type::List(_)]) => Signature {
+                built: items.built,
+                ..signature(Fun::Count, Type::Int, 1 + items.steps)
+            },
             ("hash", [Type::Str | Type::Bytes]) => signature(Fun::Hash, Type::Int, 1 + len),
-            ("hex", [Type::Int]) => {
-                Signature { built: HEX_DIGITS, len: HEX_DIGITS, ..signature(Fun::Hex, Type::Str, 2) }
-            }
+            ("hex", [Type::Int]) => Signature {
+                built: HEX_DIGITS,
+                len: HEX_DIGITS,
+                ..signature(Fun::Hex, Type::Str, 2)
+            },
             ("int", [Type::Str]) => signature(Fun::ParseInt, Type::Int.optional(), scan),
             ("int", [Type::Float]) => signature(Fun::FloatToInt, Type::Int, 1),
             ("float", [Type::Str]) => signature(Fun::ParseFloat, Type::Float.optional(), scan),
             ("float", [Type::Int]) => signature(Fun::IntToFloat, Type::Float, 1),
-            ("text", [Type::Bytes]) => {
-                Signature { len, ..signature(Fun::BytesToText, Type::Str.optional(), scan) }
-            }
+            ("text", [Type::Bytes]) => Signature {
+                len,
+                ..signature(Fun::BytesToText, Type::Str.optional(), scan)
+            },
             ("present", [Type::Optional(_)]) => signature(Fun::Present, Type::Bool, 1),
             ("segment", [Type::Int]) => {
                 let (segments, path) = (self.limits.segments, self.limits.variable);
                 let steps = 1 + segments + through(path);
-                Signature { len: path, ..signature(Fun::Segment, Type::Str.optional(), steps) }
+                Signature {
+                    len: path,
+                    ..signature(Fun::Segment, Type::Str.optional(), steps)
+                }
             }
             ("starts_with", [Type::Str, Type::Str]) => {
                 signature(Fun::StartsWith, Type::Bool, 1 + through(len.min(other_len)))
@@ -274,15 +446,27 @@
             }
             ("contains", [Type::Str, Type::Str]) => {
                 // Looked for from every place; what is looked for is bounded so that the product is.
-                signature(Fun::Contains, Type::Bool, scan.saturating_mul(1 + through(other_len)))
+                signature(
+                    Fun::Contains,
+                    Type::Bool,
+                    scan.saturating_mul(1 + through(other_len)),
+                )
             }
             ("get", [Type::List(item), Type::Int]) => {
                 let result = (**item).clone().optional();
                 let get = signature(Fun::Get, result, 1 + items.steps);
-                Signature { built: items.built, len: items.len, ..get }
+                Signature {
+                    built: items.built,
+                    len: items.len,
+                    ..get
+                }
+            }
+            ("min", [one, two]) if one == two && is_number(one) => {
+                signature(Fun::Min, one.clone(), 1)
+            }
+            ("max", [one, two]) if one == two && is_number(one) => {
+                signature(Fun::Max, one.clone(), 1)
             }
-            ("min", [one, two]) if one == two && is_number(one) => signature(Fun::Min, one.clone(), 1),
-            ("max", [one, two]) if one == two && is_number(one) => signature(Fun::Max, one.clone(), 1),
             _ => return None,
         };
         Some(found)
--- a/expr/src/check/operators.rs
+++ b/expr/src/check/operators.rs
@@ -17,7 +17,11 @@
 
 impl<'e> Operand<'e> {
     fn new(expr: &Expr, known: &'e Known, ty: Type) -> Operand<'e> {
-        Operand { span: expr.span, known, ty }
+        Operand {
+            span: expr.span,
+            known,
+            ty,
+        }
     }
 }
 
@@ -25,7 +29,9 @@
     pub(super) fn choice(&mut self, span: Span, when: &Expr, then: &Expr, other: &Expr) -> Known {
         let (asked, one, two) = (self.check(when), self.check(then), self.check(other));
         let good = self.is(&asked, when.span, &Type::Bool);
-        let (Some(first), Some(second)) = (one.ty.clone(), two.ty.clone()) else { return self.wrong() };
+        let (Some(first), Some(second)) = (one.ty.clone(), two.ty.clone()) else {
+            return self.wrong();
+        };
         let ty = match (&first, &second) {
             _ if first == second => first,
             // One way may be absent.
@@ -36,7 +42,11 @@
         if !good {
             return self.wrong();
         }
-        let node = Node::If { when: asked.place, then: one.place, other: two.place };
+        let node = Node::If {
+            when: asked.place,
+            then: one.place,
+            other: two.place,
+        };
         let known = self.known(span, node, ty, 1, &[&asked]);
         let items = Items {
             steps: one.items.steps.max(two.items.steps),
@@ -81,7 +91,12 @@
     }
 
     /// A conjunction or disjunction of bools; `node` makes the one or the other of its parts.
-    pub(super) fn junction(&mut self, span: Span, parts: &[Expr], node: fn(Box<[Place]>) -> Node) -> Known {
+    pub(super) fn junction(
+        &mut self,
+        span: Span,
+        parts: &[Expr],
+        node: fn(Box<[Place]>) -> Node,
+    ) -> Known {
         let known: Vec<Known> = parts.iter().map(|part| self.check(part)).collect();
         let mut good = true;
         for (part, known) in parts.iter().zip(&known) {
@@ -91,17 +106,30 @@
             return self.wrong();
         }
         let places = known.iter().map(|known| known.place).collect();
-        self.known(span, node(places), Type::Bool, 1, &known.iter().collect::<Vec<_>>())
+        self.known(
+            span,
+            node(places),
+            Type::Bool,
+            1,
+            &known.iter().collect::<Vec<_>>(),
+        )
     }
 
     pub(super) fn binary(&mut self, span: Span, op: Op, left: &Expr, right: &Expr) -> Known {
         let (one, two) = (self.check(left), self.check(right));
-        let (Some(first), Some(second)) = (one.ty.clone(), two.ty.clone()) else { return self.wrong() };
-        let (left, right) = (Operand::new(left, &one, first), Operand::new(right, &two, second));
+        let (Some(first), Some(second)) = (one.ty.clone(), two.ty.clone()) else {
+            return self.wrong();
+        };
+        let (left, right) = (
+            Operand::new(left, &one, first),
+            Operand::new(right, &two, second),
+        );
         match op {
             Op::Else => self.otherwise(span, &left, &right),
             Op::In => self.within(span, &left, &right),
-            Op::Eq | Op::Ne | Op::Lt | Op::Le | Op::Gt | Op::Ge => self.comparison(span, op, &left, &right),
+            Op::Eq | Op::Ne | Op::Lt | Op::Le | Op::Gt | Op::Ge => {
+                self.comparison(span, op, &left, &right)
+            }
             Op::Add if matches!(left.ty, Type::Str | Type::Bytes) => self.join(span, &left, &right),
             _ => self.arithmetic(span, op, &left, &right),
         }
@@ -118,9 +146,15 @@
             Type::Optional(second) if inner == second => right.ty.clone(),
             _ => return self.mismatch(right.span, inner, &right.ty),
         };
-        let node = Node::Else { left: left.known.place, right: right.known.place };
+        let node = Node::Else {
+            left: left.known.place,
+            right: right.known.place,
+        };
         let known = self.known(span, node, ty, 1, &[left.known, right.known]);
-        Known { len: left.known.len.max(right.known.len), ..known }
+        Known {
+            len: left.known.len.max(right.known.len),
+            ..known
+        }
     }
 
     fn comparison(&mut self, span: Span, op: Op, left: &Operand, right: &Operand) -> Known {
@@ -129,7 +163,11 @@
             return self.mismatch(right.span, ty, &right.ty);
         }
         let is_equality = matches!(op, Op::Eq | Op::Ne);
-        let comparable = if is_equality { ty.has_equality() } else { ty.has_order() };
+        let comparable = if is_equality {
+            ty.has_equality()
+        } else {
+            ty.has_order()
+        };
         if !comparable {
             let what = format!("'{}' does not compare {ty}", op.sign());
             let mut fault = Diagnostic::new(span, what, "not comparable");
@@ -140,7 +178,11 @@
             return self.wrong();
         }
         let own = 1 + through(left.known.len.min(right.known.len));
-        let node = Node::Compare { op, left: left.known.place, right: right.known.place };
+        let node = Node::Compare {
+            op,
+            left: left.known.place,
+            right: right.known.place,
+        };
         self.known(span, node, Type::Bool, own, &[left.known, right.known])
     }
 
@@ -151,13 +193,21 @@
         }
         let len = left.known.len.saturating_add(right.known.len);
         if len > MOST_STRING {
-            let what = format!("this may be {len} bytes long, and at most {MOST_STRING} are allowed");
+            let what =
+                format!("this may be {len} bytes long, and at most {MOST_STRING} are allowed");
             return self.fault(span, what, "too long");
         }
-        let node = Node::Join { left: left.known.place, right: right.known.place };
+        let node = Node::Join {
+            left: left.known.place,
+            right: right.known.place,
+        };
         let own = 1 + through(len);
         let known = self.known(span, node, left.ty.clone(), own, &[left.known, right.known]);
-        Known { len, built: known.built.saturating_add(len), ..known }
+        Known {
+            len,
+            built: known.built.saturating_add(len),
+            ..known
+        }
     }
 
     fn arithmetic(&mut self, span: Span, op: Op, left: &Operand, right: &Operand) -> Known {
@@ -170,14 +220,28 @@
                 return self.mismatch(right.span, &left.ty, &right.ty);
             }
             _ => {
-                let what = format!("'{}' is for numbers and durations, this is {}", op.sign(), left.ty);
+                let what = format!(
+                    "'{}' is for numbers and durations, this is {}",
+                    op.sign(),
+                    left.ty
+                );
                 return self.fault(left.span, what, "no number");
             }
         };
         let (a, b) = (left.known.place, right.known.place);
         let parts = [left.known, right.known];
         if !matches!(op, Op::Div | Op::Rem) {
-            return self.known(span, Node::Arith { op, left: a, right: b }, ty, 1, &parts);
+            return self.known(
+                span,
+                Node::Arith {
+                    op,
+                    left: a,
+                    right: b,
+                },
+                ty,
+                1,
+                &parts,
+            );
         }
         let sure = match self.nodes[b as usize] {
             Node::Int(n) | Node::Duration(n) => n != 0,
@@ -185,7 +249,17 @@
             _ => false,
         };
         let ty = if sure { ty } else { ty.optional() };
-        self.known(span, Node::Divide { op, left: a, right: b }, ty, 1, &parts)
+        self.known(
+            span,
+            Node::Divide {
+                op,
+                left: a,
+                right: b,
+            },
+            ty,
+            1,
+            &parts,
+        )
     }
 
     fn within(&mut self, span: Span, left: &Operand, right: &Operand) -> Known {
@@ -197,7 +271,11 @@
             return self.mismatch(left.span, item, &left.ty);
         }
         if !left.ty.has_equality() {
-            return self.fault(span, format!("'in' does not compare {}", left.ty), "not comparable");
+            return self.fault(
+                span,
+                format!("'in' does not compare {}", left.ty),
+                "not comparable",
+            );
         }
         let (one, two) = (left.known, right.known);
         // A list that is known beforehand is looked up and not gone through.
@@ -208,20 +286,45 @@
             });
             if let Some(set) = texts.collect::<Option<FxHashSet<Box<[u8]>>>>() {
                 let own = 2 + through(one.len);
-                return self.known(span, Node::InTexts { of: one.place, set }, Type::Bool, own, &[one]);
+                return self.known(
+                    span,
+                    Node::InTexts { of: one.place, set },
+                    Type::Bool,
+                    own,
+                    &[one],
+                );
             }
             let numbers = items.iter().map(|item| match &self.nodes[*item as usize] {
                 Node::Int(n) => Some(*n),
                 _ => None,
             });
             if let Some(set) = numbers.collect::<Option<FxHashSet<i64>>>() {
-                return self.known(span, Node::InInts { of: one.place, set }, Type::Bool, 2, &[one]);
+                return self.known(
+                    span,
+                    Node::InInts { of: one.place, set },
+                    Type::Bool,
+                    2,
+                    &[one],
+                );
             }
         }
-        let compare = two.len.saturating_mul(1 + through(one.len.min(two.items.len)));
+        let compare = two
+            .len
+            .saturating_mul(1 + through(one.len.min(two.items.len)));
         let own = compare.saturating_add(two.items.steps).saturating_add(1);
-        let known =
-            self.known(span, Node::InList { of: one.place, list: two.place }, Type::Bool, own, &[one, two]);
-        Known { built: known.built.saturating_add(two.items.built), ..known }
+        let known = self.known(
+            span,
+            Node::InList {
+                of: one.place,
+                list: two.place,
+            },
+            Type::Bool,
+            own,
+            &[one, two],
+        );
+        Known {
+            built: known.built.saturating_add(two.items.built),
+            ..known
+        }
     }
 }
--- a/expr/src/diagnostic.rs
+++ b/expr/src/diagnostic.rs
@@ -15,8 +15,17 @@
 }
 
 impl Diagnostic {
-    pub(crate) fn new(span: Span, message: impl Into<String>, label: impl Into<String>) -> Diagnostic {
-        Diagnostic { message: message.into(), span, label: label.into(), help: None }
+    pub(crate) fn new(
+        span: Span,
+        message: impl Into<String>,
+        label: impl Into<String>,
+    ) -> Diagnostic {
+        Diagnostic {
+            message: message.into(),
+            span,
+            label: label.into(),
+            help: None,
+        }
     }
 
     pub(crate) fn help(mut self, help: impl Into<String>) -> Diagnostic {
@@ -28,21 +37,32 @@
     pub fn place(&self, source: &str) -> (usize, usize) {
         let before = &source[..source.floor_char_boundary(self.span.from.min(source.len()))];
         let line = before.matches('\n').count() + 1;
-        let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
+        let column = before
+            .rsplit('\n')
+            .next()
+            .unwrap_or_default()
+            .chars()
+            .count()
+            + 1;
         (line, column)
     }
 
     /// In one line, for a log.
     pub fn line(&self, source: &str) -> String {
         let (line, column) = self.place(source);
-        let help = self.help.as_ref().map_or_else(String::new, |help| format!("; {help}"));
+        let help = self
+            .help
+            .as_ref()
+            .map_or_else(String::new, |help| format!("; {help}"));
         format!("{line}:{column}: {}{help}", self.message)
     }
 }
 
 impl miette::Diagnostic for Diagnostic {
     fn help<'a>(&'a self) -> Option<Box<dyn std::fmt::Display + 'a>> {
-        self.help.as_ref().map(|help| Box::new(help) as Box<dyn std::fmt::Display>)
+        self.help
+            .as_ref()
+            .map(|help| Box::new(help) as Box<dyn std::fmt::Display>)
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
@@ -54,11 +74,12 @@
 
 /// All of them as a person reads them, with the lines that they speak of.
 pub fn render(name: &str, source: &str, faults: &[Diagnostic]) -> String {
-    let handler = GraphicalReportHandler::new_themed(GraphicalTheme::unicode_nocolor()).with_width(100);
+    let handler =
+        GraphicalReportHandler::new_themed(GraphicalTheme::unicode_nocolor()).with_width(100);
     let mut out = String::new();
     for fault in faults {
-        let report =
-            miette::Report::new(fault.clone()).with_source_code(NamedSource::new(name, source.to_string()));
+        let report = miette::Report::new(fault.clone())
+            .with_source_code(NamedSource::new(name, source.to_string()));
         // Writing to memory can't fail.
         _ = handler.render_report(&mut out, report.as_ref());
     }
--- a/expr/src/eval.rs
+++ b/expr/src/eval.rs
@@ -14,12 +14,22 @@
 use crate::value::{List, Scratch, Text, Value};
 use crate::{MOST_NAMES, Request};
 
-pub(crate) fn run<'v, R: Request>(program: &'v Program, request: &'v R, scratch: &mut Scratch) -> Value<'v> {
+pub(crate) fn run<'v, R: Request>(
+    program: &'v Program,
+    request: &'v R,
+    scratch: &mut Scratch,
+) -> Value<'v> {
     scratch.built.clear();
     // Had once; from then on a bound below it costs nothing.
     scratch.built.reserve(program.cost.bytes as usize);
     scratch.steps = 0;
-    Eval { program, request, scratch, slots: [Value::Absent; MOST_NAMES] }.eval(program.root)
+    Eval {
+        program,
+        request,
+        scratch,
+        slots: [Value::Absent; MOST_NAMES],
+    }
+    .eval(program.root)
 }
 
 struct Eval<'v, 's, R> {
@@ -39,7 +49,10 @@
 fn part(text: Text, from: usize, to: usize) -> Text {
     match text {
         Text::Ref(bytes) => Text::Ref(&bytes[from..to]),
-        Text::Built { from: start, .. } => Text::Built { from: start + from as u32, len: (to - from) as u32 },
+        Text::Built { from: start, .. } => Text::Built {
+            from: start + from as u32,
+            len: (to - from) as u32,
+        },
     }
 }
 
@@ -79,7 +92,11 @@
     }
 
     fn int(&mut self, place: Place) -> i64 {
-        if let Value::Int(n) = self.eval(place) { n } else { 0 }
+        if let Value::Int(n) = self.eval(place) {
+            n
+        } else {
+            0
+        }
     }
 
     fn eval(&mut self, place: Place) -> Value<'v> {
@@ -149,12 +166,18 @@
             }
             Node::InList { of, list } => {
                 let value = self.eval(*of);
-                let Value::List(list) = self.eval(*list) else { return Value::Bool(false) };
+                let Value::List(list) = self.eval(*list) else {
+                    return Value::Bool(false);
+                };
                 Value::Bool(self.list_contains(list, value))
             }
             Node::List(items) => Value::List(List::Items(items)),
             Node::Split { of, by, most } => match self.eval(*of) {
-                Value::Text(text) => Value::List(List::Split { text, by, most: *most }),
+                Value::Text(text) => Value::List(List::Split {
+                    text,
+                    by,
+                    most: *most,
+                }),
                 other => other,
             },
             Node::Substring { of, from, count } => {
@@ -162,7 +185,12 @@
                 self.step(through(self.len(value)));
                 self.substring(value, from, count)
             }
-            Node::Each { kind, list, slot, body } => self.each(*kind, *list, *slot, *body),
+            Node::Each {
+                kind,
+                list,
+                slot,
+                body,
+            } => self.each(*kind, *list, *slot, *body),
             Node::Matches { of, regex } => {
                 let value = self.eval(*of);
                 self.step(1 + self.len(value));
@@ -205,8 +233,13 @@
 
     fn field(&self, field: Field) -> Value<'v> {
         let request = self.request;
-        let short =
-            |text: &'v str| Value::Text(Text::Ref(if text.len() <= 64 { text.as_bytes() } else { b"" }));
+        let short = |text: &'v str| {
+            Value::Text(Text::Ref(if text.len() <= 64 {
+                text.as_bytes()
+            } else {
+                b""
+            }))
+        };
         match field {
             Field::Method => short(request.method()),
             Field::Path => self.bounded(request.path()),
@@ -214,7 +247,10 @@
             Field::Segments => match self.bounded(request.path()) {
                 Value::Text(Text::Ref(path)) => {
                     let most = self.program.limits.segments as u32;
-                    Value::List(List::Segments { path: path.strip_prefix(b"/").unwrap_or(path), most })
+                    Value::List(List::Segments {
+                        path: path.strip_prefix(b"/").unwrap_or(path),
+                        most,
+                    })
                 }
                 other => other,
             },
@@ -233,7 +269,8 @@
     fn variable(&mut self, name: &str, raw: bool) -> Value<'v> {
         self.step(LOOKUP - 1);
         let found = self.request.variable(name);
-        let Some(bytes) = found.filter(|bytes| bytes.len() as u64 <= self.program.limits.variable) else {
+        let Some(bytes) = found.filter(|bytes| bytes.len() as u64 <= self.program.limits.variable)
+        else {
             return Value::Absent;
         };
         if !raw {
@@ -273,8 +310,12 @@
 }
 
 fn is_in_any(value: Value, networks: &[(IpAddr, u8)]) -> bool {
-    let Value::Addr(address) = value else { return false };
-    networks.iter().any(|(network, bits)| is_in(address, *network, *bits))
+    let Value::Addr(address) = value else {
+        return false;
+    };
+    networks
+        .iter()
+        .any(|(network, bits)| is_in(address, *network, *bits))
 }
 
 /// Whether an address is in a network; an IPv4 address that came as IPv6 is what it stands for.
