--- a/expr/src/eval/functions.rs
+++ b/expr/src/eval/functions.rs
@@ -13,7 +13,9 @@
     pub(super) fn join(&mut self, left: Text<'v>, right: Text<'v>) -> Text<'v> {
         let add = |built: &mut Vec<u8>, text: Text| match text {
             Text::Ref(bytes) => built.extend_from_slice(bytes),
-            Text::Built { from, len } => built.extend_from_within(from as usize..(from + len) as usize),
+            Text::Built { from, len } => {
+                built.extend_from_within(from as usize..(from + len) as usize)
+            }
         };
         self.scratch.build(|built| {
             add(built, left);
@@ -27,7 +29,9 @@
         is_other: fn(&u8) -> bool,
         change: fn(&mut [u8]),
     ) -> Value<'v> {
-        let Value::Text(text) = value else { return value };
+        let Value::Text(text) = value else {
+            return value;
+        };
         if !self.scratch.text(text).iter().any(is_other) {
             return value;
         }
@@ -40,20 +44,31 @@
 
     /// So many signs from a place on, as far as there are any.
     pub(super) fn substring(&self, value: Value<'v>, from: i64, count: i64) -> Value<'v> {
-        let Value::Text(text) = value else { return value };
+        let Value::Text(text) = value else {
+            return value;
+        };
         let whole = utf8(self.scratch.text(text));
         let (from, count) = (from.max(0) as usize, count.max(0) as usize);
-        let at = |nth: usize| whole.char_indices().nth(nth).map_or(whole.len(), |(at, _)| at);
+        let at = |nth: usize| {
+            whole
+                .char_indices()
+                .nth(nth)
+                .map_or(whole.len(), |(at, _)| at)
+        };
         Value::Text(part(text, at(from), at(from.saturating_add(count))))
     }
 
     pub(super) fn order(&self, left: Value<'v>, right: Value<'v>) -> Option<Ordering> {
         match (left, right) {
-            (Value::Int(a), Value::Int(b)) | (Value::Duration(a), Value::Duration(b)) => Some(a.cmp(&b)),
+            (Value::Int(a), Value::Int(b)) | (Value::Duration(a), Value::Duration(b)) => {
+                Some(a.cmp(&b))
+            }
             (Value::Float(a), Value::Float(b)) => a.partial_cmp(&b),
             (Value::Bool(a), Value::Bool(b)) => Some(a.cmp(&b)),
             (Value::Addr(a), Value::Addr(b)) => Some(a.cmp(&b)),
-            (Value::Text(a), Value::Text(b)) => Some(self.scratch.text(a).cmp(self.scratch.text(b))),
+            (Value::Text(a), Value::Text(b)) => {
+                Some(self.scratch.text(a).cmp(self.scratch.text(b)))
+            }
             _ => None,
         }
     }
@@ -85,7 +100,9 @@
             Fun::Count => self.count(value),
             Fun::Hash => Value::Int(hash(self.bytes(value))),
             Fun::Hex => self.hex(value),
-            Fun::ParseInt => utf8(self.bytes(value)).parse().map_or(Value::Absent, Value::Int),
+            Fun::ParseInt => utf8(self.bytes(value))
+                .parse()
+                .map_or(Value::Absent, Value::Int),
             Fun::ParseFloat => match utf8(self.bytes(value)).parse::<f64>() {
                 Ok(number) if number.is_finite() => Value::Float(number),
                 _ => Value::Absent,
@@ -95,7 +112,9 @@
             Fun::BytesToText => Value::Absent,
             Fun::Present => Value::Bool(value != Value::Absent),
             Fun::Segment => {
-                let Value::Int(place) = value else { return value };
+                let Value::Int(place) = value else {
+                    return value;
+                };
                 let segments = self.field(Field::Segments);
                 self.get(segments, place)
             }
@@ -113,7 +132,9 @@
     }
 
     fn trim(&self, value: Value<'v>) -> Value<'v> {
-        let Value::Text(text) = value else { return value };
+        let Value::Text(text) = value else {
+            return value;
+        };
         let whole = utf8(self.scratch.text(text));
         let from = whole.len() - whole.trim_start().len();
         Value::Text(part(text, from, (from + whole.trim().len()).max(from)))
@@ -129,7 +150,9 @@
     }
 
     pub(super) fn count(&mut self, list: Value<'v>) -> Value<'v> {
-        let Value::List(list) = list else { return Value::Int(0) };
+        let Value::List(list) = list else {
+            return Value::Int(0);
+        };
         if let List::Items(items) = list {
             return Value::Int(items.len() as i64);
         }
@@ -146,9 +169,12 @@
 /// bounds them.
 fn own_steps(fun: Fun, len: u64, other_len: u64) -> u64 {
     match fun {
-        Fun::Lower | Fun::Upper | Fun::Trim | Fun::ParseInt | Fun::ParseFloat | Fun::BytesToText => {
-            1 + through(len)
-        }
+        Fun::Lower
+        | Fun::Upper
+        | Fun::Trim
+        | Fun::ParseInt
+        | Fun::ParseFloat
+        | Fun::BytesToText => 1 + through(len),
         Fun::Hash => 1 + len,
         Fun::Hex => 2,
         Fun::StartsWith | Fun::EndsWith => 1 + through(len.min(other_len)),
--- a/expr/src/eval/lists.rs
+++ b/expr/src/eval/lists.rs
@@ -8,7 +8,11 @@
 
 impl<'v, R: Request> Eval<'v, '_, R> {
     /// Hands over each item until told to stop.
-    pub(super) fn items(&mut self, list: List<'v>, each: &mut dyn FnMut(&mut Self, Value<'v>) -> bool) {
+    pub(super) fn items(
+        &mut self,
+        list: List<'v>,
+        each: &mut dyn FnMut(&mut Self, Value<'v>) -> bool,
+    ) {
         match list {
             List::Items(places) => {
                 for place in places {
@@ -25,7 +29,9 @@
                 for nth in 1..=most {
                     self.step(1);
                     let whole = self.scratch.text(text);
-                    let end = find(&whole[from..], by).filter(|_| nth < most).map(|at| from + at);
+                    let end = find(&whole[from..], by)
+                        .filter(|_| nth < most)
+                        .map(|at| from + at);
                     let item = Value::Text(part(text, from, end.unwrap_or(whole.len())));
                     if !each(self, item) {
                         return;
@@ -52,7 +58,9 @@
     }
 
     pub(super) fn each(&mut self, kind: Loop, list: Place, slot: u8, body: Place) -> Value<'v> {
-        let Value::List(list) = self.eval(list) else { return Value::Absent };
+        let Value::List(list) = self.eval(list) else {
+            return Value::Absent;
+        };
         let mut found = None;
         self.items(list, &mut |eval, item| {
             eval.step(1);
@@ -72,7 +80,9 @@
     }
 
     pub(super) fn get(&mut self, list: Value<'v>, place: i64) -> Value<'v> {
-        let (Value::List(list), Ok(place)) = (list, usize::try_from(place)) else { return Value::Absent };
+        let (Value::List(list), Ok(place)) = (list, usize::try_from(place)) else {
+            return Value::Absent;
+        };
         if let List::Items(items) = list {
             return match items.get(place) {
                 Some(item) => self.eval(*item),
--- a/expr/src/functions.rs
+++ b/expr/src/functions.rs
@@ -19,8 +19,17 @@
     })
 }
 
-pub(crate) const FIELDS: [&str; 9] =
-    ["method", "path", "query", "segments", "body", "body_length", "front", "peer", "time_of_day"];
+pub(crate) const FIELDS: [&str; 9] = [
+    "method",
+    "path",
+    "query",
+    "segments",
+    "body",
+    "body_length",
+    "front",
+    "peer",
+    "time_of_day",
+];
 
 /// Functions, each with how it is called, for messages.
 pub(crate) const FUNCTIONS: [(&str, &str); 29] = [
@@ -56,5 +65,8 @@
 ];
 
 pub(crate) fn usage(name: &str) -> Option<&'static str> {
-    FUNCTIONS.iter().find(|(known, _)| *known == name).map(|(_, usage)| *usage)
+    FUNCTIONS
+        .iter()
+        .find(|(known, _)| *known == name)
+        .map(|(_, usage)| *usage)
 }
--- a/expr/src/lex.rs
+++ b/expr/src/lex.rs
@@ -23,11 +23,17 @@
 }
 
 const SIGNS: [&str; 28] = [
-    "->", "??", "==", "!=", "<=", ">=", "&&", "||", "(", ")", "[", "]", "{", "}", ",", ";", ".", "=", "<",
-    ">", "+", "-", "*", "/", "%", "!", ":", "|",
+    "->", "??", "==", "!=", "<=", ">=", "&&", "||", "(", ")", "[", "]", "{", "}", ",", ";", ".",
+    "=", "<", ">", "+", "-", "*", "/", "%", "!", ":", "|",
 ];
 /// Microseconds in each unit.
-const UNITS: [(&str, f64); 5] = [("ms", 1e3), ("us", 1.0), ("s", 1e6), ("m", 6e7), ("h", 3.6e9)];
+const UNITS: [(&str, f64); 5] = [
+    ("ms", 1e3),
+    ("us", 1.0),
+    ("s", 1e6),
+    ("m", 6e7),
+    ("h", 3.6e9),
+];
 
 type Lexed<T> = Result<T, EmptyError>;
 
@@ -37,8 +43,13 @@
 }
 
 fn number(input: &mut &str) -> Lexed<(String, bool)> {
-    let digits = (digit1, take_while(0.., |c: char| c.is_ascii_digit() || c == '_')).take();
-    let (whole, part): (&str, Option<&str>) = (digits, opt(preceded('.', digit1))).parse_next(input)?;
+    let digits = (
+        digit1,
+        take_while(0.., |c: char| c.is_ascii_digit() || c == '_'),
+    )
+        .take();
+    let (whole, part): (&str, Option<&str>) =
+        (digits, opt(preceded('.', digit1))).parse_next(input)?;
     let whole = whole.replace('_', "");
     Ok(match part {
         Some(part) => (format!("{whole}.{part}"), true),
@@ -48,7 +59,12 @@
 
 fn name<'a>(input: &mut &'a str) -> Lexed<&'a str> {
     let first = one_of(|c: char| c.is_ascii_alphabetic() || c == '_');
-    (first, take_while(0.., |c: char| c.is_ascii_alphanumeric() || c == '_')).take().parse_next(input)
+    (
+        first,
+        take_while(0.., |c: char| c.is_ascii_alphanumeric() || c == '_'),
+    )
+        .take()
+        .parse_next(input)
 }
 
 /// What stands between two quotes, with its escapes; none where there is no second one.
@@ -95,13 +111,19 @@
             return (words, faults);
         };
         let word = word(&mut input, first);
-        let span = Span { from, to: source.len() - input.len() };
+        let span = Span {
+            from,
+            to: source.len() - input.len(),
+        };
         match word {
             Ok(word) => words.push((word, span)),
             Err(what) => {
                 if what.contains("string") || what.contains("escape") {
                     // Where it ends is not known, so nothing after it is read.
-                    let span = Span { from, to: source.len() };
+                    let span = Span {
+                        from,
+                        to: source.len(),
+                    };
                     faults.push(Diagnostic::new(span, what, "from here"));
                     words.push((Word::End, span));
                     return (words, faults);
@@ -125,10 +147,14 @@
         }
         *input = before;
         return match is_float {
-            true => digits.parse().map(Word::Float).map_err(|_| "a number that can't be read"),
-            false => {
-                digits.parse().map(Word::Int).map_err(|_| "a whole number is at most 9223372036854775807")
-            }
+            true => digits
+                .parse()
+                .map(Word::Float)
+                .map_err(|_| "a number that can't be read"),
+            false => digits
+                .parse()
+                .map(Word::Int)
+                .map_err(|_| "a whole number is at most 9223372036854775807"),
         };
     }
     if input.starts_with("b\"") {
--- a/expr/src/lib.rs
+++ b/expr/src/lib.rs
@@ -64,7 +64,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { max_cost: 20_000, variable: 4096, body: 256, segments: 32 }
+        Limits {
+            max_cost: 20_000,
+            variable: 4096,
+            body: 256,
+            segments: 32,
+        }
     }
 }
 
--- a/expr/src/parse.rs
+++ b/expr/src/parse.rs
@@ -11,19 +11,34 @@
 
 pub(crate) fn parse(source: &str) -> Result<Expr, Vec<Diagnostic>> {
     if source.len() > MOST_SOURCE {
-        let span = Span { from: MOST_SOURCE, to: MOST_SOURCE };
-        let what = format!("an expression has at most {MOST_SOURCE} bytes, this one {}", source.len());
+        let span = Span {
+            from: MOST_SOURCE,
+            to: MOST_SOURCE,
+        };
+        let what = format!(
+            "an expression has at most {MOST_SOURCE} bytes, this one {}",
+            source.len()
+        );
         return Err(vec![Diagnostic::new(span, what, "too long")]);
     }
     let (words, faults) = lex(source);
-    let mut parser = Parser { words, at: 0, depth: 0, faults };
+    let mut parser = Parser {
+        words,
+        at: 0,
+        depth: 0,
+        faults,
+    };
     let expr = parser.expr();
     if parser.faults.is_empty() && parser.word() != &Word::End {
         parser.fault("nothing more is expected here", "left over");
     }
     parser.faults.sort_by_key(|fault| fault.span.from);
     parser.faults.truncate(MOST_FAULTS);
-    if parser.faults.is_empty() { Ok(expr) } else { Err(parser.faults) }
+    if parser.faults.is_empty() {
+        Ok(expr)
+    } else {
+        Err(parser.faults)
+    }
 }
 
 struct Parser {
@@ -89,7 +104,11 @@
         if self.faults.last().is_none_or(|last| last.span != span) {
             self.faults.push(Diagnostic::new(span, what, label));
         }
-        Expr { kind: Kind::Wrong, span, depth: 1 }
+        Expr {
+            kind: Kind::Wrong,
+            span,
+            depth: 1,
+        }
     }
 
     fn want(&mut self, sign: &'static str) -> Span {
@@ -108,7 +127,11 @@
                 let what = format!("expressions stand at most {MOST_DEPTH} deep within each other");
                 self.faults.push(Diagnostic::new(span, what, "too deep"));
             }
-            return Expr { kind: Kind::Wrong, span, depth: 1 };
+            return Expr {
+                kind: Kind::Wrong,
+                span,
+                depth: 1,
+            };
         }
         Expr { kind, span, depth }
     }
@@ -144,7 +167,16 @@
         self.want(";");
         let body = self.expr();
         let (span, within) = (start.with(body.span), value.depth.max(body.depth));
-        self.make(Kind::Let { name, at, value: Box::new(value), body: Box::new(body) }, span, within)
+        self.make(
+            Kind::Let {
+                name,
+                at,
+                value: Box::new(value),
+                body: Box::new(body),
+            },
+            span,
+            within,
+        )
     }
 
     fn name(&mut self) -> (String, Span) {
@@ -164,7 +196,10 @@
         let then = self.expr();
         self.want("}");
         if !self.is_name("else") {
-            return self.fault("'else' is wanted here: every choice has two ways", "before this");
+            return self.fault(
+                "'else' is wanted here: every choice has two ways",
+                "before this",
+            );
         }
         self.next();
         let (other, end) = if self.is_name("if") {
@@ -177,15 +212,26 @@
             (other, self.want("}"))
         };
         let within = when.depth.max(then.depth).max(other.depth);
-        self.make(Kind::If(Box::new(when), Box::new(then), Box::new(other)), start.with(end), within)
+        self.make(
+            Kind::If(Box::new(when), Box::new(then), Box::new(other)),
+            start.with(end),
+            within,
+        )
     }
 
     fn any(&mut self) -> Expr {
-        self.chain("||", Kind::Any, |parser| parser.chain("&&", Kind::All, |parser| parser.infix(1)))
+        self.chain("||", Kind::Any, |parser| {
+            parser.chain("&&", Kind::All, |parser| parser.infix(1))
+        })
     }
 
     /// Any number of parts side by side, which does not make them deeper.
-    fn chain(&mut self, sign: &str, kind: fn(Vec<Expr>) -> Kind, part: impl Fn(&mut Parser) -> Expr) -> Expr {
+    fn chain(
+        &mut self,
+        sign: &str,
+        kind: fn(Vec<Expr>) -> Kind,
+        part: impl Fn(&mut Parser) -> Expr,
+    ) -> Expr {
         let first = part(self);
         if !self.is(sign) {
             return first;
@@ -217,9 +263,21 @@
             // Whatever is absent is looked for from left to right.
             let right = self.infix(if op == Op::Else { tight } else { tight + 1 });
             let (span, within) = (left.span.with(right.span), left.depth.max(right.depth));
-            left = self.make(Kind::Binary(op, Box::new(left), Box::new(right)), span, within);
-            if tight == 1 && matches!(self.word(), Word::Sign("==" | "!=" | "<" | "<=" | ">" | ">=")) {
-                return self.fault("comparisons can't stand in a row; join two with '&&'", "a second one");
+            left = self.make(
+                Kind::Binary(op, Box::new(left), Box::new(right)),
+                span,
+                within,
+            );
+            if tight == 1
+                && matches!(
+                    self.word(),
+                    Word::Sign("==" | "!=" | "<" | "<=" | ">" | ">=")
+                )
+            {
+                return self.fault(
+                    "comparisons can't stand in a row; join two with '&&'",
+                    "a second one",
+                );
             }
         }
     }
@@ -232,8 +290,11 @@
             let (sign, start) = self.next();
             let of = self.prefix();
             let (span, within) = (start.with(of.span), of.depth);
-            let kind =
-                if sign == Word::Sign("!") { Kind::Not(Box::new(of)) } else { Kind::Neg(Box::new(of)) };
+            let kind = if sign == Word::Sign("!") {
+                Kind::Not(Box::new(of))
+            } else {
+                Kind::Neg(Box::new(of))
+            };
             self.make(kind, span, within)
         } else {
             self.postfix()
@@ -265,7 +326,10 @@
     }
 
     fn call(&mut self, name: String, at: Span, args: Vec<Expr>, end: Span) -> Expr {
-        let span = args.first().map_or(at, |first| first.span.with(at)).with(end);
+        let span = args
+            .first()
+            .map_or(at, |first| first.span.with(at))
+            .with(end);
         let within = args.iter().map(|arg| arg.depth).max().unwrap_or(0);
         self.make(Kind::Call { name, at, args }, span, within)
     }
@@ -281,13 +345,24 @@
         let mut items = Vec::new();
         while !self.is(end) && self.word() != &Word::End {
             let each = matches!(self.word(), Word::Name(_))
-                && self.words.get(self.at + 1).is_some_and(|(word, _)| *word == Word::Sign("->"));
+                && self
+                    .words
+                    .get(self.at + 1)
+                    .is_some_and(|(word, _)| *word == Word::Sign("->"));
             let item = if each {
                 let (name, at) = self.name();
                 self.next();
                 let body = self.expr();
                 let (span, within) = (at.with(body.span), body.depth);
-                self.make(Kind::Each { name, at, body: Box::new(body) }, span, within)
+                self.make(
+                    Kind::Each {
+                        name,
+                        at,
+                        body: Box::new(body),
+                    },
+                    span,
+                    within,
+                )
             } else {
                 self.expr()
             };
@@ -309,7 +384,10 @@
             Word::Bytes(bytes) => Kind::Bytes(bytes),
             Word::Name(name) if name == "true" || name == "false" => Kind::Bool(name == "true"),
             Word::Name(name) if ["let", "if", "else", "in"].contains(&name.as_str()) => {
-                return self.fault(format!("'{name}' can't stand here; put it in brackets"), "out of place");
+                return self.fault(
+                    format!("'{name}' can't stand here; put it in brackets"),
+                    "out of place",
+                );
             }
             Word::Name(name) => {
                 self.next();
@@ -317,7 +395,11 @@
                     let (args, end) = self.args();
                     return self.call_from(name, span, args, end);
                 }
-                return Expr { kind: Kind::Name(name), span, depth: 1 };
+                return Expr {
+                    kind: Kind::Name(name),
+                    span,
+                    depth: 1,
+                };
             }
             Word::Sign("(") => {
                 self.next();
@@ -333,7 +415,12 @@
                 let within = items.iter().map(|item| item.depth).max().unwrap_or(0);
                 return self.make(Kind::List(items), span.with(end), within);
             }
-            Word::End => return self.fault("something is wanted here, and the source has ended", "the end"),
+            Word::End => {
+                return self.fault(
+                    "something is wanted here, and the source has ended",
+                    "the end",
+                );
+            }
             Word::Sign(sign) => {
                 let wrong = self.fault(format!("a value is wanted here, not '{sign}'"), "no value");
                 if ![")", "]", "}", ",", ";"].contains(&sign) {
@@ -343,7 +430,11 @@
             }
         };
         self.next();
-        Expr { kind, span, depth: 1 }
+        Expr {
+            kind,
+            span,
+            depth: 1,
+        }
     }
 
     fn call_from(&mut self, name: String, at: Span, args: Vec<Expr>, end: Span) -> Expr {
--- a/expr/src/program.rs
+++ b/expr/src/program.rs
@@ -200,17 +200,29 @@
             self.ty, self.cost.steps, self.cost.bytes
         );
         for (place, node) in self.nodes.iter().enumerate() {
-            let mark = if place as Place == self.root { "=>" } else { "  " };
+            let mark = if place as Place == self.root {
+                "=>"
+            } else {
+                "  "
+            };
             // Writing to memory can't fail.
             _ = match node {
                 Node::Text(bytes) => {
-                    writeln!(out, "{mark} {place:>3} text {:?}", String::from_utf8_lossy(bytes))
+                    writeln!(
+                        out,
+                        "{mark} {place:>3} text {:?}",
+                        String::from_utf8_lossy(bytes)
+                    )
                 }
                 Node::InTexts { of, set } => {
                     writeln!(out, "{mark} {place:>3} {of} in a set of {}", set.len())
                 }
-                Node::InInts { of, set } => writeln!(out, "{mark} {place:>3} {of} in a set of {}", set.len()),
-                Node::Matches { of, regex } => writeln!(out, "{mark} {place:>3} {of} matches {regex}"),
+                Node::InInts { of, set } => {
+                    writeln!(out, "{mark} {place:>3} {of} in a set of {}", set.len())
+                }
+                Node::Matches { of, regex } => {
+                    writeln!(out, "{mark} {place:>3} {of} matches {regex}")
+                }
                 node => writeln!(out, "{mark} {place:>3} {node:?}"),
             };
         }
--- a/expr/src/request.rs
+++ b/expr/src/request.rs
@@ -24,7 +24,16 @@
 
 /// The name that CGI gives to a header: `x-yard` is `HTTP_X_YARD`.
 pub fn cgi_name(header: &str) -> String {
-    let word: String = header.chars().map(|c| if c == '-' { '_' } else { c.to_ascii_uppercase() }).collect();
+    let word: String = header
+        .chars()
+        .map(|c| {
+            if c == '-' {
+                '_'
+            } else {
+                c.to_ascii_uppercase()
+            }
+        })
+        .collect();
     match word.as_str() {
         "CONTENT_TYPE" | "CONTENT_LENGTH" => word,
         _ => format!("HTTP_{word}"),
--- a/expr/src/types.rs
+++ b/expr/src/types.rs
@@ -28,7 +28,10 @@
     }
 
     pub(crate) fn has_order(&self) -> bool {
-        matches!(self, Type::Int | Type::Float | Type::Str | Type::Bytes | Type::Duration)
+        matches!(
+            self,
+            Type::Int | Type::Float | Type::Str | Type::Bytes | Type::Duration
+        )
     }
 
     pub(crate) fn has_equality(&self) -> bool {
--- a/expr/src/value.rs
+++ b/expr/src/value.rs
@@ -76,6 +76,9 @@
     pub(crate) fn build(&mut self, write: impl FnOnce(&mut Vec<u8>)) -> Text<'static> {
         let from = self.built.len();
         write(&mut self.built);
-        Text::Built { from: from as u32, len: (self.built.len() - from) as u32 }
+        Text::Built {
+            from: from as u32,
+            len: (self.built.len() - from) as u32,
+        }
     }
 }
--- a/expr/tests/expr/documented.rs
+++ b/expr/tests/expr/documented.rs
@@ -26,15 +26,18 @@
         for line in block.split("```").next().unwrap().lines() {
             run += 1;
             if let Some((source, part)) = line.split_once(" =! ") {
-                let faults =
-                    infer(source, Limits::default()).err().unwrap_or_else(|| panic!("taken: {source}"));
+                let faults = infer(source, Limits::default())
+                    .err()
+                    .unwrap_or_else(|| panic!("taken: {source}"));
                 let told: String = faults.iter().map(|fault| fault.line(source)).collect();
                 assert!(told.contains(part), "{source}: {told}");
                 continue;
             }
-            let (source, wanted) = line.rsplit_once(" => ").unwrap_or_else(|| panic!("no example: {line}"));
-            let program =
-                infer(source, Limits::default()).unwrap_or_else(|faults| panic!("{source}: {faults:?}"));
+            let (source, wanted) = line
+                .rsplit_once(" => ")
+                .unwrap_or_else(|| panic!("no example: {line}"));
+            let program = infer(source, Limits::default())
+                .unwrap_or_else(|faults| panic!("{source}: {faults:?}"));
             let value = program.eval(&asked, &mut scratch);
             assert_eq!(shown(&plain(value, &scratch).unwrap()), wanted, "{source}");
         }
--- a/expr/tests/expr/language.rs
+++ b/expr/tests/expr/language.rs
@@ -46,10 +46,16 @@
         ("segments[2] ?? \"\"", text("berth-4")),
         ("segments[-1] ?? \"none\"", text("none")),
         ("len(segments)", Plain::Int(3)),
-        ("path.starts_with(\"/book/\") && !path.ends_with(\"/\")", Plain::Bool(true)),
+        (
+            "path.starts_with(\"/book/\") && !path.ends_with(\"/\")",
+            Plain::Bool(true),
+        ),
         ("\"north\" in segments", Plain::Bool(true)),
         ("method in [\"GET\", \"HEAD\"]", Plain::Bool(false)),
-        ("any(segments, s -> s.starts_with(\"berth\"))", Plain::Bool(true)),
+        (
+            "any(segments, s -> s.starts_with(\"berth\"))",
+            Plain::Bool(true),
+        ),
         (
             "first(split(text(body) ?? \"\", \";\", 8), p -> p.starts_with(\"nights=\")) ?? \"\"",
             text("nights=2"),
@@ -57,8 +63,14 @@
         ("split(\"a,b,c,d\", \",\", 2)[1] ?? \"\"", text("b,c,d")),
         ("substring(\"äöü\", 1, 1)", text("ö")),
         ("substring(\"abc\", 2, 9)", text("c")),
-        ("matches(path, \"^/book/[a-z]+/berth-[0-9]+$\")", Plain::Bool(true)),
-        ("cidr(peer, \"10.0.0.0/8\") && !cidr(peer, \"10.2.0.0/16\", \"::/0\")", Plain::Bool(true)),
+        (
+            "matches(path, \"^/book/[a-z]+/berth-[0-9]+$\")",
+            Plain::Bool(true),
+        ),
+        (
+            "cidr(peer, \"10.0.0.0/8\") && !cidr(peer, \"10.2.0.0/16\", \"::/0\")",
+            Plain::Bool(true),
+        ),
         (
             "hash(\"a\") == hash(b\"a\") && hash(\"a\") != hash(\"b\") && hash(path) % 8 >= 0",
             Plain::Bool(true),
@@ -70,11 +82,20 @@
         ),
         ("let x = 1; let x = x + 1; x", Plain::Int(2)),
         ("# a comment\n  true # and another", Plain::Bool(true)),
-        ("if 1 > 2 { header(\"x-yard\") } else { \"plain\" }", text("plain")),
-        ("header(\"x-none\") ?? parameter(\"none\") ?? \"last\"", text("last")),
+        (
+            "if 1 > 2 { header(\"x-yard\") } else { \"plain\" }",
+            text("plain"),
+        ),
+        (
+            "header(\"x-none\") ?? parameter(\"none\") ?? \"last\"",
+            text("last"),
+        ),
         ("trim(\" a \") + upper(\"bß\")", text("aBß")),
         ("int(header(\"x-length\") ?? \"\") ?? 0", Plain::Int(12)),
-        ("let l = [path, method]; any(l, a -> any(l, b -> a != b))", Plain::Bool(true)),
+        (
+            "let l = [path, method]; any(l, a -> any(l, b -> a != b))",
+            Plain::Bool(true),
+        ),
         ("true || false && false", Plain::Bool(true)),
     ] {
         assert_eq!(value(source).1, wanted, "{source}");
@@ -83,11 +104,19 @@
 
 /// Message, the text at its place, and a part of its help.
 fn told(source: &str) -> Vec<(String, String, String)> {
-    let faults = infer(source, Limits::default()).err().unwrap_or_else(|| panic!("taken: {source}"));
+    let faults = infer(source, Limits::default())
+        .err()
+        .unwrap_or_else(|| panic!("taken: {source}"));
     let part = |from: usize, to: usize| source.get(from..to).unwrap_or_default().to_string();
     faults
         .into_iter()
-        .map(|fault| (fault.message, part(fault.span.from, fault.span.to), fault.help.unwrap_or_default()))
+        .map(|fault| {
+            (
+                fault.message,
+                part(fault.span.from, fault.span.to),
+                fault.help.unwrap_or_default(),
+            )
+        })
         .collect()
 }
 
@@ -96,18 +125,48 @@
     for (source, message, place, help) in [
         ("1 + \"a\"", "int is wanted", "\"a\"", ""),
         ("header(\"x\") == \"a\"", "is wanted, this is", "\"a\"", ""),
-        ("lower(header(\"x\"))", "does not take optional string", "lower(header(\"x\"))", "?? other"),
+        (
+            "lower(header(\"x\"))",
+            "does not take optional string",
+            "lower(header(\"x\"))",
+            "?? other",
+        ),
         ("if method { 1 } else { 2 }", "bool is wanted", "method", ""),
         ("if true { 1 } else { \"a\" }", "int is wanted", "\"a\"", ""),
         ("pth == \"a\"", "there is no value 'pth'", "pth", "'path'"),
-        ("lowr(path)", "there is no function 'lowr'", "lowr", "'lower'"),
-        ("path(1)", "there is no function 'path'", "path", "is a value"),
-        ("lower == 1", "there is no value 'lower'", "lower", "lower(text)"),
-        ("lower(path, path)", "does not take 2 values", "lower(path, path)", "lower(text)"),
+        (
+            "lowr(path)",
+            "there is no function 'lowr'",
+            "lowr",
+            "'lower'",
+        ),
+        (
+            "path(1)",
+            "there is no function 'path'",
+            "path",
+            "is a value",
+        ),
+        (
+            "lower == 1",
+            "there is no value 'lower'",
+            "lower",
+            "lower(text)",
+        ),
+        (
+            "lower(path, path)",
+            "does not take 2 values",
+            "lower(path, path)",
+            "lower(text)",
+        ),
         ("path ?? \"a\"", "never absent", "path", ""),
         ("matches(path, \"(\")", "no regular expression", "\"(\"", ""),
         ("matches(path, method)", "has to stand here", "method", ""),
-        ("matches(path, \"[a-z]{1,1000}{1,1000}\")", "takes more than", "\"[a-z]{1,1000}{1,1000}\"", ""),
+        (
+            "matches(path, \"[a-z]{1,1000}{1,1000}\")",
+            "takes more than",
+            "\"[a-z]{1,1000}{1,1000}\"",
+            "",
+        ),
         ("split(path, \"/\", 1000)", "from 1 to 64", "1000", ""),
         ("split(path, \"\", 2)", "at least one sign", "\"\"", ""),
         ("[1, \"a\"]", "int is wanted", "\"a\"", ""),
@@ -115,9 +174,19 @@
         ("any(path, s -> true)", "a list is wanted", "path", ""),
         ("any(segments, true)", "asked of each item", "true", "->"),
         ("lower(s -> s)", "can only stand in", "s", ""),
-        ("cidr(peer, \"10.0.0.0/33\")", "a network is", "\"10.0.0.0/33\"", ""),
+        (
+            "cidr(peer, \"10.0.0.0/33\")",
+            "a network is",
+            "\"10.0.0.0/33\"",
+            "",
+        ),
         ("true < false", "does not compare bool", "true < false", ""),
-        ("path in method", "a list is wanted behind 'in'", "method", ""),
+        (
+            "path in method",
+            "a list is wanted behind 'in'",
+            "method",
+            "",
+        ),
         ("1 < 2 < 3", "can't stand in a row", "<", ""),
         ("if true { 1 }", "'else' is wanted", "", ""),
         ("(1 + ", "source has ended", "", ""),
@@ -125,15 +194,20 @@
         ("\"\\q\"", "an escape is one of", "", ""),
         ("5 parsecs", "nothing more is expected", "parsecs", ""),
         ("5x", "a unit of time is", "5x", ""),
-        ("99999999999999999999", "a whole number is at most", "99999999999999999999", ""),
+        (
+            "99999999999999999999",
+            "a whole number is at most",
+            "99999999999999999999",
+            "",
+        ),
         ("path § 1", "means nothing here", "§", ""),
         ("-path", "a number or a duration", "path", ""),
         ("\"\\xff\"", "this is no text", "\"\\xff\"", ""),
     ] {
         let faults = told(source);
-        let found = faults
-            .iter()
-            .any(|(m, p, h)| m.contains(message) && (place.is_empty() || p == place) && h.contains(help));
+        let found = faults.iter().any(|(m, p, h)| {
+            m.contains(message) && (place.is_empty() || p == place) && h.contains(help)
+        });
         assert!(found, "{source}: {faults:?}");
     }
 }
@@ -143,8 +217,15 @@
     let faults = told("pth == \"a\" && lowr(path) == 1 && 5 == \"b\" && (mehod in [1])");
     assert_eq!(faults.len(), 4, "{faults:?}");
     let source = "let yard = hedder(\"x-yard\") ?? \"\";\nyard == \"north\"";
-    let shown = render("rules[3].when", source, &infer(source, Limits::default()).unwrap_err());
-    assert!(shown.contains("rules[3].when:1:12") && shown.contains("perhaps 'header' is meant"), "{shown}");
+    let shown = render(
+        "rules[3].when",
+        source,
+        &infer(source, Limits::default()).unwrap_err(),
+    );
+    assert!(
+        shown.contains("rules[3].when:1:12") && shown.contains("perhaps 'header' is meant"),
+        "{shown}"
+    );
     assert_eq!(
         infer(source, Limits::default()).unwrap_err()[0].line(source),
         "1:12: there is no function 'hedder'; perhaps 'header' is meant"
@@ -155,7 +236,12 @@
 fn what_would_cost_too_much_is_refused_with_the_part_that_costs_most() {
     let nested = "any(segments, a -> any(segments, b -> any(segments, c -> a + b + c == path)))";
     let faults = infer(nested, Limits::default()).unwrap_err();
-    assert!(faults[0].message.contains("steps, and at most 20000 are allowed"), "{faults:?}");
+    assert!(
+        faults[0]
+            .message
+            .contains("steps, and at most 20000 are allowed"),
+        "{faults:?}"
+    );
     assert!(faults[0].span.to - faults[0].span.from > 40, "{faults:?}");
     // Doubled again and again it would be huge: told before the limit on steps.
     let mut huge = "let a = path + path;".to_string();
@@ -164,22 +250,44 @@
         huge += &format!(" let {} = {} + {};", pair[1], pair[0], pair[0]);
     }
     let faults = infer(&(huge + " len(l)"), Limits::default()).unwrap_err();
-    assert!(faults.iter().any(|fault| fault.message.contains("at most 65536 are allowed")), "{faults:?}");
-    assert!(infer("len(path + path)", Limits { max_cost: 10, ..Limits::default() }).is_err());
+    assert!(
+        faults
+            .iter()
+            .any(|fault| fault.message.contains("at most 65536 are allowed")),
+        "{faults:?}"
+    );
+    assert!(
+        infer(
+            "len(path + path)",
+            Limits {
+                max_cost: 10,
+                ..Limits::default()
+            }
+        )
+        .is_err()
+    );
 }
 
 #[test]
 fn nesting_bombs_and_long_sources_are_refused_at_once() {
-    for (open, close) in
-        [("(", ")"), ("[", "]"), ("!", ""), ("-", ""), ("lower(", ")"), ("if true { ", " } else { 1 }")]
-    {
+    for (open, close) in [
+        ("(", ")"),
+        ("[", "]"),
+        ("!", ""),
+        ("-", ""),
+        ("lower(", ")"),
+        ("if true { ", " } else { 1 }"),
+    ] {
         for count in [100, 2000] {
             let source = open.repeat(count) + "1" + &close.repeat(count);
             if source.len() > MOST_SOURCE {
                 continue;
             }
             let faults = infer(&source, Limits::default()).unwrap_err();
-            assert!(faults.iter().any(|fault| fault.message.contains("deep")), "{open} {count}: {faults:?}");
+            assert!(
+                faults.iter().any(|fault| fault.message.contains("deep")),
+                "{open} {count}: {faults:?}"
+            );
         }
     }
     for part in [" + 1", " - 1", " ?? 1", ".x()", "[0]"] {
@@ -187,16 +295,37 @@
         assert!(infer(&source, Limits::default()).is_err(), "{part}");
     }
     let million = "(".repeat(1_000_000);
-    assert!(infer(&million, Limits::default()).unwrap_err()[0].message.contains("at most 8192 bytes"));
+    assert!(
+        infer(&million, Limits::default()).unwrap_err()[0]
+            .message
+            .contains("at most 8192 bytes")
+    );
     // Side by side any number may stand.
     let wide = vec!["path == \"a\""; 300].join(" || ");
-    assert!(infer(&wide, Limits { max_cost: u64::MAX, ..Limits::default() }).is_ok());
+    assert!(
+        infer(
+            &wide,
+            Limits {
+                max_cost: u64::MAX,
+                ..Limits::default()
+            }
+        )
+        .is_ok()
+    );
 }
 
 #[test]
 fn more_than_was_declared_is_not_seen_and_costs_no_more() {
-    let limits = Limits { variable: 16, body: 4, segments: 2, ..Limits::default() };
-    let asked = Written { path: format!("/{}", "a".repeat(5000)), ..asked() };
+    let limits = Limits {
+        variable: 16,
+        body: 4,
+        segments: 2,
+        ..Limits::default()
+    };
+    let asked = Written {
+        path: format!("/{}", "a".repeat(5000)),
+        ..asked()
+    };
     let mut scratch = Scratch::default();
     for (source, wanted) in [
         ("path", text("")),
@@ -220,12 +349,16 @@
         compile("path", &Type::Str.optional(), Limits::default()).is_ok(),
         "what is there may be wanted or absent"
     );
-    for (source, want) in
-        [("path", Type::Bool), ("header(\"x\")", Type::Str), ("body", Type::Str), ("path", Type::Bytes)]
-    {
+    for (source, want) in [
+        ("path", Type::Bool),
+        ("header(\"x\")", Type::Str),
+        ("body", Type::Str),
+        ("path", Type::Bytes),
+    ] {
         let faults = compile(source, &want, Limits::default()).unwrap_err();
         assert!(
-            faults[0].message.contains("is wanted") && faults[0].help.is_some() == (want != Type::Bool),
+            faults[0].message.contains("is wanted")
+                && faults[0].help.is_some() == (want != Type::Bool),
             "{faults:?}"
         );
     }
--- a/expr/tests/expr/random.rs
+++ b/expr/tests/expr/random.rs
@@ -11,16 +11,18 @@
 
 fn literal(of: &Type) -> Source {
     match of {
-        Type::Bool => prop::sample::select(vec!["true", "false"]).prop_map(String::from).boxed(),
+        Type::Bool => prop::sample::select(vec!["true", "false"])
+            .prop_map(String::from)
+            .boxed(),
         Type::Int => prop_oneof![
             (0..100i64).prop_map(|n| n.to_string()),
             Just("9223372036854775807".to_string()),
             Just("body_length".to_string()),
         ]
         .boxed(),
-        Type::Float => {
-            prop::sample::select(vec!["0.0", "1.5", "2.25", "1000000.0"]).prop_map(String::from).boxed()
-        }
+        Type::Float => prop::sample::select(vec!["0.0", "1.5", "2.25", "1000000.0"])
+            .prop_map(String::from)
+            .boxed(),
         Type::Duration => prop::sample::select(vec!["10ms", "1.5s", "2h", "time_of_day", "0us"])
             .prop_map(String::from)
             .boxed(),
@@ -41,9 +43,9 @@
             ];
             prop::sample::select(known).prop_map(String::from).boxed()
         }
-        Type::Bytes => {
-            prop::sample::select(vec!["b\"ab\"", "b\"\\xff\"", "body"]).prop_map(String::from).boxed()
-        }
+        Type::Bytes => prop::sample::select(vec!["b\"ab\"", "b\"\\xff\"", "body"])
+            .prop_map(String::from)
+            .boxed(),
         _ => panic!("no literal of {of}"),
     }
 }
@@ -54,7 +56,8 @@
     }
     let d = depth - 1;
     let any = |ty: Type| of(ty, d);
-    let bind = (any(Type::Int), any(ty.clone())).prop_map(|(value, body)| format!("let n = {value}; {body}"));
+    let bind = (any(Type::Int), any(ty.clone()))
+        .prop_map(|(value, body)| format!("let n = {value}; {body}"));
     let choice = (any(Type::Bool), any(ty.clone()), any(ty.clone()))
         .prop_map(|(when, then, other)| format!("(if ({when}) {{ {then} }} else {{ {other} }})"));
     let shared = prop_oneof![
@@ -69,10 +72,19 @@
     let sign = |signs: &[&'static str]| prop::sample::select(signs.to_vec());
     let special: Source = match ty {
         Type::Bool => {
-            let comparable =
-                prop::sample::select(vec![Type::Int, Type::Float, Type::Str, Type::Bytes, Type::Duration]);
+            let comparable = prop::sample::select(vec![
+                Type::Int,
+                Type::Float,
+                Type::Str,
+                Type::Bytes,
+                Type::Duration,
+            ]);
             let compare = comparable.prop_flat_map(move |ty| {
-                (of(ty.clone(), d), prop::sample::select(vec!["==", "!=", "<", "<=", ">", ">="]), of(ty, d))
+                (
+                    of(ty.clone(), d),
+                    prop::sample::select(vec!["==", "!=", "<", "<=", ">", ">="]),
+                    of(ty, d),
+                )
                     .prop_map(|(left, op, right)| format!("(({left}) {op} ({right}))"))
             });
             let joined = (any(Type::Bool), sign(&["&&", "||"]), any(Type::Bool))
@@ -86,9 +98,14 @@
             let within = (any(Type::Str), any(Type::Str), any(Type::Str))
                 .prop_map(|(of, one, two)| format!("(({of}) in [{one}, {two}, \"north\"])"));
             let ints = any(Type::Int).prop_map(|of| format!("(({of}) in [1, 2, 25])"));
-            let each = (prop::sample::select(vec!["any", "all"]), list(d), any(Type::Str)).prop_map(
-                |(fun, list, other)| format!("{fun}({list}, item -> item == {other} || len(item) > 3)"),
-            );
+            let each = (
+                prop::sample::select(vec!["any", "all"]),
+                list(d),
+                any(Type::Str),
+            )
+                .prop_map(|(fun, list, other)| {
+                    format!("{fun}({list}, item -> item == {other} || len(item) > 3)")
+                });
             let matches = any(Type::Str).prop_map(|of| format!("matches({of}, \"^[a-n]+/?\")"));
             prop_oneof![
                 compare,
@@ -117,7 +134,8 @@
                 list(d).prop_map(|of| format!("len({of})")),
                 any(Type::Int).prop_map(|of| format!("-({of})")),
                 any(Type::Float).prop_map(|of| format!("int({of})")),
-                (any(Type::Int), any(Type::Int)).prop_map(|(one, two)| format!("min({one}, {two})")),
+                (any(Type::Int), any(Type::Int))
+                    .prop_map(|(one, two)| format!("min({one}, {two})")),
             ]
             .boxed()
         }
@@ -125,18 +143,23 @@
             (any(Type::Float), sign(&["+", "-", "*"]), any(Type::Float))
                 .prop_map(|(left, op, right)| format!("(({left}) {op} ({right}))")),
             any(Type::Int).prop_map(|of| format!("float({of})")),
-            (any(Type::Float), any(Type::Float)).prop_map(|(one, two)| format!("max({one}, {two})")),
+            (any(Type::Float), any(Type::Float))
+                .prop_map(|(one, two)| format!("max({one}, {two})")),
         ]
         .boxed(),
         Type::Duration => prop_oneof![
             (any(Type::Duration), sign(&["+", "-"]), any(Type::Duration))
                 .prop_map(|(left, op, right)| format!("(({left}) {op} ({right}))")),
-            (any(Type::Duration), any(Type::Int)).prop_map(|(left, right)| format!("(({left}) * ({right}))")),
+            (any(Type::Duration), any(Type::Int))
+                .prop_map(|(left, right)| format!("(({left}) * ({right}))")),
             any(Type::Duration).prop_map(|of| format!("-({of})")),
         ]
         .boxed(),
         Type::Str => prop_oneof![
-            (prop::sample::select(vec!["lower", "upper", "trim"]), any(Type::Str))
+            (
+                prop::sample::select(vec!["lower", "upper", "trim"]),
+                any(Type::Str)
+            )
                 .prop_map(|(fun, of)| format!("{fun}({of})")),
             any(Type::Int).prop_map(|of| format!("hex({of})")),
             (any(Type::Str), any(Type::Str)).prop_map(|(one, two)| format!("(({one}) + ({two}))")),
@@ -151,10 +174,10 @@
 }
 
 fn list(depth: u32) -> Source {
-    let of_text =
-        (of(Type::Str, depth), 1..6).prop_map(|(text, most)| format!("split({text}, \"/\", {most})"));
-    let of_items =
-        (of(Type::Str, depth), of(Type::Str, depth)).prop_map(|(one, two)| format!("[{one}, {two}]"));
+    let of_text = (of(Type::Str, depth), 1..6)
+        .prop_map(|(text, most)| format!("split({text}, \"/\", {most})"));
+    let of_items = (of(Type::Str, depth), of(Type::Str, depth))
+        .prop_map(|(one, two)| format!("[{one}, {two}]"));
     prop_oneof![Just("segments".to_string()), of_text, of_items].boxed()
 }
 
@@ -175,7 +198,8 @@
             ])
             .prop_map(String::from),
             of(Type::Bytes, depth).prop_map(|of| format!("text({of})")),
-            (list(depth), of(Type::Int, depth)).prop_map(|(list, place)| format!("get({list}, {place})")),
+            (list(depth), of(Type::Int, depth))
+                .prop_map(|(list, place)| format!("get({list}, {place})")),
             list(depth).prop_map(|list| format!("first({list}, item -> len(item) > 1)")),
         ]
         .boxed(),
@@ -195,21 +219,36 @@
             .prop_map(|(one, two)| format!("({one}) / (0 + ({two}))"))
             .boxed(),
         Type::Bytes => Just("raw_header(\"x-raw\")".to_string()).boxed(),
-        _ => of(Type::Bool, depth).prop_map(|of| format!("first([{of}], item -> item)")).boxed(),
+        _ => of(Type::Bool, depth)
+            .prop_map(|of| format!("first([{of}], item -> item)"))
+            .boxed(),
     }
 }
 
 fn any_source() -> BoxedStrategy<(Type, String)> {
-    let types = vec![Type::Bool, Type::Int, Type::Float, Type::Str, Type::Bytes, Type::Duration];
+    let types = vec![
+        Type::Bool,
+        Type::Int,
+        Type::Float,
+        Type::Str,
+        Type::Bytes,
+        Type::Duration,
+    ];
     (prop::sample::select(types), 0..4u32)
-        .prop_flat_map(|(ty, depth)| of(ty.clone(), depth).prop_map(move |source| (ty.clone(), source)))
+        .prop_flat_map(|(ty, depth)| {
+            of(ty.clone(), depth).prop_map(move |source| (ty.clone(), source))
+        })
         .boxed()
 }
 
 /// Requests small and as large as the limits allow.
 fn request() -> impl Strategy<Value = Written> {
     (0..4u8, "[a-z/]{0,40}", any::<[u8; 4]>()).prop_map(|(kind, path, addr)| {
-        let mut asked = Written { path: format!("/{path}"), peer: addr.into(), ..asked() };
+        let mut asked = Written {
+            path: format!("/{path}"),
+            peer: addr.into(),
+            ..asked()
+        };
         if kind == 0 {
             asked.path = "/ab".repeat(4096 / 3);
             asked.body = vec![b'A'; 5000];
--- a/expr/tests/expr/reference.rs
+++ b/expr/tests/expr/reference.rs
@@ -28,7 +28,13 @@
         Value::Duration(n) => Plain::Duration(n),
         Value::Text(text) => Plain::Text(scratch.text(text).to_vec()),
         Value::Addr(addr) => Plain::Addr(addr),
-        Value::List(List::Split { text: Text::Ref(_) | Text::Built { .. }, .. } | List::Segments { .. }) => {
+        Value::List(
+            List::Split {
+                text: Text::Ref(_) | Text::Built { .. },
+                ..
+            }
+            | List::Segments { .. },
+        ) => {
             return None;
         }
         Value::List(List::Items(_)) => return None,
@@ -41,11 +47,19 @@
 }
 
 fn text(plain: &Plain) -> &[u8] {
-    if let Plain::Text(bytes) = plain { bytes } else { panic!("{plain:?} is no text") }
+    if let Plain::Text(bytes) = plain {
+        bytes
+    } else {
+        panic!("{plain:?} is no text")
+    }
 }
 
 fn int(plain: &Plain) -> i64 {
-    if let Plain::Int(n) = plain { *n } else { panic!("{plain:?} is no int") }
+    if let Plain::Int(n) = plain {
+        *n
+    } else {
+        panic!("{plain:?} is no int")
+    }
 }
 
 fn truth(plain: &Plain) -> bool {
@@ -76,7 +90,9 @@
                 let way = if truth(&self.eval(when)) { then } else { other };
                 self.eval(way)
             }
-            Kind::Let { name, value, body, .. } => {
+            Kind::Let {
+                name, value, body, ..
+            } => {
                 let value = self.eval(value);
                 self.names.push((name.clone(), value));
                 let found = self.eval(body);
@@ -110,7 +126,11 @@
     }
 
     fn segments(&self) -> Vec<Vec<u8>> {
-        let path = self.request.path.strip_prefix('/').unwrap_or(&self.request.path);
+        let path = self
+            .request
+            .path
+            .strip_prefix('/')
+            .unwrap_or(&self.request.path);
         let parts = path.split('/').filter(|_| !path.is_empty()).take(32);
         parts.map(|part| part.as_bytes().to_vec()).collect()
     }
@@ -118,7 +138,11 @@
     fn binary(&mut self, op: Op, left: &Expr, right: &Expr) -> Plain {
         let one = self.eval(left);
         if op == Op::Else {
-            return if one == Plain::Absent { self.eval(right) } else { one };
+            return if one == Plain::Absent {
+                self.eval(right)
+            } else {
+                one
+            };
         }
         let two = self.eval(right);
         if let Plain::List(items) = &two {
@@ -129,7 +153,9 @@
             Op::Ne => return Plain::Bool(one != two),
             Op::Lt | Op::Le | Op::Gt | Op::Ge => {
                 let order = match (&one, &two) {
-                    (Plain::Int(a), Plain::Int(b)) | (Plain::Duration(a), Plain::Duration(b)) => a.cmp(b),
+                    (Plain::Int(a), Plain::Int(b)) | (Plain::Duration(a), Plain::Duration(b)) => {
+                        a.cmp(b)
+                    }
                     (Plain::Float(a), Plain::Float(b)) => a.partial_cmp(b).unwrap(),
                     (Plain::Text(a), Plain::Text(b)) => a.cmp(b),
                     other => panic!("{other:?}"),
@@ -180,8 +206,15 @@
             _ => panic!("no literal"),
         };
         if let "any" | "all" | "first" = name {
-            let Plain::List(items) = self.eval(&args[0]) else { panic!("no list") };
-            let Kind::Each { name: bound, body, .. } = &args[1].kind else { panic!("no ->") };
+            let Plain::List(items) = self.eval(&args[0]) else {
+                panic!("no list")
+            };
+            let Kind::Each {
+                name: bound, body, ..
+            } = &args[1].kind
+            else {
+                panic!("no ->")
+            };
             let mut ask = |item: &Plain| {
                 self.names.push((bound.clone(), item.clone()));
                 let found = truth(&self.eval(body));
@@ -191,7 +224,11 @@
             return match name {
                 "any" => Plain::Bool(items.iter().any(&mut ask)),
                 "all" => Plain::Bool(items.iter().all(&mut ask)),
-                _ => items.iter().find(|item| ask(item)).cloned().unwrap_or(Plain::Absent),
+                _ => items
+                    .iter()
+                    .find(|item| ask(item))
+                    .cloned()
+                    .unwrap_or(Plain::Absent),
             };
         }
         let as_text = |found: Option<&[u8]>| match found.map(|bytes| std::str::from_utf8(bytes)) {
@@ -206,10 +243,15 @@
                 return found.map_or(Plain::Absent, |bytes| Plain::Text(bytes.to_vec()));
             }
             "parameter" => {
-                let pairs =
-                    self.request.query.split('&').map(|pair| pair.split_once('=').unwrap_or((pair, "")));
-                let values: Vec<&str> =
-                    pairs.filter(|(key, _)| *key == literal(0)).map(|(_, value)| value).collect();
+                let pairs = self
+                    .request
+                    .query
+                    .split('&')
+                    .map(|pair| pair.split_once('=').unwrap_or((pair, "")));
+                let values: Vec<&str> = pairs
+                    .filter(|(key, _)| *key == literal(0))
+                    .map(|(_, value)| value)
+                    .collect();
                 return if let [one] = values[..] {
                     Plain::Text(one.as_bytes().to_vec())
                 } else {
@@ -258,25 +300,42 @@
             "present" => Plain::Bool(of != Plain::Absent),
             "segment" => {
                 let place = usize::try_from(int(&of)).ok();
-                place.and_then(|place| self.segments().get(place).cloned()).map_or(Plain::Absent, Plain::Text)
+                place
+                    .and_then(|place| self.segments().get(place).cloned())
+                    .map_or(Plain::Absent, Plain::Text)
             }
             "split" => {
                 let (whole, by) = (string(&of), literal(1));
-                let Kind::Int(most) = args[2].kind else { panic!("no bound") };
+                let Kind::Int(most) = args[2].kind else {
+                    panic!("no bound")
+                };
                 let parts = whole
                     .splitn(most as usize, by.as_str())
                     .map(|part| Plain::Text(part.as_bytes().to_vec()));
                 Plain::List(parts.collect())
             }
             "substring" => {
-                let (from, count) = (int(&self.eval(&args[1])).max(0), int(&self.eval(&args[2])).max(0));
-                let part: String = string(&of).chars().skip(from as usize).take(count as usize).collect();
+                let (from, count) = (
+                    int(&self.eval(&args[1])).max(0),
+                    int(&self.eval(&args[2])).max(0),
+                );
+                let part: String = string(&of)
+                    .chars()
+                    .skip(from as usize)
+                    .take(count as usize)
+                    .collect();
                 Plain::Text(part.into_bytes())
             }
-            "matches" => Plain::Bool(regex::Regex::new(&literal(1)).unwrap().is_match(&string(&of))),
+            "matches" => Plain::Bool(
+                regex::Regex::new(&literal(1))
+                    .unwrap()
+                    .is_match(&string(&of)),
+            ),
             "cidr" => {
                 let nets = (1..args.len()).map(literal);
-                let Plain::Addr(IpAddr::V4(addr)) = of else { panic!("{of:?}") };
+                let Plain::Addr(IpAddr::V4(addr)) = of else {
+                    panic!("{of:?}")
+                };
                 let inside = |net: String| {
                     let (net, bits) = net.split_once('/').unwrap();
                     let (net, bits): (std::net::Ipv4Addr, u32) =
@@ -293,20 +352,27 @@
                     "ends_with" => Plain::Bool(text(&of).ends_with(text(&with))),
                     "contains" => Plain::Bool(string(&of).contains(&string(&with))),
                     "get" => {
-                        let Plain::List(items) = of else { panic!("no list") };
+                        let Plain::List(items) = of else {
+                            panic!("no list")
+                        };
                         let place = usize::try_from(int(&with)).ok();
-                        place.and_then(|place| items.get(place).cloned()).unwrap_or(Plain::Absent)
+                        place
+                            .and_then(|place| items.get(place).cloned())
+                            .unwrap_or(Plain::Absent)
                     }
                     "min" | "max" => {
                         let less = match (&of, &with) {
-                            (Plain::Int(a), Plain::Int(b)) | (Plain::Duration(a), Plain::Duration(b)) => {
-                                b < a
-                            }
+                            (Plain::Int(a), Plain::Int(b))
+                            | (Plain::Duration(a), Plain::Duration(b)) => b < a,
                             (Plain::Float(a), Plain::Float(b)) => b < a,
                             other => panic!("{other:?}"),
                         };
                         let equal = of == with;
-                        if equal || less == (name == "max") { of } else { with }
+                        if equal || less == (name == "max") {
+                            of
+                        } else {
+                            with
+                        }
                     }
                     _ => panic!("{name}"),
                 }
--- a/fleet/src/applying.rs
+++ b/fleet/src/applying.rs
@@ -16,7 +16,9 @@
         update: MemberUpdate,
         out: &mut Vec<Action>,
     ) -> Option<MemberIndex> {
-        let Some(index) = self.table.index_of(&update.name) else { return self.add_member(now, update, out) };
+        let Some(index) = self.table.index_of(&update.name) else {
+            return self.add_member(now, update, out);
+        };
         let record = self.table.get_mut(index)?;
         let old = record.update.clone();
         let restarted = update.incarnation != old.incarnation;
@@ -97,7 +99,10 @@
                 if let Some(record) = self.table.get_mut(index) {
                     record.held_until = None;
                     let revision = record.revision;
-                    self.arm(now + self.parameters.forget_after, Timer::Forget(index, revision));
+                    self.arm(
+                        now + self.parameters.forget_after,
+                        Timer::Forget(index, revision),
+                    );
                 }
                 self.change_view(now, |view| view.remove(&name));
                 if was.is_some() {
@@ -115,7 +120,9 @@
     /// Begins a suspicion, and may probe the member to confirm or clear it.
     fn suspected(&mut self, now: Tenths, index: MemberIndex, by: u32, out: &mut Vec<Action>) {
         let members = self.view.members.len();
-        let Some(record) = self.table.get_mut(index) else { return };
+        let Some(record) = self.table.get_mut(index) else {
+            return;
+        };
         let (name, incarnation) = (record.update.name.clone(), record.update.incarnation);
         record.suspicion.get_or_insert(Suspicion::new(by, now));
         self.arm_suspicion(now, index);
@@ -129,9 +136,14 @@
 
     /// Counts the suspicion of another node on a member that is suspected already; `false` if it is not new.
     pub(crate) fn confirm_suspicion(&mut self, now: Tenths, index: MemberIndex, by: u32) -> bool {
-        let Some(record) = self.table.get_mut(index) else { return false };
+        let Some(record) = self.table.get_mut(index) else {
+            return false;
+        };
         let mut update = record.update.clone();
-        let Some(suspicion) = record.suspicion.as_mut().filter(|suspicion| !suspicion.is_confirmed_by(by))
+        let Some(suspicion) = record
+            .suspicion
+            .as_mut()
+            .filter(|suspicion| !suspicion.is_confirmed_by(by))
         else {
             return false;
         };
@@ -148,12 +160,19 @@
     /// this node, as dissemination reaches all but one in some thousands.
     pub(crate) fn arm_suspicion(&mut self, now: Tenths, index: MemberIndex) {
         let (members, resumed_at) = (self.view.members.len(), self.resumed_at);
-        let Some(suspicion) = self.table.get(index).and_then(|record| record.suspicion) else { return };
-        let ends = suspicion.ends(&self.parameters, members, resumed_at).max(now);
+        let Some(suspicion) = self.table.get(index).and_then(|record| record.suspicion) else {
+            return;
+        };
+        let ends = suspicion
+            .ends(&self.parameters, members, resumed_at)
+            .max(now);
         self.arm(ends, Timer::Suspicion(index, suspicion.since));
         let first = self.parameters.final_probes();
         for before in [first, first / 2] {
-            self.arm(ends.saturating_sub(before).max(now), Timer::FinalProbe(index, suspicion.since));
+            self.arm(
+                ends.saturating_sub(before).max(now),
+                Timer::FinalProbe(index, suspicion.since),
+            );
         }
     }
 
--- a/fleet/src/fleet.rs
+++ b/fleet/src/fleet.rs
@@ -10,8 +10,8 @@
 use crate::probes::Probes;
 use crate::table::{MemberIndex, Table};
 use crate::{
-    Action, Change, Datagram, Event, Head, Incarnation, MemberState, MemberUpdate, Message, Name, Parameters,
-    UPDATE_BYTES, View,
+    Action, Change, Datagram, Event, Head, Incarnation, MemberState, MemberUpdate, Message, Name,
+    Parameters, UPDATE_BYTES, View,
 };
 
 /// Rounds of updates in which a node announces a change of itself.
@@ -106,7 +106,11 @@
     /// The membership of a node that has just started. `me.state` and `me.version` are set here; `now` is in
     /// tenths of a ms from any zero.
     pub fn new(me: MemberUpdate, parameters: Parameters, seed: u64, now: Tenths) -> Fleet {
-        let me = MemberUpdate { version: 0, state: MemberState::Alive, ..me };
+        let me = MemberUpdate {
+            version: 0,
+            state: MemberState::Alive,
+            ..me
+        };
         let mut view = View::default();
         view.put(&me.name, me.member());
         let mut chance = fastrand::Rng::with_seed(seed ^ me.incarnation.0);
@@ -149,7 +153,9 @@
         if self.stage == Stage::Superseded {
             return Tenths::MAX;
         }
-        self.timers.peek().map_or(Tenths::MAX, |Reverse((at, _))| *at)
+        self.timers
+            .peek()
+            .map_or(Tenths::MAX, |Reverse((at, _))| *at)
     }
 
     /// Handles one event at the time `now`, which must not go back. Actions are added to `out`, in order.
@@ -226,13 +232,21 @@
 
     fn head(&mut self, to: Incarnation) -> Head {
         self.nth += 1;
-        Head { sender: self.me.clone(), to, nth: self.nth, digest: self.view.digest, view: self.view.number }
+        Head {
+            sender: self.me.clone(),
+            to,
+            nth: self.nth,
+            digest: self.view.digest,
+            view: self.view.number,
+        }
     }
 
     /// Sends to a member, with pending updates; if it is not known as alive, that comes first, so that it can
     /// refute it.
     pub(crate) fn send(&mut self, index: MemberIndex, message: Message, out: &mut Vec<Action>) {
-        let Some(record) = self.table.get(index) else { return };
+        let Some(record) = self.table.get(index) else {
+            return;
+        };
         let (to, incarnation) = (record.update.address, record.update.incarnation);
         let mut indices = Vec::new();
         let mut updates = Vec::new();
@@ -243,14 +257,24 @@
         }
         let (table, members) = (&self.table, self.view.members.len());
         let bytes = |index: MemberIndex, revision: u32| {
-            let record = table.get(index).filter(|record| record.revision == revision)?;
+            let record = table
+                .get(index)
+                .filter(|record| record.revision == revision)?;
             Some(record.update.max_bytes())
         };
-        self.gossip.next_updates((room, updates.len()), members, bytes, &mut indices);
+        self.gossip
+            .next_updates((room, updates.len()), members, bytes, &mut indices);
         updates.extend(
-            indices.iter().filter_map(|index| self.table.get(*index)).map(|record| record.update.clone()),
+            indices
+                .iter()
+                .filter_map(|index| self.table.get(*index))
+                .map(|record| record.update.clone()),
         );
-        let datagram = Box::new(Datagram { head: self.head(incarnation), message, updates });
+        let datagram = Box::new(Datagram {
+            head: self.head(incarnation),
+            message,
+            updates,
+        });
         out.push(Action::Send { to, datagram });
     }
 
@@ -263,7 +287,11 @@
         updates: Vec<MemberUpdate>,
         out: &mut Vec<Action>,
     ) {
-        let datagram = Box::new(Datagram { head: self.head(incarnation), message, updates });
+        let datagram = Box::new(Datagram {
+            head: self.head(incarnation),
+            message,
+            updates,
+        });
         out.push(Action::Send { to, datagram });
     }
 }
--- a/fleet/src/gossip.rs
+++ b/fleet/src/gossip.rs
@@ -34,11 +34,16 @@
     /// Queues the latest update of a member, which has this revision.
     pub fn add(&mut self, index: MemberIndex, revision: u32) {
         if self.by_transmissions.is_empty() {
-            self.by_transmissions.resize_with(MAX_TRANSMISSIONS, VecDeque::new);
+            self.by_transmissions
+                .resize_with(MAX_TRANSMISSIONS, VecDeque::new);
         }
         if self.queued >= MAX_QUEUED {
             // What was sent most often is missed least.
-            let often = self.by_transmissions.iter_mut().rev().find(|queue| !queue.is_empty());
+            let often = self
+                .by_transmissions
+                .iter_mut()
+                .rev()
+                .find(|queue| !queue.is_empty());
             self.queued -= usize::from(often.is_some_and(|queue| queue.pop_front().is_some()));
         }
         self.by_transmissions[0].push_back((index, revision));
@@ -61,12 +66,18 @@
         into: &mut Vec<MemberIndex>,
     ) {
         let max = transmissions(members);
-        let max_updates = if self.queued > BACKLOG { MAX_UPDATES } else { FEW_UPDATES };
+        let max_updates = if self.queued > BACKLOG {
+            MAX_UPDATES
+        } else {
+            FEW_UPDATES
+        };
         let mut taken: Vec<(usize, (MemberIndex, u32))> = Vec::new();
         'full: for (sent, queue) in self.by_transmissions.iter_mut().enumerate() {
             while let Some(entry) = queue.pop_front() {
                 self.queued -= 1;
-                let Some(bytes) = bytes(entry.0, entry.1) else { continue };
+                let Some(bytes) = bytes(entry.0, entry.1) else {
+                    continue;
+                };
                 taken.push((sent + 1, entry));
                 room = room.saturating_sub(bytes);
                 if room == 0 || taken.len() + already >= max_updates {
--- a/fleet/src/joining.rs
+++ b/fleet/src/joining.rs
@@ -52,18 +52,30 @@
         let (mut updates, mut bytes, mut next) = (Vec::new(), 0, None);
         for record in self.table.after(after) {
             if bytes > UPDATE_BYTES || updates.len() >= MAX_UPDATES_READ {
-                next = updates.last().map(|update: &MemberUpdate| update.name.clone());
+                next = updates
+                    .last()
+                    .map(|update: &MemberUpdate| update.name.clone());
                 break;
             }
             bytes += record.update.max_bytes();
             updates.push(record.update.clone());
         }
-        self.send_to(to.address, to.incarnation, Message::Page { next }, updates, out);
+        self.send_to(
+            to.address,
+            to.incarnation,
+            Message::Page { next },
+            updates,
+            out,
+        );
     }
 
     /// Puts a present member into the view, unless it is held back.
     pub(crate) fn admit(&mut self, now: Tenths, index: MemberIndex, out: &mut Vec<Action>) {
-        let Some(record) = self.table.get_mut(index).filter(|record| record.update.state.is_present()) else {
+        let Some(record) = self
+            .table
+            .get_mut(index)
+            .filter(|record| record.update.state.is_present())
+        else {
             return;
         };
         if record.held_until.is_some_and(|till| till > now) {
@@ -71,17 +83,24 @@
         }
         record.held_until = None;
         let update = &record.update;
-        let (name, incarnation, back) = (update.name.clone(), update.incarnation, record.returns > 0);
+        let (name, incarnation, back) =
+            (update.name.clone(), update.incarnation, record.returns > 0);
         let member = update.member();
         self.change_view(now, |view| view.put(&name, member));
-        out.push(Action::Report(Change::Alive { name, incarnation, back }));
+        out.push(Action::Report(Change::Alive {
+            name,
+            incarnation,
+            back,
+        }));
     }
 
     /// Counts a return from being dead, and holds the member back if it returns repeatedly. The first return
     /// is free, as after a restart or a broken link.
     pub(crate) fn note_return(&mut self, now: Tenths, index: MemberIndex, out: &mut Vec<Action>) {
         let (first, max) = (self.parameters.hold_first, self.parameters.hold_max);
-        let Some(record) = self.table.get_mut(index) else { return };
+        let Some(record) = self.table.get_mut(index) else {
+            return;
+        };
         if record.returned_at + 2 * max < now {
             record.returns = 0;
         }
@@ -95,7 +114,11 @@
         let (name, incarnation) = (record.update.name.clone(), record.update.incarnation);
         self.arm(now + wait, Timer::Admit(index));
         self.change_view(now, |view| view.remove(&name));
-        out.push(Action::Report(Change::HeldBack { name, incarnation, wait }));
+        out.push(Action::Report(Change::HeldBack {
+            name,
+            incarnation,
+            wait,
+        }));
     }
 
     /// Announces that this node leaves, at once and in further rounds.
@@ -133,7 +156,13 @@
         } else if update.incarnation < self.me.incarnation {
             if direct {
                 // It learns of this incarnation by the head, and steps aside.
-                self.send_to(update.address, update.incarnation, Message::Updates, Vec::new(), out);
+                self.send_to(
+                    update.address,
+                    update.incarnation,
+                    Message::Updates,
+                    Vec::new(),
+                    out,
+                );
                 if self.duplicate != update.incarnation {
                     self.duplicate = update.incarnation;
                     out.push(Action::Report(Change::DuplicateName {
@@ -150,7 +179,10 @@
             self.start_incarnation(now, update.incarnation, out);
         } else {
             self.stage = Stage::Superseded;
-            out.push(Action::Report(Change::Superseded { by: update.incarnation, address: update.address }));
+            out.push(Action::Report(Change::Superseded {
+                by: update.incarnation,
+                address: update.address,
+            }));
         }
     }
 
@@ -163,6 +195,8 @@
         self.change_view(now, |view| view.put(&name, member));
         self.retransmissions = RETRANSMISSIONS;
         self.arm_updates(now);
-        out.push(Action::Report(Change::NewIncarnation { incarnation: self.me.incarnation }));
+        out.push(Action::Report(Change::NewIncarnation {
+            incarnation: self.me.incarnation,
+        }));
     }
 }
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -72,7 +72,9 @@
 
 /// One run of a node's process. Of two incarnations of one name the greater one is the later; 0 stands for
 /// none.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Incarnation(pub u64);
 
 impl fmt::Display for Incarnation {
@@ -95,7 +97,10 @@
     /// Time has passed; due by [`Fleet::next_due`] at the latest.
     Tick,
     /// A datagram arrived that is intact and belongs to this fleet.
-    Received { from: SocketAddr, datagram: Datagram },
+    Received {
+        from: SocketAddr,
+        datagram: Datagram,
+    },
     /// The node was told to leave.
     Leave,
     /// The parameters and seeds were changed.
@@ -106,7 +111,10 @@
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a datagram to this address; it may get lost.
-    Send { to: SocketAddr, datagram: Box<Datagram> },
+    Send {
+        to: SocketAddr,
+        datagram: Box<Datagram>,
+    },
     /// Tell the log, and those whose decisions rest on the view.
     Report(Change),
 }
@@ -115,19 +123,43 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A member entered the view; `back` if it was dead before.
-    Alive { name: Name, incarnation: Incarnation, back: bool },
+    Alive {
+        name: Name,
+        incarnation: Incarnation,
+        back: bool,
+    },
     /// A probe of a member failed, here or elsewhere.
-    Suspected { name: Name, incarnation: Incarnation },
+    Suspected {
+        name: Name,
+        incarnation: Incarnation,
+    },
     /// A suspected member refuted the suspicion.
-    Cleared { name: Name, incarnation: Incarnation },
+    Cleared {
+        name: Name,
+        incarnation: Incarnation,
+    },
     /// A member was declared dead and left the view.
-    Dead { name: Name, incarnation: Incarnation },
+    Dead {
+        name: Name,
+        incarnation: Incarnation,
+    },
     /// A member announced that it leaves, and left the view.
-    Left { name: Name, incarnation: Incarnation },
+    Left {
+        name: Name,
+        incarnation: Incarnation,
+    },
     /// A member came back too often; it enters the view again after `wait`, in tenths of a ms.
-    HeldBack { name: Name, incarnation: Incarnation, wait: u64 },
+    HeldBack {
+        name: Name,
+        incarnation: Incarnation,
+        wait: u64,
+    },
     /// A member answers, but late: `after` is its smoothed response time in tenths of a ms.
-    Slow { name: Name, incarnation: Incarnation, after: u64 },
+    Slow {
+        name: Name,
+        incarnation: Incarnation,
+        after: u64,
+    },
     /// Nobody answers this node (`true`), or somebody does again.
     Isolated(bool),
     /// This process was paused and resumed `late`, in tenths of a ms, by its own clock.
@@ -135,9 +167,15 @@
     /// This node continues under another incarnation, as a later one of its name was known.
     NewIncarnation { incarnation: Incarnation },
     /// Another process of this node's name joined later: this one takes part no longer.
-    Superseded { by: Incarnation, address: SocketAddr },
+    Superseded {
+        by: Incarnation,
+        address: SocketAddr,
+    },
     /// Another process of this node's name joined earlier; it is told to stop taking part.
-    DuplicateName { incarnation: Incarnation, address: SocketAddr },
+    DuplicateName {
+        incarnation: Incarnation,
+        address: SocketAddr,
+    },
     /// The table is full: a new member was left out.
     NoRoom { name: Name },
 }
@@ -167,13 +205,19 @@
     /// The member that it is about, unless that is this node.
     pub fn about(&self) -> Option<(&Name, Incarnation)> {
         match self {
-            Change::Alive { name, incarnation, .. }
+            Change::Alive {
+                name, incarnation, ..
+            }
             | Change::Suspected { name, incarnation }
             | Change::Cleared { name, incarnation }
             | Change::Dead { name, incarnation }
             | Change::Left { name, incarnation }
-            | Change::HeldBack { name, incarnation, .. }
-            | Change::Slow { name, incarnation, .. } => Some((name, *incarnation)),
+            | Change::HeldBack {
+                name, incarnation, ..
+            }
+            | Change::Slow {
+                name, incarnation, ..
+            } => Some((name, *incarnation)),
             _ => None,
         }
     }
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -35,7 +35,11 @@
     /// Answers a probe, made directly or through the sender.
     Ack { nonce: u32 },
     /// Asks the receiver to probe another member.
-    PingRequest { nonce: u32, name: Name, incarnation: Incarnation },
+    PingRequest {
+        nonce: u32,
+        name: Name,
+        incarnation: Incarnation,
+    },
     /// Carries updates and nothing else.
     Updates,
     /// Asks for the table from behind this name; from its start for none.
--- a/fleet/src/probes.rs
+++ b/fleet/src/probes.rs
@@ -73,12 +73,18 @@
 
     /// The probe under way with this nonce.
     pub fn get(&self, nonce: u32) -> Option<Probe> {
-        self.under_way.iter().find(|probe| probe.nonce == nonce).copied()
+        self.under_way
+            .iter()
+            .find(|probe| probe.nonce == nonce)
+            .copied()
     }
 
     /// Moves a probe that was not answered in time to the failed ones.
     pub fn fail(&mut self, nonce: u32) -> Option<Probe> {
-        let index = self.under_way.iter().position(|probe| probe.nonce == nonce)?;
+        let index = self
+            .under_way
+            .iter()
+            .position(|probe| probe.nonce == nonce)?;
         let probe = self.under_way.swap_remove(index);
         if self.late.len() >= MAX_LATE {
             self.late.pop_front();
@@ -93,10 +99,15 @@
             return Answered::InTime(self.under_way.swap_remove(index));
         }
         if let Some(index) = self.late.iter().position(|probe| probe.nonce == nonce) {
-            return self.late.remove(index).map_or(Answered::Nothing, Answered::Late);
+            return self
+                .late
+                .remove(index)
+                .map_or(Answered::Nothing, Answered::Late);
         }
         let index = self.indirect.iter().position(|probe| probe.nonce == nonce);
-        index.and_then(|index| self.indirect.remove(index)).map_or(Answered::Nothing, Answered::IndirectProbe)
+        index
+            .and_then(|index| self.indirect.remove(index))
+            .map_or(Answered::Nothing, Answered::IndirectProbe)
     }
 
     /// Takes note of a probe made for another node.
--- a/fleet/src/receiving.rs
+++ b/fleet/src/receiving.rs
@@ -22,7 +22,11 @@
         datagram: Datagram,
         out: &mut Vec<Action>,
     ) {
-        let Datagram { head, message, updates } = datagram;
+        let Datagram {
+            head,
+            message,
+            updates,
+        } = datagram;
         let of_itself = matches!(head.sender.state, MemberState::Alive | MemberState::Left);
         if !head.sender.is_valid() || !of_itself || updates.len() > MAX_UPDATES_READ {
             self.refused += 1;
@@ -35,7 +39,13 @@
             if head.digest == self.view.digest {
                 // It knows all of this already.
                 let (to, incarnation) = (head.sender.address, head.sender.incarnation);
-                return self.send_to(to, incarnation, Message::Page { next: None }, Vec::new(), out);
+                return self.send_to(
+                    to,
+                    incarnation,
+                    Message::Page { next: None },
+                    Vec::new(),
+                    out,
+                );
             }
             return self.send_page(&head.sender, None, out);
         }
@@ -51,7 +61,9 @@
                 out,
             );
         }
-        let Some(index) = self.direct_evidence(now, &head, &message, out) else { return };
+        let Some(index) = self.direct_evidence(now, &head, &message, out) else {
+            return;
+        };
         for update in updates {
             self.indirect_evidence(now, update, out);
         }
@@ -87,7 +99,13 @@
         if head.sender.incarnation < known.incarnation {
             // An earlier process of that name, or its last words: it is shown who came after it.
             self.refused += 1;
-            self.send_to(head.sender.address, head.sender.incarnation, Message::Updates, vec![known], out);
+            self.send_to(
+                head.sender.address,
+                head.sender.incarnation,
+                Message::Updates,
+                vec![known],
+                out,
+            );
             return None;
         }
         if head.sender.overrides(&known) {
@@ -128,9 +146,12 @@
             }
             return;
         };
-        let Some(known) = self.table.get(index).map(|record| &record.update) else { return };
+        let Some(known) = self.table.get(index).map(|record| &record.update) else {
+            return;
+        };
         let same = update.incarnation == known.incarnation && update.version == known.version;
-        if update.state == MemberState::Dead && known.state.is_present() && update.overrides(known) {
+        if update.state == MemberState::Dead && known.state.is_present() && update.overrides(known)
+        {
             return self.reported_dead(now, index, update, out);
         }
         match (update.state, known.state) {
@@ -154,12 +175,19 @@
     ) {
         let state = MemberState::Suspected { by: OTHERS };
         let suspected = MemberUpdate { state, ..update };
-        let known = self.table.get(index).is_some_and(|record| suspected.overrides(&record.update));
+        let known = self
+            .table
+            .get(index)
+            .is_some_and(|record| suspected.overrides(&record.update));
         if known {
             self.apply(now, suspected, out);
             self.send(index, Message::Updates, out);
         }
-        let Some(suspicion) = self.table.get_mut(index).and_then(|record| record.suspicion.as_mut()) else {
+        let Some(suspicion) = self
+            .table
+            .get_mut(index)
+            .and_then(|record| record.suspicion.as_mut())
+        else {
             return;
         };
         if suspicion.confirm_fully(now + self.parameters.final_probes()) {
@@ -167,18 +195,37 @@
         }
     }
 
-    fn handle_message(&mut self, now: Tenths, index: MemberIndex, message: Message, out: &mut Vec<Action>) {
+    fn handle_message(
+        &mut self,
+        now: Tenths,
+        index: MemberIndex,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         match message {
             Message::Ping { nonce } => self.send(index, Message::Ack { nonce }, out),
             Message::Ack { nonce } => self.on_ack(now, nonce, out),
-            Message::PingRequest { nonce, name, incarnation } => {
+            Message::PingRequest {
+                nonce,
+                name,
+                incarnation,
+            } => {
                 let target = self.table.index_of(&name).filter(|target| {
-                    self.table.get(*target).is_some_and(|record| record.update.incarnation == incarnation)
+                    self.table
+                        .get(*target)
+                        .is_some_and(|record| record.update.incarnation == incarnation)
                 });
-                let asker = self.table.get(index).map(|record| record.update.name.clone());
+                let asker = self
+                    .table
+                    .get(index)
+                    .map(|record| record.update.name.clone());
                 if let (Some(target), Some(asker)) = (target, asker) {
                     let own = self.chance.u32(..);
-                    self.probes.begin_indirect(IndirectProbe { nonce: own, asker, asker_nonce: nonce });
+                    self.probes.begin_indirect(IndirectProbe {
+                        nonce: own,
+                        asker,
+                        asker_nonce: nonce,
+                    });
                     self.send(target, Message::Ping { nonce: own }, out);
                 }
             }
@@ -202,7 +249,10 @@
                 self.note_answer(now, out);
                 self.note_response_time(now, probe, out);
                 // It is alive, only late: what suspicion there is begins anew, until its own word ends it.
-                let suspicion = self.table.get_mut(probe.index).and_then(|record| record.suspicion.as_mut());
+                let suspicion = self
+                    .table
+                    .get_mut(probe.index)
+                    .and_then(|record| record.suspicion.as_mut());
                 if let Some(suspicion) = suspicion {
                     suspicion.since = now;
                     self.arm_suspicion(now, probe.index);
@@ -210,7 +260,13 @@
             }
             Answered::IndirectProbe(probe) => {
                 if let Some(asker) = self.table.index_of(&probe.asker) {
-                    self.send(asker, Message::Ack { nonce: probe.asker_nonce }, out);
+                    self.send(
+                        asker,
+                        Message::Ack {
+                            nonce: probe.asker_nonce,
+                        },
+                        out,
+                    );
                 }
             }
             Answered::Nothing => {}
@@ -220,18 +276,31 @@
     /// Smooths a member's response time; a slow member is given longer to answer.
     fn note_response_time(&mut self, now: Tenths, probe: Probe, out: &mut Vec<Action>) {
         let late = 3 * self.parameters.answer_within;
-        let Some(record) = self.table.get_mut(probe.index) else { return };
+        let Some(record) = self.table.get_mut(probe.index) else {
+            return;
+        };
         if record.update.incarnation != probe.incarnation {
             return;
         }
         let took = now.saturating_sub(probe.began).max(1);
         // Up at once, down slowly: a wait too short makes suspicions.
-        record.response_time =
-            if took > record.response_time { took } else { (record.response_time * 7 + took) / 8 };
-        let slow = if record.slow { record.response_time > late / 2 } else { record.response_time > late };
+        record.response_time = if took > record.response_time {
+            took
+        } else {
+            (record.response_time * 7 + took) / 8
+        };
+        let slow = if record.slow {
+            record.response_time > late / 2
+        } else {
+            record.response_time > late
+        };
         if slow && !record.slow {
             let (name, incarnation) = (record.update.name.clone(), record.update.incarnation);
-            out.push(Action::Report(Change::Slow { name, incarnation, after: record.response_time }));
+            out.push(Action::Report(Change::Slow {
+                name,
+                incarnation,
+                after: record.response_time,
+            }));
         }
         record.slow = slow;
     }
@@ -251,26 +320,52 @@
     // --- Comparing views ---
 
     /// Fetches the table of a member whose view differs while this node's has not changed for a while.
-    fn compare_views(&mut self, now: Tenths, index: MemberIndex, head: &Head, out: &mut Vec<Action>) {
+    fn compare_views(
+        &mut self,
+        now: Tenths,
+        index: MemberIndex,
+        head: &Head,
+        out: &mut Vec<Action>,
+    ) {
         let calm = 4 * self.parameters.gossip_interval;
         if head.digest == self.view.digest || now < self.view_since + calm {
             return;
         }
-        if self.fetch.as_ref().is_some_and(|fetch| fetch.till > now) || now < self.fetched_at + 5 * calm {
+        if self.fetch.as_ref().is_some_and(|fetch| fetch.till > now)
+            || now < self.fetched_at + 5 * calm
+        {
             return;
         }
-        self.fetch = Some(Fetch { from: head.sender.name.clone(), till: now + 5 * calm });
+        self.fetch = Some(Fetch {
+            from: head.sender.name.clone(),
+            till: now + 5 * calm,
+        });
         self.fetched_at = now;
         self.send(index, Message::Ask { after: None }, out);
     }
 
     /// Asks for the next page, if this one is of the table that is being fetched.
-    fn on_page(&mut self, now: Tenths, index: MemberIndex, next: Option<crate::Name>, out: &mut Vec<Action>) {
-        let Some(name) = self.table.get(index).map(|record| record.update.name.clone()) else { return };
+    fn on_page(
+        &mut self,
+        now: Tenths,
+        index: MemberIndex,
+        next: Option<crate::Name>,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(name) = self
+            .table
+            .get(index)
+            .map(|record| record.update.name.clone())
+        else {
+            return;
+        };
         match (&self.fetch, next) {
             (Some(fetch), _) if fetch.from != name && fetch.till > now => {}
             (_, Some(next)) => {
-                self.fetch = Some(Fetch { from: name, till: now + 20 * self.parameters.gossip_interval });
+                self.fetch = Some(Fetch {
+                    from: name,
+                    till: now + 20 * self.parameters.gossip_interval,
+                });
                 self.send(index, Message::Ask { after: Some(next) }, out);
             }
             (_, None) => self.fetch = None,
--- a/fleet/src/report.rs
+++ b/fleet/src/report.rs
@@ -41,7 +41,12 @@
 impl Fleet {
     /// Up to `max` members behind a name, the node itself among them, in the order of names; and whether
     /// there are more.
-    pub fn report(&self, after: Option<&Name>, max: usize, now: Tenths) -> (Vec<MemberReport>, bool) {
+    pub fn report(
+        &self,
+        after: Option<&Name>,
+        max: usize,
+        now: Tenths,
+    ) -> (Vec<MemberReport>, bool) {
         let own = MemberReport {
             name: self.me.name.clone(),
             incarnation: self.me.incarnation,
@@ -65,7 +70,9 @@
                 Some(record) if !before(&record.update.name) => {
                     let update = &record.update;
                     let state = match update.state {
-                        MemberState::Alive | MemberState::Suspected { .. } if record.held_until.is_some() => {
+                        MemberState::Alive | MemberState::Suspected { .. }
+                            if record.held_until.is_some() =>
+                        {
                             ReportedState::Joining
                         }
                         MemberState::Alive => ReportedState::Alive,
--- a/fleet/src/suspicion.rs
+++ b/fleet/src/suspicion.rs
@@ -26,12 +26,20 @@
 impl Suspicion {
     /// A suspicion by the node with this mark.
     pub fn new(by: u32, since: Tenths) -> Suspicion {
-        Suspicion { since, first: by, others: [0; MAX_CONFIRMATIONS], count: 0, not_before: 0 }
+        Suspicion {
+            since,
+            first: by,
+            others: [0; MAX_CONFIRMATIONS],
+            count: 0,
+            not_before: 0,
+        }
     }
 
     /// Whether a confirmation by this node is counted already, or no more are counted.
     pub fn is_confirmed_by(&self, by: u32) -> bool {
-        by == self.first || self.others[..self.count].contains(&by) || self.count == MAX_CONFIRMATIONS
+        by == self.first
+            || self.others[..self.count].contains(&by)
+            || self.count == MAX_CONFIRMATIONS
     }
 
     /// Counts a confirmation by another node, unless [`Suspicion::is_confirmed_by`] it already.
@@ -61,7 +69,10 @@
     pub fn ends(&self, parameters: &Parameters, members: usize, resumed_at: Tenths) -> Tenths {
         let since = self.since.max(resumed_at);
         let wanted = members.saturating_sub(2).min(MAX_CONFIRMATIONS);
-        let (min, max) = (parameters.suspicion_min, parameters.suspicion_max.max(parameters.suspicion_min));
+        let (min, max) = (
+            parameters.suspicion_min,
+            parameters.suspicion_max.max(parameters.suspicion_min),
+        );
         if wanted == 0 {
             return since + max;
         }
--- a/fleet/src/table.rs
+++ b/fleet/src/table.rs
@@ -127,7 +127,10 @@
     /// The members behind a name, in the order of names; all for none.
     pub fn after(&self, name: Option<&Name>) -> impl Iterator<Item = &MemberRecord> {
         let from = name.map_or(Bound::Unbounded, Bound::Excluded);
-        let indices = self.by_name.range::<Name, _>((from, Bound::Unbounded)).map(|(_, index)| *index);
+        let indices = self
+            .by_name
+            .range::<Name, _>((from, Bound::Unbounded))
+            .map(|(_, index)| *index);
         indices.filter_map(|index| self.get(index))
     }
 
@@ -156,7 +159,9 @@
 
     /// Replaces a member's update, and moves the member to the list of its new state.
     pub fn set(&mut self, index: MemberIndex, update: MemberUpdate, now: Tenths) {
-        let Some(record) = self.get_mut(index) else { return };
+        let Some(record) = self.get_mut(index) else {
+            return;
+        };
         let (before, after) = (record.update.state, update.state);
         if std::mem::discriminant(&before) != std::mem::discriminant(&after) {
             record.since = now;
@@ -180,7 +185,9 @@
     }
 
     fn list(&mut self, index: MemberIndex, state: MemberState) {
-        let Some(list) = self.list_of(state) else { return };
+        let Some(list) = self.list_of(state) else {
+            return;
+        };
         list.push(index);
         let listed = list.len() - 1;
         if let Some(record) = self.get_mut(index) {
@@ -189,7 +196,9 @@
     }
 
     fn unlist(&mut self, index: MemberIndex, state: MemberState) {
-        let Some(listed) = self.get(index).map(|record| record.listed) else { return };
+        let Some(listed) = self.get(index).map(|record| record.listed) else {
+            return;
+        };
         if state.is_present() && listed < self.probed {
             // The last of those that had their turn takes its place, so that the rest keep theirs.
             self.probed -= 1;
@@ -200,7 +209,9 @@
     }
 
     fn unlist_at(&mut self, listed: usize, state: MemberState) {
-        let Some(list) = self.list_of(state) else { return };
+        let Some(list) = self.list_of(state) else {
+            return;
+        };
         if listed >= list.len() {
             return;
         }
@@ -262,6 +273,10 @@
 
     /// A dead member drawn at random.
     pub fn some_dead(&self, chance: &mut fastrand::Rng) -> Option<MemberIndex> {
-        if self.dead.is_empty() { None } else { self.dead.get(chance.usize(..self.dead.len())).copied() }
+        if self.dead.is_empty() {
+            None
+        } else {
+            self.dead.get(chance.usize(..self.dead.len())).copied()
+        }
     }
 }
--- a/fleet/src/timers.rs
+++ b/fleet/src/timers.rs
@@ -40,7 +40,10 @@
         }
         self.send_join_requests(out);
         let jitter = self.chance.u64(0..self.parameters.period.max(1));
-        self.arm(now + self.parameters.join_request_interval() + jitter, Timer::JoinRequest);
+        self.arm(
+            now + self.parameters.join_request_interval() + jitter,
+            Timer::JoinRequest,
+        );
     }
 
     fn on_period(&mut self, now: Tenths, out: &mut Vec<Action>) {
@@ -63,7 +66,9 @@
     }
 
     pub(crate) fn probe(&mut self, now: Tenths, index: MemberIndex, out: &mut Vec<Action>) {
-        let Some(record) = self.table.get(index) else { return };
+        let Some(record) = self.table.get(index) else {
+            return;
+        };
         if self.probes.is_under_way(index) {
             return;
         }
@@ -71,7 +76,12 @@
         let wait = (record.response_time * 3).clamp(min, max.max(min));
         let nonce = self.chance.u32(..);
         let incarnation = record.update.incarnation;
-        if self.probes.begin(Probe { nonce, index, incarnation, began: now }) {
+        if self.probes.begin(Probe {
+            nonce,
+            index,
+            incarnation,
+            began: now,
+        }) {
             self.arm(now + wait, Timer::AckTimeout(nonce));
             let rest = self.parameters.period.saturating_sub(min).max(1);
             self.arm(now + wait + rest, Timer::ProbeTimeout(nonce));
@@ -81,21 +91,40 @@
 
     /// Asks other members to probe one that did not answer directly, as only the link to it may be broken.
     fn ask_indirect_probers(&mut self, nonce: u32, out: &mut Vec<Action>) {
-        let Some(probe) = self.probes.get(nonce) else { return };
-        let Some(update) = self.table.get(probe.index).map(|record| record.update.clone()) else { return };
-        for prober in self.table.some(self.parameters.indirect_probers, Some(probe.index), &mut self.chance) {
-            let message =
-                Message::PingRequest { nonce, name: update.name.clone(), incarnation: update.incarnation };
+        let Some(probe) = self.probes.get(nonce) else {
+            return;
+        };
+        let Some(update) = self
+            .table
+            .get(probe.index)
+            .map(|record| record.update.clone())
+        else {
+            return;
+        };
+        for prober in self.table.some(
+            self.parameters.indirect_probers,
+            Some(probe.index),
+            &mut self.chance,
+        ) {
+            let message = Message::PingRequest {
+                nonce,
+                name: update.name.clone(),
+                incarnation: update.incarnation,
+            };
             self.send(prober, message, out);
         }
     }
 
     fn on_probe_timeout(&mut self, now: Tenths, nonce: u32, out: &mut Vec<Action>) {
-        let Some(probe) = self.probes.fail(nonce) else { return };
+        let Some(probe) = self.probes.fail(nonce) else {
+            return;
+        };
         if self.suspects_nobody() {
             return;
         }
-        let Some(record) = self.table.get(probe.index) else { return };
+        let Some(record) = self.table.get(probe.index) else {
+            return;
+        };
         let update = record.update.clone();
         match update.state {
             _ if update.incarnation != probe.incarnation => {}
@@ -103,7 +132,9 @@
                 let state = MemberState::Suspected { by: self.mark };
                 self.apply(now, MemberUpdate { state, ..update }, out);
             }
-            MemberState::Suspected { .. } => _ = self.confirm_suspicion(now, probe.index, self.mark),
+            MemberState::Suspected { .. } => {
+                _ = self.confirm_suspicion(now, probe.index, self.mark)
+            }
             MemberState::Dead | MemberState::Left => {}
         }
     }
@@ -112,23 +143,45 @@
     /// suspicion if it was refuted.
     fn final_probe(&mut self, index: MemberIndex, since: Tenths, out: &mut Vec<Action>) {
         let suspected = |suspicion: &crate::suspicion::Suspicion| suspicion.since == since;
-        if self.table.get(index).and_then(|record| record.suspicion).filter(suspected).is_some() {
+        if self
+            .table
+            .get(index)
+            .and_then(|record| record.suspicion)
+            .filter(suspected)
+            .is_some()
+        {
             let nonce = self.chance.u32(..);
             self.send(index, Message::Ping { nonce }, out);
         }
     }
 
-    fn suspicion_ends(&mut self, now: Tenths, index: MemberIndex, since: Tenths, out: &mut Vec<Action>) {
+    fn suspicion_ends(
+        &mut self,
+        now: Tenths,
+        index: MemberIndex,
+        since: Tenths,
+        out: &mut Vec<Action>,
+    ) {
         let members = self.view.members.len();
-        let Some(record) = self.table.get(index) else { return };
-        let Some(suspicion) = record.suspicion.filter(|suspicion| suspicion.since == since) else { return };
+        let Some(record) = self.table.get(index) else {
+            return;
+        };
+        let Some(suspicion) = record
+            .suspicion
+            .filter(|suspicion| suspicion.since == since)
+        else {
+            return;
+        };
         let ends = suspicion.ends(&self.parameters, members, self.resumed_at);
         if self.suspects_nobody() {
             self.arm(now + self.parameters.period, Timer::Suspicion(index, since));
         } else if ends > now {
             self.arm(ends, Timer::Suspicion(index, since));
         } else {
-            let dead = MemberUpdate { state: MemberState::Dead, ..record.update.clone() };
+            let dead = MemberUpdate {
+                state: MemberState::Dead,
+                ..record.update.clone()
+            };
             self.apply(now, dead, out);
         }
     }
@@ -139,7 +192,10 @@
             return;
         }
         self.retransmissions = self.retransmissions.saturating_sub(1);
-        for index in self.table.some(self.parameters.gossip_fanout, None, &mut self.chance) {
+        for index in self
+            .table
+            .some(self.parameters.gossip_fanout, None, &mut self.chance)
+        {
             self.send(index, Message::Updates, out);
         }
         if !self.updates_armed
--- a/fleet/src/update.rs
+++ b/fleet/src/update.rs
@@ -69,12 +69,20 @@
 impl MemberUpdate {
     /// The member as it stands in a view.
     pub fn member(&self) -> Member {
-        Member { incarnation: self.incarnation, address: self.address, weight: self.weight }
+        Member {
+            incarnation: self.incarnation,
+            address: self.address,
+            weight: self.weight,
+        }
     }
 
     /// The most bytes that it takes in a datagram.
     pub(crate) fn max_bytes(&self) -> usize {
-        let address = if self.address.is_ipv4() { IPV4_BYTES } else { IPV6_BYTES };
+        let address = if self.address.is_ipv4() {
+            IPV4_BYTES
+        } else {
+            IPV6_BYTES
+        };
         self.name.len() + OVERHEAD + address
     }
 
@@ -91,8 +99,14 @@
     /// having left, the later version, the graver state.
     pub fn overrides(&self, other: &MemberUpdate) -> bool {
         let left = |update: &MemberUpdate| update.state == MemberState::Left;
-        let key =
-            |update: &MemberUpdate| (update.incarnation, left(update), update.version, update.state.rank());
+        let key = |update: &MemberUpdate| {
+            (
+                update.incarnation,
+                left(update),
+                update.version,
+                update.state.rank(),
+            )
+        };
         key(self) > key(other)
     }
 }
--- a/fleet/src/view.rs
+++ b/fleet/src/view.rs
@@ -51,7 +51,10 @@
 
     /// The sum of the members' weights.
     pub fn weight(&self) -> u64 {
-        self.members.values().map(|member| u64::from(member.weight)).sum()
+        self.members
+            .values()
+            .map(|member| u64::from(member.weight))
+            .sum()
     }
 }
 
--- a/fleet/tests/cases.rs
+++ b/fleet/tests/cases.rs
@@ -50,7 +50,10 @@
     }
 
     fn node(of: usize, incarnation: u64, now: u64) -> Fleet {
-        let parameters = Parameters { seeds: vec![address(0), address(1)], ..Parameters::default() };
+        let parameters = Parameters {
+            seeds: vec![address(0), address(1)],
+            ..Parameters::default()
+        };
         Fleet::new(update(of, incarnation), parameters, 7 + of as u64, now)
     }
 
@@ -63,11 +66,19 @@
                 match action {
                     Action::Report(change) => self.changes.push((of, change)),
                     Action::Send { to, datagram } => {
-                        let Some(to) = (0..self.fleets.len()).find(|n| address(*n) == to) else { continue };
+                        let Some(to) = (0..self.fleets.len()).find(|n| address(*n) == to) else {
+                            continue;
+                        };
                         self.sent.push((of, to, (*datagram).clone()));
                         if !(self.cut)(of, to) && !self.stopped[to] {
                             let from = address(of);
-                            queue.push_back((to, Event::Received { from, datagram: *datagram }));
+                            queue.push_back((
+                                to,
+                                Event::Received {
+                                    from,
+                                    datagram: *datagram,
+                                },
+                            ));
                         }
                     }
                 }
@@ -80,7 +91,9 @@
         let till = self.now + ms * MS;
         loop {
             let up = (0..self.fleets.len()).filter(|of| !self.stopped[*of]);
-            let Some((due, of)) = up.map(|of| (self.fleets[of].next_due(), of)).min() else { break };
+            let Some((due, of)) = up.map(|of| (self.fleets[of].next_due(), of)).min() else {
+                break;
+            };
             if due > till {
                 break;
             }
@@ -92,12 +105,17 @@
 
     fn told(&self, of: usize, word: &str, whom: &str) -> bool {
         let about = |change: &Change| change.about().is_some_and(|(name, _)| &**name == whom);
-        self.changes.iter().any(|(by, change)| *by == of && change.word() == word && about(change))
+        self.changes
+            .iter()
+            .any(|(by, change)| *by == of && change.word() == word && about(change))
     }
 
     fn state(&self, of: usize, whom: usize) -> Option<ReportedState> {
         let (reports, _) = self.fleets[of].report(None, 100, self.now);
-        reports.iter().find(|report| *report.name == *format!("n{whom}")).map(|report| report.state)
+        reports
+            .iter()
+            .find(|report| *report.name == *format!("n{whom}"))
+            .map(|report| report.state)
     }
 
     fn members(&self, of: usize) -> usize {
@@ -114,7 +132,13 @@
         assert_eq!(few.fleets[of].view().digest, few.fleets[0].view().digest);
         assert_eq!(few.fleets[of].view().weight(), 24);
     }
-    assert!(few.changes.iter().all(|(_, change)| change.word() != "suspected"), "{:?}", few.changes);
+    assert!(
+        few.changes
+            .iter()
+            .all(|(_, change)| change.word() != "suspected"),
+        "{:?}",
+        few.changes
+    );
 }
 
 #[test]
@@ -129,7 +153,10 @@
     few.pass(3_000);
     assert!((0..5).all(|of| few.members(of) == 5), "{:?}", few.changes);
     let member = few.fleets[0].view().members.get("n4").copied();
-    assert_eq!(member.map(|member| member.incarnation), Some(Incarnation(200)));
+    assert_eq!(
+        member.map(|member| member.incarnation),
+        Some(Incarnation(200))
+    );
 }
 
 #[test]
@@ -139,9 +166,17 @@
     few.handle(2, Event::Leave);
     few.pass(400);
     few.stopped[2] = true;
-    assert!([0, 1, 3, 4].iter().all(|of| few.told(*of, "left", "n2")), "{:?}", few.changes);
+    assert!(
+        [0, 1, 3, 4].iter().all(|of| few.told(*of, "left", "n2")),
+        "{:?}",
+        few.changes
+    );
     few.pass(5_000);
-    assert!([0, 1, 3, 4].iter().all(|of| !few.told(*of, "dead", "n2") && few.members(*of) == 4));
+    assert!(
+        [0, 1, 3, 4]
+            .iter()
+            .all(|of| !few.told(*of, "dead", "n2") && few.members(*of) == 4)
+    );
     assert_eq!(few.state(0, 2), Some(ReportedState::Left));
 }
 
@@ -152,7 +187,11 @@
     few.cut = Box::new(|from, to| from.min(to) == 0 && from.max(to) == 1);
     few.pass(20_000);
     assert!((0..5).all(|of| few.members(of) == 5));
-    assert!(!few.told(0, "dead", "n1") && !few.told(1, "dead", "n0"), "{:?}", few.changes);
+    assert!(
+        !few.told(0, "dead", "n1") && !few.told(1, "dead", "n0"),
+        "{:?}",
+        few.changes
+    );
 }
 
 #[test]
@@ -166,7 +205,11 @@
     assert!((1..5).all(|of| few.told(of, "dead", "n0") && few.members(of) == 4));
     few.cut = Box::new(|_, _| false);
     few.pass(3_000);
-    assert!((0..5).all(|of| few.members(of) == 5 && !few.fleets[of].is_isolated()), "{:?}", few.changes);
+    assert!(
+        (0..5).all(|of| few.members(of) == 5 && !few.fleets[of].is_isolated()),
+        "{:?}",
+        few.changes
+    );
 }
 
 #[test]
@@ -216,9 +259,21 @@
     few.cut = Box::new(|_, to| to == 0);
     few.changes.clear();
     few.pass(2_500);
-    let own: Vec<&Change> = few.changes.iter().filter(|(by, _)| *by == 0).map(|(_, change)| change).collect();
-    assert!(matches!(own[0], Change::Resumed { late } if *late > 4_000 * MS), "{own:?}");
-    assert!(!own.iter().any(|change| matches!(change.word(), "suspected" | "dead")), "{own:?}");
+    let own: Vec<&Change> = few
+        .changes
+        .iter()
+        .filter(|(by, _)| *by == 0)
+        .map(|(_, change)| change)
+        .collect();
+    assert!(
+        matches!(own[0], Change::Resumed { late } if *late > 4_000 * MS),
+        "{own:?}"
+    );
+    assert!(
+        !own.iter()
+            .any(|change| matches!(change.word(), "suspected" | "dead")),
+        "{own:?}"
+    );
 }
 
 #[test]
@@ -244,16 +299,35 @@
     // A process elsewhere goes by the name of n3, and joins later.
     let mut duplicate = update(3, 300);
     duplicate.address = address(4);
-    let parameters = Parameters { seeds: vec![address(0)], ..Parameters::default() };
-    few.fleets.push(Fleet::new(duplicate, parameters, 99, few.now));
+    let parameters = Parameters {
+        seeds: vec![address(0)],
+        ..Parameters::default()
+    };
+    few.fleets
+        .push(Fleet::new(duplicate, parameters, 99, few.now));
     few.stopped.push(false);
     few.pass(3_000);
     assert!(few.fleets[3].is_superseded(), "{:?}", few.changes);
-    assert!(few.changes.iter().any(|(by, change)| *by == 3 && matches!(change, Change::Superseded { .. })));
+    assert!(
+        few.changes
+            .iter()
+            .any(|(by, change)| *by == 3 && matches!(change, Change::Superseded { .. }))
+    );
     let sent = few.sent.iter().filter(|(by, ..)| *by == 3).count();
     few.pass(1_000);
-    assert_eq!(few.sent.iter().filter(|(by, ..)| *by == 3).count(), sent, "it takes part no more");
-    assert_eq!(few.fleets[0].view().members.get("n3").map(|member| member.address), Some(address(4)));
+    assert_eq!(
+        few.sent.iter().filter(|(by, ..)| *by == 3).count(),
+        sent,
+        "it takes part no more"
+    );
+    assert_eq!(
+        few.fleets[0]
+            .view()
+            .members
+            .get("n3")
+            .map(|member| member.address),
+        Some(address(4))
+    );
 }
 
 #[test]
@@ -286,7 +360,13 @@
     assert_eq!(few.members(0), 3);
     let (view, refused) = (few.fleets[0].view().number, few.fleets[0].refused());
     for datagram in &old {
-        few.handle(0, Event::Received { from: address(3), datagram: datagram.clone() });
+        few.handle(
+            0,
+            Event::Received {
+                from: address(3),
+                datagram: datagram.clone(),
+            },
+        );
     }
     assert_eq!(few.fleets[0].view().number, view, "to the same process");
     assert!(few.fleets[0].refused() > refused);
@@ -295,7 +375,13 @@
     let view = few.fleets[0].view().clone();
     assert_eq!(view.members.len(), 3);
     for datagram in old {
-        few.handle(0, Event::Received { from: address(3), datagram });
+        few.handle(
+            0,
+            Event::Received {
+                from: address(3),
+                datagram,
+            },
+        );
     }
     assert_eq!(few.fleets[0].view().number, view.number, "to a later one");
 }
@@ -319,7 +405,10 @@
             _ => None,
         })
         .collect();
-    assert!(waits.len() >= 3 && waits.windows(2).all(|pair| pair[0] < pair[1]), "{waits:?}");
+    assert!(
+        waits.len() >= 3 && waits.windows(2).all(|pair| pair[0] < pair[1]),
+        "{waits:?}"
+    );
     assert_eq!(few.state(0, 4), Some(ReportedState::Joining));
     few.pass(10_000);
     assert_eq!(few.state(0, 4), Some(ReportedState::Alive));
@@ -342,12 +431,28 @@
             }
         }
         while late.front().is_some_and(|(at, ..)| *at <= few.now) {
-            let Some((_, to, datagram)) = late.pop_front() else { break };
-            few.handle(to, Event::Received { from: address(2), datagram });
+            let Some((_, to, datagram)) = late.pop_front() else {
+                break;
+            };
+            few.handle(
+                to,
+                Event::Received {
+                    from: address(2),
+                    datagram,
+                },
+            );
         }
     }
-    assert!(few.told(0, "slow", "n2") || few.told(1, "slow", "n2"), "{:?}", few.changes);
-    assert!(!few.told(0, "dead", "n2") && !few.told(1, "dead", "n2"), "{:?}", few.changes);
+    assert!(
+        few.told(0, "slow", "n2") || few.told(1, "slow", "n2"),
+        "{:?}",
+        few.changes
+    );
+    assert!(
+        !few.told(0, "dead", "n2") && !few.told(1, "dead", "n2"),
+        "{:?}",
+        few.changes
+    );
     assert_eq!(few.members(0), 3);
 }
 
@@ -358,24 +463,70 @@
     let view = few.fleets[0].view().clone();
     let sound = update(9, 5);
     let odd = [
-        MemberUpdate { name: "".into(), ..sound.clone() },
-        MemberUpdate { name: "x".repeat(65).into(), ..sound.clone() },
-        MemberUpdate { incarnation: Incarnation(0), ..sound.clone() },
-        MemberUpdate { address: SocketAddr::from(([0, 0, 0, 0], 1)), ..sound.clone() },
-        MemberUpdate { weight: 0, ..sound.clone() },
-        MemberUpdate { state: MemberState::Dead, ..sound.clone() },
+        MemberUpdate {
+            name: "".into(),
+            ..sound.clone()
+        },
+        MemberUpdate {
+            name: "x".repeat(65).into(),
+            ..sound.clone()
+        },
+        MemberUpdate {
+            incarnation: Incarnation(0),
+            ..sound.clone()
+        },
+        MemberUpdate {
+            address: SocketAddr::from(([0, 0, 0, 0], 1)),
+            ..sound.clone()
+        },
+        MemberUpdate {
+            weight: 0,
+            ..sound.clone()
+        },
+        MemberUpdate {
+            state: MemberState::Dead,
+            ..sound.clone()
+        },
     ];
     for sender in odd {
-        let head = Head { sender, to: Incarnation(100), nth: 1, digest: 0, view: 0 };
-        let datagram = Datagram { head, message: Message::Updates, updates: Vec::new() };
-        few.handle(0, Event::Received { from: address(9), datagram });
+        let head = Head {
+            sender,
+            to: Incarnation(100),
+            nth: 1,
+            digest: 0,
+            view: 0,
+        };
+        let datagram = Datagram {
+            head,
+            message: Message::Updates,
+            updates: Vec::new(),
+        };
+        few.handle(
+            0,
+            Event::Received {
+                from: address(9),
+                datagram,
+            },
+        );
     }
-    let head =
-        Head { sender: update(1, 100), to: Incarnation(100), nth: 1 << 40, digest: view.digest, view: 0 };
+    let head = Head {
+        sender: update(1, 100),
+        to: Incarnation(100),
+        nth: 1 << 40,
+        digest: view.digest,
+        view: 0,
+    };
     let updates = vec![sound.clone(); 65];
     few.handle(
         0,
-        Event::Received { from: address(1), datagram: Datagram { head, message: Message::Updates, updates } },
+        Event::Received {
+            from: address(1),
+            datagram: Datagram {
+                head,
+                message: Message::Updates,
+                updates,
+            },
+        },
     );
     assert_eq!(few.fleets[0].view().number, view.number);
     assert_eq!(few.fleets[0].refused(), 7);
@@ -385,17 +536,41 @@
 fn a_full_table_leaves_newcomers_out() {
     let mut few = Few::new(2);
     for of in 0..2 {
-        let parameters = Parameters { seeds: vec![address(0)], max_members: 3, ..Parameters::default() };
+        let parameters = Parameters {
+            seeds: vec![address(0)],
+            max_members: 3,
+            ..Parameters::default()
+        };
         few.fleets[of] = Fleet::new(update(of, 100), parameters, of as u64, 0);
     }
     few.pass(2_000);
     for nth in 10..20 {
-        let head = Head { sender: update(nth, 5), to: Incarnation(100), nth: 1, digest: 0, view: 0 };
-        let datagram = Datagram { head, message: Message::Updates, updates: Vec::new() };
-        few.handle(0, Event::Received { from: address(nth), datagram });
+        let head = Head {
+            sender: update(nth, 5),
+            to: Incarnation(100),
+            nth: 1,
+            digest: 0,
+            view: 0,
+        };
+        let datagram = Datagram {
+            head,
+            message: Message::Updates,
+            updates: Vec::new(),
+        };
+        few.handle(
+            0,
+            Event::Received {
+                from: address(nth),
+                datagram,
+            },
+        );
     }
     assert_eq!(few.members(0), 4);
-    assert!(few.changes.iter().any(|(_, change)| matches!(change, Change::NoRoom { .. })));
+    assert!(
+        few.changes
+            .iter()
+            .any(|(_, change)| matches!(change, Change::NoRoom { .. }))
+    );
 }
 
 /// Two halves find together: of a member that is suspected for long already, another says that it is dead,
@@ -405,10 +580,29 @@
     let mut few = Few::new(6);
     few.pass(3_000);
     let word = |few: &mut Few, from: usize, nth: u64, state: MemberState| {
-        let head = Head { sender: update(from, 100), to: Incarnation(100), nth, digest: 0, view: 0 };
-        let updates = vec![MemberUpdate { state, ..update(2, 100) }];
-        let datagram = Datagram { head, message: Message::Updates, updates };
-        few.handle(0, Event::Received { from: address(from), datagram });
+        let head = Head {
+            sender: update(from, 100),
+            to: Incarnation(100),
+            nth,
+            digest: 0,
+            view: 0,
+        };
+        let updates = vec![MemberUpdate {
+            state,
+            ..update(2, 100)
+        }];
+        let datagram = Datagram {
+            head,
+            message: Message::Updates,
+            updates,
+        };
+        few.handle(
+            0,
+            Event::Received {
+                from: address(from),
+                datagram,
+            },
+        );
     };
     // Nothing reaches it for a while, so that nobody clears the suspicion; too short for it to be isolated.
     few.cut = Box::new(|from, to| from == 0 || to == 0);
@@ -423,8 +617,9 @@
     assert!(!few.told(0, "dead", "n2"), "dead at once");
     few.pass(2_000);
     let probes = few.sent[sent..].iter();
-    let probes = probes
-        .filter(|(from, to, what)| (*from, *to) == (0, 2) && matches!(what.message, Message::Ping { .. }));
+    let probes = probes.filter(|(from, to, what)| {
+        (*from, *to) == (0, 2) && matches!(what.message, Message::Ping { .. })
+    });
     assert!(probes.count() > 0, "no probe of it");
     assert!(!few.told(0, "dead", "n2"));
     assert_eq!(few.state(0, 2), Some(ReportedState::Alive));
@@ -436,17 +631,40 @@
     let mut out = Vec::new();
     for nth in 0..members {
         let name = format!("m{nth}").into();
-        let sender = MemberUpdate { name, address: address(nth % 200 + 1), ..update(0, 100) };
-        let head = Head { sender, to: Incarnation(100), nth: 1, digest: 0, view: 0 };
-        let datagram = Datagram { head, message: Message::Updates, updates: Vec::new() };
-        fleet.handle(0, Event::Received { from: address(1), datagram }, &mut out);
+        let sender = MemberUpdate {
+            name,
+            address: address(nth % 200 + 1),
+            ..update(0, 100)
+        };
+        let head = Head {
+            sender,
+            to: Incarnation(100),
+            nth: 1,
+            digest: 0,
+            view: 0,
+        };
+        let datagram = Datagram {
+            head,
+            message: Message::Updates,
+            updates: Vec::new(),
+        };
+        fleet.handle(
+            0,
+            Event::Received {
+                from: address(1),
+                datagram,
+            },
+            &mut out,
+        );
     }
     out.clear();
     while fleet.next_due() < 60 * MS {
         fleet.handle(fleet.next_due(), Event::Tick, &mut out);
     }
     let news = out.iter().filter_map(|action| match action {
-        Action::Send { datagram, .. } if datagram.message == Message::Updates => Some(datagram.updates.len()),
+        Action::Send { datagram, .. } if datagram.message == Message::Updates => {
+            Some(datagram.updates.len())
+        }
         _ => None,
     });
     news.max().unwrap_or(0)
@@ -456,5 +674,9 @@
 #[test]
 fn updates_on_many_at_once_fill_their_datagrams_and_on_few_do_not() {
     assert_eq!(fullest_datagram(50), 10);
-    assert!((20..=40).contains(&fullest_datagram(300)), "{}", fullest_datagram(300));
+    assert!(
+        (20..=40).contains(&fullest_datagram(300)),
+        "{}",
+        fullest_datagram(300)
+    );
 }
--- a/fleet/tests/random.rs
+++ b/fleet/tests/random.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use doortrack_fleet::{
-    Action, Datagram, Event, Fleet, Head, Incarnation, MAX_UPDATES, Member, MemberState, MemberUpdate,
-    Message, Name, Parameters, UPDATE_BYTES,
+    Action, Datagram, Event, Fleet, Head, Incarnation, MAX_UPDATES, Member, MemberState,
+    MemberUpdate, Message, Name, Parameters, UPDATE_BYTES,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -49,23 +49,36 @@
             }
         }),
         Just(Message::Updates),
-        proptest::option::of(0u8..20)
-            .prop_map(|of| Message::Ask { after: of.map(|of| format!("n{of}").into()) }),
-        proptest::option::of(0u8..20)
-            .prop_map(|of| Message::Page { next: of.map(|of| format!("n{of}").into()) }),
+        proptest::option::of(0u8..20).prop_map(|of| Message::Ask {
+            after: of.map(|of| format!("n{of}").into())
+        }),
+        proptest::option::of(0u8..20).prop_map(|of| Message::Page {
+            next: of.map(|of| format!("n{of}").into())
+        }),
     ]
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Pass(u64),
-    Hear { sender: MemberUpdate, to_me: bool, nth: u64, message: Message, updates: Vec<MemberUpdate> },
+    Hear {
+        sender: MemberUpdate,
+        to_me: bool,
+        nth: u64,
+        message: Message,
+        updates: Vec<MemberUpdate>,
+    },
     Leave,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let hear =
-        (update(), prop::bool::weighted(0.8), 1u64..300, message(), prop::collection::vec(update(), 0..6));
+    let hear = (
+        update(),
+        prop::bool::weighted(0.8),
+        1u64..300,
+        message(),
+        prop::collection::vec(update(), 0..6),
+    );
     prop_oneof![
         30 => (0u64..800).prop_map(Step::Pass),
         60 => hear.prop_map(|(sender, to_me, nth, message, updates)| {
--- a/installation/src/budgets.rs
+++ b/installation/src/budgets.rs
@@ -116,7 +116,12 @@
             }
         };
         check_range("round_ms", self.round_ms, 20, 10_000);
-        check_range("vote_ms", self.vote_ms, self.round_ms.min(10_000) * 3, 60_000);
+        check_range(
+            "vote_ms",
+            self.vote_ms,
+            self.round_ms.min(10_000) * 3,
+            60_000,
+        );
         check_range("lease_ms", self.lease_ms, self.vote_ms.min(60_000), 600_000);
         check_range("drift_permille", self.drift_permille, 0, 200);
     }
@@ -143,7 +148,11 @@
     pub fn budget_parameters(&self) -> Parameters {
         let (times, ms) = (self.leases, |span: u32| Tenths::from(span) * MS);
         Parameters {
-            voters: self.voters.iter().map(|name| Name::from(name.as_str())).collect(),
+            voters: self
+                .voters
+                .iter()
+                .map(|name| Name::from(name.as_str()))
+                .collect(),
             round: ms(times.round_ms),
             vote_duration: ms(times.vote_ms),
             lease: ms(times.lease_ms),
@@ -160,20 +169,29 @@
         Budget {
             name: self.name.as_str().into(),
             kind: match self.kind {
-                BudgetKind::Rate => Kind::Rate { burst: self.burst.unwrap_or(1) },
+                BudgetKind::Rate => Kind::Rate {
+                    burst: self.burst.unwrap_or(1),
+                },
                 BudgetKind::Concurrency => Kind::Concurrency { max_hold },
             },
             limit: self.limit,
             reserved: self.reserved,
-            reserved_for: reserved_for.iter().map(|name| Name::from(name.as_str())).collect(),
+            reserved_for: reserved_for
+                .iter()
+                .map(|name| Name::from(name.as_str()))
+                .collect(),
             max_per_node: self.max_per_node.unwrap_or(self.limit).min(self.limit),
         }
     }
 
     fn faults(&self, at: &str, voters: &[String], faults: &mut Vec<Fault>) {
-        let mut fault = |key: &str, what: String| faults.push(Fault::new(format!("{at}{key}"), what));
+        let mut fault =
+            |key: &str, what: String| faults.push(Fault::new(format!("{at}{key}"), what));
         if !doortrack_fleet::is_name(&self.name) {
-            fault(".name", "1 to 64 bytes without control characters are wanted".into());
+            fault(
+                ".name",
+                "1 to 64 bytes without control characters are wanted".into(),
+            );
         }
         for (key, value, least) in [
             (".limit", Some(self.limit), 1),
@@ -183,36 +201,49 @@
         ] {
             if value.is_some_and(|value| !(least..=MAX_UNITS).contains(&value)) {
                 let found = value.unwrap_or(0);
-                fault(key, format!("{least} to {MAX_UNITS} is wanted, found {found}"));
+                fault(
+                    key,
+                    format!("{least} to {MAX_UNITS} is wanted, found {found}"),
+                );
             }
         }
         match (self.kind, self.burst) {
-            (BudgetKind::Rate, None) => fault("", "needed key 'burst' is missing: a rate has one".into()),
+            (BudgetKind::Rate, None) => {
+                fault("", "needed key 'burst' is missing: a rate has one".into())
+            }
             (BudgetKind::Concurrency, Some(_)) => fault(".burst", "only a rate has one".into()),
             _ => {}
         }
         if self.kind == BudgetKind::Rate && self.max_hold_ms.is_some() {
             fault(".max_hold_ms", "only a concurrency is held".into());
         }
-        if self.kind == BudgetKind::Concurrency && matches!(self.applies_to, BudgetFor::Retries(_)) {
+        if self.kind == BudgetKind::Concurrency && matches!(self.applies_to, BudgetFor::Retries(_))
+        {
             fault(".kind", "retries are a rate".into());
         }
         if self.kind == BudgetKind::Concurrency && matches!(self.applies_to, BudgetFor::Ramp(_)) {
             fault(".kind", "a ramp is a rate".into());
         }
-        if self.max_hold_ms.is_some_and(|ms| !(1..=3_600_000).contains(&ms)) {
+        if self
+            .max_hold_ms
+            .is_some_and(|ms| !(1..=3_600_000).contains(&ms))
+        {
             fault(".max_hold_ms", "1 to 3600000 is wanted".into());
         }
         let nodes = self.reserved_for.as_deref().unwrap_or(voters).len() as u64;
         if u64::from(self.reserved) * nodes > u64::from(self.limit) {
-            let what = format!("{} for each of {nodes} nodes are more than the limit", self.reserved);
+            let what = format!(
+                "{} for each of {nodes} nodes are more than the limit",
+                self.reserved
+            );
             fault(".reserved", what);
         }
         if self.max_per_node.is_some_and(|max| max < self.reserved) {
             fault(".max_per_node", "less than what is reserved".into());
         }
         let burst = u64::from(self.burst.unwrap_or(1));
-        let too_small = self.reserved > 0 && u64::from(self.reserved) * burst < u64::from(self.limit);
+        let too_small =
+            self.reserved > 0 && u64::from(self.reserved) * burst < u64::from(self.limit);
         if self.kind == BudgetKind::Rate && too_small {
             let least = u64::from(self.limit).div_ceil(burst);
             fault(
@@ -230,13 +261,22 @@
             return;
         }
         if self.budgets.len() > MAX_BUDGETS {
-            let what = format!("at most {MAX_BUDGETS} are wanted, found {}", self.budgets.len());
+            let what = format!(
+                "at most {MAX_BUDGETS} are wanted, found {}",
+                self.budgets.len()
+            );
             faults.push(Fault::new(AT, what));
         }
         match &self.fleet {
-            None => faults.push(Fault::new(AT, "without 'fleet' there is nobody to divide them with")),
+            None => faults.push(Fault::new(
+                AT,
+                "without 'fleet' there is nobody to divide them with",
+            )),
             Some(fleet) if fleet.voters.is_empty() => {
-                faults.push(Fault::new("installation.fleet.voters", "budgets need at least one"));
+                faults.push(Fault::new(
+                    "installation.fleet.voters",
+                    "budgets need at least one",
+                ));
             }
             Some(_) => {}
         }
@@ -248,7 +288,8 @@
                 let what = format!("the name of {AT}[{other}]");
                 faults.push(Fault::new(format!("{AT}[{nth}].name"), what));
             } else if let Some(other) = ids.insert(budget.budget(voters, 0).id(), nth) {
-                let what = format!("nodes could not tell it from that of {AT}[{other}]: take another");
+                let what =
+                    format!("nodes could not tell it from that of {AT}[{other}]: take another");
                 faults.push(Fault::new(format!("{AT}[{nth}].name"), what));
             }
             if let Some(other) = targets.insert(&budget.applies_to, nth) {
@@ -263,11 +304,20 @@
         if self.budgets.is_empty() {
             return;
         }
-        let customers: HashSet<&str> = orders.handed.customer_names.iter().map(String::as_str).collect();
+        let customers: HashSet<&str> = orders
+            .handed
+            .customer_names
+            .iter()
+            .map(String::as_str)
+            .collect();
         for (nth, budget) in self.budgets.iter().enumerate() {
             let (kind, known, name) = match &budget.applies_to {
                 BudgetFor::Customer(name) => ("customer", customers.contains(name.as_str()), name),
-                BudgetFor::Group(name) => ("endpoint group", orders.handed.group_names.contains(name), name),
+                BudgetFor::Group(name) => (
+                    "endpoint group",
+                    orders.handed.group_names.contains(name),
+                    name,
+                ),
                 BudgetFor::Pool(name) | BudgetFor::Retries(name) | BudgetFor::Ramp(name) => {
                     ("pool", self.pool_names().any(|pool| pool == name), name)
                 }
@@ -279,7 +329,12 @@
             if let BudgetFor::Ramp(name) = &budget.applies_to
                 && known
             {
-                self.ramp_fault(budget.limit, name, &format!("installation.budgets[{nth}]"), faults);
+                self.ramp_fault(
+                    budget.limit,
+                    name,
+                    &format!("installation.budgets[{nth}]"),
+                    faults,
+                );
             }
         }
     }
@@ -288,9 +343,14 @@
     fn ramp_fault(&self, limit: u32, pool: &str, at: &str, faults: &mut Vec<Fault>) {
         let place = self.pool_names().position(|name| name == pool);
         let servers = place.and_then(|place| self.pools_of_servers().nth(place));
-        let Some((path, servers)) = servers else { return };
+        let Some((path, servers)) = servers else {
+            return;
+        };
         let Some(ramp) = servers.ramp else {
-            return faults.push(Fault::new(format!("{at}.for"), format!("{path} has no ramp")));
+            return faults.push(Fault::new(
+                format!("{at}.for"),
+                format!("{path} has no ramp"),
+            ));
         };
         let most = ramp.tokens_a_second();
         if u64::from(limit) > most {
@@ -312,7 +372,10 @@
         let voters = self.fleet.as_ref().map_or(&[][..], |fleet| &fleet.voters);
         let groups = &orders.handed.contract.groups;
         let longest = groups.iter().map(|group| group.deadline).max().unwrap_or(0);
-        self.budgets.iter().map(|budget| budget.budget(voters, longest)).collect()
+        self.budgets
+            .iter()
+            .map(|budget| budget.budget(voters, longest))
+            .collect()
     }
 
     /// Which budgets apply to which requests.
@@ -330,9 +393,18 @@
         BudgetIndices {
             groups: all(&orders.handed.group_names, BudgetFor::Group),
             customers: all(&orders.handed.customer_names, BudgetFor::Customer),
-            pools: self.pool_names().map(|name| under(BudgetFor::Pool(name.into()))).collect(),
-            retries: self.pool_names().map(|name| under(BudgetFor::Retries(name.into()))).collect(),
-            ramps: self.pool_names().map(|name| under(BudgetFor::Ramp(name.into()))).collect(),
+            pools: self
+                .pool_names()
+                .map(|name| under(BudgetFor::Pool(name.into())))
+                .collect(),
+            retries: self
+                .pool_names()
+                .map(|name| under(BudgetFor::Retries(name.into())))
+                .collect(),
+            ramps: self
+                .pool_names()
+                .map(|name| under(BudgetFor::Ramp(name.into())))
+                .collect(),
         }
     }
 }
--- a/installation/src/file.rs
+++ b/installation/src/file.rs
@@ -93,7 +93,8 @@
 
 /// Reads and checks the file.
 pub fn read(path: &Path) -> Result<Installation, Faults> {
-    let text = stable::read(path).map_err(|e| Faults::one(path.display().to_string(), e.to_string()))?;
+    let text =
+        stable::read(path).map_err(|e| Faults::one(path.display().to_string(), e.to_string()))?;
     parse(&text)
 }
 
@@ -103,17 +104,28 @@
 /// All its faults, each with the path of its key.
 pub fn parse(text: &[u8]) -> Result<Installation, Faults> {
     const AT: &str = "installation";
-    let value: Value = serde_json::from_slice(text).map_err(|e| Faults::one(AT, format!("not JSON: {e}")))?;
-    let lists =
-        ["fronts", "rules", "budgets"].into_iter().filter_map(|key| Some((key, value.get(key)?.as_array()?)));
+    let value: Value =
+        serde_json::from_slice(text).map_err(|e| Faults::one(AT, format!("not JSON: {e}")))?;
+    let lists = ["fronts", "rules", "budgets"]
+        .into_iter()
+        .filter_map(|key| Some((key, value.get(key)?.as_array()?)));
     let parts = lists.flat_map(|(key, list)| {
-        list.iter().enumerate().map(move |(nth, part)| (format!("{AT}.{key}[{nth}]"), part))
+        list.iter()
+            .enumerate()
+            .map(move |(nth, part)| (format!("{AT}.{key}[{nth}]"), part))
     });
-    let fleet =
-        value.get("fleet").filter(|fleet| !fleet.is_null()).map(|fleet| (format!("{AT}.fleet"), fleet));
-    let parts = parts.chain(fleet).chain([(AT.to_string(), &value)]).filter(|(_, part)| !part.is_object());
+    let fleet = value
+        .get("fleet")
+        .filter(|fleet| !fleet.is_null())
+        .map(|fleet| (format!("{AT}.fleet"), fleet));
+    let parts = parts
+        .chain(fleet)
+        .chain([(AT.to_string(), &value)])
+        .filter(|(_, part)| !part.is_object());
     // A list would be taken for the values of an object in the order of its keys.
-    let lists: Vec<Fault> = parts.map(|(at, _)| Fault::new(at, "an object is wanted")).collect();
+    let lists: Vec<Fault> = parts
+        .map(|(at, _)| Fault::new(at, "an object is wanted"))
+        .collect();
     if !lists.is_empty() {
         return Err(Faults(lists));
     }
@@ -129,18 +141,29 @@
     fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         if self.fronts.len() > MOST_FRONTS {
-            let what = format!("at most {MOST_FRONTS} are wanted, found {}", self.fronts.len());
+            let what = format!(
+                "at most {MOST_FRONTS} are wanted, found {}",
+                self.fronts.len()
+            );
             faults.push(Fault::new("installation.fronts", what));
         }
         for (nth, front) in self.fronts.iter().enumerate() {
             let at = |key: &str| format!("installation.fronts[{nth}].{key}");
             if front.listen.port() == 0 {
-                faults.push(Fault::new(at("listen"), "a port from 1 to 65535 is wanted, found 0"));
+                faults.push(Fault::new(
+                    at("listen"),
+                    "a port from 1 to 65535 is wanted, found 0",
+                ));
             }
             if front.connections == Some(0) {
-                faults.push(Fault::new(at("connections"), "at least 1 is wanted, found 0"));
+                faults.push(Fault::new(
+                    at("connections"),
+                    "at least 1 is wanted, found 0",
+                ));
             }
-            let earlier = self.fronts[..nth].iter().position(|other| clash(other.listen, front.listen));
+            let earlier = self.fronts[..nth]
+                .iter()
+                .position(|other| clash(other.listen, front.listen));
             if let Some(other) = earlier {
                 let what = format!("{} is taken by installation.fronts[{other}]", front.listen);
                 faults.push(Fault::new(at("listen"), what));
@@ -154,7 +177,10 @@
             faults.push(Fault::new("installation", what));
         }
         if self.pools.len() > MOST_POOLS {
-            let what = format!("at most {MOST_POOLS} are wanted, found {}", self.pools.len());
+            let what = format!(
+                "at most {MOST_POOLS} are wanted, found {}",
+                self.pools.len()
+            );
             faults.push(Fault::new("installation.pools", what));
         }
         self.expressions.faults(&mut faults);
@@ -163,26 +189,42 @@
         }
         self.budget_faults(&mut faults);
         if self.otherwise.is_some() && self.rules.is_empty() {
-            faults.push(Fault::new("installation.otherwise", "without rules there is nothing else"));
+            faults.push(Fault::new(
+                "installation.otherwise",
+                "without rules there is nothing else",
+            ));
         }
         faults
     }
 
     /// All pools of servers with the paths at which they stand; the one without a name first.
     pub fn pools_of_servers(&self) -> impl Iterator<Item = (String, &Servers)> {
-        let first = self.servers.iter().map(|servers| ("installation.servers".to_string(), servers));
-        first.chain(self.pools.iter().map(|(name, servers)| (format!("installation.pools.{name}"), servers)))
+        let first = self
+            .servers
+            .iter()
+            .map(|servers| ("installation.servers".to_string(), servers));
+        first.chain(
+            self.pools
+                .iter()
+                .map(|(name, servers)| (format!("installation.pools.{name}"), servers)),
+        )
     }
 
     /// All pools of servers with their names; the one without a name comes first and goes by `servers`.
     pub fn named_pools(&self) -> impl Iterator<Item = (&str, &Servers)> {
         let first = self.servers.iter().map(|servers| ("servers", servers));
-        first.chain(self.pools.iter().map(|(name, servers)| (name.as_str(), servers)))
+        first.chain(
+            self.pools
+                .iter()
+                .map(|(name, servers)| (name.as_str(), servers)),
+        )
     }
 
     /// Connections that all servers together may have at once.
     pub fn server_connections(&self) -> usize {
-        self.pools_of_servers().map(|(_, servers)| servers.connections()).sum()
+        self.pools_of_servers()
+            .map(|(_, servers)| servers.connections())
+            .sum()
     }
 
     /// What it adds, as `doortrack check` tells it.
@@ -193,10 +235,19 @@
             0 => String::new(),
             count => format!("; {count} rules"),
         };
-        let fronts = if fronts.is_empty() { "no fronts".into() } else { fronts.join(", ") };
-        let pools: String =
-            self.pools_of_servers().map(|(_, pool)| format!("; {}", pool.in_one_line())).collect();
-        let fleet = self.fleet.as_ref().map_or(String::new(), |fleet| format!("; of fleet {}", fleet.name));
+        let fronts = if fronts.is_empty() {
+            "no fronts".into()
+        } else {
+            fronts.join(", ")
+        };
+        let pools: String = self
+            .pools_of_servers()
+            .map(|(_, pool)| format!("; {}", pool.in_one_line()))
+            .collect();
+        let fleet = self
+            .fleet
+            .as_ref()
+            .map_or(String::new(), |fleet| format!("; of fleet {}", fleet.name));
         let budgets = match self.budgets.len() {
             0 => String::new(),
             count => format!("; {count} budgets"),
@@ -207,7 +258,11 @@
     /// What can't go together with the platform's configuration.
     pub fn beside(&self, orders: &Orders) -> Result<(), Faults> {
         let listen = orders.listen;
-        let clashes = self.fronts.iter().enumerate().filter(|(_, front)| clash(front.listen, listen));
+        let clashes = self
+            .fronts
+            .iter()
+            .enumerate()
+            .filter(|(_, front)| clash(front.listen, listen));
         let fault = |(nth, _)| {
             let what = format!("{listen} is taken by config.listen");
             Fault::new(format!("installation.fronts[{nth}].listen"), what)
@@ -225,7 +280,11 @@
             fleet.beside(orders, &mut faults);
         }
         self.budgets_beside(orders, &mut faults);
-        if faults.is_empty() { Ok(()) } else { Err(Faults(faults)) }
+        if faults.is_empty() {
+            Ok(())
+        } else {
+            Err(Faults(faults))
+        }
     }
 }
 
--- a/installation/src/fleet.rs
+++ b/installation/src/fleet.rs
@@ -128,30 +128,59 @@
     /// # Errors
     /// The file can't be read, or does not hold 64 hex digits.
     pub fn key(&self, folder: &Path) -> Result<Option<[u8; KEY]>, Faults> {
-        let Some(file) = &self.key_file else { return Ok(None) };
+        let Some(file) = &self.key_file else {
+            return Ok(None);
+        };
         read_key(&folder.join(file))
             .map(Some)
             .map_err(|what| Faults::one("installation.fleet.key_file", what))
     }
 
     pub(crate) fn faults(&self, faults: &mut Vec<Fault>) {
-        let mut fault =
-            |key: &str, what: String| faults.push(Fault::new(format!("installation.fleet{key}"), what));
+        let mut fault = |key: &str, what: String| {
+            faults.push(Fault::new(format!("installation.fleet{key}"), what))
+        };
         if !is_name(&self.name) {
-            fault(".name", "1 to 64 bytes without control characters are wanted".into());
+            fault(
+                ".name",
+                "1 to 64 bytes without control characters are wanted".into(),
+            );
         }
-        let told = [(".listen", Some(self.listen)), (".advertise", self.advertise)];
-        let seeds = self.seeds.iter().enumerate().map(|(nth, at)| (format!(".seeds[{nth}]"), Some(*at)));
-        for (key, at) in told.map(|(key, at)| (key.to_string(), at)).into_iter().chain(seeds) {
+        let told = [
+            (".listen", Some(self.listen)),
+            (".advertise", self.advertise),
+        ];
+        let seeds = self
+            .seeds
+            .iter()
+            .enumerate()
+            .map(|(nth, at)| (format!(".seeds[{nth}]"), Some(*at)));
+        for (key, at) in told
+            .map(|(key, at)| (key.to_string(), at))
+            .into_iter()
+            .chain(seeds)
+        {
             if at.is_some_and(|at| at.port() == 0 || at.ip().is_unspecified()) {
-                fault(&key, format!("{} can't be reached by others", at.unwrap_or(self.listen)));
+                fault(
+                    &key,
+                    format!("{} can't be reached by others", at.unwrap_or(self.listen)),
+                );
             }
         }
         if self.seeds.len() > MAX_SEEDS {
-            fault(".seeds", format!("at most {MAX_SEEDS} are wanted, found {}", self.seeds.len()));
+            fault(
+                ".seeds",
+                format!("at most {MAX_SEEDS} are wanted, found {}", self.seeds.len()),
+            );
         }
         if self.voters.len() > MAX_VOTERS {
-            fault(".voters", format!("at most {MAX_VOTERS} are wanted, found {}", self.voters.len()));
+            fault(
+                ".voters",
+                format!(
+                    "at most {MAX_VOTERS} are wanted, found {}",
+                    self.voters.len()
+                ),
+            );
         }
         let mut seen = BTreeSet::new();
         for (nth, voter) in self.voters.iter().enumerate() {
@@ -161,34 +190,56 @@
                     "1 to 64 bytes without control characters are wanted".into(),
                 );
             } else if !seen.insert(voter) {
-                fault(&format!(".voters[{nth}]"), format!("'{voter}' stands there twice"));
+                fault(
+                    &format!(".voters[{nth}]"),
+                    format!("'{voter}' stands there twice"),
+                );
             }
         }
         let times = self.times;
         let mut check_range = |key: &str, value: u32, least: u32, most: u32| {
             if !(least..=most).contains(&value) {
-                fault(key, format!("a whole number from {least} to {most} is wanted, found {value}"));
+                fault(
+                    key,
+                    format!("a whole number from {least} to {most} is wanted, found {value}"),
+                );
             }
         };
         check_range(".weight", self.weight.unwrap_or(1), 1, 1_000_000);
         check_range(".times.period_ms", times.period_ms, 20, 60_000);
         let longest = 30_000.min(times.period_ms.saturating_sub(1)).max(5);
-        check_range(".times.answer_within_ms", times.answer_within_ms, 5, longest);
-        check_range(".times.suspicion_min_ms", times.suspicion_min_ms, 20, 600_000);
+        check_range(
+            ".times.answer_within_ms",
+            times.answer_within_ms,
+            5,
+            longest,
+        );
+        check_range(
+            ".times.suspicion_min_ms",
+            times.suspicion_min_ms,
+            20,
+            600_000,
+        );
         check_range(
             ".times.suspicion_max_ms",
             times.suspicion_max_ms,
             times.suspicion_min_ms.min(600_000),
             600_000,
         );
-        check_range(".times.forget_after_ms", times.forget_after_ms, 1_000, 86_400_000);
+        check_range(
+            ".times.forget_after_ms",
+            times.forget_after_ms,
+            1_000,
+            86_400_000,
+        );
         self.leases.faults(faults);
     }
 
     /// What can't go together with the platform's configuration.
     pub(crate) fn beside(&self, orders: &Orders, faults: &mut Vec<Fault>) {
         if !is_name(&orders.name) {
-            let what = "names this node in its fleet: 1 to 64 bytes without control characters are wanted";
+            let what =
+                "names this node in its fleet: 1 to 64 bytes without control characters are wanted";
             faults.push(Fault::new("config.name", what));
         }
     }
@@ -210,5 +261,13 @@
                 true
             })
         });
-    if read { Ok(key) } else { Err(format!("{}: {} hex digits are wanted", path.display(), 2 * KEY)) }
+    if read {
+        Ok(key)
+    } else {
+        Err(format!(
+            "{}: {} hex digits are wanted",
+            path.display(),
+            2 * KEY
+        ))
+    }
 }
--- a/installation/src/gather.rs
+++ b/installation/src/gather.rs
@@ -32,9 +32,14 @@
         let (path, what) = (fault.path().clone(), fault.inner().to_string());
         let place = written(at, &path, &taken_out);
         // A key that was taken out here for a fault of its own is not missing from the file.
-        let key = what.strip_prefix("missing field `").and_then(|rest| rest.split('`').next());
+        let key = what
+            .strip_prefix("missing field `")
+            .and_then(|rest| rest.split('`').next());
         match key {
-            Some(key) if faults.iter().any(|fault| fault.path == format!("{place}.{key}")) => {}
+            Some(key)
+                if faults
+                    .iter()
+                    .any(|fault| fault.path == format!("{place}.{key}")) => {}
             Some(key) => faults.push(Fault::new(place, format!("needed key '{key}' is missing"))),
             None => faults.push(Fault::new(place, what)),
         }
@@ -52,10 +57,14 @@
         so_far = match segment {
             Segment::Seq { index } => {
                 let mut place = *index;
-                let mut gone: Vec<usize> =
-                    taken_out.iter().filter(|(list, _)| *list == so_far).map(|(_, place)| *place).collect();
+                let mut gone: Vec<usize> = taken_out
+                    .iter()
+                    .filter(|(list, _)| *list == so_far)
+                    .map(|(_, place)| *place)
+                    .collect();
                 gone.sort_unstable();
-                gone.into_iter().for_each(|other| place += usize::from(other <= place));
+                gone.into_iter()
+                    .for_each(|other| place += usize::from(other <= place));
                 format!("{so_far}[{place}]")
             }
             Segment::Map { key } => format!("{so_far}.{key}"),
@@ -67,9 +76,16 @@
 }
 
 /// Takes the place out of the value; whether there was one.
-fn take_out(value: &mut Value, at: &str, path: &Path, taken_out: &mut Vec<(String, usize)>) -> bool {
+fn take_out(
+    value: &mut Value,
+    at: &str,
+    path: &Path,
+    taken_out: &mut Vec<(String, usize)>,
+) -> bool {
     let segments: Vec<&Segment> = path.iter().collect();
-    let Some((last, above)) = segments.split_last() else { return false };
+    let Some((last, above)) = segments.split_last() else {
+        return false;
+    };
     let mut place = value;
     for segment in above {
         let below = match segment {
--- a/installation/src/lib.rs
+++ b/installation/src/lib.rs
@@ -33,7 +33,10 @@
 
 impl Fault {
     pub fn new(path: impl Into<String>, what: impl Into<String>) -> Fault {
-        Fault { path: path.into(), what: what.into() }
+        Fault {
+            path: path.into(),
+            what: what.into(),
+        }
     }
 }
 
--- a/installation/src/orders.rs
+++ b/installation/src/orders.rs
@@ -67,7 +67,9 @@
     fn within(memory_mb: f64, sockets: usize) -> Room {
         let bytes = (memory_mb * 1e6) as usize;
         Room {
-            connections: sockets.saturating_sub(OWN_DESCRIPTORS).min(bytes / 4 / CONNECTION),
+            connections: sockets
+                .saturating_sub(OWN_DESCRIPTORS)
+                .min(bytes / 4 / CONNECTION),
             open: bytes / 5 / REQUEST,
             entries: bytes / 16 / ENTRY,
             result_bytes: bytes / 6,
@@ -90,7 +92,9 @@
 /// # Errors
 /// The variable is not set.
 pub fn path() -> Result<PathBuf, Faults> {
-    std::env::var_os("GW_CONFIG").map(PathBuf::from).ok_or_else(|| Faults::one("GW_CONFIG", "is not set"))
+    std::env::var_os("GW_CONFIG")
+        .map(PathBuf::from)
+        .ok_or_else(|| Faults::one("GW_CONFIG", "is not set"))
 }
 
 /// Reads and checks a file.
@@ -106,7 +110,8 @@
 /// # Errors
 /// It can't be read.
 pub fn read_bytes(path: &Path) -> Result<Vec<u8>, Faults> {
-    stable::read(path).map_err(|e| Faults::one(format!("GW_CONFIG: {}", path.display()), e.to_string()))
+    stable::read(path)
+        .map_err(|e| Faults::one(format!("GW_CONFIG: {}", path.display()), e.to_string()))
 }
 
 /// Reads and checks what a file says.
@@ -132,15 +137,22 @@
 /// # Errors
 /// The faults of all keys at the top and of the limits; of the settings the first.
 pub fn parse(text: &[u8]) -> Result<Orders, Faults> {
-    let value: Value =
-        serde_json::from_slice(text).map_err(|e| Faults::one("config", format!("not JSON: {e}")))?;
-    let top = Part { value: &value, path: "config".into() };
+    let value: Value = serde_json::from_slice(text)
+        .map_err(|e| Faults::one("config", format!("not JSON: {e}")))?;
+    let top = Part {
+        value: &value,
+        path: "config".into(),
+    };
     if !value.is_object() {
         return top.wrong("an object").map_err(worded);
     }
     let mut faults = Vec::new();
     let word = |key: &str| Ok(top.word(key).map_err(worded)?.0.to_string());
-    let handed = |settings: Part| doortrack_contract::read(&settings).and_then(can_serve).map_err(worded);
+    let handed = |settings: Part| {
+        doortrack_contract::read(&settings)
+            .and_then(can_serve)
+            .map_err(worded)
+    };
     let stop_after = || Ok(top.num("stop_ms").map_err(worded)? as Tenths * MS);
     let orders = (
         Faults::keep(&mut faults, word("name")),
@@ -150,7 +162,10 @@
         Faults::keep(&mut faults, seed(&top).map_err(worded)),
         Faults::keep(&mut faults, stop_after()),
         Faults::keep(&mut faults, room(&top)),
-        Faults::keep(&mut faults, top.part("settings").map_err(worded).and_then(handed)),
+        Faults::keep(
+            &mut faults,
+            top.part("settings").map_err(worded).and_then(handed),
+        ),
     );
     match orders {
         (
@@ -164,7 +179,17 @@
             Some(handed),
         ) if faults.is_empty() => {
             let source = digest(text);
-            Ok(Orders { name, listen, engine, registry, seed, stop_after, room, handed, source })
+            Ok(Orders {
+                name,
+                listen,
+                engine,
+                registry,
+                seed,
+                stop_after,
+                room,
+                handed,
+                source,
+            })
         }
         _ => Err(Faults(faults)),
     }
@@ -192,23 +217,40 @@
         let what = format!("at least {least} is wanted, found {sockets}");
         faults.push(Fault::new("config.limits.sockets", what));
     }
-    if faults.is_empty() { Ok(room) } else { Err(Faults(faults)) }
+    if faults.is_empty() {
+        Ok(room)
+    } else {
+        Err(Faults(faults))
+    }
 }
 
 /// What a deployment may ask for and this node can't do yet.
 fn can_serve(handed: Handed) -> Result<Handed, doortrack_contract::Fault> {
     let needs = [
         (handed.calls_below, "below: calls to what lies below"),
-        (handed.contract.groups.iter().any(|group| group.calls), "calls_by_class: endpoint groups that call"),
-        (handed.deep_checks, "deep_checks: health checks that do real work"),
-        (handed.passes_due, "passes_deadline: exchanges that tell how long their caller waits"),
+        (
+            handed.contract.groups.iter().any(|group| group.calls),
+            "calls_by_class: endpoint groups that call",
+        ),
+        (
+            handed.deep_checks,
+            "deep_checks: health checks that do real work",
+        ),
+        (
+            handed.passes_due,
+            "passes_deadline: exchanges that tell how long their caller waits",
+        ),
     ];
     match needs.iter().find(|(asked, _)| *asked) {
-        Some((_, what)) => {
-            Err(format!("config.settings.family_info.{what} can't be served by this node yet"))
+        Some((_, what)) => Err(format!(
+            "config.settings.family_info.{what} can't be served by this node yet"
+        )),
+        None if handed.group_names.is_empty() => {
+            Err("config.settings.lanes: at least one is wanted".into())
+        }
+        None if handed.group_names.len() > 256 => {
+            Err("config.settings.lanes: at most 256 are wanted".into())
         }
-        None if handed.group_names.is_empty() => Err("config.settings.lanes: at least one is wanted".into()),
-        None if handed.group_names.len() > 256 => Err("config.settings.lanes: at most 256 are wanted".into()),
         None if handed.customer_names.len() > 65_536 => {
             Err("config.settings.parties: at most 65536 are wanted".into())
         }
--- a/installation/src/reload.rs
+++ b/installation/src/reload.rs
@@ -7,4 +7,6 @@
 
 pub use builds::Builds;
 pub use keys::KeyMeanings;
-pub use plan::{FleetChange, FrontChanges, NeedsStart, Plan, Platform, PlatformRead, Started, plan};
+pub use plan::{
+    FleetChange, FrontChanges, NeedsStart, Plan, Platform, PlatformRead, Started, plan,
+};
--- a/installation/src/reload/keys.rs
+++ b/installation/src/reload/keys.rs
@@ -24,8 +24,11 @@
 impl KeyMeanings {
     /// Reads each rule once, at a cost that does not grow with the number of groups.
     pub fn new(installation: &Installation, group_names: &[String]) -> KeyMeanings {
-        let places: HashMap<&str, usize> =
-            group_names.iter().enumerate().map(|(place, name)| (name.as_str(), place)).collect();
+        let places: HashMap<&str, usize> = group_names
+            .iter()
+            .enumerate()
+            .map(|(place, name)| (name.as_str(), place))
+            .collect();
         let place = |name: &str| places.get(name).copied();
         // All conditions so far: a rule before may take what one after it took.
         let mut conditions = Sha256::new();
@@ -36,7 +39,9 @@
         let mut groups: Vec<Option<Sha256>> = vec![None; group_names.len()];
         for (nth, rule) in installation.rules.iter().enumerate() {
             add_text(&mut conditions, Some(&rule.when));
-            let Some(place) = place(&rule.group) else { continue };
+            let Some(place) = place(&rule.group) else {
+                continue;
+            };
             let group = groups[place].get_or_insert_default();
             group.update((nth as u64).to_le_bytes());
             group.update(conditions.clone().finalize());
@@ -67,6 +72,9 @@
 
 fn add_text(digest: &mut Sha256, text: Option<&str>) {
     // Lengths keep texts apart, and an absent one from an empty one.
-    digest.update(text.map_or(u64::MAX, |text| text.len() as u64).to_le_bytes());
+    digest.update(
+        text.map_or(u64::MAX, |text| text.len() as u64)
+            .to_le_bytes(),
+    );
     digest.update(text.unwrap_or_default());
 }
--- a/installation/src/reload/plan.rs
+++ b/installation/src/reload/plan.rs
@@ -24,8 +24,19 @@
 
 impl Platform {
     pub fn new(orders: &Orders) -> Platform {
-        let Orders { engine, registry, stop_after, seed, .. } = *orders;
-        Platform { engine, registry, stop_after, seed }
+        let Orders {
+            engine,
+            registry,
+            stop_after,
+            seed,
+            ..
+        } = *orders;
+        Platform {
+            engine,
+            registry,
+            stop_after,
+            seed,
+        }
     }
 }
 
@@ -40,14 +51,26 @@
 impl PlatformRead {
     /// `started` is what the node was started with.
     pub fn new(started: &Orders, read: &Orders) -> PlatformRead {
-        PlatformRead { platform: Platform::new(read), rest_needs_start: fixed(started) != fixed(read) }
+        PlatformRead {
+            platform: Platform::new(read),
+            rest_needs_start: fixed(started) != fixed(read),
+        }
     }
 }
 
 /// What of the platform's configuration is as it was at the start.
 fn fixed(orders: &Orders) -> (&str, SocketAddr, Room, &Handed) {
-    let Orders { name, listen, room, handed, engine: _, registry: _, stop_after: _, seed: _, source: _ } =
-        orders;
+    let Orders {
+        name,
+        listen,
+        room,
+        handed,
+        engine: _,
+        registry: _,
+        stop_after: _,
+        seed: _,
+        source: _,
+    } = orders;
     (name, *listen, *room, handed)
 }
 
@@ -142,12 +165,21 @@
     }
     let keys = KeyMeanings::new(&installation, &orders.handed.group_names);
     let fleet = FleetChange::new(&installation, orders);
-    Ok(Plan { platform, installation: Arc::new(installation), needs_start, keys, fleet })
+    Ok(Plan {
+        platform,
+        installation: Arc::new(installation),
+        needs_start,
+        keys,
+        fleet,
+    })
 }
 
 /// Which pools there are and what each speaks; requests in hand are written in that.
 fn pool_kinds(installation: &Installation) -> Vec<(&str, Spoken)> {
-    installation.named_pools().map(|(name, servers)| (name, servers.protocol)).collect()
+    installation
+        .named_pools()
+        .map(|(name, servers)| (name, servers.protocol))
+        .collect()
 }
 
 /// Which fronts are to be opened and which drained.
@@ -162,10 +194,20 @@
 impl FrontChanges {
     /// `open` are the fronts that listen now, `wanted` those that are to.
     pub fn between(open: &[Front], wanted: &[Front]) -> FrontChanges {
-        let same = |one: &Front, other: &Front| (one.listen, one.protocol) == (other.listen, other.protocol);
+        let same = |one: &Front, other: &Front| {
+            (one.listen, one.protocol) == (other.listen, other.protocol)
+        };
         let among = |fronts: &[Front], front: &Front| fronts.iter().any(|other| same(other, front));
         let (kept, opened) = wanted.iter().cloned().partition(|front| among(open, front));
-        let withdrawn = open.iter().filter(|front| !among(wanted, front)).cloned().collect();
-        FrontChanges { withdrawn, opened, kept }
+        let withdrawn = open
+            .iter()
+            .filter(|front| !among(wanted, front))
+            .cloned()
+            .collect();
+        FrontChanges {
+            withdrawn,
+            opened,
+            kept,
+        }
     }
 }
--- a/installation/src/rules.rs
+++ b/installation/src/rules.rs
@@ -69,7 +69,12 @@
 impl ExpressionLimits {
     pub fn limits(self) -> Limits {
         let (max_cost, variable, body) = (self.max_cost, self.variable_bytes, self.body_bytes);
-        Limits { max_cost, variable, body, ..Limits::default() }
+        Limits {
+            max_cost,
+            variable,
+            body,
+            ..Limits::default()
+        }
     }
 
     pub(crate) fn faults(self, faults: &mut Vec<Fault>) {
@@ -106,14 +111,36 @@
     ///
     /// # Errors
     /// Every fault of the rules, each with its path.
-    pub fn table_from(&self, previous: Option<&Table>, handed: &Handed) -> Result<Option<Built>, Faults> {
-        let keyed = handed.contract.groups.iter().map(|group| group.effect == Effect::Deduplicated);
+    pub fn table_from(
+        &self,
+        previous: Option<&Table>,
+        handed: &Handed,
+    ) -> Result<Option<Built>, Faults> {
+        let keyed = handed
+            .contract
+            .groups
+            .iter()
+            .map(|group| group.effect == Effect::Deduplicated);
         let groups = handed.group_names.iter().cloned().zip(keyed).collect();
         let customers = handed.customer_names.clone();
         let pools = self.pools.keys().cloned().collect();
-        let table = self.build(previous, &Names { groups, customers, pools })?;
-        if let Some(name) = self.otherwise.as_ref().filter(|name| !handed.group_names.contains(name)) {
-            let what = format!("'{name}' is none of the endpoint groups {}", handed.group_names.join(", "));
+        let table = self.build(
+            previous,
+            &Names {
+                groups,
+                customers,
+                pools,
+            },
+        )?;
+        if let Some(name) = self
+            .otherwise
+            .as_ref()
+            .filter(|name| !handed.group_names.contains(name))
+        {
+            let what = format!(
+                "'{name}' is none of the endpoint groups {}",
+                handed.group_names.join(", ")
+            );
             return Err(Faults::one("installation.otherwise", what));
         }
         Ok(table)
@@ -121,9 +148,20 @@
 
     /// The same where the deployment is not known: its names are taken to be those that the rules use.
     pub fn table_by_itself(&self) -> Result<Option<Ruled>, Faults> {
-        let groups = self.groups_named().into_iter().map(|name| (name, true)).collect();
+        let groups = self
+            .groups_named()
+            .into_iter()
+            .map(|name| (name, true))
+            .collect();
         let pools = self.pools.keys().cloned().collect();
-        let built = self.build(None, &Names { groups, customers: vec!["any".into()], pools })?;
+        let built = self.build(
+            None,
+            &Names {
+                groups,
+                customers: vec!["any".into()],
+                pools,
+            },
+        )?;
         Ok(built.map(ruled))
     }
 
@@ -153,7 +191,12 @@
         let path = |path: String| format!("installation.{path}");
         let built = Table::build_from(previous, &rules, names, self.expressions.limits());
         let faults = |faults: Vec<doortrack_routes::Fault>| {
-            Faults(faults.into_iter().map(|fault| Fault::new(path(fault.path), fault.what)).collect())
+            Faults(
+                faults
+                    .into_iter()
+                    .map(|fault| Fault::new(path(fault.path), fault.what))
+                    .collect(),
+            )
         };
         built.map(Some).map_err(faults)
     }
--- a/installation/src/servers.rs
+++ b/installation/src/servers.rs
@@ -111,13 +111,22 @@
 
 impl Default for PutAside {
     fn default() -> Self {
-        PutAside { failures: 3, first_ms: 500, longest_ms: 30_000, floor: 0.25 }
+        PutAside {
+            failures: 3,
+            first_ms: 500,
+            longest_ms: 30_000,
+            floor: 0.25,
+        }
     }
 }
 
 impl Default for Again {
     fn default() -> Self {
-        Again { share: 0.1, burst: 10, tries: 3 }
+        Again {
+            share: 0.1,
+            burst: 10,
+            tries: 3,
+        }
     }
 }
 
@@ -145,7 +154,11 @@
         Terms {
             at_once: self.at_once,
             // uwsgi has one request on each connection.
-            idle: if self.protocol == Spoken::FastCgi { ms(self.idle_ms) } else { 0 },
+            idle: if self.protocol == Spoken::FastCgi {
+                ms(self.idle_ms)
+            } else {
+                0
+            },
             open_within: ms(self.open_within_ms),
             answer_within: self.answer_within_ms.map_or(longest, ms).max(1),
             aside: Aside {
@@ -154,8 +167,15 @@
                 longest: ms(aside.longest_ms),
                 floor: aside.floor,
             },
-            retries: Retries { share: retries.share, burst: retries.burst, tries: retries.tries },
-            ramp: self.ramp.map(|ramp| Ramp { over: ms(ramp.over_ms), runs: ramp.runs }),
+            retries: Retries {
+                share: retries.share,
+                burst: retries.burst,
+                tries: retries.tries,
+            },
+            ramp: self.ramp.map(|ramp| Ramp {
+                over: ms(ramp.over_ms),
+                runs: ramp.runs,
+            }),
         }
     }
 
@@ -176,39 +196,59 @@
     pub(crate) fn faults(&self, at: &str, faults: &mut Vec<Fault>) {
         let mut whole = |key: &str, value: u32, least: u32, most: u32| {
             if !(least..=most).contains(&value) {
-                let what = format!("a whole number from {least} to {most} is wanted, found {value}");
+                let what =
+                    format!("a whole number from {least} to {most} is wanted, found {value}");
                 faults.push(Fault::new(format!("{at}.{key}"), what));
             }
         };
         whole("at_once", self.at_once, 1, 10_000);
         whole("idle_ms", self.idle_ms, 0, 3_600_000);
         whole("open_within_ms", self.open_within_ms, 1, 60_000);
-        whole("answer_within_ms", self.answer_within_ms.unwrap_or(1), 1, 3_600_000);
+        whole(
+            "answer_within_ms",
+            self.answer_within_ms.unwrap_or(1),
+            1,
+            3_600_000,
+        );
         whole("most_answer_bytes", self.most_answer_bytes, 1, MOST_ANSWER);
         whole("aside.failures", self.aside.failures, 1, 1000);
         whole("aside.first_ms", self.aside.first_ms, 1, 3_600_000);
-        whole("aside.longest_ms", self.aside.longest_ms, self.aside.first_ms, 3_600_000);
+        whole(
+            "aside.longest_ms",
+            self.aside.longest_ms,
+            self.aside.first_ms,
+            3_600_000,
+        );
         whole("retries.burst", self.retries.burst, 0, 100_000);
         whole("retries.tries", self.retries.tries, 1, 10);
         if let Some(ramp) = self.ramp {
             whole("ramp.over_ms", ramp.over_ms, 10, 3_600_000);
             whole("ramp.runs", ramp.runs, 1, 10_000_000);
         }
-        for (key, share) in [("aside.floor", self.aside.floor), ("retries.share", self.retries.share)] {
+        for (key, share) in [
+            ("aside.floor", self.aside.floor),
+            ("retries.share", self.retries.share),
+        ] {
             if !(0.0..=1.0).contains(&share) {
                 let what = format!("a share from 0 to 1 is wanted, found {share}");
                 faults.push(Fault::new(format!("{at}.{key}"), what));
             }
         }
         if !(1..=MOST_SERVERS).contains(&self.addresses.len()) {
-            let what = format!("1 to {MOST_SERVERS} are wanted, found {}", self.addresses.len());
+            let what = format!(
+                "1 to {MOST_SERVERS} are wanted, found {}",
+                self.addresses.len()
+            );
             faults.push(Fault::new(format!("{at}.addresses"), what));
         }
         let mut seen = BTreeSet::new();
         for (nth, address) in self.addresses.iter().enumerate() {
             let place = || format!("{at}.addresses[{nth}]");
             if address.port() == 0 || address.ip().is_unspecified() {
-                faults.push(Fault::new(place(), format!("{address} can't be connected to")));
+                faults.push(Fault::new(
+                    place(),
+                    format!("{address} can't be connected to"),
+                ));
             }
             if !seen.insert(address) {
                 faults.push(Fault::new(place(), format!("{address} stands there twice")));
--- a/installation/tests/old_keys.rs
+++ b/installation/tests/old_keys.rs
@@ -26,7 +26,10 @@
     let times = present.fleet.as_ref().unwrap().times;
     assert_eq!((times.suspicion_min_ms, times.suspicion_max_ms), (300, 900));
     let budget = &present.budgets[0];
-    assert_eq!((budget.limit, budget.reserved, budget.max_per_node), (600, 20, Some(400)));
+    assert_eq!(
+        (budget.limit, budget.reserved, budget.max_per_node),
+        (600, 20, Some(400))
+    );
     assert_eq!(budget.reserved_for.as_ref().map(Vec::len), Some(2));
     assert_eq!(present.budgets[1].max_hold_ms, Some(5_000));
 }
@@ -35,12 +38,20 @@
 fn a_key_under_both_its_names_is_refused() {
     let both = EARLIER.replace("\"whole\": 600", "\"whole\": 600, \"limit\": 600");
     let faults = parse(both.as_bytes()).unwrap_err();
-    assert!(faults.to_string().contains("installation.budgets[0]"), "{faults}");
+    assert!(
+        faults.to_string().contains("installation.budgets[0]"),
+        "{faults}"
+    );
 }
 
 #[test]
 fn a_bad_value_under_an_earlier_key_names_the_present_one() {
     let bad = EARLIER.replace("\"floor\": 20", "\"floor\": 900");
     let faults = parse(bad.as_bytes()).unwrap_err();
-    assert!(faults.to_string().contains("installation.budgets[0].reserved"), "{faults}");
+    assert!(
+        faults
+            .to_string()
+            .contains("installation.budgets[0].reserved"),
+        "{faults}"
+    );
 }
--- a/installation/tests/reload.rs
+++ b/installation/tests/reload.rs
@@ -19,7 +19,10 @@
 }
 
 fn started(in_fleet: bool) -> Started {
-    Started { orders: Arc::new(orders(|_| {})), in_fleet }
+    Started {
+        orders: Arc::new(orders(|_| {})),
+        in_fleet,
+    }
 }
 
 fn installation(value: &Value) -> Installation {
@@ -51,7 +54,13 @@
         stop_after: 40_000,
         seed: 1,
     };
-    assert_eq!(read, PlatformRead { platform: wanted, rest_needs_start: false });
+    assert_eq!(
+        read,
+        PlatformRead {
+            platform: wanted,
+            rest_needs_start: false
+        }
+    );
     for change in [
         |value: &mut Value| value["name"] = json!("n2"),
         |value: &mut Value| value["listen"] = json!("127.0.0.1:9095"),
@@ -70,7 +79,10 @@
     // What a pool holds changes.
     let new = json!({"servers": pool(7009, "uwsgi"), "pools": {"slow": pool(7002, "uwsgi")}});
     let changed = planned(&started, &old, &new).unwrap();
-    assert_eq!((changed.needs_start, &*changed.installation), (vec![], &installation(&new)));
+    assert_eq!(
+        (changed.needs_start, &*changed.installation),
+        (vec![], &installation(&new))
+    );
     // Which pools there are and what they speak does not; the rest of the file is taken up.
     for pools in [
         json!({"servers": pool(7009, "uwsgi")}),
@@ -99,21 +111,50 @@
     let member = planned(&started(true), &fleet, &fleet).unwrap();
     assert_eq!(member.needs_start, []);
     // One who leaves it and comes back was in it all the time.
-    assert_eq!(planned(&started(true), &json!({}), &fleet).unwrap().needs_start, []);
+    assert_eq!(
+        planned(&started(true), &json!({}), &fleet)
+            .unwrap()
+            .needs_start,
+        []
+    );
 }
 
 #[test]
 fn what_does_not_fit_the_platform_is_refused_with_its_path() {
     let front = |at: &str| json!({"fronts": [{"protocol": "uwsgi", "listen": at}]});
-    let clash = planned(&started(false), &json!({}), &front("127.0.0.1:9090")).err().unwrap();
-    assert!(clash.to_string().starts_with("installation.fronts[0].listen: "), "{clash}");
+    let clash = planned(&started(false), &json!({}), &front("127.0.0.1:9090"))
+        .err()
+        .unwrap();
+    assert!(
+        clash
+            .to_string()
+            .starts_with("installation.fronts[0].listen: "),
+        "{clash}"
+    );
     let fleet = json!({"name": "f", "listen": "127.0.0.1:7401", "voters": ["n1"]});
-    let budget = |of: Value| json!({"name": "b", "kind": "rate", "limit": 10, "burst": 10, "for": of});
+    let budget =
+        |of: Value| json!({"name": "b", "kind": "rate", "limit": 10, "burst": 10, "for": of});
     let budgets = |of: Value| json!({"fleet": fleet, "budgets": [budget(of)]});
-    let known = planned(&started(true), &json!({}), &budgets(json!({"customer": "north"}))).unwrap();
+    let known = planned(
+        &started(true),
+        &json!({}),
+        &budgets(json!({"customer": "north"})),
+    )
+    .unwrap();
     assert_eq!(known.fleet.indices.customers, [Some(0)]);
-    let unknown = planned(&started(true), &json!({}), &budgets(json!({"customer": "east"}))).err().unwrap();
-    assert!(unknown.to_string().starts_with("installation.budgets[0].for: "), "{unknown}");
+    let unknown = planned(
+        &started(true),
+        &json!({}),
+        &budgets(json!({"customer": "east"})),
+    )
+    .err()
+    .unwrap();
+    assert!(
+        unknown
+            .to_string()
+            .starts_with("installation.budgets[0].for: "),
+        "{unknown}"
+    );
 }
 
 #[test]
@@ -123,12 +164,26 @@
             "connections": connections});
         serde_json::from_value(value).unwrap()
     };
-    let open = [front(1, "uwsgi", 5), front(2, "uwsgi", 5), front(3, "uwsgi", 5)];
-    let wanted = [front(1, "uwsgi", 9), front(2, "fastcgi", 5), front(4, "uwsgi", 5)];
+    let open = [
+        front(1, "uwsgi", 5),
+        front(2, "uwsgi", 5),
+        front(3, "uwsgi", 5),
+    ];
+    let wanted = [
+        front(1, "uwsgi", 9),
+        front(2, "fastcgi", 5),
+        front(4, "uwsgi", 5),
+    ];
     let changes = FrontChanges::between(&open, &wanted);
     assert_eq!(changes.kept, [front(1, "uwsgi", 9)]);
-    assert_eq!(changes.opened, [front(2, "fastcgi", 5), front(4, "uwsgi", 5)]);
-    assert_eq!(changes.withdrawn, [front(2, "uwsgi", 5), front(3, "uwsgi", 5)]);
+    assert_eq!(
+        changes.opened,
+        [front(2, "fastcgi", 5), front(4, "uwsgi", 5)]
+    );
+    assert_eq!(
+        changes.withdrawn,
+        [front(2, "uwsgi", 5), front(3, "uwsgi", 5)]
+    );
     assert_eq!(FrontChanges::between(&open, &open).kept, open);
 }
 
@@ -143,7 +198,11 @@
 }
 
 fn changed(old: &Value, new: &Value) -> Vec<&'static str> {
-    meanings(old).changed(&meanings(new)).into_iter().map(|place| GROUPS[place]).collect()
+    meanings(old)
+        .changed(&meanings(new))
+        .into_iter()
+        .map(|place| GROUPS[place])
+        .collect()
 }
 
 #[test]
@@ -159,19 +218,41 @@
     let with = |rules: Value| json!({"rules": rules});
     assert_eq!(changed(&base, &base), [""; 0]);
     // What comes after the last rule of a group does not concern it.
-    assert_eq!(changed(&base, &with(json!([look, pay, book, rule("true", "look", None)]))), ["look"]);
+    assert_eq!(
+        changed(
+            &base,
+            &with(json!([look, pay, book, rule("true", "look", None)]))
+        ),
+        ["look"]
+    );
     assert_eq!(changed(&base, &with(json!([look, pay]))), ["book"]);
     // A rule before may take what one after it took.
     assert_eq!(changed(&base, &with(json!([pay, book]))), GROUPS);
     assert_eq!(
-        changed(&base, &with(json!([look, rule("true", "pay", Some("query")), book]))),
+        changed(
+            &base,
+            &with(json!([look, rule("true", "pay", Some("query")), book]))
+        ),
         ["pay", "book"]
     );
     assert_eq!(
-        changed(&base, &with(json!([look, rule("path == \"/pay\"", "pay", Some("path")), book]))),
+        changed(
+            &base,
+            &with(json!([
+                look,
+                rule("path == \"/pay\"", "pay", Some("path")),
+                book
+            ]))
+        ),
+        ["pay"]
+    );
+    assert_eq!(
+        changed(
+            &base,
+            &with(json!([look, rule("path == \"/pay\"", "pay", None), book]))
+        ),
         ["pay"]
     );
-    assert_eq!(changed(&base, &with(json!([look, rule("path == \"/pay\"", "pay", None), book]))), ["pay"]);
     // A rule without a key that goes over to another group takes its exchanges with it.
     let last = rule("path == \"/last\"", "book", None);
     let keyless = with(json!([look, book, last]));
@@ -183,12 +264,19 @@
 fn what_no_rule_takes_and_what_rules_see_are_part_of_the_meaning() {
     let rule = json!({"when": "path == \"/pay\"", "group": "pay"});
     let base = json!({"rules": [rule], "otherwise": "book"});
-    assert_eq!(changed(&base, &json!({"rules": [rule], "otherwise": "look"})), ["look", "book"]);
+    assert_eq!(
+        changed(&base, &json!({"rules": [rule], "otherwise": "look"})),
+        ["look", "book"]
+    );
     assert_eq!(changed(&base, &json!({"rules": [rule]})), ["book"]);
     // Any rule more takes something of what was left.
     let more = json!({"when": "path == \"/x\"", "group": "look"});
-    assert_eq!(changed(&base, &json!({"rules": [rule, more], "otherwise": "book"})), ["look", "book"]);
-    let longer = json!({"rules": [rule], "otherwise": "book", "expressions": {"variable_bytes": 100}});
+    assert_eq!(
+        changed(&base, &json!({"rules": [rule, more], "otherwise": "book"})),
+        ["look", "book"]
+    );
+    let longer =
+        json!({"rules": [rule], "otherwise": "book", "expressions": {"variable_bytes": 100}});
     assert_eq!(changed(&base, &longer), ["pay", "book"]);
     // Where there are fronts and no rules, variables say of which group an exchange is: of any.
     let front = json!([{"protocol": "uwsgi", "listen": "127.0.0.1:9091"}]);
@@ -241,7 +329,10 @@
     let mut builds = Builds::default();
     assert!(!builds.is_under_way());
     assert!(builds.notice(), "the first is begun at once");
-    assert!((0..100).all(|_| !builds.notice()), "those that come meanwhile wait together");
+    assert!(
+        (0..100).all(|_| !builds.notice()),
+        "those that come meanwhile wait together"
+    );
     assert!(builds.finished(), "the next one is begun");
     assert!(builds.is_under_way());
     assert!(!builds.finished());
--- a/node/src/commands/expr.rs
+++ b/node/src/commands/expr.rs
@@ -26,14 +26,25 @@
 pub fn run(command: &ExprCommand) -> Result<String, String> {
     match command {
         ExprCommand::Check { file } => {
-            let source = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
+            let source =
+                std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
             let program = program(&file.display().to_string(), &source)?;
             let cost = program.cost();
-            Ok(format!("good: {}, at most {} steps and {} bytes built", program.ty(), cost.steps, cost.bytes))
+            Ok(format!(
+                "good: {}, at most {} steps and {} bytes built",
+                program.ty(),
+                cost.steps,
+                cost.bytes
+            ))
         }
-        ExprCommand::Eval { expression, request } => {
+        ExprCommand::Eval {
+            expression,
+            request,
+        } => {
             let program = program("expression", expression)?;
-            let request = request.as_deref().map_or_else(|| Ok(Written::default()), read)?;
+            let request = request
+                .as_deref()
+                .map_or_else(|| Ok(Written::default()), read)?;
             let mut scratch = Scratch::default();
             let value = program.eval(&request, &mut scratch);
             let shown = show(&value, &scratch, &request);
@@ -44,9 +55,10 @@
                 program.cost().steps
             ))
         }
-        ExprCommand::Explain { expression } => {
-            Ok(program("expression", expression)?.explain().trim_end().to_string())
-        }
+        ExprCommand::Explain { expression } => Ok(program("expression", expression)?
+            .explain()
+            .trim_end()
+            .to_string()),
     }
 }
 
@@ -55,7 +67,8 @@
 }
 
 fn program(name: &str, source: &str) -> Result<Program, String> {
-    infer(source, Limits::default()).map_err(|faults| render(name, source, &faults).trim_end().to_string())
+    infer(source, Limits::default())
+        .map_err(|faults| render(name, source, &faults).trim_end().to_string())
 }
 
 fn show(value: &Value, scratch: &Scratch, request: &Written) -> String {
--- a/node/src/commands/fleet.rs
+++ b/node/src/commands/fleet.rs
@@ -65,7 +65,13 @@
 
 fn budget(status: &BudgetStatus, leader: Option<&Name>) -> Value {
     // Allocations of a rate are thousandths on the wire, and exchanges a second for people.
-    let units = |units: Units| if status.rate { json!(units as f64 / 1_000.0) } else { json!(units) };
+    let units = |units: Units| {
+        if status.rate {
+            json!(units as f64 / 1_000.0)
+        } else {
+            json!(units)
+        }
+    };
     let kind = if status.rate { "rate" } else { "concurrency" };
     json!({"name": status.name, "kind": kind, "limit": status.limit,
         "allocation": units(status.allocation), "used": status.used, "rejected": status.rejected,
@@ -81,7 +87,10 @@
                 "slow": report.slow, "since_ms": report.for_ms})
         };
         let first = &self.first;
-        let budgets = self.budgets.iter().map(|status| budget(status, self.leader.as_ref()));
+        let budgets = self
+            .budgets
+            .iter()
+            .map(|status| budget(status, self.leader.as_ref()));
         json!({"fleet": first.fleet, "name": &*first.name, "incarnation": first.incarnation.to_string(),
             "view": first.view, "digest": format!("{:016x}", first.digest), "in_view": first.in_view,
             "isolated": first.isolated, "superseded": first.superseded,
@@ -98,7 +107,11 @@
             first.view,
             first.in_view,
             if first.isolated { ", isolated" } else { "" },
-            if first.superseded { ", superseded by a process of the same name" } else { "" },
+            if first.superseded {
+                ", superseded by a process of the same name"
+            } else {
+                ""
+            },
         );
         for report in &self.members {
             let state = word(report);
@@ -112,10 +125,17 @@
         for budget in &self.budgets {
             let scale = if budget.rate { 1_000.0 } else { 1.0 };
             let (allocation, need) = (budget.allocation as f64 / scale, budget.need as f64 / scale);
-            let lasts = budget.until_ms.map_or(String::new(), |ms| format!("  for {ms} ms"));
-            text +=
-                &format!("budget {:<16} {allocation:.1} of {}, needs {need:.1}, ", budget.name, budget.limit);
-            text += &format!("{} used, {} rejected{lasts}\n", budget.used, budget.rejected);
+            let lasts = budget
+                .until_ms
+                .map_or(String::new(), |ms| format!("  for {ms} ms"));
+            text += &format!(
+                "budget {:<16} {allocation:.1} of {}, needs {need:.1}, ",
+                budget.name, budget.limit
+            );
+            text += &format!(
+                "{} used, {} rejected{lasts}\n",
+                budget.used, budget.rejected
+            );
         }
         text.pop();
         text
@@ -124,7 +144,11 @@
 
 fn word(report: &MemberReport) -> String {
     let word = serde_json::to_value(report.state).ok();
-    let word = word.as_ref().and_then(Value::as_str).unwrap_or_default().to_string();
+    let word = word
+        .as_ref()
+        .and_then(Value::as_str)
+        .unwrap_or_default()
+        .to_string();
     if report.slow { word + ", slow" } else { word }
 }
 
@@ -137,48 +161,72 @@
 
 impl Asker {
     fn open(peer: SocketAddr, key: Option<[u8; 32]>) -> Result<Asker, String> {
-        let own = if peer.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+        let own = if peer.is_ipv4() {
+            "0.0.0.0:0"
+        } else {
+            "[::]:0"
+        };
         let in_words = |error: std::io::Error| format!("{peer}: {error}");
         let sock = UdpSocket::bind(own).map_err(in_words)?;
         sock.set_read_timeout(Some(PATIENCE)).map_err(in_words)?;
-        Ok(Asker { sock, seal: Seal::new(key, ""), peer })
+        Ok(Asker {
+            sock,
+            seal: Seal::new(key, ""),
+            peer,
+        })
     }
 
     fn send(&self, question: &Spoken) -> Result<(), String> {
         let datagram = self.seal.close(question).ok_or("too long a name")?;
-        self.sock.send_to(&datagram, self.peer).map_err(|error| format!("{}: {error}", self.peer))?;
+        self.sock
+            .send_to(&datagram, self.peer)
+            .map_err(|error| format!("{}: {error}", self.peer))?;
         Ok(())
     }
 
     /// The next datagram that can be read; none where it can't, or where nothing comes in time.
     fn receive(&self) -> Received {
         let mut bytes = [0; LONGEST];
-        let Ok((len, _)) = self.sock.recv_from(&mut bytes) else { return Received::Nothing };
-        self.seal.open(&bytes[..len]).map_or(Received::Unreadable, Received::Answer)
+        let Ok((len, _)) = self.sock.recv_from(&mut bytes) else {
+            return Received::Nothing;
+        };
+        self.seal
+            .open(&bytes[..len])
+            .map_or(Received::Unreadable, Received::Answer)
     }
 
     /// The members from behind a name on, asked for several times.
     fn members(&self, after: Option<&Name>) -> Result<Status, String> {
         for _ in 0..TRIES {
             let nonce = fastrand::u64(..);
-            self.send(&Spoken::Ask(Ask { nonce, after: after.cloned() }))?;
+            self.send(&Spoken::Ask(Ask {
+                nonce,
+                after: after.cloned(),
+            }))?;
             let till = Instant::now() + PATIENCE;
             while Instant::now() < till {
                 match self.receive() {
-                    Received::Answer(Spoken::Status(status)) if status.nonce == nonce => return Ok(*status),
+                    Received::Answer(Spoken::Status(status)) if status.nonce == nonce => {
+                        return Ok(*status);
+                    }
                     Received::Answer(_) | Received::Unreadable => {}
                     Received::Nothing => break,
                 }
             }
         }
         let peer = self.peer;
-        Err(format!("{peer}: no answer; is it a node's fleet address, and the key that fleet's?"))
+        Err(format!(
+            "{peer}: no answer; is it a node's fleet address, and the key that fleet's?"
+        ))
     }
 
     /// The budgets from an index on, asked for once.
     fn budgets(&self, from: usize) -> Result<Option<BudgetPage>, String> {
         let nonce = fastrand::u64(..);
-        self.send(&Spoken::AskBudgets { nonce, from: from as u16 })?;
+        self.send(&Spoken::AskBudgets {
+            nonce,
+            from: from as u16,
+        })?;
         match self.receive() {
             Received::Answer(Spoken::BudgetStatus(page)) if page.nonce == nonce => Ok(Some(*page)),
             _ => Ok(None),
@@ -201,8 +249,17 @@
     let asker = Asker::open(peer, key)?;
     let first = asker.members(None)?;
     let (mut more, members) = (first.more, first.members.clone());
-    let mut seen = Seen { first, members, budgets: Vec::new(), leader: None };
-    while let Some(last) = seen.members.last().filter(|_| more && seen.members.len() < MAX_MEMBERS) {
+    let mut seen = Seen {
+        first,
+        members,
+        budgets: Vec::new(),
+        leader: None,
+    };
+    while let Some(last) = seen
+        .members
+        .last()
+        .filter(|_| more && seen.members.len() < MAX_MEMBERS)
+    {
         let page = asker.members(Some(&last.name))?;
         more = page.more && !page.members.is_empty();
         seen.members.extend(page.members);
@@ -222,7 +279,9 @@
     let (mut budgets, mut leader, mut tries) = (Vec::new(), None, 0);
     while tries < TRIES_OF_BUDGETS {
         tries += 1;
-        let Some(page) = asker.budgets(budgets.len())? else { continue };
+        let Some(page) = asker.budgets(budgets.len())? else {
+            continue;
+        };
         (tries, leader) = (0, page.leader);
         budgets.extend(page.budgets);
         if !page.more {
@@ -242,10 +301,18 @@
         FleetCommand::Status { whom, json } => {
             let mut seen = ask(whom.peer, key(whom)?)?;
             (seen.budgets, seen.leader) = ask_budgets(whom.peer, key(whom)?)?;
-            say(&if *json { seen.json().to_string() } else { seen.text() });
+            say(&if *json {
+                seen.json().to_string()
+            } else {
+                seen.text()
+            });
             Ok(())
         }
-        FleetCommand::Watch { whom, every_ms, for_ms } => {
+        FleetCommand::Watch {
+            whom,
+            every_ms,
+            for_ms,
+        } => {
             let (key, began) = (key(whom)?, Instant::now());
             let mut known: BTreeMap<Name, String> = BTreeMap::new();
             let mut unanswered = false;
--- a/node/src/commands/routes.rs
+++ b/node/src/commands/routes.rs
@@ -65,10 +65,18 @@
 
 pub fn run(command: &RoutesCommand) -> Result<String, String> {
     let all = |faults: Faults| {
-        faults.0.iter().map(|fault| format!("{fault}\n")).collect::<String>().trim_end().to_string()
+        faults
+            .0
+            .iter()
+            .map(|fault| format!("{fault}\n"))
+            .collect::<String>()
+            .trim_end()
+            .to_string()
     };
     match command {
-        RoutesCommand::Test { files, cases } => test(&files.read().map_err(all)?, cases).map_err(all)?,
+        RoutesCommand::Test { files, cases } => {
+            test(&files.read().map_err(all)?, cases).map_err(all)?
+        }
         RoutesCommand::Explain { files, request } => {
             let request = written::read(request).map_err(all)?;
             Ok(explain(&files.read().map_err(all)?, &request))
@@ -93,8 +101,13 @@
             }
             None => (installation.table_by_itself()?, installation.groups_named()),
         };
-        let (table, _) = table.ok_or_else(|| Faults::one("installation.rules", "there are none"))?;
-        Ok(Read { installation, table, groups })
+        let (table, _) =
+            table.ok_or_else(|| Faults::one("installation.rules", "there are none"))?;
+        Ok(Read {
+            installation,
+            table,
+            groups,
+        })
     }
 }
 
@@ -102,12 +115,22 @@
 fn words(read: &Read, classed: &Classed) -> String {
     match classed {
         Classed::As(class) => {
-            format!("rules[{}], group {}", class.rule, read.groups[usize::from(class.group)])
+            format!(
+                "rules[{}], group {}",
+                class.rule,
+                read.groups[usize::from(class.group)]
+            )
         }
-        Classed::Refused { rule, why: Refusal::Customer } => {
+        Classed::Refused {
+            rule,
+            why: Refusal::Customer,
+        } => {
             format!("rules[{rule}], refused: no known customer")
         }
-        Classed::Refused { rule, why: Refusal::IdempotencyKey } => {
+        Classed::Refused {
+            rule,
+            why: Refusal::IdempotencyKey,
+        } => {
             format!("rules[{rule}], refused: no idempotency key")
         }
         Classed::NoRule => match &read.installation.otherwise {
@@ -126,16 +149,24 @@
         let request = case.request.request(&format!("cases[{nth}].request"))?;
         let classed = read.table.classify(&request, &mut scratch);
         let (rule, group) = match &classed {
-            Classed::As(class) => (Some(class.rule), Some(read.groups[usize::from(class.group)].clone())),
+            Classed::As(class) => (
+                Some(class.rule),
+                Some(read.groups[usize::from(class.group)].clone()),
+            ),
             Classed::Refused { rule, .. } => (Some(*rule), None),
             Classed::NoRule => (None, read.installation.otherwise.clone()),
         };
         let mut differs = Vec::new();
         if let Some(wanted) = case.rule.filter(|wanted| *wanted != rule) {
-            let place = |rule: Option<u32>| rule.map_or("no rule".into(), |rule| format!("rules[{rule}]"));
+            let place =
+                |rule: Option<u32>| rule.map_or("no rule".into(), |rule| format!("rules[{rule}]"));
             differs.push(format!("  - {}\n  + {}", place(wanted), place(rule)));
         }
-        if let Some(wanted) = case.group.as_ref().filter(|wanted| Some(*wanted) != group.as_ref()) {
+        if let Some(wanted) = case
+            .group
+            .as_ref()
+            .filter(|wanted| Some(*wanted) != group.as_ref())
+        {
             differs.push(format!("  - group {wanted}\n  + {}", words(read, &classed)));
         }
         let refused = matches!(classed, Classed::Refused { .. });
@@ -149,10 +180,20 @@
         if !differs.is_empty() {
             failed += 1;
             // Writing to memory can't fail.
-            _ = writeln!(out, "{}: differs (- wanted, + found)\n{}", case.name, differs.join("\n"));
+            _ = writeln!(
+                out,
+                "{}: differs (- wanted, + found)\n{}",
+                case.name,
+                differs.join("\n")
+            );
         }
     }
-    _ = write!(out, "{} of {} cases as wanted", cases.len() - failed, cases.len());
+    _ = write!(
+        out,
+        "{} of {} cases as wanted",
+        cases.len() - failed,
+        cases.len()
+    );
     Ok(if failed == 0 { Ok(out) } else { Err(out) })
 }
 
@@ -167,11 +208,20 @@
     let mut out = format!("{}\n", words(read, &classed));
     if let Classed::As(class) = &classed {
         let of = |name: &str, value: String| format!("  {name}: {value}\n");
-        out += &class.subject.map_or_else(String::new, |subject| of("subject", format!("{subject:016x}")));
-        out += &class.rank.map_or_else(String::new, |rank| of("rank", rank.to_string()));
-        out += &class.due.map_or_else(String::new, |due| of("due", format!("{} ms", due / 10)));
+        out += &class.subject.map_or_else(String::new, |subject| {
+            of("subject", format!("{subject:016x}"))
+        });
+        out += &class
+            .rank
+            .map_or_else(String::new, |rank| of("rank", rank.to_string()));
+        out += &class
+            .due
+            .map_or_else(String::new, |due| of("due", format!("{} ms", due / 10)));
         out += &class.idempotency_key.map_or_else(String::new, |key| {
-            of("idempotency_key", format!("digest {:02x}{:02x}...", key[0], key[1]))
+            of(
+                "idempotency_key",
+                format!("digest {:02x}{:02x}...", key[0], key[1]),
+            )
         });
     }
     let before = &read.installation.rules[..taken.unwrap_or(read.installation.rules.len())];
@@ -187,11 +237,21 @@
 
 /// The first part of a condition that does not hold, as it stands there.
 fn why_not(rule: &RuleFile, request: &Written, limits: Limits) -> String {
-    let Ok(when) = parse(&rule.when) else { return String::new() };
+    let Ok(when) = parse(&rule.when) else {
+        return String::new();
+    };
     let part = |span: Span| rule.when.get(span.from..span.to).unwrap_or_default();
-    let parts = if let Kind::All(parts) = &when.kind { &parts[..] } else { std::slice::from_ref(&when) };
-    let fails = parts.iter().map(|part_of| part(part_of.span)).find(|source| {
-        infer(source, limits).is_ok_and(|program| !program.is_true(request, &mut Scratch::default()))
-    });
+    let parts = if let Kind::All(parts) = &when.kind {
+        &parts[..]
+    } else {
+        std::slice::from_ref(&when)
+    };
+    let fails = parts
+        .iter()
+        .map(|part_of| part(part_of.span))
+        .find(|source| {
+            infer(source, limits)
+                .is_ok_and(|program| !program.is_true(request, &mut Scratch::default()))
+        });
     format!("{} is false", fails.unwrap_or(&rule.when))
 }
