--- a/node/src/commands/written.rs
+++ b/node/src/commands/written.rs
@@ -31,19 +31,37 @@
     fn default() -> Self {
         let text = String::new;
         let (method, path, front) = ("POST".into(), "/".into(), "uwsgi".into());
-        let (headers, variables, peer) = (BTreeMap::new(), BTreeMap::new(), Ipv4Addr::LOCALHOST.into());
+        let (headers, variables, peer) =
+            (BTreeMap::new(), BTreeMap::new(), Ipv4Addr::LOCALHOST.into());
         let (query, body, time_of_day) = (text(), text(), "00:00:00".into());
-        RequestFile { method, path, query, headers, variables, body, front, peer, time_of_day }
+        RequestFile {
+            method,
+            path,
+            query,
+            headers,
+            variables,
+            body,
+            front,
+            peer,
+            time_of_day,
+        }
     }
 }
 
 impl RequestFile {
     pub fn request(&self, at: &str) -> Result<Written, Faults> {
-        let parts: Vec<Option<i64>> = self.time_of_day.split(':').map(|part| part.parse().ok()).collect();
+        let parts: Vec<Option<i64>> = self
+            .time_of_day
+            .split(':')
+            .map(|part| part.parse().ok())
+            .collect();
         let (Some(Some(hours)), Some(Some(minutes)), seconds, None) =
             (parts.first(), parts.get(1), parts.get(2), parts.get(3))
         else {
-            return Err(Faults::one(format!("{at}.time_of_day"), "a time as 09:30 or 09:30:00 is wanted"));
+            return Err(Faults::one(
+                format!("{at}.time_of_day"),
+                "a time as 09:30 or 09:30:00 is wanted",
+            ));
         };
         let seconds = seconds.copied().flatten().unwrap_or(0);
         let request = Written {
@@ -60,13 +78,16 @@
             peer: self.peer,
             time_of_day: ((hours * 60 + minutes) * 60 + seconds) * 1_000_000,
         };
-        Ok(self.headers.iter().fold(request, |request, (name, value)| request.header(name, value.as_str())))
+        Ok(self.headers.iter().fold(request, |request, (name, value)| {
+            request.header(name, value.as_str())
+        }))
     }
 }
 
 /// A JSON file; `name` stands for it in faults.
 pub fn json(path: &Path, name: &str) -> Result<Value, Faults> {
-    let text = std::fs::read(path).map_err(|e| Faults::one(path.display().to_string(), e.to_string()))?;
+    let text =
+        std::fs::read(path).map_err(|e| Faults::one(path.display().to_string(), e.to_string()))?;
     serde_json::from_slice(&text).map_err(|e| Faults::one(name, format!("not JSON: {e}")))
 }
 
--- a/node/src/life/clock.rs
+++ b/node/src/life/clock.rs
@@ -21,7 +21,9 @@
     }
 
     pub fn now(&mut self) -> Tenths {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let shown = (since.as_micros() / MICROS) as Tenths;
         self.last = self.last.max(shown.saturating_add_signed(self.off * 10));
         self.last
--- a/node/src/life/descriptors.rs
+++ b/node/src/life/descriptors.rs
@@ -14,7 +14,9 @@
 /// The soft limit on descriptors (RLIMIT_NOFILE).
 pub fn limit() -> usize {
     let limit = getrlimit(Resource::Nofile).current;
-    limit.and_then(|limit| usize::try_from(limit).ok()).unwrap_or(usize::MAX)
+    limit
+        .and_then(|limit| usize::try_from(limit).ok())
+        .unwrap_or(usize::MAX)
 }
 
 /// Descriptors that are open; 0 where the system does not tell.
--- a/node/src/life/log.rs
+++ b/node/src/life/log.rs
@@ -8,7 +8,9 @@
 use clap::ValueEnum;
 use rustix::event::{PollFd, PollFlags, Timespec};
 use serde_json::json;
-use slog::{Drain, FnValue, KV, Key, Level, Logger, Never, OwnedKVList, PushFnValue, Record, SerdeValue};
+use slog::{
+    Drain, FnValue, KV, Key, Level, Logger, Never, OwnedKVList, PushFnValue, Record, SerdeValue,
+};
 use slog::{Serializer, o};
 use slog_json::Json;
 
@@ -32,12 +34,21 @@
             Writer::Json(line.clone(), Box::new(json_writer(line)))
         }
     };
-    let lines = Lines { most, held: Mutex::new((Second::default(), writer)) };
-    Logger::root(lines.filter_level(level).fuse(), o!("node" => name.to_string()))
+    let lines = Lines {
+        most,
+        held: Mutex::new((Second::default(), writer)),
+    };
+    Logger::root(
+        lines.filter_level(level).fuse(),
+        o!("node" => name.to_string()),
+    )
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 fn json_writer(line: Line) -> Json<Line> {
@@ -45,7 +56,10 @@
     let level = FnValue(|record: &Record| record.level().as_str());
     let text = PushFnValue(|record: &Record, to| to.emit(record.msg()));
     let first = o!("time" => time, "level" => level, "msg" => text);
-    Json::new(line).set_newlines(false).add_key_value(first).build()
+    Json::new(line)
+        .set_newlines(false)
+        .add_key_value(first)
+        .build()
 }
 
 /// One line under way.
@@ -76,12 +90,17 @@
             Writer::Text => text(record, values, left_out),
             Writer::Json(line, json) => {
                 _ = json.log(record, values);
-                let bytes = line.0.lock().map(|mut line| std::mem::take(&mut *line)).unwrap_or_default();
+                let bytes = line
+                    .0
+                    .lock()
+                    .map(|mut line| std::mem::take(&mut *line))
+                    .unwrap_or_default();
                 let mut line = String::from_utf8(bytes).unwrap_or_default();
                 if line.len() > LONGEST - 40 || !line.ends_with('}') {
                     // An object that is cut would be none.
                     let (level, msg) = (record.level().as_str(), record.msg().to_string());
-                    line = json!({"time": unix_ms(), "level": level, "msg": msg, "cut": true}).to_string();
+                    line = json!({"time": unix_ms(), "level": level, "msg": msg, "cut": true})
+                        .to_string();
                 }
                 if left_out > 0 {
                     line.truncate(line.len() - 1);
@@ -127,7 +146,9 @@
 
     fn log(&self, record: &Record, values: &OwnedKVList) -> Result<(), Never> {
         let now = unix_ms() / 1000;
-        let Ok(mut held) = self.held.lock() else { return Ok(()) };
+        let Ok(mut held) = self.held.lock() else {
+            return Ok(());
+        };
         let (second, writer) = &mut *held;
         if second.at != now {
             (second.at, second.written) = (now, 0);
@@ -150,7 +171,10 @@
 fn takes_a_line() -> bool {
     let stderr = std::io::stderr();
     let mut asked = [PollFd::new(&stderr, PollFlags::OUT)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let at_once = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     rustix::event::poll(&mut asked, Some(&at_once)).is_ok_and(|ready| ready > 0)
 }
 
--- a/node/src/life/signals.rs
+++ b/node/src/life/signals.rs
@@ -29,7 +29,10 @@
             signal_hook::low_level::pipe::register(signal, sender)?;
             io::Result::Ok(heard)
         };
-        Ok(Signals { leave: heed(SIGTERM)?, reload: heed(SIGHUP)? })
+        Ok(Signals {
+            leave: heed(SIGTERM)?,
+            reload: heed(SIGHUP)?,
+        })
     }
 
     /// Has the poller tell of them, those included that came before.
@@ -43,7 +46,11 @@
 
     /// Takes note of one, however often it was sent meanwhile.
     pub(crate) fn acknowledge(&mut self, key: usize) {
-        let signal = if key == LEAVE_KEY { &mut self.leave } else { &mut self.reload };
+        let signal = if key == LEAVE_KEY {
+            &mut self.leave
+        } else {
+            &mut self.reload
+        };
         _ = signal.read(&mut [0; 64]);
     }
 }
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -69,10 +69,22 @@
     #[arg(long, default_value_t = log::MOST_LINES, value_name = "COUNT")]
     log_lines: u32,
     /// Sets this process's clock off by so many ms: for tests of fleets alone
-    #[arg(long, hide = true, default_value_t = 0, allow_negative_numbers = true, value_name = "MS")]
+    #[arg(
+        long,
+        hide = true,
+        default_value_t = 0,
+        allow_negative_numbers = true,
+        value_name = "MS"
+    )]
     test_clock_ms: i64,
     /// Has the fleet's own time gain so many millionths: for tests of fleets alone
-    #[arg(long, hide = true, default_value_t = 0, allow_negative_numbers = true, value_name = "PPM")]
+    #[arg(
+        long,
+        hide = true,
+        default_value_t = 0,
+        allow_negative_numbers = true,
+        value_name = "PPM"
+    )]
     test_drift_ppm: i32,
     /// Takes a safeguard of the budgets out: for tests of fleets alone
     #[arg(long, hide = true, value_name = "SAFEGUARD", value_parser = without)]
@@ -92,7 +104,8 @@
 }
 
 fn level(word: &str) -> Result<Level, String> {
-    word.parse().map_err(|()| "critical, error, warning, info, debug or trace is wanted".into())
+    word.parse()
+        .map_err(|()| "critical, error, warning, info, debug or trace is wanted".into())
 }
 
 fn main() -> ExitCode {
@@ -101,11 +114,16 @@
         Command::Serve(words) => match serve(words) {
             Ok(()) => ExitCode::SUCCESS,
             Err(faults) => {
-                faults.iter().for_each(|fault| eprintln!("doortrack: {fault}"));
+                faults
+                    .iter()
+                    .for_each(|fault| eprintln!("doortrack: {fault}"));
                 ExitCode::FAILURE
             }
         },
-        Command::Check { installation, config } => match check(&installation, config.as_deref()) {
+        Command::Check {
+            installation,
+            config,
+        } => match check(&installation, config.as_deref()) {
             Ok(said) => {
                 println!("{said}");
                 ExitCode::SUCCESS
@@ -152,19 +170,39 @@
         Some(path) => file::read(path).map_err(all)?,
         None => Installation::default(),
     };
-    let tests =
-        FleetTests { drift_ppm: words.test_drift_ppm, safeguards: words.test_without.unwrap_or_default() };
+    let tests = FleetTests {
+        drift_ppm: words.test_drift_ppm,
+        safeguards: words.test_without.unwrap_or_default(),
+    };
     match &mut installation.fleet {
         Some(fleet) => fleet.tests = tests,
         None if tests == FleetTests::default() => {}
-        None => return Err(vec!["--test-drift-ppm, --test-without: for nodes of a fleet alone".into()]),
+        None => {
+            return Err(vec![
+                "--test-drift-ppm, --test-without: for nodes of a fleet alone".into(),
+            ]);
+        }
     }
     installation.beside(&orders).map_err(all)?;
-    let log = log::open(&orders.name, words.log_format, words.log_level, words.log_lines);
+    let log = log::open(
+        &orders.name,
+        words.log_format,
+        words.log_level,
+        words.log_lines,
+    );
     if words.test_clock_ms != 0 && installation.fleet.is_none() {
-        return Err(vec!["--test-clock-ms: only a node of a fleet may have its clock set off".into()]);
+        return Err(vec![
+            "--test-clock-ms: only a node of a fleet may have its clock set off".into(),
+        ]);
     }
     let clock = Clock::set_off(words.test_clock_ms);
-    let node = Node::start(signals, orders, words.installation, installation, clock, log);
+    let node = Node::start(
+        signals,
+        orders,
+        words.installation,
+        installation,
+        clock,
+        log,
+    );
     node.and_then(Node::serve).map_err(|fault| vec![fault])
 }
--- a/node/src/memory/results.rs
+++ b/node/src/memory/results.rs
@@ -35,7 +35,10 @@
 
 impl Kept {
     fn of(made: Made) -> Kept {
-        Kept { bytes: [made.headers, made.body].concat().into(), body_from: made.headers.len() }
+        Kept {
+            bytes: [made.headers, made.body].concat().into(),
+            body_from: made.headers.len(),
+        }
     }
 
     pub fn made(&self) -> Made<'_> {
@@ -83,7 +86,16 @@
 impl Results {
     pub fn new(most_entries: usize, most_bytes: usize, longest_deadline: Tenths) -> Self {
         let (entries, tags, keys) = Default::default();
-        Results { entries, tags, keys, bytes: 0, most_entries, most_bytes, longest_deadline, tidied: 0 }
+        Results {
+            entries,
+            tags,
+            keys,
+            bytes: 0,
+            most_entries,
+            most_bytes,
+            longest_deadline,
+            tidied: 0,
+        }
     }
 
     pub fn bytes(&self) -> usize {
@@ -95,7 +107,11 @@
     /// no later than that, and one that came within the window may not pass for a new one.
     pub fn repeats(&self, key: &Key, body: &[u8], stamp: Tenths) -> Repeats {
         let Some(entry) = self.entries.get(key) else {
-            return if self.entries.len() < self.most_entries { Repeats::Nothing } else { Repeats::NoRoom };
+            return if self.entries.len() < self.most_entries {
+                Repeats::Nothing
+            } else {
+                Repeats::NoRoom
+            };
         };
         let within = stamp <= entry.until.saturating_add(WINDOW_SLACK);
         match within || entry.end.is_none() {
@@ -107,11 +123,25 @@
 
     /// Enters an exchange that came at `stamp`, for a window that has `lasting` left. Where the stamp is of a
     /// clock ahead of this one, nothing of the window is used up yet, and all of it counts from the stamp.
-    pub fn record(&mut self, ex: ExId, key: Key, body: &[u8], stamp: Tenths, lasting: Tenths, now: Tenths) {
+    pub fn record(
+        &mut self,
+        ex: ExId,
+        key: Key,
+        body: &[u8],
+        stamp: Tenths,
+        lasting: Tenths,
+        now: Tenths,
+    ) {
         let until = stamp.max(now).saturating_add(lasting);
         let kept_till = until.saturating_add(WINDOW_SLACK + self.longest_deadline);
         let tag = self.tags.hash_one(body);
-        let entry = Entry { ex, tag, until, kept_till, end: None };
+        let entry = Entry {
+            ex,
+            tag,
+            until,
+            kept_till,
+            end: None,
+        };
         if let Some(old) = self.entries.insert(key, entry) {
             self.bytes -= size(&old);
             self.keys.remove(&old.ex);
@@ -130,7 +160,9 @@
 
     /// A run has ended. Where its result finds no room, repeats are told that there is none.
     pub fn ended(&mut self, ex: ExId, result: Result<Made, NoResult>) {
-        let Some(entry) = self.keys.get(&ex).and_then(|key| self.entries.get_mut(key)) else { return };
+        let Some(entry) = self.keys.get(&ex).and_then(|key| self.entries.get_mut(key)) else {
+            return;
+        };
         let room = self.most_bytes.saturating_sub(self.bytes);
         let size = |made: &Made| made.headers.len() + made.body.len();
         let kept = result.ok().filter(|made| size(made) <= room);
@@ -139,7 +171,12 @@
     }
 
     pub fn result(&self, ex: ExId) -> Found<'_> {
-        match self.keys.get(&ex).and_then(|key| self.entries.get(key)).map(|entry| &entry.end) {
+        match self
+            .keys
+            .get(&ex)
+            .and_then(|key| self.entries.get(key))
+            .map(|entry| &entry.end)
+        {
             Some(None) => Found::Pending,
             Some(Some(Ok(kept))) => Found::Result(kept.made()),
             Some(Some(Err(NoResult))) | None => Found::None,
@@ -149,7 +186,10 @@
     /// When the last entry of a group that is there now can be named by no repeat any more; none where
     /// there is none, and no time where one is in hand. It looks at every entry.
     pub fn last_of(&self, group: u8) -> Option<Option<Tenths>> {
-        let of = self.entries.iter().filter(|((other, _), _)| *other == group);
+        let of = self
+            .entries
+            .iter()
+            .filter(|((other, _), _)| *other == group);
         of.map(|(_, entry)| entry.end.as_ref().map(|_| entry.kept_till))
             .reduce(|one, other| Some(one?.max(other?)))
     }
@@ -179,5 +219,9 @@
 }
 
 fn size(entry: &Entry) -> usize {
-    entry.end.as_ref().and_then(|end| end.as_ref().ok()).map_or(0, |kept| kept.bytes.len())
+    entry
+        .end
+        .as_ref()
+        .and_then(|end| end.as_ref().ok())
+        .map_or(0, |kept| kept.bytes.len())
 }
--- a/node/src/peers/budgets.rs
+++ b/node/src/peers/budgets.rs
@@ -46,9 +46,19 @@
         }
         let list = installation.budget_list(orders);
         let weight = file.weight.unwrap_or(orders.handed.contract.cores).max(1);
-        let budgets = Budgets::new(me, weight, file.budget_parameters(), &list, fastrand::u64(..), 0);
-        let (indices, used, logged) =
-            (installation.budget_indices(orders), vec![0; list.len()], vec![0; list.len()]);
+        let budgets = Budgets::new(
+            me,
+            weight,
+            file.budget_parameters(),
+            &list,
+            fastrand::u64(..),
+            0,
+        );
+        let (indices, used, logged) = (
+            installation.budget_indices(orders),
+            vec![0; list.len()],
+            vec![0; list.len()],
+        );
         Some(FleetBudgets {
             budgets,
             indices,
@@ -67,10 +77,16 @@
     /// Takes over changed budgets from a reload; [`FleetBudgets::needs_a_start`] says which can't be.
     pub fn change(&mut self, now: Tenths, change: &mut FleetChange) {
         let list = std::mem::take(&mut change.budgets);
-        let names: Vec<_> = self.budgets.list().map(|budget| budget.name.clone()).collect();
+        let names: Vec<_> = self
+            .budgets
+            .list()
+            .map(|budget| budget.name.clone())
+            .collect();
         let used = |name: &std::sync::Arc<str>| names.iter().position(|known| known == name);
-        self.used =
-            list.iter().map(|budget| used(&budget.name).map_or(0, |index| self.used[index])).collect();
+        self.used = list
+            .iter()
+            .map(|budget| used(&budget.name).map_or(0, |index| self.used[index]))
+            .collect();
         std::mem::swap(&mut self.indices, &mut change.indices);
         self.handle(now, Event::Changed { list });
     }
@@ -80,13 +96,23 @@
     pub fn needs_a_start(&self, file: &FleetFile, list: &[Budget]) -> Option<&str> {
         let (old, new) = (self.budgets.parameters(), file.budget_parameters());
         let times = |parameters: &Parameters| {
-            (parameters.round, parameters.vote_duration, parameters.lease, parameters.drift)
+            (
+                parameters.round,
+                parameters.vote_duration,
+                parameters.lease,
+                parameters.drift,
+            )
         };
         if old.voters != new.voters {
             Some("the voters changed")
         } else if times(old) != times(&new) {
             Some("fleet.leases changed")
-        } else if !self.budgets.list().map(Budget::id).eq(list.iter().map(Budget::id)) {
+        } else if !self
+            .budgets
+            .list()
+            .map(Budget::id)
+            .eq(list.iter().map(Budget::id))
+        {
             Some("some come, go, change places, or are of another kind")
         } else {
             None
@@ -110,7 +136,9 @@
         }
         let looked = now();
         for (nth, index) in indices.iter().enumerate() {
-            let Some(index) = index.map(usize::from) else { continue };
+            let Some(index) = index.map(usize::from) else {
+                continue;
+            };
             if let Err(wait) = self.budgets.acquire(index, looked) {
                 let taken = indices[..nth].iter().flatten();
                 taken.for_each(|index| self.release_one(usize::from(*index), false));
@@ -124,7 +152,11 @@
 
     /// The budget of retries to the pool at this index.
     pub fn retries(&self, pool: u16) -> Option<u16> {
-        self.indices.retries.get(usize::from(pool)).copied().flatten()
+        self.indices
+            .retries
+            .get(usize::from(pool))
+            .copied()
+            .flatten()
     }
 
     /// Acquires one retry; false if there is none left.
@@ -155,7 +187,11 @@
 
     pub fn release(&mut self, permit: Permit, came: Use, now: Tenths) {
         for index in permit.0.into_iter().flatten() {
-            let held = self.budgets.list().nth(usize::from(index)).map_or(0, Budget::max_hold);
+            let held = self
+                .budgets
+                .list()
+                .nth(usize::from(index))
+                .map_or(0, Budget::max_hold);
             if came == Use::MayGoOn && held > 0 {
                 self.lingering.push(Reverse((now + held, index)));
             } else {
@@ -166,8 +202,11 @@
 
     /// Releases what abandoned runs held, once their maximum hold time is over.
     pub fn free(&mut self, now: Tenths) {
-        while let Some(Reverse((_, index))) =
-            self.lingering.peek().copied().filter(|Reverse((till, _))| *till <= now)
+        while let Some(Reverse((_, index))) = self
+            .lingering
+            .peek()
+            .copied()
+            .filter(|Reverse((till, _))| *till <= now)
         {
             self.lingering.pop();
             self.release_one(usize::from(index), true);
@@ -178,8 +217,11 @@
         let count = self.used.len();
         let indices = usize::from(from).min(count)..(usize::from(from) + BUDGET_PAGE).min(count);
         let more = indices.end < count;
-        let kinds: Vec<_> =
-            self.budgets.list().map(|budget| (budget.name.clone(), budget.kind, budget.limit)).collect();
+        let kinds: Vec<_> = self
+            .budgets
+            .list()
+            .map(|budget| (budget.name.clone(), budget.kind, budget.limit))
+            .collect();
         let budgets = indices.map(|index| {
             let (status, (name, kind, limit)) = (self.budgets.status(index, now), &kinds[index]);
             BudgetStatus {
@@ -196,13 +238,21 @@
             }
         });
         let budgets = budgets.collect();
-        BudgetPage { nonce, leader: self.budgets.leader().map(|who| who.name.clone()), budgets, more }
+        BudgetPage {
+            nonce,
+            leader: self.budgets.leader().map(|who| who.name.clone()),
+            budgets,
+            more,
+        }
     }
 
     /// Logs a change. An allocation is logged only after a change of over an eighth: it follows the load, and
     /// the log is bounded.
     pub fn log(&mut self, log: &Logger, change: &Change) {
-        if let Change::Allocation { index, allocation, .. } = change {
+        if let Change::Allocation {
+            index, allocation, ..
+        } = change
+        {
             let logged = &mut self.logged[*index];
             if allocation.abs_diff(*logged) <= (*logged).max(*allocation) / 8 {
                 return;
@@ -210,7 +260,12 @@
             *logged = *allocation;
         }
         let word = change.word();
-        let name = |index: usize| self.budgets.list().nth(index).map_or("", |budget| &budget.name);
+        let name = |index: usize| {
+            self.budgets
+                .list()
+                .nth(index)
+                .map_or("", |budget| &budget.name)
+        };
         match change {
             Change::Elected { grants_after } => {
                 info!(log, "budget"; "what" => word, "grants_after_ms" => grants_after / MS);
@@ -218,7 +273,12 @@
             Change::SteppedDown => info!(log, "budget"; "what" => word),
             Change::Leader(who) => info!(log, "budget"; "what" => word, "of" => &*who.name),
             Change::LeaderSilent(who) => warn!(log, "budget"; "what" => word, "of" => &*who.name),
-            Change::Allocation { index, was, allocation, lasts } => {
+            Change::Allocation {
+                index,
+                was,
+                allocation,
+                lasts,
+            } => {
                 info!(log, "budget"; "what" => word, "budget" => name(*index), "was" => was,
                     "allocation" => allocation, "lasts_ms" => lasts / MS);
             }
--- a/node/src/peers/link.rs
+++ b/node/src/peers/link.rs
@@ -38,7 +38,11 @@
 /// The link's time since `zero`, in tenths of a ms; a test may make it drift, by millionths.
 fn now(zero: Instant, drift_ppm: i32) -> Tenths {
     let micros = zero.elapsed().as_micros() as i64;
-    let gained = if drift_ppm == 0 { 0 } else { micros / 1_000 * i64::from(drift_ppm) / 1_000 };
+    let gained = if drift_ppm == 0 {
+        0
+    } else {
+        micros / 1_000 * i64::from(drift_ppm) / 1_000
+    };
     ((micros + gained) / 100) as Tenths
 }
 
@@ -94,7 +98,10 @@
             file,
             installation,
             orders,
-            NodeId { name: me.name.clone(), incarnation: me.incarnation },
+            NodeId {
+                name: me.name.clone(),
+                incarnation: me.incarnation,
+            },
         );
         let budgets = budgets.map(|budgets| Rc::new(RefCell::new(budgets)));
         let mut peers = Peers {
@@ -143,8 +150,14 @@
         match self.socket.receive() {
             Received::Empty => return false,
             Received::Nothing => {}
-            Received::Datagram { from, opened: Ok(spoken) } => self.handle(from, spoken),
-            Received::Datagram { from, opened: Err(refused) } => self.refuse(refused, from),
+            Received::Datagram {
+                from,
+                opened: Ok(spoken),
+            } => self.handle(from, spoken),
+            Received::Datagram {
+                from,
+                opened: Err(refused),
+            } => self.refuse(refused, from),
         }
         true
     }
@@ -152,7 +165,11 @@
     fn handle(&mut self, from: SocketAddr, spoken: Spoken) {
         match spoken {
             Spoken::Fleet(datagram) => {
-                self.fleet.handle(self.now(), Event::Received { from, datagram }, &mut self.actions);
+                self.fleet.handle(
+                    self.now(),
+                    Event::Received { from, datagram },
+                    &mut self.actions,
+                );
                 self.carry_out();
             }
             Spoken::Ask(ask) => self.answer_status(ask, from),
@@ -161,7 +178,9 @@
                 self.tell_budgets(Some(doortrack_budgets::Event::Received(envelope)));
             }
             Spoken::Budgets(_) => *self.socket.counts.refused.entry("no_member").or_default() += 1,
-            Spoken::AskBudgets { nonce, from: index } => self.answer_budget_status(nonce, index, from),
+            Spoken::AskBudgets { nonce, from: index } => {
+                self.answer_budget_status(nonce, index, from)
+            }
             Spoken::Status(_) | Spoken::BudgetStatus(_) => {}
         }
     }
@@ -211,7 +230,11 @@
         if let Some(budgets) = &self.budgets {
             budgets.borrow_mut().free(now);
         }
-        if self.budgets.as_ref().is_some_and(|budgets| now >= budgets.borrow().budgets.next_due()) {
+        if self
+            .budgets
+            .as_ref()
+            .is_some_and(|budgets| now >= budgets.borrow().budgets.next_due())
+        {
             self.tell_budgets(Some(doortrack_budgets::Event::Tick));
         }
     }
@@ -257,8 +280,10 @@
     }
 
     fn wait(&self) -> Tenths {
-        let budgets =
-            self.budgets.as_ref().map_or(Tenths::MAX, |budgets| budgets.borrow().budgets.next_due());
+        let budgets = self
+            .budgets
+            .as_ref()
+            .map_or(Tenths::MAX, |budgets| budgets.borrow().budgets.next_due());
         match self.fleet.next_due().min(budgets) {
             Tenths::MAX => Tenths::MAX,
             due => due.saturating_sub(self.now()),
@@ -267,7 +292,8 @@
 
     fn leave(&mut self) {
         self.tell_budgets(Some(doortrack_budgets::Event::Leave));
-        self.fleet.handle(self.now(), Event::Leave, &mut self.actions);
+        self.fleet
+            .handle(self.now(), Event::Leave, &mut self.actions);
         self.carry_out();
     }
 
@@ -276,7 +302,13 @@
             return warn!(self.log, "fleet needs a start"; "why" => "it can't be left under way");
         };
         let kept = |file: &FleetFile| {
-            (file.name.clone(), file.listen, file.advertise, file.key_file.clone(), file.weight)
+            (
+                file.name.clone(),
+                file.listen,
+                file.advertise,
+                file.key_file.clone(),
+                file.weight,
+            )
         };
         if kept(&file) != kept(&self.file) {
             warn!(self.log, "fleet needs a start"; "why" => "its name, addresses, key or weight changed");
@@ -294,7 +326,9 @@
             None => Some("there were none".to_string()),
             Some(budgets) => {
                 let mut budgets = budgets.borrow_mut();
-                let why = budgets.needs_a_start(&file, &change.budgets).map(str::to_string);
+                let why = budgets
+                    .needs_a_start(&file, &change.budgets)
+                    .map(str::to_string);
                 if why.is_none() {
                     budgets.change(now, change);
                 }
@@ -306,7 +340,8 @@
             None => self.carry_out_budget_actions(),
         }
         let parameters = Box::new(self.file.fleet_parameters());
-        self.fleet.handle(self.now(), Event::Changed { parameters }, &mut self.actions);
+        self.fleet
+            .handle(self.now(), Event::Changed { parameters }, &mut self.actions);
         self.carry_out();
     }
 
--- a/node/src/peers/link/budget_actions.rs
+++ b/node/src/peers/link/budget_actions.rs
@@ -18,11 +18,17 @@
 
     /// Whether this incarnation of a node is a member in this node's view.
     pub(super) fn is_member(&self, id: &NodeId) -> bool {
-        self.fleet.view().members.get(&id.name).is_some_and(|member| member.incarnation == id.incarnation)
+        self.fleet
+            .view()
+            .members
+            .get(&id.name)
+            .is_some_and(|member| member.incarnation == id.incarnation)
     }
 
     pub(super) fn carry_out_budget_actions(&mut self) {
-        let Some(budgets) = self.budgets.clone() else { return };
+        let Some(budgets) = self.budgets.clone() else {
+            return;
+        };
         let actions = std::mem::take(&mut budgets.borrow_mut().actions);
         for action in actions {
             match action {
--- a/node/src/peers/link/logging.rs
+++ b/node/src/peers/link/logging.rs
@@ -19,7 +19,10 @@
         let name = refused.name();
         *self.socket.counts.refused.entry(name).or_default() += 1;
         let now = self.now();
-        let due = self.told_at.get(name).is_none_or(|at| now >= at + REFUSAL_LOG_INTERVAL);
+        let due = self
+            .told_at
+            .get(name)
+            .is_none_or(|at| now >= at + REFUSAL_LOG_INTERVAL);
         if due {
             self.told_at.insert(name, now);
             warn!(self.log, "unknown peer on the fleet's link"; "from" => %from, "why" => %refused);
@@ -39,12 +42,17 @@
             None if needs_attention(change) => {
                 warn!(self.log, "member"; "what" => word, "why" => ?change, "view" => view.number);
             }
-            None => info!(self.log, "member"; "what" => word, "why" => ?change, "view" => view.number),
+            None => {
+                info!(self.log, "member"; "what" => word, "why" => ?change, "view" => view.number)
+            }
         }
     }
 }
 
 /// Whether a change of this node's own standing calls for an operator.
 fn needs_attention(change: &Change) -> bool {
-    matches!(change, Change::Superseded { .. } | Change::DuplicateName { .. } | Change::Isolated(true))
+    matches!(
+        change,
+        Change::Superseded { .. } | Change::DuplicateName { .. } | Change::Isolated(true)
+    )
 }
--- a/node/src/peers/link/socket.rs
+++ b/node/src/peers/link/socket.rs
@@ -68,14 +68,25 @@
     ///
     /// # Errors
     /// The address can't be bound, or the poller refuses the socket.
-    pub(super) fn bind(address: SocketAddr, registration: Registration, seal: Seal) -> io::Result<Self> {
+    pub(super) fn bind(
+        address: SocketAddr,
+        registration: Registration,
+        seal: Seal,
+    ) -> io::Result<Self> {
         let socket = once_free(|| UdpSocket::bind(address))?;
         socket.set_nonblocking(true)?;
         let Registration { poller, key } = registration;
         // SAFETY: the socket is taken out of the poller when it is dropped.
         unsafe { poller.add_with_mode(&socket, Event::readable(key), PollMode::Level)? };
         let counts = Counts::default();
-        Ok(SealedSocket { socket, poller: poller.clone(), key, seal, tap: None, counts })
+        Ok(SealedSocket {
+            socket,
+            poller: poller.clone(),
+            key,
+            seal,
+            tap: None,
+            counts,
+        })
     }
 
     /// Reads and opens one datagram.
@@ -92,7 +103,11 @@
         }
         self.counts.received += 1;
         self.counts.received_bytes += len as u64;
-        let opened = if len > LONGEST { Err(Refused::Unreadable) } else { self.seal.open(&bytes[..len]) };
+        let opened = if len > LONGEST {
+            Err(Refused::Unreadable)
+        } else {
+            self.seal.open(&bytes[..len])
+        };
         Received::Datagram { from, opened }
     }
 
--- a/node/src/peers/link/status.rs
+++ b/node/src/peers/link/status.rs
@@ -31,7 +31,12 @@
         let now = self.now();
         let page = match &self.budgets {
             Some(budgets) => budgets.borrow_mut().page(nonce, from_index, now),
-            None => BudgetPage { nonce, leader: None, budgets: Vec::new(), more: false },
+            None => BudgetPage {
+                nonce,
+                leader: None,
+                budgets: Vec::new(),
+                more: false,
+            },
         };
         self.send(to, &Spoken::BudgetStatus(Box::new(page)));
     }
--- a/node/src/peers/seal.rs
+++ b/node/src/peers/seal.rs
@@ -51,7 +51,9 @@
 impl fmt::Display for Refused {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::Version(version) => write!(f, "speaks version {version}, this build {VERSION}"),
+            Refused::Version(version) => {
+                write!(f, "speaks version {version}, this build {VERSION}")
+            }
             Refused::Hash => f.write_str("garbled, or sealed with another key"),
             Refused::Fleet => f.write_str("of another fleet"),
             Refused::Unreadable => f.write_str("no message"),
@@ -71,8 +73,14 @@
 impl Seal {
     /// The seal of the fleet `name`; an empty name for status queries.
     pub fn new(key: Option<[u8; 32]>, name: &str) -> Seal {
-        let key = blake3::derive_key("doortrack 2026-12 fleet datagrams", &key.unwrap_or_default());
-        Seal { key, fleet: name.to_string() }
+        let key = blake3::derive_key(
+            "doortrack 2026-12 fleet datagrams",
+            &key.unwrap_or_default(),
+        );
+        Seal {
+            key,
+            fleet: name.to_string(),
+        }
     }
 
     fn hash(&self, version: u8, body: &[u8]) -> [u8; HASH] {
@@ -85,7 +93,11 @@
 
     /// Encodes and seals a message; `None` if the datagram would be longer than [`LONGEST`].
     pub fn close(&self, what: &Spoken) -> Option<Vec<u8>> {
-        let body = postcard::to_allocvec(&Body { fleet: &self.fleet, what }).ok()?;
+        let body = postcard::to_allocvec(&Body {
+            fleet: &self.fleet,
+            what,
+        })
+        .ok()?;
         let mut datagram = Vec::with_capacity(1 + HASH + body.len());
         datagram.push(VERSION);
         datagram.extend(self.hash(VERSION, &body));
@@ -104,15 +116,23 @@
         }
         let (hash, body) = rest.split_at_checked(HASH).ok_or(Refused::Unreadable)?;
         // Compared in constant time.
-        let wrong = hash.iter().zip(self.hash(*version, body)).fold(0, |wrong, (a, b)| wrong | (a ^ b));
+        let wrong = hash
+            .iter()
+            .zip(self.hash(*version, body))
+            .fold(0, |wrong, (a, b)| wrong | (a ^ b));
         if wrong != 0 {
             return Err(Refused::Hash);
         }
         // Fields that a later build of this version adds at the end are ignored.
-        let (body, _) = postcard::take_from_bytes::<Body<Spoken>>(body).map_err(|_| Refused::Unreadable)?;
-        let is_query =
-            body.fleet.is_empty() && matches!(body.what, Spoken::Ask(_) | Spoken::AskBudgets { .. });
+        let (body, _) =
+            postcard::take_from_bytes::<Body<Spoken>>(body).map_err(|_| Refused::Unreadable)?;
+        let is_query = body.fleet.is_empty()
+            && matches!(body.what, Spoken::Ask(_) | Spoken::AskBudgets { .. });
         let sent_query = self.fleet.is_empty();
-        if body.fleet == self.fleet || is_query || sent_query { Ok(body.what) } else { Err(Refused::Fleet) }
+        if body.fleet == self.fleet || is_query || sent_query {
+            Ok(body.what)
+        } else {
+            Err(Refused::Fleet)
+        }
     }
 }
--- a/node/src/serve.rs
+++ b/node/src/serve.rs
@@ -121,14 +121,18 @@
             }
             // Ends first: what they free is there for what has come.
             work_events.drain(..).for_each(|what| self.work_event(what));
-            front_events.drain(..).for_each(|what| self.front_event(what));
+            front_events
+                .drain(..)
+                .for_each(|what| self.front_event(what));
             self.take_reading();
             self.decide();
             if self.closes_now() {
                 // What is answered by now makes room for who still waits.
                 self.send(&mut front_events, &mut work_events);
                 self.fronts.last_reading(self.now, &mut front_events);
-                front_events.drain(..).for_each(|what| self.front_event(what));
+                front_events
+                    .drain(..)
+                    .for_each(|what| self.front_event(what));
                 self.decide();
             }
             self.parts.iter_mut().for_each(|part| part.turn());
@@ -156,8 +160,13 @@
     ) -> Result<(), Fault> {
         events.clear();
         let wait = due.saturating_sub(self.now);
-        match self.poller.wait(events, Some(Duration::from_micros(wait * 100))) {
-            Err(e) if e.kind() != std::io::ErrorKind::Interrupted => return Err(format!("poller: {e}")),
+        match self
+            .poller
+            .wait(events, Some(Duration::from_micros(wait * 100)))
+        {
+            Err(e) if e.kind() != std::io::ErrorKind::Interrupted => {
+                return Err(format!("poller: {e}"));
+            }
             _ => self.now = self.clock.now(),
         }
         let mut reload = false;
@@ -169,11 +178,16 @@
                 // Last, as what else is ready was read off the links that are to be left.
                 RELOAD_KEY => reload = true,
                 key if PART_KEYS.contains(&key) => {
-                    self.parts.iter_mut().filter(|part| part.key() == key).for_each(|part| part.ready());
+                    self.parts
+                        .iter_mut()
+                        .filter(|part| part.key() == key)
+                        .for_each(|part| part.ready());
                 }
                 key if self.work.has(key) => self.work.ready(event, self.now, work_events),
                 LISTEN_KEY..FIRST_KEY => {
-                    _ = self.fronts.accept(event.key - LISTEN_KEY, self.now, front_events)
+                    _ = self
+                        .fronts
+                        .accept(event.key - LISTEN_KEY, self.now, front_events)
                 }
                 _ => self.fronts.ready(event, self.now, front_events),
             }
@@ -196,21 +210,43 @@
                 return;
             }
             work_events.drain(..).for_each(|what| self.work_event(what));
-            front_events.drain(..).for_each(|what| self.front_event(what));
+            front_events
+                .drain(..)
+                .for_each(|what| self.front_event(what));
             self.decide();
         }
     }
 
     /// When the next turn is due at the latest; never before this one, as what is overdue is due now.
     fn next_due(&self) -> Tenths {
-        let alarm = self.alarms.peek().map_or(Tenths::MAX, |Reverse((at, _))| *at);
+        let alarm = self
+            .alarms
+            .peek()
+            .map_or(Tenths::MAX, |Reverse((at, _))| *at);
         let alarm = self.reading.map_or(alarm, |(_, till)| till);
         let work = self.work.next_due();
         let stop = self.stop_at.unwrap_or(Tenths::MAX);
-        let stop = if self.closing { stop } else { stop.saturating_sub(FLUSH) };
-        let sweep = if self.fronts.to_sweep() { self.sweep_at } else { Tenths::MAX };
-        let parts = self.parts.iter().map(|part| self.now.saturating_add(part.wait())).min();
-        let own = alarm.min(work).min(stop).min(sweep).min(self.registry.next).min(self.summary_at);
+        let stop = if self.closing {
+            stop
+        } else {
+            stop.saturating_sub(FLUSH)
+        };
+        let sweep = if self.fronts.to_sweep() {
+            self.sweep_at
+        } else {
+            Tenths::MAX
+        };
+        let parts = self
+            .parts
+            .iter()
+            .map(|part| self.now.saturating_add(part.wait()))
+            .min();
+        let own = alarm
+            .min(work)
+            .min(stop)
+            .min(sweep)
+            .min(self.registry.next)
+            .min(self.summary_at);
         own.min(parts.unwrap_or(Tenths::MAX)).max(self.now)
     }
 
@@ -234,17 +270,29 @@
     fn carry_out(&mut self, what: Action) {
         match what {
             Action::Run { id } => self.run(id),
-            Action::Reject { id, not_elsewhere, retry_after } => {
-                self.final_answer(id, Answer::Rejected { not_elsewhere, retry_after })
-            }
+            Action::Reject {
+                id,
+                not_elsewhere,
+                retry_after,
+            } => self.final_answer(
+                id,
+                Answer::Rejected {
+                    not_elsewhere,
+                    retry_after,
+                },
+            ),
             Action::Fail { id } => self.final_answer(id, Answer::Failed),
             Action::Stop { id } => match self.exs.get(id) {
-                Some(Ex { stage: Stage::Running { sent: None }, .. }) => {
-                    self.ended(id, End::Unsent, Made::default())
-                }
+                Some(Ex {
+                    stage: Stage::Running { sent: None },
+                    ..
+                }) => self.ended(id, End::Unsent, Made::default()),
                 // Asked for again, so it was answered some time ago: to a RUN the engine now says that it
                 // runs, or that nothing is begun for a request that is over.
-                Some(Ex { stage: Stage::InDoubt { stopped: true }, .. }) if self.work.is_up() => self.run(id),
+                Some(Ex {
+                    stage: Stage::InDoubt { stopped: true },
+                    ..
+                }) if self.work.is_up() => self.run(id),
                 Some(ex) if ex.stage.may_run() => {
                     self.work.stop(id, ex, self.now);
                     if let Stage::InDoubt { stopped } = &mut ex.stage {
@@ -254,8 +302,10 @@
                 _ => {}
             },
             Action::Record { id, lasting } => {
-                if let Some((ex, key)) = self.exs.get(id).and_then(|ex| ex.key.map(|key| (ex, key))) {
-                    self.results.record(id, key, &ex.body, ex.stamp, lasting, self.now);
+                if let Some((ex, key)) = self.exs.get(id).and_then(|ex| ex.key.map(|key| (ex, key)))
+                {
+                    self.results
+                        .record(id, key, &ex.body, ex.stamp, lasting, self.now);
                 }
             }
             Action::Forget { id } => {
@@ -269,7 +319,8 @@
             Action::Health { good, .. } => {
                 self.fronts.good = good;
                 let follows = self.orders.handed.list_follows_health;
-                self.registry.tell(self.stop_at.is_some() || (follows && !good));
+                self.registry
+                    .tell(self.stop_at.is_some() || (follows && !good));
                 info!(self.log, "health"; "good" => good);
             }
             Action::Level { level } => self.fronts.level = Some(level),
@@ -287,13 +338,18 @@
         let group = ex.group as usize;
         let repeatable = self.orders.handed.contract.groups[group].effect == Effect::Repeatable;
         // Its reservation is used up by the run itself, at once.
-        self.work.release(ex.pool, std::mem::take(&mut ex.hold.admission));
-        let sent = self.work.run(id, ex, &self.groups[group], repeatable, self.now);
+        self.work
+            .release(ex.pool, std::mem::take(&mut ex.hold.admission));
+        let sent = self
+            .work
+            .run(id, ex, &self.groups[group], repeatable, self.now);
         ex.stage = Stage::Running { sent };
     }
 
     fn final_answer(&mut self, id: ExId, answer: Answer) {
-        let Some(caller) = self.exs.get(id).and_then(|ex| ex.caller.take()) else { return };
+        let Some(caller) = self.exs.get(id).and_then(|ex| ex.caller.take()) else {
+            return;
+        };
         self.fronts.answer(caller, answer);
         self.drop_if_queued(id);
     }
--- a/node/src/serve/build.rs
+++ b/node/src/serve/build.rs
@@ -36,7 +36,10 @@
 
 impl From<Faults> for Rejected {
     fn from(faults: Faults) -> Rejected {
-        Rejected { faults, needs_start: Vec::new() }
+        Rejected {
+            faults,
+            needs_start: Vec::new(),
+        }
     }
 }
 
@@ -77,12 +80,24 @@
         };
         let plan = plan(&self.sources.started, &running.installation, platform, read)?;
         let handed = &self.sources.started.orders.handed;
-        let built = match plan.installation.table_from(running.table.as_deref(), handed) {
+        let built = match plan
+            .installation
+            .table_from(running.table.as_deref(), handed)
+        {
             Ok(built) => built,
-            Err(faults) => return Err(Rejected { faults, needs_start: plan.needs_start }),
+            Err(faults) => {
+                return Err(Rejected {
+                    faults,
+                    needs_start: plan.needs_start,
+                });
+            }
         };
         let rules = built.map(|built| RuleTable::new(built, &plan.installation, handed));
-        Ok(Candidate { plan, rules, took: begun.elapsed() })
+        Ok(Candidate {
+            plan,
+            rules,
+            took: begun.elapsed(),
+        })
     }
 
     /// The platform's configuration; the same bytes as before are not parsed again.
@@ -92,7 +107,10 @@
         let source = orders::digest(&bytes);
         if source != self.last_read.0 {
             let read = orders::parse_file(&path, &bytes)?;
-            self.last_read = (source, PlatformRead::new(&self.sources.started.orders, &read));
+            self.last_read = (
+                source,
+                PlatformRead::new(&self.sources.started.orders, &read),
+            );
         }
         Ok(self.last_read.1)
     }
--- a/node/src/serve/builds.rs
+++ b/node/src/serve/builds.rs
@@ -47,10 +47,18 @@
 impl Reloader {
     pub(super) fn new(sources: Sources, poller: Arc<Poller>) -> Reloader {
         let place = match sources.file {
-            Some(_) => Place::Beside { sources, worker: None },
+            Some(_) => Place::Beside {
+                sources,
+                worker: None,
+            },
             None => Place::InPlace(Box::new(Builder::new(sources))),
         };
-        Reloader { builds: Builds::default(), place, ready: None, poller }
+        Reloader {
+            builds: Builds::default(),
+            place,
+            ready: None,
+            poller,
+        }
     }
 
     /// A notice that the files changed came; whether [`Reloader::begin`] is to be called.
@@ -85,7 +93,9 @@
     }
 
     fn received(&mut self) -> Option<Built> {
-        let Place::Beside { worker, .. } = &mut self.place else { return None };
+        let Place::Beside { worker, .. } = &mut self.place else {
+            return None;
+        };
         match worker.as_ref()?.built.try_recv() {
             Ok(built) => Some(built),
             Err(TryRecvError::Empty) => None,
@@ -99,7 +109,11 @@
 
     /// Has something dropped beside the loop.
     pub(super) fn retire(&self, retired: Retired) {
-        if let Place::Beside { worker: Some(worker), .. } = &self.place {
+        if let Place::Beside {
+            worker: Some(worker),
+            ..
+        } = &self.place
+        {
             // Where the thread has ended it is dropped here.
             _ = worker.jobs.send(Job::Drop(retired));
         }
@@ -120,7 +134,10 @@
     ) -> io::Result<()> {
         let thread = match worker {
             Some(thread) => thread,
-            None => worker.insert(Worker::start(Builder::new(sources.clone()), Arc::clone(poller))?),
+            None => worker.insert(Worker::start(
+                Builder::new(sources.clone()),
+                Arc::clone(poller),
+            )?),
         };
         // One that has ended meanwhile is told of where its result is waited for.
         _ = thread.jobs.send(Job::Build(running));
--- a/node/src/serve/events.rs
+++ b/node/src/serve/events.rs
@@ -18,9 +18,12 @@
 impl Node {
     pub(super) fn front_event(&mut self, what: FrontEvent) {
         match what {
-            FrontEvent::Exchange { caller, request, block, body } => {
-                self.arrived(caller, request, block, body)
-            }
+            FrontEvent::Exchange {
+                caller,
+                request,
+                block,
+                body,
+            } => self.arrived(caller, request, block, body),
             FrontEvent::Ended { ex, end } => self.ended(ex, end, Made::default()),
         }
     }
@@ -38,7 +41,10 @@
             self.decide();
             self.batch_keys.extend(key);
         }
-        let repeats = match key.map(|key| self.first_try(&key, &body, request.stamp)).transpose() {
+        let repeats = match key
+            .map(|key| self.first_try(&key, &body, request.stamp))
+            .transpose()
+        {
             Ok(first) => first.flatten(),
             Err(answer) => return self.fronts.answer(caller, answer),
         };
@@ -46,7 +52,11 @@
         let block = Some(block).filter(|_| self.work.wants_variables());
         let pool = request.pool.map_or(0, |place| place + 1);
         // A repeat takes the outcome of the first: it uses nothing more.
-        let asked = Asked { group, customer: request.customer, pool };
+        let asked = Asked {
+            group,
+            customer: request.customer,
+            pool,
+        };
         let (hold, held_back) = match repeats {
             None => self.admit(asked),
             Some(_) => Default::default(),
@@ -78,7 +88,9 @@
             group: request.group,
             customer: request.customer,
             subject: request.subject,
-            due: request.wait.map(|wait| request.stamp + wait.min(self.deadline_of(request.group))),
+            due: request
+                .wait
+                .map(|wait| request.stamp + wait.min(self.deadline_of(request.group))),
             work_hint: None,
             kb: request.kb,
             rank: request.rank,
@@ -95,12 +107,19 @@
     /// # Errors
     /// The answer to one that can't be taken: only what has no entry, as a repeat of one that has run is
     /// never refused.
-    fn first_try(&mut self, key: &Key, body: &[u8], stamp: Tenths) -> Result<Option<ExId>, Answer<'static>> {
+    fn first_try(
+        &mut self,
+        key: &Key,
+        body: &[u8],
+        stamp: Tenths,
+    ) -> Result<Option<ExId>, Answer<'static>> {
         match self.results.repeats(key, body, stamp.min(self.now)) {
             Repeats::Nothing => Ok(None),
             Repeats::Of(first) => Ok(Some(first)),
             Repeats::NoRoom => Err(Answer::NoRoom),
-            Repeats::Misused => Err(Answer::Unreadable(Unreadable::Field("HTTP_IDEMPOTENCY_KEY"))),
+            Repeats::Misused => Err(Answer::Unreadable(Unreadable::Field(
+                "HTTP_IDEMPOTENCY_KEY",
+            ))),
         }
     }
 
@@ -110,7 +129,10 @@
             Ok(admission) => admission,
             Err(wait) => return (Hold::default(), Some(wait)),
         };
-        let mut hold = Hold { permit: Permit::default(), admission };
+        let mut hold = Hold {
+            permit: Permit::default(),
+            admission,
+        };
         for part in &mut self.parts {
             match part.admit(asked) {
                 // One part at the most has budgets.
@@ -133,7 +155,9 @@
 
     pub(super) fn give_back(&mut self, permit: Permit, came: Use) {
         if permit != Permit::default() {
-            self.parts.iter_mut().for_each(|part| part.release(permit, came));
+            self.parts
+                .iter_mut()
+                .for_each(|part| part.release(permit, came));
         }
     }
 
@@ -142,13 +166,17 @@
         match end.outcome() {
             Outcome::StillOwed => {}
             Outcome::CallerGone => {
-                let Some(ex) = self.exs.get(id).filter(|ex| ex.caller.is_some()) else { return };
+                let Some(ex) = self.exs.get(id).filter(|ex| ex.caller.is_some()) else {
+                    return;
+                };
                 ex.caller = None;
                 self.batch.push(Event::CallerGone { id });
                 self.drop_if_queued(id);
             }
             Outcome::RunEnded(outcome) => {
-                let Some(ex) = self.exs.remove(id) else { return };
+                let Some(ex) = self.exs.remove(id) else {
+                    return;
+                };
                 self.work.release(ex.pool, ex.hold.admission);
                 self.give_back(
                     ex.hold.permit,
@@ -164,7 +192,9 @@
                 }
                 match outcome {
                     RunOutcome::Completed => self.results.ended(id, Ok(made)),
-                    RunOutcome::Failed | RunOutcome::Stopped => self.results.ended(id, Err(NoResult)),
+                    RunOutcome::Failed | RunOutcome::Stopped => {
+                        self.results.ended(id, Err(NoResult))
+                    }
                     RunOutcome::Moot => self.results.forget(id),
                 }
                 self.settle(id);
@@ -178,7 +208,8 @@
     }
 
     fn finish(&mut self, caller: Caller, made: Option<Made>) {
-        self.fronts.answer(caller, made.map_or(Answer::Failed, Answer::Completed));
+        self.fronts
+            .answer(caller, made.map_or(Answer::Failed, Answer::Completed));
     }
 
     /// Answers those that wait for what this one brought.
@@ -195,14 +226,26 @@
             Found::Result(made) => (made.headers.to_vec(), made.body.to_vec()),
             Found::None => return self.ended(id, End::Run(RunOutcome::Failed), Made::default()),
         };
-        self.ended(id, End::Run(RunOutcome::Completed), Made { headers: &headers, body: &body });
+        self.ended(
+            id,
+            End::Run(RunOutcome::Completed),
+            Made {
+                headers: &headers,
+                body: &body,
+            },
+        );
     }
 
     pub(super) fn work_event(&mut self, what: WorkEvent) {
         match what {
             WorkEvent::Hello { cold, age } => self.open_door(cold, age),
             WorkEvent::CaughtUp { proven } => self.caught_up(proven),
-            WorkEvent::Notice(Notice::Done { try_id, outcome, result, .. }) => {
+            WorkEvent::Notice(Notice::Done {
+                try_id,
+                outcome,
+                result,
+                ..
+            }) => {
                 if let Some(id) = self.exs.of_try(&try_id) {
                     self.ended(id, End::Run(outcome), Made::from(&result[..]));
                 }
@@ -210,17 +253,36 @@
             WorkEvent::Notice(Notice::Not { command, try_id }) => {
                 warn!(self.log, "engine would not"; "command" => &command);
                 let id = try_id.and_then(|try_id| self.exs.of_try(&try_id));
-                let end = if command == "RUN" { End::RunRefused } else { End::StopRefused };
-                id.into_iter().for_each(|id| self.ended(id, end, Made::default()));
+                let end = if command == "RUN" {
+                    End::RunRefused
+                } else {
+                    End::StopRefused
+                };
+                id.into_iter()
+                    .for_each(|id| self.ended(id, end, Made::default()));
             }
-            WorkEvent::Notice(Notice::Stats { cookie, values }) => self.gauges_read(cookie, &values),
-            WorkEvent::Notice(_) => {}
-            WorkEvent::RunEnded { id, end, headers, body } => {
-                self.ended(id, end, Made { headers: &headers, body: &body })
+            WorkEvent::Notice(Notice::Stats { cookie, values }) => {
+                self.gauges_read(cookie, &values)
             }
+            WorkEvent::Notice(_) => {}
+            WorkEvent::RunEnded {
+                id,
+                end,
+                headers,
+                body,
+            } => self.ended(
+                id,
+                end,
+                Made {
+                    headers: &headers,
+                    body: &body,
+                },
+            ),
             WorkEvent::Ended(end) => {
                 let running: Vec<ExId> = self.exs.running().map(|(id, _)| id).collect();
-                running.into_iter().for_each(|id| self.ended(id, end, Made::default()));
+                running
+                    .into_iter()
+                    .for_each(|id| self.ended(id, end, Made::default()));
             }
         }
     }
@@ -235,7 +297,10 @@
         lost.sort_unstable();
         for id in lost {
             let Some(ex) = self.exs.get(id) else { continue };
-            let (surely_not_run, waits) = (ex.stage == Stage::Running { sent: None }, ex.caller.is_some());
+            let (surely_not_run, waits) = (
+                ex.stage == Stage::Running { sent: None },
+                ex.caller.is_some(),
+            );
             let contract = &self.orders.handed.contract;
             let repeatable = contract.groups[usize::from(ex.group)].effect == Effect::Repeatable;
             if surely_not_run && !waits {
@@ -263,14 +328,21 @@
         };
         self.read_at = self.now;
         if let Some((wanted, till)) = self.reading.filter(|(wanted, _)| *wanted <= cookie) {
-            self.slowest.reading = self.slowest.reading.max((self.now + READING).saturating_sub(till));
+            self.slowest.reading = self
+                .slowest
+                .reading
+                .max((self.now + READING).saturating_sub(till));
             self.reading = Some((wanted, self.now));
         }
     }
 
     /// Alarms carry a reading of the gauges, fresh where the engine answers soon enough.
     pub(super) fn take_reading(&mut self) {
-        if self.alarms.peek().is_none_or(|Reverse((at, _))| *at > self.now) {
+        if self
+            .alarms
+            .peek()
+            .is_none_or(|Reverse((at, _))| *at > self.now)
+        {
             return;
         }
         match self.reading {
@@ -287,7 +359,11 @@
             Some(_) => self.reading = None,
         }
         let stale = self.now.saturating_sub(self.read_at) > STALE;
-        let gauges = if stale { Gauges::default() } else { self.gauges };
+        let gauges = if stale {
+            Gauges::default()
+        } else {
+            self.gauges
+        };
         while let Some(Reverse((at, token))) = self.alarms.peek().copied()
             && at <= self.now
         {
--- a/node/src/serve/leave.rs
+++ b/node/src/serve/leave.rs
@@ -45,7 +45,10 @@
     pub(super) fn pass_on_notice(&mut self) {
         if let Some(stop) = self.stop_at {
             let age = self.now.saturating_sub(self.noticed);
-            self.batch.push(Event::Drain { age, stop_at: stop.saturating_sub(FLUSH) });
+            self.batch.push(Event::Drain {
+                age,
+                stop_at: stop.saturating_sub(FLUSH),
+            });
         }
     }
 
--- a/node/src/serve/reload.rs
+++ b/node/src/serve/reload.rs
@@ -31,8 +31,15 @@
 
     fn begin_build(&mut self) {
         debug!(self.log, "configuration being read");
-        let table = self.fronts.rules.as_ref().map(|rules| Arc::clone(rules.table()));
-        self.reloader.begin(Running { installation: Arc::clone(&self.installation), table });
+        let table = self
+            .fronts
+            .rules
+            .as_ref()
+            .map(|rules| Arc::clone(rules.table()));
+        self.reloader.begin(Running {
+            installation: Arc::clone(&self.installation),
+            table,
+        });
     }
 
     /// Brings into force what was built meanwhile, if anything was. A configuration that can't be served
@@ -89,10 +96,17 @@
     fn check_keys(&self, new: &KeyMeanings) -> Result<(), Faults> {
         let mut faults = Vec::new();
         for place in self.keys.changed(new) {
-            let Some(last) = self.results.last_of(place as u8) else { continue };
+            let Some(last) = self.results.last_of(place as u8) else {
+                continue;
+            };
             let wait = last.map_or_else(
                 || "one of them is in hand".to_string(),
-                |till| format!("in {} ms none is", till.saturating_sub(self.now).div_ceil(MS)),
+                |till| {
+                    format!(
+                        "in {} ms none is",
+                        till.saturating_sub(self.now).div_ceil(MS)
+                    )
+                },
             );
             let name = &self.orders.handed.group_names[place];
             let what = format!(
@@ -100,7 +114,11 @@
             );
             faults.push(Fault::new("installation.rules", what));
         }
-        if faults.is_empty() { Ok(()) } else { Err(Faults(faults)) }
+        if faults.is_empty() {
+            Ok(())
+        } else {
+            Err(Faults(faults))
+        }
     }
 
     /// Takes up all that changes, in one go, and returns what is no longer in force. What is in hand keeps
@@ -116,7 +134,9 @@
         self.change_platform(plan.platform, plan.installation.fronts.len(), work_events);
         self.change_servers(&plan.installation);
         let mut fleet = plan.fleet;
-        self.parts.iter_mut().for_each(|part| part.take_up(&mut fleet));
+        self.parts
+            .iter_mut()
+            .for_each(|part| part.take_up(&mut fleet));
         let old_rules = self.change_rules(rules);
         let old_keys = std::mem::replace(&mut self.keys, plan.keys);
         self.change_fronts(&plan.installation, front_events);
@@ -128,7 +148,12 @@
 
     /// Where engine and registry are, and the time to stop. What runs goes on, as the engine keeps runs and
     /// numbers.
-    fn change_platform(&mut self, read: PlatformRead, fronts: usize, work_events: &mut Vec<WorkEvent>) {
+    fn change_platform(
+        &mut self,
+        read: PlatformRead,
+        fronts: usize,
+        work_events: &mut Vec<WorkEvent>,
+    ) {
         let (engine, registry) = (read.platform.engine, read.platform.registry);
         info!(self.log, "configuration read again"; "engine" => %engine, "registry" => %registry,
             "fronts" => fronts, "rest_needs_a_start" => read.rest_needs_start);
@@ -170,10 +195,15 @@
             self.fronts.withdraw(front.listen, self.now, front_events);
         }
         for front in &changes.kept {
-            self.fronts.bound(front.listen, front.connections.map(|most| most as usize));
+            self.fronts
+                .bound(front.listen, front.connections.map(|most| most as usize));
         }
         self.listening = changes.kept;
-        let opened = if self.stop_at.is_none() { changes.opened } else { Vec::new() };
+        let opened = if self.stop_at.is_none() {
+            changes.opened
+        } else {
+            Vec::new()
+        };
         for front in opened {
             match self.open_front(&front) {
                 Ok(()) => self.listening.push(front),
@@ -187,7 +217,11 @@
 
     pub(super) fn open_front(&mut self, front: &Front) -> std::io::Result<()> {
         let at: SocketAddr = front.listen;
-        self.fronts.listen(at, front.protocol.into(), front.connections.map(|most| most as usize))?;
+        self.fronts.listen(
+            at,
+            front.protocol.into(),
+            front.connections.map(|most| most as usize),
+        )?;
         info!(self.log, "front opened"; "address" => %at, "protocol" => front.protocol.name());
         Ok(())
     }
--- a/node/src/serve/report.rs
+++ b/node/src/serve/report.rs
@@ -35,7 +35,11 @@
             "cpu_ms" => cpu_ms(), "descriptors" => descriptors::open());
         self.slowest = Slowest::default();
         self.parts.iter().for_each(|part| part.summary(&self.log));
-        let pools = if let Work::Servers(pools) = &self.work { &pools[..] } else { &[] };
+        let pools = if let Work::Servers(pools) = &self.work {
+            &pools[..]
+        } else {
+            &[]
+        };
         for (name, servers) in pools {
             let (pool, counts) = (servers.pool(), servers.pool().counts);
             info!(self.log, "so far of servers"; "pool" => name, "servers" => pool.servers(),
@@ -47,7 +51,11 @@
                 "cold" => pool.cold(), "ramps" => counts.ramps, "held_back" => counts.held_back);
         }
         // With the platform's listener alone the whole is that front's.
-        for front in self.fronts.each().filter(|_| self.fronts.each().count() > 1) {
+        for front in self
+            .fronts
+            .each()
+            .filter(|_| self.fronts.each().count() > 1)
+        {
             let counts = &front.counts;
             info!(self.log, "so far of a front"; "protocol" => front.protocol.name(), "address" => %front.at,
                 "completed" => counts.completed, "rejected" => counts.rejected,
@@ -62,13 +70,23 @@
 fn peak_kb() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-    line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|line| line.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Time spent on a core, counted by the system in hundredths of a second.
 fn cpu_ms() -> u64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     // The name may hold spaces; what follows it does not.
-    let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace();
-    fields.skip(11).take(2).filter_map(|ticks| ticks.parse::<u64>().ok()).sum::<u64>() * 10
+    let fields = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or_default()
+        .split_whitespace();
+    fields
+        .skip(11)
+        .take(2)
+        .filter_map(|ticks| ticks.parse::<u64>().ok())
+        .sum::<u64>()
+        * 10
 }
--- a/node/src/serve/start.rs
+++ b/node/src/serve/start.rs
@@ -75,7 +75,9 @@
     orders: &Orders,
     log: &Logger,
 ) -> Result<Option<RuleTable>, Fault> {
-    let built = installation.table_from(None, &orders.handed).map_err(|faults| faults.to_string())?;
+    let built = installation
+        .table_from(None, &orders.handed)
+        .map_err(|faults| faults.to_string())?;
     let rules = built.map(|built| RuleTable::new(built, installation, &orders.handed));
     if let Some(rules) = &rules {
         log_rules(log, rules);
@@ -105,12 +107,28 @@
     let open_pool = |(index, (name, settings)): (usize, (&str, &ServerSettings))| {
         let pool_log = log.new(o!("pool" => name.to_string()));
         let seed = orders.seed.wrapping_add(index as u64);
-        let servers = Servers::new(poller.clone(), pool_log, settings, index, longest_deadline, seed);
+        let servers = Servers::new(
+            poller.clone(),
+            pool_log,
+            settings,
+            index,
+            longest_deadline,
+            seed,
+        );
         (name.to_string(), servers)
     };
-    let pools: Vec<(String, Servers)> = installation.named_pools().enumerate().map(open_pool).collect();
+    let pools: Vec<(String, Servers)> = installation
+        .named_pools()
+        .enumerate()
+        .map(open_pool)
+        .collect();
     if pools.is_empty() {
-        let link = Link::new(orders.engine, poller.clone(), log.clone(), orders.room.commands);
+        let link = Link::new(
+            orders.engine,
+            poller.clone(),
+            log.clone(),
+            orders.room.commands,
+        );
         Work::Engine(Box::new(link))
     } else {
         Work::Servers(pools)
@@ -126,12 +144,22 @@
     poller: &Arc<Poller>,
     log: &Logger,
 ) -> Result<Vec<Box<dyn Part>>, Fault> {
-    let Some(fleet) = &installation.fleet else { return Ok(Vec::new()) };
+    let Some(fleet) = &installation.fleet else {
+        return Ok(Vec::new());
+    };
     let folder = file.and_then(Path::parent).unwrap_or(Path::new(""));
     let key = fleet.key(folder).map_err(|faults| faults.to_string())?;
     let unix_ms = clock.now() / MS;
     let registration = Registration { poller, key: KEY };
-    Ok(vec![Box::new(Peers::open(installation, fleet, key, orders, unix_ms, registration, log.clone())?)])
+    Ok(vec![Box::new(Peers::open(
+        installation,
+        fleet,
+        key,
+        orders,
+        unix_ms,
+        registration,
+        log.clone(),
+    )?)])
 }
 
 impl Node {
@@ -164,17 +192,31 @@
             .map_err(|e| format!("config.registry: {}: {e}", orders.registry))?;
         info!(log, "listening"; "address" => %orders.listen, "connections" => room.connections,
             "open" => room.open);
-        let parts = parts(&installation, &orders, file.as_deref(), clock, &poller, &log)?;
+        let parts = parts(
+            &installation,
+            &orders,
+            file.as_deref(),
+            clock,
+            &poller,
+            &log,
+        )?;
         for part in &parts {
             work.gate_retries(|pool| part.retry_gate(pool));
             work.gate_ramps(|pool| part.ramp_gate(pool));
         }
-        let started = Started { orders: Arc::clone(&orders), in_fleet: installation.fleet.is_some() };
+        let started = Started {
+            orders: Arc::clone(&orders),
+            in_fleet: installation.fleet.is_some(),
+        };
         let reloader = Reloader::new(Sources { started, file }, poller.clone());
         let keys = KeyMeanings::new(&installation, &orders.handed.group_names);
         let mut node = Node {
             parts,
-            groups: handed.group_names.iter().map(|name| Value::from(name.as_str()).to_string()).collect(),
+            groups: handed
+                .group_names
+                .iter()
+                .map(|name| Value::from(name.as_str()).to_string())
+                .collect(),
             results: Results::new(room.entries, room.result_bytes, longest_deadline),
             log,
             clock,
@@ -229,7 +271,11 @@
         contract.cold = cold;
         let mut door = Door::new(contract, self.platform.seed);
         let mut actions = Vec::new();
-        door.handle(self.now.saturating_sub(age), &[Event::Started], &mut actions);
+        door.handle(
+            self.now.saturating_sub(age),
+            &[Event::Started],
+            &mut actions,
+        );
         self.door = Some(door);
         actions.into_iter().for_each(|what| self.carry_out(what));
         self.pass_on_notice();
--- a/node/src/wire/conn.rs
+++ b/node/src/wire/conn.rs
@@ -92,7 +92,13 @@
 }
 
 impl Conn {
-    pub fn new(sock: TcpStream, peer: IpAddr, front: usize, reader: RequestReader, now: Tenths) -> Conn {
+    pub fn new(
+        sock: TcpStream,
+        peer: IpAddr,
+        front: usize,
+        reader: RequestReader,
+        now: Tenths,
+    ) -> Conn {
         Conn {
             sock,
             peer,
@@ -141,7 +147,9 @@
 
     /// The last look before an idle one is closed: a request that came since would be lost with it.
     pub fn nothing_came(&self) -> bool {
-        self.sock.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+        self.sock
+            .peek(&mut [0])
+            .is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
 
     /// This node ends it once all that is open has been answered: what begins now would come too late.
@@ -152,7 +160,9 @@
     /// Whether a whole request has been due for longer than it may take: nothing came, or it trickles.
     pub fn is_slow(&self, now: Tenths, within: Tenths) -> bool {
         ((self.reading && !self.is_ending()) || self.lingers)
-            && self.due_since.is_some_and(|since| now.saturating_sub(since) > within)
+            && self
+                .due_since
+                .is_some_and(|since| now.saturating_sub(since) > within)
             && (!self.idle() || self.lingers || self.nothing_came())
     }
 
@@ -179,7 +189,11 @@
             Ok(_) if !self.reading && !self.lingers => Err(End::Reset),
             Ok(0) => {
                 self.ended = true;
-                Err(if self.idle() { End::Closed } else { End::HalfClosed })
+                Err(if self.idle() {
+                    End::Closed
+                } else {
+                    End::HalfClosed
+                })
             }
             Ok(n) => {
                 self.moved = now;
@@ -243,13 +257,19 @@
 
     /// Begins a request; whether it is one too many.
     pub fn begin(&mut self, id: u16, nth: u64) -> bool {
-        self.open.push(Open { id, nth, ..Open::default() });
+        self.open.push(Open {
+            id,
+            nth,
+            ..Open::default()
+        });
         self.open.len() > MOST_OPEN
     }
 
     /// Pieces for an id that is not open, or is whole, are of a request that was answered already.
     fn unfinished(&mut self, id: u16) -> Option<&mut Open> {
-        self.open.iter_mut().find(|open| open.id == id && open.half_read())
+        self.open
+            .iter_mut()
+            .find(|open| open.id == id && open.half_read())
     }
 
     /// Keeps a part of a request; the request's number, if it is longer than any may be.
@@ -276,8 +296,15 @@
         if open.half_read() {
             return None;
         }
-        let (params, body) = (std::mem::take(&mut open.params), std::mem::take(&mut open.body));
-        let whole = Whole { nth: open.nth, params, body };
+        let (params, body) = (
+            std::mem::take(&mut open.params),
+            std::mem::take(&mut open.body),
+        );
+        let whole = Whole {
+            nth: open.nth,
+            params,
+            body,
+        };
         (self.spoke, self.due_since, self.unwhole) = (true, None, 0);
         Some(whole)
     }
--- a/node/src/wire/engine.rs
+++ b/node/src/wire/engine.rs
@@ -129,7 +129,10 @@
     fn connect(&mut self) -> std::io::Result<TcpStream> {
         let sock = begin_to_connect(self.at)?;
         // SAFETY: the socket is taken out of the poller in `lose`, before it is dropped.
-        unsafe { self.poller.add_with_mode(&sock, Event::all(ENGINE_KEY), PollMode::Level)? };
+        unsafe {
+            self.poller
+                .add_with_mode(&sock, Event::all(ENGINE_KEY), PollMode::Level)?
+        };
         self.watching_writes = true;
         Ok(sock)
     }
@@ -165,7 +168,10 @@
 
     pub fn ready(&mut self, event: Event, now: Tenths, work_events: &mut Vec<WorkEvent>) {
         if self.state == State::Connecting && (event.writable || event.readable) {
-            let error = self.sock.as_ref().and_then(|sock| sock.take_error().transpose());
+            let error = self
+                .sock
+                .as_ref()
+                .and_then(|sock| sock.take_error().transpose());
             if let Some(Ok(e) | Err(e)) = error {
                 return self.lose(now, &e.to_string(), work_events);
             }
@@ -227,13 +233,17 @@
                 info!(self.log, "engine attached"; "cold" => cold, "age_ms" => age / 10, "last" => self.last);
                 self.missed = false;
                 work_events.push(WorkEvent::Hello { cold, age });
-                self.state = State::CatchingUp { cookie: self.cookie + 1 };
+                self.state = State::CatchingUp {
+                    cookie: self.cookie + 1,
+                };
                 self.stat();
             }
             Notice::Hello { .. } => return self.doubt("HELLO out of turn"),
             Notice::Stats { cookie, .. } if self.state == (State::CatchingUp { cookie }) => {
                 self.state = State::Up;
-                work_events.push(WorkEvent::CaughtUp { proven: self.proven });
+                work_events.push(WorkEvent::CaughtUp {
+                    proven: self.proven,
+                });
                 self.proven = cookie;
             }
             Notice::Stats { cookie, .. } => {
@@ -271,7 +281,13 @@
     }
 
     pub fn flush(&mut self, now: Tenths, work_events: &mut Vec<WorkEvent>) {
-        let Some(sock) = self.sock.as_mut().filter(|_| self.state != State::Connecting) else { return };
+        let Some(sock) = self
+            .sock
+            .as_mut()
+            .filter(|_| self.state != State::Connecting)
+        else {
+            return;
+        };
         let mut written = 0;
         while written < self.out.len() {
             match sock.write(&self.out[written..]) {
@@ -290,7 +306,11 @@
         let wants = !self.out.is_empty();
         if wants != self.watching_writes {
             let event = Event::new(ENGINE_KEY, true, wants);
-            if self.poller.modify_with_mode(&*sock, event, PollMode::Level).is_ok() {
+            if self
+                .poller
+                .modify_with_mode(&*sock, event, PollMode::Level)
+                .is_ok()
+            {
                 self.watching_writes = wants;
             }
         }
@@ -303,7 +323,9 @@
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&at.into()) {
-        Err(e) if e.raw_os_error() != Some(EINPROGRESS) && e.kind() != ErrorKind::WouldBlock => Err(e),
+        Err(e) if e.raw_os_error() != Some(EINPROGRESS) && e.kind() != ErrorKind::WouldBlock => {
+            Err(e)
+        }
         _ => Ok(TcpStream::from(socket)),
     }
 }
--- a/node/src/wire/fronts.rs
+++ b/node/src/wire/fronts.rs
@@ -40,8 +40,16 @@
 
 /// What the connections brought.
 pub enum FrontEvent {
-    Exchange { caller: Caller, request: Request, block: Block, body: Vec<u8> },
-    Ended { ex: ExId, end: End },
+    Exchange {
+        caller: Caller,
+        request: Request,
+        block: Block,
+        body: Vec<u8>,
+    },
+    Ended {
+        ex: ExId,
+        end: End,
+    },
 }
 
 #[derive(Clone, Debug, Default)]
@@ -65,8 +73,14 @@
         self.failed += other.failed;
         self.checks += other.checks;
         self.no_room += other.no_room;
-        other.unreadable.iter().for_each(|(what, n)| *self.unreadable.entry(what).or_default() += n);
-        other.ends.iter().for_each(|(end, n)| *self.ends.entry(end).or_default() += n);
+        other
+            .unreadable
+            .iter()
+            .for_each(|(what, n)| *self.unreadable.entry(what).or_default() += n);
+        other
+            .ends
+            .iter()
+            .for_each(|(end, n)| *self.ends.entry(end).or_default() += n);
     }
 }
 
@@ -164,12 +178,16 @@
 
     /// Whether an answer can still go there.
     pub fn waits(&self, caller: Caller) -> bool {
-        self.conns.get(caller.slot).is_some_and(|conn| conn.open.iter().any(|open| open.nth == caller.nth))
+        self.conns
+            .get(caller.slot)
+            .is_some_and(|conn| conn.open.iter().any(|open| open.nth == caller.nth))
     }
 
     /// From here on the decisions know this request as `ex`.
     pub fn known_as(&mut self, caller: Caller, ex: ExId) {
-        let Some(conn) = self.conns.get_mut(caller.slot) else { return };
+        let Some(conn) = self.conns.get_mut(caller.slot) else {
+            return;
+        };
         if let Some(open) = conn.open.iter_mut().find(|open| open.nth == caller.nth) {
             open.ex = Some(ex);
         }
@@ -177,8 +195,12 @@
 
     /// Gives the one answer; a second one finds nothing open any more.
     pub fn answer(&mut self, caller: Caller, answer: Answer) {
-        let Some(conn) = self.conns.get_mut(caller.slot) else { return };
-        let Some(open) = conn.take(|open| open.nth == caller.nth) else { return };
+        let Some(conn) = self.conns.get_mut(caller.slot) else {
+            return;
+        };
+        let Some(open) = conn.take(|open| open.nth == caller.nth) else {
+            return;
+        };
         let counts = &mut self.fronts[conn.front].counts;
         match answer {
             Answer::Completed(_) => counts.completed += 1,
@@ -198,7 +220,9 @@
             conn.doomed = Some(End::Unread);
         }
         let (level, protocol) = (self.level, conn.reader.protocol());
-        self.put(caller.slot, |out| request::write(out, protocol, open.id, answer, level));
+        self.put(caller.slot, |out| {
+            request::write(out, protocol, open.id, answer, level)
+        });
     }
 
     pub(super) fn put(&mut self, slot: usize, write: impl FnOnce(&mut Vec<u8>)) {
@@ -220,12 +244,16 @@
     pub fn flush(&mut self, now: Tenths, front_events: &mut Vec<FrontEvent>) {
         let mut dirty = std::mem::take(&mut self.dirty);
         for slot in dirty.drain(..) {
-            let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.dirty) else { continue };
+            let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.dirty) else {
+                continue;
+            };
             conn.dirty = false;
             let before = conn.unread();
             let written = conn.doomed.map_or_else(|| conn.write(now), Err);
             self.unread -= before - conn.unread();
-            let over = conn.last.filter(|_| conn.open.is_empty() && conn.unread() == 0);
+            let over = conn
+                .last
+                .filter(|_| conn.open.is_empty() && conn.unread() == 0);
             match (written, over) {
                 (Err(end), _) => self.close(slot, end, front_events),
                 (Ok(()), Some(end)) => self.hang_up(slot, end, now, front_events),
@@ -239,7 +267,12 @@
         let conn = &mut self.conns[slot];
         let wants = conn.wants();
         let event = Event::new(FIRST_KEY + slot, wants.0, wants.1);
-        if wants != conn.watched && self.poller.modify_with_mode(&conn.sock, event, PollMode::Level).is_ok() {
+        if wants != conn.watched
+            && self
+                .poller
+                .modify_with_mode(&conn.sock, event, PollMode::Level)
+                .is_ok()
+        {
             conn.watched = wants;
         }
     }
--- a/node/src/wire/fronts/coming.rs
+++ b/node/src/wire/fronts/coming.rs
@@ -17,14 +17,24 @@
 
 /// Whether the process (EMFILE) or the whole system (ENFILE) has no descriptor left.
 fn lacks_descriptor(error: &io::Error) -> bool {
-    matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE))
+    matches!(
+        Errno::from_io_error(error),
+        Some(Errno::MFILE | Errno::NFILE)
+    )
 }
 
 impl Fronts {
     /// Opens a front. `most` bounds its connections; all fronts together keep within the node's own bound.
-    pub fn listen(&mut self, at: SocketAddr, protocol: Protocol, most: Option<usize>) -> io::Result<()> {
+    pub fn listen(
+        &mut self,
+        at: SocketAddr,
+        protocol: Protocol,
+        most: Option<usize>,
+    ) -> io::Result<()> {
         if self.fronts.len() >= MOST_FRONTS {
-            return Err(io::Error::other("too many fronts, those that are drained included"));
+            return Err(io::Error::other(
+                "too many fronts, those that are drained included",
+            ));
         }
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
         // A node that was killed comes back under its address at once.
@@ -36,13 +46,25 @@
         let entry = self.fronts.vacant_entry();
         let key = LISTEN_KEY + entry.key();
         // SAFETY: the listener is taken out of the poller in `shut`, or lives as long as it.
-        unsafe { self.poller.add_with_mode(&listener, Event::readable(key), PollMode::Level)? };
+        unsafe {
+            self.poller
+                .add_with_mode(&listener, Event::readable(key), PollMode::Level)?
+        };
         let most = most.unwrap_or(usize::MAX);
         let (listener, counts) = (Some(listener), Counts::default());
         // The first is there from the start to the end.
         let (platform, withdrawn, accepting) = (key == LISTEN_KEY, false, true);
-        let front =
-            Front { protocol, at, most, listener, withdrawn, platform, accepting, connections: 0, counts };
+        let front = Front {
+            protocol,
+            at,
+            most,
+            listener,
+            withdrawn,
+            platform,
+            accepting,
+            connections: 0,
+            counts,
+        };
         entry.insert(front);
         Ok(())
     }
@@ -60,24 +82,34 @@
     pub fn withdraw(&mut self, at: SocketAddr, now: Tenths, front_events: &mut Vec<FrontEvent>) {
         let slots = self.fronts.iter().filter(|(_, front)| front.is_at(at));
         let slots: Vec<usize> = slots.map(|(front, _)| front).collect();
-        slots.into_iter().for_each(|front| self.shut(front, End::Withdrawn, now, front_events));
+        slots
+            .into_iter()
+            .for_each(|front| self.shut(front, End::Withdrawn, now, front_events));
     }
 
     /// Takes in what the machine has accepted on any front, and nothing after it.
     pub fn last_reading(&mut self, now: Tenths, front_events: &mut Vec<FrontEvent>) {
         let slots: Vec<usize> = self.fronts.iter().map(|(front, _)| front).collect();
-        slots.into_iter().for_each(|front| self.shut(front, End::Left, now, front_events));
+        slots
+            .into_iter()
+            .for_each(|front| self.shut(front, End::Left, now, front_events));
     }
 
     /// Takes in the backlog of a front, reads each of its connections once more, and ends those with nothing
     /// open from then on.
     fn shut(&mut self, front: usize, end: End, now: Tenths, front_events: &mut Vec<FrontEvent>) {
         // One that was withdrawn before takes in nobody. It may go with its last connection meanwhile.
-        if self.fronts.get(front).is_some_and(|front| front.listener.is_some()) {
+        if self
+            .fronts
+            .get(front)
+            .is_some_and(|front| front.listener.is_some())
+        {
             // There is no later turn for what waits in the backlog, so nobody is spared for being fresh.
             while self.accept_sparing(0, front, now, front_events) {}
         }
-        let Some(shut) = self.fronts.get_mut(front) else { return };
+        let Some(shut) = self.fronts.get_mut(front) else {
+            return;
+        };
         if let Some(listener) = shut.listener.take() {
             _ = self.poller.delete(&listener);
         }
@@ -100,14 +132,23 @@
 
     /// A front that was withdrawn goes with its last connection; what it counted stays in the whole.
     fn forget_if_over(&mut self, front: usize) {
-        if self.fronts.get(front).is_some_and(|front| front.withdrawn && front.connections == 0) {
+        if self
+            .fronts
+            .get(front)
+            .is_some_and(|front| front.withdrawn && front.connections == 0)
+        {
             let front = self.fronts.remove(front);
             self.gone.add(&front.counts);
         }
     }
 
     /// Takes what the machine accepted; whether more may be waiting.
-    pub fn accept(&mut self, front: usize, now: Tenths, front_events: &mut Vec<FrontEvent>) -> bool {
+    pub fn accept(
+        &mut self,
+        front: usize,
+        now: Tenths,
+        front_events: &mut Vec<FrontEvent>,
+    ) -> bool {
         self.accept_sparing(FRESH, front, now, front_events)
     }
 
@@ -126,19 +167,27 @@
         for nth in 0..ACCEPTS {
             // Only the first is known to be waiting, so room is made for no more than one.
             let bounded = self.bounded(front);
-            if self.is_full(front) && !(nth == 0 && self.make_room(bounded, quiet_since, front_events)) {
+            if self.is_full(front)
+                && !(nth == 0 && self.make_room(bounded, quiet_since, front_events))
+            {
                 // A full table is no reason to fall over: the rest waits in the backlog for a close.
                 self.accept_again(front, nth > 0);
                 return nth > 0;
             }
-            let Some(listener) = &self.fronts[front].listener else { return false };
+            let Some(listener) = &self.fronts[front].listener else {
+                return false;
+            };
             match listener.accept() {
                 // One that is gone again before it was taken in has brought nothing.
                 Ok((sock, peer)) => {
                     _ = self.take_in(sock, peer.ip(), front, now);
                     self.make_room_ahead(front, quiet_since, now, front_events);
                 }
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 // The system takes a descriptor before it looks for a connection, so after the first one
                 // this says nothing of whether more are waiting.
                 Err(e) if lacks_descriptor(&e) => {
@@ -164,16 +213,31 @@
         self.conns.len() >= self.room.connections || front.connections >= front.most
     }
 
-    fn take_in(&mut self, sock: TcpStream, peer: IpAddr, front: usize, now: Tenths) -> io::Result<()> {
+    fn take_in(
+        &mut self,
+        sock: TcpStream,
+        peer: IpAddr,
+        front: usize,
+        now: Tenths,
+    ) -> io::Result<()> {
         sock.set_nonblocking(true)?;
         sock.set_nodelay(true)?;
         let entry = self.conns.vacant_entry();
         let interest = Event::readable(FIRST_KEY + entry.key());
         // SAFETY: the socket is taken out of the poller in `close`, before it is dropped.
-        unsafe { self.poller.add_with_mode(&sock, interest, PollMode::Level)? };
+        unsafe {
+            self.poller
+                .add_with_mode(&sock, interest, PollMode::Level)?
+        };
         let of = &mut self.fronts[front];
         (of.counts.accepted, of.connections) = (of.counts.accepted + 1, of.connections + 1);
-        entry.insert(Conn::new(sock, peer, front, RequestReader::new(of.protocol), now));
+        entry.insert(Conn::new(
+            sock,
+            peer,
+            front,
+            RequestReader::new(of.protocol),
+            now,
+        ));
         Ok(())
     }
 
@@ -189,7 +253,9 @@
         front_events: &mut Vec<FrontEvent>,
     ) -> bool {
         let useless = self.least_missed(among, quiet_since);
-        let silent = useless.partition_point(|(good_for, ..)| *good_for == Use::None).min(EVICTED);
+        let silent = useless
+            .partition_point(|(good_for, ..)| *good_for == Use::None)
+            .min(EVICTED);
         let before = self.conns.len();
         for (good_for, _, slot) in useless {
             if before - self.conns.len() >= if good_for == Use::None { silent } else { 1 } {
@@ -225,9 +291,17 @@
             return;
         }
         let stays = |conn: &Conn| !conn.lingers && conn.open.is_empty() && conn.nothing_came();
-        let useless = self.least_missed(among, quiet_since).into_iter().map(|(.., slot)| slot);
-        let useless: Vec<usize> = useless.filter(|slot| stays(&self.conns[*slot])).take(wanted).collect();
-        useless.into_iter().for_each(|slot| self.hang_up(slot, End::Evicted, now, front_events));
+        let useless = self
+            .least_missed(among, quiet_since)
+            .into_iter()
+            .map(|(.., slot)| slot);
+        let useless: Vec<usize> = useless
+            .filter(|slot| stays(&self.conns[*slot]))
+            .take(wanted)
+            .collect();
+        useless
+            .into_iter()
+            .for_each(|slot| self.hang_up(slot, End::Evicted, now, front_events));
     }
 
     /// Whether a front's own bound is met before that of the table, how many places that is, and how many of
@@ -235,7 +309,11 @@
     fn tighter_bound(&self, front: usize) -> (bool, usize, usize) {
         let of = &self.fronts[front];
         let own = (true, of.most, of.most.saturating_sub(of.connections));
-        let all = (false, self.room.connections, self.room.connections.saturating_sub(self.conns.len()));
+        let all = (
+            false,
+            self.room.connections,
+            self.room.connections.saturating_sub(self.conns.len()),
+        );
         if own.2 < all.2 { own } else { all }
     }
 
@@ -249,9 +327,13 @@
     /// Connections that could be let go of, those first that are missed least: what they are good for, when
     /// something last moved on them, and where they are.
     fn least_missed(&self, among: Option<usize>, quiet_since: Tenths) -> Vec<(Use, Tenths, usize)> {
-        let useless = |conn: &Conn| conn.lingers || (conn.moved <= quiet_since && conn.asks_nothing());
+        let useless =
+            |conn: &Conn| conn.lingers || (conn.moved <= quiet_since && conn.asks_nothing());
         let concerned = |conn: &Conn| among.is_none_or(|front| conn.front == front);
-        let useless = self.conns.iter().filter(|(_, conn)| useless(conn) && concerned(conn));
+        let useless = self
+            .conns
+            .iter()
+            .filter(|(_, conn)| useless(conn) && concerned(conn));
         let rank = |(slot, conn): (usize, &Conn)| (conn.use_of(), conn.moved, slot);
         let mut useless: Vec<_> = useless.map(rank).collect();
         useless.sort_unstable();
@@ -259,28 +341,45 @@
     }
 
     fn accept_again(&mut self, front: usize, accepting: bool) {
-        let Some(of) = self.fronts.get_mut(front) else { return };
+        let Some(of) = self.fronts.get_mut(front) else {
+            return;
+        };
         if accepting != of.accepting
             && let Some(listener) = &of.listener
         {
             let interest = Event::new(LISTEN_KEY + front, accepting, false);
-            if self.poller.modify_with_mode(listener, interest, PollMode::Level).is_ok() {
+            if self
+                .poller
+                .modify_with_mode(listener, interest, PollMode::Level)
+                .is_ok()
+            {
                 of.accepting = accepting;
             }
         }
     }
 
     fn accept_all(&mut self, accepting: bool) {
-        (0..self.fronts.capacity().min(MOST_FRONTS)).for_each(|front| self.accept_again(front, accepting));
+        (0..self.fronts.capacity().min(MOST_FRONTS))
+            .for_each(|front| self.accept_again(front, accepting));
     }
 
     /// The one way in which this node ends a connection that nothing is owed on: it says so, passes over what
     /// still comes, and closes once the peer has ended too. A request that crosses this is never run, and
     /// its caller sees an orderly end and may send it again.
-    pub(super) fn hang_up(&mut self, slot: usize, end: End, now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    pub(super) fn hang_up(
+        &mut self,
+        slot: usize,
+        end: End,
+        now: Tenths,
+        front_events: &mut Vec<FrontEvent>,
+    ) {
         let conn = &mut self.conns[slot];
         (conn.reading, conn.last) = (false, Some(end));
-        if conn.linger(now) { self.watch(slot) } else { self.close(slot, end, front_events) }
+        if conn.linger(now) {
+            self.watch(slot)
+        } else {
+            self.close(slot, end, front_events)
+        }
     }
 
     pub(super) fn close(&mut self, slot: usize, end: End, front_events: &mut Vec<FrontEvent>) {
@@ -288,8 +387,12 @@
         _ = self.poller.delete(&conn.sock);
         self.open -= conn.open.len();
         self.unread -= conn.unread();
-        front_events
-            .extend(conn.open.iter().filter_map(|open| open.ex).map(|ex| FrontEvent::Ended { ex, end }));
+        front_events.extend(
+            conn.open
+                .iter()
+                .filter_map(|open| open.ex)
+                .map(|ex| FrontEvent::Ended { ex, end }),
+        );
         let front = &mut self.fronts[conn.front];
         front.connections -= 1;
         *front.counts.ends.entry(end.name()).or_default() += 1;
@@ -330,7 +433,10 @@
                 _ => self.close(slot, end, front_events),
             }
         }
-        let makes_room = self.conns.iter().any(|(_, conn)| conn.lingers || conn.asks_nothing());
+        let makes_room = self
+            .conns
+            .iter()
+            .any(|(_, conn)| conn.lingers || conn.asks_nothing());
         for front in 0..self.fronts.capacity().min(MOST_FRONTS) {
             if self.fronts.contains(front) {
                 self.accept_again(front, makes_room || !self.is_full(front));
--- a/node/src/wire/fronts/reading.rs
+++ b/node/src/wire/fronts/reading.rs
@@ -53,7 +53,13 @@
         self.scratch = scratch;
     }
 
-    fn split(&mut self, slot: usize, mut input: &[u8], now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    fn split(
+        &mut self,
+        slot: usize,
+        mut input: &[u8],
+        now: Tenths,
+        front_events: &mut Vec<FrontEvent>,
+    ) {
         let size = input.len();
         while self.conns[slot].reading {
             match self.conns[slot].reader.next(&mut input) {
@@ -75,8 +81,15 @@
 
     pub(super) fn answer_half_read(&mut self, slot: usize, answer: Answer) {
         let half = self.conns[slot].open.iter().filter(|open| open.half_read());
-        let callers: Vec<Caller> = half.map(|open| Caller { slot, nth: open.nth }).collect();
-        callers.into_iter().for_each(|caller| self.answer(caller, answer));
+        let callers: Vec<Caller> = half
+            .map(|open| Caller {
+                slot,
+                nth: open.nth,
+            })
+            .collect();
+        callers
+            .into_iter()
+            .for_each(|caller| self.answer(caller, answer));
     }
 
     /// It ends once all that is open on it has been answered. Until then it is read, as the peer may be
@@ -91,7 +104,13 @@
         self.mark_dirty(slot);
     }
 
-    fn piece(&mut self, slot: usize, piece: Piece, now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    fn piece(
+        &mut self,
+        slot: usize,
+        piece: Piece,
+        now: Tenths,
+        front_events: &mut Vec<FrontEvent>,
+    ) {
         let conn = &mut self.conns[slot];
         match piece {
             Piece::Begin { id, .. } if conn.has(id) => self.give_up(slot, End::Malformed),
@@ -101,7 +120,10 @@
                     conn.last = Some(End::Closed);
                 }
                 (self.begun, self.open) = (self.begun + 1, self.open + 1);
-                let caller = Caller { slot, nth: self.begun };
+                let caller = Caller {
+                    slot,
+                    nth: self.begun,
+                };
                 let too_many = conn.begin(id, caller.nth) || self.open > self.room.open;
                 if role != RESPONDER {
                     self.answer(caller, Answer::UnknownRole);
@@ -112,7 +134,10 @@
             Piece::Abort { id } => {
                 if let Some(open) = conn.take(|open| open.id == id) {
                     self.open -= 1;
-                    front_events.extend(open.ex.map(|ex| FrontEvent::Ended { ex, end: End::Aborted }));
+                    front_events.extend(open.ex.map(|ex| FrontEvent::Ended {
+                        ex,
+                        end: End::Aborted,
+                    }));
                     self.mark_dirty(slot);
                 }
             }
@@ -125,7 +150,10 @@
                     && let Some(open) = conn.open.iter().find(|open| open.id == id)
                 {
                     let nth = open.nth;
-                    self.answer(Caller { slot, nth }, Answer::Unreadable(Unreadable::TooLong));
+                    self.answer(
+                        Caller { slot, nth },
+                        Answer::Unreadable(Unreadable::TooLong),
+                    );
                 }
             }
             Piece::Ping => {
@@ -145,7 +173,10 @@
     /// One that is longer than any may be is told so at once: its end may never come.
     fn collect(&mut self, slot: usize, id: u16, stream: Stream, bytes: &[u8]) {
         if let Some(nth) = self.conns[slot].collect(id, stream, bytes) {
-            self.answer(Caller { slot, nth }, Answer::Unreadable(Unreadable::TooLong));
+            self.answer(
+                Caller { slot, nth },
+                Answer::Unreadable(Unreadable::TooLong),
+            );
         }
     }
 
@@ -157,26 +188,48 @@
         now: Tenths,
         front_events: &mut Vec<FrontEvent>,
     ) {
-        let Some(whole) = self.conns[slot].end_stream(id, stream) else { return };
-        let caller = Caller { slot, nth: whole.nth };
+        let Some(whole) = self.conns[slot].end_stream(id, stream) else {
+            return;
+        };
+        let caller = Caller {
+            slot,
+            nth: whole.nth,
+        };
         let conn = &self.conns[slot];
         let (protocol, peer) = (conn.reader.protocol(), conn.peer);
         let asked = match &mut self.rules {
-            Some(rules) if !self.fronts[conn.front].platform => {
-                rules.read(&whole.params, &whole.body, Origin { protocol, peer, now }, &self.names)
-            }
+            Some(rules) if !self.fronts[conn.front].platform => rules.read(
+                &whole.params,
+                &whole.body,
+                Origin {
+                    protocol,
+                    peer,
+                    now,
+                },
+                &self.names,
+            ),
             _ => request::read(protocol, &whole.params, &self.names),
         };
         let asked = match asked {
-            Ok(Asked::Exchange(request)) if bounds::is_far_off(request.stamp, now, self.longest_deadline) => {
+            Ok(Asked::Exchange(request))
+                if bounds::is_far_off(request.stamp, now, self.longest_deadline) =>
+            {
                 Err(Unreadable::Field("HTTP_X_REQUEST_START"))
             }
             asked => asked,
         };
         match asked {
             Ok(Asked::Exchange(request)) => {
-                let block = Block { protocol, bytes: whole.params };
-                front_events.push(FrontEvent::Exchange { caller, request, block, body: whole.body });
+                let block = Block {
+                    protocol,
+                    bytes: whole.params,
+                };
+                front_events.push(FrontEvent::Exchange {
+                    caller,
+                    request,
+                    block,
+                    body: whole.body,
+                });
             }
             Ok(Asked::Health) => self.answer(caller, Answer::Health { good: self.good }),
             Err(unreadable) => self.answer(caller, Answer::Unreadable(unreadable)),
--- a/node/src/wire/headers.rs
+++ b/node/src/wire/headers.rs
@@ -22,7 +22,10 @@
 pub(super) fn passed_on(answer: &Answer) -> Vec<u8> {
     let mut lines = Vec::new();
     for (name, value) in &answer.headers {
-        if !NOT_PASSED_ON.iter().any(|own| own.eq_ignore_ascii_case(name)) {
+        if !NOT_PASSED_ON
+            .iter()
+            .any(|own| own.eq_ignore_ascii_case(name))
+        {
             for part in [name.as_bytes(), b": ", value, b"\r\n"] {
                 lines.extend(part);
             }
--- a/node/src/wire/link.rs
+++ b/node/src/wire/link.rs
@@ -76,13 +76,19 @@
     let try_id = || word("call").and_then(|id| TryId::try_from(id.as_bytes()).ok());
     match word("msg").ok_or("no msg")? {
         "HELLO" => {
-            let age = value.get("duration").and_then(Value::as_f64).ok_or("HELLO without duration")?;
+            let age = value
+                .get("duration")
+                .and_then(Value::as_f64)
+                .ok_or("HELLO without duration")?;
             let cold = match word("how") {
                 Some("COLD") => true,
                 Some("WARM") => false,
                 _ => return Err("HELLO that is neither COLD nor WARM"),
             };
-            Ok(Notice::Hello { cold, age: (age * 10.0) as Tenths })
+            Ok(Notice::Hello {
+                cold,
+                age: (age * 10.0) as Tenths,
+            })
         }
         "DONE" => {
             let result = word("blob").map_or(Ok(Vec::new()), |blob| STANDARD.decode(blob));
@@ -95,22 +101,41 @@
             };
             let serial = whole("serial").ok_or("DONE without serial")?;
             let try_id = try_id().ok_or("DONE without call")?;
-            Ok(Notice::Done { serial, try_id, outcome, result: result.unwrap_or_default() })
+            Ok(Notice::Done {
+                serial,
+                try_id,
+                outcome,
+                result: result.unwrap_or_default(),
+            })
         }
         "STATS" => {
-            let cookie = word("cookie").and_then(|c| c.parse().ok()).ok_or("STATS without cookie")?;
-            let stats = value.get("stats").and_then(Value::as_array).ok_or("STATS without stats")?;
+            let cookie = word("cookie")
+                .and_then(|c| c.parse().ok())
+                .ok_or("STATS without cookie")?;
+            let stats = value
+                .get("stats")
+                .and_then(Value::as_array)
+                .ok_or("STATS without stats")?;
             // A value that is no number reads as none, so that it is taken for an absent gauge.
             let number = |v: &Value| v.as_f64().map_or(f32::NAN, |n| n as f32);
-            Ok(Notice::Stats { cookie, values: stats.iter().map(number).collect() })
+            Ok(Notice::Stats {
+                cookie,
+                values: stats.iter().map(number).collect(),
+            })
         }
         "NO" => {
             let command = word("how").ok_or("NO without how")?.to_string();
-            Ok(Notice::Not { command, try_id: try_id() })
+            Ok(Notice::Not {
+                command,
+                try_id: try_id(),
+            })
         }
         "NOTE" => {
             let serial = whole("serial").ok_or("NOTE without serial")?;
-            Ok(Notice::Note { serial, text: word("how").unwrap_or_default().to_string() })
+            Ok(Notice::Note {
+                serial,
+                text: word("how").unwrap_or_default().to_string(),
+            })
         }
         _ => Err("unknown msg"),
     }
--- a/node/src/wire/registry.rs
+++ b/node/src/wire/registry.rs
@@ -19,7 +19,13 @@
 
 impl Registry {
     pub fn open(own: SocketAddr, registry: SocketAddr, name: String) -> io::Result<Self> {
-        Ok(Registry { sock: socket(own, registry)?, own, name, next: 0, draining: false })
+        Ok(Registry {
+            sock: socket(own, registry)?,
+            own,
+            name,
+            next: 0,
+            draining: false,
+        })
     }
 
     /// Reports go elsewhere from here on, the next one at once.
@@ -59,5 +65,8 @@
 }
 
 pub fn report(name: &str, draining: bool) -> String {
-    format!("BEAT {name} {}", if draining { "draining" } else { "ready" })
+    format!(
+        "BEAT {name} {}",
+        if draining { "draining" } else { "ready" }
+    )
 }
--- a/node/src/wire/request.rs
+++ b/node/src/wire/request.rs
@@ -88,18 +88,24 @@
         }
         let tenant = fields.needed("HTTP_X_TENANT")?;
         let place = self.customers.iter().position(|name| name == tenant);
-        place.map(|place| place as u16).ok_or(Unreadable::Field("HTTP_X_TENANT"))
+        place
+            .map(|place| place as u16)
+            .ok_or(Unreadable::Field("HTTP_X_TENANT"))
     }
 }
 
 pub fn read(protocol: Protocol, variables: &[u8], names: &Names) -> Result<Asked, Unreadable> {
-    let pairs = protocol.pairs(variables).map_err(|broken| Unreadable::Field(broken.0))?;
+    let pairs = protocol
+        .pairs(variables)
+        .map_err(|broken| Unreadable::Field(broken.0))?;
     let fields = Fields(&pairs);
     let script = fields.needed("SCRIPT_NAME")?;
     if script == "/status/live" {
         return Ok(Asked::Health);
     }
-    let group = script.strip_prefix("/svc/").and_then(|name| names.groups.iter().position(|g| g == name));
+    let group = script
+        .strip_prefix("/svc/")
+        .and_then(|name| names.groups.iter().position(|g| g == name));
     let group = group.ok_or(Unreadable::Field("SCRIPT_NAME"))?;
     if fields.needed("REQUEST_METHOD")? != "POST" {
         return Err(Unreadable::Field("REQUEST_METHOD"));
@@ -109,15 +115,22 @@
     let rank = fields.number::<f32>("HTTP_X_RANK")?;
     Ok(Asked::Exchange(Request {
         try_id: hex(fields.needed("HTTP_X_REQUEST_ID")?, "HTTP_X_REQUEST_ID")?,
-        stamp: fields.number::<u64>("HTTP_X_REQUEST_START")?.saturating_mul(MS),
+        stamp: fields
+            .number::<u64>("HTTP_X_REQUEST_START")?
+            .saturating_mul(MS),
         group: group as u8,
         customer,
         caller: fields.number("HTTP_X_CALLER")?,
-        retry: fields.find("HTTP_X_RETRY")?.is_some_and(|value| value == "1"),
+        retry: fields
+            .find("HTTP_X_RETRY")?
+            .is_some_and(|value| value == "1"),
         kb: in_range(kb, kb > 0.0 && kb < 2000.0, "HTTP_X_MEMORY_KB")?,
         rank: in_range(rank, (0.0..1.0).contains(&rank), "HTTP_X_RANK")?,
         idempotency_key: match names.keyed[group] {
-            true => Some(hex(fields.needed("HTTP_IDEMPOTENCY_KEY")?, "HTTP_IDEMPOTENCY_KEY")?),
+            true => Some(hex(
+                fields.needed("HTTP_IDEMPOTENCY_KEY")?,
+                "HTTP_IDEMPOTENCY_KEY",
+            )?),
             false => None,
         },
         subject: fields.subject()?,
@@ -131,10 +144,16 @@
 impl<'a> Fields<'a> {
     /// A doubled field is as bad as none: two readers could take different ones.
     pub(super) fn find(&self, name: &'static str) -> Result<Option<&'a str>, Unreadable> {
-        let mut values = self.0.iter().filter(|(n, _)| *n == name.as_bytes()).map(|(_, value)| *value);
+        let mut values = self
+            .0
+            .iter()
+            .filter(|(n, _)| *n == name.as_bytes())
+            .map(|(_, value)| *value);
         match (values.next(), values.next()) {
             (None, _) => Ok(None),
-            (Some(value), None) => std::str::from_utf8(value).map(Some).map_err(|_| Unreadable::Field(name)),
+            (Some(value), None) => std::str::from_utf8(value)
+                .map(Some)
+                .map_err(|_| Unreadable::Field(name)),
             _ => Err(Unreadable::Field(name)),
         }
     }
@@ -155,7 +174,9 @@
     }
 
     fn number<T: std::str::FromStr>(&self, name: &'static str) -> Result<T, Unreadable> {
-        self.needed(name)?.parse().map_err(|_| Unreadable::Field(name))
+        self.needed(name)?
+            .parse()
+            .map_err(|_| Unreadable::Field(name))
     }
 }
 
@@ -164,7 +185,11 @@
 }
 
 pub(super) fn hex<const N: usize>(text: &str, name: &'static str) -> Result<[u8; N], Unreadable> {
-    let digits = text.as_bytes().try_into().ok().filter(|d: &[u8; N]| d.iter().all(u8::is_ascii_hexdigit));
+    let digits = text
+        .as_bytes()
+        .try_into()
+        .ok()
+        .filter(|d: &[u8; N]| d.iter().all(u8::is_ascii_hexdigit));
     digits.ok_or(Unreadable::Field(name))
 }
 
@@ -207,8 +232,15 @@
         Answer::Unreadable(Unreadable::Field(name)) => ("400 Bad Request", name.as_bytes()),
         Answer::Failed | Answer::UnknownRole => ("500 Internal Server Error", b""),
     };
-    let (level, wait) = (level.map(|level| level.to_string()), retry_after(answer).to_string());
-    let more = if let Answer::Completed(made) = answer { made.headers } else { b"" };
+    let (level, wait) = (
+        level.map(|level| level.to_string()),
+        retry_after(answer).to_string(),
+    );
+    let more = if let Answer::Completed(made) = answer {
+        made.headers
+    } else {
+        b""
+    };
     let mut headers = [("Content-Type", "application/octet-stream"); 4];
     // A server's own headers say what its body is; the engine has none.
     let mut count = usize::from(more.is_empty());
@@ -222,10 +254,26 @@
     if retry_after(answer) > 0 {
         add("Retry-After-Ms", &wait);
     }
-    if matches!(answer, Answer::Rejected { not_elsewhere: true, .. }) {
+    if matches!(
+        answer,
+        Answer::Rejected {
+            not_elsewhere: true,
+            ..
+        }
+    ) {
         add("X-Dont-Retry", "1");
     }
-    doortrack_wire::write_answer(protocol, out, id, Head { status, headers: &headers[..count], more }, body);
+    doortrack_wire::write_answer(
+        protocol,
+        out,
+        id,
+        Head {
+            status,
+            headers: &headers[..count],
+            more,
+        },
+        body,
+    );
 }
 
 /// The ms for which a rejected caller is to stay away; 0 where nothing is said of it.
--- a/node/src/wire/ruled.rs
+++ b/node/src/wire/ruled.rs
@@ -12,7 +12,9 @@
 use doortrack_routes::{Built, Class, Classed, Note, Refusal, Table};
 use doortrack_wire::{Pair, Protocol};
 
-use super::request::{Asked, Fields, IdempotencyKey, Names, Request, TryId, Unreadable, hex, in_range};
+use super::request::{
+    Asked, Fields, IdempotencyKey, Names, Request, TryId, Unreadable, hex, in_range,
+};
 
 const MS: u64 = 10;
 const DAY: Tenths = 86_400_000 * MS;
@@ -35,9 +37,22 @@
 impl RuleTable {
     pub fn new(built: Built, installation: &Installation, handed: &Handed) -> RuleTable {
         let place = |name: &String| handed.group_names.iter().position(|group| group == name);
-        let otherwise = installation.otherwise.as_ref().and_then(place).map(|place| place as u8);
-        let Built { table, notes, reused } = built;
-        RuleTable { table: Arc::new(table), otherwise, notes, reused }
+        let otherwise = installation
+            .otherwise
+            .as_ref()
+            .and_then(place)
+            .map(|place| place as u8);
+        let Built {
+            table,
+            notes,
+            reused,
+        } = built;
+        RuleTable {
+            table: Arc::new(table),
+            otherwise,
+            notes,
+            reused,
+        }
     }
 }
 
@@ -59,7 +74,11 @@
 
 impl Rules {
     pub fn new(rules: RuleTable) -> Rules {
-        Rules { rules, scratch: Scratch::default(), unnamed: 0 }
+        Rules {
+            rules,
+            scratch: Scratch::default(),
+            unnamed: 0,
+        }
     }
 
     pub fn table(&self) -> &Arc<Table> {
@@ -82,7 +101,10 @@
         origin: Origin,
         names: &Names,
     ) -> Result<Asked, Unreadable> {
-        let pairs = origin.protocol.pairs(block).map_err(|broken| Unreadable::Field(broken.0))?;
+        let pairs = origin
+            .protocol
+            .pairs(block)
+            .map_err(|broken| Unreadable::Field(broken.0))?;
         let view = View::of(&pairs, body, origin)?;
         if view.path == "/status/live" {
             return Ok(Asked::Health);
@@ -113,11 +135,20 @@
             group,
             customer,
             caller: parsed(&fields, "HTTP_X_CALLER")?.unwrap_or(0),
-            retry: fields.find("HTTP_X_RETRY")?.is_some_and(|value| value == "1"),
+            retry: fields
+                .find("HTTP_X_RETRY")?
+                .is_some_and(|value| value == "1"),
             kb: in_range(kb, kb > 0.0 && kb < 2000.0, "HTTP_X_MEMORY_KB")?,
             rank: in_range(rank, (0.0..1.0).contains(&rank), "HTTP_X_RANK")?,
-            idempotency_key: idempotency_key(names.keyed[usize::from(group)], class.as_ref(), &fields)?,
-            subject: class.as_ref().and_then(|class| class.subject).map_or_else(|| fields.subject(), Ok)?,
+            idempotency_key: idempotency_key(
+                names.keyed[usize::from(group)],
+                class.as_ref(),
+                &fields,
+            )?,
+            subject: class
+                .as_ref()
+                .and_then(|class| class.subject)
+                .map_or_else(|| fields.subject(), Ok)?,
             wait: class.as_ref().and_then(|class| class.due),
             pool: class.as_ref().and_then(|class| class.pool),
         }))
@@ -128,10 +159,14 @@
         match self.rules.table.classify(view, &mut self.scratch) {
             Classed::As(class) => Ok(Some(class)),
             Classed::NoRule => Ok(None),
-            Classed::Refused { why: Refusal::Customer, .. } => Err(Unreadable::Field("customer")),
-            Classed::Refused { why: Refusal::IdempotencyKey, .. } => {
-                Err(Unreadable::Field("idempotency_key"))
-            }
+            Classed::Refused {
+                why: Refusal::Customer,
+                ..
+            } => Err(Unreadable::Field("customer")),
+            Classed::Refused {
+                why: Refusal::IdempotencyKey,
+                ..
+            } => Err(Unreadable::Field("idempotency_key")),
         }
     }
 
@@ -165,7 +200,11 @@
     }
     match class.and_then(|class| class.idempotency_key) {
         Some(key) => Ok(Some(key)),
-        None => hex(fields.needed("HTTP_IDEMPOTENCY_KEY")?, "HTTP_IDEMPOTENCY_KEY").map(Some),
+        None => hex(
+            fields.needed("HTTP_IDEMPOTENCY_KEY")?,
+            "HTTP_IDEMPOTENCY_KEY",
+        )
+        .map(Some),
     }
 }
 
@@ -185,7 +224,11 @@
     fn of(pairs: &'r [Pair<'r>], body: &'r [u8], origin: Origin) -> Result<View<'r>, Unreadable> {
         let fields = Fields(pairs);
         let text = |name| Ok(fields.find(name)?.unwrap_or_default());
-        let (uri, script, rest) = (text("REQUEST_URI")?, text("SCRIPT_NAME")?, text("PATH_INFO")?);
+        let (uri, script, rest) = (
+            text("REQUEST_URI")?,
+            text("SCRIPT_NAME")?,
+            text("PATH_INFO")?,
+        );
         let (before, behind) = uri.split_once('?').unwrap_or((uri, ""));
         let path = match (before, script, rest) {
             ("", script, "") => script,
@@ -195,7 +238,14 @@
             (uri, ..) => uri,
         };
         let query = fields.find("QUERY_STRING")?.unwrap_or(behind);
-        Ok(View { pairs, method: text("REQUEST_METHOD")?, path, query, body, origin })
+        Ok(View {
+            pairs,
+            method: text("REQUEST_METHOD")?,
+            path,
+            query,
+            body,
+            origin,
+        })
     }
 }
 
@@ -213,7 +263,10 @@
     }
 
     fn variable(&self, name: &str) -> Option<&[u8]> {
-        let mut found = self.pairs.iter().filter(|(other, _)| *other == name.as_bytes());
+        let mut found = self
+            .pairs
+            .iter()
+            .filter(|(other, _)| *other == name.as_bytes());
         match (found.next(), found.next()) {
             (Some((_, value)), None) => Some(value),
             _ => None,
--- a/node/src/wire/servers.rs
+++ b/node/src/wire/servers.rs
@@ -114,7 +114,11 @@
             .map(|(server, at)| (*at, *server))
             .collect();
         // New ones first, so that what the others are given meanwhile has somewhere to go.
-        for at in asked.addresses.iter().filter(|at| !members.contains_key(at)) {
+        for at in asked
+            .addresses
+            .iter()
+            .filter(|at| !members.contains_key(at))
+        {
             // What is known from the node's own start on counts as warm.
             let server = match self.up {
                 true => self.pool.add_cold(now, &mut self.actions),
@@ -167,7 +171,10 @@
     pub fn tend(&mut self, now: Tenths) {
         if !std::mem::replace(&mut self.up, true) {
             // Nobody tells whether servers are warm; a pool takes one at a time back that is not.
-            self.work_events.push(WorkEvent::Hello { cold: false, age: 0 });
+            self.work_events.push(WorkEvent::Hello {
+                cold: false,
+                age: 0,
+            });
         }
         if self.pool.next_due() <= now {
             self.pool.tick(now, &mut self.actions);
@@ -177,15 +184,29 @@
 
     pub fn next_due(&self) -> Tenths {
         // What is to be told is not waited for.
-        if self.up && self.work_events.is_empty() { self.pool.next_due() } else { 0 }
+        if self.up && self.work_events.is_empty() {
+            self.pool.next_due()
+        } else {
+            0
+        }
     }
 
-    pub fn run(&mut self, run: ExId, block: Option<Block>, body: &[u8], repeatable: bool, now: Tenths) {
-        let pairs = block.as_ref().and_then(|block| block.protocol.pairs(&block.bytes).ok());
+    pub fn run(
+        &mut self,
+        run: ExId,
+        block: Option<Block>,
+        body: &[u8],
+        repeatable: bool,
+        now: Tenths,
+    ) {
+        let pairs = block
+            .as_ref()
+            .and_then(|block| block.protocol.pairs(&block.bytes).ok());
         let mut variables: Vec<Pair> = pairs.unwrap_or_default();
         variables.retain(|(name, _)| *name != b"CONTENT_LENGTH");
-        let mut request =
-            Vec::with_capacity(body.len() + block.as_ref().map_or(0, |block| block.bytes.len()) + 256);
+        let mut request = Vec::with_capacity(
+            body.len() + block.as_ref().map_or(0, |block| block.bytes.len()) + 256,
+        );
         let written = write_request(self.protocol, &mut request, ID, self.keep, &variables, body);
         debug_assert!(written.is_ok(), "a block that was read is written again");
         self.requests.insert(run, request);
@@ -204,7 +225,9 @@
     }
 
     fn became_ready(&mut self, conn: ConnId, event: Event, now: Tenths) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else { return };
+        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
+            return;
+        };
         if sock.opening {
             match sock.sock.take_error() {
                 Ok(None) if event.writable => {
@@ -247,7 +270,9 @@
     fn settle(&mut self, now: Tenths) {
         while !self.actions.is_empty() {
             let actions = std::mem::take(&mut self.actions);
-            actions.into_iter().for_each(|what| self.carry_out(what, now));
+            actions
+                .into_iter()
+                .for_each(|what| self.carry_out(what, now));
         }
     }
 
@@ -274,10 +299,18 @@
                 };
                 *self.ends.entry(end.name()).or_default() += 1;
                 let headers = passed_on(&answer);
-                self.work_events.push(WorkEvent::RunEnded { id: run, end, headers, body: answer.body });
+                self.work_events.push(WorkEvent::RunEnded {
+                    id: run,
+                    end,
+                    headers,
+                    body: answer.body,
+                });
             }
             Action::Report { server, standing } => {
-                let address = self.at.get(&server).map_or_else(String::new, SocketAddr::to_string);
+                let address = self
+                    .at
+                    .get(&server)
+                    .map_or_else(String::new, SocketAddr::to_string);
                 log_standing(&self.log, &address, self.pool.in_use(), standing, now);
             }
         }
@@ -287,13 +320,23 @@
         let at = self.at.get(&server).copied().ok_or(ErrorKind::NotFound)?;
         let sock = begin_to_connect(at)?;
         // SAFETY: the socket is taken out of the poller in `drop_sock`, before it is dropped.
-        unsafe { self.poller.add_with_mode(&sock, Event::all(self.first_key + conn), PollMode::Level)? };
+        unsafe {
+            self.poller
+                .add_with_mode(&sock, Event::all(self.first_key + conn), PollMode::Level)?
+        };
         if self.socks.len() <= conn {
             self.socks.resize_with(conn + 1, || None);
         }
         let reader = AnswerReader::new(self.protocol, ID, self.most_answer);
         let (opening, run, written, watches_writes) = (true, None, 0, true);
-        self.socks[conn] = Some(Sock { sock, opening, run, written, reader, watches_writes });
+        self.socks[conn] = Some(Sock {
+            sock,
+            opening,
+            run,
+            written,
+            reader,
+            watches_writes,
+        });
         Ok(())
     }
 
--- a/node/src/wire/servers/transfer.rs
+++ b/node/src/wire/servers/transfer.rs
@@ -16,10 +16,16 @@
     }
 
     pub(super) fn send(&mut self, conn: ConnId, run: RunId, now: Tenths) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else { return };
+        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
+            return;
+        };
         // The last look before a kept one is used: what its server closed meanwhile would take the run with
         // it.
-        if !sock.sock.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock) {
+        if !sock
+            .sock
+            .peek(&mut [0])
+            .is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+        {
             return self.lost(conn, now);
         }
         (sock.run, sock.written) = (Some(run), 0);
@@ -28,8 +34,13 @@
     }
 
     pub(super) fn write(&mut self, conn: ConnId, now: Tenths) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else { return };
-        let request = sock.run.and_then(|run| self.requests.get(&run)).map_or(&[][..], Vec::as_slice);
+        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
+            return;
+        };
+        let request = sock
+            .run
+            .and_then(|run| self.requests.get(&run))
+            .map_or(&[][..], Vec::as_slice);
         while sock.written < request.len() {
             match sock.sock.write(&request[sock.written..]) {
                 Ok(n) if n > 0 => {
@@ -51,7 +62,11 @@
         let wants = sock.written < request.len();
         if wants != sock.watches_writes {
             let event = Event::new(self.first_key + conn, true, wants);
-            if self.poller.modify_with_mode(&sock.sock, event, PollMode::Level).is_ok() {
+            if self
+                .poller
+                .modify_with_mode(&sock.sock, event, PollMode::Level)
+                .is_ok()
+            {
                 sock.watches_writes = wants;
             }
         }
@@ -64,7 +79,9 @@
     }
 
     fn read_into(&mut self, conn: ConnId, scratch: &mut [u8], now: Tenths) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else { return };
+        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
+            return;
+        };
         let n = match sock.sock.read(scratch) {
             Ok(n) => n,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return,
@@ -89,9 +106,14 @@
     }
 
     fn over(&mut self, conn: ConnId, answered: Answered, clean: bool, now: Tenths) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else { return };
+        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
+            return;
+        };
         let Some(run) = sock.run.take() else { return };
-        let whole = self.requests.get(&run).is_some_and(|request| request.len() == sock.written);
+        let whole = self
+            .requests
+            .get(&run)
+            .is_some_and(|request| request.len() == sock.written);
         let keep = clean && whole && self.keep && self.protocol == Protocol::FastCgi;
         let over = match answered {
             Answered::Whole(answer) => {
--- a/node/src/wire/standing.rs
+++ b/node/src/wire/standing.rs
@@ -14,7 +14,9 @@
             warn!(log, "server put aside"; "address" => address, "for_ms" => left_ms(till),
                 "in_use" => in_use);
         }
-        Standing::Returning => info!(log, "server probed"; "address" => address, "in_use" => in_use),
+        Standing::Returning => {
+            info!(log, "server probed"; "address" => address, "in_use" => in_use)
+        }
         Standing::Fit => info!(log, "server fit again"; "address" => address, "in_use" => in_use),
         Standing::Down { till } => {
             warn!(log, "server down"; "address" => address, "probed_after_ms" => left_ms(till),
--- a/node/src/wire/work.rs
+++ b/node/src/wire/work.rs
@@ -19,7 +19,11 @@
 
 /// Rules are read with the pools that there are; whatever else an exchange says, it is run.
 fn pool_place(pool: u16, pools: usize) -> usize {
-    if usize::from(pool) < pools { usize::from(pool) } else { 0 }
+    if usize::from(pool) < pools {
+        usize::from(pool)
+    } else {
+        0
+    }
 }
 
 impl Work {
@@ -36,9 +40,11 @@
         match self {
             Work::Engine(link) if link.is_down() => link.next_try,
             Work::Engine(_) => Tenths::MAX,
-            Work::Servers(pools) => {
-                pools.iter().map(|(_, pool)| pool.next_due()).min().unwrap_or(Tenths::MAX)
-            }
+            Work::Servers(pools) => pools
+                .iter()
+                .map(|(_, pool)| pool.next_due())
+                .min()
+                .unwrap_or(Tenths::MAX),
         }
     }
 
@@ -63,7 +69,9 @@
     pub fn gate_retries(&mut self, mut gate: impl FnMut(u16) -> Option<Box<dyn FnMut() -> bool>>) {
         if let Work::Servers(pools) = self {
             for (place, (_, pool)) in pools.iter_mut().enumerate() {
-                gate(place as u16).into_iter().for_each(|gate| pool.gate_retries(gate));
+                gate(place as u16)
+                    .into_iter()
+                    .for_each(|gate| pool.gate_retries(gate));
             }
         }
     }
@@ -72,7 +80,9 @@
     pub fn gate_ramps(&mut self, mut gate: impl FnMut(u16) -> Option<Box<dyn FnMut() -> Token>>) {
         if let Work::Servers(pools) = self {
             for (place, (_, pool)) in pools.iter_mut().enumerate() {
-                gate(place as u16).into_iter().for_each(|gate| pool.gate_ramps(gate));
+                gate(place as u16)
+                    .into_iter()
+                    .for_each(|gate| pool.gate_ramps(gate));
             }
         }
     }
@@ -86,7 +96,9 @@
             Work::Engine(_) => Ok(Admission::Free),
             Work::Servers(pools) => {
                 let place = pool_place(pool, pools.len());
-                pools.get_mut(place).map_or(Ok(Admission::Free), |(_, pool)| pool.admit(now))
+                pools
+                    .get_mut(place)
+                    .map_or(Ok(Admission::Free), |(_, pool)| pool.admit(now))
             }
         }
     }
@@ -95,7 +107,10 @@
     pub fn release(&mut self, pool: u16, admission: Admission) {
         if let (Work::Servers(pools), Admission::Reserved) = (self, admission) {
             let place = pool_place(pool, pools.len());
-            pools.get_mut(place).into_iter().for_each(|(_, pool)| pool.release());
+            pools
+                .get_mut(place)
+                .into_iter()
+                .for_each(|(_, pool)| pool.release());
         }
     }
 
@@ -114,7 +129,14 @@
 
     /// Begins a run. `group` is the endpoint group's name as JSON. The number of the last STAT before it,
     /// or none while it can't be sent.
-    pub fn run(&mut self, id: ExId, ex: &mut Ex, group: &str, repeatable: bool, now: Tenths) -> Option<u64> {
+    pub fn run(
+        &mut self,
+        id: ExId,
+        ex: &mut Ex,
+        group: &str,
+        repeatable: bool,
+        now: Tenths,
+    ) -> Option<u64> {
         match self {
             Work::Engine(link) => link.is_up().then(|| link.run(&ex.try_id, group, &ex.body)),
             Work::Servers(pools) => {
@@ -153,7 +175,9 @@
     pub fn flush(&mut self, now: Tenths, work_events: &mut Vec<WorkEvent>) {
         match self {
             Work::Engine(link) => link.flush(now, work_events),
-            Work::Servers(pools) => pools.iter_mut().for_each(|(_, pool)| pool.flush(work_events)),
+            Work::Servers(pools) => pools
+                .iter_mut()
+                .for_each(|(_, pool)| pool.flush(work_events)),
         }
     }
 
--- a/node/tests/fleet/budgets.rs
+++ b/node/tests/fleet/budgets.rs
@@ -24,7 +24,12 @@
 
 fn profile() -> LoadProfile {
     let ms = Duration::from_millis;
-    LoadProfile { callers: 10, pause: ms(4), preferred_for: Some(ms(1_500)), run_time: ms(40) }
+    LoadProfile {
+        callers: 10,
+        pause: ms(4),
+        preferred_for: Some(ms(1_500)),
+        run_time: ms(40),
+    }
 }
 
 fn budgets(limit: u32) -> Value {
@@ -94,7 +99,8 @@
 }
 
 fn violations(report: &LoadReport) -> Vec<String> {
-    let rate = rate_exceeded(&report.unkeyed, LIMIT, BURST).map(|what| format!("without a key: {what}"));
+    let rate =
+        rate_exceeded(&report.unkeyed, LIMIT, BURST).map(|what| format!("without a key: {what}"));
     let concurrency =
         concurrency_exceeded(&report.runs, CONCURRENCY).map(|what| format!("with a key: {what}"));
     rate.into_iter().chain(concurrency).collect()
@@ -113,7 +119,12 @@
         (6_200, start(vec![0, 1])),
         (8_500, Fault::Stop { nodes: vec![2] }),
         (11_200, Fault::GoOn { nodes: vec![2] }),
-        (16_500, Fault::Kill { nodes: vec![0, 1, 2, 3, 4] }),
+        (
+            16_500,
+            Fault::Kill {
+                nodes: vec![0, 1, 2, 3, 4],
+            },
+        ),
         (16_600, start(vec![0, 1, 2, 3, 4])),
         (17_000, Fault::Leave { nodes: vec![4] }),
         (18_600, start(vec![4])),
@@ -138,20 +149,51 @@
         {"name": "looks", "kind": "rate", "limit": LIMIT, "burst": BURST, "for": {"group": "look"}},
         {"name": "pays", "kind": "concurrency", "limit": 3, "max_hold_ms": HELD_MS,
             "for": {"group": "pay"}}]});
-    let rough = Fault::Links { loss: 0.05, doubled: 0.1, garbled: 0.01, delay_ms: 10 };
+    let rough = Fault::Links {
+        loss: 0.05,
+        doubled: 0.1,
+        garbled: 0.01,
+        delay_ms: 10,
+    };
     let others: Vec<usize> = vec![1, 2, 3, 4, 5, 6, 7, 8];
     let mut faults = vec![
         (4_000, rough),
-        (5_000, Fault::Cut { from: others.clone(), to: vec![0] }),
-        (8_000, Fault::Mend { from: others, to: vec![0] }),
+        (
+            5_000,
+            Fault::Cut {
+                from: others.clone(),
+                to: vec![0],
+            },
+        ),
+        (
+            8_000,
+            Fault::Mend {
+                from: others,
+                to: vec![0],
+            },
+        ),
     ];
     for nth in 0..5 {
         let at = 9_000 + 1_300 * nth as u64;
-        faults.push((at, Fault::Leave { nodes: vec![nth + 2] }));
-        faults.push((at + 1_200, Fault::Start { nodes: vec![nth + 2], clock_ms: 0 }));
+        faults.push((
+            at,
+            Fault::Leave {
+                nodes: vec![nth + 2],
+            },
+        ));
+        faults.push((
+            at + 1_200,
+            Fault::Start {
+                nodes: vec![nth + 2],
+                clock_ms: 0,
+            },
+        ));
     }
     let ms = Duration::from_millis;
-    let profile = LoadProfile { preferred_for: Some(ms(1_000)), ..profile() };
+    let profile = LoadProfile {
+        preferred_for: Some(ms(1_000)),
+        ..profile()
+    };
     let report = play_with(&script(9, 19_000, faults), &[], profile, &own);
     assert_eq!(rate_exceeded(&report.unkeyed, LIMIT, BURST), None);
     assert_eq!(concurrency_exceeded(&report.runs, 3), None);
@@ -162,13 +204,24 @@
         .filter(|request| request.keyed && matches!(request.answer, Some(Seen::Completed(_))))
         .map(|request| request.node)
         .collect();
-    assert!(fronts.len() >= 6 && report.keyed.len() > 50, "{fronts:?} {}", report.keyed.len());
+    assert!(
+        fronts.len() >= 6 && report.keyed.len() > 50,
+        "{fronts:?} {}",
+        report.keyed.len()
+    );
 }
 
 #[test]
 fn without_a_majority_two_halves_use_more_than_the_limit() {
-    let report = play(&script(NODES, 13_000, halves(4_000, 12_500)), &["--test-without", "majority"]);
-    assert!(!violations(&report).is_empty(), "{} ran without a key", report.unkeyed.len());
+    let report = play(
+        &script(NODES, 13_000, halves(4_000, 12_500)),
+        &["--test-without", "majority"],
+    );
+    assert!(
+        !violations(&report).is_empty(),
+        "{} ran without a key",
+        report.unkeyed.len()
+    );
 }
 
 #[test]
@@ -178,7 +231,11 @@
     rig.begin();
     (0..NODES).for_each(|of| rig.start(of, of, &more(of)).unwrap());
     // All alike: a fifth each, and 4 of it set aside.
-    (0..NODES).for_each(|of| wait_for(&rig, of, |of| of.allocation >= 24_000 && of.until_ms.is_some()));
+    (0..NODES).for_each(|of| {
+        wait_for(&rig, of, |of| {
+            of.allocation >= 24_000 && of.until_ms.is_some()
+        })
+    });
     // One node learns of a lower limit: all keep to it.
     rig.reload(3, &budgets(50)).unwrap();
     (0..NODES).for_each(|of| wait_for(&rig, of, |of| of.allocation <= 12_000));
@@ -192,15 +249,44 @@
         json!({"name": "looks", "kind": "concurrency", "limit": 7, "for": {"group": "look"}});
     rig.reload(4, &other_kind).unwrap();
     std::thread::sleep(Duration::from_millis(500));
-    (0..NODES)
-        .for_each(|of| wait_for(&rig, of, |of| of.allocation >= 24_000 && of.rate && of.limit == LIMIT));
+    (0..NODES).for_each(|of| {
+        wait_for(&rig, of, |of| {
+            of.allocation >= 24_000 && of.rate && of.limit == LIMIT
+        })
+    });
     // Most voters gone: the reserved minimums are left.
-    rig.take_up(&Fault::Kill { nodes: vec![0, 1, 2] }, &more).unwrap();
-    [3, 4].iter().for_each(|of| wait_for(&rig, *of, |of| of.allocation == 4_000 && of.until_ms.is_none()));
-    rig.take_up(&Fault::Start { nodes: vec![0], clock_ms: 0 }, &more).unwrap();
-    [0, 3, 4].iter().for_each(|of| wait_for(&rig, *of, |of| of.allocation > 30_000));
+    rig.take_up(
+        &Fault::Kill {
+            nodes: vec![0, 1, 2],
+        },
+        &more,
+    )
+    .unwrap();
+    [3, 4].iter().for_each(|of| {
+        wait_for(&rig, *of, |of| {
+            of.allocation == 4_000 && of.until_ms.is_none()
+        })
+    });
+    rig.take_up(
+        &Fault::Start {
+            nodes: vec![0],
+            clock_ms: 0,
+        },
+        &more,
+    )
+    .unwrap();
+    [0, 3, 4]
+        .iter()
+        .for_each(|of| wait_for(&rig, *of, |of| of.allocation > 30_000));
     let status = std::process::Command::new(program())
-        .args(["fleet", "status", "--json", "--peer", &rig.fleet(3).to_string(), "--key-file"])
+        .args([
+            "fleet",
+            "status",
+            "--json",
+            "--peer",
+            &rig.fleet(3).to_string(),
+            "--key-file",
+        ])
         .arg(rig.key_file())
         .output()
         .unwrap();
@@ -215,7 +301,12 @@
 #[test]
 fn what_is_denied_for_a_budget_is_told_when_to_come_back() {
     let ms = Duration::from_millis;
-    let mut load = Load::new(LoadProfile { callers: 4, pause: ms(1), preferred_for: None, run_time: ms(1) });
+    let mut load = Load::new(LoadProfile {
+        callers: 4,
+        pause: ms(1),
+        preferred_for: None,
+        run_time: ms(1),
+    });
     let mut rig = Rig::new(program(), 1, 3).unwrap();
     // One node, whose reserved minimum is all there is.
     let own = json!({"fleet": {"voters": ["n0"]}, "budgets": [
@@ -227,22 +318,40 @@
     load.start(&[rig.front(0)], 1);
     std::thread::sleep(ms(2_000));
     let report = load.finish();
-    let all: Vec<_> = report.unkeyed.iter().chain(&report.keyed).copied().collect();
+    let all: Vec<_> = report
+        .unkeyed
+        .iter()
+        .chain(&report.keyed)
+        .copied()
+        .collect();
     assert_eq!(rate_exceeded(&all, 20, 10), None);
     assert!(used(&all, 20, began, began + 2_000) > 0.5, "{}", all.len());
-    let rejected = report.requests.iter().filter_map(|request| match &request.answer {
-        Some(Seen::Rejected { retry_after, .. }) => Some(retry_after.unwrap_or(0)),
-        _ => None,
-    });
+    let rejected = report
+        .requests
+        .iter()
+        .filter_map(|request| match &request.answer {
+            Some(Seen::Rejected { retry_after, .. }) => Some(retry_after.unwrap_or(0)),
+            _ => None,
+        });
     let rejected: Vec<u64> = rejected.collect();
-    assert!(rejected.len() > 20 && rejected.iter().any(|ms| *ms > 0), "{rejected:?}");
+    assert!(
+        rejected.len() > 20 && rejected.iter().any(|ms| *ms > 0),
+        "{rejected:?}"
+    );
 }
 
 /// All servers fail: each node by itself would retry far more than the fleet may.
 #[test]
 fn retries_of_all_nodes_together_keep_to_the_fleets_budget() {
-    let breaks = |_: &Got| Act::Cut { body: Vec::new(), at: 0, how: CutBy::Close };
-    let servers = [Server::start(Protocol::FastCgi, breaks), Server::start(Protocol::FastCgi, breaks)];
+    let breaks = |_: &Got| Act::Cut {
+        body: Vec::new(),
+        at: 0,
+        how: CutBy::Close,
+    };
+    let servers = [
+        Server::start(Protocol::FastCgi, breaks),
+        Server::start(Protocol::FastCgi, breaks),
+    ];
     let mut rig = Rig::new(program(), 3, 3).unwrap();
     let own = json!({"fleet": {"voters": ["n0", "n1", "n2"]},
         "servers": {"protocol": "fastcgi", "at_once": 8,
@@ -253,23 +362,43 @@
     (0..3).for_each(|of| rig.start(of, of, &own).unwrap());
     (0..3).for_each(|of| wait_for(&rig, of, |of| of.until_ms.is_some()));
     let began = doortrack_standins::unix_ms();
-    let mut load = Load::new(LoadProfile { callers: 6, pause: Duration::from_millis(5), ..profile() });
+    let mut load = Load::new(LoadProfile {
+        callers: 6,
+        pause: Duration::from_millis(5),
+        ..profile()
+    });
     load.start(&(0..3).map(|of| rig.front(of)).collect::<Vec<_>>(), 2);
     std::thread::sleep(Duration::from_millis(4_000));
     let requests = load.finish().requests.len();
     let lasted = doortrack_standins::unix_ms() - began;
     let mut tries = std::collections::BTreeMap::new();
     for got in servers.iter().flat_map(Server::got) {
-        *tries.entry(got.variable("HTTP_X_REQUEST_ID").map(<[u8]>::to_vec)).or_insert(0u64) += 1;
+        *tries
+            .entry(got.variable("HTTP_X_REQUEST_ID").map(<[u8]>::to_vec))
+            .or_insert(0u64) += 1;
     }
     let retries: u64 = tries.values().map(|count| count - 1).sum();
     let most = 12.0 * (lasted + 1_000) as f64 / 1_000.0 + 6.0;
-    assert!(retries as f64 <= most, "{retries} retries of {requests} requests, {most} at most");
-    assert!(retries > 10 && requests > 200, "{retries} retries of {requests} requests");
+    assert!(
+        retries as f64 <= most,
+        "{retries} retries of {requests} requests, {most} at most"
+    );
+    assert!(
+        retries > 10 && requests > 200,
+        "{retries} retries of {requests} requests"
+    );
 }
 
 fn seen(rig: &Rig, nth: u64, key: Option<&str>) -> Seen {
-    let ask = Ask::new(nth, if key.is_some() { "/svc/pay" } else { "/svc/look" }, b"berth");
+    let ask = Ask::new(
+        nth,
+        if key.is_some() {
+            "/svc/pay"
+        } else {
+            "/svc/look"
+        },
+        b"berth",
+    );
     let ask = key.map_or(ask.clone(), |key| ask.with("HTTP_IDEMPOTENCY_KEY", key));
     ask.send(rig.front(0), Protocol::FastCgi).seen()
 }
@@ -303,16 +432,29 @@
     let budget = json!({"name": "pays", "kind": "rate", "limit": 1, "burst": 1, "reserved": 1,
         "for": {"group": "pay"}});
     let rig = alone(&server, 5_000, budget);
-    let (key, other) = ("00112233445566778899aabbccddeeff", "ffeeddccbbaa99887766554433221100");
+    let (key, other) = (
+        "00112233445566778899aabbccddeeff",
+        "ffeeddccbbaa99887766554433221100",
+    );
     let first = until_completed(&rig, Some(key));
     // However slow the machine: several repeats for each new idempotency key that is rejected.
     let mut rejected = 0;
     for nth in (first + 1..).step_by(2).take(60) {
-        assert_eq!(seen(&rig, nth, Some(key)), Seen::Completed(b"done".to_vec()));
-        rejected += usize::from(matches!(seen(&rig, nth + 1, Some(other)), Seen::Rejected { .. }));
+        assert_eq!(
+            seen(&rig, nth, Some(key)),
+            Seen::Completed(b"done".to_vec())
+        );
+        rejected += usize::from(matches!(
+            seen(&rig, nth + 1, Some(other)),
+            Seen::Rejected { .. }
+        ));
     }
     assert!(rejected > 0, "the budget was never empty");
-    assert!(server.got().len() <= 2, "{} runs of two keys", server.got().len());
+    assert!(
+        server.got().len() <= 2,
+        "{} runs of two keys",
+        server.got().len()
+    );
 }
 
 /// What a node gives up may go on in its server: its permit is free only once that is over.
@@ -327,7 +469,11 @@
     while server.got().len() < 3 {
         nth += 1;
         assert!(!matches!(seen(&rig, nth, None), Seen::Completed(_)));
-        assert!(std::time::Instant::now() < until, "{} runs", server.got().len());
+        assert!(
+            std::time::Instant::now() < until,
+            "{} runs",
+            server.got().len()
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
     let at: Vec<u64> = server.got().iter().map(|got| got.at).collect();
--- a/node/tests/fleet/encoding.rs
+++ b/node/tests/fleet/encoding.rs
@@ -22,19 +22,41 @@
 }
 
 fn datagram(message: Message) -> Spoken {
-    let states = [MemberState::Alive, MemberState::Suspected { by: 9 }, MemberState::Dead, MemberState::Left];
+    let states = [
+        MemberState::Alive,
+        MemberState::Suspected { by: 9 },
+        MemberState::Dead,
+        MemberState::Left,
+    ];
     let updates = states.map(|state| update("c", state)).to_vec();
     let sender = update("a", MemberState::Alive);
-    let head = Head { sender, to: INCARNATION, nth: 5, digest: 0xfe, view: 6 };
-    Spoken::Fleet(Datagram { head, message, updates })
+    let head = Head {
+        sender,
+        to: INCARNATION,
+        nth: 5,
+        digest: 0xfe,
+        view: 6,
+    };
+    Spoken::Fleet(Datagram {
+        head,
+        message,
+        updates,
+    })
 }
 
 fn node(name: &str) -> NodeId {
-    NodeId { name: name.into(), incarnation: INCARNATION }
+    NodeId {
+        name: name.into(),
+        incarnation: INCARNATION,
+    }
 }
 
 fn envelope(message: BudgetMessage) -> Spoken {
-    Spoken::Budgets(Envelope { from: node("a"), to: node("b"), message })
+    Spoken::Budgets(Envelope {
+        from: node("a"),
+        to: node("b"),
+        message,
+    })
 }
 
 fn status() -> Spoken {
@@ -83,11 +105,20 @@
         granted: None,
     };
     let (leader, budgets) = (Some("k".into()), vec![budget]);
-    Spoken::BudgetStatus(Box::new(BudgetPage { nonce: 1, leader, budgets, more: false }))
+    Spoken::BudgetStatus(Box::new(BudgetPage {
+        nonce: 1,
+        leader,
+        budgets,
+        more: false,
+    }))
 }
 
 fn hex(spoken: &Spoken) -> String {
-    postcard::to_allocvec(spoken).unwrap().iter().map(|byte| format!("{byte:02x}")).collect()
+    postcard::to_allocvec(spoken)
+        .unwrap()
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
 
 #[test]
@@ -99,42 +130,105 @@
         (Message::Join, "00"),
         (Message::Ping { nonce: 7 }, "0107"),
         (Message::Ack { nonce: 7 }, "0207"),
-        (Message::PingRequest { nonce: 7, name: "b".into(), incarnation: INCARNATION }, "03070162ac02"),
+        (
+            Message::PingRequest {
+                nonce: 7,
+                name: "b".into(),
+                incarnation: INCARNATION,
+            },
+            "03070162ac02",
+        ),
         (Message::Updates, "04"),
-        (Message::Ask { after: Some("b".into()) }, "05010162"),
+        (
+            Message::Ask {
+                after: Some("b".into()),
+            },
+            "05010162",
+        ),
         (Message::Page { next: None }, "0600"),
     ];
     for (message, body) in messages {
         let what = format!("{message:?}");
-        assert_eq!(hex(&datagram(message)), format!("{head}{body}{updates}"), "{what}");
+        assert_eq!(
+            hex(&datagram(message)),
+            format!("{head}{body}{updates}"),
+            "{what}"
+        );
     }
 }
 
 #[test]
 fn envelopes_of_budgets_keep_their_bytes() {
-    let item = ReportItem { id: 11, need: 1, holding: 2, accepted: 3, limit: 4, reserved: 5 };
-    let grant = Grant { id: 11, allocation: 6, prolongs: true };
+    let item = ReportItem {
+        id: 11,
+        need: 1,
+        holding: 2,
+        accepted: 3,
+        limit: 4,
+        reserved: 5,
+    };
+    let grant = Grant {
+        id: 11,
+        allocation: 6,
+        prolongs: true,
+    };
     let messages = [
         (BudgetMessage::Ask { ballot: 1 }, "0001"),
         (BudgetMessage::Vote { ballot: 2 }, "0102"),
         (BudgetMessage::Refused { ballot: 3 }, "0203"),
         (BudgetMessage::Release { ballot: 4 }, "0304"),
-        (BudgetMessage::Report { seq: 5, weight: 6, items: vec![item] }, "040506010b0102030405"),
-        (BudgetMessage::Grant { seq: 7, grants: vec![grant] }, "0507010b0601"),
-        (BudgetMessage::Elsewhere { seq: 8, leader: Some(node("k")) }, "060801016bac02"),
+        (
+            BudgetMessage::Report {
+                seq: 5,
+                weight: 6,
+                items: vec![item],
+            },
+            "040506010b0102030405",
+        ),
+        (
+            BudgetMessage::Grant {
+                seq: 7,
+                grants: vec![grant],
+            },
+            "0507010b0601",
+        ),
+        (
+            BudgetMessage::Elsewhere {
+                seq: 8,
+                leader: Some(node("k")),
+            },
+            "060801016bac02",
+        ),
     ];
     for (message, body) in messages {
         let what = format!("{message:?}");
-        assert_eq!(hex(&envelope(message)), format!("030161ac020162ac02{body}"), "{what}");
+        assert_eq!(
+            hex(&envelope(message)),
+            format!("030161ac020162ac02{body}"),
+            "{what}"
+        );
     }
 }
 
 #[test]
 fn questions_and_answers_keep_their_bytes() {
-    assert_eq!(hex(&Spoken::Ask(Ask { nonce: 1, after: None })), "010100");
+    assert_eq!(
+        hex(&Spoken::Ask(Ask {
+            nonce: 1,
+            after: None
+        })),
+        "010100"
+    );
     assert_eq!(hex(&Spoken::AskBudgets { nonce: 1, from: 2 }), "040102");
-    assert_eq!(hex(&budget_status()), "050101016b0101620101020304050601070000");
-    let members: Vec<String> =
-        (0..5).map(|state| format!("016dac02007f000001e939{state:02x}080901")).collect();
-    assert_eq!(hex(&status()), format!("020101660161ac02020304010005{}01", members.concat()));
+    assert_eq!(
+        hex(&budget_status()),
+        "050101016b0101620101020304050601070000"
+    );
+    let members: Vec<String> = (0..5)
+        .map(|state| format!("016dac02007f000001e939{state:02x}080901"))
+        .collect();
+    assert_eq!(
+        hex(&status()),
+        format!("020101660161ac02020304010005{}01", members.concat())
+    );
 }
--- a/node/tests/fleet/link.rs
+++ b/node/tests/fleet/link.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use doortrack_fleet::{
-    Action, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message, Parameters,
+    Action, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message,
+    Parameters,
 };
 use doortrack_node::peers::seal::{Refused, Seal};
 use doortrack_node::peers::spoken::{PAGE, Spoken, Status};
@@ -24,14 +25,22 @@
 
 fn all_there(rig: &Rig, of: usize, count: usize) {
     let there = |members: &[doortrack_rig::history::Member]| {
-        members.iter().filter(|member| member.state == "alive").count() == count
+        members
+            .iter()
+            .filter(|member| member.state == "alive")
+            .count()
+            == count
     };
     assert!(rig.wait_for(of, there), "{:?}", rig.status(of));
 }
 
 fn told(history: &History, node: usize, wanted: &str) -> bool {
     history.entries.iter().any(|entry| match &entry.what {
-        What::MemberChange { node: observer, change, .. } => *observer == node && change == wanted,
+        What::MemberChange {
+            node: observer,
+            change,
+            ..
+        } => *observer == node && change == wanted,
         _ => false,
     })
 }
@@ -46,9 +55,21 @@
         address: "127.0.0.1:9".parse().unwrap(),
         weight: 1,
     };
-    let head = Head { sender, to: Incarnation(0), nth: 1, digest: 0, view: 0 };
-    let datagram = Datagram { head, message: Message::Join, updates: Vec::new() };
-    Seal::new(key, fleet).close(&Spoken::Fleet(datagram)).unwrap()
+    let head = Head {
+        sender,
+        to: Incarnation(0),
+        nth: 1,
+        digest: 0,
+        view: 0,
+    };
+    let datagram = Datagram {
+        head,
+        message: Message::Join,
+        updates: Vec::new(),
+    };
+    Seal::new(key, fleet)
+        .close(&Spoken::Fleet(datagram))
+        .unwrap()
 }
 
 #[test]
@@ -62,7 +83,14 @@
     let key = Some([0x5a; 32]);
     let mut version = strange(key, "rig");
     version[0] = 9;
-    let kinds = [strange(None, "rig"), strange(key, "other"), version, Vec::new(), vec![1], vec![1; 2_000]];
+    let kinds = [
+        strange(None, "rig"),
+        strange(key, "other"),
+        version,
+        Vec::new(),
+        vec![1],
+        vec![1; 2_000],
+    ];
     for nth in 0..30_000 {
         let mut bytes = kinds[nth % kinds.len()].clone();
         if nth % 4 == 0 {
@@ -72,7 +100,11 @@
     }
     (0..3).for_each(|of| all_there(&rig, of, 3));
     let result = rig.finish();
-    assert!(!(0..3).any(|of| told(&result.history, of, "dead")), "{}", result.history.lines());
+    assert!(
+        !(0..3).any(|of| told(&result.history, of, "dead")),
+        "{}",
+        result.history.lines()
+    );
 }
 
 #[test]
@@ -81,7 +113,9 @@
     let seal = Seal::new(key, "rig");
     let whole = strange(key, "rig");
     assert!(seal.open(&whole).is_ok());
-    let longer = Seal::new(key, "rig").close(&seal.open(&whole).unwrap()).unwrap();
+    let longer = Seal::new(key, "rig")
+        .close(&seal.open(&whole).unwrap())
+        .unwrap();
     assert_eq!(longer, whole, "the same each time");
     assert_eq!(seal.open(&strange(None, "rig")), Err(Refused::Hash));
     assert_eq!(seal.open(&strange(key, "other")), Err(Refused::Fleet));
@@ -96,7 +130,10 @@
     let mut other = whole;
     other[0] = 2;
     assert_eq!(seal.open(&other), Err(Refused::Version(2)));
-    assert_eq!(Refused::Version(2).to_string(), "speaks version 2, this build 1");
+    assert_eq!(
+        Refused::Version(2).to_string(),
+        "speaks version 2, this build 1"
+    );
 }
 
 #[test]
@@ -106,7 +143,9 @@
         incarnation: Incarnation(u64::MAX),
         version: u32::MAX,
         state: MemberState::Suspected { by: u32::MAX },
-        address: "[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap(),
+        address: "[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535"
+            .parse()
+            .unwrap(),
         weight: 1_000_000,
     };
     let head = Head {
@@ -119,19 +158,43 @@
     // A datagram takes updates until these bytes are full; the longest takes 110.
     let count = doortrack_fleet::UPDATE_BYTES.div_ceil(110);
     let updates: Vec<MemberUpdate> = (0..count).map(update).collect();
-    let message =
-        Message::PingRequest { nonce: u32::MAX, name: update(1).name, incarnation: Incarnation(u64::MAX) };
-    let datagram = Datagram { head, message, updates };
+    let message = Message::PingRequest {
+        nonce: u32::MAX,
+        name: update(1).name,
+        incarnation: Incarnation(u64::MAX),
+    };
+    let datagram = Datagram {
+        head,
+        message,
+        updates,
+    };
     let seal = Seal::new(None, &"x".repeat(64));
     assert!(seal.close(&Spoken::Fleet(datagram)).is_some());
     // So do the pages of a table of them, and the answers to those who ask.
     let mut fleet = Fleet::new(update(0), Parameters::default(), 1, 0);
     let mut out = Vec::new();
     for nth in 1..60 {
-        let sender = MemberUpdate { state: MemberState::Alive, ..update(nth) };
-        let head = Head { sender, to: Incarnation(u64::MAX), nth: 1, digest: 0, view: 0 };
-        let message = if nth == 59 { Message::Ask { after: None } } else { Message::Updates };
-        let datagram = Datagram { head, message, updates: Vec::new() };
+        let sender = MemberUpdate {
+            state: MemberState::Alive,
+            ..update(nth)
+        };
+        let head = Head {
+            sender,
+            to: Incarnation(u64::MAX),
+            nth: 1,
+            digest: 0,
+            view: 0,
+        };
+        let message = if nth == 59 {
+            Message::Ask { after: None }
+        } else {
+            Message::Updates
+        };
+        let datagram = Datagram {
+            head,
+            message,
+            updates: Vec::new(),
+        };
         let from = update(nth).address;
         fleet.handle(0, Event::Received { from, datagram }, &mut out);
     }
@@ -145,11 +208,16 @@
     });
     let sent: Vec<Datagram> = sent.collect();
     let full = |of: fn(&Message) -> bool| {
-        sent.iter().filter(|datagram| of(&datagram.message)).any(|datagram| datagram.updates.len() >= 8)
+        sent.iter()
+            .filter(|datagram| of(&datagram.message))
+            .any(|datagram| datagram.updates.len() >= 8)
     };
     assert!(full(|message| matches!(message, Message::Page { .. })));
     assert!(full(|message| matches!(message, Message::Updates)));
-    assert!(sent.into_iter().all(|datagram| seal.close(&Spoken::Fleet(datagram)).is_some()));
+    assert!(
+        sent.into_iter()
+            .all(|datagram| seal.close(&Spoken::Fleet(datagram)).is_some())
+    );
     let (members, more) = fleet.report(None, PAGE, 0);
     let status = Status {
         nonce: u64::MAX,
@@ -173,7 +241,12 @@
     let socket = |at: std::path::PathBuf| {
         std::fs::read_link(at).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"))
     };
-    (count("fd").filter(|fd| socket(fd.as_ref().unwrap().path())).count(), count("task").count())
+    (
+        count("fd")
+            .filter(|fd| socket(fd.as_ref().unwrap().path()))
+            .count(),
+        count("task").count(),
+    )
 }
 
 #[test]
@@ -215,16 +288,23 @@
     }
     [0, 1, 3].iter().for_each(|of| all_there(&rig, *of, 3));
     let result = rig.finish();
-    assert!(told(&result.history, 2, "superseded"), "{}", result.history.lines());
+    assert!(
+        told(&result.history, 2, "superseded"),
+        "{}",
+        result.history.lines()
+    );
 }
 
 #[test]
 fn with_all_seeds_down_a_node_serves_alone_and_joins_later() {
     let mut rig = rig(5);
     rig.begin();
-    [3, 4].iter().for_each(|of| rig.start(*of, *of, &Value::Null).unwrap());
-    let alone =
-        |members: &[doortrack_rig::history::Member]| members.len() == 1 && members[0].state == "joining";
+    [3, 4]
+        .iter()
+        .for_each(|of| rig.start(*of, *of, &Value::Null).unwrap());
+    let alone = |members: &[doortrack_rig::history::Member]| {
+        members.len() == 1 && members[0].state == "joining"
+    };
     assert!(rig.wait_for(3, alone) && rig.wait_for(4, alone));
     rig.start(0, 0, &Value::Null).unwrap();
     [0, 3, 4].iter().for_each(|of| all_there(&rig, *of, 3));
@@ -236,13 +316,17 @@
     rig.begin();
     (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
     (0..3).for_each(|of| all_there(&rig, of, 3));
-    rig.take_up(&Fault::Kill { nodes: vec![1] }, &|_| Value::Null).unwrap();
-    let dead =
-        |members: &[doortrack_rig::history::Member]| members.iter().any(|member| member.state == "dead");
+    rig.take_up(&Fault::Kill { nodes: vec![1] }, &|_| Value::Null)
+        .unwrap();
+    let dead = |members: &[doortrack_rig::history::Member]| {
+        members.iter().any(|member| member.state == "dead")
+    };
     assert!(rig.wait_for(0, dead));
     let ask = |words: &[&str]| {
         let mut command = Command::new(program());
-        command.args(["fleet", "status", "--peer", &rig.fleet(0).to_string()]).args(words);
+        command
+            .args(["fleet", "status", "--peer", &rig.fleet(0).to_string()])
+            .args(words);
         command.output().unwrap()
     };
     let key = rig.key_file();
@@ -253,16 +337,38 @@
         (&seen["name"], &seen["fleet"], &seen["isolated"]),
         (&json!("n0"), &json!("rig"), &json!(false))
     );
-    let states: Vec<_> = seen["members"].as_array().unwrap().iter().map(|of| &of["state"]).collect();
+    let states: Vec<_> = seen["members"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|of| &of["state"])
+        .collect();
     assert_eq!(states, ["alive", "dead", "alive"]);
     let text = String::from_utf8(ask(&["--key-file", key]).stdout).unwrap();
     assert!(text.starts_with("n0 of rig: view "), "{text}");
     // Without the key nobody answers, and the answer says what to look at.
     let refused = ask(&[]);
     assert!(!refused.status.success());
-    assert!(String::from_utf8_lossy(&refused.stderr).contains("no answer"), "{refused:?}");
+    assert!(
+        String::from_utf8_lossy(&refused.stderr).contains("no answer"),
+        "{refused:?}"
+    );
     let at = rig.fleet(0).to_string();
-    let words = ["fleet", "watch", "--peer", &at, "--key-file", key, "--for-ms", "300", "--every-ms", "100"];
+    let words = [
+        "fleet",
+        "watch",
+        "--peer",
+        &at,
+        "--key-file",
+        key,
+        "--for-ms",
+        "300",
+        "--every-ms",
+        "100",
+    ];
     let watched = Command::new(program()).args(words).output().unwrap();
-    assert!(String::from_utf8_lossy(&watched.stdout).contains("n1 dead"), "{watched:?}");
+    assert!(
+        String::from_utf8_lossy(&watched.stdout).contains("n1 dead"),
+        "{watched:?}"
+    );
 }
--- a/node/tests/fleet/main.rs
+++ b/node/tests/fleet/main.rs
@@ -22,13 +22,25 @@
 }
 
 fn script(nodes: usize, ms: u64, faults: Vec<(u64, Fault)>) -> Script {
-    let faults = faults.into_iter().map(|(at_ms, fault)| Timed { at_ms, fault }).collect();
-    Script { nodes, ms, seed: 5, faults }
+    let faults = faults
+        .into_iter()
+        .map(|(at_ms, fault)| Timed { at_ms, fault })
+        .collect();
+    Script {
+        nodes,
+        ms,
+        seed: 5,
+        faults,
+    }
 }
 
 fn holds(result: &RunResult) {
     let violations = judge(&result.history, &membership());
-    assert!(violations.is_empty(), "{violations:#?}\n{}", result.history.lines());
+    assert!(
+        violations.is_empty(),
+        "{violations:#?}\n{}",
+        result.history.lines()
+    );
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
     assert!(result.served.completed > 0, "{:?}", result.served);
 }
@@ -37,9 +49,33 @@
 fn parted(nodes: (Vec<usize>, Vec<usize>), at: u64, till: u64) -> Vec<(u64, Fault)> {
     let (one, other) = nodes;
     vec![
-        (at, Fault::Cut { from: one.clone(), to: other.clone() }),
-        (at, Fault::Cut { from: other.clone(), to: one.clone() }),
-        (till, Fault::Mend { from: one.clone(), to: other.clone() }),
-        (till, Fault::Mend { from: other, to: one }),
+        (
+            at,
+            Fault::Cut {
+                from: one.clone(),
+                to: other.clone(),
+            },
+        ),
+        (
+            at,
+            Fault::Cut {
+                from: other.clone(),
+                to: one.clone(),
+            },
+        ),
+        (
+            till,
+            Fault::Mend {
+                from: one.clone(),
+                to: other.clone(),
+            },
+        ),
+        (
+            till,
+            Fault::Mend {
+                from: other,
+                to: one,
+            },
+        ),
     ]
 }
--- a/node/tests/fleet/ramp.rs
+++ b/node/tests/fleet/ramp.rs
@@ -66,29 +66,45 @@
             std::thread::spawn(move || call(place as u64, front, &tally, &over))
         });
         let threads = threads.collect();
-        Callers { over, tallies, threads }
+        Callers {
+            over,
+            tallies,
+            threads,
+        }
     }
 
     /// Waits until every caller's tally is as wanted.
     fn wait_for(&self, what: &str, wanted: impl Fn(&Tally) -> bool) {
         let until = Instant::now() + LONGEST;
         while let Some(place) = self.tallies.iter().position(|tally| !wanted(tally)) {
-            assert!(Instant::now() < until, "n{place}: {what}, {}", self.tallies[place].in_words());
+            assert!(
+                Instant::now() < until,
+                "n{place}: {what}, {}",
+                self.tallies[place].in_words()
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     fn completed(&self) -> Vec<u64> {
-        self.tallies.iter().map(|tally| tally.completed.load(Ordering::Relaxed)).collect()
+        self.tallies
+            .iter()
+            .map(|tally| tally.completed.load(Ordering::Relaxed))
+            .collect()
     }
 
     fn sum(&self, of: impl Fn(&Tally) -> &AtomicU64) -> u64 {
-        self.tallies.iter().map(|tally| of(tally).load(Ordering::Relaxed)).sum()
+        self.tallies
+            .iter()
+            .map(|tally| of(tally).load(Ordering::Relaxed))
+            .sum()
     }
 
     fn finish(&mut self) {
         self.over.store(true, Ordering::Relaxed);
-        std::mem::take(&mut self.threads).into_iter().for_each(|caller| caller.join().unwrap());
+        std::mem::take(&mut self.threads)
+            .into_iter()
+            .for_each(|caller| caller.join().unwrap());
     }
 }
 
@@ -118,7 +134,9 @@
             Some(Seen::Unreadable(..) | Seen::Nothing) | None => &tally.unanswered,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        tally.slowest_ms.fetch_max(asked.elapsed().as_millis() as u64, Ordering::Relaxed);
+        tally
+            .slowest_ms
+            .fetch_max(asked.elapsed().as_millis() as u64, Ordering::Relaxed);
         std::thread::sleep(REST);
     }
 }
@@ -157,9 +175,13 @@
 /// Has the server of these nodes go and come back under load, and counts what reaches it.
 fn come_back(rig: &mut Rig, nodes: usize, first: Server) -> Returned {
     let fronts: Vec<SocketAddr> = (0..nodes).map(|of| rig.front(of)).collect();
-    fronts.iter().for_each(|front| drop(doortrack_standins::bed::connect(*front)));
+    fronts
+        .iter()
+        .for_each(|front| drop(doortrack_standins::bed::connect(*front)));
     let mut callers = Callers::start(&fronts);
-    callers.wait_for("served before", |tally| tally.completed.load(Ordering::Relaxed) >= 3);
+    callers.wait_for("served before", |tally| {
+        tally.completed.load(Ordering::Relaxed) >= 3
+    });
     let at = first.kill();
     std::thread::sleep(AWAY);
     let before = callers.completed();
@@ -169,15 +191,26 @@
     for (place, tally) in callers.tallies.iter().enumerate() {
         let (before, until) = (before[place], Instant::now() + LONGEST);
         while tally.completed.load(Ordering::Relaxed) <= before {
-            assert!(Instant::now() < until, "n{place} is starved: {}", tally.in_words());
+            assert!(
+                Instant::now() < until,
+                "n{place} is starved: {}",
+                tally.in_words()
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
     callers.finish();
     let got: Vec<u64> = second.got().iter().map(|got| got.at).collect();
-    let within = |from: u64| got.iter().filter(|at| (from..from + OVER_MS).contains(at)).count();
+    let within = |from: u64| {
+        got.iter()
+            .filter(|at| (from..from + OVER_MS).contains(at))
+            .count()
+    };
     let began = got.iter().copied().min().unwrap_or(listening);
-    let returned = Returned { since_listening: within(listening), since_first: within(began) };
+    let returned = Returned {
+        since_listening: within(listening),
+        since_first: within(began),
+    };
     println!(
         "{nodes} nodes: {} runs in {OVER_MS} ms from listening on, {} from the first on; {} completed, {} \
          rejected, {} failed; the slowest answer took {} ms",
@@ -186,11 +219,24 @@
         callers.sum(|tally| &tally.completed),
         callers.sum(|tally| &tally.rejected),
         callers.sum(|tally| &tally.failed),
-        callers.tallies.iter().map(|tally| tally.slowest_ms.load(Ordering::Relaxed)).max().unwrap_or(0),
+        callers
+            .tallies
+            .iter()
+            .map(|tally| tally.slowest_ms.load(Ordering::Relaxed))
+            .max()
+            .unwrap_or(0),
+    );
+    assert_eq!(
+        callers.sum(|tally| &tally.unanswered),
+        0,
+        "all that was read is answered"
+    );
+    let slow =
+        |tally: &Arc<Tally>| tally.slowest_ms.load(Ordering::Relaxed) > AT_ONCE.as_millis() as u64;
+    assert!(
+        !callers.tallies.iter().any(slow),
+        "an answer waited for its deadline"
     );
-    assert_eq!(callers.sum(|tally| &tally.unanswered), 0, "all that was read is answered");
-    let slow = |tally: &Arc<Tally>| tally.slowest_ms.load(Ordering::Relaxed) > AT_ONCE.as_millis() as u64;
-    assert!(!callers.tallies.iter().any(slow), "an answer waited for its deadline");
     returned
 }
 
@@ -215,7 +261,10 @@
 fn one_node_alone_sends_a_server_that_returns_no_more_than_its_ramp() {
     let (mut rig, server) = started(1, |at| installation(at, ramp(RUNS)));
     let returned = come_back(&mut rig, 1, server);
-    assert!(returned.since_listening <= most(RUNS) && returned.since_listening > 30, "{returned:?}");
+    assert!(
+        returned.since_listening <= most(RUNS) && returned.since_listening > 30,
+        "{returned:?}"
+    );
 }
 
 #[test]
@@ -230,7 +279,10 @@
     (0..NODES).for_each(|of| wait_for_allocation(&rig, of));
     let returned = come_back(&mut rig, NODES, server);
     assert!(returned.since_listening <= most(RUNS), "{returned:?}");
-    assert!(returned.since_listening >= NODES, "each sends its probe: {returned:?}");
+    assert!(
+        returned.since_listening >= NODES,
+        "each sends its probe: {returned:?}"
+    );
 }
 
 /// Waits until a node has an allocation of the one budget.
@@ -238,17 +290,31 @@
     let until = Instant::now() + LONGEST;
     loop {
         let standing = ask_budgets(rig.fleet(of), Some([0x5a; 32])).unwrap().0;
-        if standing.first().is_some_and(|budget| budget.until_ms.is_some()) {
+        if standing
+            .first()
+            .is_some_and(|budget| budget.until_ms.is_some())
+        {
             return;
         }
-        assert!(Instant::now() < until, "n{of} has no allocation: {standing:?}");
+        assert!(
+            Instant::now() < until,
+            "n{of} has no allocation: {standing:?}"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 /// Sends one exchange, under an idempotency key if there is one.
 fn seen(rig: &Rig, nth: u64, key: Option<&str>) -> Seen {
-    let ask = Ask::new(nth, if key.is_some() { "/svc/pay" } else { "/svc/look" }, b"berth");
+    let ask = Ask::new(
+        nth,
+        if key.is_some() {
+            "/svc/pay"
+        } else {
+            "/svc/look"
+        },
+        b"berth",
+    );
     let ask = key.map_or(ask.clone(), |key| ask.with("HTTP_IDEMPOTENCY_KEY", key));
     ask.send(rig.front(0), Protocol::FastCgi).seen()
 }
@@ -257,15 +323,24 @@
 fn while_the_server_is_down_a_repeat_is_answered_and_all_else_is_told_when_to_come_back() {
     let (rig, server) = started(1, |at| installation(at, ramp(RUNS)));
     drop(doortrack_standins::bed::connect(rig.front(0)));
-    let (key, other) = ("00112233445566778899aabbccddeeff", "ffeeddccbbaa99887766554433221100");
+    let (key, other) = (
+        "00112233445566778899aabbccddeeff",
+        "ffeeddccbbaa99887766554433221100",
+    );
     assert_eq!(seen(&rig, 1, Some(key)), Seen::Completed(b"done".to_vec()));
     server.kill();
     let (mut waits, mut failed) = (Vec::new(), 0);
     for nth in (2..).step_by(3).take(40) {
-        assert_eq!(seen(&rig, nth, Some(key)), Seen::Completed(b"done".to_vec()));
+        assert_eq!(
+            seen(&rig, nth, Some(key)),
+            Seen::Completed(b"done".to_vec())
+        );
         for seen in [seen(&rig, nth + 1, Some(other)), seen(&rig, nth + 2, None)] {
             match seen {
-                Seen::Rejected { retry_after, not_elsewhere: false } => waits.push(retry_after),
+                Seen::Rejected {
+                    retry_after,
+                    not_elsewhere: false,
+                } => waits.push(retry_after),
                 // A probe: its connection was refused.
                 Seen::Failed => failed += 1,
                 seen => panic!("{seen:?}"),
@@ -273,8 +348,15 @@
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(waits.iter().all(|wait| wait.is_some_and(|ms| ms > 0)), "{waits:?}");
-    assert!(waits.len() > 20 && failed > 0, "{} rejected, {failed} failed", waits.len());
+    assert!(
+        waits.iter().all(|wait| wait.is_some_and(|ms| ms > 0)),
+        "{waits:?}"
+    );
+    assert!(
+        waits.len() > 20 && failed > 0,
+        "{} rejected, {failed} failed",
+        waits.len()
+    );
 }
 
 /// An address that a SIGHUP brings is cold; one that the node knew from its start is not.
@@ -284,7 +366,9 @@
     drop(doortrack_standins::bed::connect(rig.front(0)));
     let fronts = vec![rig.front(0); 4];
     let mut callers = Callers::start(&fronts);
-    callers.wait_for("served before", |tally| tally.completed.load(Ordering::Relaxed) >= 10);
+    callers.wait_for("served before", |tally| {
+        tally.completed.load(Ordering::Relaxed) >= 10
+    });
     let second = server("127.0.0.1:0".parse().unwrap());
     let added = unix_ms();
     let mut own = installation(first.at, ramp(RUNS));
@@ -292,9 +376,22 @@
     rig.reload(0, &own).unwrap();
     std::thread::sleep(Duration::from_millis(OVER_MS));
     callers.finish();
-    let got = second.got().iter().filter(|got| got.at < added + OVER_MS).count();
+    let got = second
+        .got()
+        .iter()
+        .filter(|got| got.at < added + OVER_MS)
+        .count();
     assert!((5..=RUNS as usize).contains(&got), "{got} on the new one");
-    assert!(first.got().len() > got, "{} on the first", first.got().len());
+    assert!(
+        first.got().len() > got,
+        "{} on the first",
+        first.got().len()
+    );
     let bad = callers.sum(|tally| &tally.rejected) + callers.sum(|tally| &tally.failed);
-    assert_eq!(bad + callers.sum(|tally| &tally.unanswered), 0, "{}", callers.tallies[0].in_words());
+    assert_eq!(
+        bad + callers.sum(|tally| &tally.unanswered),
+        0,
+        "{}",
+        callers.tallies[0].in_words()
+    );
 }
--- a/node/tests/fleet/rolling.rs
+++ b/node/tests/fleet/rolling.rs
@@ -23,16 +23,24 @@
 const BETWEEN: Duration = Duration::from_millis(250);
 /// How long all serve on after the last turn: longer than the window of `PATIENCE`.
 const AFTERWARDS: Duration = Duration::from_millis(4_500);
-const PATIENCE: Patience = Patience { window_ms: 3_000, least_offers: 10 };
+const PATIENCE: Patience = Patience {
+    window_ms: 3_000,
+    least_offers: 10,
+};
 const CALLERS: usize = 16;
 const SERVERS: usize = 3;
 /// What a run takes.
 const WORK: Duration = Duration::from_millis(3);
 
 fn servers() -> Vec<Server> {
-    let script =
-        |got: &_| Act::Answer { status: "200 OK", body: result(&Ran::from(got).try_id), after: WORK };
-    (0..SERVERS).map(|_| Server::start(Protocol::FastCgi, script)).collect()
+    let script = |got: &_| Act::Answer {
+        status: "200 OK",
+        body: result(&Ran::from(got).try_id),
+        after: WORK,
+    };
+    (0..SERVERS)
+        .map(|_| Server::start(Protocol::FastCgi, script))
+        .collect()
 }
 
 fn installation(servers: &[Server]) -> Value {
@@ -70,11 +78,27 @@
     for nodes in in_turns.chunks(AT_ONCE) {
         std::thread::sleep(BETWEEN);
         let ended_at = unix_ms();
-        rig.take_up(&Fault::Kill { nodes: nodes.to_vec() }, &|_| Value::Null).unwrap();
-        nodes.iter().for_each(|node| rig.start(*node, *node, &more).unwrap());
+        rig.take_up(
+            &Fault::Kill {
+                nodes: nodes.to_vec(),
+            },
+            &|_| Value::Null,
+        )
+        .unwrap();
+        nodes
+            .iter()
+            .for_each(|node| rig.start(*node, *node, &more).unwrap());
         for node in nodes {
-            lives.push(Life { front: fronts[*node], ready_at: ready[*node], ended_at });
-            deaths.push(Death { front: fronts[*node], at: ended_at, owed_before: 0 });
+            lives.push(Life {
+                front: fronts[*node],
+                ready_at: ready[*node],
+                ended_at,
+            });
+            deaths.push(Death {
+                front: fronts[*node],
+                at: ended_at,
+                owed_before: 0,
+            });
             ready[*node] = ready_at(fronts[*node]);
         }
     }
@@ -89,12 +113,19 @@
     fronts.iter().for_each(|front| _ = ready_at(*front));
     let asked = traffic.end();
     let offers = asked.offers();
-    let ran: Vec<Ran> = servers.iter().flat_map(Server::got).map(|got| Ran::from(&got)).collect();
+    let ran: Vec<Ran> = servers
+        .iter()
+        .flat_map(Server::got)
+        .map(|got| Ran::from(&got))
+        .collect();
     let (served, broken) = asked.judge(&ran, &deaths);
     assert!(broken.is_empty(), "{broken:#?}");
     let idle = serves_nobody(&lives, &offers, PATIENCE);
     assert!(idle.is_empty(), "{idle:#?}");
     // What was asked of a process that was then killed, and nothing else, has no answer.
     assert!(served.unanswered * 10 < served.asked, "{served:?}");
-    assert!(served.asked > 500 && served.completed * 10 > served.asked * 8, "{served:?}");
+    assert!(
+        served.asked > 500 && served.completed * 10 > served.asked * 8,
+        "{served:?}"
+    );
 }
--- a/node/tests/fleet/served.rs
+++ b/node/tests/fleet/served.rs
@@ -20,7 +20,16 @@
     let fronts: Vec<_> = (0..3).map(|of| rig.front(of)).collect();
     // Answers come only once a node has read of its server; asked before, it rejects.
     let traffic = Traffic::start(4, &fronts, 9);
-    rig.take_up(&Fault::Links { loss: 0.2, doubled: 0.2, garbled: 0.1, delay_ms: 10 }, &more).unwrap();
+    rig.take_up(
+        &Fault::Links {
+            loss: 0.2,
+            doubled: 0.2,
+            garbled: 0.1,
+            delay_ms: 10,
+        },
+        &more,
+    )
+    .unwrap();
     let sock = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut chance = fastrand::Rng::with_seed(1);
     for nth in 0..60_000 {
@@ -33,5 +42,8 @@
     let result = rig.finish_with(Some((traffic, &behind)));
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
     let served = result.served;
-    assert!(served.completed * 10 >= served.asked * 8 && served.asked > 100, "{served:?}");
+    assert!(
+        served.completed * 10 >= served.asked * 8 && served.asked > 100,
+        "{served:?}"
+    );
 }
--- a/node/tests/node/accepts.rs
+++ b/node/tests/node/accepts.rs
@@ -54,7 +54,11 @@
         let next = start_at(at, front, &server);
         until_completed(at, FastCgi, 1_000 * (round as u64 + 1));
         until_completed(front, Uwsgi, 1_000 * (round as u64 + 1) + 500);
-        assert_eq!(std::mem::replace(&mut bed, next).end().0, None, "it was killed");
+        assert_eq!(
+            std::mem::replace(&mut bed, next).end().0,
+            None,
+            "it was killed"
+        );
         drop(sock);
     }
     bed.signal("-TERM");
@@ -106,13 +110,21 @@
 fn hundreds_that_come_and_go_take_nothing_from_what_was_read_before() {
     let server = Server::start(FastCgi, |got| {
         let after = Duration::from_millis(if got.body == b"slow" { 1_500 } else { 0 });
-        Act::Answer { status: "200 OK", body: b"done".to_vec(), after }
+        Act::Answer {
+            status: "200 OK",
+            body: b"done".to_vec(),
+            after,
+        }
     });
     let plan = Plan::new("unused");
     let (at, front) = (plan.at, plan.port(9092));
     let bed = start_at(at, front, &server);
     until_completed(at, FastCgi, 1);
-    let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", bed.program.id())).unwrap().count();
+    let descriptors = || {
+        std::fs::read_dir(format!("/proc/{}/fd", bed.program.id()))
+            .unwrap()
+            .count()
+    };
     let slow: Vec<Pending> = [(at, FastCgi), (front, Uwsgi)]
         .into_iter()
         .zip(500..)
@@ -120,13 +132,23 @@
         .collect();
     // In hand before the others come: beside them it could be rejected, which is no fault.
     let until = Instant::now() + LONG;
-    while server.got().iter().filter(|got| got.body == b"slow").count() < 2 {
+    while server
+        .got()
+        .iter()
+        .filter(|got| got.body == b"slow")
+        .count()
+        < 2
+    {
         assert!(Instant::now() < until, "the slow ones are not run");
         std::thread::sleep(Duration::from_millis(5));
     }
     let before = descriptors();
     for nth in 10_000..10_600 {
-        let (at, protocol) = if nth / 6 % 2 == 0 { (at, FastCgi) } else { (front, Uwsgi) };
+        let (at, protocol) = if nth / 6 % 2 == 0 {
+            (at, FastCgi)
+        } else {
+            (front, Uwsgi)
+        };
         comes_and_goes(nth, at, protocol);
     }
     for pending in slow {
@@ -137,7 +159,11 @@
     // Connections to the server are kept: at most as many as it is given at once.
     let until = Instant::now() + LONG;
     while descriptors() > before + 8 {
-        assert!(Instant::now() < until, "{before} descriptors, then {}", descriptors());
+        assert!(
+            Instant::now() < until,
+            "{before} descriptors, then {}",
+            descriptors()
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     bed.signal("-TERM");
