--- a/node/tests/node/conformance.rs
+++ b/node/tests/node/conformance.rs
@@ -36,7 +36,8 @@
             }
             Work::Server(_, held) => {
                 let held = held.recv_timeout(LONG).expect("no run comes");
-                let call = String::from_utf8(held.got.variable("HTTP_X_REQUEST_ID").unwrap().to_vec());
+                let call =
+                    String::from_utf8(held.got.variable("HTTP_X_REQUEST_ID").unwrap().to_vec());
                 (call.unwrap(), held.got.body.clone(), Run::Server(held))
             }
         }
@@ -47,14 +48,22 @@
     }
 
     fn fail(&mut self, run: Run) {
-        let act = Act::Answer { status: "500 No", body: Vec::new(), after: Default::default() };
+        let act = Act::Answer {
+            status: "500 No",
+            body: Vec::new(),
+            after: Default::default(),
+        };
         self.end(run, "ERROR", act);
     }
 
     fn end(&mut self, run: Run, how: &str, act: Act) {
         match (self, run) {
             (Work::Engine(engine), Run::Engine(call)) => {
-                let result = if let Act::Answer { body, .. } = &act { &body[..] } else { b"" };
+                let result = if let Act::Answer { body, .. } = &act {
+                    &body[..]
+                } else {
+                    b""
+                };
                 engine.end(&call, how, result);
             }
             (_, Run::Server(held)) => held.act(act),
@@ -86,7 +95,9 @@
     fn pay(&mut self, key: u8, body: &[u8]) -> Pending {
         let (at, front) = (self.at, self.front);
         let key = format!("{key:032x}");
-        self.ask("/svc/pay", body).with("HTTP_IDEMPOTENCY_KEY", &key).send(at, front)
+        self.ask("/svc/pay", body)
+            .with("HTTP_IDEMPOTENCY_KEY", &key)
+            .send(at, front)
     }
 }
 
@@ -98,7 +109,8 @@
             let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
             change(&mut plan.config);
             let at = plan.port(9091);
-            let mut installation = json!({"fronts": [{"protocol": front.name(), "listen": at.to_string()}]});
+            let mut installation =
+                json!({"fronts": [{"protocol": front.name(), "listen": at.to_string()}]});
             let server = behind.map(Server::held);
             if let Some((server, _)) = &server {
                 installation["servers"] = json!({"protocol": server.protocol.name(),
@@ -112,9 +124,21 @@
                     (bed, Work::Engine(engine))
                 }
             };
-            let mut house = House { bed, front, at, work, nth: 0 };
+            let mut house = House {
+                bed,
+                front,
+                at,
+                work,
+                nth: 0,
+            };
             let came_to = part(&mut house);
-            all.push((format!("{front} before {}", behind.map_or("the engine", Protocol::name)), came_to));
+            all.push((
+                format!(
+                    "{front} before {}",
+                    behind.map_or("the engine", Protocol::name)
+                ),
+                came_to,
+            ));
         }
     }
     for (pair, came_to) in &all[1..] {
@@ -147,8 +171,11 @@
             let (_, _, run) = house.work.run();
             house.work.fail(run);
             all.push(told(&waits.seen()));
-            for (script, body) in [("/status/live", &b""[..]), ("/svc/none", b""), ("/svc/look", &[1; 2049])]
-            {
+            for (script, body) in [
+                ("/status/live", &b""[..]),
+                ("/svc/none", b""),
+                ("/svc/look", &[1; 2049]),
+            ] {
                 all.push(told(&house.send(script, body).seen()));
             }
             all
@@ -202,11 +229,17 @@
             all.push(told(&house.pay(1, b"x").seen()));
             // Cut in its middle: never had.
             let (at, front) = (house.at, house.front);
-            let bytes =
-                house.ask("/svc/pay", b"body").with("HTTP_IDEMPOTENCY_KEY", &"2".repeat(32)).bytes(front);
+            let bytes = house
+                .ask("/svc/pay", b"body")
+                .with("HTTP_IDEMPOTENCY_KEY", &"2".repeat(32))
+                .bytes(front);
             let mut sock = connect(at);
             sock.write_all(&bytes[..bytes.len() - 2]).unwrap();
-            Pending { sock, protocol: front }.reset();
+            Pending {
+                sock,
+                protocol: front,
+            }
+            .reset();
             let waits = house.pay(0x22, b"y");
             let (_, body, run) = house.work.run();
             assert_eq!(body, b"y");
@@ -227,14 +260,27 @@
         let (one, two) = (house.send("/svc/look", b"1"), house.pay(1, b"2"));
         let (_, first, run) = house.work.run();
         let (_, _, rest) = house.work.run();
-        let (runs_first, hangs) = if first == b"1" { (run, rest) } else { (rest, run) };
+        let (runs_first, hangs) = if first == b"1" {
+            (run, rest)
+        } else {
+            (rest, run)
+        };
         house.bed.signal("-TERM");
         house.bed.reports("draining");
         let (stamp, at, front) = ((unix_ms() + 10).to_string(), house.at, house.front);
-        let late = house.ask("/svc/look", b"").with("HTTP_X_REQUEST_START", &stamp).send(at, front).seen();
+        let late = house
+            .ask("/svc/look", b"")
+            .with("HTTP_X_REQUEST_START", &stamp)
+            .send(at, front)
+            .seen();
         let check = house.send("/status/live", b"").seen();
         house.work.complete(runs_first, b"in time");
-        let mut all = vec![told(&late), told(&check), told(&one.seen()), told(&two.seen())];
+        let mut all = vec![
+            told(&late),
+            told(&check),
+            told(&one.seen()),
+            told(&two.seen()),
+        ];
         drop(hangs);
         let code = house.bed.program.wait().unwrap().code();
         all.push(format!("{code:?}"));
@@ -243,7 +289,10 @@
 }
 
 /// A node with servers, and a front of each protocol.
-fn with_servers(servers: &[&Server], change: impl FnOnce(&mut Value)) -> (Bed, [(Protocol, SocketAddr); 2]) {
+fn with_servers(
+    servers: &[&Server],
+    change: impl FnOnce(&mut Value),
+) -> (Bed, [(Protocol, SocketAddr); 2]) {
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
     let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
     let mut installation = json!({
@@ -280,14 +329,24 @@
 
 /// Everything that a server may do instead of answering.
 fn bad_acts(protocol: Protocol) -> Vec<(Act, &'static str)> {
-    let cut = |at, how| Act::Cut { body: b"a result of some length".into(), at, how };
+    let cut = |at, how| Act::Cut {
+        body: b"a result of some length".into(),
+        at,
+        how,
+    };
     let mut acts = vec![
         (cut(0, CutBy::Close), "before anything"),
         (cut(0, CutBy::Reset), "reset before anything"),
         (cut(20, CutBy::Close), "after the status line"),
-        (cut(20, CutBy::HalfClose), "half closed after the status line"),
+        (
+            cut(20, CutBy::HalfClose),
+            "half closed after the status line",
+        ),
         (cut(45, CutBy::Reset), "reset within the body"),
-        (Act::Garbage(b"SSH-2.0-OpenSSH\r\n".into()), "what is no answer"),
+        (
+            Act::Garbage(b"SSH-2.0-OpenSSH\r\n".into()),
+            "what is no answer",
+        ),
         (Act::Garbage(vec![b'x'; 100_000]), "a head without end"),
     ];
     match protocol {
@@ -312,17 +371,25 @@
         for (act, what) in bad_acts(protocol) {
             let (server, held) = Server::held(protocol);
             let keeps_in = json!({"failures": 100});
-            let (_bed, [(front, at), _]) = with_servers(&[&server], |servers| servers["aside"] = keeps_in);
+            let (_bed, [(front, at), _]) =
+                with_servers(&[&server], |servers| servers["aside"] = keeps_in);
             // Repeatable: tried again, and completed.
             let waits = Ask::new(1, "/svc/look", b"").send(at, front);
             held.recv_timeout(LONG).unwrap().act(act.clone());
-            let again =
-                held.recv_timeout(LONG).unwrap_or_else(|_| panic!("{protocol}: {what}: not tried again"));
+            let again = held
+                .recv_timeout(LONG)
+                .unwrap_or_else(|_| panic!("{protocol}: {what}: not tried again"));
             again.act(Act::ok("at last"));
-            assert_eq!(waits.seen(), Seen::Completed(b"at last".into()), "{protocol}: {what}");
+            assert_eq!(
+                waits.seen(),
+                Seen::Completed(b"at last".into()),
+                "{protocol}: {what}"
+            );
             // Deduplicated: it may have run, so it is failed, and so is its repeat.
             let pay = |n| {
-                Ask::new(n, "/svc/pay", b"").with("HTTP_IDEMPOTENCY_KEY", &"3".repeat(32)).send(at, front)
+                Ask::new(n, "/svc/pay", b"")
+                    .with("HTTP_IDEMPOTENCY_KEY", &"3".repeat(32))
+                    .send(at, front)
             };
             let waits = pay(2);
             held.recv_timeout(LONG).unwrap().act(act);
@@ -343,10 +410,18 @@
         held.recv_timeout(LONG).unwrap().act(Act::Garbage(more));
         assert_eq!(waits.seen(), Seen::Completed(b"body".into()));
         let key = format!("{n:032x}");
-        let pay = |n| Ask::new(n, "/svc/pay", b"").with("HTTP_IDEMPOTENCY_KEY", &key).send(at, front);
+        let pay = |n| {
+            Ask::new(n, "/svc/pay", b"")
+                .with("HTTP_IDEMPOTENCY_KEY", &key)
+                .send(at, front)
+        };
         let waits = pay(10 + n as u64);
         let run = held.recv_timeout(LONG).unwrap();
-        assert_eq!(run.got.variable("HTTP_X_CALLER"), Some(&b"1"[..]), "variables go on as they came");
+        assert_eq!(
+            run.got.variable("HTTP_X_CALLER"),
+            Some(&b"1"[..]),
+            "variables go on as they came"
+        );
         run.act(Act::ok("paid"));
         let first = waits.seen_whole();
         assert_eq!(first.1["Content-Type"], "text/plain");
@@ -355,7 +430,11 @@
             ("a server", "0"),
             "its own level is no one's"
         );
-        assert_eq!(pay(20 + n as u64).seen_whole(), first, "a repeat is told the same");
+        assert_eq!(
+            pay(20 + n as u64).seen_whole(),
+            first,
+            "a repeat is told the same"
+        );
     }
 }
 
@@ -366,28 +445,39 @@
         let hangs = Server::start(protocol, |_| Act::Hang);
         let (bed, [(front, at), _]) = with_servers(&[&server, &hangs], |servers| {
             servers["answer_within_ms"] = json!(300);
-            servers["aside"] = json!({"failures": 1, "first_ms": 200, "longest_ms": 400, "floor": 0.5});
+            servers["aside"] =
+                json!({"failures": 1, "first_ms": 200, "longest_ms": 400, "floor": 0.5});
         });
-        let echo = std::thread::spawn(move || held.iter().for_each(|run| run.act(Act::ok("sound"))));
+        let echo =
+            std::thread::spawn(move || held.iter().for_each(|run| run.act(Act::ok("sound"))));
         let mut n = 0;
         let mut look = || {
             n += 1;
             Ask::new(n, "/svc/look", b"").send(at, front).seen()
         };
         // Every one is completed: what meets the one that hangs is tried again.
-        assert!((0..30).all(|_| look() == Seen::Completed(b"sound".into())), "{protocol}");
+        assert!(
+            (0..30).all(|_| look() == Seen::Completed(b"sound".into())),
+            "{protocol}"
+        );
         let place = server.kill();
         echo.join().unwrap();
         assert_eq!(look(), Seen::Failed, "{protocol}: one refuses, one hangs");
         let _again = Server::start_at(place, protocol, |_| Act::ok("back"));
         let until = std::time::Instant::now() + LONG;
         while look() != Seen::Completed(b"back".into()) {
-            assert!(std::time::Instant::now() < until, "{protocol}: it is never found again");
+            assert!(
+                std::time::Instant::now() < until,
+                "{protocol}: it is never found again"
+            );
         }
         bed.signal("-TERM");
         let (code, log) = bed.end();
         assert_eq!(code, Some(0), "{log}");
-        assert!(log.contains("server put aside") && log.contains("so far of servers"), "{log}");
+        assert!(
+            log.contains("server put aside") && log.contains("so far of servers"),
+            "{log}"
+        );
     }
 }
 
@@ -398,8 +488,9 @@
     let mut n = 0;
     let mut pay = |act| {
         n += 1;
-        let waits =
-            Ask::new(n, "/svc/pay", b"").with("HTTP_IDEMPOTENCY_KEY", &format!("{n:032x}")).send(at, front);
+        let waits = Ask::new(n, "/svc/pay", b"")
+            .with("HTTP_IDEMPOTENCY_KEY", &format!("{n:032x}"))
+            .send(at, front);
         let run = held.recv_timeout(LONG).unwrap();
         assert!(run.got.keep);
         run.act(act);
@@ -409,7 +500,11 @@
     assert_eq!(server.connections(), 1);
     // Answered, and then closed by the server: the next run, which may not run twice, is not lost with it.
     let mut answer = Vec::new();
-    let head = doortrack_wire::Head { status: "200 OK", headers: &[], more: b"" };
+    let head = doortrack_wire::Head {
+        status: "200 OK",
+        headers: &[],
+        more: b"",
+    };
     doortrack_wire::write_answer(FastCgi, &mut answer, 1, head, b"last");
     assert_eq!(pay(Act::Garbage(answer)), Seen::Completed(b"last".into()));
     std::thread::sleep(std::time::Duration::from_millis(20));
@@ -419,7 +514,10 @@
 
 #[test]
 fn servers_come_and_go_under_way() {
-    let (one, two) = (Server::start(Uwsgi, |_| Act::ok("one")), Server::start(Uwsgi, |_| Act::ok("two")));
+    let (one, two) = (
+        Server::start(Uwsgi, |_| Act::ok("one")),
+        Server::start(Uwsgi, |_| Act::ok("two")),
+    );
     let (bed, [(front, at), _]) = with_servers(&[&one], |_| {});
     let mut n = 0;
     let mut look = || {
@@ -436,7 +534,10 @@
     install("uwsgi", two.at);
     let until = std::time::Instant::now() + LONG;
     while look() != Seen::Completed(b"two".into()) {
-        assert!(std::time::Instant::now() < until, "the new one is never used");
+        assert!(
+            std::time::Instant::now() < until,
+            "the new one is never used"
+        );
     }
     assert!((0..10).all(|_| look() == Seen::Completed(b"two".into())));
     // What is spoken can't change under way: told, and the servers stay.
@@ -470,7 +571,9 @@
         }));
         let _bed = plan.start();
         let ask = |n, script| {
-            Ask::new(n, script, b"").with("HTTP_IDEMPOTENCY_KEY", &"4".repeat(32)).send(at, Uwsgi)
+            Ask::new(n, script, b"")
+                .with("HTTP_IDEMPOTENCY_KEY", &"4".repeat(32))
+                .send(at, Uwsgi)
         };
         // Until each kind runs on the one that is to be killed.
         let (mut waiting, mut elsewhere, mut n) = (Vec::new(), Vec::new(), 0);
@@ -480,17 +583,25 @@
                 let waits = match script {
                     "/svc/pay" => {
                         let key = format!("{n:032x}");
-                        Ask::new(n, script, b"").with("HTTP_IDEMPOTENCY_KEY", &key).send(at, Uwsgi)
+                        Ask::new(n, script, b"")
+                            .with("HTTP_IDEMPOTENCY_KEY", &key)
+                            .send(at, Uwsgi)
                     }
                     _ => ask(n, script),
                 };
                 let id = doortrack_standins::try_id(n);
                 let until = std::time::Instant::now() + LONG;
                 let ran = |server: &Server| {
-                    server.got().iter().any(|got| got.variable("HTTP_X_REQUEST_ID") == Some(id.as_bytes()))
+                    server
+                        .got()
+                        .iter()
+                        .any(|got| got.variable("HTTP_X_REQUEST_ID") == Some(id.as_bytes()))
                 };
                 while !ran(&killed) && !ran(&other) {
-                    assert!(std::time::Instant::now() < until, "{protocol}: {script} is never run");
+                    assert!(
+                        std::time::Instant::now() < until,
+                        "{protocol}: {script} is never run"
+                    );
                     std::thread::sleep(std::time::Duration::from_millis(1));
                 }
                 if ran(&killed) {
@@ -512,9 +623,16 @@
         assert_eq!(run.got.variable("SCRIPT_NAME"), Some(&b"/svc/look"[..]));
         run.act(Act::ok("again"));
         for (script, waits) in waiting {
-            let wanted = if script == "/svc/look" { Seen::Completed(b"again".into()) } else { Seen::Failed };
+            let wanted = if script == "/svc/look" {
+                Seen::Completed(b"again".into())
+            } else {
+                Seen::Failed
+            };
             assert_eq!(waits.seen(), wanted, "{protocol}: {script}");
         }
-        assert!(held_too.try_recv().is_err(), "{protocol}: something was run twice");
+        assert!(
+            held_too.try_recv().is_err(),
+            "{protocol}: something was run twice"
+        );
     }
 }
--- a/node/tests/node/early_signals.rs
+++ b/node/tests/node/early_signals.rs
@@ -26,33 +26,61 @@
         let folder = std::env::temp_dir().join(format!("doortrack-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
         let file = folder.join("config.json");
-        assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
+        assert!(
+            Command::new("mkfifo")
+                .arg(&file)
+                .status()
+                .unwrap()
+                .success()
+        );
         let mut command = Command::new(env!("CARGO_BIN_EXE_doortrack"));
-        let process = command.env("GW_CONFIG", &file).stderr(Stdio::piped()).spawn().unwrap();
+        let process = command
+            .env("GW_CONFIG", &file)
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
         // Opened for writing once there is a reader, which then waits for what is written.
         let pipe = OpenOptions::new().write(true).open(&file).unwrap();
         // What is read again is a file like any other.
         let next = folder.join("next.json");
         fs::write(&next, plan.config.to_string()).unwrap();
         fs::rename(next, file).unwrap();
-        Starting { process, folder, plan, pipe }
+        Starting {
+            process,
+            folder,
+            plan,
+            pipe,
+        }
     }
 
     fn signal(&self, name: &str) {
         let id = self.process.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &id])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Lets the start go on.
     fn is_handed_its_configuration(&mut self) {
-        self.pipe.write_all(self.plan.config.to_string().as_bytes()).unwrap();
+        self.pipe
+            .write_all(self.plan.config.to_string().as_bytes())
+            .unwrap();
         self.pipe = File::open("/dev/null").unwrap();
     }
 
     /// Waits for the end of the process: its exit code, and its log.
     fn end(mut self) -> (Option<i32>, String) {
         let mut log = String::new();
-        self.process.stderr.take().unwrap().read_to_string(&mut log).unwrap();
+        self.process
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut log)
+            .unwrap();
         let code = self.process.wait().unwrap().code();
         fs::remove_dir_all(&self.folder).unwrap();
         (code, log)
@@ -64,7 +92,9 @@
     let mut starting = Starting::begin("early-reload");
     starting.signal("-HUP");
     starting.is_handed_its_configuration();
-    let seen = Ask::new(1, "/status/live", b"").send(starting.plan.at, FastCgi).seen();
+    let seen = Ask::new(1, "/status/live", b"")
+        .send(starting.plan.at, FastCgi)
+        .seen();
     assert!(matches!(seen, Seen::Completed(_)), "{seen:?}");
     starting.signal("-TERM");
     let (code, log) = starting.end();
--- a/node/tests/node/ends.rs
+++ b/node/tests/node/ends.rs
@@ -31,33 +31,56 @@
 impl Table {
     fn new(connections: usize) -> Table {
         let poller = Arc::new(Poller::new().unwrap());
-        let room = Room { connections, open: 64, entries: 1, result_bytes: 1, unread: 100_000, commands: 1 };
-        let names = Names { groups: vec!["look".into()], keyed: vec![false], customers: Vec::new() };
+        let room = Room {
+            connections,
+            open: 64,
+            entries: 1,
+            result_bytes: 1,
+            unread: 100_000,
+            commands: 1,
+        };
+        let names = Names {
+            groups: vec!["look".into()],
+            keyed: vec![false],
+            customers: Vec::new(),
+        };
         let mut fronts = Fronts::new(poller.clone(), names, room, 10 * S);
         let at = fresh_address();
         fronts.listen(at, Protocol::FastCgi, None).unwrap();
         // Stamps of requests are of this time, so they are not far off.
         let now = doortrack_standins::unix_ms() * 10;
-        Table { poller, fronts, at, now, exchanges: Vec::new() }
+        Table {
+            poller,
+            fronts,
+            at,
+            now,
+            exchanges: Vec::new(),
+        }
     }
 
     /// Takes in and reads what is ready, and writes; it waits for something to be.
     fn turn(&mut self) {
         let (mut events, mut front_events) = (Events::new(), Vec::new());
-        assert!(self.poller.wait(&mut events, Some(LONG)).unwrap() > 0, "nothing comes");
+        assert!(
+            self.poller.wait(&mut events, Some(LONG)).unwrap() > 0,
+            "nothing comes"
+        );
         for event in events.iter() {
             match event.key {
                 LISTEN_KEY..FIRST_KEY => {
-                    _ = self.fronts.accept(event.key - LISTEN_KEY, self.now, &mut front_events)
+                    _ = self
+                        .fronts
+                        .accept(event.key - LISTEN_KEY, self.now, &mut front_events)
                 }
                 _ => self.fronts.ready(event, self.now, &mut front_events),
             }
         }
         self.fronts.flush(self.now, &mut front_events);
-        self.exchanges.extend(front_events.into_iter().filter_map(|came| match came {
-            FrontEvent::Exchange { caller, .. } => Some(caller),
-            FrontEvent::Ended { .. } => None,
-        }));
+        self.exchanges
+            .extend(front_events.into_iter().filter_map(|came| match came {
+                FrontEvent::Exchange { caller, .. } => Some(caller),
+                FrontEvent::Ended { .. } => None,
+            }));
     }
 
     fn until(&mut self, over: impl Fn(&Table) -> bool) {
@@ -113,8 +136,12 @@
     }
 
     fn serves(&mut self, exchange: usize, client: &mut Client) {
-        let made = Made { headers: b"", body: b"made" };
-        self.fronts.answer(self.exchanges[exchange], Answer::Completed(made));
+        let made = Made {
+            headers: b"",
+            body: b"made",
+        };
+        self.fronts
+            .answer(self.exchanges[exchange], Answer::Completed(made));
         self.fronts.flush(self.now, &mut Vec::new());
         assert_eq!(client.reply().body, b"made");
     }
@@ -139,13 +166,23 @@
     assert!(has_ended(longest_idle));
     longest_idle.look(1, 20);
     table.turn();
-    assert_eq!(longest_idle.sock.take_error().unwrap().map(|e| e.kind()), None, "it was reset");
-    assert!(table.exchanges.is_empty(), "what came after the end was taken in");
+    assert_eq!(
+        longest_idle.sock.take_error().unwrap().map(|e| e.kind()),
+        None,
+        "it was reset"
+    );
+    assert!(
+        table.exchanges.is_empty(),
+        "what came after the end was taken in"
+    );
     table.checks(&mut newest, 21);
     drop(callers.remove(0));
     table.until(|table| table.fronts.connections() == 15);
     assert_eq!(table.fronts.counts().ends.get("evicted"), Some(&1));
-    callers.iter_mut().zip(22..).for_each(|(caller, nth)| table.checks(caller, nth));
+    callers
+        .iter_mut()
+        .zip(22..)
+        .for_each(|(caller, nth)| table.checks(caller, nth));
 }
 
 #[test]
@@ -196,7 +233,10 @@
     table.pass(FRESH);
     let mut first = table.caller();
     table.checks(&mut first, 11);
-    assert!(has_ended(&mut idle), "one that is idle goes before a part of a request");
+    assert!(
+        has_ended(&mut idle),
+        "one that is idle goes before a part of a request"
+    );
     first.look(1, 12);
     table.until(|table| table.exchanges.len() == 1);
     table.pass(FRESH);
@@ -247,8 +287,13 @@
     let mut client = table.busy_caller(1);
     // More than the system takes for a peer that does not read.
     let body = vec![7; 32_000_000];
-    let made = Made { headers: b"", body: &body };
-    table.fronts.answer(table.exchanges[0], Answer::Completed(made));
+    let made = Made {
+        headers: b"",
+        body: &body,
+    };
+    table
+        .fronts
+        .answer(table.exchanges[0], Answer::Completed(made));
     table.fronts.flush(table.now, &mut Vec::new());
     assert!(table.fronts.unread() > 0, "all of it was taken");
     table.fronts.last_reading(table.now, &mut Vec::new());
--- a/node/tests/node/fronts.rs
+++ b/node/tests/node/fronts.rs
@@ -14,7 +14,9 @@
 use serde_json::{Value, json};
 
 /// A node with a front of each protocol, its engine up: the node, the engine, and where the fronts are.
-fn up_with(change: impl FnOnce(&mut Value, &mut Value)) -> (Bed, Engine, [(Protocol, SocketAddr); 2]) {
+fn up_with(
+    change: impl FnOnce(&mut Value, &mut Value),
+) -> (Bed, Engine, [(Protocol, SocketAddr); 2]) {
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
     let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
     let mut installation = json!({"fronts": fronts.map(|(protocol, at)| {
@@ -52,7 +54,11 @@
     let mut tell = |protocol, at, base: u64| {
         let mut all = Vec::new();
         let waits = Ask::new(base, "/svc/look", &body).send(at, protocol);
-        assert_eq!(engine.run(), (try_id(base), body.clone()), "a body passes unchanged");
+        assert_eq!(
+            engine.run(),
+            (try_id(base), body.clone()),
+            "a body passes unchanged"
+        );
         engine.end(&try_id(base), "OK", &result);
         let (seen, mut headers) = waits.seen_whole();
         assert_eq!(seen, Seen::Completed(result.clone()));
@@ -72,7 +78,9 @@
             Ask::new(base + 5, "/svc/look", b"").with("REQUEST_METHOD", "GET"),
             Ask::new(base + 6, "/svc/look", b"").with("HTTP_X_RANK", "1"),
             Ask::new(base + 7, "/svc/look", b"").with("HTTP_X_CALLER", ""),
-            Ask::new(base + 8, "/svc/look", b"").with("HTTP_X_OBJECT", "1").with("HTTP_X_OBJECT", "1"),
+            Ask::new(base + 8, "/svc/look", b"")
+                .with("HTTP_X_OBJECT", "1")
+                .with("HTTP_X_OBJECT", "1"),
             Ask::new(base + 9, "/svc/pay", b""),
             Ask::new(base + 10, "/svc/look", &long),
             Ask::new(base, "/svc/look", b"an id that was used"),
@@ -83,10 +91,30 @@
         }
         all
     };
-    let told = fronts.map(|(protocol, at)| tell(protocol, at, if protocol == Uwsgi { 100 } else { 200 }));
+    let told =
+        fronts.map(|(protocol, at)| tell(protocol, at, if protocol == Uwsgi { 100 } else { 200 }));
     assert_eq!(told[0], told[1]);
-    let kinds = ["Failed", "Completed", "Rejected", "400", "400", "400", "400", "400", "400", "413", "400"];
-    assert!(kinds.iter().zip(&told[0][1..]).all(|(kind, told)| told.contains(kind)), "{:#?}", told[0]);
+    let kinds = [
+        "Failed",
+        "Completed",
+        "Rejected",
+        "400",
+        "400",
+        "400",
+        "400",
+        "400",
+        "400",
+        "413",
+        "400",
+    ];
+    assert!(
+        kinds
+            .iter()
+            .zip(&told[0][1..])
+            .all(|(kind, told)| told.contains(kind)),
+        "{:#?}",
+        told[0]
+    );
 }
 
 #[test]
@@ -107,8 +135,16 @@
             let (_, two) = ask(again);
             engine.readings(4);
             engine.end(&call, how, b"moored");
-            let wanted = if how == "OK" { Seen::Completed(b"moored".into()) } else { Seen::Failed };
-            assert_eq!([one.seen(), two.seen()], [wanted.clone(), wanted.clone()], "{how}");
+            let wanted = if how == "OK" {
+                Seen::Completed(b"moored".into())
+            } else {
+                Seen::Failed
+            };
+            assert_eq!(
+                [one.seen(), two.seen()],
+                [wanted.clone(), wanted.clone()],
+                "{how}"
+            );
             // After its end: its result, or a failure; what never ran may run now.
             let (call, three) = ask(again);
             if how == "MOOT" {
@@ -144,7 +180,10 @@
         engine.end(&try_id(base + 1), "OK", b"");
         assert!(matches!(busy.seen(), Seen::Completed(_)));
         let (call, _) = engine.run();
-        assert!([2, 3, 4].map(|n| try_id(base + n)).contains(&call), "{call}");
+        assert!(
+            [2, 3, 4].map(|n| try_id(base + n)).contains(&call),
+            "{call}"
+        );
         engine.readings(4);
         engine.end(&call, "OK", b"once");
         for waits in [one, two, held] {
@@ -158,11 +197,22 @@
     let (bed, mut engine, [fast, uwsgi]) = up();
     let whole = pay(1, b"a body").bytes(Uwsgi);
     // Mid-head, mid-variables, mid-body: it was never had.
-    for cut in [1, 3, 4, 20, whole.len() - 7, whole.len() - 3, whole.len() - 1] {
+    for cut in [
+        1,
+        3,
+        4,
+        20,
+        whole.len() - 7,
+        whole.len() - 3,
+        whole.len() - 1,
+    ] {
         for reset in [false, true] {
             let mut sock = connect(uwsgi.1);
             sock.write_all(&whole[..cut]).unwrap();
-            let pending = Pending { sock, protocol: Uwsgi };
+            let pending = Pending {
+                sock,
+                protocol: Uwsgi,
+            };
             if reset {
                 pending.reset();
             } else {
@@ -199,13 +249,24 @@
             // A broken connection may stop the run; then the repeat is told that it was.
             let (call, _) = engine.run();
             assert_eq!(call, try_id(n));
-            let halted = round == 1 && engine.command_within_readings(6).is_some_and(|c| c["msg"] == "HALT");
+            let halted = round == 1
+                && engine
+                    .command_within_readings(6)
+                    .is_some_and(|c| c["msg"] == "HALT");
             engine.end(&call, if halted { "STOPPED" } else { "OK" }, &result);
             let seen = again.take().unwrap().seen();
-            let wanted = if halted { Seen::Failed } else { Seen::Completed(result) };
+            let wanted = if halted {
+                Seen::Failed
+            } else {
+                Seen::Completed(result)
+            };
             assert_eq!(seen, wanted, "round {round}");
         } else {
-            assert_eq!(again.take().unwrap().seen(), Seen::Completed(result), "round {round}");
+            assert_eq!(
+                again.take().unwrap().seen(),
+                Seen::Completed(result),
+                "round {round}"
+            );
         }
     }
     bed.signal("-TERM");
@@ -239,15 +300,26 @@
     refused(413, &with_length("999999999999", &vec![b'x'; 200_000]));
     refused(400, &[5, 0, 0, 0]);
     refused(400, &[0, 5, 0, 0, 9, 0, b'A', b'B', b'C']);
-    refused(413, &[&[0, 255, 255, 0, 1, 0, b'A', 250, 255][..], &[b'x'; 65_530]].concat());
+    refused(
+        413,
+        &[&[0, 255, 255, 0, 1, 0, b'A', 250, 255][..], &[b'x'; 65_530]].concat(),
+    );
     refused(400, &[100, 1, 0, 0, 0]);
     refused(400, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n");
     // More than the body: the request is sound, what follows belongs to nobody.
     let mut sock = connect(at);
-    sock.write_all(&[sound.bytes(Uwsgi), vec![0; 5000]].concat()).unwrap();
+    sock.write_all(&[sound.bytes(Uwsgi), vec![0; 5000]].concat())
+        .unwrap();
     let (call, _) = engine.run();
     engine.end(&call, "OK", b"done");
-    assert_eq!(Pending { sock, protocol: Uwsgi }.seen(), Seen::Completed(b"done".into()));
+    assert_eq!(
+        Pending {
+            sock,
+            protocol: Uwsgi
+        }
+        .seen(),
+        Seen::Completed(b"done".into())
+    );
 }
 
 #[test]
@@ -269,9 +341,17 @@
     for cut in [0, 2, 30, whole.len() - 2] {
         let mut sock = connect(at);
         sock.write_all(&whole[..cut]).unwrap();
-        let seen = Pending { sock, protocol: Uwsgi }.seen();
+        let seen = Pending {
+            sock,
+            protocol: Uwsgi,
+        }
+        .seen();
         let begun = cut >= 4;
-        assert_eq!(matches!(seen, Seen::Unreadable(400, _)), begun, "{cut}: {seen:?}");
+        assert_eq!(
+            matches!(seen, Seen::Unreadable(400, _)),
+            begun,
+            "{cut}: {seen:?}"
+        );
         assert_eq!(seen == Seen::Nothing, !begun, "{cut}: {seen:?}");
     }
     // One that trickles is closed as well, however often a byte comes.
@@ -296,8 +376,9 @@
 fn a_front_whose_answers_nobody_reads_slows_no_other() {
     let (_bed, mut engine, [fast, uwsgi]) = up();
     // Deaf on one front: many answers wait to be read.
-    let deaf: Vec<Pending> =
-        (0..40).map(|n| Ask::new(n, "/status/live", b"").send(fast.1, FastCgi)).collect();
+    let deaf: Vec<Pending> = (0..40)
+        .map(|n| Ask::new(n, "/status/live", b"").send(fast.1, FastCgi))
+        .collect();
     let mut loud = connect(fast.1);
     loud.set_nonblocking(true).unwrap();
     let check = Ask::new(1, "/status/live", b"").bytes(FastCgi);
@@ -324,8 +405,15 @@
     let descriptors = || std::fs::read_dir(format!("/proc/{id}/fd")).unwrap().count();
     let kb = || {
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
-        line.split_whitespace().next().unwrap().parse::<u64>().unwrap()
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))
+            .unwrap();
+        line.split_whitespace()
+            .next()
+            .unwrap()
+            .parse::<u64>()
+            .unwrap()
     };
     let check = Ask::new(1, "/status/live", b"").bytes(Uwsgi);
     let play = |count: u32| {
@@ -354,7 +442,10 @@
     assert!(matches!(waits.seen(), Seen::Completed(_)));
     let (after, kb_after) = (descriptors(), kb());
     assert!(after <= before + 2, "{before} descriptors, then {after}");
-    assert!(kb_after <= kb_before + 1000, "{kb_before} kB, then {kb_after}");
+    assert!(
+        kb_after <= kb_before + 1000,
+        "{kb_before} kB, then {kb_after}"
+    );
 }
 
 #[test]
@@ -368,9 +459,14 @@
     let served = Ask::new(1, "/status/live", b"").send(uwsgi.1, Uwsgi).seen();
     assert!(matches!(served, Seen::Completed(_)));
     assert_eq!(silent[0].read(&mut [0]).unwrap(), 0);
-    let others: Vec<Pending> =
-        (0..30).map(|n| Ask::new(n, "/status/live", b"").send(fast.1, FastCgi)).collect();
-    assert!(others.into_iter().all(|pending| matches!(pending.seen(), Seen::Completed(_))));
+    let others: Vec<Pending> = (0..30)
+        .map(|n| Ask::new(n, "/status/live", b"").send(fast.1, FastCgi))
+        .collect();
+    assert!(
+        others
+            .into_iter()
+            .all(|pending| matches!(pending.seen(), Seen::Completed(_)))
+    );
 }
 
 #[test]
@@ -401,19 +497,29 @@
 fn fronts_change_under_way_and_nothing_in_hand_is_lost() {
     let (bed, mut engine, [fast, uwsgi]) = up();
     let new = SocketAddr::new(bed.at.ip(), 9093);
-    let front =
-        |protocol: Protocol, at: SocketAddr| json!({"protocol": protocol.name(), "listen": at.to_string()});
-    let waits =
-        [fast, uwsgi].map(|(protocol, at)| Ask::new(at.port().into(), "/svc/look", b"").send(at, protocol));
+    let front = |protocol: Protocol, at: SocketAddr| json!({"protocol": protocol.name(), "listen": at.to_string()});
+    let waits = [fast, uwsgi]
+        .map(|(protocol, at)| Ask::new(at.port().into(), "/svc/look", b"").send(at, protocol));
     let calls = [engine.run().0, engine.run().0];
     // A file that can't be served changes nothing.
     bed.install(&json!({"fronts": [front(Uwsgi, new), front(FastCgi, new)]}));
     engine.readings(4);
-    assert!(matches!(Ask::new(7, "/status/live", b"").send(uwsgi.1, Uwsgi).seen(), Seen::Completed(_)));
+    assert!(matches!(
+        Ask::new(7, "/status/live", b"").send(uwsgi.1, Uwsgi).seen(),
+        Seen::Completed(_)
+    ));
     // One stays, one goes, one comes; and one changes what it speaks.
     bed.install(&json!({"fronts": [front(Uwsgi, new), front(FastCgi, uwsgi.1)]}));
-    assert!(matches!(Ask::new(8, "/status/live", b"").send(new, Uwsgi).seen(), Seen::Completed(_)));
-    assert!(matches!(Ask::new(9, "/status/live", b"").send(uwsgi.1, FastCgi).seen(), Seen::Completed(_)));
+    assert!(matches!(
+        Ask::new(8, "/status/live", b"").send(new, Uwsgi).seen(),
+        Seen::Completed(_)
+    ));
+    assert!(matches!(
+        Ask::new(9, "/status/live", b"")
+            .send(uwsgi.1, FastCgi)
+            .seen(),
+        Seen::Completed(_)
+    ));
     assert!(TcpStream::connect(fast.1).is_err(), "it still listens");
     for (call, pending) in calls.iter().zip(waits) {
         engine.end(call, "OK", b"kept");
@@ -423,7 +529,10 @@
     bed.signal("-TERM");
     let (code, log) = bed.end();
     assert_eq!(code, Some(0), "{log}");
-    assert!(log.contains("taken by installation.fronts[0]") && log.contains("front withdrawn"), "{log}");
+    assert!(
+        log.contains("taken by installation.fronts[0]") && log.contains("front withdrawn"),
+        "{log}"
+    );
 }
 
 #[test]
@@ -447,13 +556,21 @@
     bed.reports("draining");
     let stamp = (unix_ms() + 10).to_string();
     let late = |n, (protocol, at): (Protocol, SocketAddr)| {
-        Ask::new(n, "/svc/look", b"").with("HTTP_X_REQUEST_START", &stamp).send(at, protocol).seen()
+        Ask::new(n, "/svc/look", b"")
+            .with("HTTP_X_REQUEST_START", &stamp)
+            .send(at, protocol)
+            .seen()
     };
     let late = [late(50, fast), late(51, uwsgi)];
-    assert!(late.iter().all(|seen| matches!(seen, Seen::Rejected { .. })), "{late:?}");
+    assert!(
+        late.iter()
+            .all(|seen| matches!(seen, Seen::Rejected { .. })),
+        "{late:?}"
+    );
     // Half a request at the stop is refused, not left without a word.
     let mut half = connect(uwsgi.1);
-    half.write_all(&Ask::new(60, "/svc/look", b"body").bytes(Uwsgi)[..50]).unwrap();
+    half.write_all(&Ask::new(60, "/svc/look", b"body").bytes(Uwsgi)[..50])
+        .unwrap();
     let [one, two, three] = runs;
     for (call, pending) in calls[..2].iter().zip([one, two]) {
         engine.end(call, "OK", b"in time");
@@ -461,24 +578,47 @@
     }
     let ends = held.map(|pending| pending.seen());
     assert!(!ends.contains(&Seen::Nothing), "{ends:?}");
-    assert_eq!(three.seen(), Seen::Failed, "what can't be done by the stop is told so before it");
-    assert!(matches!(Pending { sock: half, protocol: Uwsgi }.seen(), Seen::Rejected { .. }));
+    assert_eq!(
+        three.seen(),
+        Seen::Failed,
+        "what can't be done by the stop is told so before it"
+    );
+    assert!(matches!(
+        Pending {
+            sock: half,
+            protocol: Uwsgi
+        }
+        .seen(),
+        Seen::Rejected { .. }
+    ));
     let (code, log) = bed.end();
     assert_eq!(code, Some(0), "{log}");
-    let tells =
-        |what: &str| log.lines().any(|line| line.contains("so far of a front") && line.contains(what));
-    assert!(tells("protocol=uwsgi") && tells("protocol=fastcgi"), "{log}");
+    let tells = |what: &str| {
+        log.lines()
+            .any(|line| line.contains("so far of a front") && line.contains(what))
+    };
+    assert!(
+        tells("protocol=uwsgi") && tells("protocol=fastcgi"),
+        "{log}"
+    );
 }
 
 fn doortrack(words: &[&str]) -> (Option<i32>, String, String) {
-    let out = Command::new(env!("CARGO_BIN_EXE_doortrack")).env_clear().args(words).output().unwrap();
+    let out = Command::new(env!("CARGO_BIN_EXE_doortrack"))
+        .env_clear()
+        .args(words)
+        .output()
+        .unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
     (out.status.code(), text(out.stdout), text(out.stderr))
 }
 
 #[test]
 fn the_schema_kept_is_the_schema_printed() {
-    let kept = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/installation.schema.json");
+    let kept = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../deploy/installation.schema.json"
+    );
     let (code, printed, _) = doortrack(&["schema"]);
     assert_eq!(code, Some(0));
     assert!(
@@ -497,9 +637,13 @@
         let (code, out, _) = doortrack(&["check", "--installation", file.to_str().unwrap()]);
         (code, out)
     };
-    let good = json!({"fronts": [{"protocol": "uwsgi", "listen": "127.0.0.1:9091", "connections": 4}]});
+    let good =
+        json!({"fronts": [{"protocol": "uwsgi", "listen": "127.0.0.1:9091", "connections": 4}]});
     let (code, said) = check(good);
-    assert_eq!((code, said.as_str()), (Some(0), "good: uwsgi on 127.0.0.1:9091\n"));
+    assert_eq!(
+        (code, said.as_str()),
+        (Some(0), "good: uwsgi on 127.0.0.1:9091\n")
+    );
     assert_eq!(check(json!({})).0, Some(0));
     let (code, told) = check(json!({"front": [], "fronts": [
         {"protocol": "uwsgi", "listen": "127.0.0.1:65536"},
@@ -516,47 +660,88 @@
         "fronts[2].listen:",
         "fronts[2].connections:",
     ] {
-        assert!(told.lines().any(|line| line.starts_with(&format!("installation.{path}"))), "{path}\n{told}");
+        assert!(
+            told.lines()
+                .any(|line| line.starts_with(&format!("installation.{path}"))),
+            "{path}\n{told}"
+        );
     }
     let (_, told) = check(json!({"fronts": [
         {"protocol": "uwsgi", "listen": "127.0.0.1:0"}, {"protocol": "uwsgi", "listen": "127.0.0.1:9091"},
         {"protocol": "fastcgi", "listen": "0.0.0.0:9091", "connections": 0}
     ]}));
-    for path in ["fronts[0].listen", "fronts[2].listen", "fronts[2].connections"] {
-        assert!(told.contains(&format!("installation.{path}: ")), "{path}\n{told}");
+    for path in [
+        "fronts[0].listen",
+        "fronts[2].listen",
+        "fronts[2].connections",
+    ] {
+        assert!(
+            told.contains(&format!("installation.{path}: ")),
+            "{path}\n{told}"
+        );
     }
     let fleet = |more: Value| {
         let mut whole = json!({"name": "delta", "listen": "127.0.0.1:7401"});
-        whole.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
+        whole
+            .as_object_mut()
+            .unwrap()
+            .extend(more.as_object().unwrap().clone());
         json!({"fleet": whole})
     };
-    let (code, said) = check(fleet(json!({"seeds": ["127.0.0.1:7402"], "voters": ["n1", "n2", "n3"]})));
-    assert_eq!((code, said.as_str()), (Some(0), "good: no fronts; of fleet delta\n"));
+    let (code, said) = check(fleet(
+        json!({"seeds": ["127.0.0.1:7402"], "voters": ["n1", "n2", "n3"]}),
+    ));
+    assert_eq!(
+        (code, said.as_str()),
+        (Some(0), "good: no fronts; of fleet delta\n")
+    );
     let wrong = [
         (json!({"name": ""}), ".name"),
         (json!({"listen": "0.0.0.0:7401"}), ".listen"),
         (json!({"advertise": "127.0.0.1:0"}), ".advertise"),
-        (json!({"seeds": ["127.0.0.1:7402", "127.0.0.1:0"]}), ".seeds[1]"),
+        (
+            json!({"seeds": ["127.0.0.1:7402", "127.0.0.1:0"]}),
+            ".seeds[1]",
+        ),
         (json!({"voters": ["n1", "n1"]}), ".voters[1]"),
         (json!({"weight": 0}), ".weight"),
         (json!({"times": {"period_ms": 10}}), ".times.period_ms"),
-        (json!({"times": {"period_ms": 100, "answer_within_ms": 100}}), ".times.answer_within_ms"),
-        (json!({"times": {"suspicion_min_ms": 500, "suspicion_max_ms": 400}}), ".times.suspicion_max_ms"),
+        (
+            json!({"times": {"period_ms": 100, "answer_within_ms": 100}}),
+            ".times.answer_within_ms",
+        ),
+        (
+            json!({"times": {"suspicion_min_ms": 500, "suspicion_max_ms": 400}}),
+            ".times.suspicion_max_ms",
+        ),
         (json!({"times": {"perod_ms": 10}}), ".times.perod_ms"),
         (json!({"key_file": "nowhere"}), ".key_file"),
     ];
     for (more, path) in wrong {
         let (code, told) = check(fleet(more));
         assert_eq!(code, Some(1));
-        assert!(told.starts_with(&format!("installation.fleet{path}: ")), "{path}\n{told}");
+        assert!(
+            told.starts_with(&format!("installation.fleet{path}: ")),
+            "{path}\n{told}"
+        );
     }
-    assert!(check(json!({"fleet": ["delta", "127.0.0.1:7401"]})).1.contains("an object is wanted"));
+    assert!(
+        check(json!({"fleet": ["delta", "127.0.0.1:7401"]}))
+            .1
+            .contains("an object is wanted")
+    );
     for text in ["", "[]", "nonsense", "{\"fronts\": 3}"] {
         std::fs::write(&file, text).unwrap();
         let (code, told, _) = doortrack(&["check", "--installation", file.to_str().unwrap()]);
         assert_eq!((code, told.lines().count()), (Some(1), 1), "{text}: {told}");
     }
-    let (code, told, _) = doortrack(&["check", "--installation", "/nowhere/at/all", "--config", "/nor/here"]);
+    let (code, told, _) = doortrack(&[
+        "check",
+        "--installation",
+        "/nowhere/at/all",
+        "--config",
+        "/nor/here",
+    ]);
     assert_eq!((code, told.lines().count()), (Some(1), 2), "{told}");
     _ = std::fs::remove_dir_all(folder);
 }
@@ -564,7 +749,9 @@
 #[test]
 fn a_log_in_json_is_one_object_a_line_and_keeps_its_bound() {
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
-    plan.words = ["--log-format", "json", "--log-level", "debug"].map(String::from).to_vec();
+    plan.words = ["--log-format", "json", "--log-level", "debug"]
+        .map(String::from)
+        .to_vec();
     plan.installation = Some(json!({"fronts": []}));
     let (bed, _engine) = plan.up();
     for _ in 0..60 {
@@ -573,13 +760,24 @@
     }
     bed.signal("-TERM");
     let (_, log) = bed.end();
-    let lines: Vec<Value> = log.lines().map(|line| serde_json::from_str(line).expect(line)).collect();
+    let lines: Vec<Value> = log
+        .lines()
+        .map(|line| serde_json::from_str(line).expect(line))
+        .collect();
     let mut a_second = std::collections::BTreeMap::<u64, u32>::new();
     for line in &lines {
-        assert!(line["msg"].is_string() && line["level"].is_string() && line["node"] == "n1", "{line}");
-        *a_second.entry(line["time"].as_u64().unwrap() / 1000).or_default() += 1;
+        assert!(
+            line["msg"].is_string() && line["level"].is_string() && line["node"] == "n1",
+            "{line}"
+        );
+        *a_second
+            .entry(line["time"].as_u64().unwrap() / 1000)
+            .or_default() += 1;
     }
     assert!(a_second.values().all(|count| *count <= 21), "{a_second:?}");
     let last = lines.iter().rfind(|line| line["msg"] == "so far").unwrap();
-    assert!(last["completed"].is_u64() && last["ends"].is_object(), "{last}");
+    assert!(
+        last["completed"].is_u64() && last["ends"].is_object(),
+        "{last}"
+    );
 }
--- a/node/tests/node/half_closed.rs
+++ b/node/tests/node/half_closed.rs
@@ -16,10 +16,15 @@
 /// Reads what is ready and writes nothing, as the loop does between two readings: the exchanges that came.
 fn reads(poller: &Poller, fronts: &mut Fronts, now: u64) -> Vec<Caller> {
     let (mut events, mut front_events) = (Events::new(), Vec::new());
-    assert!(poller.wait(&mut events, Some(LONG)).unwrap() > 0, "nothing comes");
+    assert!(
+        poller.wait(&mut events, Some(LONG)).unwrap() > 0,
+        "nothing comes"
+    );
     for event in events.iter() {
         match event.key {
-            LISTEN_KEY..FIRST_KEY => _ = fronts.accept(event.key - LISTEN_KEY, now, &mut front_events),
+            LISTEN_KEY..FIRST_KEY => {
+                _ = fronts.accept(event.key - LISTEN_KEY, now, &mut front_events)
+            }
             _ => fronts.ready(event, now, &mut front_events),
         }
     }
@@ -33,13 +38,26 @@
 #[test]
 fn a_half_close_that_is_read_twice_in_one_turn_is_no_reset() {
     let poller = Arc::new(Poller::new().unwrap());
-    let room = Room { connections: 8, open: 8, entries: 1, result_bytes: 1, unread: 100_000, commands: 1 };
-    let names = Names { groups: vec!["look".into()], keyed: vec![false], customers: Vec::new() };
+    let room = Room {
+        connections: 8,
+        open: 8,
+        entries: 1,
+        result_bytes: 1,
+        unread: 100_000,
+        commands: 1,
+    };
+    let names = Names {
+        groups: vec!["look".into()],
+        keyed: vec![false],
+        customers: Vec::new(),
+    };
     let mut fronts = Fronts::new(poller.clone(), names, room, 100_000);
     let at: SocketAddr = fresh_address();
     fronts.listen(at, Protocol::FastCgi, None).unwrap();
     let now = doortrack_standins::unix_ms() * 10;
-    let mut client = Client { sock: TcpStream::connect(at).unwrap() };
+    let mut client = Client {
+        sock: TcpStream::connect(at).unwrap(),
+    };
     client.sock.set_read_timeout(Some(LONG)).unwrap();
     client.send(&request(1, 1, "/svc/look", &[], b"body"));
     client.sock.shutdown(Shutdown::Write).unwrap();
@@ -52,7 +70,13 @@
     reads(&poller, &mut fronts, now);
     reads(&poller, &mut fronts, now);
     assert!(fronts.waits(caller), "it was taken for one that is gone");
-    fronts.answer(caller, Answer::Completed(Made { headers: b"", body: b"yours" }));
+    fronts.answer(
+        caller,
+        Answer::Completed(Made {
+            headers: b"",
+            body: b"yours",
+        }),
+    );
     fronts.flush(now, &mut Vec::new());
     assert_eq!(client.reply().body, b"yours");
     assert!(client.is_closed());
--- a/node/tests/node/idle.rs
+++ b/node/tests/node/idle.rs
@@ -24,9 +24,18 @@
     descriptors: Option<u64>,
 }
 
-const BY_SETTINGS: Bound = Bound { sockets: 64, descriptors: None };
-const BY_SYSTEM: Bound = Bound { sockets: 1024, descriptors: Some(64) };
-const BY_BOTH: Bound = Bound { sockets: 64, descriptors: Some(64) };
+const BY_SETTINGS: Bound = Bound {
+    sockets: 64,
+    descriptors: None,
+};
+const BY_SYSTEM: Bound = Bound {
+    sockets: 1024,
+    descriptors: Some(64),
+};
+const BY_BOTH: Bound = Bound {
+    sockets: 64,
+    descriptors: Some(64),
+};
 
 /// Idle connections, of all habits of a test together: twice what the bounds above allow.
 const IDLE: usize = 120;
@@ -74,7 +83,11 @@
 }
 
 fn checks(at: SocketAddr, nth: u64) {
-    let check = || Ask::new(nth, "/status/live", b"").try_send(at, FastCgi).map(|waits| waits.seen());
+    let check = || {
+        Ask::new(nth, "/status/live", b"")
+            .try_send(at, FastCgi)
+            .map(|waits| waits.seen())
+    };
     let seen = answered("health check", || check().unwrap_or(Seen::Nothing));
     assert!(matches!(seen, Seen::Completed(_)), "{seen:?}");
 }
@@ -92,11 +105,18 @@
         while !caller.is_finished() {
             assert!(Instant::now() < until, "an exchange never ran");
             if let Some(command) = engine.command_within_readings(1) {
-                assert_eq!((&command["msg"], &command["call"]), (&json!("RUN"), &json!(try_id(nth))));
+                assert_eq!(
+                    (&command["msg"], &command["call"]),
+                    (&json!("RUN"), &json!(try_id(nth)))
+                );
                 return caller;
             }
         }
-        assert_eq!(caller.join().unwrap(), Seen::Nothing, "answered, and never run");
+        assert_eq!(
+            caller.join().unwrap(),
+            Seen::Nothing,
+            "answered, and never run"
+        );
     }
 }
 
@@ -104,7 +124,11 @@
 fn works(bed: &Bed, engine: &mut Engine, tries: &mut u64) {
     let caller = begins(bed, engine, tries);
     engine.end(&try_id(*tries), "OK", b"worked");
-    assert_eq!(caller.join().unwrap(), Seen::Completed(b"worked".into()), "it was read and run");
+    assert_eq!(
+        caller.join().unwrap(),
+        Seen::Completed(b"worked".into()),
+        "it was read and run"
+    );
 }
 
 fn stays_reachable(habits: &[Habit], bound: Bound) {
@@ -121,9 +145,15 @@
         checks(bed.at, 1_000_000 + round);
         let checked = since.elapsed();
         works(&bed, &mut engine, &mut tries);
-        longest = (longest.0.max(checked), longest.1.max(since.elapsed() - checked));
+        longest = (
+            longest.0.max(checked),
+            longest.1.max(since.elapsed() - checked),
+        );
     }
-    println!("{habits:?} {bound:?}: longest check {:?}, exchange {:?}", longest.0, longest.1);
+    println!(
+        "{habits:?} {bound:?}: longest check {:?}, exchange {:?}",
+        longest.0, longest.1
+    );
     // A link that breaks needs a descriptor of its own again; what was read meanwhile is not lost with it.
     let over_the_loss = begins(&bed, &mut engine, &mut tries);
     let serial = engine.serial;
@@ -132,7 +162,10 @@
     engine.hello(serial);
     engine.serial = serial;
     engine.end(&try_id(tries), "OK", b"crossed");
-    assert_eq!(over_the_loss.join().unwrap(), Seen::Completed(b"crossed".into()));
+    assert_eq!(
+        over_the_loss.join().unwrap(),
+        Seen::Completed(b"crossed".into())
+    );
     works(&bed, &mut engine, &mut tries);
     engine.end(&try_id(1), "OK", b"kept");
     assert_eq!(early.join().unwrap(), Seen::Completed(b"kept".into()));
@@ -142,7 +175,9 @@
 
 #[test]
 fn silent_clients_keep_nobody_out() {
-    [BY_SETTINGS, BY_SYSTEM, BY_BOTH].into_iter().for_each(|bound| stays_reachable(&[Habit::Silent], bound));
+    [BY_SETTINGS, BY_SYSTEM, BY_BOTH]
+        .into_iter()
+        .for_each(|bound| stays_reachable(&[Habit::Silent], bound));
 }
 
 #[test]
@@ -161,13 +196,17 @@
 
 #[test]
 fn half_requests_after_whole_ones_keep_nobody_out() {
-    [BY_SETTINGS, BY_SYSTEM].into_iter().for_each(|bound| stays_reachable(&[Habit::SpokeThenHalf], bound));
+    [BY_SETTINGS, BY_SYSTEM]
+        .into_iter()
+        .for_each(|bound| stays_reachable(&[Habit::SpokeThenHalf], bound));
 }
 
 #[test]
 fn idle_clients_of_all_kinds_at_once_keep_nobody_out() {
     let mixed = Habit::ALL;
-    [BY_SETTINGS, BY_SYSTEM, BY_BOTH].into_iter().for_each(|bound| stays_reachable(&mixed, bound));
+    [BY_SETTINGS, BY_SYSTEM, BY_BOTH]
+        .into_iter()
+        .for_each(|bound| stays_reachable(&mixed, bound));
 }
 
 #[test]
@@ -176,15 +215,22 @@
         let server = Server::start(protocol, |got| Act::ok(got.body.clone()));
         let (mut plan, registry) = plan(BY_SYSTEM);
         // A connection for each run, so that descriptors are wanted all the time.
-        plan.installation = Some(json!({"servers": {"protocol": protocol.name(), "idle_ms": 0,
-            "at_once": 4, "addresses": [server.at.to_string()]}}));
+        plan.installation = Some(
+            json!({"servers": {"protocol": protocol.name(), "idle_ms": 0,
+            "at_once": 4, "addresses": [server.at.to_string()]}}),
+        );
         let bed = plan.start();
         let idle = IdleClients::hold(bed.at, &[Habit::Silent, Habit::SpokeOnce], IDLE / 2);
         idle.wait_until_opened(IDLE);
         let mut told: BTreeMap<u64, Seen> = BTreeMap::new();
         for nth in 1..=12 {
             let look = || Ask::new(nth, "/svc/look", b"work").try_send(bed.at, FastCgi);
-            told.insert(nth, answered("exchange", || look().map_or(Seen::Nothing, |waits| waits.seen())));
+            told.insert(
+                nth,
+                answered("exchange", || {
+                    look().map_or(Seen::Nothing, |waits| waits.seen())
+                }),
+            );
         }
         let expected = Seen::Completed(b"work".into());
         assert!(told.values().all(|seen| *seen == expected), "{told:?}");
@@ -194,7 +240,10 @@
         let (code, log) = bed.end();
         assert_eq!(code, Some(0), "{log}");
         assert!(log.contains("few descriptors"), "{log}");
-        assert!(!log.contains("server put aside") && !log.contains("out of reach"), "{log}");
+        assert!(
+            !log.contains("server put aside") && !log.contains("out of reach"),
+            "{log}"
+        );
     }
 }
 
@@ -205,7 +254,10 @@
         "addresses": [fresh_address().to_string()]}}));
     let (code, log) = plan.start().end();
     assert_eq!(code, Some(1), "{log}");
-    assert!(log.contains("installation.servers.at_once") && log.contains("limit of 64"), "{log}");
+    assert!(
+        log.contains("installation.servers.at_once") && log.contains("limit of 64"),
+        "{log}"
+    );
 }
 
 #[test]
@@ -215,7 +267,14 @@
     let idle = IdleClients::hold(bed.at, &[Habit::SpokeOnce], IDLE);
     idle.wait_until_opened(IDLE);
     let id = Pid::from_raw(bed.program.id() as i32);
-    let maximum = prlimit(id, Resource::Nofile, Rlimit { current: Some(32), maximum: Some(1024) });
+    let maximum = prlimit(
+        id,
+        Resource::Nofile,
+        Rlimit {
+            current: Some(32),
+            maximum: Some(1024),
+        },
+    );
     assert!(maximum.is_ok(), "{maximum:?}");
     // More are open than the limit allows, so nothing is accepted until some of those were let go of.
     let mut tries = 0;
--- a/node/tests/node/instants.rs
+++ b/node/tests/node/instants.rs
@@ -26,7 +26,11 @@
     client.sock.write_all(crossing).unwrap();
     barrier();
     // The system keeps a reset as the socket's error, though a reading after the end tells nothing of it.
-    assert_eq!(client.sock.take_error().unwrap().map(|e| e.kind()), None, "it was reset");
+    assert_eq!(
+        client.sock.take_error().unwrap().map(|e| e.kind()),
+        None,
+        "it was reset"
+    );
 }
 
 #[test]
@@ -39,10 +43,18 @@
     client.look(1, 2);
     let (call, _) = engine.run();
     engine.readings(3);
-    ends_in_order(&mut idle, &request(1, 3, "/svc/look", &[], b"crosses"), || {
-        client.look(2, 4);
-        assert_eq!(engine.run().0, try_id(4), "one that came after the end was run");
-    });
+    ends_in_order(
+        &mut idle,
+        &request(1, 3, "/svc/look", &[], b"crosses"),
+        || {
+            client.look(2, 4);
+            assert_eq!(
+                engine.run().0,
+                try_id(4),
+                "one that came after the end was run"
+            );
+        },
+    );
     engine.end(&call, "OK", b"as ever");
     assert_eq!(client.reply().body, b"as ever");
 }
@@ -141,10 +153,17 @@
     assert_eq!(engine.command_within_readings(2), None);
     bed.signal("-TERM");
     for client in &mut clients[..8] {
-        assert_eq!(client.reply().status, 500, "it ran and was cut short by the stop");
+        assert_eq!(
+            client.reply().status,
+            500,
+            "it ran and was cut short by the stop"
+        );
     }
     for client in &mut clients[8..] {
-        assert!([2, 503].contains(&client.reply().status), "never run, and told so");
+        assert!(
+            [2, 503].contains(&client.reply().status),
+            "never run, and told so"
+        );
     }
     assert_eq!(bed.end().0, Some(0));
 }
@@ -173,10 +192,17 @@
     wait_until(stopped + 700);
     bed.signal("-CONT");
     for client in &mut clients[..8] {
-        assert_eq!(client.reply().status, 500, "it ran and was cut short by the stop");
+        assert_eq!(
+            client.reply().status,
+            500,
+            "it ran and was cut short by the stop"
+        );
     }
     for client in &mut clients[8..] {
-        assert!([2, 503].contains(&client.reply().status), "never run, and told so");
+        assert!(
+            [2, 503].contains(&client.reply().status),
+            "never run, and told so"
+        );
     }
     assert_eq!(bed.end().0, Some(0));
 }
@@ -206,7 +232,8 @@
 
 #[test]
 fn a_deduplicated_run_that_never_arrived_is_answered_in_time_and_a_later_try_runs() {
-    let (bed, engine) = up_with(|config| config["settings"]["lanes"][1]["deadline"] = json!(1_000_000));
+    let (bed, engine) =
+        up_with(|config| config["settings"]["lanes"][1]["deadline"] = json!(1_000_000));
     let mut client = bed.client();
     let mut engine = loses_the_link_over_a_run(&bed, engine, &mut client);
     assert_eq!(engine.command(), json!({"msg": "HALT", "call": try_id(1)}));
@@ -228,7 +255,11 @@
     client.look(1, 1);
     let (call, _) = engine.run();
     let sock = engine.lines.get_mut();
-    write!(sock, "{{\"msg\":\"DONE\",\"serial\":1,\"call\":\"{call}\",\"how\":\"OK\",\"dura").unwrap();
+    write!(
+        sock,
+        "{{\"msg\":\"DONE\",\"serial\":1,\"call\":\"{call}\",\"how\":\"OK\",\"dura"
+    )
+    .unwrap();
     drop(engine);
     let mut engine = bed.link();
     engine.hello(0);
@@ -267,7 +298,11 @@
     bed.reports("draining");
     bed.reload(&config.replace("\"stop_ms\":900", "\"stop_ms\":900000"));
     bed.signal("-TERM");
-    assert_eq!(client.reply().status, 500, "the first notice names the stop");
+    assert_eq!(
+        client.reply().status,
+        500,
+        "the first notice names the stop"
+    );
     assert_eq!(bed.end().0, Some(0));
 }
 
@@ -287,7 +322,8 @@
     let since = unix_ms();
     wait_until(since + 700);
     let back = std::net::UdpSocket::bind(gone).unwrap();
-    back.set_read_timeout(Some(doortrack_standins::LONG)).unwrap();
+    back.set_read_timeout(Some(doortrack_standins::LONG))
+        .unwrap();
     let mut text = [0; 64];
     let n = back.recv(&mut text).unwrap();
     assert_eq!(&text[..n], b"BEAT n1 ready");
@@ -303,7 +339,13 @@
     assert_eq!(client.reply().body, b"paid once");
     // The window is 60 s; by this stamp it would be over, though it has hardly begun.
     let ahead = (unix_ms() + 100_000).to_string();
-    client.send(&request(2, 2, "/svc/pay", &[IDEMPOTENCY_KEY, ("HTTP_X_REQUEST_START", &ahead)], b""));
+    client.send(&request(
+        2,
+        2,
+        "/svc/pay",
+        &[IDEMPOTENCY_KEY, ("HTTP_X_REQUEST_START", &ahead)],
+        b"",
+    ));
     client.look(3, 3);
     assert_eq!(engine.run().0, try_id(3), "it was run again");
     assert_eq!(client.reply().body, b"paid once");
@@ -323,8 +365,14 @@
     let stopped = unix_ms();
     wait_until(stopped + 400);
     bed.signal("-CONT");
-    assert!([2, 503].contains(&whole.reply().status), "never run, and told so");
-    assert!([2, 503].contains(&half.reply().status), "never whole, and told so");
+    assert!(
+        [2, 503].contains(&whole.reply().status),
+        "never run, and told so"
+    );
+    assert!(
+        [2, 503].contains(&half.reply().status),
+        "never whole, and told so"
+    );
     assert!(whole.is_closed() && half.is_closed());
     assert_eq!(bed.end().0, Some(0));
 }
@@ -333,7 +381,11 @@
 fn spent(program: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{program}/stat")).unwrap();
     let fields = stat.rsplit(')').next().unwrap().split_whitespace();
-    fields.skip(11).take(2).map(|ticks| ticks.parse::<u64>().unwrap() * 10).sum()
+    fields
+        .skip(11)
+        .take(2)
+        .map(|ticks| ticks.parse::<u64>().unwrap() * 10)
+        .sum()
 }
 
 #[test]
@@ -341,7 +393,10 @@
     let own = std::env::temp_dir().join(format!("doortrack-few-{}", std::process::id()));
     std::fs::write(
         &own,
-        format!("#!/bin/sh\nulimit -n 32\nexec {} \"$@\"\n", env!("CARGO_BIN_EXE_doortrack")),
+        format!(
+            "#!/bin/sh\nulimit -n 32\nexec {} \"$@\"\n",
+            env!("CARGO_BIN_EXE_doortrack")
+        ),
     )
     .unwrap();
     std::fs::set_permissions(&own, PermissionsExt::from_mode(0o755)).unwrap();
@@ -373,7 +428,10 @@
     let again = || start(|config| config["listen"] = json!(at.to_string()));
     let (code, log) = again().end();
     assert_eq!(code, Some(1));
-    assert!(log.contains("config.listen") && log.contains(&at.to_string()), "{log}");
+    assert!(
+        log.contains("config.listen") && log.contains(&at.to_string()),
+        "{log}"
+    );
     // Killed with a connection open, whose other end the system keeps for a while.
     let mut client = bed.client();
     client.send(&request(1, 1, "/status/live", &[], b""));
--- a/node/tests/node/late_answers.rs
+++ b/node/tests/node/late_answers.rs
@@ -25,8 +25,10 @@
     let (server, held) = Server::held(FastCgi);
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
     plan.config["stop_ms"] = json!(STOP_MS);
-    plan.installation = Some(json!({"servers": {"protocol": "fastcgi", "addresses": [server.at.to_string()],
-        "answer_within_ms": 200, "retries": {"tries": 1}}}));
+    plan.installation = Some(
+        json!({"servers": {"protocol": "fastcgi", "addresses": [server.at.to_string()],
+        "answer_within_ms": 200, "retries": {"tries": 1}}}),
+    );
     let bed = plan.start();
     let mut late = bed.client();
     late.look(1, 1);
@@ -35,13 +37,20 @@
     let mut callers: Vec<Client> = (1..=CALLERS).map(|_| bed.client()).collect();
     for (caller, client) in callers.iter_mut().enumerate() {
         let first = (caller as u64 + 1) * 1_000;
-        let all = (1..=EACH).flat_map(|id| request(id, first + u64::from(id), "/svc/look", &[], b""));
+        let all =
+            (1..=EACH).flat_map(|id| request(id, first + u64::from(id), "/svc/look", &[], b""));
         client.send(&all.collect::<Vec<u8>>());
     }
     std::thread::sleep(Duration::from_millis(300));
     let id = bed.program.id();
     let line = format!("kill -CONT {id}; sleep 0.002; kill {LEAVE} {id}");
-    assert!(Command::new("sh").args(["-c", &line]).status().unwrap().success());
+    assert!(
+        Command::new("sh")
+            .args(["-c", &line])
+            .status()
+            .unwrap()
+            .success()
+    );
     bed.reports("draining");
     assert_eq!(late.reply().status, 500, "it ran, and is not tried again");
     for client in &mut callers {
--- a/node/tests/node/late_stops.rs
+++ b/node/tests/node/late_stops.rs
@@ -38,10 +38,17 @@
     }
     bed.signal("-CONT");
     for client in &mut clients[..8] {
-        assert_eq!(client.reply().status, 500, "it ran and was cut short by the stop");
+        assert_eq!(
+            client.reply().status,
+            500,
+            "it ran and was cut short by the stop"
+        );
     }
     for client in &mut clients[8..] {
-        assert!([2, 503].contains(&client.reply().status), "never run, and told so");
+        assert!(
+            [2, 503].contains(&client.reply().status),
+            "never run, and told so"
+        );
     }
     ends_well(bed);
 }
--- a/node/tests/node/near_stops.rs
+++ b/node/tests/node/near_stops.rs
@@ -59,7 +59,12 @@
 #[test]
 fn a_shorter_stop_holds_beside_an_operators_file_too() {
     let installation = || Some(json!({"fronts": []}));
-    leaves_by_the_near_stop(stops_after(FAR, installation()), [RELOAD, LEAVE], SOON, true);
+    leaves_by_the_near_stop(
+        stops_after(FAR, installation()),
+        [RELOAD, LEAVE],
+        SOON,
+        true,
+    );
 }
 
 #[test]
--- a/node/tests/node/notices.rs
+++ b/node/tests/node/notices.rs
@@ -25,7 +25,13 @@
 pub fn signals(bed: &Bed, [first, second]: [&str; 2]) {
     let id = bed.program.id();
     let line = format!("kill {first} {id}; kill {second} {id}");
-    assert!(Command::new("sh").args(["-c", &line]).status().unwrap().success());
+    assert!(
+        Command::new("sh")
+            .args(["-c", &line])
+            .status()
+            .unwrap()
+            .success()
+    );
 }
 
 /// Changes the configuration's file; nobody is told yet.
@@ -50,7 +56,8 @@
     plan.config["stop_ms"] = json!(SOON);
     change(&mut plan.config);
     let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
-    let listed = fronts.map(|(protocol, at)| json!({"protocol": protocol.name(), "listen": at.to_string()}));
+    let listed =
+        fronts.map(|(protocol, at)| json!({"protocol": protocol.name(), "listen": at.to_string()}));
     plan.installation = Some(json!({"fronts": listed}));
     let (bed, engine) = plan.up();
     (bed, engine, fronts)
@@ -69,9 +76,15 @@
         std::fs::write(bed.folder.join("installation.json"), "{\"fronts\": 3}").unwrap();
         signals(&bed, order);
         bed.reports("draining");
-        calls.iter().for_each(|call| engine.end(call, "OK", b"in time"));
+        calls
+            .iter()
+            .for_each(|call| engine.end(call, "OK", b"in time"));
         for pending in waits {
-            assert_eq!(pending.seen(), Seen::Completed(b"in time".into()), "{order:?}");
+            assert_eq!(
+                pending.seen(),
+                Seen::Completed(b"in time".into()),
+                "{order:?}"
+            );
         }
         let log = ends_well(bed);
         let left_out = log.matches("configuration left out").count();
@@ -83,8 +96,9 @@
 fn a_front_withdrawn_beside_the_notice_answers_what_is_open_on_it() {
     for order in BOTH_ORDERS {
         let (bed, mut engine, fronts) = with_fronts(|_| {});
-        let ask =
-            |n, (protocol, at): (Protocol, SocketAddr)| Ask::new(n, "/svc/look", b"body").send(at, protocol);
+        let ask = |n, (protocol, at): (Protocol, SocketAddr)| {
+            Ask::new(n, "/svc/look", b"body").send(at, protocol)
+        };
         let in_time = fronts.map(|front| ask(front.1.port().into(), front));
         let calls = [engine.run().0, engine.run().0];
         let at_the_stop = fronts.map(|front| ask(u64::from(front.1.port()) + 10, front));
@@ -99,12 +113,21 @@
         std::fs::write(bed.folder.join("installation.json"), "{}").unwrap();
         signals(&bed, order);
         bed.reports("draining");
-        calls.iter().for_each(|call| engine.end(call, "OK", b"in time"));
+        calls
+            .iter()
+            .for_each(|call| engine.end(call, "OK", b"in time"));
         for pending in in_time {
-            assert_eq!(pending.seen(), Seen::Completed(b"in time".into()), "{order:?}");
+            assert_eq!(
+                pending.seen(),
+                Seen::Completed(b"in time".into()),
+                "{order:?}"
+            );
         }
         for half in halves {
-            assert!(matches!(half.seen(), Seen::Rejected { .. }), "never whole, and told so");
+            assert!(
+                matches!(half.seen(), Seen::Rejected { .. }),
+                "never whole, and told so"
+            );
         }
         for pending in at_the_stop {
             assert_eq!(pending.seen(), Seen::Failed, "{order:?}");
@@ -121,7 +144,9 @@
         config["limits"]["sockets"] = json!(32);
         config["settings"]["family_info"]["cores"] = json!(20);
     });
-    let mut stays = Client { sock: doortrack_standins::bed::connect(withdrawn) };
+    let mut stays = Client {
+        sock: doortrack_standins::bed::connect(withdrawn),
+    };
     stays.look(1, 100);
     let (call, _) = engine.run();
     let mut busy: Vec<Client> = (0..7).map(|_| bed.client()).collect();
@@ -147,7 +172,11 @@
     // Told the end, it stays open as long as its peer does not close it.
     assert!(stays.is_closed());
     for client in &mut busy {
-        assert_eq!(client.reply().status, 500, "it ran and was cut short by the stop");
+        assert_eq!(
+            client.reply().status,
+            500,
+            "it ran and was cut short by the stop"
+        );
     }
     ends_well(bed);
 }
@@ -164,7 +193,10 @@
         // What was sent before an answered reading is known to have arrived.
         engine.readings(2);
         (bed.door, bed.registry) = (TcpListener::bind("127.0.0.1:0").unwrap(), open_registry());
-        let (door, registry) = (bed.door.local_addr().unwrap(), bed.registry.local_addr().unwrap());
+        let (door, registry) = (
+            bed.door.local_addr().unwrap(),
+            bed.registry.local_addr().unwrap(),
+        );
         rewrite(&bed, |config| {
             config["engine"] = json!(door.to_string());
             config["registry"] = json!(registry.to_string());
@@ -189,11 +221,17 @@
     engine.run();
     half.send(&record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]));
     // Nobody listens there.
-    let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let nowhere = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     rewrite(&bed, |config| config["engine"] = json!(nowhere.to_string()));
     signals(&bed, [RELOAD, LEAVE]);
     assert_eq!(client.reply().status, 500);
-    assert!([2, 503].contains(&half.reply().status), "never whole, and told so");
+    assert!(
+        [2, 503].contains(&half.reply().status),
+        "never whole, and told so"
+    );
     assert!(client.is_closed() && half.is_closed());
     ends_well(bed);
 }
--- a/node/tests/node/parts.rs
+++ b/node/tests/node/parts.rs
@@ -61,7 +61,12 @@
 
 fn seeded() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(0x0d00_77ac);
-    ProptestConfig { cases: 300, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
+    ProptestConfig {
+        cases: 300,
+        rng_seed,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    }
 }
 
 fn bytes(most: usize) -> impl Strategy<Value = Vec<u8>> {
@@ -69,17 +74,24 @@
 }
 
 fn whole_records() -> impl Strategy<Value = Vec<u8>> {
-    let one = (prop::sample::select(vec![1u8, 2, 4, 5, 8, 9, 77]), 1..40u16, bytes(300), any::<u8>());
+    let one = (
+        prop::sample::select(vec![1u8, 2, 4, 5, 8, 9, 77]),
+        1..40u16,
+        bytes(300),
+        any::<u8>(),
+    );
     prop::collection::vec(one, 1..12).prop_map(|records| {
-        records.into_iter().fold(Vec::new(), |mut all, (kind, id, content, padding)| {
-            let (id, content) = match kind {
-                1 => (id, &[0, 1, 1, 0, 0, 0, 0, 0][..]),
-                9 | 77 => (0, &content[..]),
-                _ => (id, &content[..]),
-            };
-            all.extend(record(kind, id, content, padding));
-            all
-        })
+        records
+            .into_iter()
+            .fold(Vec::new(), |mut all, (kind, id, content, padding)| {
+                let (id, content) = match kind {
+                    1 => (id, &[0, 1, 1, 0, 0, 0, 0, 0][..]),
+                    9 | 77 => (0, &content[..]),
+                    _ => (id, &content[..]),
+                };
+                all.extend(record(kind, id, content, padding));
+                all
+            })
     })
 }
 
@@ -164,11 +176,23 @@
 fn what_is_no_fastcgi_is_told_apart() {
     let broken = |bytes: &[u8]| pieces(&[bytes]).1.is_some();
     assert!(broken(&[2, 1, 0, 1, 0, 8, 0, 0]), "another version");
-    assert!(broken(&record(1, 1, &[0, 1, 0], 0)), "a short BEGIN_REQUEST");
-    assert!(broken(&record(5, 0, b"x", 0)), "an application's record with the id 0");
-    assert!(broken(&record(3, 1, &[0; 8], 0)), "a record that only an application sends");
+    assert!(
+        broken(&record(1, 1, &[0, 1, 0], 0)),
+        "a short BEGIN_REQUEST"
+    );
+    assert!(
+        broken(&record(5, 0, b"x", 0)),
+        "an application's record with the id 0"
+    );
+    assert!(
+        broken(&record(3, 1, &[0; 8], 0)),
+        "a record that only an application sends"
+    );
     assert!(broken(&record(12, 1, &[], 0)), "an unknown kind with an id");
-    assert!(!broken(&record(12, 0, &[], 0)), "an unknown kind of management");
+    assert!(
+        !broken(&record(12, 0, &[], 0)),
+        "an unknown kind of management"
+    );
 }
 
 #[test]
@@ -204,10 +228,18 @@
 
 #[test]
 fn a_request_is_read_with_its_fields() {
-    let Ok(Asked::Exchange(request)) = read(&FIELDS) else { panic!("not read") };
+    let Ok(Asked::Exchange(request)) = read(&FIELDS) else {
+        panic!("not read")
+    };
     assert_eq!((request.group, request.customer, request.caller), (1, 0, 4));
-    assert_eq!((request.stamp, request.kb, request.rank), (1_764_576_000_123 * MS, 24.5, 0.625));
-    assert_eq!((request.idempotency_key, request.subject), (Some(*b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), 0));
+    assert_eq!(
+        (request.stamp, request.kb, request.rank),
+        (1_764_576_000_123 * MS, 24.5, 0.625)
+    );
+    assert_eq!(
+        (request.idempotency_key, request.subject),
+        (Some(*b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), 0)
+    );
     assert!(!request.retry);
     let mut look = FIELDS[..8].to_vec();
     look[0].1 = "/svc/look";
@@ -216,7 +248,9 @@
         ("HTTP_X_OBJECT", "7f3a9c21e0b4d655"),
         ("HTTP_X_NEW", "passed over"),
     ]);
-    let Ok(Asked::Exchange(request)) = read(&look) else { panic!("not read") };
+    let Ok(Asked::Exchange(request)) = read(&look) else {
+        panic!("not read")
+    };
     assert_eq!(
         (request.idempotency_key, request.subject, request.retry),
         (None, 0x7f3a_9c21_e0b4_d655, true)
@@ -239,11 +273,22 @@
         fields[place].1 = "\u{fffd}-1";
         assert_eq!(read(&fields), Err(Unreadable::Field(name)), "unreadable");
     }
-    for (place, value) in [(6, "0"), (6, "2000"), (6, "NaN"), (7, "1"), (7, "-0.1"), (3, "1.5"), (2, "9b1f")]
-    {
+    for (place, value) in [
+        (6, "0"),
+        (6, "2000"),
+        (6, "NaN"),
+        (7, "1"),
+        (7, "-0.1"),
+        (3, "1.5"),
+        (2, "9b1f"),
+    ] {
         let mut fields = FIELDS.to_vec();
         fields[place].1 = value;
-        assert_eq!(read(&fields), Err(Unreadable::Field(FIELDS[place].0)), "{value}");
+        assert_eq!(
+            read(&fields),
+            Err(Unreadable::Field(FIELDS[place].0)),
+            "{value}"
+        );
     }
 }
 
@@ -254,31 +299,58 @@
         request::write(&mut out, Protocol::FastCgi, 7, answer, level);
         (String::from_utf8_lossy(&out).into_owned(), out)
     };
-    let (rejected, _) = text(Answer::Rejected { not_elsewhere: true, retry_after: 1201 }, Some(0.25));
+    let (rejected, _) = text(
+        Answer::Rejected {
+            not_elsewhere: true,
+            retry_after: 1201,
+        },
+        Some(0.25),
+    );
     assert!(rejected.contains("Status: 503 "), "{rejected}");
-    assert!(rejected.contains("Retry-After-Ms: 121\r\n"), "rounded up: {rejected}");
+    assert!(
+        rejected.contains("Retry-After-Ms: 121\r\n"),
+        "rounded up: {rejected}"
+    );
     assert!(
         rejected.contains("X-Dont-Retry: 1\r\n") && rejected.contains("X-Load-Signal: 0.25\r\n"),
         "{rejected}"
     );
-    let (rejected, _) = text(Answer::Rejected { not_elsewhere: false, retry_after: 0 }, None);
+    let (rejected, _) = text(
+        Answer::Rejected {
+            not_elsewhere: false,
+            retry_after: 0,
+        },
+        None,
+    );
     assert!(
-        !rejected.contains("Retry-After") && !rejected.contains("Dont") && !rejected.contains("Load"),
+        !rejected.contains("Retry-After")
+            && !rejected.contains("Dont")
+            && !rejected.contains("Load"),
         "{rejected}"
     );
     let (_, full) = text(Answer::NoRoom, Some(0.0));
-    assert_eq!(full, record(3, 7, &[0, 0, 0, 0, 2, 0, 0, 0], 0), "OVERLOADED and nothing else");
+    assert_eq!(
+        full,
+        record(3, 7, &[0, 0, 0, 0, 2, 0, 0, 0], 0),
+        "OVERLOADED and nothing else"
+    );
     let result: Vec<u8> = (0..70_000u32).map(|n| n as u8).collect();
     let (_, long) = text(Answer::Completed(Made::from(&result[..])), None);
     let first = u16::from_be_bytes([long[4], long[5]]) as usize;
-    assert_eq!((first, long[1], long[8 + first + 1]), (65_535, 6, 6), "a long result needs two records");
+    assert_eq!(
+        (first, long[1], long[8 + first + 1]),
+        (65_535, 6, 6),
+        "a long result needs two records"
+    );
 }
 
 #[test]
 fn lines_of_the_engine_that_cannot_be_read_are_faults_or_ends() {
     let read = |value: Value| link::read(value.to_string().as_bytes());
     let done = |how: &str, blob: &str| {
-        read(json!({"msg": "DONE", "serial": 4, "call": "00112233445566aa", "how": how, "blob": blob}))
+        read(
+            json!({"msg": "DONE", "serial": 4, "call": "00112233445566aa", "how": how, "blob": blob}),
+        )
     };
     let outcome = |notice| match notice {
         Ok(Notice::Done { outcome, .. }) => outcome,
@@ -286,7 +358,11 @@
     };
     assert_eq!(outcome(done("STOPPED", "")), RunOutcome::Stopped);
     assert_eq!(outcome(done("MOOT", "")), RunOutcome::Moot);
-    assert_eq!(outcome(done("OK", "not base64!")), RunOutcome::Failed, "its result is lost, its end is not");
+    assert_eq!(
+        outcome(done("OK", "not base64!")),
+        RunOutcome::Failed,
+        "its result is lost, its end is not"
+    );
     assert_eq!(outcome(done("GONE FISHING", "")), RunOutcome::Failed);
     for value in [
         json!([]),
@@ -299,7 +375,13 @@
         assert!(read(value.clone()).is_err(), "{value}");
     }
     let hello = read(json!({"msg": "HELLO", "how": "COLD", "duration": 12.5, "more": 1}));
-    assert_eq!(hello, Ok(Notice::Hello { cold: true, age: 125 }));
+    assert_eq!(
+        hello,
+        Ok(Notice::Hello {
+            cold: true,
+            age: 125
+        })
+    );
 }
 
 #[test]
@@ -307,27 +389,54 @@
     for end in [End::Aborted, End::Reset, End::Unread, End::Left] {
         assert_eq!(end.outcome(), Outcome::CallerGone);
     }
-    for end in [End::HalfClosed, End::Closed, End::Idle, End::Evicted, End::Malformed, End::LinkLost] {
+    for end in [
+        End::HalfClosed,
+        End::Closed,
+        End::Idle,
+        End::Evicted,
+        End::Malformed,
+        End::LinkLost,
+    ] {
         assert_eq!(end.outcome(), Outcome::StillOwed);
     }
-    assert_eq!(End::RunRefused.outcome(), Outcome::RunEnded(RunOutcome::Moot));
-    assert_eq!(End::Run(RunOutcome::Failed).outcome(), Outcome::RunEnded(RunOutcome::Failed));
+    assert_eq!(
+        End::RunRefused.outcome(),
+        Outcome::RunEnded(RunOutcome::Moot)
+    );
+    assert_eq!(
+        End::Run(RunOutcome::Failed).outcome(),
+        Outcome::RunEnded(RunOutcome::Failed)
+    );
 }
 
 /// Two callers send what is answered at once, and one of them never reads, until it is closed or `turns` are
 /// over: whether it was closed. `nth` keeps the addresses apart.
 fn deaf_caller_is_closed(nth: u8, unread: usize, turns: usize) -> bool {
     let poller = Arc::new(Poller::new().unwrap());
-    let room = Room { connections: 8, open: 8, entries: 1, result_bytes: 1, unread, commands: 1 };
+    let room = Room {
+        connections: 8,
+        open: 8,
+        entries: 1,
+        result_bytes: 1,
+        unread,
+        commands: 1,
+    };
     let [.., b, c] = std::process::id().to_be_bytes();
     let at: SocketAddr = format!("127.{nth}.{b}.{c}:9090").parse().unwrap();
     let mut fronts = Fronts::new(poller.clone(), names(), room, u64::MAX);
     fronts.listen(at, Protocol::FastCgi, None).unwrap();
-    let (mut deaf, mut sound) = (TcpStream::connect(at).unwrap(), TcpStream::connect(at).unwrap());
+    let (mut deaf, mut sound) = (
+        TcpStream::connect(at).unwrap(),
+        TcpStream::connect(at).unwrap(),
+    );
     deaf.set_nonblocking(true).unwrap();
     // Its streams are empty, so each is answered with 400.
-    let empty =
-        [record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0], 0), record(4, 1, b"", 0), record(5, 1, b"", 0)].concat();
+    let empty = [
+        record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0], 0),
+        record(4, 1, b"", 0),
+        record(5, 1, b"", 0),
+    ]
+    .concat();
     let (batch, mut front_events, mut events) = (empty.repeat(200), Vec::new(), Events::new());
     for _ in 0..turns {
         // Who sends what can't be read is read again after a sweep.
@@ -340,10 +449,17 @@
             events.clear();
             poller.wait(&mut events, None).unwrap();
             fronts.accept(0, 0, &mut front_events);
-            events.iter().filter(|e| e.key >= FIRST_KEY).for_each(|e| fronts.ready(e, 0, &mut front_events));
+            events
+                .iter()
+                .filter(|e| e.key >= FIRST_KEY)
+                .for_each(|e| fronts.ready(e, 0, &mut front_events));
             fronts.flush(0, &mut front_events);
         }
-        assert!(fronts.unread() < 200_000, "{} bytes pile up", fronts.unread());
+        assert!(
+            fronts.unread() < 200_000,
+            "{} bytes pile up",
+            fronts.unread()
+        );
         if fronts.counts().ends.contains_key("unread") {
             assert_eq!((fronts.connections(), fronts.unread()), (1, 0));
             return true;
@@ -369,28 +485,46 @@
 #[test]
 fn who_sends_what_cannot_be_read_is_not_read_again_before_the_next_sweep() {
     let poller = Arc::new(Poller::new().unwrap());
-    let room = Room { connections: 8, open: 8, entries: 1, result_bytes: 1, unread: 1000, commands: 1 };
+    let room = Room {
+        connections: 8,
+        open: 8,
+        entries: 1,
+        result_bytes: 1,
+        unread: 1000,
+        commands: 1,
+    };
     let [.., b, c] = std::process::id().to_be_bytes();
     let at: SocketAddr = format!("127.17.{b}.{c}:9090").parse().unwrap();
     let mut fronts = Fronts::new(poller.clone(), names(), room, u64::MAX);
     fronts.listen(at, Protocol::FastCgi, None).unwrap();
     let mut bad = TcpStream::connect(at).unwrap();
-    let empty =
-        [record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0], 0), record(4, 1, b"", 0), record(5, 1, b"", 0)].concat();
+    let empty = [
+        record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0], 0),
+        record(4, 1, b"", 0),
+        record(5, 1, b"", 0),
+    ]
+    .concat();
     let (mut front_events, mut events, mut answer) = (Vec::new(), Events::new(), [0; 4096]);
     fronts.accept(0, 0, &mut front_events);
     for answered in 1..=3 {
         bad.write_all(&empty).unwrap();
         // Its bytes lie there, but it is not told of.
         events.clear();
-        let waits = if answered == 1 { None } else { Some(Duration::from_millis(20)) };
+        let waits = if answered == 1 {
+            None
+        } else {
+            Some(Duration::from_millis(20))
+        };
         poller.wait(&mut events, waits).unwrap();
         assert_eq!(events.iter().any(|e| e.key >= FIRST_KEY), answered == 1);
         fronts.sweep(0, &mut front_events);
         fronts.flush(0, &mut front_events);
         events.clear();
         poller.wait(&mut events, None).unwrap();
-        events.iter().filter(|e| e.key >= FIRST_KEY).for_each(|e| fronts.ready(e, 0, &mut front_events));
+        events
+            .iter()
+            .filter(|e| e.key >= FIRST_KEY)
+            .for_each(|e| fronts.ready(e, 0, &mut front_events));
         fronts.flush(0, &mut front_events);
         assert!(bad.read(&mut answer).unwrap() > 0);
         assert_eq!(fronts.counts().unreadable.values().sum::<u64>(), answered);
@@ -404,7 +538,9 @@
     let own = "127.0.0.1:9".parse().unwrap();
     let mut registry = Registry::open(own, list.local_addr().unwrap(), "n3".into()).unwrap();
     (0..3000).for_each(|ms| registry.beat(ms * MS));
-    let reports = (0..100).filter(|_| list.recv(&mut [0; 100]).is_ok()).count();
+    let reports = (0..100)
+        .filter(|_| list.recv(&mut [0; 100]).is_ok())
+        .count();
     assert!((9..20).contains(&reports), "{reports} in 3 s");
 }
 
@@ -435,12 +571,25 @@
         Repeats::Nothing,
         "it came after the window"
     );
-    assert_eq!(results.repeats(&(0, KEY.1), b"", stamp), Repeats::Nothing, "another endpoint group");
-    assert_eq!(results.repeats(&KEY, b"another body", stamp), Repeats::Misused);
-    assert_eq!(results.repeats(&KEY, b"another body", stamp + window + 200 * MS), Repeats::Nothing);
+    assert_eq!(
+        results.repeats(&(0, KEY.1), b"", stamp),
+        Repeats::Nothing,
+        "another endpoint group"
+    );
+    assert_eq!(
+        results.repeats(&KEY, b"another body", stamp),
+        Repeats::Misused
+    );
+    assert_eq!(
+        results.repeats(&KEY, b"another body", stamp + window + 200 * MS),
+        Repeats::Nothing
+    );
     assert_eq!(results.result(1), Found::Result(Made::from(&b"done"[..])));
     results.tidy(stamp + window + 5000 * MS);
-    assert_eq!((results.repeats(&KEY, b"", stamp), results.bytes()), (Repeats::Nothing, 0));
+    assert_eq!(
+        (results.repeats(&KEY, b"", stamp), results.bytes()),
+        (Repeats::Nothing, 0)
+    );
 }
 
 #[test]
@@ -455,19 +604,45 @@
 fn results_keep_within_their_bytes_and_entries() {
     let mut results = Results::new(3, 10, 0);
     for ex in 1..=3u32 {
-        assert_eq!(results.repeats(&(0, [ex as u8; 32]), b"", 0), Repeats::Nothing);
+        assert_eq!(
+            results.repeats(&(0, [ex as u8; 32]), b"", 0),
+            Repeats::Nothing
+        );
         results.record(ex, (0, [ex as u8; 32]), b"", 0, 1000 * MS, 0);
         results.ended(ex, Ok(Made::from(&b"123456"[..])));
     }
-    assert_eq!(results.repeats(&(0, [4; 32]), b"", 0), Repeats::NoRoom, "a new one");
-    assert_eq!(results.repeats(&(0, [1; 32]), b"", 0), Repeats::Of(1), "one that ran is never refused");
+    assert_eq!(
+        results.repeats(&(0, [4; 32]), b"", 0),
+        Repeats::NoRoom,
+        "a new one"
+    );
+    assert_eq!(
+        results.repeats(&(0, [1; 32]), b"", 0),
+        Repeats::Of(1),
+        "one that ran is never refused"
+    );
     assert_eq!(results.result(1), Found::Result(Made::from(&b"123456"[..])));
-    assert_eq!(results.result(2), Found::None, "it ran, but there was no room for its result");
-    assert_eq!(results.repeats(&(0, [2; 32]), b"", 0), Repeats::Of(2), "so it must not run again");
+    assert_eq!(
+        results.result(2),
+        Found::None,
+        "it ran, but there was no room for its result"
+    );
+    assert_eq!(
+        results.repeats(&(0, [2; 32]), b"", 0),
+        Repeats::Of(2),
+        "so it must not run again"
+    );
     results.forget(1);
-    assert_eq!((results.bytes(), results.repeats(&(0, [1; 32]), b"", 0)), (0, Repeats::Nothing));
+    assert_eq!(
+        (results.bytes(), results.repeats(&(0, [1; 32]), b"", 0)),
+        (0, Repeats::Nothing)
+    );
     results.record(4, (0, [3; 32]), b"", 2000 * MS, 1000 * MS, 2000 * MS);
-    assert_eq!((results.result(3), results.result(4)), (Found::None, Found::Pending), "a new try holds it");
+    assert_eq!(
+        (results.result(3), results.result(4)),
+        (Found::None, Found::Pending),
+        "a new try holds it"
+    );
     results.ended(4, Err(NoResult));
     assert_eq!(results.result(4), Found::None);
 }
@@ -529,16 +704,27 @@
 fn fault(change: impl FnOnce(&mut Value)) -> String {
     let mut value = config();
     change(&mut value);
-    orders::parse(value.to_string().as_bytes()).expect_err("it was taken").to_string()
+    orders::parse(value.to_string().as_bytes())
+        .expect_err("it was taken")
+        .to_string()
 }
 
 #[test]
 fn orders_are_read_with_their_defaults() {
     let mut value = config();
-    value.as_object_mut().unwrap().retain(|key, _| key != "limits" && key != "seed");
+    value
+        .as_object_mut()
+        .unwrap()
+        .retain(|key, _| key != "limits" && key != "seed");
     let orders = orders::parse(value.to_string().as_bytes()).unwrap();
-    assert_eq!((orders.name.as_str(), orders.seed, orders.stop_after), ("n1", 0, 3200 * MS));
-    assert_eq!(orders.room, orders::parse(config().to_string().as_bytes()).unwrap().room);
+    assert_eq!(
+        (orders.name.as_str(), orders.seed, orders.stop_after),
+        ("n1", 0, 3200 * MS)
+    );
+    assert_eq!(
+        orders.room,
+        orders::parse(config().to_string().as_bytes()).unwrap().room
+    );
     assert!(orders.room.connections < 1024);
     assert!(orders.handed.list_follows_health && orders.handed.customer_names.is_empty());
     // All that may be held at once leaves room for the program itself.
@@ -548,16 +734,24 @@
         let room = orders::parse(value.to_string().as_bytes()).unwrap().room;
         let held = room.open * 10_500 + room.entries * 300 + room.result_bytes + room.commands;
         let all = held + room.unread + room.connections * 20_000;
-        assert!(all + 3_000_000 < memory_mb * 1_000_000, "{memory_mb} MB: {all}");
+        assert!(
+            all + 3_000_000 < memory_mb * 1_000_000,
+            "{memory_mb} MB: {all}"
+        );
         assert!(room.connections <= sockets - 24 && room.connections >= sockets.min(300) - 24);
     }
 }
 
 #[test]
 fn a_fault_in_the_orders_names_its_key() {
-    for key in ["name", "listen", "engine", "registry", "stop_ms", "settings"] {
+    for key in [
+        "name", "listen", "engine", "registry", "stop_ms", "settings",
+    ] {
         let missing = fault(|v| _ = v.as_object_mut().unwrap().remove(key));
-        assert!(missing.contains(&format!("'{key}' is missing")), "{missing}");
+        assert!(
+            missing.contains(&format!("'{key}' is missing")),
+            "{missing}"
+        );
         let wrong = fault(|v| v[key] = json!([]));
         assert!(wrong.contains(key), "{wrong}");
     }
@@ -585,8 +779,14 @@
         ("/settings/family_info/class_skip_worth", json!([0, 3])),
         ("/settings/family_info/class_skip_worth", json!([0])),
         ("/settings/family_info/calls_by_class", json!([false, "no"])),
-        ("/settings/parties", json!([{"name": "a", "allowance_per_s": 1, "share": 1.2}])),
-        ("/settings/parties", json!([{"name": "a", "allowance_per_s": -1}])),
+        (
+            "/settings/parties",
+            json!([{"name": "a", "allowance_per_s": 1, "share": 1.2}]),
+        ),
+        (
+            "/settings/parties",
+            json!([{"name": "a", "allowance_per_s": -1}]),
+        ),
     ] {
         let fault = fault(|v| {
             let (above, key) = path.rsplit_once('/').unwrap();
--- a/node/tests/node/pieces.rs
+++ b/node/tests/node/pieces.rs
@@ -48,7 +48,8 @@
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
     let uwsgi = plan.port(9092);
     plan.config["stop_ms"] = json!(stop_ms);
-    plan.installation = Some(json!({"fronts": [{"protocol": "uwsgi", "listen": uwsgi.to_string()}]}));
+    plan.installation =
+        Some(json!({"fronts": [{"protocol": "uwsgi", "listen": uwsgi.to_string()}]}));
     let bed = plan.start();
     instant::engine(bed.door.try_clone().unwrap());
     until_served(bed.at);
@@ -71,7 +72,9 @@
 #[test]
 fn a_fastcgi_request_cut_at_any_byte_is_answered_once() {
     let (bed, _) = up();
-    let mut client = Client { sock: without_delay(bed.at) };
+    let mut client = Client {
+        sock: without_delay(bed.at),
+    };
     let length = request(1, 1, "/svc/look", &[], b"body").len();
     for cut in 1..length {
         let id = cut as u16;
@@ -101,17 +104,33 @@
 #[test]
 fn requests_interleaved_record_by_record_and_cut_anywhere_are_answered_once_each() {
     let (bed, _) = up();
-    let mut client = Client { sock: without_delay(bed.at) };
+    let mut client = Client {
+        sock: without_delay(bed.at),
+    };
     for round in 0..40u64 {
         // The last one is aborted before it is whole, and its id is used again in the next round.
         let mut streams: Vec<Vec<Vec<u8>>> = (1..=4)
-            .map(|id| records(&request(id, round * 10 + u64::from(id), "/svc/look", &[], b"body")))
+            .map(|id| {
+                records(&request(
+                    id,
+                    round * 10 + u64::from(id),
+                    "/svc/look",
+                    &[],
+                    b"body",
+                ))
+            })
             .collect();
         let last = streams[3].len() - 1;
         streams[3][last] = record(2, 4, b"");
         let most = streams.iter().map(Vec::len).max().unwrap();
         let woven: Vec<u8> = (0..most)
-            .flat_map(|nth| streams.iter().filter_map(move |stream| stream.get(nth)).flatten().copied())
+            .flat_map(|nth| {
+                streams
+                    .iter()
+                    .filter_map(move |stream| stream.get(nth))
+                    .flatten()
+                    .copied()
+            })
             .collect();
         for piece in woven.chunks(1 + round as usize) {
             client.send(piece);
@@ -122,7 +141,10 @@
         let replies = [client.reply(), client.reply(), client.reply()];
         let ids: BTreeSet<u16> = replies.iter().map(|reply| reply.id).collect();
         assert_eq!(ids, BTreeSet::from([1, 2, 3]), "round {round}");
-        assert!(replies.iter().all(|reply| reply.status == 200), "round {round}: {replies:?}");
+        assert!(
+            replies.iter().all(|reply| reply.status == 200),
+            "round {round}: {replies:?}"
+        );
     }
     leaves(bed);
     assert!(client.is_closed(), "one was answered twice");
@@ -155,14 +177,49 @@
 
 const FORMS: [Form; 9] = [
     PLAIN,
-    Form { name: "length first", length_first: true, ..PLAIN },
-    Form { name: "no length", length: None, body: b"", ..PLAIN },
-    Form { name: "empty length", length: Some(""), body: b"", ..PLAIN },
-    Form { name: "a length of 0", length: Some("0"), body: b"", ..PLAIN },
-    Form { name: "zeros before the length", length: Some("0004"), ..PLAIN },
-    Form { name: "another second modifier", modifier_2: 9, ..PLAIN },
-    Form { name: "an empty variable", more: Some(("HTTPS", "")), ..PLAIN },
-    Form { name: "bytes behind the body", behind: 40, ..PLAIN },
+    Form {
+        name: "length first",
+        length_first: true,
+        ..PLAIN
+    },
+    Form {
+        name: "no length",
+        length: None,
+        body: b"",
+        ..PLAIN
+    },
+    Form {
+        name: "empty length",
+        length: Some(""),
+        body: b"",
+        ..PLAIN
+    },
+    Form {
+        name: "a length of 0",
+        length: Some("0"),
+        body: b"",
+        ..PLAIN
+    },
+    Form {
+        name: "zeros before the length",
+        length: Some("0004"),
+        ..PLAIN
+    },
+    Form {
+        name: "another second modifier",
+        modifier_2: 9,
+        ..PLAIN
+    },
+    Form {
+        name: "an empty variable",
+        more: Some(("HTTPS", "")),
+        ..PLAIN
+    },
+    Form {
+        name: "bytes behind the body",
+        behind: 40,
+        ..PLAIN
+    },
 ];
 
 impl Form {
@@ -179,15 +236,27 @@
         ];
         variables.extend(self.more);
         if let Some(length) = self.length {
-            let place = if self.length_first { 0 } else { variables.len() };
+            let place = if self.length_first {
+                0
+            } else {
+                variables.len()
+            };
             variables.insert(place, ("CONTENT_LENGTH", length));
         }
-        let words = variables.into_iter().flat_map(|(name, value)| [name, value]);
+        let words = variables
+            .into_iter()
+            .flat_map(|(name, value)| [name, value]);
         let block: Vec<u8> = words
             .flat_map(|word| [&(word.len() as u16).to_le_bytes()[..], word.as_bytes()].concat())
             .collect();
         let [low, high] = (block.len() as u16).to_le_bytes();
-        [&[0, low, high, self.modifier_2][..], &block, self.body, &vec![b'x'; self.behind]].concat()
+        [
+            &[0, low, high, self.modifier_2][..],
+            &block,
+            self.body,
+            &vec![b'x'; self.behind],
+        ]
+        .concat()
     }
 }
 
@@ -206,9 +275,22 @@
             pause();
             // What lies behind the body may meet the end of the connection.
             let sent = sock.write_all(&bytes[cut..]);
-            assert!(sent.is_ok() || form.behind > 0, "{}, cut at {cut}: {sent:?}", form.name);
-            let seen = Pending { sock, protocol: Uwsgi }.seen();
-            assert_eq!(seen, Seen::Completed(b"done".into()), "{}, cut at {cut}", form.name);
+            assert!(
+                sent.is_ok() || form.behind > 0,
+                "{}, cut at {cut}: {sent:?}",
+                form.name
+            );
+            let seen = Pending {
+                sock,
+                protocol: Uwsgi,
+            }
+            .seen();
+            assert_eq!(
+                seen,
+                Seen::Completed(b"done".into()),
+                "{}, cut at {cut}",
+                form.name
+            );
         }
     }
     for cut in 1..4 {
@@ -234,14 +316,21 @@
         let bytes = Ask::new(nth, "/svc/look", b"body").bytes(protocol);
         let mut sock = without_delay(at);
         sock.write_all(&bytes[..cut]).unwrap();
-        Half { pending: Pending { sock, protocol }, cut, rest: bytes[cut..].to_vec() }
+        Half {
+            pending: Pending { sock, protocol },
+            cut,
+            rest: bytes[cut..].to_vec(),
+        }
     }
 
     /// One for every so many bytes, the last of them one byte short of the whole.
     fn all(from: u64, at: SocketAddr, protocol: Protocol, step: usize) -> Vec<Half> {
         let length = Ask::new(from, "/svc/look", b"body").bytes(protocol).len();
         let cuts = (1..length - 1).step_by(step).chain([length - 1]);
-        (from..).zip(cuts).map(|(nth, cut)| Half::send(nth, at, protocol, cut)).collect()
+        (from..)
+            .zip(cuts)
+            .map(|(nth, cut)| Half::send(nth, at, protocol, cut))
+            .collect()
     }
 
     fn send_rest(&mut self) {
@@ -259,7 +348,10 @@
     for half in halves {
         let (protocol, cut) = (half.pending.protocol, half.cut);
         let seen = half.pending.seen();
-        assert!(is_answered(&seen), "{what}: {protocol} cut at {cut}: {seen:?}");
+        assert!(
+            is_answered(&seen),
+            "{what}: {protocol} cut at {cut}: {seen:?}"
+        );
         completed += usize::from(matches!(seen, Seen::Completed(_)));
     }
     assert!(completed > 0, "{what}");
@@ -270,8 +362,12 @@
     let (bed, uwsgi) = up();
     let front = |at: SocketAddr| json!({"protocol": "uwsgi", "listen": at.to_string()});
     let more = SocketAddr::new(uwsgi.ip(), 9093);
-    for (round, text) in
-        ["{".into(), json!({"fronts": [front(uwsgi), front(more)]}).to_string()].into_iter().enumerate()
+    for (round, text) in [
+        "{".into(),
+        json!({"fronts": [front(uwsgi), front(more)]}).to_string(),
+    ]
+    .into_iter()
+    .enumerate()
     {
         let from = 10_000 * (round as u64 + 1);
         let mut halves = Half::all(from, bed.at, FastCgi, 7);
@@ -297,7 +393,12 @@
     all_answered(followed, "a notice");
     for half in left {
         let (protocol, cut) = (half.pending.protocol, half.cut);
-        let begun = cut >= if protocol == FastCgi { FASTCGI_BEGIN } else { UWSGI_HEAD };
+        let begun = cut
+            >= if protocol == FastCgi {
+                FASTCGI_BEGIN
+            } else {
+                UWSGI_HEAD
+            };
         let seen = half.pending.seen();
         // By the stop it is refused; by then it may be a slow one, which is told so.
         let told = matches!(seen, Seen::Rejected { .. } | Seen::Unreadable(400, _));
--- a/node/tests/node/play.rs
+++ b/node/tests/node/play.rs
@@ -27,16 +27,25 @@
 /// What a server does with one request: mostly sound, else in any way wrong.
 fn act(got: &Got, seed: u64) -> Act {
     let try_id = String::from_utf8_lossy(got.variable("HTTP_X_REQUEST_ID").unwrap()).into_owned();
-    let mut rng =
-        Rng::with_seed(seed ^ u64::from_str_radix(&try_id, 16).unwrap() << 8 ^ got.connection as u64);
+    let mut rng = Rng::with_seed(
+        seed ^ u64::from_str_radix(&try_id, 16).unwrap() << 8 ^ got.connection as u64,
+    );
     let (body, at) = (result(&try_id), rng.usize(0..60));
     let how = [CutBy::Close, CutBy::Reset, CutBy::HalfClose][rng.usize(0..3)];
     match rng.u8(0..20) {
-        0 | 1 => Act::Answer { status: "503 No", body, after: Duration::ZERO },
+        0 | 1 => Act::Answer {
+            status: "503 No",
+            body,
+            after: Duration::ZERO,
+        },
         2 | 3 => Act::Cut { body, at, how },
         4 => Act::Garbage(b"HTTP/0.9 hello\r\n\r\n".into()),
         5 => Act::Hang,
-        _ => Act::Answer { status: "200 OK", body, after: Duration::from_millis(rng.u64(0..12)) },
+        _ => Act::Answer {
+            status: "200 OK",
+            body,
+            after: Duration::from_millis(rng.u64(0..12)),
+        },
     }
 }
 
@@ -51,15 +60,28 @@
 
 impl Callers {
     fn new(seed: u64, fronts: [(Protocol, SocketAddr); 2]) -> Callers {
-        Callers { rng: Rng::with_seed(seed), fronts, nth: 0, tried: Arc::default(), waiting: Vec::new() }
+        Callers {
+            rng: Rng::with_seed(seed),
+            fronts,
+            nth: 0,
+            tried: Arc::default(),
+            waiting: Vec::new(),
+        }
     }
 
     /// One try by chance: of a key that others use too, or of none; whoever asks may leave at any byte.
     fn ask(&mut self) {
         self.nth += 1;
         let (nth, (protocol, at)) = (self.nth, self.fronts[self.rng.usize(0..2)]);
-        let key = self.rng.bool().then(|| format!("{:032x}", self.rng.u8(0..25)));
-        let script = if key.is_some() { "/svc/pay" } else { "/svc/look" };
+        let key = self
+            .rng
+            .bool()
+            .then(|| format!("{:032x}", self.rng.u8(0..25)));
+        let script = if key.is_some() {
+            "/svc/pay"
+        } else {
+            "/svc/look"
+        };
         let mut ask = Ask::new(nth, script, b"berth");
         if let Some(key) = &key {
             ask = ask.with("HTTP_IDEMPOTENCY_KEY", key);
@@ -76,8 +98,15 @@
             return;
         }
         // Once the node has left nobody is there.
-        let Ok(pending) = ask.try_send(at, protocol) else { return };
-        let mut tried = Tried { nth, idempotency_key: key, sent, told: None };
+        let Ok(pending) = ask.try_send(at, protocol) else {
+            return;
+        };
+        let mut tried = Tried {
+            nth,
+            idempotency_key: key,
+            sent,
+            told: None,
+        };
         let all = self.tried.clone();
         match leaves {
             1 => {
@@ -96,7 +125,9 @@
     }
 
     fn over(self) -> Vec<Tried> {
-        self.waiting.into_iter().for_each(|thread| thread.join().unwrap());
+        self.waiting
+            .into_iter()
+            .for_each(|thread| thread.join().unwrap());
         self.tried.lock().unwrap().clone()
     }
 }
@@ -129,19 +160,31 @@
     assert_eq!(code, Some(0), "{log}");
     assert!(!log.contains("panicked"), "{log}");
     let (tried, runs) = (callers.over(), runs());
-    let bounds = Bounds { within: TIMEOUT_MS + SLOW_MACHINE_MS, closed: Some(closed), tries: 3 };
+    let bounds = Bounds {
+        within: TIMEOUT_MS + SLOW_MACHINE_MS,
+        closed: Some(closed),
+        tries: 3,
+    };
     let broken = broken(&tried, &runs, bounds, result);
     assert!(broken.is_empty(), "{broken:#?}\n{log}");
-    let completed =
-        |tried: &&Tried| matches!(&tried.told, Some((doortrack_standins::caller::Seen::Completed(_), _)));
-    assert!(tried.iter().filter(completed).count() > 100, "little was completed: {log}");
+    let completed = |tried: &&Tried| {
+        matches!(
+            &tried.told,
+            Some((doortrack_standins::caller::Seen::Completed(_), _))
+        )
+    };
+    assert!(
+        tried.iter().filter(completed).count() > 100,
+        "little was completed: {log}"
+    );
 }
 
 #[test]
 fn with_servers_that_fail_in_every_way_no_rule_is_broken() {
     for (seed, protocol) in [(11, FastCgi), (12, Uwsgi)] {
-        let mut servers: Vec<Server> =
-            (0..3).map(|nth| Server::start(protocol, move |got| act(got, seed * 10 + nth))).collect();
+        let mut servers: Vec<Server> = (0..3)
+            .map(|nth| Server::start(protocol, move |got| act(got, seed * 10 + nth)))
+            .collect();
         let addresses: Vec<String> = servers.iter().map(|server| server.at.to_string()).collect();
         let part = |most: usize| {
             json!({"protocol": protocol.name(), "addresses": addresses[..most], "answer_within_ms": 300,
@@ -162,7 +205,10 @@
                     let at = server.at;
                     thread::sleep(Duration::from_millis(2));
                     gone.extend(server.kill_and_tell().iter().map(Ran::from));
-                    servers.insert(0, Server::start_at(at, protocol, move |got| act(got, seed * 10)));
+                    servers.insert(
+                        0,
+                        Server::start_at(at, protocol, move |got| act(got, seed * 10)),
+                    );
                 }
                 150 | 220 => {
                     installation["servers"] = part(if round == 150 { 2 } else { 3 });
@@ -172,7 +218,12 @@
             }
         }
         leave(bed, callers, || {
-            gone.extend(servers.iter().flat_map(|server| server.got()).map(|got| Ran::from(&got)));
+            gone.extend(
+                servers
+                    .iter()
+                    .flat_map(|server| server.got())
+                    .map(|got| Ran::from(&got)),
+            );
             gone
         });
     }
@@ -188,23 +239,33 @@
             continue;
         };
         sock.set_nonblocking(false).unwrap();
-        sock.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
+        sock.set_read_timeout(Some(Duration::from_millis(500)))
+            .unwrap();
         let mut engine = Engine::on(sock);
-        let Some(attach) = engine.try_line() else { continue };
+        let Some(attach) = engine.try_line() else {
+            continue;
+        };
         let last = attach["serial"].as_u64().unwrap() as usize;
         let mut ok = engine.try_tell(&json!({"msg": "HELLO", "how": "WARM", "duration": 60_000}));
-        notices[last.min(notices.len())..].iter().for_each(|notice| ok &= engine.try_tell(notice));
+        notices[last.min(notices.len())..]
+            .iter()
+            .for_each(|notice| ok &= engine.try_tell(notice));
         while ok && let Some(command) = engine.try_line() {
             let call = command["call"].as_str().unwrap_or_default().to_string();
             match command["msg"].as_str().unwrap() {
                 "STAT" => {
-                    let stats = json!({"msg": "STATS", "cookie": command["cookie"], "stats": [0.0, 1]});
+                    let stats =
+                        json!({"msg": "STATS", "cookie": command["cookie"], "stats": [0.0, 1]});
                     ok &= engine.try_tell(&stats);
                 }
                 "RUN" if !runs.iter().any(|run| run.try_id == call) => {
                     let how = ["OK", "OK", "OK", "OK", "ERROR"][rng.usize(0..5)];
                     serial += 1;
-                    runs.push(Ran { try_id: call.clone(), idempotency_key: None, at: unix_ms() });
+                    runs.push(Ran {
+                        try_id: call.clone(),
+                        idempotency_key: None,
+                        at: unix_ms(),
+                    });
                     let blob = Engine::blob(&result(&call));
                     notices.push(
                         json!({"msg": "DONE", "serial": serial, "call": call, "how": how, "blob": blob}),
@@ -225,7 +286,10 @@
     let (plan, fronts) = plan(|_| {});
     let (bed, mut callers) = (plan.start(), Callers::new(13, fronts));
     bed.door.set_nonblocking(true).unwrap();
-    let (door, over) = (bed.door.try_clone().unwrap(), Arc::new(AtomicBool::new(false)));
+    let (door, over) = (
+        bed.door.try_clone().unwrap(),
+        Arc::new(AtomicBool::new(false)),
+    );
     let told = over.clone();
     let engine = thread::spawn(move || serve(door, 14, told));
     drop(doortrack_standins::bed::connect(fronts[0].1));
@@ -241,7 +305,9 @@
         // The engine is told no idempotency keys; its runs have those of their tries.
         let tried = tried.lock().unwrap();
         for run in &mut runs {
-            let of = tried.iter().find(|tried| doortrack_standins::try_id(tried.nth) == run.try_id);
+            let of = tried
+                .iter()
+                .find(|tried| doortrack_standins::try_id(tried.nth) == run.try_id);
             run.idempotency_key = of.and_then(|tried| tried.idempotency_key.clone());
         }
         runs
--- a/node/tests/node/ramps.rs
+++ b/node/tests/node/ramps.rs
@@ -20,7 +20,9 @@
 fn faults(value: &Value) -> String {
     let orders = orders::parse(config().to_string().as_bytes()).unwrap();
     let read = file::parse(value.to_string().as_bytes());
-    read.and_then(|file| file.beside(&orders)).err().map_or_else(String::new, |faults| faults.to_string())
+    read.and_then(|file| file.beside(&orders))
+        .err()
+        .map_or_else(String::new, |faults| faults.to_string())
 }
 
 #[test]
@@ -37,10 +39,26 @@
 #[test]
 fn each_fault_of_a_ramp_is_told_with_its_path() {
     for (place, value, told) in [
-        ("/pools/boats/ramp/over_ms", json!(9), "installation.pools.boats.ramp.over_ms: "),
-        ("/pools/boats/ramp/over_ms", json!("10s"), "installation.pools.boats.ramp.over_ms: "),
-        ("/pools/boats/ramp/runs", json!(0), "installation.pools.boats.ramp.runs: "),
-        ("/pools/boats/ramp", json!({"runs": 4}), "installation.pools.boats.ramp: needed key 'over_ms'"),
+        (
+            "/pools/boats/ramp/over_ms",
+            json!(9),
+            "installation.pools.boats.ramp.over_ms: ",
+        ),
+        (
+            "/pools/boats/ramp/over_ms",
+            json!("10s"),
+            "installation.pools.boats.ramp.over_ms: ",
+        ),
+        (
+            "/pools/boats/ramp/runs",
+            json!(0),
+            "installation.pools.boats.ramp.runs: ",
+        ),
+        (
+            "/pools/boats/ramp",
+            json!({"runs": 4}),
+            "installation.pools.boats.ramp: needed key 'over_ms'",
+        ),
         (
             "/pools/boats/ramp",
             json!(null),
@@ -51,9 +69,21 @@
             json!({"ramp": "servers"}),
             "installation.budgets[0].for: installation.servers has",
         ),
-        ("/budgets/0/for", json!({"ramp": "ships"}), "installation.budgets[0].for: there is no pool 'ships'"),
-        ("/budgets/0/limit", json!(21), "installation.budgets[0].limit: at most 20 is wanted"),
-        ("/budgets/0/kind", json!("concurrency"), "installation.budgets[0].kind: a ramp is a rate"),
+        (
+            "/budgets/0/for",
+            json!({"ramp": "ships"}),
+            "installation.budgets[0].for: there is no pool 'ships'",
+        ),
+        (
+            "/budgets/0/limit",
+            json!(21),
+            "installation.budgets[0].limit: at most 20 is wanted",
+        ),
+        (
+            "/budgets/0/kind",
+            json!("concurrency"),
+            "installation.budgets[0].kind: a ramp is a rate",
+        ),
     ] {
         let mut changed = good();
         *changed.pointer_mut(place).unwrap() = value;
--- a/node/tests/node/reloads.rs
+++ b/node/tests/node/reloads.rs
@@ -24,9 +24,18 @@
     customers: usize,
 }
 
-const LARGE: Size = Size { rules: 3_400, customers: 20_000 };
-const SMALL: Size = Size { rules: 400, customers: 2_000 };
-const MIDDLE: Size = Size { rules: 1_000, customers: 2_000 };
+const LARGE: Size = Size {
+    rules: 3_400,
+    customers: 20_000,
+};
+const SMALL: Size = Size {
+    rules: 400,
+    customers: 2_000,
+};
+const MIDDLE: Size = Size {
+    rules: 1_000,
+    customers: 2_000,
+};
 
 /// A node with application servers, each of which answers with its pool's name, and a front over uwsgi.
 struct Site {
@@ -42,8 +51,7 @@
 /// The file in its version `nth`: the first and the last rule send their requests to the pool of that place,
 /// and one rule in the middle is another one.
 fn installation(size: Size, front: SocketAddr, servers: &[Server], nth: usize) -> Value {
-    let pool =
-        |server: &Server| json!({"protocol": "uwsgi", "addresses": [server.at.to_string()], "at_once": 8});
+    let pool = |server: &Server| json!({"protocol": "uwsgi", "addresses": [server.at.to_string()], "at_once": 8});
     let names = (0..servers.len()).map(|place| format!("p{place}"));
     let pools: serde_json::Map<String, Value> = names.zip(servers.iter().map(pool)).collect();
     let rule = |place: usize| {
@@ -74,17 +82,31 @@
                 Server::start(UWSGI, move |_| Act::ok(name.clone()))
             })
             .collect();
-        let party = |nth: usize| json!({"name": format!("customer-{nth:05}"), "allowance_per_s": 1});
+        let party =
+            |nth: usize| json!({"name": format!("customer-{nth:05}"), "allowance_per_s": 1});
         plan.config["settings"]["parties"] = (0..size.customers).map(party).collect();
         plan.config["settings"]["family_info"]["cores"] = json!(64);
-        plan.words = ["--log-level", "debug", "--log-lines", "1000"].map(String::from).to_vec();
+        plan.words = ["--log-level", "debug", "--log-lines", "1000"]
+            .map(String::from)
+            .to_vec();
         plan.installation = Some(installation(size, front, &servers, 0));
         let mut bed = plan.start();
         let (sender, log) = mpsc::channel();
         let lines = BufReader::new(bed.program.stderr.take().unwrap()).lines();
-        std::thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| sender.send(line)));
+        std::thread::spawn(move || {
+            lines
+                .map_while(Result::ok)
+                .try_for_each(|line| sender.send(line))
+        });
         drop(connect(front));
-        Site { bed, front, servers, size, log, seen: Vec::new() }
+        Site {
+            bed,
+            front,
+            servers,
+            size,
+            log,
+            seen: Vec::new(),
+        }
     }
 
     fn version(&self, nth: usize) -> Value {
@@ -102,7 +124,12 @@
         write_request(UWSGI, &mut out, 1, false, &pairs, b"").unwrap();
         let mut sock = connect(self.front);
         sock.write_all(&out).unwrap();
-        match (Pending { sock, protocol: UWSGI }).seen() {
+        match (Pending {
+            sock,
+            protocol: UWSGI,
+        })
+        .seen()
+        {
             Seen::Completed(body) => String::from_utf8(body).unwrap()[1..].parse().unwrap(),
             seen => panic!("{path}: {seen:?}"),
         }
@@ -117,7 +144,10 @@
         let until = Instant::now() + LONG;
         while self.count(part) < times {
             let left = until.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).unwrap_or_else(|_| panic!("{part}: {:?}", self.seen));
+            let line = self
+                .log
+                .recv_timeout(left)
+                .unwrap_or_else(|_| panic!("{part}: {:?}", self.seen));
             self.seen.push(line);
         }
     }
@@ -140,8 +170,12 @@
     }
 
     fn resident_kb(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.bed.program.id())).unwrap();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.bed.program.id())).unwrap();
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))
+            .unwrap();
         line.split_whitespace().next().unwrap().parse().unwrap()
     }
 }
@@ -153,7 +187,10 @@
     let (mut newest, mut by_the_old) = (version - 1, 0);
     for path in ["/first", "/last"].into_iter().cycle() {
         let found = site.ask(path);
-        assert!(found == version - 1 || found == version, "{path} by {found}");
+        assert!(
+            found == version - 1 || found == version,
+            "{path} by {found}"
+        );
         assert!(found >= newest, "{path} by {found} after one by {newest}");
         newest = found;
         by_the_old += usize::from(found < version);
@@ -162,7 +199,10 @@
             assert_eq!((site.ask("/first"), site.ask("/last")), (version, version));
             break;
         }
-        assert!(Instant::now() < until, "version {version} never comes into force");
+        assert!(
+            Instant::now() < until,
+            "version {version} never comes into force"
+        );
     }
     by_the_old
 }
@@ -186,8 +226,14 @@
         figures.sort_unstable();
         figures[CHANGES / 2]
     };
-    let (built, held) = (median(site.figures("built_ms")) * 1000, median(site.figures("held_us")));
-    assert!(held * 10 < built, "the loop was held for {held} us, builds took {built} us");
+    let (built, held) = (
+        median(site.figures("built_ms")) * 1000,
+        median(site.figures("held_us")),
+    );
+    assert!(
+        held * 10 < built,
+        "the loop was held for {held} us, builds took {built} us"
+    );
     // The first and the last rule and the one in the middle are others each time.
     let reused = [vec![0], vec![LARGE.rules as u64 - 1; CHANGES]].concat();
     assert_eq!(site.figures("reused"), reused);
@@ -198,8 +244,13 @@
 fn notices_that_come_while_one_is_built_are_one_and_the_last_content_wins() {
     const NOTICES: usize = 24;
     let site = Site::start(LARGE, NOTICES + 1);
-    let versions: Vec<String> = (1..=NOTICES).map(|nth| site.version(nth).to_string()).collect();
-    let (path, next) = (site.bed.folder.join("installation.json"), site.bed.folder.join("next.json"));
+    let versions: Vec<String> = (1..=NOTICES)
+        .map(|nth| site.version(nth).to_string())
+        .collect();
+    let (path, next) = (
+        site.bed.folder.join("installation.json"),
+        site.bed.folder.join("next.json"),
+    );
     for version in &versions {
         std::fs::write(&next, version).unwrap();
         std::fs::rename(&next, &path).unwrap();
@@ -209,14 +260,23 @@
     let mut newest = 0;
     while newest < NOTICES {
         let found = site.ask("/last");
-        assert!(found >= newest && Instant::now() < until, "{found} after {newest}");
+        assert!(
+            found >= newest && Instant::now() < until,
+            "{found} after {newest}"
+        );
         newest = found;
     }
     let log = site.end();
     let count = |part: &str| log.iter().filter(|line| line.contains(part)).count();
-    let (begun, in_force) = (count("configuration being read"), count("configuration in force"));
+    let (begun, in_force) = (
+        count("configuration being read"),
+        count("configuration in force"),
+    );
     // A build that was begun for the last notice may be dropped: the one before it had the same content.
-    assert!(begun <= in_force + 1 && begun < NOTICES / 2, "{begun} builds for {NOTICES} notices");
+    assert!(
+        begun <= in_force + 1 && begun < NOTICES / 2,
+        "{begun} builds for {NOTICES} notices"
+    );
     assert_eq!(count("configuration left out"), begun - in_force);
 }
 
@@ -228,7 +288,12 @@
     bad["servers"]["at_once"] = json!(16);
     site.bed.install(&bad);
     site.until_logged("configuration left out", 1);
-    assert!(site.seen.last().unwrap().contains("installation.rules[7].when: 1:1: there is no value 'pth'"));
+    assert!(
+        site.seen
+            .last()
+            .unwrap()
+            .contains("installation.rules[7].when: 1:1: there is no value 'pth'")
+    );
     std::fs::write(site.bed.folder.join("installation.json"), "{\"rules\": [").unwrap();
     site.bed.signal("-HUP");
     site.until_logged("installation: not JSON", 1);
@@ -237,7 +302,14 @@
     std::fs::remove_file(site.bed.folder.join("installation.json")).unwrap();
     site.bed.signal("-HUP");
     site.until_logged("configuration left out", 4);
-    assert_eq!((site.ask("/first"), site.ask("/last"), site.count("configuration in force")), (0, 0, 0));
+    assert_eq!(
+        (
+            site.ask("/first"),
+            site.ask("/last"),
+            site.count("configuration in force")
+        ),
+        (0, 0, 0)
+    );
     site.end();
 }
 
@@ -253,10 +325,18 @@
     site.bed.install(&site.version(2));
     site.bed.signal("-TERM");
     site.until_logged("told to leave ", 1);
-    assert_eq!(site.count("configuration in force"), 1, "the build was waited for");
+    assert_eq!(
+        site.count("configuration in force"),
+        1,
+        "the build was waited for"
+    );
     site.until_logged("configuration in force", 2);
     let log = site.end();
-    assert!(!log.iter().any(|line| line.contains("configuration left out")), "{log:#?}");
+    assert!(
+        !log.iter()
+            .any(|line| line.contains("configuration left out")),
+        "{log:#?}"
+    );
 }
 
 #[test]
@@ -274,14 +354,21 @@
     }
     let grown = site.resident_kb().saturating_sub(after_first);
     // Where what is retired is kept, 40 changes take about 20 MB.
-    assert!(grown < 8 * 1024, "{grown} kB more after {CHANGES} changes than after {FIRST}");
+    assert!(
+        grown < 8 * 1024,
+        "{grown} kB more after {CHANGES} changes than after {FIRST}"
+    );
     assert_eq!(site.ask("/first"), 0);
     site.end();
 }
 
 #[test]
 fn there_is_a_thread_more_only_where_a_file_of_the_operators_is_read_again() {
-    let threads = |bed: &Bed| std::fs::read_dir(format!("/proc/{}/task", bed.program.id())).unwrap().count();
+    let threads = |bed: &Bed| {
+        std::fs::read_dir(format!("/proc/{}/task", bed.program.id()))
+            .unwrap()
+            .count()
+    };
     let mut site = Site::start(SMALL, 2);
     assert_eq!(threads(&site.bed), 1);
     for nth in 1..=3 {
@@ -300,11 +387,17 @@
     bed.reload(&config.to_string());
     let until = Instant::now() + LONG;
     while elsewhere.accept().is_err() {
-        assert!(Instant::now() < until, "the engine's move is never followed");
+        assert!(
+            Instant::now() < until,
+            "the engine's move is never followed"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(threads(&bed), 1);
     bed.signal("-TERM");
     let (code, log) = bed.end();
-    assert!(code == Some(0) && log.contains("configuration in force"), "{log}");
+    assert!(
+        code == Some(0) && log.contains("configuration in force"),
+        "{log}"
+    );
 }
--- a/node/tests/node/restart.rs
+++ b/node/tests/node/restart.rs
@@ -35,22 +35,28 @@
 }
 
 fn customers() -> Value {
-    (0..CUSTOMERS).map(|nth| json!({"name": customer(nth), "allowance_per_s": 10})).collect()
+    (0..CUSTOMERS)
+        .map(|nth| json!({"name": customer(nth), "allowance_per_s": 10}))
+        .collect()
 }
 
 /// Rules as a large installation has them: starts of the path, headers, segments and bodies.
 fn rules() -> Value {
     let rule = |nth: usize| match nth % 4 {
         0 => json!({"when": format!("path.starts_with(\"/yard-{nth}/\")"), "group": "look"}),
-        1 => json!({"when": format!("(header(\"x-yard\") ?? \"\") == \"yard-{nth}\" && method == \"POST\""),
-            "group": "pay", "idempotency_key": "header(\"x-order\")", "rank": "0.9"}),
+        1 => {
+            json!({"when": format!("(header(\"x-yard\") ?? \"\") == \"yard-{nth}\" && method == \"POST\""),
+            "group": "pay", "idempotency_key": "header(\"x-order\")", "rank": "0.9"})
+        }
         2 => {
             let place = format!("(segment(0) ?? \"\") in [\"yard-{nth}\", \"dock-{nth}\"]");
             let when = format!("{place} && body_length < 4096");
             json!({"when": when, "group": "look", "subject": "segment(1)"})
         }
-        _ => json!({"when": format!("matches(path, \"^/book/{nth}/berth-[0-9]+$\")"), "group": "look",
-            "due": "5s"}),
+        _ => {
+            json!({"when": format!("matches(path, \"^/book/{nth}/berth-[0-9]+$\")"), "group": "look",
+            "due": "5s"})
+        }
     };
     (0..RULES).map(rule).collect()
 }
@@ -67,12 +73,16 @@
         if large {
             plan.config["settings"]["parties"] = customers();
             let front = json!({"protocol": "fastcgi", "listen": plan.port(9091).to_string()});
-            plan.installation = Some(json!({"fronts": [front], "rules": rules(), "otherwise": "look"}));
+            plan.installation =
+                Some(json!({"fronts": [front], "rules": rules(), "otherwise": "look"}));
         }
         let has_installation = plan.installation.is_some();
         let bed = plan.start();
         instant::engine(bed.door.try_clone().unwrap());
-        Node { bed, has_installation }
+        Node {
+            bed,
+            has_installation,
+        }
     }
 
     fn kill(&mut self) {
@@ -84,9 +94,14 @@
     fn start_again(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_doortrack"));
         if self.has_installation {
-            command.arg("serve").arg("--installation").arg(self.bed.folder.join("installation.json"));
+            command
+                .arg("serve")
+                .arg("--installation")
+                .arg(self.bed.folder.join("installation.json"));
         }
-        command.env("GW_CONFIG", self.bed.folder.join("config.json")).stderr(Stdio::null());
+        command
+            .env("GW_CONFIG", self.bed.folder.join("config.json"))
+            .stderr(Stdio::null());
         self.bed.program = command.spawn().unwrap();
     }
 }
@@ -123,7 +138,10 @@
 
 impl Callers {
     fn keep_asking(nodes: &[Node]) -> Callers {
-        let (stop, answered) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        let (stop, answered) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicU64::new(0)),
+        );
         let places: Vec<SocketAddr> = nodes.iter().map(|node| node.bed.at).collect();
         let caller = |nth: usize| {
             let (stop, answered, places) = (stop.clone(), answered.clone(), places.clone());
@@ -139,7 +157,11 @@
             })
         };
         let threads = (0..CALLERS).map(caller).collect();
-        Callers { stop, answered, threads }
+        Callers {
+            stop,
+            answered,
+            threads,
+        }
     }
 
     fn wait_for_answers(&self, count: u64) {
@@ -162,12 +184,15 @@
 /// Whether one exchange was answered within a tenth of a second; nodes that are starting keep it waiting.
 fn asks(at: SocketAddr, nth: u64) -> bool {
     let patience = Duration::from_millis(100);
-    let Ok(sock) = TcpStream::connect_timeout(&at, patience) else { return false };
+    let Ok(sock) = TcpStream::connect_timeout(&at, patience) else {
+        return false;
+    };
     let customer = customer(nth as usize % CUSTOMERS);
     let ask = Ask::new(nth, "/svc/look", b"work").with("HTTP_X_TENANT", &customer);
     let sent = (&sock).write_all(&ask.bytes(FastCgi));
     let patient = sock.set_read_timeout(Some(patience));
-    sent.and(patient).is_ok_and(|()| matches!(sock.peek(&mut [0]), Ok(1)))
+    sent.and(patient)
+        .is_ok_and(|()| matches!(sock.peek(&mut [0]), Ok(1)))
 }
 
 fn nine_in_ten_are_ready_in_time(large: bool) {
--- a/node/tests/node/rules.rs
+++ b/node/tests/node/rules.rs
@@ -9,9 +9,21 @@
 use serde_json::{Value, json};
 
 /// What a front end that knows nothing of the platform sends.
-fn bare(at: SocketAddr, protocol: Protocol, path: &str, more: &[(&str, &str)], body: &[u8]) -> Pending {
-    let mut pairs: Vec<Pair> = vec![(b"REQUEST_METHOD", b"POST"), (b"PATH_INFO", path.as_bytes())];
-    pairs.extend(more.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())));
+fn bare(
+    at: SocketAddr,
+    protocol: Protocol,
+    path: &str,
+    more: &[(&str, &str)],
+    body: &[u8],
+) -> Pending {
+    let mut pairs: Vec<Pair> = vec![
+        (b"REQUEST_METHOD", b"POST"),
+        (b"PATH_INFO", path.as_bytes()),
+    ];
+    pairs.extend(
+        more.iter()
+            .map(|(name, value)| (name.as_bytes(), value.as_bytes())),
+    );
     let mut out = Vec::new();
     write_request(protocol, &mut out, 1, false, &pairs, body).unwrap();
     let mut sock = doortrack_standins::bed::connect(at);
@@ -56,9 +68,16 @@
 }
 
 /// A node whose lookups have this deadline, and repeats of its confirmations this window, in microseconds.
-fn up_within(rules: Value, deadline: u64, window: u64) -> (Bed, Engine, [(Protocol, SocketAddr); 2]) {
+fn up_within(
+    rules: Value,
+    deadline: u64,
+    window: u64,
+) -> (Bed, Engine, [(Protocol, SocketAddr); 2]) {
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
-    let fronts = [(Protocol::FastCgi, plan.port(9091)), (Protocol::Uwsgi, plan.port(9092))];
+    let fronts = [
+        (Protocol::FastCgi, plan.port(9091)),
+        (Protocol::Uwsgi, plan.port(9092)),
+    ];
     plan.config["settings"]["lanes"][1]["window"] = json!(window);
     plan.config["settings"]["lanes"][1]["deadline"] = json!(1_000_000);
     plan.config["settings"]["lanes"][1]["target"] = json!(500_000);
@@ -88,14 +107,24 @@
         }
         assert_eq!(waits.seen(), Seen::Completed(b"confirmed".into()));
         // Absent and empty idempotency keys are refused, not taken for one exchange.
-        for more in [&[][..], &[("HTTP_X_ORDER", "")], &[("HTTP_X_ORDER", "1"), ("HTTP_X_ORDER", "2")]] {
+        for more in [
+            &[][..],
+            &[("HTTP_X_ORDER", "")],
+            &[("HTTP_X_ORDER", "1"), ("HTTP_X_ORDER", "2")],
+        ] {
             assert_eq!(
                 bare(at, protocol, "/confirm/4", more, b"").seen(),
                 Seen::Unreadable(400, "idempotency_key".into())
             );
         }
-        assert_eq!(bare(at, protocol, "/else", &[], b"").seen(), Seen::Unreadable(404, String::new()));
-        assert!(matches!(bare(at, protocol, "/status/live", &[], b"").seen(), Seen::Completed(_)));
+        assert_eq!(
+            bare(at, protocol, "/else", &[], b"").seen(),
+            Seen::Unreadable(404, String::new())
+        );
+        assert!(matches!(
+            bare(at, protocol, "/status/live", &[], b"").seen(),
+            Seen::Completed(_)
+        ));
     }
     // The platform's own listener is not concerned.
     let mut client = bed.client();
@@ -105,7 +134,10 @@
     assert_eq!(client.reply().body, b"as ever");
     bed.signal("-TERM");
     let (_, log) = bed.end();
-    assert!(log.contains("\"no_rule\":1") && log.contains("rules=2 asked_in_order=0"), "{log}");
+    assert!(
+        log.contains("\"no_rule\":1") && log.contains("rules=2 asked_in_order=0"),
+        "{log}"
+    );
 }
 
 #[test]
@@ -123,12 +155,20 @@
             {"when": "path == \"/new\"", "group": "look"}, {"when": "pth == \"/x\"", "group": "look"}
         ]),
     ));
-    bed.install(&installation(&fronts, json!([{"when": "path == \"/new\"", "group": "none"}])));
+    bed.install(&installation(
+        &fronts,
+        json!([{"when": "path == \"/new\"", "group": "none"}]),
+    ));
     bed.signal("-CONT");
     engine.readings(3);
-    assert_eq!(bare(at, protocol, "/new", &[], b"").seen(), Seen::Unreadable(404, String::new()));
+    assert_eq!(
+        bare(at, protocol, "/new", &[], b"").seen(),
+        Seen::Unreadable(404, String::new())
+    );
     let mut new = rules();
-    new.as_array_mut().unwrap().push(json!({"when": "path == \"/new\"", "group": "look"}));
+    new.as_array_mut()
+        .unwrap()
+        .push(json!({"when": "path == \"/new\"", "group": "look"}));
     let mut file = installation(&fronts, new);
     file["otherwise"] = json!("look");
     bed.install(&file);
@@ -147,7 +187,10 @@
     assert_eq!(waits.seen(), Seen::Completed(b"kept".into()));
     bed.signal("-TERM");
     let (_, log) = bed.end();
-    assert!(log.contains("configuration left out") && log.contains("installation.rules["), "{log}");
+    assert!(
+        log.contains("configuration left out") && log.contains("installation.rules["),
+        "{log}"
+    );
 }
 
 #[test]
@@ -165,7 +208,11 @@
     bed.install(&installation(&fronts, new.clone()));
     engine.readings(3);
     let again = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
-    assert_eq!(again.seen(), Seen::Completed(b"confirmed".into()), "it was run again");
+    assert_eq!(
+        again.seen(),
+        Seen::Completed(b"confirmed".into()),
+        "it was run again"
+    );
     // Once no repeat can come any more the new rules are taken.
     let until = std::time::Instant::now() + doortrack_standins::LONG;
     loop {
@@ -183,7 +230,10 @@
     }
     bed.signal("-TERM");
     let (_, log) = bed.end();
-    assert!(log.contains("would mean something else while some are within their window"), "{log}");
+    assert!(
+        log.contains("would mean something else while some are within their window"),
+        "{log}"
+    );
 }
 
 #[test]
@@ -191,7 +241,11 @@
     use doortrack_standins::server::{Act, CutBy, Server};
     let main = Server::start(Protocol::Uwsgi, |_| Act::ok("main"));
     let quick = Server::start(Protocol::FastCgi, |_| Act::ok("quick"));
-    let broken = Server::start(Protocol::Uwsgi, |_| Act::Cut { body: Vec::new(), at: 0, how: CutBy::Close });
+    let broken = Server::start(Protocol::Uwsgi, |_| Act::Cut {
+        body: Vec::new(),
+        at: 0,
+        how: CutBy::Close,
+    });
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
     let at = plan.port(9091);
     let pool = |server: &Server| {
@@ -217,7 +271,10 @@
         assert_eq!(look("/broken/x"), Seen::Failed);
         assert_eq!(look("/else"), Seen::Completed(b"main".into()));
     }
-    assert_eq!((main.got().len(), quick.got().len(), quick.connections()), (20, 20, 1));
+    assert_eq!(
+        (main.got().len(), quick.got().len(), quick.connections()),
+        (20, 20, 1)
+    );
     // A pool that is not there yet takes its rules with it.
     file["pools"]["new"] = pool(&main);
     file["rules"][0]["servers"] = json!("new");
@@ -226,13 +283,22 @@
     assert_eq!(look("/quick/x"), Seen::Completed(b"quick".into()));
     bed.signal("-TERM");
     let (_, log) = bed.end();
-    assert!(log.contains("servers need a start") && log.contains("rules[0].servers: 'new' is none"), "{log}");
-    assert!(log.contains("pool=broken") && log.contains("pool=servers"), "{log}");
+    assert!(
+        log.contains("servers need a start") && log.contains("rules[0].servers: 'new' is none"),
+        "{log}"
+    );
+    assert!(
+        log.contains("pool=broken") && log.contains("pool=servers"),
+        "{log}"
+    );
 }
 
 fn doortrack(words: &[&str]) -> (Option<i32>, String) {
-    let out =
-        std::process::Command::new(env!("CARGO_BIN_EXE_doortrack")).env_clear().args(words).output().unwrap();
+    let out = std::process::Command::new(env!("CARGO_BIN_EXE_doortrack"))
+        .env_clear()
+        .args(words)
+        .output()
+        .unwrap();
     (out.status.code(), String::from_utf8(out.stdout).unwrap())
 }
 
@@ -249,9 +315,22 @@
         std::fs::write(&path, text).unwrap();
         path.to_str().unwrap().to_string()
     };
-    let (rules, config, cases) = (example("rules.json"), example("node.json"), example("cases.json"));
+    let (rules, config, cases) = (
+        example("rules.json"),
+        example("node.json"),
+        example("cases.json"),
+    );
     let test = |cases: &str| {
-        doortrack(&["routes", "test", "--installation", &rules, "--cases", cases, "--config", &config])
+        doortrack(&[
+            "routes",
+            "test",
+            "--installation",
+            &rules,
+            "--cases",
+            cases,
+            "--config",
+            &config,
+        ])
     };
     assert_eq!(test(&cases), (Some(0), "4 of 4 cases as wanted\n".into()));
     let differs = file(
@@ -261,25 +340,50 @@
     );
     let (code, told) = test(&differs);
     assert_eq!(code, Some(1));
-    assert!(told.contains("wrong: differs") && told.contains("- rules[0]\n  + rules[1]"), "{told}");
+    assert!(
+        told.contains("wrong: differs") && told.contains("- rules[0]\n  + rules[1]"),
+        "{told}"
+    );
     assert!(told.ends_with("1 of 2 cases as wanted\n"), "{told}");
-    let (code, told) = test(&file("bad.json", r#"[{"name": "x", "request": {"pth": "/"}}]"#));
-    assert!(code == Some(1) && told.contains("cases[0].request.pth: unknown field"), "{told}");
-    let request =
-        file("request.json", r#"{"path": "/tides", "method": "PUT", "headers": {"X-Yard": "North"}}"#);
-    let (_, told) = doortrack(&["routes", "explain", "--installation", &rules, "--request", &request]);
+    let (code, told) = test(&file(
+        "bad.json",
+        r#"[{"name": "x", "request": {"pth": "/"}}]"#,
+    ));
+    assert!(
+        code == Some(1) && told.contains("cases[0].request.pth: unknown field"),
+        "{told}"
+    );
+    let request = file(
+        "request.json",
+        r#"{"path": "/tides", "method": "PUT", "headers": {"X-Yard": "North"}}"#,
+    );
+    let (_, told) = doortrack(&[
+        "routes",
+        "explain",
+        "--installation",
+        &rules,
+        "--request",
+        &request,
+    ]);
     assert!(
         told.contains("no rule, 404") && told.contains("method in [\"GET\", \"POST\"] is false"),
         "{told}"
     );
     let eval = |source: &str| doortrack(&["expr", "eval", source, "--request", &request]);
-    assert!(eval("lower(header(\"x-yard\") ?? \"\")").1.starts_with("\"north\"\nstring, "));
+    assert!(
+        eval("lower(header(\"x-yard\") ?? \"\")")
+            .1
+            .starts_with("\"north\"\nstring, ")
+    );
     let (code, told) = eval("lower(header(\"x-yard\"))");
     assert!(code == Some(1) && told.contains("it ?? other"), "{told}");
     let (code, told) = doortrack(&["expr", "check", &file("key.expr", "path + 1")]);
     assert!(code == Some(1) && told.contains("key.expr:1:8"), "{told}");
     let (_, told) = doortrack(&["expr", "explain", "segment(1) ?? \"\""]);
-    assert!(told.contains("type   string") && told.contains("cost   at most"), "{told}");
+    assert!(
+        told.contains("type   string") && told.contains("cost   at most"),
+        "{told}"
+    );
     _ = std::fs::remove_dir_all(folder);
 }
 
@@ -301,27 +405,81 @@
     });
     let check = |value: &Value| {
         std::fs::write(&file, value.to_string()).unwrap();
-        doortrack(&["check", "--installation", file.to_str().unwrap(), "--config", &example("node.json")])
+        doortrack(&[
+            "check",
+            "--installation",
+            file.to_str().unwrap(),
+            "--config",
+            &example("node.json"),
+        ])
     };
     assert_eq!(check(&good).0, Some(0), "{}", check(&good).1);
     for (place, value, told) in [
-        ("/fronts/0/protocol", json!("http"), "installation.fronts[0].protocol: "),
+        (
+            "/fronts/0/protocol",
+            json!("http"),
+            "installation.fronts[0].protocol: ",
+        ),
         (
             "/fronts/0/listen",
             json!("127.0.0.1:9090"),
             "installation.fronts[0].listen: 127.0.0.1:9090 is taken",
         ),
-        ("/servers/addresses/0", json!("127.0.0.1"), "installation.servers.addresses[0]: "),
-        ("/servers/addresses", json!([]), "installation.servers.addresses: 1 to 1000"),
-        ("/servers/protocol", json!(null), "installation.servers.protocol: "),
-        ("/servers", json!(null), "installation: needed key 'servers'"),
-        ("/pools/slow/addresses/0", json!(7), "installation.pools.slow.addresses[0]: "),
-        ("/pools/slow", json!({}), "installation.pools.slow: needed key 'protocol'"),
-        ("/rules/0/when", json!("pth == \"a\""), "installation.rules[0].when: 1:1: there is no value 'pth'"),
-        ("/rules/0/when", json!("path"), "installation.rules[0].when: bool is wanted"),
-        ("/rules/0/when", json!(1), "installation.rules[0].when: invalid type"),
-        ("/rules/0/when", json!("(".repeat(5000)), "installation.rules[0].when: 1:"),
-        ("/rules/0/group", json!("moorings"), "installation.rules[0].group: 'moorings' is none"),
+        (
+            "/servers/addresses/0",
+            json!("127.0.0.1"),
+            "installation.servers.addresses[0]: ",
+        ),
+        (
+            "/servers/addresses",
+            json!([]),
+            "installation.servers.addresses: 1 to 1000",
+        ),
+        (
+            "/servers/protocol",
+            json!(null),
+            "installation.servers.protocol: ",
+        ),
+        (
+            "/servers",
+            json!(null),
+            "installation: needed key 'servers'",
+        ),
+        (
+            "/pools/slow/addresses/0",
+            json!(7),
+            "installation.pools.slow.addresses[0]: ",
+        ),
+        (
+            "/pools/slow",
+            json!({}),
+            "installation.pools.slow: needed key 'protocol'",
+        ),
+        (
+            "/rules/0/when",
+            json!("pth == \"a\""),
+            "installation.rules[0].when: 1:1: there is no value 'pth'",
+        ),
+        (
+            "/rules/0/when",
+            json!("path"),
+            "installation.rules[0].when: bool is wanted",
+        ),
+        (
+            "/rules/0/when",
+            json!(1),
+            "installation.rules[0].when: invalid type",
+        ),
+        (
+            "/rules/0/when",
+            json!("(".repeat(5000)),
+            "installation.rules[0].when: 1:",
+        ),
+        (
+            "/rules/0/group",
+            json!("moorings"),
+            "installation.rules[0].group: 'moorings' is none",
+        ),
         (
             "/rules/0/idempotency_key",
             json!("1"),
@@ -332,13 +490,41 @@
             json!("fast"),
             "installation.rules[0].servers: 'fast' is none of the pools slow",
         ),
-        ("/rules/1/rank", json!("\"high\""), "installation.rules[1].rank: float is wanted"),
-        ("/rules/1/due", json!("1"), "installation.rules[1].due: duration is wanted"),
-        ("/rules/1/subject", json!("segment("), "installation.rules[1].subject: 1:9: "),
-        ("/rules/1", json!([]), "installation.rules[1]: an object is wanted"),
-        ("/otherwise", json!("nowhere"), "installation.otherwise: 'nowhere' is none"),
-        ("/expressions/max_cost", json!(0), "installation.expressions.max_cost: "),
-        ("/expressions/max_cost", json!(3), "installation.rules[0].when: 1:1: this may take"),
+        (
+            "/rules/1/rank",
+            json!("\"high\""),
+            "installation.rules[1].rank: float is wanted",
+        ),
+        (
+            "/rules/1/due",
+            json!("1"),
+            "installation.rules[1].due: duration is wanted",
+        ),
+        (
+            "/rules/1/subject",
+            json!("segment("),
+            "installation.rules[1].subject: 1:9: ",
+        ),
+        (
+            "/rules/1",
+            json!([]),
+            "installation.rules[1]: an object is wanted",
+        ),
+        (
+            "/otherwise",
+            json!("nowhere"),
+            "installation.otherwise: 'nowhere' is none",
+        ),
+        (
+            "/expressions/max_cost",
+            json!(0),
+            "installation.expressions.max_cost: ",
+        ),
+        (
+            "/expressions/max_cost",
+            json!(3),
+            "installation.rules[0].when: 1:1: this may take",
+        ),
     ] {
         let mut changed = good.clone();
         *changed.pointer_mut(place).unwrap() = value;
@@ -355,7 +541,8 @@
 fn a_rule_of_before_that_says_mark_is_read_as_one_that_says_idempotency_key() {
     let read = |key: &str| {
         let rule = json!({"when": "true", "group": "pay", key: "path"});
-        doortrack_installation::file::parse(json!({"rules": [rule]}).to_string().as_bytes()).unwrap()
+        doortrack_installation::file::parse(json!({"rules": [rule]}).to_string().as_bytes())
+            .unwrap()
     };
     assert_eq!(read("mark"), read("idempotency_key"));
 }
--- a/node/tests/node/silences.rs
+++ b/node/tests/node/silences.rs
@@ -78,7 +78,8 @@
     const CALLERS: u64 = 120;
     let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
     let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
-    let listed = fronts.map(|(protocol, at)| json!({"protocol": protocol.name(), "listen": at.to_string()}));
+    let listed =
+        fronts.map(|(protocol, at)| json!({"protocol": protocol.name(), "listen": at.to_string()}));
     plan.installation = Some(json!({"fronts": listed}));
     plan.config["stop_ms"] = json!(300);
     let bed = plan.start();
@@ -98,8 +99,14 @@
         let woken = unix_ms();
         let seen: Vec<Seen> = waits.into_iter().map(Pending::seen).collect();
         let took = unix_ms() - woken;
-        let completed = seen.iter().filter(|seen| matches!(seen, Seen::Completed(_))).count();
-        let rejected = seen.iter().filter(|seen| matches!(seen, Seen::Rejected { .. })).count();
+        let completed = seen
+            .iter()
+            .filter(|seen| matches!(seen, Seen::Completed(_)))
+            .count();
+        let rejected = seen
+            .iter()
+            .filter(|seen| matches!(seen, Seen::Rejected { .. }))
+            .count();
         assert_eq!(completed + rejected, CALLERS as usize, "{seen:?}");
         assert!(completed > 0, "{seen:?}");
         // Their deadline is 30 s; runs take no time here, so nothing is to wait for it.
--- a/node/tests/node/sockets.rs
+++ b/node/tests/node/sockets.rs
@@ -36,12 +36,19 @@
     let (bed, mut engine) = up();
     let mut client = bed.client();
     let body: Vec<u8> = (0..2048).map(|n| n as u8).collect();
-    let bytes = [request(1, 1, "/svc/look", &[], &body), request(2, 2, "/svc/look", &[], b"")].concat();
+    let bytes = [
+        request(1, 1, "/svc/look", &[], &body),
+        request(2, 2, "/svc/look", &[], b""),
+    ]
+    .concat();
     // Byte by byte at the front, so that a record's head is split too.
     bytes[..20].iter().for_each(|byte| client.send(&[*byte]));
     client.send(&bytes[20..]);
     let (first, second) = (engine.run(), engine.run());
-    assert_eq!((&first, &second), (&(try_id(1), body.clone()), &(try_id(2), Vec::new())));
+    assert_eq!(
+        (&first, &second),
+        (&(try_id(1), body.clone()), &(try_id(2), Vec::new()))
+    );
     let result: Vec<u8> = body.iter().rev().copied().cycle().take(4096).collect();
     engine.done(1, &second.0, "OK", b"");
     engine.done(2, &first.0, "OK", &result);
@@ -67,17 +74,36 @@
     assert_eq!(bed.report(), "BEAT n1 ready");
     // An exchange that comes too early never ran.
     client.look(2, 2);
-    assert_eq!(client.reply(), Reply { id: 2, status: 2, head: String::new(), body: Vec::new() });
+    assert_eq!(
+        client.reply(),
+        Reply {
+            id: 2,
+            status: 2,
+            head: String::new(),
+            body: Vec::new()
+        }
+    );
 }
 
 #[test]
 fn what_finds_no_room_in_memory_is_denied() {
-    let (bed, _engine) = up_with(|config| config["settings"]["family_info"]["memory_kb"] = json!(1000));
+    let (bed, _engine) =
+        up_with(|config| config["settings"]["family_info"]["memory_kb"] = json!(1000));
     let mut client = bed.client();
-    client.send(&request(1, 1, "/svc/look", &[("HTTP_X_MEMORY_KB", "1900")], b""));
+    client.send(&request(
+        1,
+        1,
+        "/svc/look",
+        &[("HTTP_X_MEMORY_KB", "1900")],
+        b"",
+    ));
     let rejected = client.reply();
     assert_eq!((rejected.status, rejected.body), (503, Vec::new()));
-    assert!(rejected.head.contains("X-Load-Signal: "), "{}", rejected.head);
+    assert!(
+        rejected.head.contains("X-Load-Signal: "),
+        "{}",
+        rejected.head
+    );
 }
 
 #[test]
@@ -87,7 +113,10 @@
     let pay = |id, nth| request(id, nth, "/svc/pay", &[IDEMPOTENCY_KEY], b"one boat");
     one.send(&[pay(1, 1), pay(2, 2)].concat());
     let (call, body) = engine.run();
-    assert_eq!((call.as_str(), body.as_slice()), (&*try_id(1), &b"one boat"[..]));
+    assert_eq!(
+        (call.as_str(), body.as_slice()),
+        (&*try_id(1), &b"one boat"[..])
+    );
     two.send(&pay(1, 3));
     // Its order among other exchanges shows that none of the repeats was run.
     two.look(2, 4);
@@ -99,7 +128,10 @@
     );
     two.send(&pay(3, 5));
     let late = two.reply();
-    assert_eq!((late.id, late.status, late.body), (3, 200, b"paid".to_vec()));
+    assert_eq!(
+        (late.id, late.status, late.body),
+        (3, 200, b"paid".to_vec())
+    );
 }
 
 #[test]
@@ -127,7 +159,11 @@
     assert_eq!(client.reply().body, b"paid");
     client.send(&[pay(3, 3, b"two boats"), pay(4, 4, b"one boat")].concat());
     let (other, same) = (client.reply(), client.reply());
-    assert_eq!((other.status, same.body), (400, b"paid".to_vec()), "once it has a result");
+    assert_eq!(
+        (other.status, same.body),
+        (400, b"paid".to_vec()),
+        "once it has a result"
+    );
 }
 
 #[test]
@@ -178,7 +214,9 @@
         engine.hello_as(0, "COLD", age_ms);
         engine.readings(2);
         let mut client = bed.client();
-        let bytes: Vec<u8> = (1..=7).flat_map(|n| request(n, n.into(), "/svc/look", &[], b"")).collect();
+        let bytes: Vec<u8> = (1..=7)
+            .flat_map(|n| request(n, n.into(), "/svc/look", &[], b""))
+            .collect();
         client.send(&bytes);
         for nth in 1..=at_once {
             assert_eq!(engine.run().0, try_id(nth), "{age_ms} ms old");
@@ -194,7 +232,13 @@
     client.look(1, 1);
     let (call, _) = engine.run();
     // The end of the first run comes after its id was taken by another request.
-    client.send(&[records::record(2, 1, b""), request(1, 2, "/svc/look", &[], b"")].concat());
+    client.send(
+        &[
+            records::record(2, 1, b""),
+            request(1, 2, "/svc/look", &[], b""),
+        ]
+        .concat(),
+    );
     let mut commands = [engine.command(), engine.command()];
     commands.sort_by_key(|command| command["msg"].to_string());
     assert_eq!(commands[0], json!({"msg": "HALT", "call": call}));
@@ -221,9 +265,16 @@
     // The notice missed comes with one that was seen before; then the STAT is answered.
     engine.done(1, &calls[0], "OK", b"again");
     engine.done(2, &calls[1], "OK", b"second");
-    assert_eq!(engine.run().0, try_id(4), "only what had not arrived is sent");
+    assert_eq!(
+        engine.run().0,
+        try_id(4),
+        "only what had not arrived is sent"
+    );
     engine.done(3, &calls[2], "OK", b"third");
-    assert_eq!((client.reply().body, client.reply().body), (b"second".to_vec(), b"third".to_vec()));
+    assert_eq!(
+        (client.reply().body, client.reply().body),
+        (b"second".to_vec(), b"third".to_vec())
+    );
     engine.done(4, &try_id(4), "OK", b"fourth");
     assert_eq!(client.reply().body, b"fourth");
     // One that comes late again does not set the count back.
@@ -303,7 +354,11 @@
     client.look(2, 2);
     let (call, _) = engine.run();
     engine.tell(json!({"msg": "NO", "how": "RUN", "call": call}));
-    assert_eq!(client.reply().status, 500, "what the engine will not run is failed");
+    assert_eq!(
+        client.reply().status,
+        500,
+        "what the engine will not run is failed"
+    );
 }
 
 #[test]
@@ -346,7 +401,10 @@
                     return any;
                 }
                 "RUN" => {
-                    assert!(!self.ended.contains(&call), "{call} was sent again after its end");
+                    assert!(
+                        !self.ended.contains(&call),
+                        "{call} was sent again after its end"
+                    );
                     if let Some(key) = self.keys.get(&call) {
                         let first = self.ran.entry(*key).or_insert_with(|| call.clone());
                         assert_eq!(*first, call, "key {key} runs twice");
@@ -363,18 +421,25 @@
     }
 
     fn end(&mut self, call: &str, how: &str) {
-        let Some(place) = self.running.iter().position(|running| running == call) else { return };
+        let Some(place) = self.running.iter().position(|running| running == call) else {
+            return;
+        };
         self.running.swap_remove(place);
         self.ended.insert(call.to_string());
-        let (serial, blob) = (self.notices.len() + 1, STANDARD.encode(format!("of {call}")));
-        self.notices.push(json!({"msg": "DONE", "serial": serial, "call": call, "how": how, "blob": blob}));
+        let (serial, blob) = (
+            self.notices.len() + 1,
+            STANDARD.encode(format!("of {call}")),
+        );
+        self.notices
+            .push(json!({"msg": "DONE", "serial": serial, "call": call, "how": how, "blob": blob}));
     }
 }
 
 #[test]
 fn over_a_long_play_with_lost_links_each_is_answered_once_and_no_mark_runs_twice() {
     // A run with a key that a lost link swallowed is in doubt until its deadline, which a reader waits for.
-    let (bed, mut engine) = up_with(|config| config["settings"]["lanes"][1]["deadline"] = json!(8_000_000));
+    let (bed, mut engine) =
+        up_with(|config| config["settings"]["lanes"][1]["deadline"] = json!(8_000_000));
     let (mut rng, mut play, mut told) = (fastrand::Rng::with_seed(0x0d00_77ac), Play::default(), 0);
     let mut clients: Vec<Client> = (0..3).map(|_| bed.client()).collect();
     let mut asked: Vec<(usize, u16, Option<usize>, bool)> = Vec::new();
@@ -386,7 +451,11 @@
                 let (client, id) = (rng.usize(0..3), asked.len() as u16 + 1);
                 let key = rng.bool().then(|| rng.usize(0..12));
                 let text = format!("{:032x}", key.unwrap_or_default());
-                let script = if key.is_some() { "/svc/pay" } else { "/svc/look" };
+                let script = if key.is_some() {
+                    "/svc/pay"
+                } else {
+                    "/svc/look"
+                };
                 let more: Fields = &[("HTTP_IDEMPOTENCY_KEY", &text)];
                 clients[client].send(&request(id, id.into(), script, more, text.as_bytes()));
                 play.keys.extend(key.map(|key| (try_id(id.into()), key)));
@@ -410,12 +479,18 @@
             engine.tell(json!({"msg": "HELLO", "how": "WARM", "duration": 1}));
             // What had ended meanwhile is told first; then nothing ends until runs were sent again, since
             // that is the one moment in which the node can't know.
-            play.notices[told..].iter().for_each(|notice| engine.tell(notice.clone()));
+            play.notices[told..]
+                .iter()
+                .for_each(|notice| engine.tell(notice.clone()));
             told = play.notices.len();
             play.commands(&mut engine);
         }
         let any = play.commands(&mut engine);
-        quiet = if any || !play.running.is_empty() || round < 25 { 0 } else { quiet + 1 };
+        quiet = if any || !play.running.is_empty() || round < 25 {
+            0
+        } else {
+            quiet + 1
+        };
         if quiet == 3 {
             break;
         }
@@ -424,24 +499,34 @@
                 play.end(&call, if rng.u8(0..5) == 0 { "ERROR" } else { "OK" });
             }
         }
-        play.notices[told..].iter().for_each(|notice| engine.tell(notice.clone()));
+        play.notices[told..]
+            .iter()
+            .for_each(|notice| engine.tell(notice.clone()));
         told = play.notices.len();
     }
     for (nth, client) in clients.iter_mut().enumerate() {
         let mut open: BTreeMap<u16, (Option<usize>, bool)> = BTreeMap::new();
         open.extend(
-            asked.iter().filter(|(c, ..)| *c == nth).map(|(_, id, key, aborted)| (*id, (*key, *aborted))),
+            asked
+                .iter()
+                .filter(|(c, ..)| *c == nth)
+                .map(|(_, id, key, aborted)| (*id, (*key, *aborted))),
         );
         while open.values().any(|(_, aborted)| !aborted) {
             let reply = client.reply();
-            let (key, _) = open.remove(&reply.id).expect("answered twice, or never asked");
+            let (key, _) = open
+                .remove(&reply.id)
+                .expect("answered twice, or never asked");
             if reply.status == 200 {
                 let run = key.map_or(try_id(reply.id.into()), |key| play.ran[&key].clone());
                 assert_eq!(String::from_utf8_lossy(&reply.body), format!("of {run}"));
             }
         }
     }
-    assert!(play.ended.len() > 20 && play.ran.len() > 3, "little was run");
+    assert!(
+        play.ended.len() > 20 && play.ran.len() > 3,
+        "little was run"
+    );
 }
 
 #[test]
@@ -471,10 +556,20 @@
     for (script, more, body, status) in [
         ("/svc/dance", &[][..], 1, 400),
         ("/svc/look", &[("HTTP_X_MEMORY_KB", "much")][..], 1, 400),
-        ("/svc/look", &[("HTTP_X_RANK", "0.1"), ("HTTP_X_RANK", "0.2")][..], 1, 400),
+        (
+            "/svc/look",
+            &[("HTTP_X_RANK", "0.1"), ("HTTP_X_RANK", "0.2")][..],
+            1,
+            400,
+        ),
         ("/svc/pay", &[][..], 1, 400),
         ("/svc/look", &[("HTTP_X_REQUEST_START", "0")][..], 1, 400),
-        ("/svc/look", &[("HTTP_X_REQUEST_START", "18446744073709551615")][..], 1, 400),
+        (
+            "/svc/look",
+            &[("HTTP_X_REQUEST_START", "18446744073709551615")][..],
+            1,
+            400,
+        ),
         ("/svc/look", &[][..], 2049, 413),
     ] {
         client.send(&request(1, 1, script, more, &vec![7; body]));
@@ -498,7 +593,13 @@
 fn management_records_are_answered_and_a_connection_not_to_be_kept_is_closed_after_its_answer() {
     let (bed, _engine) = up();
     let mut client = bed.client();
-    client.send(&[records::record(9, 0, b"\x0e\0FCGI_MAX_CONNS"), records::record(77, 0, b"")].concat());
+    client.send(
+        &[
+            records::record(9, 0, b"\x0e\0FCGI_MAX_CONNS"),
+            records::record(77, 0, b""),
+        ]
+        .concat(),
+    );
     let mut read = |n: usize| {
         let mut bytes = vec![0; n];
         client.sock.read_exact(&mut bytes).unwrap();
@@ -507,8 +608,15 @@
     let head = read(8);
     assert_eq!(head[1], 10, "GET_VALUES_RESULT");
     let values = read(u16::from_be_bytes([head[4], head[5]]).into());
-    assert!(values.windows(18).any(|w| w == b"FCGI_MAX_CONNS1000"), "{values:?}");
-    assert_eq!((read(8)[1], read(8)[0]), (11, 77), "UNKNOWN_TYPE of what was sent");
+    assert!(
+        values.windows(18).any(|w| w == b"FCGI_MAX_CONNS1000"),
+        "{values:?}"
+    );
+    assert_eq!(
+        (read(8)[1], read(8)[0]),
+        (11, 77),
+        "UNKNOWN_TYPE of what was sent"
+    );
     let mut check = request(5, 1, "/status/live", &[], b"");
     check[8 + 2] = 0;
     client.send(&check);
@@ -518,7 +626,8 @@
 
 #[test]
 fn more_open_than_the_protocol_allows_is_refused_as_never_run() {
-    let (bed, mut engine) = up_with(|config| config["settings"]["family_info"]["cores"] = json!(100));
+    let (bed, mut engine) =
+        up_with(|config| config["settings"]["family_info"]["cores"] = json!(100));
     let mut client = bed.client();
     (1..=33).for_each(|n| client.look(n as u16, n));
     let refused = client.reply();
@@ -608,9 +717,19 @@
     let mut client = bed.client();
     let whole = request(7, 1, "/svc/look", &[], &[9; 2048]);
     // All but the end of the stream, and then more of it.
-    client.send(&[&whole[..whole.len() - 11], &records::record(5, 7, &[9; 2000])].concat());
+    client.send(
+        &[
+            &whole[..whole.len() - 11],
+            &records::record(5, 7, &[9; 2000]),
+        ]
+        .concat(),
+    );
     let refused = client.reply();
-    assert_eq!((refused.id, refused.status), (7, 413), "before its end has come");
+    assert_eq!(
+        (refused.id, refused.status),
+        (7, 413),
+        "before its end has come"
+    );
     let more = records::record(5, 7, &[9; 60_000]);
     let given_up = (0..1000).any(|_| client.sock.write_all(&more).is_err());
     assert!(given_up, "60 MB were read");
@@ -678,7 +797,9 @@
     let mut tenth = bed.client();
     tenth.send(&request(1, 11, "/status/live", &[], b""));
     engine.readings(2);
-    runs.iter().zip(1..).for_each(|(call, serial)| engine.done(serial, call, "OK", b"well"));
+    runs.iter()
+        .zip(1..)
+        .for_each(|(call, serial)| engine.done(serial, call, "OK", b"well"));
     assert_eq!(clients[1].reply().body, b"well");
     assert_eq!(tenth.reply().status, 200);
 }
@@ -690,10 +811,20 @@
         config["settings"]["family_info"]["memory_kb"] = json!(1000);
     });
     let (mut deaf, mut client) = (bed.client(), bed.client());
-    deaf.sock.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
+    deaf.sock
+        .set_write_timeout(Some(Duration::from_millis(300)))
+        .unwrap();
     // Each is rejected at once for its size. Past what the sockets hold the node stops reading, or hangs up.
     let bytes: Vec<u8> = (1..=50)
-        .flat_map(|n| request(n, n.into(), "/svc/look", &[("HTTP_X_MEMORY_KB", "1900")], b""))
+        .flat_map(|n| {
+            request(
+                n,
+                n.into(),
+                "/svc/look",
+                &[("HTTP_X_MEMORY_KB", "1900")],
+                b"",
+            )
+        })
         .collect();
     let stuck = (0..4000).any(|_| deaf.sock.write_all(&bytes).is_err());
     assert!(stuck, "the node went on reading");
@@ -702,7 +833,10 @@
     engine.done(1, &call, "OK", b"as ever");
     assert_eq!(client.reply().body, b"as ever");
     let status = std::fs::read_to_string(format!("/proc/{}/status", bed.program.id())).unwrap();
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
+    let peak = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .unwrap();
     let kb: u64 = peak.split_whitespace().next().unwrap().parse().unwrap();
     assert!(kb < 16_000, "{kb} kB");
 }
@@ -723,7 +857,13 @@
     bed.reports("draining");
     // Stamps are whole ms, so one that surely lies after the notice is a little in the future.
     let stamp = (unix_ms() + 10).to_string();
-    client.send(&request(3, 3, "/svc/look", &[("HTTP_X_REQUEST_START", &stamp)], b""));
+    client.send(&request(
+        3,
+        3,
+        "/svc/look",
+        &[("HTTP_X_REQUEST_START", &stamp)],
+        b"",
+    ));
     let late = client.reply();
     assert_eq!((late.id, late.status), (3, 503), "it came after the grace");
     client.send(&request(4, 4, "/status/live", &[], b""));
@@ -731,7 +871,11 @@
     engine.done(1, &call, "OK", b"in time");
     assert_eq!(client.reply().body, b"in time");
     let cut = client.reply();
-    assert_eq!((cut.id, cut.status), (2, 500), "what can't be done by the stop is failed before it");
+    assert_eq!(
+        (cut.id, cut.status),
+        (2, 500),
+        "what can't be done by the stop is failed before it"
+    );
     assert!(client.is_closed());
     let (code, log) = bed.end();
     assert_eq!(code, Some(0), "{log}");
@@ -746,9 +890,16 @@
     assert!(log.contains("below") && log.lines().count() == 1, "{log}");
     let (code, log) = ends(|config| config["listen"] = json!("192.0.2.1:9"));
     assert_eq!(code, Some(1));
-    assert!(log.contains("config.listen") && !log.contains("panicked"), "{log}");
+    assert!(
+        log.contains("config.listen") && !log.contains("panicked"),
+        "{log}"
+    );
     for (name, file) in [("GW_CONFIG", "/nowhere/at/all"), ("GW_OTHER", "")] {
-        let out = Command::new(env!("CARGO_BIN_EXE_doortrack")).env_clear().env(name, file).output().unwrap();
+        let out = Command::new(env!("CARGO_BIN_EXE_doortrack"))
+            .env_clear()
+            .env(name, file)
+            .output()
+            .unwrap();
         assert_eq!(out.status.code(), Some(1));
         assert!(String::from_utf8_lossy(&out.stderr).contains("GW_CONFIG"));
     }
--- a/node/tests/scale_node.rs
+++ b/node/tests/scale_node.rs
@@ -7,9 +7,18 @@
 use doortrack_rig::scale::node_cost::process::Fault;
 use doortrack_rig::scale::node_cost::settings::Size;
 
-const SMALL: Size = Size { routes: 20, tenants: 20, services: 2, callers: 4, budgets: Some(0) };
+const SMALL: Size = Size {
+    routes: 20,
+    tenants: 20,
+    services: 2,
+    callers: 4,
+    budgets: Some(0),
+};
 
-const SHORT: Spans = Spans { rest: Duration::from_millis(100), load: Duration::from_secs(1) };
+const SHORT: Spans = Spans {
+    rest: Duration::from_millis(100),
+    load: Duration::from_secs(1),
+};
 
 fn bench() -> Bench<'static> {
     Bench::open(Path::new(env!("CARGO_BIN_EXE_doortrack"))).unwrap()
@@ -18,25 +27,54 @@
 #[test]
 fn a_size_is_measured_from_start_to_a_changed_rule() {
     let measured = measure(&bench(), &SMALL, SHORT).unwrap();
-    assert_eq!(measured.outcomes.completed, measured.outcomes.all(), "{measured:?}");
+    assert_eq!(
+        measured.outcomes.completed,
+        measured.outcomes.all(),
+        "{measured:?}"
+    );
     assert_eq!(measured.through_node.count, 110, "{measured:?}");
     assert_eq!(measured.straight.count, 110, "{measured:?}");
-    assert!(measured.ready_ms > 0.0 && measured.reload.in_force_ms > 0.0, "{measured:?}");
-    assert!(measured.resident_at_rest_kb > 0 && measured.log_bytes > 0, "{measured:?}");
+    assert!(
+        measured.ready_ms > 0.0 && measured.reload.in_force_ms > 0.0,
+        "{measured:?}"
+    );
+    assert!(
+        measured.resident_at_rest_kb > 0 && measured.log_bytes > 0,
+        "{measured:?}"
+    );
 }
 
 #[test]
 fn budgets_are_waited_for_until_the_node_has_a_share() {
-    let measured = measure(&bench(), &Size { budgets: Some(1), ..SMALL }, SHORT).unwrap();
+    let measured = measure(
+        &bench(),
+        &Size {
+            budgets: Some(1),
+            ..SMALL
+        },
+        SHORT,
+    )
+    .unwrap();
     let outcomes = measured.outcomes;
     // On a machine that stands still a lease may end under way.
-    assert_eq!(outcomes.completed + outcomes.rejected, outcomes.all(), "{measured:?}");
+    assert_eq!(
+        outcomes.completed + outcomes.rejected,
+        outcomes.all(),
+        "{measured:?}"
+    );
     assert!(outcomes.completed > 0, "{measured:?}");
 }
 
 #[test]
 fn settings_that_the_program_refuses_are_told_with_its_own_words() {
-    let refused = measure(&bench(), &Size { services: 150, ..SMALL }, SHORT);
+    let refused = measure(
+        &bench(),
+        &Size {
+            services: 150,
+            ..SMALL
+        },
+        SHORT,
+    );
     match refused {
         Err(Fault::DoesNotStart(why)) => assert!(why.contains("installation.pools"), "{why}"),
         other => panic!("refused settings were served: {other:?}"),
--- a/rig/src/checks.rs
+++ b/rig/src/checks.rs
@@ -43,7 +43,11 @@
     let mut violations = Vec::new();
     for invariant in invariants {
         let found = invariant.judge(history, &truth).into_iter();
-        violations.extend(found.map(|(at_ms, what)| Violation { rule: invariant.name(), at_ms, what }));
+        violations.extend(found.map(|(at_ms, what)| Violation {
+            rule: invariant.name(),
+            at_ms,
+            what,
+        }));
     }
     violations.sort_by_key(|violation| violation.at_ms);
     violations
@@ -70,14 +74,26 @@
     is_wrong: impl Fn(Declaration) -> bool,
     describe: impl Fn(String, String) -> String,
 ) -> Vec<(u64, String)> {
-    let declared = history.entries.iter().filter_map(|entry| match &entry.what {
-        What::MemberChange { node, change, member: Some(member), .. } if change == "dead" => {
-            Some(Declaration { at: entry.at_ms, node: *node, member: node_number(member)? })
-        }
-        _ => None,
-    });
+    let declared = history
+        .entries
+        .iter()
+        .filter_map(|entry| match &entry.what {
+            What::MemberChange {
+                node,
+                change,
+                member: Some(member),
+                ..
+            } if change == "dead" => Some(Declaration {
+                at: entry.at_ms,
+                node: *node,
+                member: node_number(member)?,
+            }),
+            _ => None,
+        });
     let wrong = declared.filter(|declaration| is_wrong(*declaration));
-    wrong.map(|wrong| (wrong.at, describe(name(wrong.node), name(wrong.member)))).collect()
+    wrong
+        .map(|wrong| (wrong.at, describe(name(wrong.node), name(wrong.member))))
+        .collect()
 }
 
 /// A reason for a declaration of death lies at most so many ms before it.
@@ -95,11 +111,14 @@
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let is_wrong = |Declaration { at, node, member }: Declaration| {
             let since = at.saturating_sub(MAX_REASON_AGE);
-            let reason =
-                |node| truth.was_unhealthy(node, since, at) || truth.was_partitioned(node, since, at);
+            let reason = |node| {
+                truth.was_unhealthy(node, since, at) || truth.was_partitioned(node, since, at)
+            };
             !reason(member) && !reason(node) && !truth.was_degraded(since, at)
         };
-        wrong_declarations(history, is_wrong, |node, member| format!("{node} declared {member} dead"))
+        wrong_declarations(history, is_wrong, |node, member| {
+            format!("{node} declared {member} dead")
+        })
     }
 }
 
@@ -117,12 +136,17 @@
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let is_wrong = |Declaration { at, node, member }: Declaration| {
             let departures = truth.left.get(&member).into_iter().flatten();
-            let Some(left) = departures.filter(|left| **left <= at).max() else { return false };
-            let restarted = truth.began[member].iter().any(|began| began > left && *began <= at);
+            let Some(left) = departures.filter(|left| **left <= at).max() else {
+                return false;
+            };
+            let restarted = truth.began[member]
+                .iter()
+                .any(|began| began > left && *began <= at);
             let since = left.saturating_sub(MAX_REASON_AGE);
             let partitioned = |node| truth.was_partitioned(node, since, left + ANNOUNCEMENT);
             let excused = partitioned(member) || partitioned(node) || truth.was_degraded(since, at);
-            let receiver_unhealthy = truth.was_unhealthy(node, left.saturating_sub(ANNOUNCEMENT), at);
+            let receiver_unhealthy =
+                truth.was_unhealthy(node, left.saturating_sub(ANNOUNCEMENT), at);
             !restarted && !excused && !receiver_unhealthy && at > left + ANNOUNCEMENT
         };
         let describe = |node, member| format!("{node} declared {member} dead, which left");
@@ -180,7 +204,9 @@
         let is_wrong = |Declaration { at, node, member }: Declaration| {
             // A suspicion that others confirmed before may time out just after the cut.
             let isolated = truth.isolated(node);
-            let within = isolated.iter().any(|span| at >= span.start + ANNOUNCEMENT && at < span.end);
+            let within = isolated
+                .iter()
+                .any(|span| at >= span.start + ANNOUNCEMENT && at < span.end);
             within && !truth.was_unhealthy(member, at.saturating_sub(MAX_REASON_AGE), at)
         };
         let describe = |node, member| format!("{node}, isolated, declared {member} dead");
@@ -208,7 +234,9 @@
                 let long = stop.end != u64::MAX && stop.end >= stop.start + MIN_PAUSE;
                 long && at >= stop.end && at < stop.end + RESUMPTION
             };
-            let Some(stop) = truth.stops[node].iter().find(just_resumed) else { return false };
+            let Some(stop) = truth.stops[node].iter().find(just_resumed) else {
+                return false;
+            };
             // A member that died meanwhile is rightly declared dead: others say so.
             !truth.was_unhealthy(member, stop.start.saturating_sub(MAX_REASON_AGE), at)
         };
@@ -226,23 +254,47 @@
     }
 
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
-        let running: Vec<String> = (0..history.nodes).filter(|node| truth.running[*node]).map(name).collect();
+        let running: Vec<String> = (0..history.nodes)
+            .filter(|node| truth.running[*node])
+            .map(name)
+            .collect();
         let (mut violations, mut digests) = (Vec::new(), BTreeMap::new());
         for entry in &history.entries {
-            let What::Status { node, members, digest, .. } = &entry.what else { continue };
+            let What::Status {
+                node,
+                members,
+                digest,
+                ..
+            } = &entry.what
+            else {
+                continue;
+            };
             if !truth.running[*node] {
                 continue;
             }
-            let present = members.iter().filter(|member| matches!(&*member.state, "alive" | "suspected"));
+            let present = members
+                .iter()
+                .filter(|member| matches!(&*member.state, "alive" | "suspected"));
             let mut present: Vec<String> = present.map(|member| member.name.clone()).collect();
             present.sort_by_key(|name| node_number(name));
             if present != running {
-                let missing: Vec<_> = running.iter().filter(|name| !present.contains(name)).collect();
-                let extra: Vec<_> = present.iter().filter(|name| !running.contains(name)).collect();
-                let what = format!("{} lacks {missing:?} and has {extra:?} besides", name(*node));
+                let missing: Vec<_> = running
+                    .iter()
+                    .filter(|name| !present.contains(name))
+                    .collect();
+                let extra: Vec<_> = present
+                    .iter()
+                    .filter(|name| !running.contains(name))
+                    .collect();
+                let what = format!(
+                    "{} lacks {missing:?} and has {extra:?} besides",
+                    name(*node)
+                );
                 violations.push((entry.at_ms, what));
             }
-            digests.entry(digest.clone()).or_insert((entry.at_ms, *node));
+            digests
+                .entry(digest.clone())
+                .or_insert((entry.at_ms, *node));
         }
         if violations.is_empty() && digests.len() > 1 {
             let (at, _) = digests.values().max().copied().unwrap_or_default();
--- a/rig/src/divided.rs
+++ b/rig/src/divided.rs
@@ -7,7 +7,9 @@
 
 use std::collections::BTreeMap;
 
-use doortrack_budgets::{Action, Budget, Budgets, Change, Envelope, Event, Kind, NodeId, Parameters};
+use doortrack_budgets::{
+    Action, Budget, Budgets, Change, Envelope, Event, Kind, NodeId, Parameters,
+};
 use doortrack_emulator::{Clock, Law, Links, MachineId, Micros, Net, Next};
 use doortrack_fleet::{Incarnation, Member, Name, View};
 
@@ -88,12 +90,21 @@
 
 /// Runs a script.
 pub fn run(script: &Script, options: &Options) -> Outcome {
-    let links = Links { latency: options.latency, ..Links::default() };
+    let links = Links {
+        latency: options.latency,
+        ..Links::default()
+    };
     let mut net = Net::new(links, script.seed);
     let mut chance = fastrand::Rng::with_seed(script.seed ^ 0xb0d6);
     for _ in 0..script.nodes {
         let offset = chance.i64(-options.offset_ms..=options.offset_ms) * MS as i64 + BASE;
-        net.add(Clock { offset, drift_ppm: chance.i64(options.drift_ppm.0..=options.drift_ppm.1) }, 0);
+        net.add(
+            Clock {
+                offset,
+                drift_ppm: chance.i64(options.drift_ppm.0..=options.drift_ppm.1),
+            },
+            0,
+        );
     }
     let count = options.budgets.len();
     let mut world = World {
@@ -149,10 +160,20 @@
         self.net.start(node);
         self.started += 1;
         self.incarnations[node] = Incarnation(self.started);
-        let me = NodeId { name: name(node).into(), incarnation: self.incarnations[node] };
+        let me = NodeId {
+            name: name(node).into(),
+            incarnation: self.incarnations[node],
+        };
         let now = self.net.shown(node) / TENTH;
         let (parameters, list) = (self.options.parameters.clone(), &self.options.budgets);
-        self.nodes[node] = Some(Budgets::new(me, 4, parameters, list, self.chance.u64(..), now));
+        self.nodes[node] = Some(Budgets::new(
+            me,
+            4,
+            parameters,
+            list,
+            self.chance.u64(..),
+            now,
+        ));
         self.next_demand[node] = self.net.shown(node);
         self.wake(node);
         self.net.mark(self.net.now() + MEMBERSHIP_DELAY, u64::MAX);
@@ -163,9 +184,15 @@
         let mut view = View::default();
         for voter in self.options.parameters.voters.iter() {
             let number: Option<usize> = voter[1..].parse().ok();
-            if let Some(node) = number.filter(|node| *node < self.nodes.len() && !self.net.is_down(*node)) {
+            if let Some(node) =
+                number.filter(|node| *node < self.nodes.len() && !self.net.is_down(*node))
+            {
                 let address = std::net::SocketAddr::from(([10, 0, 0, 1], node as u16));
-                let member = Member { incarnation: self.incarnations[node], address, weight: 4 };
+                let member = Member {
+                    incarnation: self.incarnations[node],
+                    address,
+                    weight: 4,
+                };
                 view.members.insert(Name::clone(voter), member);
             }
         }
@@ -175,16 +202,25 @@
     }
 
     fn wake(&mut self, node: MachineId) {
-        let Some(budgets) = &self.nodes[node] else { return };
-        let due = budgets.next_due().saturating_mul(TENTH).min(self.next_demand[node]);
+        let Some(budgets) = &self.nodes[node] else {
+            return;
+        };
+        let due = budgets
+            .next_due()
+            .saturating_mul(TENTH)
+            .min(self.next_demand[node]);
         self.net.wake(node, due);
     }
 
     fn handle(&mut self, node: MachineId, event: Event) {
         let now = self.net.shown(node) / TENTH;
-        let Some(mut budgets) = self.nodes[node].take() else { return };
+        let Some(mut budgets) = self.nodes[node].take() else {
+            return;
+        };
         let mut actions = std::mem::take(&mut self.actions);
-        self.out.cost.decide(|| budgets.handle(now, event, &mut actions));
+        self.out
+            .cost
+            .decide(|| budgets.handle(now, event, &mut actions));
         for action in actions.drain(..) {
             match action {
                 Action::Send(envelope) => self.send(node, envelope),
@@ -198,7 +234,13 @@
     }
 
     fn send(&mut self, node: MachineId, envelope: Envelope) {
-        let Some(to) = envelope.to.name[1..].parse().ok().filter(|to| *to < self.nodes.len()) else { return };
+        let Some(to) = envelope.to.name[1..]
+            .parse()
+            .ok()
+            .filter(|to| *to < self.nodes.len())
+        else {
+            return;
+        };
         if self.net.now() >= self.options.count_from_ms * MS {
             self.out.cost.datagrams += 1;
             if self.options.count_bytes {
@@ -207,7 +249,12 @@
                 self.bytes[node] += bytes;
             }
         }
-        let sent = (self.net.now(), node, to, std::mem::discriminant(&envelope.message));
+        let sent = (
+            self.net.now(),
+            node,
+            to,
+            std::mem::discriminant(&envelope.message),
+        );
         self.hash(&sent);
         self.net.send(node, to, envelope);
     }
@@ -243,14 +290,20 @@
         let now = self.net.shown(node) / TENTH;
         let counted = self.net.now() >= self.options.count_from_ms * MS;
         self.out.asked[index] += u64::from(counted);
-        let Some(budgets) = &mut self.nodes[node] else { return };
+        let Some(budgets) = &mut self.nodes[node] else {
+            return;
+        };
         if budgets.acquire(index, now).is_err() {
             return;
         }
         self.out.used[index] += u64::from(counted);
         if index == 0 {
             self.out.by_node[node] += u64::from(counted);
-            *self.out.by_time.entry((node, self.net.now() / (100 * MS))).or_default() += 1;
+            *self
+                .out
+                .by_time
+                .entry((node, self.net.now() / (100 * MS)))
+                .or_default() += 1;
         }
         self.hash(&(self.net.now(), node, index));
         self.record_use(node, index);
@@ -274,9 +327,13 @@
             }
             Kind::Concurrency { max_hold } => {
                 let mean = (self.options.mean_hold_ms * MS) as f64;
-                let lasts = (-mean * self.chance.f64().max(1e-9).ln()).min((max_hold * TENTH) as f64);
+                let lasts =
+                    (-mean * self.chance.f64().max(1e-9).ln()).min((max_hold * TENTH) as f64);
                 self.held[index].push((now + lasts as Micros, node, self.incarnations[node]));
-                let held = self.held[index].iter().filter(|(end, ..)| *end > now).count();
+                let held = self.held[index]
+                    .iter()
+                    .filter(|(end, ..)| *end > now)
+                    .count();
                 if held as u32 > budget.limit {
                     self.record_violation(index, format!("{held} of {limit} are held at once"));
                 }
@@ -303,8 +360,15 @@
 
     fn record_violation(&mut self, index: usize, what: String) {
         let budget = &self.options.budgets[index].name;
-        if !self.out.violations.iter().any(|found| found.contains(&**budget)) {
-            self.out.violations.push(format!("{} ms: {budget}: {what}", self.net.now() / MS));
+        if !self
+            .out
+            .violations
+            .iter()
+            .any(|found| found.contains(&**budget))
+        {
+            self.out
+                .violations
+                .push(format!("{} ms: {budget}: {what}", self.net.now() / MS));
         }
     }
 
@@ -312,7 +376,11 @@
         links::take_up(&mut self.net, self.options.latency, &fault);
         match fault {
             Fault::Kill { nodes } => {
-                for node in nodes.into_iter().filter(|node| !self.net.is_down(*node)).collect::<Vec<_>>() {
+                for node in nodes
+                    .into_iter()
+                    .filter(|node| !self.net.is_down(*node))
+                    .collect::<Vec<_>>()
+                {
                     self.net.kill(node);
                     self.nodes[node] = None;
                 }
@@ -324,7 +392,9 @@
                     self.start(node);
                 }
             }
-            Fault::Leave { nodes } => nodes.into_iter().for_each(|node| self.handle(node, Event::Leave)),
+            Fault::Leave { nodes } => nodes
+                .into_iter()
+                .for_each(|node| self.handle(node, Event::Leave)),
             _ => {}
         }
     }
--- a/rig/src/ground_truth.rs
+++ b/rig/src/ground_truth.rs
@@ -23,7 +23,10 @@
     }
 
     fn open(start: u64) -> Span {
-        Span { start, end: u64::MAX }
+        Span {
+            start,
+            end: u64::MAX,
+        }
     }
 
     fn is_open(self) -> bool {
@@ -37,7 +40,10 @@
 
 /// Ends the open spans among these.
 fn close(spans: &mut [Span], at: u64) {
-    spans.iter_mut().filter(|span| span.is_open()).for_each(|span| span.end = at);
+    spans
+        .iter_mut()
+        .filter(|span| span.is_open())
+        .for_each(|span| span.end = at);
 }
 
 /// Datagrams from some nodes to others were dropped for a while.
@@ -135,10 +141,19 @@
                 }
             }
             Fault::Cut { from, to } => {
-                self.cuts.push(Cut { from: from.clone(), to: to.clone(), span: Span::open(at) });
+                self.cuts.push(Cut {
+                    from: from.clone(),
+                    to: to.clone(),
+                    span: Span::open(at),
+                });
             }
             Fault::Mend { from, to } => self.record_mend(at, from, to),
-            Fault::Links { loss, garbled, delay_ms, .. } => {
+            Fault::Links {
+                loss,
+                garbled,
+                delay_ms,
+                ..
+            } => {
                 let degraded = loss + garbled >= DEGRADED_LOSS || *delay_ms >= DEGRADED_DELAY_MS;
                 self.record_degradation(at, degraded, &mut since.links);
             }
@@ -179,7 +194,9 @@
 
     /// Whether the node itself gave reason, from `start` to `end`, to be declared dead.
     pub fn was_unhealthy(&self, node: usize, start: u64, end: u64) -> bool {
-        self.unhealthy[node].iter().any(|span| span.overlaps(start, end))
+        self.unhealthy[node]
+            .iter()
+            .any(|span| span.overlaps(start, end))
     }
 
     /// Whether all links were so bad, from `start` to `end`, that suspicions are to be expected.
@@ -201,10 +218,17 @@
     pub fn isolated(&self, node: usize) -> Vec<Span> {
         let all_others =
             |nodes: &[usize]| (0..self.running.len()).all(|id| id == node || nodes.contains(&id));
-        let outward = self.cuts.iter().filter(|cut| cut.from == [node] && all_others(&cut.to));
+        let outward = self
+            .cuts
+            .iter()
+            .filter(|cut| cut.from == [node] && all_others(&cut.to));
         let mut spans = Vec::new();
         for outward in outward {
-            for inward in self.cuts.iter().filter(|cut| cut.to == [node] && all_others(&cut.from)) {
+            for inward in self
+                .cuts
+                .iter()
+                .filter(|cut| cut.to == [node] && all_others(&cut.from))
+            {
                 let both = Span {
                     start: outward.span.start.max(inward.span.start),
                     end: outward.span.end.min(inward.span.end),
--- a/rig/src/history.rs
+++ b/rig/src/history.rs
@@ -130,13 +130,22 @@
     /// The first line that can't be read, by its number.
     pub fn parse(text: &str) -> Result<History, String> {
         let mut lines = text.lines().enumerate();
-        let (_, first) = lines.next().ok_or("line 1: the number of nodes is wanted")?;
-        let first: serde_json::Value = serde_json::from_str(first).map_err(|e| format!("line 1: {e}"))?;
-        let nodes = first["nodes"].as_u64().ok_or("line 1: the number of nodes is wanted")? as usize;
+        let (_, first) = lines
+            .next()
+            .ok_or("line 1: the number of nodes is wanted")?;
+        let first: serde_json::Value =
+            serde_json::from_str(first).map_err(|e| format!("line 1: {e}"))?;
+        let nodes = first["nodes"]
+            .as_u64()
+            .ok_or("line 1: the number of nodes is wanted")? as usize;
         let entry = |(nth, line): (usize, &str)| {
-            let entry: Entry = serde_json::from_str(line).map_err(|e| format!("line {}: {e}", nth + 1))?;
+            let entry: Entry =
+                serde_json::from_str(line).map_err(|e| format!("line {}: {e}", nth + 1))?;
             Ok(entry.with_current_names())
         };
-        Ok(History { nodes, entries: lines.map(entry).collect::<Result<_, String>>()? })
+        Ok(History {
+            nodes,
+            entries: lines.map(entry).collect::<Result<_, String>>()?,
+        })
     }
 }
--- a/rig/src/links.rs
+++ b/rig/src/links.rs
@@ -13,7 +13,9 @@
     for (index, timed) in faults.iter().enumerate() {
         net.mark(timed.at_ms * MS, index as u64);
     }
-    net.keeps = faults.iter().any(|timed| matches!(timed.fault, Fault::Replay { .. }));
+    net.keeps = faults
+        .iter()
+        .any(|timed| matches!(timed.fault, Fault::Replay { .. }));
     faults
 }
 
@@ -26,15 +28,25 @@
         Fault::GoOn { nodes } => nodes.iter().for_each(|node| net.go_on(*node)),
         Fault::Cut { from, to } => cut(net, from, to, true),
         Fault::Mend { from, to } => cut(net, from, to, false),
-        Fault::Links { loss, doubled, garbled, delay_ms } => {
+        Fault::Links {
+            loss,
+            doubled,
+            garbled,
+            delay_ms,
+        } => {
             let latency = match delay_ms {
                 0 => latency,
-                ms => Law::Exponential { mean: (ms * MS) as f64 },
+                ms => Law::Exponential {
+                    mean: (ms * MS) as f64,
+                },
             };
             let links = net.links();
             (links.loss, links.doubled, links.latency) = (loss + garbled, *doubled, latency);
         }
-        Fault::Kill { .. } | Fault::Start { .. } | Fault::StartOlder { .. } | Fault::Leave { .. } => {}
+        Fault::Kill { .. }
+        | Fault::Start { .. }
+        | Fault::StartOlder { .. }
+        | Fault::Leave { .. } => {}
         // Simulated nodes serve no requests, and links have no bandwidth.
         Fault::Server { .. } | Fault::Callers { .. } | Fault::Throttle { .. } => {}
     }
--- a/rig/src/load.rs
+++ b/rig/src/load.rs
@@ -84,7 +84,12 @@
             body: b"done".to_vec(),
             after: run_time,
         });
-        Load { server, profile, stop: Arc::default(), callers: Vec::new() }
+        Load {
+            server,
+            profile,
+            stop: Arc::default(),
+            callers: Vec::new(),
+        }
     }
 
     /// The part of a node's operators' file that names the server.
@@ -105,7 +110,8 @@
                 requests: Vec::new(),
             };
             let stop = self.stop.clone();
-            self.callers.push(std::thread::spawn(move || caller.run(started, &stop)));
+            self.callers
+                .push(std::thread::spawn(move || caller.run(started, &stop)));
         }
     }
 
@@ -113,16 +119,25 @@
     pub fn finish(mut self) -> LoadReport {
         self.stop.store(true, Ordering::Relaxed);
         let callers = std::mem::take(&mut self.callers).into_iter();
-        let requests: Vec<RequestRecord> =
-            callers.filter_map(|caller| caller.join().ok()).flatten().collect();
-        let by_try_id: BTreeMap<String, &RequestRecord> =
-            requests.iter().map(|request| (doortrack_standins::try_id(request.id), request)).collect();
+        let requests: Vec<RequestRecord> = callers
+            .filter_map(|caller| caller.join().ok())
+            .flatten()
+            .collect();
+        let by_try_id: BTreeMap<String, &RequestRecord> = requests
+            .iter()
+            .map(|request| (doortrack_standins::try_id(request.id), request))
+            .collect();
         let run_ms = self.profile.run_time.as_millis() as u64;
         let (mut unkeyed, mut keyed, mut runs) = (Vec::new(), Vec::new(), Vec::new());
         for got in self.server.got() {
             let ran = Ran::from(&got);
-            let Some(request) = by_try_id.get(&ran.try_id) else { continue };
-            let admitted = Admitted { sent: request.sent, ran: ran.at };
+            let Some(request) = by_try_id.get(&ran.try_id) else {
+                continue;
+            };
+            let admitted = Admitted {
+                sent: request.sent,
+                ran: ran.at,
+            };
             if request.keyed {
                 keyed.push(admitted);
                 runs.push((ran.at, ran.at + run_ms));
@@ -130,7 +145,12 @@
                 unkeyed.push(admitted);
             }
         }
-        LoadReport { unkeyed, keyed, runs, requests }
+        LoadReport {
+            unkeyed,
+            keyed,
+            runs,
+            requests,
+        }
     }
 }
 
@@ -162,10 +182,21 @@
         self.next_id += 1;
         let ask = Ask::new(id, if keyed { "/svc/pay" } else { "/svc/look" }, b"berth");
         let key = format!("{id:032x}");
-        let ask = if keyed { ask.with("HTTP_IDEMPOTENCY_KEY", &key) } else { ask };
+        let ask = if keyed {
+            ask.with("HTTP_IDEMPOTENCY_KEY", &key)
+        } else {
+            ask
+        };
         let sent = unix_ms();
         let answer = ask.try_send(self.addresses[node], Protocol::FastCgi).ok();
         let answer = answer.map(|pending| pending.seen());
-        self.requests.push(RequestRecord { id, node, keyed, sent, answer, answered: unix_ms() });
+        self.requests.push(RequestRecord {
+            id,
+            node,
+            keyed,
+            sent,
+            answer,
+            answered: unix_ms(),
+        });
     }
 }
