--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -88,14 +88,21 @@
             return Ok((history, violations));
         }
         if script.nodes > script::MAX_PROCESSES {
-            return Err(format!("script.nodes: at most {} processes are played", script::MAX_PROCESSES));
+            return Err(format!(
+                "script.nodes: at most {} processes are played",
+                script::MAX_PROCESSES
+            ));
         }
         let older = self.older.as_deref();
         let played = processes::run_with_older(&self.program, older, script, self.callers);
         let played = played.map_err(|e| format!("{}: {e}", self.program.display()))?;
         let mut violations = judge(&played.history, &membership());
         let found = played.violations.into_iter();
-        violations.extend(found.map(|what| Violation { rule: "the four rules", at_ms: script.ms, what }));
+        violations.extend(found.map(|what| Violation {
+            rule: "the four rules",
+            at_ms: script.ms,
+            what,
+        }));
         let served = played.served;
         println!(
             "{} exchanges, {} completed, {} asked of processes that were ended",
@@ -105,7 +112,9 @@
     }
 
     fn keep(&self, history: &History) -> Result<(), String> {
-        let Some(file) = &self.history else { return Ok(()) };
+        let Some(file) = &self.history else {
+            return Ok(());
+        };
         std::fs::write(file, history.lines()).map_err(|e| format!("{}: {e}", file.display()))
     }
 }
@@ -127,8 +136,14 @@
 
 /// Prints what was broken; whether nothing was.
 fn verdict(of: &str, history: &History, violations: &[Violation]) -> bool {
-    println!("{of}: {} entries, {} broken", history.entries.len(), violations.len());
-    violations.iter().for_each(|found| println!("  {} ms: {}: {}", found.at_ms, found.rule, found.what));
+    println!(
+        "{of}: {} entries, {} broken",
+        history.entries.len(),
+        violations.len()
+    );
+    violations
+        .iter()
+        .for_each(|found| println!("  {} ms: {}: {}", found.at_ms, found.rule, found.what));
     violations.is_empty()
 }
 
@@ -144,14 +159,28 @@
         Command::ScaleSimulated(options) => scale_simulated(&options),
         Command::Judge { history } => {
             let kept = History::parse(&text(&history)?)?;
-            Ok(verdict(&history.display().to_string(), &kept, &judge(&kept, &membership())))
+            Ok(verdict(
+                &history.display().to_string(),
+                &kept,
+                &judge(&kept, &membership()),
+            ))
         }
         Command::Play { script, on } => {
             let (history, violations) = on.play(&Script::parse(&text(&script)?)?)?;
             on.keep(&history)?;
-            Ok(verdict(&script.display().to_string(), &history, &violations))
+            Ok(verdict(
+                &script.display().to_string(),
+                &history,
+                &violations,
+            ))
         }
-        Command::Seeds { from, count, nodes, troubles, on } => {
+        Command::Seeds {
+            from,
+            count,
+            nodes,
+            troubles,
+            on,
+        } => {
             for seed in from..from + count {
                 let script = Script::seeded(seed, nodes, troubles);
                 let (history, violations) = on.play(&script)?;
@@ -160,11 +189,16 @@
                 }
                 on.keep(&history)?;
                 let plays = if on.simulated { 200 } else { 12 };
-                let fails =
-                    |tried: &Script| on.play(tried).is_ok_and(|(_, violations)| !violations.is_empty());
+                let fails = |tried: &Script| {
+                    on.play(tried)
+                        .is_ok_and(|(_, violations)| !violations.is_empty())
+                };
                 let least = shrink(&script, plays, fails);
                 println!("the smallest script that still fails:");
-                println!("{}", serde_json::to_string_pretty(&least).unwrap_or_default());
+                println!(
+                    "{}",
+                    serde_json::to_string_pretty(&least).unwrap_or_default()
+                );
                 return Ok(false);
             }
             Ok(true)
--- a/rig/src/processes.rs
+++ b/rig/src/processes.rs
@@ -78,7 +78,10 @@
     }
 
     fn signal(&self, signal: Signal) {
-        let pid = self.process.as_ref().and_then(|process| Pid::from_raw(process.id() as i32));
+        let pid = self
+            .process
+            .as_ref()
+            .and_then(|process| Pid::from_raw(process.id() as i32));
         if let Some(pid) = pid {
             _ = kill_process(pid, signal);
         }
@@ -94,15 +97,32 @@
     /// # Errors
     /// The folder can't be created, or the relay can't be opened.
     pub fn new(program: &Path, nodes: usize, seed: u64) -> io::Result<Rig> {
-        let nodes: Vec<Node> =
-            (0..nodes).map(|_| Node { at: fresh_address(), process: None, stopped: false }).collect();
-        let pairs: Vec<_> = nodes.iter().map(|node| (node.port(FLEET), node.port(STAND_IN))).collect();
+        let nodes: Vec<Node> = (0..nodes)
+            .map(|_| Node {
+                at: fresh_address(),
+                process: None,
+                stopped: false,
+            })
+            .collect();
+        let pairs: Vec<_> = nodes
+            .iter()
+            .map(|node| (node.port(FLEET), node.port(STAND_IN)))
+            .collect();
         let relay = Relay::open(&pairs, seed)?;
-        let first = nodes.first().map_or(String::new(), |node| node.at.ip().to_string());
-        let folder = std::env::temp_dir().join(format!("doortrack-rig-{}-{first}", std::process::id()));
+        let first = nodes
+            .first()
+            .map_or(String::new(), |node| node.at.ip().to_string());
+        let folder =
+            std::env::temp_dir().join(format!("doortrack-rig-{}-{first}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        std::fs::write(folder.join("fleet.key"), format!("{KEY_BYTE:02x}").repeat(32))?;
-        let history = Arc::new(Mutex::new(History { nodes: nodes.len(), entries: Vec::new() }));
+        std::fs::write(
+            folder.join("fleet.key"),
+            format!("{KEY_BYTE:02x}").repeat(32),
+        )?;
+        let history = Arc::new(Mutex::new(History {
+            nodes: nodes.len(),
+            entries: Vec::new(),
+        }));
         let (began, readers) = (Instant::now(), Vec::new());
         let (program, deaths) = (program.to_path_buf(), Vec::new());
         let (streams, doors) = Default::default();
@@ -130,7 +150,11 @@
         for node in 0..self.nodes.len() {
             self.streams.push(Stream::to(behind.at(), node as u64)?);
         }
-        Ok(self.streams.iter().map(|stream| behind.installation(stream.at)).collect())
+        Ok(self
+            .streams
+            .iter()
+            .map(|stream| behind.installation(stream.at))
+            .collect())
     }
 
     /// Puts a proxy between each node and its callers.
@@ -139,14 +163,17 @@
     /// A proxy can't be started.
     pub fn open_doors(&mut self) -> io::Result<()> {
         for node in 0..self.nodes.len() {
-            self.doors.push(Stream::to(self.front(node), 1_000 + node as u64)?);
+            self.doors
+                .push(Stream::to(self.front(node), 1_000 + node as u64)?);
         }
         Ok(())
     }
 
     /// The address for callers: of the node, or of the proxy before it.
     pub fn door(&self, node: usize) -> SocketAddr {
-        self.doors.get(node).map_or(self.front(node), |door| door.at)
+        self.doors
+            .get(node)
+            .map_or(self.front(node), |door| door.at)
     }
 
     /// Starts the run's clock.
@@ -160,7 +187,10 @@
 
     fn put(&self, what: What) {
         let at_ms = self.now_ms();
-        self.history.lock().unwrap_or_else(PoisonError::into_inner).put(at_ms, what);
+        self.history
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .put(at_ms, what);
     }
 
     /// The node's own address for callers.
@@ -185,13 +215,20 @@
 
     /// A node's operators' file: its fleet, and `more`.
     pub fn installation(&self, node: usize, more: &Value) -> Value {
-        let seeds: Vec<String> =
-            self.nodes.iter().take(3).map(|node| node.port(STAND_IN).to_string()).collect();
+        let seeds: Vec<String> = self
+            .nodes
+            .iter()
+            .take(3)
+            .map(|node| node.port(STAND_IN).to_string())
+            .collect();
         let mut whole = json!({"fleet": {"name": "rig", "listen": self.nodes[node].port(FLEET).to_string(),
             "advertise": self.nodes[node].port(STAND_IN).to_string(), "seeds": seeds,
             "key_file": "fleet.key"}});
         for (key, value) in more.as_object().into_iter().flatten() {
-            match (whole.get_mut(key).and_then(Value::as_object_mut), value.as_object()) {
+            match (
+                whole.get_mut(key).and_then(Value::as_object_mut),
+                value.as_object(),
+            ) {
                 (Some(old), Some(new)) => old.extend(new.clone()),
                 _ => whole[key] = value.clone(),
             }
@@ -212,7 +249,10 @@
     /// # Errors
     /// The file can't be written.
     pub fn reload(&mut self, node: usize, more: &Value) -> io::Result<()> {
-        std::fs::write(self.installation_file(node), self.installation(node, more).to_string())?;
+        std::fs::write(
+            self.installation_file(node),
+            self.installation(node, more).to_string(),
+        )?;
         self.nodes[node].signal(Signal::HUP);
         Ok(())
     }
@@ -235,7 +275,13 @@
     ///
     /// # Errors
     /// The program can't be started.
-    pub fn start_off(&mut self, node: usize, named: usize, clock_ms: i64, more: &Value) -> io::Result<()> {
+    pub fn start_off(
+        &mut self,
+        node: usize,
+        named: usize,
+        clock_ms: i64,
+        more: &Value,
+    ) -> io::Result<()> {
         if let Some(process) = &mut self.nodes[node].process {
             if process.try_wait()?.is_none() {
                 return Ok(());
@@ -250,21 +296,35 @@
         let config_file = self.folder.join(format!("{node}.json"));
         let installation_file = self.installation_file(node);
         std::fs::write(&config_file, config.to_string())?;
-        std::fs::write(&installation_file, self.installation(node, more).to_string())?;
+        std::fs::write(
+            &installation_file,
+            self.installation(node, more).to_string(),
+        )?;
         let mut command = Command::new(&self.program);
-        command.arg("serve").arg("--installation").arg(&installation_file);
+        command
+            .arg("serve")
+            .arg("--installation")
+            .arg(&installation_file);
         command.args(["--log-format", "json", "--log-lines", LINES]);
         command.arg(format!("--test-clock-ms={clock_ms}"));
         command.args(self.arguments.get(&node).into_iter().flatten());
-        command.env("GW_CONFIG", &config_file).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .env("GW_CONFIG", &config_file)
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let mut process = command.spawn()?;
         self.put(What::Began { node });
         if let Some(log) = process.stderr.take() {
             let (history, began) = (self.history.clone(), self.began);
-            let reader = std::thread::Builder::new().spawn(move || read_log(node, log, &history, began))?;
+            let reader =
+                std::thread::Builder::new().spawn(move || read_log(node, log, &history, began))?;
             self.readers.push(reader);
         }
-        self.nodes[node] = Node { process: Some(process), stopped: false, ..self.nodes[node] };
+        self.nodes[node] = Node {
+            process: Some(process),
+            stopped: false,
+            ..self.nodes[node]
+        };
         Ok(())
     }
 
@@ -275,7 +335,11 @@
         if let Some(mut process) = self.nodes[node].process.take() {
             _ = process.wait();
             self.put(What::Ended { node });
-            self.deaths.push(Death { front: self.door(node), at, owed_before: 0 });
+            self.deaths.push(Death {
+                front: self.door(node),
+                at,
+                owed_before: 0,
+            });
         }
     }
 
@@ -297,7 +361,11 @@
             Some((traffic, behind)) => {
                 // A request whose connection the rig broke needs no answer, like one to a killed process.
                 let broke = self.doors.iter().flat_map(|door| {
-                    door.breaks().into_iter().map(|at| Death { front: door.at, at, owed_before: 0 })
+                    door.breaks().into_iter().map(|at| Death {
+                        front: door.at,
+                        at,
+                        owed_before: 0,
+                    })
                 });
                 let ended: Vec<Death> = self.deaths.iter().copied().chain(broke).collect();
                 traffic.finish(behind, &ended)
@@ -313,9 +381,15 @@
         for reader in std::mem::take(&mut self.readers) {
             _ = reader.join();
         }
-        let mut history = std::mem::take(&mut *self.history.lock().unwrap_or_else(PoisonError::into_inner));
+        let mut history =
+            std::mem::take(&mut *self.history.lock().unwrap_or_else(PoisonError::into_inner));
         history.sort();
-        RunResult { history, relay: self.relay.counts(), served, violations }
+        RunResult {
+            history,
+            relay: self.relay.counts(),
+            served,
+            violations,
+        }
     }
 }
 
@@ -329,7 +403,9 @@
 /// Records the member changes that a process logs in the history.
 fn read_log(node: usize, log: impl io::Read, history: &Mutex<History>, began: Instant) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
-        let Ok(line) = serde_json::from_str::<Value>(&line) else { continue };
+        let Ok(line) = serde_json::from_str::<Value>(&line) else {
+            continue;
+        };
         if line["msg"] != "member" {
             continue;
         }
@@ -345,6 +421,9 @@
             members: number("members") as usize,
         };
         let at_ms = began.elapsed().as_millis() as u64;
-        history.lock().unwrap_or_else(PoisonError::into_inner).put(at_ms, what);
+        history
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .put(at_ms, what);
     }
 }
--- a/rig/src/processes/faults.rs
+++ b/rig/src/processes/faults.rs
@@ -17,7 +17,9 @@
     /// # Errors
     /// A process can't be started.
     pub fn take_up(&mut self, fault: &Fault, more: More) -> io::Result<()> {
-        self.put(What::Fault { fault: fault.clone() });
+        self.put(What::Fault {
+            fault: fault.clone(),
+        });
         self.relay.take_up(fault);
         match fault {
             Fault::Kill { nodes } => nodes.iter().for_each(|node| self.kill(*node)),
@@ -45,9 +47,15 @@
                 self.nodes[*node].signal(Signal::TERM);
                 // A request in its last moments may arrive and not be read before the exit.
                 let gone = unix_ms() + STOP_MS - LAST_MOMENTS;
-                self.deaths.push(Death { front: self.door(*node), at: gone, owed_before: gone });
+                self.deaths.push(Death {
+                    front: self.door(*node),
+                    at: gone,
+                    owed_before: gone,
+                });
             }),
-            Fault::Server { nodes, conditions } => set_conditions(&self.streams, nodes, *conditions),
+            Fault::Server { nodes, conditions } => {
+                set_conditions(&self.streams, nodes, *conditions)
+            }
             Fault::Callers { nodes, conditions } => set_conditions(&self.doors, nodes, *conditions),
             Fault::Cut { .. }
             | Fault::Mend { .. }
@@ -60,5 +68,8 @@
 }
 
 fn set_conditions(streams: &[Stream], nodes: &[usize], conditions: NetworkConditions) {
-    nodes.iter().filter_map(|node| streams.get(*node)).for_each(|stream| stream.change(conditions));
+    nodes
+        .iter()
+        .filter_map(|node| streams.get(*node))
+        .for_each(|stream| stream.change(conditions));
 }
--- a/rig/src/processes/querying.rs
+++ b/rig/src/processes/querying.rs
@@ -16,9 +16,10 @@
 /// Members that a status counts as present.
 fn present(status: &What) -> usize {
     match status {
-        What::Status { members, .. } => {
-            members.iter().filter(|member| matches!(&*member.state, "alive" | "suspected")).count()
-        }
+        What::Status { members, .. } => members
+            .iter()
+            .filter(|member| matches!(&*member.state, "alive" | "suspected"))
+            .count(),
         _ => 0,
     }
 }
@@ -62,8 +63,15 @@
     pub fn query_until_agreed(&mut self, expected: usize) {
         let until = Instant::now() + TIMEOUT;
         loop {
-            let statuses: Vec<What> = self.running().filter_map(|node| self.status(node)).collect();
-            let agreed = statuses.iter().filter(|status| present(status) == expected).count() >= expected;
+            let statuses: Vec<What> = self
+                .running()
+                .filter_map(|node| self.status(node))
+                .collect();
+            let agreed = statuses
+                .iter()
+                .filter(|status| present(status) == expected)
+                .count()
+                >= expected;
             if agreed || Instant::now() > until {
                 return statuses.into_iter().for_each(|status| self.put(status));
             }
@@ -73,6 +81,7 @@
 
     /// Nodes whose process runs and is not stopped by a signal.
     fn running(&self) -> impl Iterator<Item = usize> {
-        (0..self.nodes.len()).filter(|node| self.nodes[*node].process.is_some() && !self.nodes[*node].stopped)
+        (0..self.nodes.len())
+            .filter(|node| self.nodes[*node].process.is_some() && !self.nodes[*node].stopped)
     }
 }
--- a/rig/src/processes/run.rs
+++ b/rig/src/processes/run.rs
@@ -30,7 +30,11 @@
     let server = Behind::start();
     let mut rig = Rig::new(program, script.nodes, script.seed)?;
     rig.older = older.map(Path::to_path_buf);
-    if script.faults.iter().any(|timed| matches!(timed.fault, Fault::Callers { .. })) {
+    if script
+        .faults
+        .iter()
+        .any(|timed| matches!(timed.fault, Fault::Callers { .. }))
+    {
         rig.open_doors()?;
     }
     let installations = rig.behind(&server)?;
--- a/rig/src/relay.rs
+++ b/rig/src/relay.rs
@@ -104,7 +104,11 @@
             Default::default();
         let forwarder = Forwarder {
             sockets,
-            by_address: real.iter().enumerate().map(|(node, address)| (*address, node)).collect(),
+            by_address: real
+                .iter()
+                .enumerate()
+                .map(|(node, address)| (*address, node))
+                .collect(),
             real,
             rules: rules.clone(),
             counts: counts.clone(),
@@ -115,8 +119,15 @@
             free_at: BTreeMap::new(),
         };
         let stop = over.clone();
-        let thread = std::thread::Builder::new().name("relay".into()).spawn(move || forwarder.run(&stop))?;
-        Ok(Relay { rules, counts, over, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("relay".into())
+            .spawn(move || forwarder.run(&stop))?;
+        Ok(Relay {
+            rules,
+            counts,
+            over,
+            thread: Some(thread),
+        })
     }
 
     /// Injects a fault, if it is one of links between nodes.
@@ -130,7 +141,10 @@
             }
             Fault::Mend { from, to } => {
                 for pair in pairs(from, to) {
-                    let left = rules.cuts.get(&pair).map_or(0, |count| count.saturating_sub(1));
+                    let left = rules
+                        .cuts
+                        .get(&pair)
+                        .map_or(0, |count| count.saturating_sub(1));
                     if left == 0 {
                         rules.cuts.remove(&pair);
                     } else {
@@ -138,7 +152,12 @@
                     }
                 }
             }
-            Fault::Links { loss, doubled, garbled, delay_ms } => {
+            Fault::Links {
+                loss,
+                doubled,
+                garbled,
+                delay_ms,
+            } => {
                 (rules.loss, rules.doubled, rules.garbled) = (*loss, *doubled, *garbled);
                 rules.delay_ms = *delay_ms;
             }
@@ -156,7 +175,8 @@
 
 /// All links from one group of nodes to another.
 fn pairs(from: &[usize], to: &[usize]) -> impl Iterator<Item = (usize, usize)> {
-    from.iter().flat_map(|from| to.iter().map(|to| (*from, *to)))
+    from.iter()
+        .flat_map(|from| to.iter().map(|to| (*from, *to)))
 }
 
 impl Drop for Relay {
@@ -199,7 +219,11 @@
             }
             self.replay();
             let now = Instant::now();
-            while self.queue.peek().is_some_and(|Reverse(queued)| queued.at <= now) {
+            while self
+                .queue
+                .peek()
+                .is_some_and(|Reverse(queued)| queued.at <= now)
+            {
                 if let Some(Reverse(queued)) = self.queue.pop() {
                     _ = self.sockets[queued.from].send_to(&queued.bytes, self.real[queued.to]);
                 }
@@ -231,7 +255,12 @@
         let now = Instant::now();
         let mut sent_at = now;
         if let Some(micros) = (size * 1_000_000).checked_div(rules.bytes_a_second) {
-            let free_at = self.free_at.get(&(from, to)).copied().unwrap_or(now).max(now);
+            let free_at = self
+                .free_at
+                .get(&(from, to))
+                .copied()
+                .unwrap_or(now)
+                .max(now);
             sent_at = free_at + Duration::from_micros(micros);
         }
         if lost || self.queue.len() >= MAX_QUEUED || sent_at > now + MAX_QUEUE_TIME {
@@ -252,13 +281,23 @@
             self.retained[to].pop_front();
         }
         self.retained[to].push_back((from, bytes.clone()));
-        let copies = if self.chance.f64() < rules.doubled { 2 } else { 1 };
+        let copies = if self.chance.f64() < rules.doubled {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             // Drawn for each copy, so that datagrams overtake one another.
             let delay = Duration::from_micros(self.chance.u64(0..=rules.delay_ms * 2_000));
             self.sequence += 1;
             let at = sent_at + delay;
-            self.queue.push(Reverse(Queued { at, sequence: self.sequence, from, to, bytes: bytes.clone() }));
+            self.queue.push(Reverse(Queued {
+                at,
+                sequence: self.sequence,
+                from,
+                to,
+                bytes: bytes.clone(),
+            }));
         }
     }
 }
--- a/rig/src/scale/added.rs
+++ b/rig/src/scale/added.rs
@@ -93,7 +93,8 @@
     let ports = Ports::hold()?;
     let server = instant::server(Protocol::FastCgi, terms.real * AT_ONCE);
     let server = server.map_err(ScaleError::io("the server behind the nodes"))?;
-    let servers = json!({"protocol": "fastcgi", "addresses": [server.to_string()], "at_once": AT_ONCE});
+    let servers =
+        json!({"protocol": "fastcgi", "addresses": [server.to_string()], "at_once": AT_ONCE});
     let plan = terms.plan(size, &ports);
     let first = plan.real_nodes().start;
     // In turns, so that neither half starts first.
@@ -106,7 +107,12 @@
     settle(&mut fleet, terms.settle)?;
     progress.set_message("time requests");
     let fronts = |in_fleet: bool| -> Vec<SocketAddr> {
-        fleet.real.iter().filter(|real| real.in_fleet == in_fleet).map(|real| real.front).collect()
+        fleet
+            .real
+            .iter()
+            .filter(|real| real.in_fleet == in_fleet)
+            .map(|real| real.front)
+            .collect()
     };
     let (with, without) = (fronts(true), fronts(false));
     let before = usages(&fleet)?;
@@ -114,21 +120,45 @@
     let after = usages(&fleet)?;
     let half = |in_fleet: bool| half(&fleet, in_fleet, &pairs, &before, &after);
     let counts = (with.len(), without.len(), incomplete_pairs);
-    Ok(AddedReport::of(size, agreed, counts, &pairs, half(true), half(false)))
+    Ok(AddedReport::of(
+        size,
+        agreed,
+        counts,
+        &pairs,
+        half(true),
+        half(false),
+    ))
 }
 
 fn usages(fleet: &RunningFleet) -> Result<Vec<Usage>, ScaleError> {
     fleet.real.iter().map(|real| usage(real.pid())).collect()
 }
 
-fn half(fleet: &RunningFleet, in_fleet: bool, pairs: &[Pair], before: &[Usage], after: &[Usage]) -> Half {
-    let times =
-        sorted(pairs.iter().map(|pair| if in_fleet { pair.with_control } else { pair.without_control }));
+fn half(
+    fleet: &RunningFleet,
+    in_fleet: bool,
+    pairs: &[Pair],
+    before: &[Usage],
+    after: &[Usage],
+) -> Half {
+    let times = sorted(pairs.iter().map(|pair| {
+        if in_fleet {
+            pair.with_control
+        } else {
+            pair.without_control
+        }
+    }));
     let places = (0..fleet.real.len()).filter(|place| fleet.real[*place].in_fleet == in_fleet);
     let places: Vec<usize> = places.collect();
     let count = places.len().max(1) as f64;
-    let cores: f64 = places.iter().map(|place| core_thousandths(before[*place], after[*place])).sum();
-    let kilobytes: u64 = places.iter().map(|place| after[*place].resident_kilobytes).sum();
+    let cores: f64 = places
+        .iter()
+        .map(|place| core_thousandths(before[*place], after[*place]))
+        .sum();
+    let kilobytes: u64 = places
+        .iter()
+        .map(|place| after[*place].resident_kilobytes)
+        .sum();
     Half {
         p50_us: quantile(&times, 0.5),
         p99_us: quantile(&times, 0.99),
@@ -140,7 +170,10 @@
 
 /// Times pairs of requests; those that were completed, and how many were not.
 fn time_pairs(with: &[SocketAddr], without: &[SocketAddr], lasts: Duration) -> (Vec<Pair>, usize) {
-    let (over, began) = (AtomicBool::new(with.is_empty() || without.is_empty()), Instant::now());
+    let (over, began) = (
+        AtomicBool::new(with.is_empty() || without.is_empty()),
+        Instant::now(),
+    );
     let mut pairs = Vec::new();
     let mut incomplete = 0;
     std::thread::scope(|scope| {
@@ -176,13 +209,23 @@
         let (one, other) = (with[turn % with.len()], without[turn % without.len()]);
         // Who is asked first changes with each round of the nodes.
         let with_first = (turn / with.len()).is_multiple_of(2);
-        let (first, second) = if with_first { (one, other) } else { (other, one) };
+        let (first, second) = if with_first {
+            (one, other)
+        } else {
+            (other, one)
+        };
         let times = (time_one(first, nth), time_one(second, nth + 1));
         match times {
             (Some(first), Some(second)) => {
-                let (with_control, without_control) =
-                    if with_first { (first, second) } else { (second, first) };
-                pairs.push(Pair { with_control, without_control });
+                let (with_control, without_control) = if with_first {
+                    (first, second)
+                } else {
+                    (second, first)
+                };
+                pairs.push(Pair {
+                    with_control,
+                    without_control,
+                });
             }
             _ => incomplete += 1,
         }
@@ -210,7 +253,11 @@
         with_control: Half,
         without_control: Half,
     ) -> AddedReport {
-        let differences = sorted(pairs.iter().map(|pair| pair.with_control - pair.without_control));
+        let differences = sorted(
+            pairs
+                .iter()
+                .map(|pair| pair.with_control - pair.without_control),
+        );
         AddedReport {
             size,
             real_with_control: counts.0,
@@ -223,7 +270,8 @@
             added_p50_us: with_control.p50_us - without_control.p50_us,
             added_p99_us: with_control.p99_us - without_control.p99_us,
             paired_difference_p50_us: quantile(&differences, 0.5),
-            added_core_thousandths: with_control.core_thousandths - without_control.core_thousandths,
+            added_core_thousandths: with_control.core_thousandths
+                - without_control.core_thousandths,
             added_kilobytes: with_control.resident_kilobytes - without_control.resident_kilobytes,
             with_control,
             without_control,
@@ -235,7 +283,11 @@
         let half = |name: &str, half: &Half| {
             format!(
                 "{name}: p50 {:.0} us, p99 {:.0} us, mean {:.0} us, {:.1} thousandths of a core, {:.0} kB\n",
-                half.p50_us, half.p99_us, half.mean_us, half.core_thousandths, half.resident_kilobytes
+                half.p50_us,
+                half.p99_us,
+                half.mean_us,
+                half.core_thousandths,
+                half.resident_kilobytes
             )
         };
         let mut text = format!(
--- a/rig/src/scale/child.rs
+++ b/rig/src/scale/child.rs
@@ -60,7 +60,11 @@
     let status = process.status().map_err(wrap)?;
     let seconds = (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64;
     let processor = Duration::from_secs_f64(seconds);
-    Ok(Usage { at: Instant::now(), processor, resident_kilobytes: status.vmrss.unwrap_or(0) })
+    Ok(Usage {
+        at: Instant::now(),
+        processor,
+        resident_kilobytes: status.vmrss.unwrap_or(0),
+    })
 }
 
 /// A process of hollow nodes; ended when it is dropped.
@@ -85,13 +89,26 @@
     ///
     /// # Errors
     /// The program can't be started.
-    pub fn start(program: &HollowProgram, nodes: Range<usize>) -> Result<HollowProcess, ScaleError> {
+    pub fn start(
+        program: &HollowProgram,
+        nodes: Range<usize>,
+    ) -> Result<HollowProcess, ScaleError> {
         let mut command = hollow_command(&program.rig, &program.plan_file, &nodes);
-        let mut child = command.spawn().map_err(ScaleError::io(program.rig.display()))?;
+        let mut child = command
+            .spawn()
+            .map_err(ScaleError::io(program.rig.display()))?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
-        let no_pipe = || ScaleError::Hollow { nodes: nodes.clone(), why: "no pipe".into() };
+        let no_pipe = || ScaleError::Hollow {
+            nodes: nodes.clone(),
+            why: "no pipe".into(),
+        };
         let output = BufReader::new(output.ok_or_else(no_pipe)?);
-        Ok(HollowProcess { nodes, child, input, output })
+        Ok(HollowProcess {
+            nodes,
+            child,
+            input,
+            output,
+        })
     }
 
     pub fn pid(&self) -> u32 {
@@ -105,7 +122,9 @@
     pub fn send(&mut self, command: &HollowCommand) -> Result<(), ScaleError> {
         let text = serde_json::to_string(command).map_err(|e| self.failed(e))?;
         let input = self.input.as_mut();
-        let written = input.map_or(Err(io::ErrorKind::BrokenPipe.into()), |input| writeln!(input, "{text}"));
+        let written = input.map_or(Err(io::ErrorKind::BrokenPipe.into()), |input| {
+            writeln!(input, "{text}")
+        });
         written.map_err(|e| self.failed(e))
     }
 
@@ -115,7 +134,10 @@
     /// The process is gone, or could not do it.
     pub fn receive(&mut self) -> Result<HollowReply, ScaleError> {
         let mut line = String::new();
-        let len = self.output.read_line(&mut line).map_err(|e| self.failed(e))?;
+        let len = self
+            .output
+            .read_line(&mut line)
+            .map_err(|e| self.failed(e))?;
         if len == 0 {
             return Err(self.failed("it has ended"));
         }
@@ -126,7 +148,10 @@
     }
 
     fn failed(&self, why: impl ToString) -> ScaleError {
-        ScaleError::Hollow { nodes: self.nodes.clone(), why: why.to_string() }
+        ScaleError::Hollow {
+            nodes: self.nodes.clone(),
+            why: why.to_string(),
+        }
     }
 }
 
--- a/rig/src/scale/command.rs
+++ b/rig/src/scale/command.rs
@@ -31,13 +31,23 @@
     #[arg(long, value_name = "FILE", default_value = "target/release/doortrack")]
     program: PathBuf,
     /// Sizes of the series over nodes; 0 leaves it out
-    #[arg(long, value_delimiter = ',', default_value = "50,100,200,400,770", value_name = "COUNTS")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "50,100,200,400,770",
+        value_name = "COUNTS"
+    )]
     nodes: Vec<usize>,
     /// Budgets while the nodes grow
     #[arg(long, default_value_t = 1, value_name = "COUNT")]
     budgets_held: usize,
     /// Sizes of the series over budgets; 0 leaves it out
-    #[arg(long, value_delimiter = ',', default_value = "1,10,40,120,250", value_name = "COUNTS")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "1,10,40,120,250",
+        value_name = "COUNTS"
+    )]
     budgets: Vec<usize>,
     /// Nodes while the budgets grow
     #[arg(long, default_value_t = 100, value_name = "COUNT")]
@@ -145,8 +155,12 @@
         println!("{}", faults.text());
     }
     let of_plays = report.plays.iter().flat_map(play_faults);
-    let faults: Vec<String> = of_plays.chain(report.faults.iter().flat_map(FaultReport::faults)).collect();
-    faults.iter().for_each(|fault| println!("not as it should be: {fault}"));
+    let faults: Vec<String> = of_plays
+        .chain(report.faults.iter().flat_map(FaultReport::faults))
+        .collect();
+    faults
+        .iter()
+        .for_each(|fault| println!("not as it should be: {fault}"));
     if let Some(file) = &args.json {
         let text = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
         std::fs::write(file, text + "\n").map_err(|e| format!("{}: {e}", file.display()))?;
@@ -165,16 +179,29 @@
         faults.push(format!("{of}: traffic still changed when the window began"));
     }
     if play.declared_dead > 0 {
-        faults.push(format!("{of}: nodes were declared dead {} times in the window", play.declared_dead));
+        faults.push(format!(
+            "{of}: nodes were declared dead {} times in the window",
+            play.declared_dead
+        ));
     }
     if play.leaders[0] != play.leaders[1] {
-        faults.push(format!("{of}: the leader changed in the window: {:?}", play.leaders));
+        faults.push(format!(
+            "{of}: the leader changed in the window: {:?}",
+            play.leaders
+        ));
     }
     // Budgets are so great that no exchange has a reason to be rejected.
     if play.completed < play.asked {
-        faults.push(format!("{of}: of {} exchanges {} were completed", play.asked, play.completed));
+        faults.push(format!(
+            "{of}: of {} exchanges {} were completed",
+            play.asked, play.completed
+        ));
     }
-    faults.extend(play.broken_rules.iter().map(|broken| format!("{of}: {broken}")));
+    faults.extend(
+        play.broken_rules
+            .iter()
+            .map(|broken| format!("{of}: {broken}")),
+    );
     faults
 }
 
@@ -188,16 +215,24 @@
             return Err(format!("{size} nodes: {own} are voters and real ones"));
         }
         let most = sizes.max().copied().unwrap_or(0);
-        let processes = own + most.saturating_sub(own).div_ceil(super::fleet::NODES_PER_PROCESS);
+        let processes = own
+            + most
+                .saturating_sub(own)
+                .div_ceil(super::fleet::NODES_PER_PROCESS);
         if processes > MOST_PROCESSES {
-            return Err(format!("{processes} processes are needed, {MOST_PROCESSES} are the most"));
+            return Err(format!(
+                "{processes} processes are needed, {MOST_PROCESSES} are the most"
+            ));
         }
         Ok(())
     }
 
     fn terms(&self) -> Result<PlayTerms, ScaleError> {
         let rig = std::env::current_exe().map_err(ScaleError::io("this program"))?;
-        let programs = Programs { doortrack: self.program.clone(), rig };
+        let programs = Programs {
+            doortrack: self.program.clone(),
+            rig,
+        };
         Ok(PlayTerms {
             programs,
             voters: self.voters,
@@ -225,7 +260,10 @@
             faults: None,
         };
         let nodes = self.nodes.iter().max().copied().unwrap_or(0);
-        let size = Size { nodes, budgets: self.budgets_held };
+        let size = Size {
+            nodes,
+            budgets: self.budgets_held,
+        };
         if self.faults {
             let progress = progress_bar(1);
             let parted_for = Duration::from_secs_f64(self.parted_for);
@@ -244,20 +282,46 @@
 
     fn play_series(&self, terms: &PlayTerms, report: &mut ScaleReport) -> Result<(), ScaleError> {
         let nodes = self.nodes.iter().filter(|nodes| **nodes > 0);
-        let by_nodes: Vec<Size> =
-            nodes.map(|nodes| Size { nodes: *nodes, budgets: self.budgets_held }).collect();
+        let by_nodes: Vec<Size> = nodes
+            .map(|nodes| Size {
+                nodes: *nodes,
+                budgets: self.budgets_held,
+            })
+            .collect();
         let budgets = self.budgets.iter().filter(|budgets| **budgets > 0);
-        let by_budgets: Vec<Size> =
-            budgets.map(|budgets| Size { nodes: self.nodes_held, budgets: *budgets }).collect();
+        let by_budgets: Vec<Size> = budgets
+            .map(|budgets| Size {
+                nodes: self.nodes_held,
+                budgets: *budgets,
+            })
+            .collect();
         let progress = progress_bar(by_nodes.len() + by_budgets.len());
         let by_nodes = play_each(terms, by_nodes, &progress)?;
         let by_budgets = play_each(terms, by_budgets, &progress)?;
         progress.finish_and_clear();
-        let (held, wanted) = (format!("{} budgets", self.budgets_held), self.wanted_nodes as f64);
-        let series = fitted(&by_nodes, Dimension::Nodes, &held, |size| size.nodes, wanted);
+        let (held, wanted) = (
+            format!("{} budgets", self.budgets_held),
+            self.wanted_nodes as f64,
+        );
+        let series = fitted(
+            &by_nodes,
+            Dimension::Nodes,
+            &held,
+            |size| size.nodes,
+            wanted,
+        );
         report.series.extend(series);
-        let (held, wanted) = (format!("{} nodes", self.nodes_held), self.wanted_budgets as f64);
-        let series = fitted(&by_budgets, Dimension::Budgets, &held, |size| size.budgets, wanted);
+        let (held, wanted) = (
+            format!("{} nodes", self.nodes_held),
+            self.wanted_budgets as f64,
+        );
+        let series = fitted(
+            &by_budgets,
+            Dimension::Budgets,
+            &held,
+            |size| size.budgets,
+            wanted,
+        );
         report.series.extend(series);
         report.plays = by_nodes.into_iter().chain(by_budgets).collect();
         Ok(())
--- a/rig/src/scale/fault_report.rs
+++ b/rig/src/scale/fault_report.rs
@@ -58,14 +58,20 @@
     /// For a reader: one line for each event.
     pub fn text(&self) -> String {
         let line = |event: &FaultEvent| {
-            let known = event.known_after_ms.map_or("not in time".into(), |ms| format!("{ms} ms"));
+            let known = event
+                .known_after_ms
+                .map_or("not in time".into(), |ms| format!("{ms} ms"));
             format!(
                 "{:>7} ms  {:?}, {} nodes: known to all after {known}\n",
                 event.at_ms, event.kind, event.nodes
             )
         };
         let mut text: String = self.events.iter().map(line).collect();
-        text += &format!("losses told: {}, of nodes that lived: {}\n", self.losses, self.wrongly_lost.len());
+        text += &format!(
+            "losses told: {}, of nodes that lived: {}\n",
+            self.losses,
+            self.wrongly_lost.len()
+        );
         text += &format!(
             "real nodes: {} asked, {} completed, {} asked of killed ones",
             self.asked, self.completed, self.unanswered_by_killed
@@ -82,8 +88,13 @@
     /// What broke a promise.
     pub fn faults(&self) -> Vec<String> {
         let mut faults: Vec<String> = Vec::new();
-        let late = self.events.iter().filter(|event| event.known_after_ms.is_none());
-        faults.extend(late.map(|event| format!("{:?} at {} ms: not known to all", event.kind, event.at_ms)));
+        let late = self
+            .events
+            .iter()
+            .filter(|event| event.known_after_ms.is_none());
+        faults.extend(
+            late.map(|event| format!("{:?} at {} ms: not known to all", event.kind, event.at_ms)),
+        );
         if let Some(first) = self.wrongly_lost.first() {
             let at_ms = first.unix_ms.saturating_sub(self.began_unix_ms);
             faults.push(format!(
@@ -93,7 +104,11 @@
                 first.name
             ));
         }
-        if let Some(served) = self.never_killed.as_ref().filter(|served| served.completed < served.asked) {
+        if let Some(served) = self
+            .never_killed
+            .as_ref()
+            .filter(|served| served.completed < served.asked)
+        {
             faults.push(format!(
                 "a real node that was never killed did not complete {} of {}, longest gap {} ms",
                 served.asked - served.completed,
--- a/rig/src/scale/faults.rs
+++ b/rig/src/scale/faults.rs
@@ -77,7 +77,9 @@
     let never_killed = probe.map(Probe::finish);
     let (served, broken_rules) = traffic.finish(&behind, &play.deaths);
     played?;
-    let wrongly_lost = wrongly_lost(&play.losses, &play.outages, |name| play.fleet.plan.node_named(name));
+    let wrongly_lost = wrongly_lost(&play.losses, &play.outages, |name| {
+        play.fleet.plan.node_named(name)
+    });
     Ok(FaultReport {
         size,
         agreed_after_ms: agreed.map(|span| span.as_millis() as u64),
@@ -94,7 +96,11 @@
 }
 
 impl FaultPlay<'_> {
-    fn new(fleet: RunningFleet, fresh: std::ops::Range<usize>, progress: &ProgressBar) -> FaultPlay<'_> {
+    fn new(
+        fleet: RunningFleet,
+        fresh: std::ops::Range<usize>,
+        progress: &ProgressBar,
+    ) -> FaultPlay<'_> {
         FaultPlay {
             fleet,
             progress,
@@ -132,13 +138,21 @@
     fn one_kill(&mut self, nth: usize) -> Result<(), ScaleError> {
         let real = self.fleet.plan.real_nodes();
         let (kind, nodes) = if nth == KILLS / 2 {
-            let leader = self.fleet.node_samples()?.first().and_then(|sample| sample.leader.clone());
+            let leader = self
+                .fleet
+                .node_samples()?
+                .first()
+                .and_then(|sample| sample.leader.clone());
             let leader = leader.and_then(|name| self.fleet.plan.node_named(&name));
             (FaultKind::LeaderKilled, leader.into_iter().collect())
         } else if nth % REAL_EVERY == REAL_EVERY - 1 && !real.is_empty() {
             // The last real node is never killed.
             let node = real.start + nth / REAL_EVERY;
-            let nodes = if node + 1 < real.end { vec![node] } else { Vec::new() };
+            let nodes = if node + 1 < real.end {
+                vec![node]
+            } else {
+                Vec::new()
+            };
             (FaultKind::RealKilled, nodes)
         } else {
             (FaultKind::HollowKilled, self.take_fresh(1))
@@ -152,7 +166,12 @@
         self.wait(FaultKind::Returned, nodes.len())
     }
 
-    fn block(&mut self, count: usize, killed: FaultKind, returned: FaultKind) -> Result<(), ScaleError> {
+    fn block(
+        &mut self,
+        count: usize,
+        killed: FaultKind,
+        returned: FaultKind,
+    ) -> Result<(), ScaleError> {
         let nodes = self.take_fresh(count);
         self.kill(&nodes)?;
         self.wait(killed, nodes.len())?;
@@ -184,11 +203,14 @@
             till_unix_ms: None,
         });
         let began = Instant::now();
-        self.fleet.ask_all(&HollowCommand::Part { nodes: nodes.clone() })?;
+        self.fleet.ask_all(&HollowCommand::Part {
+            nodes: nodes.clone(),
+        })?;
         self.wait(FaultKind::RegionsParted, nodes.len())?;
         std::thread::sleep(parted_for.saturating_sub(began.elapsed()));
         self.parted.clear();
-        self.fleet.ask_all(&HollowCommand::Part { nodes: Vec::new() })?;
+        self.fleet
+            .ask_all(&HollowCommand::Part { nodes: Vec::new() })?;
         if let Some(outage) = self.outages.last_mut() {
             outage.till_unix_ms = Some(unix_ms());
         }
@@ -200,13 +222,24 @@
         let real = self.fleet.plan.real_nodes();
         for node in nodes.iter().filter(|node| real.contains(node)) {
             let front = self.fleet.plan.front_address(*node);
-            self.deaths.push(Death { front, at: from_unix_ms, owed_before: 0 });
+            self.deaths.push(Death {
+                front,
+                at: from_unix_ms,
+                owed_before: 0,
+            });
             self.fleet.kill_real(*node);
         }
-        self.fleet.ask_all(&HollowCommand::Kill { nodes: nodes.to_vec() })?;
+        self.fleet.ask_all(&HollowCommand::Kill {
+            nodes: nodes.to_vec(),
+        })?;
         self.down.extend(nodes);
         let nodes = nodes.iter().copied().collect();
-        self.outages.push(Outage { nodes, parted: false, from_unix_ms, till_unix_ms: None });
+        self.outages.push(Outage {
+            nodes,
+            parted: false,
+            from_unix_ms,
+            till_unix_ms: None,
+        });
         Ok(())
     }
 
@@ -216,7 +249,9 @@
         for node in nodes.iter().filter(|node| real.contains(node)) {
             self.fleet.start_real(*node, true)?;
         }
-        self.fleet.ask_all(&HollowCommand::Start { nodes: nodes.to_vec() })?;
+        self.fleet.ask_all(&HollowCommand::Start {
+            nodes: nodes.to_vec(),
+        })?;
         nodes.iter().for_each(|node| _ = self.down.remove(node));
         if let Some(outage) = self.outages.last_mut() {
             outage.till_unix_ms = Some(unix_ms());
@@ -227,7 +262,8 @@
     /// Waits until all know what has just happened, and takes note of how long it took.
     fn wait(&mut self, kind: FaultKind, nodes: usize) -> Result<(), ScaleError> {
         let began = Instant::now();
-        self.progress.set_message(format!("{kind:?}, {nodes} nodes"));
+        self.progress
+            .set_message(format!("{kind:?}, {nodes} nodes"));
         let mut known_after_ms = None;
         while known_after_ms.is_none() && began.elapsed() < PATIENCE {
             std::thread::sleep(LOOK_EVERY);
@@ -236,7 +272,12 @@
             known_after_ms = self.all_know()?.then_some(after);
         }
         let at_ms = began.duration_since(self.began).as_millis() as u64;
-        self.events.push(FaultEvent { kind, nodes, at_ms, known_after_ms });
+        self.events.push(FaultEvent {
+            kind,
+            nodes,
+            at_ms,
+            known_after_ms,
+        });
         self.take_losses()
     }
 
@@ -260,7 +301,11 @@
         let agrees = |view: super::serving::ViewSeen| {
             view.members == sizes[0] && digests[0].is_none_or(|digest| view.digest == digest)
         };
-        Ok(self.fleet.real.iter().all(|real| real.view().is_some_and(agrees)))
+        Ok(self
+            .fleet
+            .real
+            .iter()
+            .all(|real| real.view().is_some_and(agrees)))
     }
 
     fn take_losses(&mut self) -> Result<(), ScaleError> {
--- a/rig/src/scale/fit.rs
+++ b/rig/src/scale/fit.rs
@@ -57,7 +57,11 @@
     /// What the line says of a size.
     pub fn at(&self, size: f64) -> Projection {
         let value = self.intercept + self.slope * size;
-        Projection { size, value, extrapolated: size > self.greatest_size }
+        Projection {
+            size,
+            value,
+            extrapolated: size > self.greatest_size,
+        }
     }
 }
 
@@ -66,7 +70,11 @@
     pub fn of(series: Series, wanted: Option<f64>) -> FittedSeries {
         let fit = fit(&series.points).ok();
         let projection = fit.zip(wanted).map(|(fit, size)| fit.at(size));
-        FittedSeries { series, fit, projection }
+        FittedSeries {
+            series,
+            fit,
+            projection,
+        }
     }
 }
 
@@ -75,7 +83,10 @@
 /// # Errors
 /// Fewer than three different sizes, or a value that is no number.
 pub fn fit(points: &[Point]) -> Result<Fit, FitError> {
-    if points.iter().any(|point| !point.size.is_finite() || !point.value.is_finite()) {
+    if points
+        .iter()
+        .any(|point| !point.size.is_finite() || !point.value.is_finite())
+    {
         return Err(FitError::NotFinite);
     }
     let mut sizes: Vec<f64> = points.iter().map(|point| point.size).collect();
@@ -106,7 +117,11 @@
     let values: Vec<f64> = points.iter().map(|point| point.value).collect();
     let data = RegressionDataBuilder::new().build_from(vec![("value", values), ("size", sizes)]);
     let data = data.map_err(failed)?;
-    let model = FormulaRegressionBuilder::new().data(&data).formula("value ~ size").fit().map_err(failed)?;
+    let model = FormulaRegressionBuilder::new()
+        .data(&data)
+        .formula("value ~ size")
+        .fit()
+        .map_err(failed)?;
     let (parameters, errors) = (model.parameters(), model.se());
     Ok(Fit {
         intercept: parameters[0],
--- a/rig/src/scale/fleet.rs
+++ b/rig/src/scale/fleet.rs
@@ -102,9 +102,14 @@
             servers: servers.clone(),
         };
         let plan_file = fleet.folder.join(PLAN_FILE);
-        let program = HollowProgram { rig: programs.rig.clone(), plan_file };
+        let program = HollowProgram {
+            rig: programs.rig.clone(),
+            plan_file,
+        };
         for voter in 0..fleet.plan.voters {
-            fleet.hollow.push(HollowProcess::start(&program, voter..voter + 1)?);
+            fleet
+                .hollow
+                .push(HollowProcess::start(&program, voter..voter + 1)?);
         }
         for node in fleet.plan.real_nodes() {
             fleet.start_real(node, in_fleet(node))?;
@@ -122,8 +127,13 @@
     /// # Errors
     /// A file that can't be written, or a program that can't be started.
     pub fn start_real(&mut self, node: usize, in_fleet: bool) -> Result<(), ScaleError> {
-        let with = ServeProgram { program: &self.doortrack, folder: &self.folder, servers: &self.servers };
-        self.real.push(RealNode::start(with, &self.plan, node, in_fleet)?);
+        let with = ServeProgram {
+            program: &self.doortrack,
+            folder: &self.folder,
+            servers: &self.servers,
+        };
+        self.real
+            .push(RealNode::start(with, &self.plan, node, in_fleet)?);
         Ok(())
     }
 
@@ -176,10 +186,17 @@
     pub fn sample(&mut self) -> Result<FleetSample, ScaleError> {
         let processes = self.hollow.iter().map(|process| {
             let usage = usage(process.pid())?;
-            Ok(ProcessSample { nodes: process.nodes.clone(), usage })
+            Ok(ProcessSample {
+                nodes: process.nodes.clone(),
+                usage,
+            })
         });
         let processes = processes.collect::<Result<Vec<_>, ScaleError>>()?;
-        Ok(FleetSample { at: Instant::now(), nodes: self.node_samples()?, processes })
+        Ok(FleetSample {
+            at: Instant::now(),
+            nodes: self.node_samples()?,
+            processes,
+        })
     }
 
     /// Nodes that are of the fleet.
@@ -192,7 +209,11 @@
     ///
     /// # Errors
     /// A process that is gone.
-    pub fn agree(&mut self, members: usize, within: Duration) -> Result<Option<Duration>, ScaleError> {
+    pub fn agree(
+        &mut self,
+        members: usize,
+        within: Duration,
+    ) -> Result<Option<Duration>, ScaleError> {
         let began = Instant::now();
         while began.elapsed() < within {
             if self.agrees(members)? {
@@ -209,9 +230,13 @@
     /// A process that is gone.
     pub fn agrees(&mut self, members: usize) -> Result<bool, ScaleError> {
         let samples = self.node_samples()?;
-        let Some(first) = samples.first() else { return Ok(false) };
+        let Some(first) = samples.first() else {
+            return Ok(false);
+        };
         let same = |sample: &NodeSample| {
-            sample.members == members && sample.digest == first.digest && sample.leader == first.leader
+            sample.members == members
+                && sample.digest == first.digest
+                && sample.leader == first.leader
         };
         let has_leader = first.leader.is_some() || self.plan.budgets == 0;
         if !has_leader || !samples.iter().all(same) {
@@ -219,7 +244,8 @@
         }
         let mut in_fleet = self.real.iter().filter(|real| real.in_fleet);
         let agrees = |real: &RealNode| {
-            real.view().is_some_and(|view| view.members == members && view.digest == first.digest)
+            real.view()
+                .is_some_and(|view| view.members == members && view.digest == first.digest)
         };
         Ok(in_fleet.all(agrees))
     }
--- a/rig/src/scale/hollow.rs
+++ b/rig/src/scale/hollow.rs
@@ -62,7 +62,11 @@
 
     fn learned(&mut self, change: &Change) {
         if let Change::Dead { name, .. } = change {
-            let loss = Loss { by: self.node, name: name.to_string(), unix_ms: unix_ms() };
+            let loss = Loss {
+                by: self.node,
+                name: name.to_string(),
+                unix_ms: unix_ms(),
+            };
             self.shared.borrow_mut().losses.push(loss);
         }
     }
@@ -101,9 +105,14 @@
     let poller = Arc::new(Poller::new().map_err(plain)?);
     let input = io::stdin();
     // SAFETY: standard input is open for as long as the process.
-    unsafe { poller.add_with_mode(&input, Event::readable(INPUT_KEY), PollMode::Level).map_err(plain)? };
+    unsafe {
+        poller
+            .add_with_mode(&input, Event::readable(INPUT_KEY), PollMode::Level)
+            .map_err(plain)?
+    };
     let mut host = Host::new(plan, nodes.clone(), poller);
-    let mut events = Events::with_capacity(NonZeroUsize::new(EVENTS_AT_ONCE).unwrap_or(NonZeroUsize::MIN));
+    let mut events =
+        Events::with_capacity(NonZeroUsize::new(EVENTS_AT_ONCE).unwrap_or(NonZeroUsize::MIN));
     while !host.over {
         events.clear();
         match host.poller.wait(&mut events, Some(host.sleep())) {
@@ -121,15 +130,25 @@
         let gap = Duration::from_millis(plan.start_spread_ms) / count;
         let slot = |(place, node)| {
             let due = Some(now + gap * place as u32);
-            Slot { node, peers: None, due, use_at: None }
+            Slot {
+                node,
+                peers: None,
+                due,
+                use_at: None,
+            }
         };
         let slots: Vec<Slot> = nodes.clone().enumerate().map(slot).collect();
         let timers = slots.iter().enumerate();
-        let timers = timers.filter_map(|(place, slot)| Some(Reverse((slot.due?, place)))).collect();
+        let timers = timers
+            .filter_map(|(place, slot)| Some(Reverse((slot.due?, place))))
+            .collect();
         Host {
             plan: Rc::new(plan),
             poller,
-            places: nodes.enumerate().map(|(place, node)| (node, place)).collect(),
+            places: nodes
+                .enumerate()
+                .map(|(place, node)| (node, place))
+                .collect(),
             slots,
             timers,
             shared: Rc::default(),
@@ -140,7 +159,9 @@
 
     fn sleep(&self) -> Duration {
         let next = self.timers.peek().map(|Reverse((at, _))| *at);
-        next.map_or(LONGEST_SLEEP, |at| at.saturating_duration_since(Instant::now()))
+        next.map_or(LONGEST_SLEEP, |at| {
+            at.saturating_duration_since(Instant::now())
+        })
     }
 
     /// Reads what is ready, then does what is due, each node once.
@@ -152,13 +173,21 @@
                 continue;
             }
             let place = event.key - FIRST_NODE_KEY;
-            if let Some(peers) = self.slots.get_mut(place).and_then(|slot| slot.peers.as_mut()) {
+            if let Some(peers) = self
+                .slots
+                .get_mut(place)
+                .and_then(|slot| slot.peers.as_mut())
+            {
                 peers.ready();
                 touched.insert(place);
             }
         }
         let now = Instant::now();
-        while let Some(Reverse((at, place))) = self.timers.peek().copied().filter(|Reverse(due)| due.0 <= now)
+        while let Some(Reverse((at, place))) = self
+            .timers
+            .peek()
+            .copied()
+            .filter(|Reverse(due)| due.0 <= now)
         {
             self.timers.pop();
             if self.slots[place].due == Some(at) {
@@ -179,7 +208,9 @@
         let uses_per_second = self.plan.uses_per_second;
         let tenants = self.plan.tenant_budgets();
         let slot = &mut self.slots[place];
-        let Some(peers) = &mut slot.peers else { return Ok(()) };
+        let Some(peers) = &mut slot.peers else {
+            return Ok(());
+        };
         if slot.use_at.is_some_and(|at| at <= now) {
             book_one(peers, tenants);
             slot.use_at = Some(now + Duration::from_secs(1) / uses_per_second.max(1));
@@ -202,10 +233,21 @@
         let node = self.slots[place].node;
         let (installation, orders) = self.plan.parsed(node)?;
         let fleet = installation.fleet.as_ref().ok_or("the plan has no fleet")?;
-        let registration = Registration { poller: &self.poller, key: place + FIRST_NODE_KEY };
+        let registration = Registration {
+            poller: &self.poller,
+            key: place + FIRST_NODE_KEY,
+        };
         let log = Logger::root(Discard, o!());
         let key = Some(FLEET_KEY);
-        let mut peers = Peers::open(&installation, fleet, key, &orders, unix_ms(), registration, log)?;
+        let mut peers = Peers::open(
+            &installation,
+            fleet,
+            key,
+            &orders,
+            unix_ms(),
+            registration,
+            log,
+        )?;
         let (plan, shared) = (self.plan.clone(), self.shared.clone());
         peers.set_tap(Box::new(HollowTap { node, plan, shared }));
         let books = self.plan.uses_per_second > 0 && !self.plan.is_voter(node);
@@ -219,14 +261,19 @@
     fn read_commands(&mut self) -> Result<(), String> {
         let mut chunk = vec![0; INPUT_CHUNK];
         // Level-triggered and ready: one read does not block.
-        let len = io::stdin().lock().read(&mut chunk).map_err(|e| format!("standard input: {e}"))?;
+        let len = io::stdin()
+            .lock()
+            .read(&mut chunk)
+            .map_err(|e| format!("standard input: {e}"))?;
         self.over = len == 0;
         self.input.extend(&chunk[..len]);
         while let Some(end) = self.input.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = self.input.drain(..=end).collect();
             let reply = match serde_json::from_slice::<HollowCommand>(&line) {
                 Ok(command) => self.carry_out(command),
-                Err(e) => HollowReply::Failed { why: format!("no command: {e}") },
+                Err(e) => HollowReply::Failed {
+                    why: format!("no command: {e}"),
+                },
             };
             let text = serde_json::to_string(&reply).map_err(|e| e.to_string())?;
             let mut output = io::stdout().lock();
@@ -240,9 +287,13 @@
     fn carry_out(&mut self, command: HollowCommand) -> HollowReply {
         match command {
             HollowCommand::Sample => {
-                let samples =
-                    self.slots.iter().filter_map(|slot| Some(sample(slot.node, slot.peers.as_ref()?)));
-                return HollowReply::Sample { nodes: samples.collect() };
+                let samples = self
+                    .slots
+                    .iter()
+                    .filter_map(|slot| Some(sample(slot.node, slot.peers.as_ref()?)));
+                return HollowReply::Sample {
+                    nodes: samples.collect(),
+                };
             }
             HollowCommand::Losses => {
                 let losses = std::mem::take(&mut self.shared.borrow_mut().losses);
@@ -270,14 +321,25 @@
 
     /// Places of those of these nodes that this process has.
     fn places_of(&self, nodes: &[usize]) -> Vec<usize> {
-        nodes.iter().filter_map(|node| self.places.get(node).copied()).collect()
+        nodes
+            .iter()
+            .filter_map(|node| self.places.get(node).copied())
+            .collect()
     }
 }
 
 /// Books one exchange as a caller's would be: on the group's budget, and on one tenant's.
 fn book_one(peers: &mut Peers, tenants: usize) {
-    let customer = if tenants == 0 { u16::MAX } else { fastrand::usize(..tenants) as u16 };
-    if let Ok(permit) = peers.admit(Asked { group: 0, customer, pool: 0 }) {
+    let customer = if tenants == 0 {
+        u16::MAX
+    } else {
+        fastrand::usize(..tenants) as u16
+    };
+    if let Ok(permit) = peers.admit(Asked {
+        group: 0,
+        customer,
+        pool: 0,
+    }) {
         peers.release(permit, Use::Over);
     }
 }
--- a/rig/src/scale/losses.rs
+++ b/rig/src/scale/losses.rs
@@ -21,7 +21,9 @@
 impl Outage {
     /// Whether it explains that `by` declared `lost` dead at that time.
     pub fn excuses(&self, by: usize, lost: usize, unix_ms: u64) -> bool {
-        let over = self.till_unix_ms.is_some_and(|till| unix_ms > till + EXCUSED_MS);
+        let over = self
+            .till_unix_ms
+            .is_some_and(|till| unix_ms > till + EXCUSED_MS);
         if unix_ms < self.from_unix_ms || over {
             return false;
         }
@@ -41,7 +43,15 @@
 ) -> Vec<Loss> {
     let excused = |loss: &&Loss| {
         let lost = number(&loss.name);
-        lost.is_some_and(|lost| outages.iter().any(|outage| outage.excuses(loss.by, lost, loss.unix_ms)))
+        lost.is_some_and(|lost| {
+            outages
+                .iter()
+                .any(|outage| outage.excuses(loss.by, lost, loss.unix_ms))
+        })
     };
-    losses.iter().filter(|loss| !excused(loss)).cloned().collect()
+    losses
+        .iter()
+        .filter(|loss| !excused(loss))
+        .cloned()
+        .collect()
 }
--- a/rig/src/scale/measure.rs
+++ b/rig/src/scale/measure.rs
@@ -36,8 +36,9 @@
 impl LinkRates {
     /// A second, of what came and went in `span`. A counter that went back (a restart) counts as nothing.
     pub fn between(before: LinkCounts, after: LinkCounts, span: Duration) -> LinkRates {
-        let rate =
-            |before: u64, after: u64| after.saturating_sub(before) as f64 / span.as_secs_f64().max(1e-9);
+        let rate = |before: u64, after: u64| {
+            after.saturating_sub(before) as f64 / span.as_secs_f64().max(1e-9)
+        };
         let headers = HEADER_BYTES as f64;
         let datagrams_in = rate(before.datagrams_in, after.datagrams_in);
         let datagrams_out = rate(before.datagrams_out, after.datagrams_out);
@@ -69,7 +70,13 @@
             (Quantity::BytesInPerSecond, self.bytes_in),
             (Quantity::BytesOutPerSecond, self.bytes_out),
         ];
-        all.into_iter().map(|(quantity, value)| Figure { role, quantity, value }).collect()
+        all.into_iter()
+            .map(|(quantity, value)| Figure {
+                role,
+                quantity,
+                value,
+            })
+            .collect()
     }
 }
 
@@ -84,8 +91,17 @@
 
 /// Thousandths of a core that a process took between two moments.
 pub fn core_thousandths(before: Usage, after: Usage) -> f64 {
-    let span = after.at.saturating_duration_since(before.at).as_secs_f64().max(1e-9);
-    after.processor.saturating_sub(before.processor).as_secs_f64() / span * THOUSANDTHS
+    let span = after
+        .at
+        .saturating_duration_since(before.at)
+        .as_secs_f64()
+        .max(1e-9);
+    after
+        .processor
+        .saturating_sub(before.processor)
+        .as_secs_f64()
+        / span
+        * THOUSANDTHS
 }
 
 /// The role of a voter or hollow node, where `leader` led from one sample to the other.
@@ -121,9 +137,15 @@
     wanted: Role,
 ) -> Vec<Figure> {
     let span = after.at.saturating_duration_since(before.at);
-    let links = after.nodes.iter().filter(|sample| role(plan, sample.node, leader) == wanted);
+    let links = after
+        .nodes
+        .iter()
+        .filter(|sample| role(plan, sample.node, leader) == wanted);
     let rates = links.filter_map(|sample| {
-        let earlier = before.nodes.iter().find(|earlier| earlier.node == sample.node)?;
+        let earlier = before
+            .nodes
+            .iter()
+            .find(|earlier| earlier.node == sample.node)?;
         Some(LinkRates::between(counts(earlier), counts(sample), span))
     });
     let rates: Vec<LinkRates> = rates.collect();
@@ -141,7 +163,10 @@
     let of_role = |process: &&ProcessSample| role(plan, process.nodes.start, leader) == wanted;
     let (mut nodes, mut thousandths, mut kilobytes) = (0, 0.0, 0.0);
     for process in after.processes.iter().filter(of_role) {
-        let earlier = before.processes.iter().find(|earlier| earlier.nodes == process.nodes);
+        let earlier = before
+            .processes
+            .iter()
+            .find(|earlier| earlier.nodes == process.nodes);
         let Some(earlier) = earlier else { continue };
         nodes += process.nodes.len();
         thousandths += core_thousandths(earlier.usage, process.usage);
@@ -150,8 +175,15 @@
     if nodes == 0 {
         return Vec::new();
     }
-    let figure = |quantity, sum: f64| Figure { role: wanted, quantity, value: sum / nodes as f64 };
-    vec![figure(Quantity::CoreThousandths, thousandths), figure(Quantity::ResidentKilobytes, kilobytes)]
+    let figure = |quantity, sum: f64| Figure {
+        role: wanted,
+        quantity,
+        value: sum / nodes as f64,
+    };
+    vec![
+        figure(Quantity::CoreThousandths, thousandths),
+        figure(Quantity::ResidentKilobytes, kilobytes),
+    ]
 }
 
 /// Figures of the processes with all of a node in them.
@@ -160,11 +192,24 @@
     let mut figures = LinkRates::mean(links).map_or(Vec::new(), |mean| mean.figures(role));
     let count = usages.len() as f64;
     if !usages.is_empty() {
-        let thousandths: f64 = usages.iter().map(|(before, after)| core_thousandths(*before, *after)).sum();
-        let kilobytes: u64 = usages.iter().map(|(_, after)| after.resident_kilobytes).sum();
-        let figure = |quantity, value| Figure { role, quantity, value };
+        let thousandths: f64 = usages
+            .iter()
+            .map(|(before, after)| core_thousandths(*before, *after))
+            .sum();
+        let kilobytes: u64 = usages
+            .iter()
+            .map(|(_, after)| after.resident_kilobytes)
+            .sum();
+        let figure = |quantity, value| Figure {
+            role,
+            quantity,
+            value,
+        };
         figures.push(figure(Quantity::CoreThousandths, thousandths / count));
-        figures.push(figure(Quantity::ResidentKilobytes, kilobytes as f64 / count));
+        figures.push(figure(
+            Quantity::ResidentKilobytes,
+            kilobytes as f64 / count,
+        ));
     }
     figures
 }
--- a/rig/src/scale/node_cost.rs
+++ b/rig/src/scale/node_cost.rs
@@ -62,10 +62,17 @@
 
 impl Lengths {
     fn of(quick: bool) -> Lengths {
-        let seconds = |quick_for, full_for| Duration::from_secs(if quick { quick_for } else { full_for });
+        let seconds =
+            |quick_for, full_for| Duration::from_secs(if quick { quick_for } else { full_for });
         Lengths {
-            sweep: Spans { rest: seconds(1, 1), load: seconds(1, 5) },
-            at_size: Spans { rest: seconds(1, 5), load: seconds(2, 10) },
+            sweep: Spans {
+                rest: seconds(1, 1),
+                load: seconds(1, 5),
+            },
+            at_size: Spans {
+                rest: seconds(1, 5),
+                load: seconds(2, 10),
+            },
             reloads: if quick { 2 } else { 12 },
             situations: seconds(12, 60),
         }
@@ -82,7 +89,9 @@
         (Dimension::Budgets, vec![0, 50, 250]),
     ];
     let ends = |sizes: Vec<usize>| vec![sizes[0], sizes[sizes.len() - 1]];
-    all.into_iter().map(|(dimension, list)| (dimension, if quick { ends(list) } else { list })).collect()
+    all.into_iter()
+        .map(|(dimension, list)| (dimension, if quick { ends(list) } else { list }))
+        .collect()
 }
 
 /// Measures everything, prints the tables and writes the JSON.
@@ -115,9 +124,15 @@
     let repeated_reloads = repeated_reloads(&bench, lengths.reloads)?;
     progress.inc(1);
     progress.set_message("more callers than sockets");
-    let crowds = if options.quick { vec![1_200] } else { vec![1_200, ALL_CALLERS] };
-    let full_tables =
-        crowds.into_iter().map(|callers| full_table::measure(&bench, callers)).collect::<Result<_, _>>()?;
+    let crowds = if options.quick {
+        vec![1_200]
+    } else {
+        vec![1_200, ALL_CALLERS]
+    };
+    let full_tables = crowds
+        .into_iter()
+        .map(|callers| full_table::measure(&bench, callers))
+        .collect::<Result<_, _>>()?;
     progress.inc(1);
     progress.set_message("keys, log and a node alone");
     let (keys, log, alone) = situations(&bench, lengths.situations, !options.quick)?;
@@ -162,7 +177,11 @@
         taken.push((*size, found));
         progress.inc(1);
     }
-    Ok(Swept { dimension, held: Size::HELD.held_beside(dimension), taken })
+    Ok(Swept {
+        dimension,
+        held: Size::HELD.held_beside(dimension),
+        taken,
+    })
 }
 
 type Situations = (keys::KeysHeld, log_volume::LogVolumes, alone::Alone);
@@ -173,8 +192,12 @@
         let keys = scope.spawn(|| keys::measure(bench, lasts, fill_table));
         let log = scope.spawn(|| log_volume::measure(bench, lasts));
         let alone = alone::measure(bench.program, bench.server, lasts);
-        let keys = keys.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic));
-        let log = log.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic));
+        let keys = keys
+            .join()
+            .unwrap_or_else(|panic| std::panic::resume_unwind(panic));
+        let log = log
+            .join()
+            .unwrap_or_else(|panic| std::panic::resume_unwind(panic));
         Ok((keys?, log?, alone?))
     })
 }
--- a/rig/src/scale/node_cost/alone.rs
+++ b/rig/src/scale/node_cost/alone.rs
@@ -56,17 +56,30 @@
         json!({"name": name, "kind": "rate", "whole": WHOLE, "burst": WHOLE, "floor": floor,
             "floors_for": [NAMES[0]], "for": {"customer": tenant(kind as usize)}})
     };
-    json!([budget("floored", Kind::WithFloor, FLOOR), budget("unfloored", Kind::WithoutFloor, 0)])
+    json!([
+        budget("floored", Kind::WithFloor, FLOOR),
+        budget("unfloored", Kind::WithoutFloor, 0)
+    ])
 }
 
 /// Starts a fleet of three, kills two and closes the registry, and asks the third at the peak's rate.
 ///
 /// # Errors
 /// A process does not start, or the third gets no share before the others die.
-pub fn measure(program: &Path, server: std::net::SocketAddr, lasts: Duration) -> Result<Alone, Fault> {
-    let bench = Bench { program, registry: open_registry(), server };
-    let addresses: Vec<Addresses> =
-        NAMES.iter().map(|_| fresh_addresses(&bench.registry, server)).collect::<Result<_, _>>()?;
+pub fn measure(
+    program: &Path,
+    server: std::net::SocketAddr,
+    lasts: Duration,
+) -> Result<Alone, Fault> {
+    let bench = Bench {
+        program,
+        registry: open_registry(),
+        server,
+    };
+    let addresses: Vec<Addresses> = NAMES
+        .iter()
+        .map(|_| fresh_addresses(&bench.registry, server))
+        .collect::<Result<_, _>>()?;
     let mut nodes: Vec<Started> = NAMES
         .iter()
         .zip(&addresses)
@@ -84,7 +97,10 @@
 }
 
 fn start(bench: &Bench, name: &str, at: Addresses, seed: Addresses) -> Result<Started, Fault> {
-    let size = Size { budgets: Some(0), ..Size::HELD };
+    let size = Size {
+        budgets: Some(0),
+        ..Size::HELD
+    };
     bench.start_at(name, &size, at, |installation| {
         installation["fleet"]["seeds"] = json!([seed.fleet.to_string()]);
         installation["fleet"]["voters"] = json!(NAMES);
@@ -94,7 +110,11 @@
 
 fn ask(caller: &mut Connection, kind: Kind) -> std::io::Result<Outcome> {
     let (path, tenant) = (request_path(&Size::HELD, 0), tenant(kind as usize));
-    caller.ask(&Request { path: &path, tenant: &tenant, idempotency_key: None })
+    caller.ask(&Request {
+        path: &path,
+        tenant: &tenant,
+        idempotency_key: None,
+    })
 }
 
 fn wait_for_shares(caller: &mut Connection, alone: &Started) -> Result<(), Fault> {
--- a/rig/src/scale/node_cost/caller.rs
+++ b/rig/src/scale/node_cost/caller.rs
@@ -76,7 +76,12 @@
     }
 
     pub fn all(&self) -> u64 {
-        self.completed + self.rejected + self.refused + self.failed + self.unreadable + self.unanswered
+        self.completed
+            + self.rejected
+            + self.refused
+            + self.failed
+            + self.unreadable
+            + self.unanswered
     }
 }
 
@@ -104,7 +109,10 @@
     fn on(socket: TcpStream, within: Duration) -> io::Result<Connection> {
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(within))?;
-        Ok(Connection { socket, buffer: vec![0; 4096] })
+        Ok(Connection {
+            socket,
+            buffer: vec![0; 4096],
+        })
     }
 
     /// Asks and waits for the answer.
@@ -146,10 +154,20 @@
     }
 
     fn exchange(&mut self, fields: &[(&str, &str)]) -> io::Result<Outcome> {
-        let pairs: Vec<_> = fields.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())).collect();
+        let pairs: Vec<_> = fields
+            .iter()
+            .map(|(name, value)| (name.as_bytes(), value.as_bytes()))
+            .collect();
         let mut bytes = Vec::with_capacity(512);
-        write_request(Protocol::FastCgi, &mut bytes, REQUEST_ID, true, &pairs, b"{}")
-            .map_err(io::Error::other)?;
+        write_request(
+            Protocol::FastCgi,
+            &mut bytes,
+            REQUEST_ID,
+            true,
+            &pairs,
+            b"{}",
+        )
+        .map_err(io::Error::other)?;
         self.socket.write_all(&bytes)?;
         let mut reader = AnswerReader::new(Protocol::FastCgi, REQUEST_ID, MOST_ANSWER);
         loop {
--- a/rig/src/scale/node_cost/full_table.rs
+++ b/rig/src/scale/node_cost/full_table.rs
@@ -56,7 +56,11 @@
     fn come(count: usize, started: &Started, size: &Size) -> Crowd {
         let until = Instant::now() + COMING_FOR;
         let (path, tenant) = (request_path(size, 0), tenant(0));
-        let request = Request { path: &path, tenant: &tenant, idempotency_key: None };
+        let request = Request {
+            path: &path,
+            tenant: &tenant,
+            idempotency_key: None,
+        };
         let mut crowd = Crowd::default();
         while crowd.came < count as u64 && Instant::now() < until {
             crowd.came += 1;
@@ -77,7 +81,10 @@
 /// # Errors
 /// The process does not start, or ends.
 pub fn measure(bench: &Bench, callers: usize) -> Result<FullTable, Fault> {
-    let size = Size { callers: REGULARS, ..Size::HELD };
+    let size = Size {
+        callers: REGULARS,
+        ..Size::HELD
+    };
     let mut started = bench.start(&size)?;
     started.process.wait_ready()?;
     let mut regulars = Callers::open(started.addresses.front, size)?;
@@ -97,12 +104,17 @@
             });
         }
         over.store(true, Ordering::Relaxed);
-        let crowds: Vec<Crowd> = crowds.into_iter().filter_map(|crowd| crowd.join().ok()).collect();
+        let crowds: Vec<Crowd> = crowds
+            .into_iter()
+            .filter_map(|crowd| crowd.join().ok())
+            .collect();
         (crowds, watch.join().unwrap_or(0))
     });
     let seconds = began.elapsed().as_secs_f64();
     let mut first_requests = Outcomes::default();
-    crowds.iter().for_each(|crowd| first_requests.add(&crowd.first_requests));
+    crowds
+        .iter()
+        .for_each(|crowd| first_requests.add(&crowd.first_requests));
     let open = |crowd: &Crowd| crowd.connections.iter().filter(|one| one.is_open()).count() as u64;
     Ok(FullTable {
         callers,
--- a/rig/src/scale/node_cost/keys.rs
+++ b/rig/src/scale/node_cost/keys.rs
@@ -42,7 +42,11 @@
 impl KeyedCaller {
     fn ask(&mut self, key: usize) -> Result<Outcome, Fault> {
         let idempotency_key = Some(key as u64 + 1);
-        let request = Request { path: KEYED_PATH, tenant: &self.tenant, idempotency_key };
+        let request = Request {
+            path: KEYED_PATH,
+            tenant: &self.tenant,
+            idempotency_key,
+        };
         Ok(self.connection.ask(&request)?)
     }
 
@@ -63,10 +67,17 @@
     let mut started = bench.start(&Size::HELD)?;
     started.process.wait_ready()?;
     let connection = Connection::open(started.addresses.front)?;
-    let mut caller = KeyedCaller { connection, tenant: tenant(0), keys: 0 };
+    let mut caller = KeyedCaller {
+        connection,
+        tenant: tenant(0),
+        keys: 0,
+    };
     let resident = || Ok::<f64, Fault>(started.process.usage()?.resident_kb as f64);
     let mut held = KeysHeld {
-        at_peak: vec![Point { size: 0.0, value: resident()? }],
+        at_peak: vec![Point {
+            size: 0.0,
+            value: resident()?,
+        }],
         beyond: Vec::new(),
         full_at: None,
         when_full: None,
@@ -80,7 +91,10 @@
             }
         });
         outcome?;
-        held.at_peak.push(Point { size: caller.keys as f64, value: resident()? });
+        held.at_peak.push(Point {
+            size: caller.keys as f64,
+            value: resident()?,
+        });
     }
     let until = Instant::now() + FAST_FOR;
     while fill && held.full_at.is_none() && caller.keys < MOST_KEYS && Instant::now() < until {
@@ -91,7 +105,10 @@
             held.repeat_when_full = Some(format!("{:?}", caller.ask(0)?));
         }
         if caller.keys.is_multiple_of(LOOK_EVERY) || held.full_at.is_some() {
-            held.beyond.push(Point { size: caller.keys as f64, value: resident()? });
+            held.beyond.push(Point {
+                size: caller.keys as f64,
+                value: resident()?,
+            });
         }
     }
     Ok(held)
--- a/rig/src/scale/node_cost/log_volume.rs
+++ b/rig/src/scale/node_cost/log_volume.rs
@@ -16,7 +16,10 @@
 const SERVERS_GONE: usize = 4;
 
 /// As many pools as there may be, the one without a name included.
-const MOST_SERVICES: Size = Size { services: MOST_POOLS + 1, ..Size::HELD };
+const MOST_SERVICES: Size = Size {
+    services: MOST_POOLS + 1,
+    ..Size::HELD
+};
 
 /// One situation over a time.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -57,7 +60,9 @@
         let rejecting = scope.spawn(|| rejecting(bench, lasts));
         let servers_gone = scope.spawn(|| servers_gone(bench, lasts));
         let ended = |thread: std::thread::ScopedJoinHandle<Result<LogVolume, Fault>>| {
-            thread.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))
+            thread
+                .join()
+                .unwrap_or_else(|panic| std::panic::resume_unwind(panic))
         };
         Ok(LogVolumes {
             calm: ended(few_pools)?,
@@ -76,12 +81,22 @@
     let after = started.process.log();
     let (bytes, lines) = (after.bytes - before.bytes, after.lines - before.lines);
     let seconds = lasts.as_secs_f64();
-    Ok(LogVolume { pools: size.services, seconds, bytes, lines, outcomes: Outcomes::default() })
+    Ok(LogVolume {
+        pools: size.services,
+        seconds,
+        bytes,
+        lines,
+        outcomes: Outcomes::default(),
+    })
 }
 
 /// All requests are of one tenant, whose budget has one a second.
 fn rejecting(bench: &Bench, lasts: Duration) -> Result<LogVolume, Fault> {
-    let size = Size { tenants: 1, budgets: Some(1), ..Size::HELD };
+    let size = Size {
+        tenants: 1,
+        budgets: Some(1),
+        ..Size::HELD
+    };
     let mut started = bench.start_changed(&size, |installation| {
         installation["budgets"][0] = json!({"name": "scarce", "kind": "rate", "whole": 1, "burst": 1,
             "for": {"customer": tenant(0)}});
@@ -106,9 +121,13 @@
 
 /// Addresses that were free a moment ago.
 fn addresses_of_nobody() -> std::io::Result<Vec<String>> {
-    let listeners: Vec<TcpListener> =
-        (0..SERVERS_GONE).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
-    listeners.iter().map(|listener| Ok(listener.local_addr()?.to_string())).collect()
+    let listeners: Vec<TcpListener> = (0..SERVERS_GONE)
+        .map(|_| TcpListener::bind("127.0.0.1:0"))
+        .collect::<Result<_, _>>()?;
+    listeners
+        .iter()
+        .map(|listener| Ok(listener.local_addr()?.to_string()))
+        .collect()
 }
 
 fn under_load(started: &mut Started, size: Size, lasts: Duration) -> Result<LogVolume, Fault> {
@@ -119,5 +138,11 @@
     let after = started.process.log();
     let (bytes, lines) = (after.bytes - before.bytes, after.lines - before.lines);
     let (pools, seconds, outcomes) = (size.services, lasts.as_secs_f64(), callers.outcomes);
-    Ok(LogVolume { pools, seconds, bytes, lines, outcomes })
+    Ok(LogVolume {
+        pools,
+        seconds,
+        bytes,
+        lines,
+        outcomes,
+    })
 }
--- a/rig/src/scale/node_cost/measure.rs
+++ b/rig/src/scale/node_cost/measure.rs
@@ -41,7 +41,11 @@
     /// No socket can be had.
     pub fn open(program: &'a Path) -> Result<Bench<'a>, Fault> {
         let server = instant::server(Protocol::FastCgi, SERVER_THREADS)?;
-        Ok(Bench { program, registry: open_registry(), server })
+        Ok(Bench {
+            program,
+            registry: open_registry(),
+            server,
+        })
     }
 
     /// Starts a process with generated settings of a size.
@@ -56,7 +60,11 @@
     ///
     /// # Errors
     /// It can't be started.
-    pub fn start_changed(&self, size: &Size, change: impl FnOnce(&mut Value)) -> Result<Started, Fault> {
+    pub fn start_changed(
+        &self,
+        size: &Size,
+        change: impl FnOnce(&mut Value),
+    ) -> Result<Started, Fault> {
         let addresses = fresh_addresses(&self.registry, self.server)?;
         self.start_at(NAME, size, addresses, change)
     }
@@ -76,7 +84,11 @@
         change(&mut installation);
         let configuration = configuration(name, size, &addresses);
         let process = NodeProcess::start(self.program, &addresses, &configuration, &installation)?;
-        Ok(Started { process, addresses, installation })
+        Ok(Started {
+            process,
+            addresses,
+            installation,
+        })
     }
 }
 
@@ -128,7 +140,11 @@
 impl From<&Histogram<u64>> for Latency {
     fn from(latencies: &Histogram<u64>) -> Latency {
         let quantile = |part| latencies.value_at_quantile(part) as f64 / 1_000.0;
-        Latency { count: latencies.len(), p50_us: quantile(0.5), p99_us: quantile(0.99) }
+        Latency {
+            count: latencies.len(),
+            p50_us: quantile(0.5),
+            p99_us: quantile(0.99),
+        }
     }
 }
 
@@ -202,14 +218,22 @@
 
 /// A node that has just started gives no vote for a while, so it has no share of any budget.
 fn wait_for_budgets(started: &Started, size: &Size) -> Result<(), Fault> {
-    let Some(1..) = size.budgets else { return Ok(()) };
+    let Some(1..) = size.budgets else {
+        return Ok(());
+    };
     let mut connection = Connection::open(started.addresses.front)?;
     let path = request_path(size, 0);
-    let request = Request { path: &path, tenant: "tenant-0", idempotency_key: None };
+    let request = Request {
+        path: &path,
+        tenant: "tenant-0",
+        idempotency_key: None,
+    };
     let until = Instant::now() + SHARED_WITHIN;
     while connection.ask(&request)? != Outcome::Completed {
         if Instant::now() > until {
-            return Err(started.process.too_late("a share of a budget", SHARED_WITHIN));
+            return Err(started
+                .process
+                .too_late("a share of a budget", SHARED_WITHIN));
         }
         std::thread::sleep(RETRY_EVERY);
     }
@@ -233,7 +257,14 @@
     /// The front takes no connection.
     pub fn open(front: SocketAddr, size: Size) -> Result<Callers, Fault> {
         let (connections, outcomes) = Default::default();
-        let mut callers = Callers { front, size, connections, asked: 0, outcomes, reconnected: 0 };
+        let mut callers = Callers {
+            front,
+            size,
+            connections,
+            asked: 0,
+            outcomes,
+            reconnected: 0,
+        };
         for _ in 0..size.callers {
             callers.connections.push(Connection::open(front)?);
             callers.ask_on(callers.connections.len() - 1);
@@ -250,7 +281,11 @@
         let path = request_path(&self.size, self.asked);
         let tenant = tenant(self.asked * TENANT_STRIDE % self.size.tenants);
         self.asked += 1;
-        let request = Request { path: &path, tenant: &tenant, idempotency_key: None };
+        let request = Request {
+            path: &path,
+            tenant: &tenant,
+            idempotency_key: None,
+        };
         let mut outcome = self.connections[place].ask(&request);
         if outcome.is_err()
             && let Ok(fresh) = Connection::open(self.front)
@@ -281,7 +316,11 @@
     let before = started.process.usage()?;
     let began = Instant::now();
     let path = request_path(&callers.size, 0);
-    let request = Request { path: &path, tenant: "tenant-0", idempotency_key: None };
+    let request = Request {
+        path: &path,
+        tenant: "tenant-0",
+        idempotency_key: None,
+    };
     let mut failed = Ok(());
     paced(2.0 * PEAK_RATE, lasts, |nth, _| {
         let asked_at = Instant::now();
@@ -295,6 +334,14 @@
         }
     });
     failed?;
-    let processor = started.process.usage()?.processor.saturating_sub(before.processor);
-    Ok(Load { core_thousandths: thousandths(processor, began.elapsed()), through_node, straight })
+    let processor = started
+        .process
+        .usage()?
+        .processor
+        .saturating_sub(before.processor);
+    Ok(Load {
+        core_thousandths: thousandths(processor, began.elapsed()),
+        through_node,
+        straight,
+    })
 }
--- a/rig/src/scale/node_cost/process.rs
+++ b/rig/src/scale/node_cost/process.rs
@@ -38,7 +38,11 @@
     #[error("the program does not start: {0}")]
     DoesNotStart(String),
     #[error("{what} is not seen within {within:?}; the log ends with: {log}")]
-    TooLate { what: &'static str, within: Duration, log: String },
+    TooLate {
+        what: &'static str,
+        within: Duration,
+        log: String,
+    },
 }
 
 /// What a process has used so far.
@@ -95,15 +99,25 @@
         configuration: &Value,
         installation: &Value,
     ) -> io::Result<NodeProcess> {
-        let name = format!("doortrack-scale-{}-{}", std::process::id(), addresses.listen.ip());
+        let name = format!(
+            "doortrack-scale-{}-{}",
+            std::process::id(),
+            addresses.listen.ip()
+        );
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder)?;
         let configuration_file = folder.join("configuration.json");
         std::fs::write(&configuration_file, configuration.to_string())?;
         std::fs::write(folder.join("installation.json"), installation.to_string())?;
         let mut command = Command::new(program);
-        command.arg("serve").arg("--installation").arg(folder.join("installation.json"));
-        command.env("GW_CONFIG", &configuration_file).stdin(Stdio::null()).stdout(Stdio::null());
+        command
+            .arg("serve")
+            .arg("--installation")
+            .arg(folder.join("installation.json"));
+        command
+            .env("GW_CONFIG", &configuration_file)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null());
         // SAFETY: between fork and exec nothing is called but one system call.
         unsafe { command.pre_exec(|| Ok(set_parent_process_death_signal(Some(Signal::KILL))?)) };
         let started = Instant::now();
@@ -113,7 +127,14 @@
             let log = log.clone();
             std::thread::spawn(move || read_log(stderr, &log))
         });
-        Ok(NodeProcess { child, folder, front: addresses.front, started, log, reader })
+        Ok(NodeProcess {
+            child,
+            folder,
+            front: addresses.front,
+            started,
+            log,
+            reader,
+        })
     }
 
     /// Waits for the first good health check; how long that took since the start.
@@ -135,12 +156,20 @@
     }
 
     fn is_healthy(&self) -> bool {
-        let Ok(mut connection) = Connection::open(self.front) else { return false };
-        connection.check_health().is_ok_and(|outcome| outcome == Outcome::Completed)
+        let Ok(mut connection) = Connection::open(self.front) else {
+            return false;
+        };
+        connection
+            .check_health()
+            .is_ok_and(|outcome| outcome == Outcome::Completed)
     }
 
     pub fn too_late(&self, what: &'static str, within: Duration) -> Fault {
-        Fault::TooLate { what, within, log: self.log().tail }
+        Fault::TooLate {
+            what,
+            within,
+            log: self.log().tail,
+        }
     }
 
     /// # Errors
@@ -149,7 +178,9 @@
         let process = Process::new(self.child.id() as i32)?;
         let status = process.status()?;
         // The process's own file tells of its first thread alone.
-        let of_threads = process.tasks()?.map(|thread| Ok(thread?.schedstat()?.sum_exec_runtime));
+        let of_threads = process
+            .tasks()?
+            .map(|thread| Ok(thread?.schedstat()?.sum_exec_runtime));
         let processor_ns = of_threads.sum::<Result<u64, procfs::ProcError>>()?;
         Ok(Usage {
             processor: Duration::from_nanos(processor_ns),
@@ -160,7 +191,10 @@
     }
 
     pub fn log(&self) -> Log {
-        self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.log
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Replaces the operators' own file; the process learns of it by [`NodeProcess::hang_up`].
@@ -168,7 +202,10 @@
     /// # Errors
     /// The file can't be written.
     pub fn replace_installation(&self, installation: &Value) -> io::Result<()> {
-        std::fs::write(self.folder.join("installation.json"), installation.to_string())
+        std::fs::write(
+            self.folder.join("installation.json"),
+            installation.to_string(),
+        )
     }
 
     /// Sends SIGHUP.
@@ -193,7 +230,9 @@
 fn read_log(mut stderr: ChildStderr, log: &Mutex<Log>) {
     let mut buffer = [0; 64 * 1024];
     while let Ok(count @ 1..) = stderr.read(&mut buffer) {
-        log.lock().unwrap_or_else(PoisonError::into_inner).take_in(&buffer[..count]);
+        log.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .take_in(&buffer[..count]);
     }
 }
 
--- a/rig/src/scale/node_cost/reload.rs
+++ b/rig/src/scale/node_cost/reload.rs
@@ -44,13 +44,21 @@
 
 impl Prober {
     fn open(front: SocketAddr, path: String) -> Result<Prober, Fault> {
-        Ok(Prober { connection: Connection::open(front)?, path, due: Instant::now() })
+        Ok(Prober {
+            connection: Connection::open(front)?,
+            path,
+            due: Instant::now(),
+        })
     }
 
     /// Asks when the next request is due: what came of it, and the wait since it was due.
     fn ask(&mut self) -> Result<(Outcome, Duration), Fault> {
         std::thread::sleep(self.due.saturating_duration_since(Instant::now()));
-        let request = Request { path: &self.path, tenant: &tenant(0), idempotency_key: None };
+        let request = Request {
+            path: &self.path,
+            tenant: &tenant(0),
+            idempotency_key: None,
+        };
         let outcome = self.connection.ask(&request)?;
         let wait = self.due.elapsed();
         self.due += ASKS_EVERY;
@@ -69,14 +77,25 @@
 /// # Errors
 /// The process is gone.
 pub fn repeat(started: &Started, count: usize) -> Result<Vec<Point>, Fault> {
-    let files = [installation_changed(&started.installation), started.installation.clone()];
+    let files = [
+        installation_changed(&started.installation),
+        started.installation.clone(),
+    ];
     let resident = || Ok::<f64, Fault>(started.process.usage()?.resident_kb as f64);
-    let mut points = vec![Point { size: 0.0, value: resident()? }];
+    let mut points = vec![Point {
+        size: 0.0,
+        value: resident()?,
+    }];
     for nth in 0..count {
-        started.process.replace_installation(&files[nth % files.len()])?;
+        started
+            .process
+            .replace_installation(&files[nth % files.len()])?;
         started.process.hang_up()?;
         std::thread::sleep(BETWEEN_REPEATS);
-        points.push(Point { size: (nth + 1) as f64, value: resident()? });
+        points.push(Point {
+            size: (nth + 1) as f64,
+            value: resident()?,
+        });
     }
     Ok(points)
 }
--- a/rig/src/scale/node_cost/report.rs
+++ b/rig/src/scale/node_cost/report.rs
@@ -52,11 +52,17 @@
 type Reading = (Quantity, fn(&Measured) -> f64);
 const READINGS: [Reading; 6] = [
     (Quantity::ReadyMilliseconds, |measured| measured.ready_ms),
-    (Quantity::ResidentKilobytes, |measured| measured.resident_under_load_kb as f64),
-    (Quantity::CoreThousandths, |measured| measured.core_thousandths),
+    (Quantity::ResidentKilobytes, |measured| {
+        measured.resident_under_load_kb as f64
+    }),
+    (Quantity::CoreThousandths, |measured| {
+        measured.core_thousandths
+    }),
     (Quantity::AddedP50Microseconds, Measured::added_p50_us),
     (Quantity::AddedP99Microseconds, Measured::added_p99_us),
-    (Quantity::ReloadMilliseconds, |measured| measured.reload.in_force_ms),
+    (Quantity::ReloadMilliseconds, |measured| {
+        measured.reload.in_force_ms
+    }),
 ];
 
 impl Swept {
@@ -67,10 +73,16 @@
             _ => Role::Node,
         };
         let points = |reading: fn(&Measured) -> f64| {
-            let measured = self.taken.iter().filter_map(move |(size, taken)| match taken {
-                Taken::Measured(measured) => Some(Point { size: *size as f64, value: reading(measured) }),
-                Taken::Refused { .. } => None,
-            });
+            let measured = self
+                .taken
+                .iter()
+                .filter_map(move |(size, taken)| match taken {
+                    Taken::Measured(measured) => Some(Point {
+                        size: *size as f64,
+                        value: reading(measured),
+                    }),
+                    Taken::Refused { .. } => None,
+                });
             measured.collect()
         };
         let one = |(quantity, reading): Reading| Series {
@@ -86,7 +98,9 @@
 
 fn table(title: &str, header: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut table = Table::new();
-    table.load_style(presets::ASCII_MARKDOWN).set_header(header.iter().copied());
+    table
+        .load_style(presets::ASCII_MARKDOWN)
+        .set_header(header.iter().copied());
     table.add_rows(rows);
     format!("\n{title}\n{table}\n")
 }
@@ -101,12 +115,32 @@
         measured.resident_idle_callers_kb.to_string(),
         measured.resident_under_load_kb.to_string(),
         format!("{} / {}", reload.resident_kb, measured.peak_resident_kb),
-        format!("{:.1} / {:.1}", measured.rest_core_thousandths, measured.core_thousandths),
-        format!("{:.0} - {:.0} = {:.0}", node.p50_us, straight.p50_us, measured.added_p50_us()),
-        format!("{:.0} - {:.0} = {:.0}", node.p99_us, straight.p99_us, measured.added_p99_us()),
+        format!(
+            "{:.1} / {:.1}",
+            measured.rest_core_thousandths, measured.core_thousandths
+        ),
+        format!(
+            "{:.0} - {:.0} = {:.0}",
+            node.p50_us,
+            straight.p50_us,
+            measured.added_p50_us()
+        ),
+        format!(
+            "{:.0} - {:.0} = {:.0}",
+            node.p99_us,
+            straight.p99_us,
+            measured.added_p99_us()
+        ),
         format!("{:.0}", reload.in_force_ms),
-        format!("{:.0} ({:.0})", reload.worst_wait_ms, reload.worst_wait_before_ms),
-        format!("{}/{}", measured.outcomes.completed, measured.outcomes.all()),
+        format!(
+            "{:.0} ({:.0})",
+            reload.worst_wait_ms, reload.worst_wait_before_ms
+        ),
+        format!(
+            "{}/{}",
+            measured.outcomes.completed,
+            measured.outcomes.all()
+        ),
         measured.reconnected.to_string(),
     ]
 }
@@ -134,7 +168,11 @@
         Taken::Refused { why, .. } => vec![size.to_string(), format!("refused: {}", why.trim())],
     };
     let rows = swept.taken.iter().map(row).collect();
-    let mut text = table(&format!("{:?}; held: {}", swept.dimension, swept.held), &MEASURED_HEADER, rows);
+    let mut text = table(
+        &format!("{:?}; held: {}", swept.dimension, swept.held),
+        &MEASURED_HEADER,
+        rows,
+    );
     for series in swept.series() {
         if let Ok(line) = fit(&series.points) {
             text.push_str(&format!(
@@ -150,7 +188,11 @@
 pub fn tables(report: &Report) -> String {
     let mut text: String = report.swept.iter().map(swept_table).collect();
     let row = measured_row("all".into(), &report.at_size);
-    text.push_str(&table(&format!("At size: {:?}", report.at_size.size), &MEASURED_HEADER, vec![row]));
+    text.push_str(&table(
+        &format!("At size: {:?}", report.at_size.size),
+        &MEASURED_HEADER,
+        vec![row],
+    ));
     text.push_str(&reloads_text(&report.repeated_reloads));
     text.push_str(&keys_text(&report.keys));
     text.push_str(&full_tables_text(&report.full_tables));
@@ -164,18 +206,39 @@
 const SECONDS_SHOWN: usize = 10;
 
 fn reloads_text(points: &[Point]) -> String {
-    let rows = points.iter().map(|point| vec![format!("{:.0}", point.size), format!("{:.0}", point.value)]);
-    table("Reloads one after the other, at size", &["reloads", "resident kB"], rows.collect())
+    let rows = points
+        .iter()
+        .map(|point| vec![format!("{:.0}", point.size), format!("{:.0}", point.value)]);
+    table(
+        "Reloads one after the other, at size",
+        &["reloads", "resident kB"],
+        rows.collect(),
+    )
 }
 
 fn keys_text(keys: &KeysHeld) -> String {
-    let shown = keys.at_peak.iter().step_by(SECONDS_SHOWN).chain(&keys.beyond);
+    let shown = keys
+        .at_peak
+        .iter()
+        .step_by(SECONDS_SHOWN)
+        .chain(&keys.beyond);
     let rows = shown.map(|point| {
         let bytes = (point.value - keys.at_peak[0].value) * 1_024.0 / point.size.max(1.0);
-        vec![format!("{:.0}", point.size), format!("{:.0}", point.value), format!("{bytes:.0}")]
+        vec![
+            format!("{:.0}", point.size),
+            format!("{:.0}", point.value),
+            format!("{bytes:.0}"),
+        ]
     });
-    let mut text = table("Idempotency keys held", &["keys", "resident kB", "bytes a key"], rows.collect());
-    for (name, points) in [("at the peak's rate", &keys.at_peak), ("beyond", &keys.beyond)] {
+    let mut text = table(
+        "Idempotency keys held",
+        &["keys", "resident kB", "bytes a key"],
+        rows.collect(),
+    );
+    for (name, points) in [
+        ("at the peak's rate", &keys.at_peak),
+        ("beyond", &keys.beyond),
+    ] {
         if let Ok(line) = fit(points) {
             text.push_str(&format!(
                 "  {name}: {:.0} bytes a key (r2 {:.3})\n",
@@ -187,7 +250,9 @@
     if let (Some(full_at), Some(when_full), Some(repeat)) =
         (keys.full_at, &keys.when_full, &keys.repeat_when_full)
     {
-        text.push_str(&format!("  full at {full_at} keys: a new one is {when_full}, a repeat {repeat}\n"));
+        text.push_str(&format!(
+            "  full at {full_at} keys: a new one is {when_full}, a repeat {repeat}\n"
+        ));
     }
     text
 }
@@ -210,7 +275,15 @@
         ("rejecting", &log.rejecting),
         ("servers gone", &log.servers_gone),
     ];
-    let header = ["situation", "pools", "s", "lines", "bytes", "bytes/s", "requests"];
+    let header = [
+        "situation",
+        "pools",
+        "s",
+        "lines",
+        "bytes",
+        "bytes/s",
+        "requests",
+    ];
     table("Log", &header, all.into_iter().map(row).collect())
 }
 
@@ -224,7 +297,10 @@
         ("unreadable", outcomes.unreadable),
         ("unanswered", outcomes.unanswered),
     ];
-    let told = counts.iter().filter(|(_, count)| *count > 0).map(|(name, count)| format!("{name} {count}"));
+    let told = counts
+        .iter()
+        .filter(|(_, count)| *count > 0)
+        .map(|(name, count)| format!("{name} {count}"));
     told.collect::<Vec<_>>().join(", ")
 }
 
@@ -238,7 +314,11 @@
             full.still_open.to_string(),
             full.most_descriptors.to_string(),
             full.resident_kb.to_string(),
-            format!("{}; {} reconnected", outcomes_text(&full.regulars), full.regulars_reconnected),
+            format!(
+                "{}; {} reconnected",
+                outcomes_text(&full.regulars),
+                full.regulars_reconnected
+            ),
             format!("{:.0} / {:.0}", latency.p50_us, latency.p99_us),
         ]
     };
@@ -252,12 +332,18 @@
         "those of before",
         "their p50 / p99 us",
     ];
-    table("More callers than sockets", &header, full_tables.iter().map(row).collect())
+    table(
+        "More callers than sockets",
+        &header,
+        full_tables.iter().map(row).collect(),
+    )
 }
 
 fn alone_text(alone: &Alone) -> String {
     let row = |(name, quarters): (&str, &Quarters)| {
-        std::iter::once(name.to_string()).chain(quarters.0.iter().map(outcomes_text)).collect()
+        std::iter::once(name.to_string())
+            .chain(quarters.0.iter().map(outcomes_text))
+            .collect()
     };
     let rows = [
         ("under no budget", &alone.without_budget),
--- a/rig/src/scale/node_cost/settings.rs
+++ b/rig/src/scale/node_cost/settings.rs
@@ -45,7 +45,13 @@
 
 impl Size {
     /// What is held while one dimension grows.
-    pub const HELD: Size = Size { routes: 850, tenants: 2_000, services: 10, callers: 50, budgets: None };
+    pub const HELD: Size = Size {
+        routes: 850,
+        tenants: 2_000,
+        services: 10,
+        callers: 50,
+        budgets: None,
+    };
 
     /// The held size with one dimension changed.
     ///
@@ -53,11 +59,26 @@
     /// For the number of nodes, which is no setting of one node.
     pub fn with(self, dimension: Dimension, size: usize) -> Size {
         match dimension {
-            Dimension::Routes => Size { routes: size, ..self },
-            Dimension::Tenants => Size { tenants: size, ..self },
-            Dimension::Services => Size { services: size, ..self },
-            Dimension::Callers => Size { callers: size, ..self },
-            Dimension::Budgets => Size { budgets: Some(size), ..self },
+            Dimension::Routes => Size {
+                routes: size,
+                ..self
+            },
+            Dimension::Tenants => Size {
+                tenants: size,
+                ..self
+            },
+            Dimension::Services => Size {
+                services: size,
+                ..self
+            },
+            Dimension::Callers => Size {
+                callers: size,
+                ..self
+            },
+            Dimension::Budgets => Size {
+                budgets: Some(size),
+                ..self
+            },
             Dimension::Nodes => panic!("the number of nodes is no setting of one node"),
         }
     }
@@ -69,9 +90,16 @@
             (Dimension::Tenants, format!("{} tenants", self.tenants)),
             (Dimension::Services, format!("{} pools", self.services)),
             (Dimension::Callers, format!("{} callers", self.callers)),
-            (Dimension::Budgets, self.budgets.map_or("no fleet".into(), |count| format!("{count} budgets"))),
+            (
+                Dimension::Budgets,
+                self.budgets
+                    .map_or("no fleet".into(), |count| format!("{count} budgets")),
+            ),
         ];
-        let held = parts.into_iter().filter(|(other, _)| *other != dimension).map(|(_, text)| text);
+        let held = parts
+            .into_iter()
+            .filter(|(other, _)| *other != dimension)
+            .map(|(_, text)| text);
         held.collect::<Vec<_>>().join(", ")
     }
 }
@@ -116,12 +144,20 @@
 
 /// A path that is served until the installation is changed by [`installation_changed`].
 pub fn probe_path(size: &Size) -> &'static str {
-    if size.routes == 0 { PLATFORM_PATH } else { PROBE_PATH }
+    if size.routes == 0 {
+        PLATFORM_PATH
+    } else {
+        PROBE_PATH
+    }
 }
 
 /// A path that [`installation_changed`] leaves as it was served.
 pub fn unchanged_path(size: &Size) -> String {
-    if size.routes == 0 { OTHER_PATH.into() } else { request_path(size, 0) }
+    if size.routes == 0 {
+        OTHER_PATH.into()
+    } else {
+        request_path(size, 0)
+    }
 }
 
 /// The platform's configuration.
@@ -162,7 +198,10 @@
 pub fn installation_changed(installation: &Value) -> Value {
     let mut changed = installation.clone();
     let unknown = json!("\"nobody\"");
-    match changed["rules"].as_array_mut().and_then(|rules| rules.last_mut()) {
+    match changed["rules"]
+        .as_array_mut()
+        .and_then(|rules| rules.last_mut())
+    {
         Some(last) => last["customer"] = unknown,
         None => {
             let when = format!("path == \"{PLATFORM_PATH}\"");
@@ -179,7 +218,11 @@
     let keyed = json!({"when": format!("path.starts_with(\"{KEYED_PATH}\")"), "group": "pay"});
     let probe = json!({"when": format!("path == \"{PROBE_PATH}\""), "group": "look"});
     let routes = (0..size.routes.saturating_sub(2)).map(|nth| route(nth, size.services));
-    std::iter::once(keyed).chain(routes).chain([probe]).take(size.routes).collect()
+    std::iter::once(keyed)
+        .chain(routes)
+        .chain([probe])
+        .take(size.routes)
+        .collect()
 }
 
 fn route(nth: usize, services: usize) -> Value {
--- a/rig/src/scale/plan.rs
+++ b/rig/src/scale/plan.rs
@@ -64,7 +64,9 @@
 
     /// The number of the node at a fleet address.
     pub fn node_at(&self, address: SocketAddr) -> Option<usize> {
-        let SocketAddr::V4(address) = address else { return None };
+        let SocketAddr::V4(address) = address else {
+            return None;
+        };
         let [first, second, row, place] = address.ip().octets();
         if [first, second] != NETWORK {
             return None;
@@ -75,7 +77,10 @@
 
     /// The number of the node of a name.
     pub fn node_named(&self, name: &str) -> Option<usize> {
-        name.strip_prefix("node-")?.parse().ok().filter(|node| *node < self.nodes)
+        name.strip_prefix("node-")?
+            .parse()
+            .ok()
+            .filter(|node| *node < self.nodes)
     }
 
     pub fn is_voter(&self, node: usize) -> bool {
@@ -106,8 +111,7 @@
         config["listen"] = json!(self.front_address(node).to_string());
         config["stop_ms"] = json!(STOP_MS);
         config["seed"] = json!(format!("{:016x}", 0x5ca1_e000 + node as u64));
-        let tenant =
-            |nth| json!({"name": FleetPlan::tenant(nth), "allowance_per_s": TENANT_ALLOWANCE_PER_SECOND});
+        let tenant = |nth| json!({"name": FleetPlan::tenant(nth), "allowance_per_s": TENANT_ALLOWANCE_PER_SECOND});
         let tenants: Vec<Value> = (0..self.tenant_budgets()).map(tenant).collect();
         config["settings"]["parties"] = json!(tenants);
         config
@@ -116,8 +120,9 @@
     /// The operators' file of a node, without servers. The same budgets stand in all.
     pub fn installation(&self, node: usize) -> Value {
         let voters: Vec<String> = (0..self.voters).map(|voter| self.name(voter)).collect();
-        let seeds: Vec<String> =
-            (0..self.voters).map(|voter| self.fleet_address(voter).to_string()).collect();
+        let seeds: Vec<String> = (0..self.voters)
+            .map(|voter| self.fleet_address(voter).to_string())
+            .collect();
         let budgets: Vec<Value> = (0..self.budgets).map(FleetPlan::budget).collect();
         json!({
             "fleet": {"name": "scale", "listen": self.fleet_address(node).to_string(), "seeds": seeds,
@@ -141,10 +146,16 @@
     /// All faults of either file, each on a line.
     pub fn parsed(&self, node: usize) -> Result<(Installation, Orders), String> {
         let faults = |faults: doortrack_installation::Faults| {
-            faults.0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+            faults
+                .0
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join("\n")
         };
         let orders = orders::parse(self.config(node).to_string().as_bytes()).map_err(faults)?;
-        let installation = file::parse(self.installation(node).to_string().as_bytes()).map_err(faults)?;
+        let installation =
+            file::parse(self.installation(node).to_string().as_bytes()).map_err(faults)?;
         installation.beside(&orders).map_err(faults)?;
         Ok((installation, orders))
     }
--- a/rig/src/scale/probe.rs
+++ b/rig/src/scale/probe.rs
@@ -65,14 +65,21 @@
         served.asked += 1;
         let unix_ms = unix_ms();
         let ask = Ask::new(nth, "/svc/look", b"berth").with(TENANT_FIELD, CALLERS_TENANT);
-        match ask.try_send(front, Protocol::FastCgi).map(|pending| pending.seen()) {
+        match ask
+            .try_send(front, Protocol::FastCgi)
+            .map(|pending| pending.seen())
+        {
             Ok(Seen::Completed(_)) => {
                 served.completed += 1;
-                served.longest_gap_ms = served.longest_gap_ms.max(last.elapsed().as_millis() as u64);
+                served.longest_gap_ms =
+                    served.longest_gap_ms.max(last.elapsed().as_millis() as u64);
                 last = Instant::now();
             }
             other if served.not_completed.len() < MOST_TOLD => {
-                served.not_completed.push(NotCompleted { unix_ms, what: format!("{other:?}") });
+                served.not_completed.push(NotCompleted {
+                    unix_ms,
+                    what: format!("{other:?}"),
+                });
             }
             _ => {}
         }
--- a/rig/src/scale/serving.rs
+++ b/rig/src/scale/serving.rs
@@ -88,7 +88,11 @@
         node: usize,
         in_fleet: bool,
     ) -> Result<Self, ScaleError> {
-        let mut installation = if in_fleet { plan.installation(node) } else { json!({}) };
+        let mut installation = if in_fleet {
+            plan.installation(node)
+        } else {
+            json!({})
+        };
         installation["servers"] = with.servers.clone();
         if in_fleet {
             installation["fleet"]["key_file"] = json!(KEY_FILE);
@@ -98,11 +102,19 @@
         write(&config_file, &plan.config(node))?;
         write(&installation_file, &installation)?;
         let mut command = Command::new(with.program);
-        command.arg("serve").arg("--installation").arg(&installation_file);
+        command
+            .arg("serve")
+            .arg("--installation")
+            .arg(&installation_file);
         command.args(["--log-format", "json", "--log-lines", LOG_LINES_PER_SECOND]);
-        command.env("GW_CONFIG", &config_file).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .env("GW_CONFIG", &config_file)
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         end_with_parent(&mut command);
-        let mut child = command.spawn().map_err(ScaleError::io(with.program.display()))?;
+        let mut child = command
+            .spawn()
+            .map_err(ScaleError::io(with.program.display()))?;
         let summaries = Summaries::default();
         let log = child.stderr.take();
         let reader = log.map(|log| {
@@ -110,7 +122,15 @@
             std::thread::spawn(move || read_log(log, &summaries))
         });
         let (front, fleet_address) = (plan.front_address(node), plan.fleet_address(node));
-        Ok(RealNode { node, front, in_fleet, fleet_address, child, summaries, reader })
+        Ok(RealNode {
+            node,
+            front,
+            in_fleet,
+            fleet_address,
+            child,
+            summaries,
+            reader,
+        })
     }
 
     pub fn pid(&self) -> u32 {
@@ -119,7 +139,10 @@
 
     /// The last two summaries of its link, with when they were read.
     pub fn last_summaries(&self) -> Option<[(Instant, LinkCounts); 2]> {
-        let summaries = self.summaries.lock().unwrap_or_else(PoisonError::into_inner);
+        let summaries = self
+            .summaries
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         summaries.last_chunk::<2>().copied()
     }
 
@@ -149,7 +172,10 @@
 fn read_log(log: impl io::Read, summaries: &Summaries) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         if let Some(counts) = link_counts(&line) {
-            summaries.lock().unwrap_or_else(PoisonError::into_inner).push((Instant::now(), counts));
+            summaries
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push((Instant::now(), counts));
         }
     }
 }
@@ -162,13 +188,20 @@
     let mut bytes = [0; LONGEST];
     for _ in 0..TRIES {
         let nonce = fastrand::u64(..);
-        let question = seal.close(&Spoken::Ask(Ask { nonce, after: None })).unwrap_or_default();
+        let question = seal
+            .close(&Spoken::Ask(Ask { nonce, after: None }))
+            .unwrap_or_default();
         socket.send_to(&question, address)?;
-        let Ok((len, _)) = socket.recv_from(&mut bytes) else { continue };
+        let Ok((len, _)) = socket.recv_from(&mut bytes) else {
+            continue;
+        };
         if let Ok(Spoken::Status(status)) = seal.open(&bytes[..len])
             && status.nonce == nonce
         {
-            return Ok(Some(ViewSeen { members: status.in_view as usize, digest: status.digest }));
+            return Ok(Some(ViewSeen {
+                members: status.in_view as usize,
+                digest: status.digest,
+            }));
         }
     }
     Ok(None)
--- a/rig/src/scale/settle.rs
+++ b/rig/src/scale/settle.rs
@@ -55,5 +55,9 @@
 }
 
 fn bytes(fleet: &mut RunningFleet) -> Result<u64, ScaleError> {
-    Ok(fleet.node_samples()?.iter().map(|sample| sample.bytes_in).sum())
+    Ok(fleet
+        .node_samples()?
+        .iter()
+        .map(|sample| sample.bytes_in)
+        .sum())
 }
--- a/rig/src/scale/simulated/agreement.rs
+++ b/rig/src/scale/simulated/agreement.rs
@@ -44,7 +44,9 @@
 impl Agreement {
     pub fn new(topology: Topology) -> Agreement {
         Agreement {
-            regions: (0..topology.machines()).map(|machine| topology.region(machine)).collect(),
+            regions: (0..topology.machines())
+                .map(|machine| topology.region(machine))
+                .collect(),
             held: vec![None; topology.machines()],
             views: Default::default(),
             live: [0; REGIONS],
@@ -89,16 +91,26 @@
     /// held as machines are live, those are the live ones.
     fn note(&mut self, since: Micros) {
         let live: usize = self.live.iter().sum();
-        let views: [Option<(u64, usize)>; REGIONS] = std::array::from_fn(|region| self.only_view(region));
+        let views: [Option<(u64, usize)>; REGIONS] =
+            std::array::from_fn(|region| self.only_view(region));
         let members = |region: usize| views[region].map(|(_, members)| members);
-        let region_agrees = std::array::from_fn(|region| members(region) == Some(self.live[region]));
+        let region_agrees =
+            std::array::from_fn(|region| members(region) == Some(self.live[region]));
         let filled = (0..REGIONS).filter(|region| self.live[*region] > 0);
         let mut filled = filled.map(|region| views[region]);
-        let first = filled.next().flatten().filter(|(_, members)| *members == live);
+        let first = filled
+            .next()
+            .flatten()
+            .filter(|(_, members)| *members == live);
         let all_agree = first.is_some() && filled.all(|view| view == first);
-        let same = |last: &State| last.all_agree == all_agree && last.region_agrees == region_agrees;
+        let same =
+            |last: &State| last.all_agree == all_agree && last.region_agrees == region_agrees;
         if !self.states.last().is_some_and(same) {
-            self.states.push(State { since, all_agree, region_agrees });
+            self.states.push(State {
+                since,
+                all_agree,
+                region_agrees,
+            });
         }
     }
 
@@ -108,7 +120,10 @@
         if next > 0 && holds(&self.states[next - 1]) {
             return Some(at);
         }
-        self.states[next..].iter().find(|state| holds(state)).map(|state| state.since)
+        self.states[next..]
+            .iter()
+            .find(|state| holds(state))
+            .map(|state| state.since)
     }
 
     /// Machines that are live, at the last.
--- a/rig/src/scale/simulated/command.rs
+++ b/rig/src/scale/simulated/command.rs
@@ -91,7 +91,9 @@
                 Kind::Day => Scenario::day(topology, SINGLES, SLOT_MS, seed),
                 Kind::DayLoss => Scenario::day(topology, SINGLES, SLOT_MS, seed).with_loss(LOSS),
                 Kind::PartedShort => Scenario::parted(topology, SHORT_PARTING_MS, seed),
-                Kind::Parted | Kind::Slopes => Scenario::parted(topology, self.parted_s * 1_000, seed),
+                Kind::Parted | Kind::Slopes => {
+                    Scenario::parted(topology, self.parted_s * 1_000, seed)
+                }
             };
             if *kind == Kind::Slopes {
                 tasks.extend([Task::OverNodes(self.from), Task::OverBudgets(self.from)]);
@@ -120,13 +122,20 @@
             });
         }
     });
-    let mut report = report.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
-    report.outcomes.sort_by(|a, b| (&a.scenario, a.seed).cmp(&(&b.scenario, b.seed)));
+    let mut report = report
+        .into_inner()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
+    report
+        .outcomes
+        .sort_by(|a, b| (&a.scenario, a.seed).cmp(&(&b.scenario, b.seed)));
     if let Some(file) = &options.json {
         let text = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
         std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
     }
-    Ok(report.outcomes.iter().all(|outcome| outcome.breaches.is_empty()))
+    Ok(report
+        .outcomes
+        .iter()
+        .all(|outcome| outcome.breaches.is_empty()))
 }
 
 fn carry_out(options: &Options, task: &Task, report: &Mutex<Report>) {
@@ -140,9 +149,15 @@
         }
     }
     let took = began.elapsed().as_secs_f64();
-    let mut report = report.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-    outcomes.iter().for_each(|outcome| print!("{}", outcome_table(outcome)));
-    series.iter().for_each(|series| println!("{}", series_line(series)));
+    let mut report = report
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
+    outcomes
+        .iter()
+        .for_each(|outcome| print!("{}", outcome_table(outcome)));
+    series
+        .iter()
+        .for_each(|series| println!("{}", series_line(series)));
     println!("took {took:.1} s\n");
     report.outcomes.extend(outcomes);
     report.series.extend(series);
@@ -150,7 +165,17 @@
 
 /// One outcome for a reader; incidents of one kind are summed up by their middle and worst.
 pub fn outcome_table(outcome: &Outcome) -> String {
-    let Outcome { scenario, seed, nodes, machines, simulated_s, events, doubts, leaders, .. } = outcome;
+    let Outcome {
+        scenario,
+        seed,
+        nodes,
+        machines,
+        simulated_s,
+        events,
+        doubts,
+        leaders,
+        ..
+    } = outcome;
     let calm = &outcome.calm;
     let mut text = format!(
         "{scenario} seed {seed}: {nodes} nodes, {machines} machines, {simulated_s} s simulated, \
@@ -159,12 +184,19 @@
     text += "| incident | times | views one, ms: middle (worst) | budget 0.9 in use, ms: middle (worst) | \
              peak B/s in/out: node | voter | leader | fleet, out |\n\
              | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    let started = calm.started_agree_ms.map_or("never".into(), |ms| ms.to_string());
+    let started = calm
+        .started_agree_ms
+        .map_or("never".into(), |ms| ms.to_string());
     text += &format!("| calm; started | 1 | {started} | {:.3} used | ", calm.used);
     text += &peak_columns(calm.peaks, calm.fleet_peak.bytes_out);
     let mut by_label: BTreeMap<&str, Vec<&Measured>> = BTreeMap::new();
-    outcome.measured.iter().for_each(|one| by_label.entry(&one.label).or_default().push(one));
-    by_label.iter().for_each(|(label, list)| text += &incident_line(label, list));
+    outcome
+        .measured
+        .iter()
+        .for_each(|one| by_label.entry(&one.label).or_default().push(one));
+    by_label
+        .iter()
+        .for_each(|(label, list)| text += &incident_line(label, list));
     if let Some(apart) = &outcome.apart {
         text += &format!(
             "parted: with a majority {:.1} of {:.1} a second used, without {:.1} where {:.1} are reserved\n",
@@ -172,31 +204,68 @@
         );
     }
     text += &format!("{} broken\n", outcome.breaches.len());
-    outcome.breaches.iter().take(MOST_PRINTED).for_each(|breach| text += &format!("  {breach}\n"));
+    outcome
+        .breaches
+        .iter()
+        .take(MOST_PRINTED)
+        .for_each(|breach| text += &format!("  {breach}\n"));
     text
 }
 
 fn peak_columns(peaks: Peaks, fleet: u64) -> String {
     let column = |load: Load| format!("{}/{}", load.bytes_in, load.bytes_out);
-    format!("{} | {} | {} | {fleet} |\n", column(peaks.node), column(peaks.voter), column(peaks.leader))
+    format!(
+        "{} | {} | {} | {fleet} |\n",
+        column(peaks.node),
+        column(peaks.voter),
+        column(peaks.leader)
+    )
 }
 
 fn incident_line(label: &str, list: &[&Measured]) -> String {
     let never = u64::MAX;
     let middle = |mut values: Vec<u64>| {
         values.sort_unstable();
-        let say = |value: u64| if value == never { "never".to_string() } else { value.to_string() };
-        format!("{} ({})", say(values[values.len() / 2]), say(values[values.len() - 1]))
+        let say = |value: u64| {
+            if value == never {
+                "never".to_string()
+            } else {
+                value.to_string()
+            }
+        };
+        format!(
+            "{} ({})",
+            say(values[values.len() / 2]),
+            say(values[values.len() - 1])
+        )
     };
-    let agree = middle(list.iter().map(|one| one.agree_ms.unwrap_or(never)).collect());
+    let agree = middle(
+        list.iter()
+            .map(|one| one.agree_ms.unwrap_or(never))
+            .collect(),
+    );
     let budget = middle(list.iter().map(|one| one.budget_ms).collect());
-    let peaks = list.iter().map(|one| one.peaks).fold(Peaks::default(), Peaks::most);
-    let fleet = list.iter().map(|one| one.fleet_peak.bytes_out).max().unwrap_or(0);
-    format!("| {label} | {} | {agree} | {budget} | {}", list.len(), peak_columns(peaks, fleet))
+    let peaks = list
+        .iter()
+        .map(|one| one.peaks)
+        .fold(Peaks::default(), Peaks::most);
+    let fleet = list
+        .iter()
+        .map(|one| one.fleet_peak.bytes_out)
+        .max()
+        .unwrap_or(0);
+    format!(
+        "| {label} | {} | {agree} | {budget} | {}",
+        list.len(),
+        peak_columns(peaks, fleet)
+    )
 }
 
 fn series_line(series: &Series) -> String {
-    let points = series.points.iter().map(|point| format!("{}: {:.1}", point.size, point.value));
+    let points = series
+        .points
+        .iter()
+        .map(|point| format!("{}: {:.1}", point.size, point.value));
     let points: Vec<String> = points.collect();
     format!(
         "{:?} {:?} over {:?}, {}: {}",
--- a/rig/src/scale/simulated/machine.rs
+++ b/rig/src/scale/simulated/machine.rs
@@ -40,7 +40,10 @@
             Content::Budgets(envelope) => serialized_size(&**envelope),
         };
         let round = HEADERS + SEAL + 1 + FLEET.len() as u64 + KIND;
-        Parcel { bytes: (round + said.unwrap_or(0) as u64) as u32, content }
+        Parcel {
+            bytes: (round + said.unwrap_or(0) as u64) as u32,
+            content,
+        }
     }
 }
 
@@ -75,7 +78,10 @@
             address: address(start.machine),
             weight: WEIGHT,
         };
-        let id = NodeId { name: me.name.clone(), incarnation: me.incarnation };
+        let id = NodeId {
+            name: me.name.clone(),
+            incarnation: me.incarnation,
+        };
         Machine {
             fleet: Fleet::new(me, start.membership, start.seed, start.now),
             budgets: Budgets::new(id, WEIGHT, start.leases, start.list, start.seed, start.now),
@@ -91,7 +97,11 @@
 
     /// Whether this one is in its view.
     pub fn knows(&self, id: &NodeId) -> bool {
-        self.fleet.view().members.get(&id.name).is_some_and(|member| member.incarnation == id.incarnation)
+        self.fleet
+            .view()
+            .members
+            .get(&id.name)
+            .is_some_and(|member| member.incarnation == id.incarnation)
     }
 
     /// Where a member of the view is reached; nothing for another incarnation of it.
--- a/rig/src/scale/simulated/scenario.rs
+++ b/rig/src/scale/simulated/scenario.rs
@@ -104,7 +104,11 @@
 const TOGETHER_MS: u64 = 4_000;
 
 fn watch(label: &'static str) -> Option<Watch> {
-    Some(Watch { label, expected: Expected::AllAgree, agree_within_ms: KNOWN_MS })
+    Some(Watch {
+        label,
+        expected: Expected::AllAgree,
+        agree_within_ms: KNOWN_MS,
+    })
 }
 
 /// Units a second for each node of the first budget, and what is asked for: twice as much.
@@ -123,37 +127,70 @@
             steps: Vec::new(),
             parting: None,
             loss: 0.0,
-            membership: Parameters { seeds, ..Parameters::default() },
+            membership: Parameters {
+                seeds,
+                ..Parameters::default()
+            },
             safeguards: Safeguards::default(),
             list: vec![
                 topology.rate("requests", PER_NODE),
                 topology.concurrency("slots", HELD_PER_NODE, HELD_MOST_MS),
             ],
-            demand: Demand { first: 2.0 * f64::from(PER_NODE), others: 4.0, held_ms: 500 },
+            demand: Demand {
+                first: 2.0 * f64::from(PER_NODE),
+                others: 4.0,
+                held_ms: 500,
+            },
         }
     }
 
     /// A calm fleet under so many rate budgets.
     pub fn budgets(topology: Topology, budgets: usize, ms: u64) -> Scenario {
-        let rate =
-            |nth: usize| topology.rate(&format!("customer-{nth}"), PER_NODE / if nth > 0 { 6 } else { 1 });
-        let demand = Demand { first: f64::from(PER_NODE), others: 1.0, held_ms: 0 };
-        Scenario { list: (0..budgets).map(rate).collect(), demand, ..Scenario::calm(topology, ms) }
+        let rate = |nth: usize| {
+            topology.rate(
+                &format!("customer-{nth}"),
+                PER_NODE / if nth > 0 { 6 } else { 1 },
+            )
+        };
+        let demand = Demand {
+            first: f64::from(PER_NODE),
+            others: 1.0,
+            held_ms: 0,
+        };
+        Scenario {
+            list: (0..budgets).map(rate).collect(),
+            demand,
+            ..Scenario::calm(topology, ms)
+        }
     }
 
     /// Restarts at the rate of 3,600 a day through all of a play, and in between: single machines fail, as
     /// many as in a day (15), then a rack, a zone, the leader and a voter at once; all return.
     pub fn day(topology: Topology, singles: usize, slot_ms: u64, seed: u64) -> Scenario {
-        let mut steps = Steps { slot_ms, ..Steps::default() };
+        let mut steps = Steps {
+            slot_ms,
+            ..Steps::default()
+        };
         let mut order = shuffled(topology, seed);
         for slot in 0..singles {
             let node = order.pop().unwrap_or(0);
             steps.put(slot, FAILS_MS, kill(vec![node]), watch("one node lost"));
-            steps.put(slot, FAILS_MS + BACK_MS, start(vec![node]), watch("one node back"));
+            steps.put(
+                slot,
+                FAILS_MS + BACK_MS,
+                start(vec![node]),
+                watch("one node back"),
+            );
         }
-        let (rack, zone) = (topology.in_rack(LOST_RACK), topology.in_zone(LOST_ZONE % ZONES));
+        let (rack, zone) = (
+            topology.in_rack(LOST_RACK),
+            topology.in_zone(LOST_ZONE % ZONES),
+        );
         let mut slot = singles;
-        for (nodes, lost, back) in [(rack, "rack lost", "rack back"), (zone, "zone lost", "zone back")] {
+        for (nodes, lost, back) in [
+            (rack, "rack lost", "rack back"),
+            (zone, "zone lost", "zone back"),
+        ] {
             steps.put(slot, FAILS_MS, kill(nodes.clone()), watch(lost));
             steps.put(slot + 1, FAILS_MS, start(nodes), watch(back));
             slot += 2;
@@ -168,13 +205,24 @@
         }
         (0..slot).for_each(|slot| steps.restart(slot, order.pop().unwrap_or(0)));
         let ms = steps.at(slot, 0) + TAIL_MS;
-        Scenario { name: "day".into(), ms, steps: steps.list, ..Scenario::calm(topology, 0) }
+        Scenario {
+            name: "day".into(),
+            ms,
+            steps: steps.list,
+            ..Scenario::calm(topology, 0)
+        }
     }
 
     /// The regions are parted for so long, while nodes of both restart at the rate of a day.
     pub fn parted(topology: Topology, parted_ms: u64, seed: u64) -> Scenario {
-        let mut steps = Steps { slot_ms: SLOT_MS, ..Steps::default() };
-        let parting = Parting { from_ms: steps.at(0, FAILS_MS), till_ms: steps.at(0, FAILS_MS) + parted_ms };
+        let mut steps = Steps {
+            slot_ms: SLOT_MS,
+            ..Steps::default()
+        };
+        let parting = Parting {
+            from_ms: steps.at(0, FAILS_MS),
+            till_ms: steps.at(0, FAILS_MS) + parted_ms,
+        };
         let (one, other) = (topology.in_region(0), topology.in_region(1));
         let pairs = [(one.clone(), other.clone()), (other, one)];
         let apart = Watch {
@@ -182,14 +230,28 @@
             expected: Expected::RegionsAgree,
             agree_within_ms: REGION_KNOWN_MS,
         };
-        let together =
-            Watch { label: "regions together", expected: Expected::AllAgree, agree_within_ms: TOGETHER_MS };
+        let together = Watch {
+            label: "regions together",
+            expected: Expected::AllAgree,
+            agree_within_ms: TOGETHER_MS,
+        };
         for (nth, (from, to)) in pairs.into_iter().enumerate() {
-            let cut = Incident::Fault(Fault::Cut { from: from.clone(), to: to.clone() });
+            let cut = Incident::Fault(Fault::Cut {
+                from: from.clone(),
+                to: to.clone(),
+            });
             let mend = Incident::Fault(Fault::Mend { from, to });
             let watch = |watch: Watch| Some(watch).filter(|_| nth == 1);
-            steps.list.push(Step { at_ms: parting.from_ms, incident: cut, watch: watch(apart) });
-            steps.list.push(Step { at_ms: parting.till_ms, incident: mend, watch: watch(together) });
+            steps.list.push(Step {
+                at_ms: parting.from_ms,
+                incident: cut,
+                watch: watch(apart),
+            });
+            steps.list.push(Step {
+                at_ms: parting.till_ms,
+                incident: mend,
+                watch: watch(together),
+            });
         }
         let mut order = shuffled(topology, seed);
         // None that is under way when the link breaks or is back, and each is over before the next.
@@ -201,12 +263,22 @@
         }
         let ms = parting.till_ms + 2 * TAIL_MS;
         let name = format!("parted-{}s", parted_ms / 1_000);
-        Scenario { name, ms, steps: steps.list, parting: Some(parting), ..Scenario::calm(topology, 0) }
+        Scenario {
+            name,
+            ms,
+            steps: steps.list,
+            parting: Some(parting),
+            ..Scenario::calm(topology, 0)
+        }
     }
 
     /// The same with so many of all datagrams lost.
     pub fn with_loss(self, loss: f64) -> Scenario {
-        Scenario { name: format!("{}-loss", self.name), loss, ..self }
+        Scenario {
+            name: format!("{}-loss", self.name),
+            loss,
+            ..self
+        }
     }
 }
 
@@ -239,7 +311,11 @@
 
     fn put(&mut self, slot: usize, in_slot: u64, incident: Incident, watch: Option<Watch>) {
         let at_ms = self.at(slot, in_slot);
-        self.list.push(Step { at_ms, incident, watch });
+        self.list.push(Step {
+            at_ms,
+            incident,
+            watch,
+        });
     }
 
     /// One node leaves, ends and starts anew.
@@ -257,7 +333,12 @@
     }
 
     fn restart_watched(&mut self, slot: usize, node: usize, watch: Option<Watch>) {
-        self.put(slot, 0, Incident::Fault(Fault::Leave { nodes: vec![node] }), None);
+        self.put(
+            slot,
+            0,
+            Incident::Fault(Fault::Leave { nodes: vec![node] }),
+            None,
+        );
         self.put(slot, ENDS_MS, kill(vec![node]), None);
         self.put(slot, STARTS_MS, start(vec![node]), watch);
     }
--- a/rig/src/scale/simulated/topology.rs
+++ b/rig/src/scale/simulated/topology.rs
@@ -59,27 +59,38 @@
 
     /// All machines of a zone, its voter included.
     pub fn in_zone(self, zone: usize) -> Vec<usize> {
-        (0..self.machines()).filter(|machine| self.zone(*machine) == zone).collect()
+        (0..self.machines())
+            .filter(|machine| self.zone(*machine) == zone)
+            .collect()
     }
 
     pub fn in_region(self, region: usize) -> Vec<usize> {
-        (0..self.machines()).filter(|machine| self.region(*machine) == region).collect()
+        (0..self.machines())
+            .filter(|machine| self.region(*machine) == region)
+            .collect()
     }
 
     /// The nodes of the rack at this place.
     pub fn in_rack(self, rack: usize) -> Vec<usize> {
-        (rack * RACK..(rack + 1) * RACK).filter(|node| *node < self.nodes).collect()
+        (rack * RACK..(rack + 1) * RACK)
+            .filter(|node| *node < self.nodes)
+            .collect()
     }
 
     /// The nodes that have a reserved minimum of each budget: the first of each zone.
     pub fn reserved(self) -> Vec<usize> {
         let first_of = |zone: usize| (zone * self.nodes).div_ceil(ZONES);
-        (0..ZONES).flat_map(|zone| (0..RESERVED_OF_ZONE).map(move |nth| first_of(zone) + nth)).collect()
+        (0..ZONES)
+            .flat_map(|zone| (0..RESERVED_OF_ZONE).map(move |nth| first_of(zone) + nth))
+            .collect()
     }
 
     /// Names of machines, as budgets and voters are set up by.
     pub fn names(machines: impl IntoIterator<Item = usize>) -> Vec<Name> {
-        machines.into_iter().map(|machine| Name::from(name(machine))).collect()
+        machines
+            .into_iter()
+            .map(|machine| Name::from(name(machine)))
+            .collect()
     }
 
     /// What lies between the machines.
@@ -88,32 +99,49 @@
             latency: Topology::latency(),
             between_zones: BETWEEN_ZONES,
             zones_of_region: ZONES_OF_REGION as u32,
-            between_regions: Law::LogNormal { mean: BETWEEN_REGIONS, sigma: 0.1 },
+            between_regions: Law::LogNormal {
+                mean: BETWEEN_REGIONS,
+                sigma: 0.1,
+            },
             ..Links::default()
         }
     }
 
     pub fn latency() -> Law {
-        Law::LogNormal { mean: IN_ZONE, sigma: 0.5 }
+        Law::LogNormal {
+            mean: IN_ZONE,
+            sigma: 0.5,
+        }
     }
 
     /// A rate budget of so many units a second for each node.
     pub fn rate(self, name: &str, per_node: u32) -> Budget {
         let limit = per_node * self.nodes as u32;
         // A step of the share is then a quarter of a node's part.
-        let kind = Kind::Rate { burst: 4 * self.nodes as u32 };
+        let kind = Kind::Rate {
+            burst: 4 * self.nodes as u32,
+        };
         // A minimum below a step (limit / burst) has no whole unit of the burst, and can never be used.
         self.budget(name, kind, limit, (per_node / 2).max(1))
     }
 
     /// A concurrency budget, so many units for each node.
     pub fn concurrency(self, name: &str, per_node: u32, max_hold_ms: u64) -> Budget {
-        let kind = Kind::Concurrency { max_hold: max_hold_ms * 10 };
+        let kind = Kind::Concurrency {
+            max_hold: max_hold_ms * 10,
+        };
         self.budget(name, kind, per_node * self.nodes as u32, 1)
     }
 
     fn budget(self, name: &str, kind: Kind, limit: u32, reserved: u32) -> Budget {
         let reserved_for = Topology::names(self.reserved()).into();
-        Budget { name: name.into(), kind, limit, reserved, reserved_for, max_per_node: limit }
+        Budget {
+            name: name.into(),
+            kind,
+            limit,
+            reserved,
+            reserved_for,
+            max_per_node: limit,
+        }
     }
 }
--- a/rig/src/scale/simulated/traffic.rs
+++ b/rig/src/scale/simulated/traffic.rs
@@ -75,7 +75,10 @@
 
 impl Traffic {
     pub fn new(machines: usize) -> Traffic {
-        Traffic { machines, seconds: Vec::new() }
+        Traffic {
+            machines,
+            seconds: Vec::new(),
+        }
     }
 
     fn at(&mut self, now: Micros, machine: usize) -> &mut Load {
@@ -105,7 +108,12 @@
 
     /// The most that any one machine sent and received in any one of these seconds, each for itself, by the
     /// role that `role` tells by second and number of the machine.
-    pub fn peaks(&self, from_s: usize, till_s: usize, role: impl Fn(usize, usize) -> Role) -> Peaks {
+    pub fn peaks(
+        &self,
+        from_s: usize,
+        till_s: usize,
+        role: impl Fn(usize, usize) -> Role,
+    ) -> Peaks {
         let mut peaks = Peaks::default();
         for (nth, loads) in self.span(from_s, till_s).iter().enumerate() {
             for (machine, load) in loads.iter().enumerate() {
@@ -135,6 +143,12 @@
             machines.iter().for_each(|machine| sum.add(loads[*machine]));
         }
         let over = (span.len() * machines.len()).max(1) as f64;
-        [sum.bytes_in, sum.bytes_out, sum.datagrams_in, sum.datagrams_out].map(|sum| sum as f64 / over)
+        [
+            sum.bytes_in,
+            sum.bytes_out,
+            sum.datagrams_in,
+            sum.datagrams_out,
+        ]
+        .map(|sum| sum as f64 / over)
     }
 }
--- a/rig/src/scale/simulated/usage.rs
+++ b/rig/src/scale/simulated/usage.rs
@@ -48,13 +48,19 @@
             }
             self.bins[bin][region] += 1;
         }
-        let Kind::Rate { burst } = self.list[budget].kind else { return };
+        let Kind::Rate { burst } = self.list[budget].kind else {
+            return;
+        };
         let limit = f64::from(self.list[budget].limit);
         let (level, at) = self.levels[budget];
         let level = (level - limit * (now - at) as f64 / 1e6).max(0.0) + 1.0;
         self.levels[budget] = (level, now);
         if level > f64::from(burst) + CUT {
-            self.breach(now, budget, format!("{level:.3} used beyond {limit} a second, burst {burst}"));
+            self.breach(
+                now,
+                budget,
+                format!("{level:.3} used beyond {limit} a second, burst {burst}"),
+            );
         }
     }
 
@@ -65,7 +71,10 @@
         if self.held[budget].len() <= limit as usize {
             return;
         }
-        let count = self.held[budget].iter().filter(|Reverse((till, ..))| *till > now).count();
+        let count = self.held[budget]
+            .iter()
+            .filter(|Reverse((till, ..))| *till > now)
+            .count();
         if count > limit as usize {
             self.breach(now, budget, format!("{count} are held at once of {limit}"));
         }
@@ -73,8 +82,14 @@
 
     /// Takes out the next place whose time is over.
     pub fn over(&mut self, now: Micros, budget: usize) -> Option<Place> {
-        let due = self.held[budget].peek().is_some_and(|Reverse((till, ..))| *till <= now);
-        if due { self.held[budget].pop().map(|Reverse(place)| place) } else { None }
+        let due = self.held[budget]
+            .peek()
+            .is_some_and(|Reverse((till, ..))| *till <= now);
+        if due {
+            self.held[budget].pop().map(|Reverse(place)| place)
+        } else {
+            None
+        }
     }
 
     /// What all live machines together may use at this instant.
@@ -113,7 +128,10 @@
         let least = share * f64::from(self.list[0].limit) * BIN as f64 / 1e6;
         let bins = at.div_ceil(BIN)..till / BIN;
         let short = |bin: &u64| {
-            let used = self.bins.get(*bin as usize).map_or(0, |bin| bin.iter().sum());
+            let used = self
+                .bins
+                .get(*bin as usize)
+                .map_or(0, |bin| bin.iter().sum());
             f64::from(used) < least
         };
         bins.rev().find(short).map_or(0, |bin| (bin + 1) * BIN - at)
--- a/rig/src/scale/simulated/verdict.rs
+++ b/rig/src/scale/simulated/verdict.rs
@@ -94,11 +94,16 @@
         leaders: leaders(&played),
         calm: calm(scenario, &played),
         measured: measure_all(scenario.topology, &played),
-        apart: scenario.parting.map(|parting| apart(scenario, parting, &played)),
+        apart: scenario
+            .parting
+            .map(|parting| apart(scenario, parting, &played)),
         breaches: Vec::new(),
     };
     let breaches = breaches(scenario, &played, &outcome);
-    Outcome { breaches, ..outcome }
+    Outcome {
+        breaches,
+        ..outcome
+    }
 }
 
 impl Played {
@@ -124,9 +129,14 @@
 fn calm(scenario: &Scenario, played: &Played) -> Calm {
     let (from, till) = (CALM_S.start, CALM_S.end);
     let span = (from as Micros * SECOND, till as Micros * SECOND);
-    let used: f64 = (0..2).map(|region| played.usage.rate(span.0, span.1, region)).sum();
+    let used: f64 = (0..2)
+        .map(|region| played.usage.rate(span.0, span.1, region))
+        .sum();
     Calm {
-        started_agree_ms: played.agreement.first(0, |state| state.all_agree).map(|at| at / MS),
+        started_agree_ms: played
+            .agreement
+            .first(0, |state| state.all_agree)
+            .map(|at| at / MS),
         peaks: played.peaks(scenario.topology, from, till),
         fleet_peak: played.traffic.fleet_peak(from, till),
         used: used / f64::from(scenario.list[0].limit),
@@ -134,17 +144,29 @@
 }
 
 fn measure_all(topology: Topology, played: &Played) -> Vec<Measured> {
-    let ends = played.watched.iter().skip(1).map(|watched| watched.at).chain([played.end]);
-    played.watched.iter().zip(ends).map(|(watched, next)| measure(topology, played, watched, next)).collect()
+    let ends = played
+        .watched
+        .iter()
+        .skip(1)
+        .map(|watched| watched.at)
+        .chain([played.end]);
+    played
+        .watched
+        .iter()
+        .zip(ends)
+        .map(|(watched, next)| measure(topology, played, watched, next))
+        .collect()
 }
 
 /// `next` is the time of the next measured incident, up to which this one's effects are looked at.
 fn measure(topology: Topology, played: &Played, watched: &Watched, next: Micros) -> Measured {
     let at = watched.at;
-    let agreed = played.agreement.first(at, |state| match watched.watch.expected {
-        Expected::AllAgree => state.all_agree,
-        Expected::RegionsAgree => state.region_agrees.iter().all(|agrees| *agrees),
-    });
+    let agreed = played
+        .agreement
+        .first(at, |state| match watched.watch.expected {
+            Expected::AllAgree => state.all_agree,
+            Expected::RegionsAgree => state.region_agrees.iter().all(|agrees| *agrees),
+        });
     let (from_s, till_s) = ((at / SECOND) as usize, (at / SECOND) as usize + AFTER_S);
     let till = next.min(at + AFTER_S as Micros * SECOND);
     Measured {
@@ -160,7 +182,11 @@
 fn apart(scenario: &Scenario, parting: Parting, played: &Played) -> Apart {
     let (from, till) = (parting.from_ms * MS + FALLS_BACK, parting.till_ms * MS);
     let topology = scenario.topology;
-    let reserved = topology.reserved().into_iter().filter(|node| topology.region(*node) == 1).count();
+    let reserved = topology
+        .reserved()
+        .into_iter()
+        .filter(|node| topology.region(*node) == 1)
+        .count();
     Apart {
         with_majority: played.usage.rate(from, till, 0),
         without_majority: played.usage.rate(from, till, 1),
@@ -172,14 +198,23 @@
 fn breaches(scenario: &Scenario, played: &Played, outcome: &Outcome) -> Vec<String> {
     let mut rules = membership();
     if let Some(parting) = scenario.parting {
-        rules.push(Box::new(OwnSideDeclaresNobodyDead { topology: scenario.topology, parting }));
+        rules.push(Box::new(OwnSideDeclaresNobodyDead {
+            topology: scenario.topology,
+            parting,
+        }));
     }
     let found = judge(&played.history, &rules);
     let mut breaches: Vec<String> = found
         .into_iter()
         .map(|breach| format!("{} ms: {}: {}", breach.at_ms, breach.rule, breach.what))
         .collect();
-    breaches.extend(played.usage.breaches().iter().map(|breach| format!("over the whole: {breach}")));
+    breaches.extend(
+        played
+            .usage
+            .breaches()
+            .iter()
+            .map(|breach| format!("over the whole: {breach}")),
+    );
     for (measured, watched) in outcome.measured.iter().zip(&played.watched) {
         breaches.extend(late(measured, watched.watch.agree_within_ms));
         breaches.extend(stampede(measured, outcome.calm.peaks.busiest()));
@@ -194,12 +229,16 @@
     let at = format!("{} ms: {}", measured.at_ms, measured.label);
     match measured.agree_ms {
         Some(ms) if ms <= agree_within_ms => {}
-        Some(ms) => late.push(format!("{at}: views are one after {ms} ms, {agree_within_ms} at most")),
+        Some(ms) => late.push(format!(
+            "{at}: views are one after {ms} ms, {agree_within_ms} at most"
+        )),
         None => late.push(format!("{at}: views are never one")),
     }
     if measured.budget_ms > BUDGET_WITHIN_MS {
         let ms = measured.budget_ms;
-        late.push(format!("{at}: the budget is in use after {ms} ms, {BUDGET_WITHIN_MS} at most"));
+        late.push(format!(
+            "{at}: the budget is in use after {ms} ms, {BUDGET_WITHIN_MS} at most"
+        ));
     }
     late
 }
@@ -207,10 +246,18 @@
 /// One machine that sends or receives many times what the busiest does in calm.
 pub fn stampede(measured: &Measured, calm: Load) -> Option<String> {
     let (peak, at) = (measured.peaks.busiest(), measured.at_ms);
-    let bytes = [(peak.bytes_in, calm.bytes_in, "received"), (peak.bytes_out, calm.bytes_out, "sent")];
-    let too_much = bytes.into_iter().find(|(peak, calm, _)| *peak as f64 > MOST_PEAK * *calm as f64);
+    let bytes = [
+        (peak.bytes_in, calm.bytes_in, "received"),
+        (peak.bytes_out, calm.bytes_out, "sent"),
+    ];
+    let too_much = bytes
+        .into_iter()
+        .find(|(peak, calm, _)| *peak as f64 > MOST_PEAK * *calm as f64);
     too_much.map(|(peak, calm, what)| {
-        format!("{at} ms: {}: one machine {what} {peak} bytes in a second, {calm} in calm", measured.label)
+        format!(
+            "{at} ms: {}: one machine {what} {peak} bytes in a second, {calm} in calm",
+            measured.label
+        )
     })
 }
 
@@ -221,11 +268,15 @@
     let least = apart.reserved * (1.0 - 2.0 * RESERVED_MARGIN);
     if !(least..=most).contains(&apart.without_majority) {
         let (used, reserved) = (apart.without_majority, apart.reserved);
-        breaches.push(format!("without a majority {used:.1} a second are used, {reserved:.1} are reserved"));
+        breaches.push(format!(
+            "without a majority {used:.1} a second are used, {reserved:.1} are reserved"
+        ));
     }
     if apart.with_majority < IN_USE * apart.whole {
         let (used, whole) = (apart.with_majority, apart.whole);
-        breaches.push(format!("with a majority {used:.1} a second are used of {whole:.1}"));
+        breaches.push(format!(
+            "with a majority {used:.1} a second are used of {whole:.1}"
+        ));
     }
     breaches
 }
@@ -248,12 +299,23 @@
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let mut breaches = Vec::new();
         for entry in &history.entries {
-            let What::MemberChange { node, change, member: Some(member), .. } = &entry.what else { continue };
-            let Some(member) = member.strip_prefix('n').and_then(|number| number.parse::<usize>().ok())
+            let What::MemberChange {
+                node,
+                change,
+                member: Some(member),
+                ..
+            } = &entry.what
+            else {
+                continue;
+            };
+            let Some(member) = member
+                .strip_prefix('n')
+                .and_then(|number| number.parse::<usize>().ok())
             else {
                 continue;
             };
-            let parted = (self.parting.from_ms..self.parting.till_ms + REASONS_MS).contains(&entry.at_ms);
+            let parted =
+                (self.parting.from_ms..self.parting.till_ms + REASONS_MS).contains(&entry.at_ms);
             let one_side = self.topology.region(*node) == self.topology.region(member);
             if change != "dead" || !parted || !one_side {
                 continue;
@@ -263,7 +325,10 @@
                 || truth.was_unhealthy(*node, since, entry.at_ms)
                 || truth.was_degraded(since, entry.at_ms);
             if !reason {
-                breaches.push((entry.at_ms, format!("{} declared {} dead", name(*node), name(member))));
+                breaches.push((
+                    entry.at_ms,
+                    format!("{} declared {} dead", name(*node), name(member)),
+                ));
             }
         }
         breaches
--- a/rig/src/scale/simulated/world.rs
+++ b/rig/src/scale/simulated/world.rs
@@ -81,20 +81,28 @@
 /// Plays a scenario.
 pub fn play(scenario: &Scenario, seed: u64) -> Played {
     let topology = scenario.topology;
-    let links = doortrack_emulator::Links { loss: scenario.loss, ..topology.links() };
+    let links = doortrack_emulator::Links {
+        loss: scenario.loss,
+        ..topology.links()
+    };
     let mut net = Net::new(links, seed);
     let mut chance = fastrand::Rng::with_seed(seed);
     let count = topology.machines();
     let mut clocks = Vec::with_capacity(count);
     for machine in 0..count {
         let offset = CLOCK_BASE + chance.i64(-CLOCK_OFFSET..=CLOCK_OFFSET);
-        let clock = Clock { offset, drift_ppm: chance.i64(-DRIFT_PPM..=DRIFT_PPM) };
+        let clock = Clock {
+            offset,
+            drift_ppm: chance.i64(-DRIFT_PPM..=DRIFT_PPM),
+        };
         clocks.push(clock);
         net.add(clock, topology.zone(machine) as u32);
     }
     let budgets = scenario.list.len();
     // Nobody's callers come in step with another's.
-    let owed = (0..count).map(|_| (0..budgets).map(|_| chance.f64()).collect()).collect();
+    let owed = (0..count)
+        .map(|_| (0..budgets).map(|_| chance.f64()).collect())
+        .collect();
     let mut world = World {
         scenario,
         seed,
@@ -106,7 +114,10 @@
         tick: 0,
         killed: Vec::new(),
         played: Played {
-            history: History { nodes: count, entries: Vec::new() },
+            history: History {
+                nodes: count,
+                entries: Vec::new(),
+            },
             agreement: Agreement::new(topology),
             traffic: Traffic::new(count),
             usage: Usage::new(&scenario.list),
@@ -140,7 +151,9 @@
             }
         }
         let step = self.machines.len().div_ceil(MOST_ASKED).max(1);
-        (0..self.machines.len()).step_by(step).for_each(|machine| self.ask_view(machine));
+        (0..self.machines.len())
+            .step_by(step)
+            .for_each(|machine| self.ask_view(machine));
     }
 
     fn now(&self) -> Micros {
@@ -163,7 +176,9 @@
         self.net.start(machine);
         self.starts[machine] += 1;
         let at_ms = self.now_ms();
-        self.played.history.put(at_ms, What::Began { node: machine });
+        self.played
+            .history
+            .put(at_ms, What::Began { node: machine });
         let shown = self.net.shown(machine);
         let started = Machine::new(Start {
             machine,
@@ -180,18 +195,29 @@
 
     fn lease_parameters(&self) -> LeaseParameters {
         let voters = Topology::names(self.scenario.topology.voters()).into();
-        LeaseParameters { voters, safeguards: self.scenario.safeguards, ..LeaseParameters::default() }
+        LeaseParameters {
+            voters,
+            safeguards: self.scenario.safeguards,
+            ..LeaseParameters::default()
+        }
     }
 
     /// Lends one machine out, then takes note of its view and of when it has to be woken.
     fn with(&mut self, machine: MachineId, act: impl FnOnce(&mut Self, &mut Machine)) {
-        let Some(mut own) = self.machines[machine].take() else { return };
+        let Some(mut own) = self.machines[machine].take() else {
+            return;
+        };
         self.played.events += 1;
         act(self, &mut own);
         let view = own.fleet.view();
-        let held = Held { digest: view.digest, members: view.members.len() };
+        let held = Held {
+            digest: view.digest,
+            members: view.members.len(),
+        };
         let now = self.now();
-        self.played.agreement.put(now, machine, Some(held).filter(|_| !own.leaves));
+        self.played
+            .agreement
+            .put(now, machine, Some(held).filter(|_| !own.leaves));
         let due = own.next_due();
         if due != own.due {
             own.due = due;
@@ -217,11 +243,20 @@
 
     fn hears(&mut self, machine: MachineId, parcel: Parcel) {
         let now = self.now();
-        self.played.traffic.received(now, machine, u64::from(parcel.bytes));
+        self.played
+            .traffic
+            .received(now, machine, u64::from(parcel.bytes));
         self.with(machine, |world, own| match parcel.content {
             Content::Membership(datagram) => {
                 let from = datagram.head.sender.address;
-                world.membership(machine, own, Event::Received { from, datagram: *datagram });
+                world.membership(
+                    machine,
+                    own,
+                    Event::Received {
+                        from,
+                        datagram: *datagram,
+                    },
+                );
             }
             // As the node does: a stranger could fill a leader's books.
             Content::Budgets(envelope) if own.knows(&envelope.from) => {
@@ -246,7 +281,9 @@
             Incident::KillVoter => {
                 let leader = self.leader();
                 let others = self.scenario.topology.voters().rev();
-                let victim = others.into_iter().find(|of| Some(*of) != leader && !self.net.is_down(*of));
+                let victim = others
+                    .into_iter()
+                    .find(|of| Some(*of) != leader && !self.net.is_down(*of));
                 self.kill_voter(victim);
             }
             Incident::StartKilled => {
@@ -266,20 +303,33 @@
     fn leader(&self) -> Option<MachineId> {
         self.scenario.topology.voters().find(|voter| {
             let now = self.shown(*voter);
-            self.machines[*voter].as_ref().is_some_and(|own| own.budgets.is_leader(now))
+            self.machines[*voter]
+                .as_ref()
+                .is_some_and(|own| own.budgets.is_leader(now))
         })
     }
 
     fn fault(&mut self, fault: Fault) {
         let at_ms = self.now_ms();
-        self.played.history.put(at_ms, What::Fault { fault: fault.clone() });
+        self.played.history.put(
+            at_ms,
+            What::Fault {
+                fault: fault.clone(),
+            },
+        );
         links::take_up(&mut self.net, Topology::latency(), &fault);
         match fault {
             Fault::Kill { nodes } => nodes.into_iter().for_each(|machine| self.kill(machine)),
             Fault::Start { nodes, clock_ms } => {
                 for machine in nodes {
                     let offset = self.clocks[machine].offset + clock_ms * MS as i64;
-                    self.net.set_clock(machine, Clock { offset, ..self.clocks[machine] });
+                    self.net.set_clock(
+                        machine,
+                        Clock {
+                            offset,
+                            ..self.clocks[machine]
+                        },
+                    );
                     self.start(machine);
                 }
             }
@@ -296,7 +346,9 @@
         self.machines[machine] = None;
         let (now, at_ms) = (self.now(), self.now_ms());
         self.played.agreement.put(now, machine, None);
-        self.played.history.put(at_ms, What::Ended { node: machine });
+        self.played
+            .history
+            .put(at_ms, What::Ended { node: machine });
     }
 
     fn leave(&mut self, machine: MachineId) {
@@ -310,7 +362,9 @@
     /// A machine is asked for its view, for the checkers.
     fn ask_view(&mut self, machine: MachineId) {
         let now = self.shown(machine);
-        let Some(own) = self.machines[machine].as_ref() else { return };
+        let Some(own) = self.machines[machine].as_ref() else {
+            return;
+        };
         let (reports, _) = own.fleet.report(None, usize::MAX, now);
         let members = reports.into_iter().map(|report| Member {
             name: report.name.to_string(),
@@ -318,8 +372,19 @@
             state: format!("{:?}", report.state).to_lowercase(),
         });
         let members = members.collect();
-        let (isolated, digest) = (own.fleet.is_isolated(), format!("{:016x}", own.fleet.view().digest));
+        let (isolated, digest) = (
+            own.fleet.is_isolated(),
+            format!("{:016x}", own.fleet.view().digest),
+        );
         let at_ms = self.now_ms();
-        self.played.history.put(at_ms, What::Status { node: machine, isolated, digest, members });
+        self.played.history.put(
+            at_ms,
+            What::Status {
+                node: machine,
+                isolated,
+                digest,
+                members,
+            },
+        );
     }
 }
--- a/rig/src/scale/simulated/world/carrying.rs
+++ b/rig/src/scale/simulated/world/carrying.rs
@@ -21,7 +21,9 @@
                 Action::Report(change) => {
                     self.note(machine, &change, own);
                     match change {
-                        Change::Superseded { .. } => self.budgets(machine, own, BudgetEvent::Superseded),
+                        Change::Superseded { .. } => {
+                            self.budgets(machine, own, BudgetEvent::Superseded)
+                        }
                         _ => self.tell_members(machine, own),
                     }
                 }
@@ -44,7 +46,11 @@
             if let BudgetAction::Send(envelope) = action
                 && let Some(to) = own.reaches(&envelope.to)
             {
-                self.send(machine, machine_at(to), Content::Budgets(Box::new(envelope)));
+                self.send(
+                    machine,
+                    machine_at(to),
+                    Content::Budgets(Box::new(envelope)),
+                );
             }
         }
         self.budget_actions = actions;
@@ -67,7 +73,10 @@
         if matches!(change, Change::Suspected { .. }) {
             self.played.doubts += 1;
         }
-        if matches!(change, Change::Suspected { .. } | Change::Cleared { .. } | Change::Slow { .. }) {
+        if matches!(
+            change,
+            Change::Suspected { .. } | Change::Cleared { .. } | Change::Slow { .. }
+        ) {
             return;
         }
         let (about, view) = (change.about(), own.fleet.view());
--- a/rig/src/scale/simulated/world/demand.rs
+++ b/rig/src/scale/simulated/world/demand.rs
@@ -3,7 +3,9 @@
 use doortrack_budgets::Kind;
 use doortrack_emulator::MachineId;
 
-use super::{EXPOSED_EVERY, EXPOSED_SELDOM, LEADER_EVERY, MANY_BUDGETS, MS, TICK, TICK_MARK, World};
+use super::{
+    EXPOSED_EVERY, EXPOSED_SELDOM, LEADER_EVERY, MANY_BUDGETS, MS, TICK, TICK_MARK, World,
+};
 
 /// Every node is asked once in so many ticks.
 const GROUPS: u64 = 10;
@@ -19,7 +21,10 @@
             self.asked(node);
         }
         let many = self.scenario.list.len() > MANY_BUDGETS;
-        if self.tick.is_multiple_of(if many { EXPOSED_SELDOM } else { EXPOSED_EVERY }) {
+        if self
+            .tick
+            .is_multiple_of(if many { EXPOSED_SELDOM } else { EXPOSED_EVERY })
+        {
             self.sum_exposed();
         }
         if self.tick.is_multiple_of(LEADER_EVERY) {
@@ -33,10 +38,16 @@
     fn asked(&mut self, node: MachineId) {
         let (now, shown) = (self.now(), self.shown(node));
         let region = self.scenario.topology.region(node);
-        let Some(own) = self.machines[node].as_mut().filter(|own| !own.leaves) else { return };
+        let Some(own) = self.machines[node].as_mut().filter(|own| !own.leaves) else {
+            return;
+        };
         let demand = self.scenario.demand;
         for (budget, owed) in self.owed[node].iter_mut().enumerate() {
-            let a_second = if budget == 0 { demand.first } else { demand.others };
+            let a_second = if budget == 0 {
+                demand.first
+            } else {
+                demand.others
+            };
             *owed += a_second * (GROUPS * TICK) as f64 / 1e6;
             while *owed >= 1.0 {
                 *owed -= 1.0;
@@ -47,7 +58,9 @@
                     Kind::Rate { .. } => self.played.usage.used(now, budget, region),
                     Kind::Concurrency { .. } => {
                         let till = now + demand.held_ms * MS;
-                        self.played.usage.held(now, budget, (till, node, self.starts[node]));
+                        self.played
+                            .usage
+                            .held(now, budget, (till, node, self.starts[node]));
                     }
                 }
             }
@@ -58,7 +71,10 @@
         let now = self.now();
         for budget in 0..self.scenario.list.len() {
             while let Some((_, node, start)) = self.played.usage.over(now, budget) {
-                if let Some(own) = self.machines[node].as_mut().filter(|_| self.starts[node] == start) {
+                if let Some(own) = self.machines[node]
+                    .as_mut()
+                    .filter(|_| self.starts[node] == start)
+                {
                     own.budgets.release(budget);
                 }
             }
--- a/rig/src/scale/sweep.rs
+++ b/rig/src/scale/sweep.rs
@@ -90,7 +90,11 @@
 ///
 /// # Errors
 /// A process that can't be started, or that ended before its time.
-pub fn play(terms: &PlayTerms, size: Size, progress: &ProgressBar) -> Result<PlayReport, ScaleError> {
+pub fn play(
+    terms: &PlayTerms,
+    size: Size,
+    progress: &ProgressBar,
+) -> Result<PlayReport, ScaleError> {
     let ports = Ports::hold()?;
     let behind = Behind::start();
     let servers = behind.installation(behind.at())["servers"].clone();
@@ -107,7 +111,14 @@
     progress.set_message(format!("{label}: measure"));
     let measured = measure(&mut fleet, terms.window, settled);
     let (served, broken_rules) = traffic.finish(&behind, &[]);
-    Ok(report(&fleet, size, agreed, measured?, served, broken_rules))
+    Ok(report(
+        &fleet,
+        size,
+        agreed,
+        measured?,
+        served,
+        broken_rules,
+    ))
 }
 
 struct Measured {
@@ -121,7 +132,11 @@
     figures: Vec<Figure>,
 }
 
-fn measure(fleet: &mut RunningFleet, window: Duration, settled: Settled) -> Result<Measured, ScaleError> {
+fn measure(
+    fleet: &mut RunningFleet,
+    window: Duration,
+    settled: Settled,
+) -> Result<Measured, ScaleError> {
     let (errors_before, real_before) = (receive_buffer_errors(), usages(fleet)?);
     fleet.take_losses()?;
     let before = fleet.sample()?;
@@ -134,7 +149,9 @@
     let real_after = usages(fleet)?;
     let leader = |sample: &FleetSample| sample.nodes.first().and_then(|node| node.leader.clone());
     let leaders = [leader(&before), leader(&after)];
-    let leads = leaders[1].as_deref().and_then(|name| fleet.plan.node_named(name));
+    let leads = leaders[1]
+        .as_deref()
+        .and_then(|name| fleet.plan.node_named(name));
     let mut all = figures(&fleet.plan, &before, &after, leads);
     let links = real_links(fleet, settled);
     let pairs: Vec<(Usage, Usage)> = real_before.into_iter().zip(real_after).collect();
@@ -158,7 +175,9 @@
 /// Of each real node the last span between two lines of its log that began in the calm fleet; waits for the
 /// next line where there is none yet.
 fn real_links(fleet: &RunningFleet, settled: Settled) -> Vec<LinkRates> {
-    let Some(calm_since) = settled.calm_since else { return Vec::new() };
+    let Some(calm_since) = settled.calm_since else {
+        return Vec::new();
+    };
     let until = Instant::now() + SUMMARY_EVERY;
     let in_calm = |real: &RealNode| {
         let [(at, counts), (later, more)] = real.last_summaries()?;
@@ -216,8 +235,12 @@
     let mut series: Vec<Series> = Vec::new();
     for play in plays {
         for figure in &play.figures {
-            let point = Point { size: size(play.size) as f64, value: figure.value };
-            let same = |one: &&mut Series| one.role == figure.role && one.quantity == figure.quantity;
+            let point = Point {
+                size: size(play.size) as f64,
+                value: figure.value,
+            };
+            let same =
+                |one: &&mut Series| one.role == figure.role && one.quantity == figure.quantity;
             match series.iter_mut().find(same) {
                 Some(one) => one.points.push(point),
                 None => series.push(Series {
@@ -230,5 +253,8 @@
             }
         }
     }
-    series.into_iter().map(|one| FittedSeries::of(one, Some(wanted))).collect()
+    series
+        .into_iter()
+        .map(|one| FittedSeries::of(one, Some(wanted)))
+        .collect()
 }
--- a/rig/src/scale/table.rs
+++ b/rig/src/scale/table.rs
@@ -10,7 +10,11 @@
 /// The name of a role, quantity or dimension, as it stands in the results.
 fn word(value: &impl Serialize) -> String {
     let value = serde_json::to_value(value).ok();
-    value.as_ref().and_then(|value| value.as_str()).unwrap_or_default().to_string()
+    value
+        .as_ref()
+        .and_then(|value| value.as_str())
+        .unwrap_or_default()
+        .to_string()
 }
 
 /// Four significant digits.
@@ -18,7 +22,11 @@
     if !value.is_finite() {
         return "-".into();
     }
-    let whole_digits = if value == 0.0 { 1 } else { value.abs().log10().floor() as i32 + 1 };
+    let whole_digits = if value == 0.0 {
+        1
+    } else {
+        value.abs().log10().floor() as i32 + 1
+    };
     let decimals = (4 - whole_digits).clamp(0, 6) as usize;
     format!("{value:.decimals$}")
 }
@@ -33,16 +41,23 @@
         }
     }
     let tables = groups.into_iter().map(|(dimension, held)| {
-        let of_group = |one: &&FittedSeries| one.series.dimension == dimension && one.series.held == held;
+        let of_group =
+            |one: &&FittedSeries| one.series.dimension == dimension && one.series.held == held;
         let members: Vec<&FittedSeries> = all.iter().filter(of_group).collect();
-        format!("by {}, with {held}:\n{}\n", word(&dimension), table(&members))
+        format!(
+            "by {}, with {held}:\n{}\n",
+            word(&dimension),
+            table(&members)
+        )
     });
     tables.collect::<Vec<_>>().join("\n")
 }
 
 fn table(members: &[&FittedSeries]) -> Table {
-    let mut sizes: Vec<f64> =
-        members.iter().flat_map(|one| one.series.points.iter().map(|point| point.size)).collect();
+    let mut sizes: Vec<f64> = members
+        .iter()
+        .flat_map(|one| one.series.points.iter().map(|point| point.size))
+        .collect();
     sizes.sort_by(f64::total_cmp);
     sizes.dedup();
     let mut table = Table::new();
@@ -65,7 +80,11 @@
     for size in sizes {
         let values = one.series.points.iter().filter(|point| point.size == *size);
         let values: Vec<String> = values.map(|point| number(point.value)).collect();
-        row.push(if values.is_empty() { "-".into() } else { values.join(", ") });
+        row.push(if values.is_empty() {
+            "-".into()
+        } else {
+            values.join(", ")
+        });
     }
     row.extend(fit_cells(one.fit.as_ref()));
     row.push(one.projection.as_ref().map_or("-".into(), projection_cell));
@@ -73,12 +92,27 @@
 }
 
 fn fit_cells(fit: Option<&Fit>) -> [String; 4] {
-    let Some(fit) = fit else { return std::array::from_fn(|_| "-".into()) };
+    let Some(fit) = fit else {
+        return std::array::from_fn(|_| "-".into());
+    };
     let r_squared = format!("{:.3}", fit.r_squared);
-    [number(fit.intercept), number(fit.slope), number(fit.slope_standard_error), r_squared]
+    [
+        number(fit.intercept),
+        number(fit.slope),
+        number(fit.slope_standard_error),
+        r_squared,
+    ]
 }
 
 fn projection_cell(projection: &Projection) -> String {
-    let how = if projection.extrapolated { "extrapolated" } else { "within" };
-    format!("{} at {} ({how})", number(projection.value), number(projection.size))
+    let how = if projection.extrapolated {
+        "extrapolated"
+    } else {
+        "within"
+    };
+    format!(
+        "{} at {} ({how})",
+        number(projection.value),
+        number(projection.size)
+    )
 }
--- a/rig/src/scale/watchdog.rs
+++ b/rig/src/scale/watchdog.rs
@@ -19,7 +19,10 @@
         let (alive, gone) = channel::<()>();
         thread::spawn(move || {
             if gone.recv_timeout(most) == Err(RecvTimeoutError::Timeout) {
-                eprintln!("doortrack-rig scale: not over after {} s, ended", most.as_secs());
+                eprintln!(
+                    "doortrack-rig scale: not over after {} s, ended",
+                    most.as_secs()
+                );
                 exit(OVER_TIME);
             }
         });
--- a/rig/src/script.rs
+++ b/rig/src/script.rs
@@ -143,18 +143,31 @@
 
     fn check(&self) -> Result<(), String> {
         if !(1..=MAX_SIMULATED).contains(&self.nodes) {
-            return Err(format!("script.nodes: 1 to {MAX_SIMULATED} are wanted, found {}", self.nodes));
+            return Err(format!(
+                "script.nodes: 1 to {MAX_SIMULATED} are wanted, found {}",
+                self.nodes
+            ));
         }
         if self.faults.len() > MAX_FAULTS {
             return Err(format!("script.faults: at most {MAX_FAULTS} are wanted"));
         }
         for (index, timed) in self.faults.iter().enumerate() {
             let at = |what: String| Err(format!("script.faults[{index}]: {what}"));
-            if let Some(node) = timed.fault.nodes().into_iter().find(|node| *node >= self.nodes) {
+            if let Some(node) = timed
+                .fault
+                .nodes()
+                .into_iter()
+                .find(|node| *node >= self.nodes)
+            {
                 return at(format!("there is no node {node}"));
             }
             let shares = match timed.fault {
-                Fault::Links { loss, doubled, garbled, .. } => vec![loss, doubled, garbled],
+                Fault::Links {
+                    loss,
+                    doubled,
+                    garbled,
+                    ..
+                } => vec![loss, doubled, garbled],
                 Fault::Server { conditions, .. } | Fault::Callers { conditions, .. } => {
                     vec![conditions.broken]
                 }
--- a/rig/src/script/seeded.rs
+++ b/rig/src/script/seeded.rs
@@ -30,7 +30,10 @@
     /// A script of so many `troubles` one after the other, each ended after a while, and no fault at the end.
     /// The same arguments always give the same script.
     pub fn seeded(seed: u64, nodes: usize, troubles: usize) -> Script {
-        let mut generator = Generator { random: Rng::with_seed(seed), faults: Vec::new() };
+        let mut generator = Generator {
+            random: Rng::with_seed(seed),
+            faults: Vec::new(),
+        };
         let mut at = FIRST_AT;
         for _ in 0..troubles {
             let trouble = generator.trouble(at, nodes);
@@ -38,7 +41,12 @@
             generator.add(trouble);
             at = end + generator.random.u64(1_500..4_000);
         }
-        Script { nodes, ms: at + CALM_AT_END, seed, faults: generator.faults }
+        Script {
+            nodes,
+            ms: at + CALM_AT_END,
+            seed,
+            faults: generator.faults,
+        }
     }
 }
 
@@ -53,7 +61,12 @@
         let mut shuffled: Vec<usize> = (0..nodes).collect();
         self.random.shuffle(&mut shuffled);
         let (few, rest) = shuffled.split_at(self.random.usize(1..=(nodes / 2).max(1)));
-        Trouble { start, end: start + duration, few: few.to_vec(), rest: rest.to_vec() }
+        Trouble {
+            start,
+            end: start + duration,
+            few: few.to_vec(),
+            rest: rest.to_vec(),
+        }
     }
 
     fn add(&mut self, trouble: Trouble) {
@@ -69,62 +82,203 @@
         }
     }
 
-    fn crash(&mut self, Trouble { start, end, few, .. }: Trouble) {
+    fn crash(
+        &mut self,
+        Trouble {
+            start, end, few, ..
+        }: Trouble,
+    ) {
         self.put(start, Fault::Kill { nodes: few.clone() });
-        self.put(end, Fault::Start { nodes: few, clock_ms: 0 });
+        self.put(
+            end,
+            Fault::Start {
+                nodes: few,
+                clock_ms: 0,
+            },
+        );
     }
 
-    fn pause(&mut self, Trouble { start, end, few, .. }: Trouble) {
+    fn pause(
+        &mut self,
+        Trouble {
+            start, end, few, ..
+        }: Trouble,
+    ) {
         self.put(start, Fault::Stop { nodes: few.clone() });
         self.put(end, Fault::GoOn { nodes: few });
     }
 
-    fn partition(&mut self, Trouble { start, end, few, rest }: Trouble) {
-        self.put(start, Fault::Cut { from: few.clone(), to: rest.clone() });
-        self.put(start, Fault::Cut { from: rest.clone(), to: few.clone() });
-        self.put(end, Fault::Mend { from: few.clone(), to: rest.clone() });
-        self.put(end, Fault::Mend { from: rest, to: few });
+    fn partition(
+        &mut self,
+        Trouble {
+            start,
+            end,
+            few,
+            rest,
+        }: Trouble,
+    ) {
+        self.put(
+            start,
+            Fault::Cut {
+                from: few.clone(),
+                to: rest.clone(),
+            },
+        );
+        self.put(
+            start,
+            Fault::Cut {
+                from: rest.clone(),
+                to: few.clone(),
+            },
+        );
+        self.put(
+            end,
+            Fault::Mend {
+                from: few.clone(),
+                to: rest.clone(),
+            },
+        );
+        self.put(
+            end,
+            Fault::Mend {
+                from: rest,
+                to: few,
+            },
+        );
     }
 
-    fn cut_one_way(&mut self, Trouble { start, end, few, rest }: Trouble) {
-        self.put(start, Fault::Cut { from: few.clone(), to: rest.clone() });
-        self.put(end, Fault::Mend { from: few, to: rest });
+    fn cut_one_way(
+        &mut self,
+        Trouble {
+            start,
+            end,
+            few,
+            rest,
+        }: Trouble,
+    ) {
+        self.put(
+            start,
+            Fault::Cut {
+                from: few.clone(),
+                to: rest.clone(),
+            },
+        );
+        self.put(
+            end,
+            Fault::Mend {
+                from: few,
+                to: rest,
+            },
+        );
     }
 
     fn degrade_links(&mut self, Trouble { start, end, .. }: Trouble) {
         let loss = self.random.f64() * 0.15;
         let delay_ms = self.random.u64(0..30);
-        self.put(start, Fault::Links { loss, doubled: 0.1, garbled: 0.02, delay_ms });
-        self.put(end, Fault::Links { loss: 0.0, doubled: 0.0, garbled: 0.0, delay_ms: 0 });
+        self.put(
+            start,
+            Fault::Links {
+                loss,
+                doubled: 0.1,
+                garbled: 0.02,
+                delay_ms,
+            },
+        );
+        self.put(
+            end,
+            Fault::Links {
+                loss: 0.0,
+                doubled: 0.0,
+                garbled: 0.0,
+                delay_ms: 0,
+            },
+        );
     }
 
     /// Degrades connections to the server, or those of callers.
-    fn degrade_connections(&mut self, Trouble { start, end, few, .. }: Trouble) {
+    fn degrade_connections(
+        &mut self,
+        Trouble {
+            start, end, few, ..
+        }: Trouble,
+    ) {
         let cut = self.random.bool();
         let delay_ms = self.random.u64(0..40);
         let broken = self.random.f64() * 0.2;
-        let conditions = NetworkConditions { cut, delay_ms, broken, bytes_a_second: 0 };
+        let conditions = NetworkConditions {
+            cut,
+            delay_ms,
+            broken,
+            bytes_a_second: 0,
+        };
         let calm = NetworkConditions::default();
         if self.random.bool() {
-            self.put(start, Fault::Server { nodes: few.clone(), conditions });
-            self.put(end, Fault::Server { nodes: few, conditions: calm });
+            self.put(
+                start,
+                Fault::Server {
+                    nodes: few.clone(),
+                    conditions,
+                },
+            );
+            self.put(
+                end,
+                Fault::Server {
+                    nodes: few,
+                    conditions: calm,
+                },
+            );
         } else {
-            self.put(start, Fault::Callers { nodes: few.clone(), conditions });
-            self.put(end, Fault::Callers { nodes: few, conditions: calm });
+            self.put(
+                start,
+                Fault::Callers {
+                    nodes: few.clone(),
+                    conditions,
+                },
+            );
+            self.put(
+                end,
+                Fault::Callers {
+                    nodes: few,
+                    conditions: calm,
+                },
+            );
         }
     }
 
     /// Old datagrams are replayed once the nodes that left have started again.
-    fn leave(&mut self, Trouble { start, end, few, rest }: Trouble) {
+    fn leave(
+        &mut self,
+        Trouble {
+            start,
+            end,
+            few,
+            rest,
+        }: Trouble,
+    ) {
         self.put(start, Fault::Leave { nodes: few.clone() });
-        self.put(end + EXIT_TIME, Fault::Start { nodes: few, clock_ms: 0 });
-        self.put(end + EXIT_TIME + REPLAY_AFTER, Fault::Replay { nodes: rest });
+        self.put(
+            end + EXIT_TIME,
+            Fault::Start {
+                nodes: few,
+                clock_ms: 0,
+            },
+        );
+        self.put(
+            end + EXIT_TIME + REPLAY_AFTER,
+            Fault::Replay { nodes: rest },
+        );
     }
 
     /// Restarts at once, with the clock set back.
     fn restart(&mut self, Trouble { start, few, .. }: Trouble) {
         self.put(start, Fault::Kill { nodes: few.clone() });
         let clock_ms = -self.random.i64(0..2_000);
-        self.put(start, Fault::Start { nodes: few, clock_ms });
+        self.put(
+            start,
+            Fault::Start {
+                nodes: few,
+                clock_ms,
+            },
+        );
     }
 }
--- a/rig/src/serving.rs
+++ b/rig/src/serving.rs
@@ -45,25 +45,37 @@
 impl fmt::Display for ServesNobody {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         let (front, offers, lasted) = (self.front, self.offers, self.till - self.from);
-        write!(formatter, "{front} completed none of {offers} offered in {lasted} ms from {}", self.from)
+        write!(
+            formatter,
+            "{front} completed none of {offers} offered in {lasted} ms from {}",
+            self.from
+        )
     }
 }
 
 /// Every stretch longer than `patience` in which a process that ran served nobody.
 pub fn serves_nobody(lives: &[Life], offers: &[Offer], patience: Patience) -> Vec<ServesNobody> {
-    lives.iter().flat_map(|life| idle_stretches(life, offers, patience)).collect()
+    lives
+        .iter()
+        .flat_map(|life| idle_stretches(life, offers, patience))
+        .collect()
 }
 
 fn idle_stretches(life: &Life, offers: &[Offer], patience: Patience) -> Vec<ServesNobody> {
     let is_within = |at: &u64| (life.ready_at..=life.ended_at).contains(at);
     let own = || offers.iter().filter(|offer| offer.front == life.front);
-    let mut marks: Vec<u64> = own().filter_map(|offer| offer.completed_at).filter(is_within).collect();
+    let mut marks: Vec<u64> = own()
+        .filter_map(|offer| offer.completed_at)
+        .filter(is_within)
+        .collect();
     marks.extend([life.ready_at, life.ended_at]);
     marks.sort_unstable();
     let mut offered: Vec<u64> = own().map(|offer| offer.at).filter(is_within).collect();
     offered.sort_unstable();
     let stretches = marks.windows(2).map(|pair| (pair[0], pair[1]));
-    stretches.filter_map(|stretch| idle_stretch(life.front, stretch, &offered, patience)).collect()
+    stretches
+        .filter_map(|stretch| idle_stretch(life.front, stretch, &offered, patience))
+        .collect()
 }
 
 /// Counted from the first offer of the stretch: before it there was nothing to complete.
@@ -73,9 +85,18 @@
     offered: &[u64],
     patience: Patience,
 ) -> Option<ServesNobody> {
-    let within: Vec<u64> = offered.iter().copied().filter(|at| (after..=till).contains(at)).collect();
+    let within: Vec<u64> = offered
+        .iter()
+        .copied()
+        .filter(|at| (after..=till).contains(at))
+        .collect();
     let from = *within.first()?;
     let is_long = till - from >= patience.window_ms;
     let offers = within.len();
-    (is_long && offers >= patience.least_offers).then_some(ServesNobody { front, from, till, offers })
+    (is_long && offers >= patience.least_offers).then_some(ServesNobody {
+        front,
+        from,
+        till,
+        offers,
+    })
 }
--- a/rig/src/simulated.rs
+++ b/rig/src/simulated.rs
@@ -6,7 +6,8 @@
 
 use doortrack_emulator::{Clock, Law, Links, MachineId, Micros, Net, Next};
 use doortrack_fleet::{
-    Action, Change, Datagram, Event, Fleet, Incarnation, MemberState, MemberUpdate, Parameters, ReportedState,
+    Action, Change, Datagram, Event, Fleet, Incarnation, MemberState, MemberUpdate, Parameters,
+    ReportedState,
 };
 use doortrack_node::peers::seal::Seal;
 use doortrack_node::peers::spoken::Spoken;
@@ -47,7 +48,10 @@
     fn default() -> Options {
         Options {
             parameters: Parameters::default(),
-            latency: Law::LogNormal { mean: 300.0, sigma: 0.5 },
+            latency: Law::LogNormal {
+                mean: 300.0,
+                sigma: 0.5,
+            },
             zones: 1,
             between_zones: 0,
             offset_ms: 0,
@@ -108,7 +112,11 @@
 
 /// Runs a script; returns its history and cost.
 pub fn run(script: &Script, options: &Options) -> (History, Cost) {
-    let links = Links { latency: options.latency, between_zones: options.between_zones, ..Links::default() };
+    let links = Links {
+        latency: options.latency,
+        between_zones: options.between_zones,
+        ..Links::default()
+    };
     let mut net = Net::new(links, script.seed);
     let mut chance = fastrand::Rng::with_seed(script.seed);
     for node in 0..script.nodes {
@@ -117,7 +125,10 @@
             bound => chance.i64(-bound..=bound),
         };
         let offset = spread(&mut chance, options.offset_ms) * MS as i64 + BASE;
-        let clock = Clock { offset, drift_ppm: spread(&mut chance, options.drift_ppm) };
+        let clock = Clock {
+            offset,
+            drift_ppm: spread(&mut chance, options.drift_ppm),
+        };
         net.add(clock, node as u32 % options.zones.max(1));
     }
     let mut world = World {
@@ -127,7 +138,10 @@
         options: options.clone(),
         seal: Seal::new(None, "simulated"),
         seed: script.seed,
-        history: History { nodes: script.nodes, entries: Vec::new() },
+        history: History {
+            nodes: script.nodes,
+            entries: Vec::new(),
+        },
         cost: Cost::default(),
         actions: Vec::new(),
     };
@@ -143,14 +157,26 @@
             match next {
                 Next::Mark(index) => self.inject(faults[index as usize].fault.clone()),
                 Next::Wakes { of: node } => self.handle(node, Event::Tick),
-                Next::Hears { of: node, from, what } => {
+                Next::Hears {
+                    of: node,
+                    from,
+                    what,
+                } => {
                     let from = address(from);
-                    self.handle(node, Event::Received { from, datagram: what });
+                    self.handle(
+                        node,
+                        Event::Received {
+                            from,
+                            datagram: what,
+                        },
+                    );
                 }
             }
         }
         let step = script.nodes.div_ceil(MAX_QUERIED).max(1);
-        (0..script.nodes).step_by(step).for_each(|node| self.record_status(node, script.ms));
+        (0..script.nodes)
+            .step_by(step)
+            .for_each(|node| self.record_status(node, script.ms));
     }
 
     fn now_ms(&self) -> u64 {
@@ -173,7 +199,10 @@
             address: address(node),
             weight: 4,
         };
-        let parameters = Parameters { seeds: self.seeds.clone(), ..self.options.parameters.clone() };
+        let parameters = Parameters {
+            seeds: self.seeds.clone(),
+            ..self.options.parameters.clone()
+        };
         let fleet = Fleet::new(me, parameters, self.seed ^ self.net.now(), shown / TENTH);
         self.wake(node, &fleet);
         self.fleets[node] = Some(fleet);
@@ -188,7 +217,9 @@
 
     fn handle(&mut self, node: MachineId, event: Event) {
         let now = self.net.shown(node) / TENTH;
-        let Some(mut fleet) = self.fleets[node].take() else { return };
+        let Some(mut fleet) = self.fleets[node].take() else {
+            return;
+        };
         let mut actions = std::mem::take(&mut self.actions);
         self.cost.decide(|| fleet.handle(now, event, &mut actions));
         for action in actions.drain(..) {
@@ -204,7 +235,9 @@
 
     fn send(&mut self, node: MachineId, to: SocketAddr, datagram: Datagram) {
         self.cost.datagrams += 1;
-        let Some(to) = machine(to).filter(|to| *to < self.fleets.len()) else { return };
+        let Some(to) = machine(to).filter(|to| *to < self.fleets.len()) else {
+            return;
+        };
         if self.options.count_bytes {
             let sealed = self.seal.close(&Spoken::Fleet(datagram.clone()));
             self.cost.bytes += sealed.map_or(0, |bytes| bytes.len() as u64) + HEADER_BYTES;
@@ -231,11 +264,20 @@
 
     fn inject(&mut self, fault: Fault) {
         let at_ms = self.now_ms();
-        self.history.put(at_ms, What::Fault { fault: fault.clone() });
+        self.history.put(
+            at_ms,
+            What::Fault {
+                fault: fault.clone(),
+            },
+        );
         links::take_up(&mut self.net, self.options.latency, &fault);
         match fault {
             Fault::Kill { nodes } => {
-                for node in nodes.into_iter().filter(|node| !self.net.is_down(*node)).collect::<Vec<_>>() {
+                for node in nodes
+                    .into_iter()
+                    .filter(|node| !self.net.is_down(*node))
+                    .collect::<Vec<_>>()
+                {
                     self.net.kill(node);
                     self.fleets[node] = None;
                     self.history.put(at_ms, What::Ended { node });
@@ -243,7 +285,9 @@
             }
             Fault::Start { nodes, clock_ms } => self.start_all(nodes, clock_ms),
             Fault::StartOlder { nodes } => self.start_all(nodes, 0),
-            Fault::Leave { nodes } => nodes.into_iter().for_each(|node| self.handle(node, Event::Leave)),
+            Fault::Leave { nodes } => nodes
+                .into_iter()
+                .for_each(|node| self.handle(node, Event::Leave)),
             _ => {}
         }
     }
@@ -252,12 +296,18 @@
         let at_ms = self.now_ms();
         for node in nodes {
             // A node that left still answers until it is restarted.
-            if self.fleets[node].as_ref().is_some_and(|fleet| fleet.me().state == MemberState::Left) {
+            if self.fleets[node]
+                .as_ref()
+                .is_some_and(|fleet| fleet.me().state == MemberState::Left)
+            {
                 self.net.kill(node);
                 self.history.put(at_ms, What::Ended { node });
             }
             if self.net.is_down(node) {
-                let clock = Clock { offset: BASE + clock_ms * MS as i64, drift_ppm: 0 };
+                let clock = Clock {
+                    offset: BASE + clock_ms * MS as i64,
+                    drift_ppm: 0,
+                };
                 self.net.set_clock(node, clock);
             }
             self.start(node);
@@ -266,10 +316,14 @@
 
     fn record_status(&mut self, node: MachineId, at_ms: u64) {
         let now = self.net.shown(node) / TENTH;
-        let Some(fleet) = self.fleets[node].as_ref().filter(|_| self.net.is_up(node)) else { return };
+        let Some(fleet) = self.fleets[node].as_ref().filter(|_| self.net.is_up(node)) else {
+            return;
+        };
         let (reports, _) = fleet.report(None, usize::MAX, now);
         let state = |state: ReportedState| {
-            serde_json::to_value(state).ok().and_then(|v| v.as_str().map(str::to_string))
+            serde_json::to_value(state)
+                .ok()
+                .and_then(|v| v.as_str().map(str::to_string))
         };
         let member = |report: doortrack_fleet::MemberReport| Member {
             name: report.name.to_string(),
@@ -278,6 +332,14 @@
         };
         let members = reports.into_iter().map(member).collect();
         let (isolated, digest) = (fleet.is_isolated(), format!("{:016x}", fleet.view().digest));
-        self.history.put(at_ms, What::Status { node, isolated, digest, members });
+        self.history.put(
+            at_ms,
+            What::Status {
+                node,
+                isolated,
+                digest,
+                members,
+            },
+        );
     }
 }
