--- a/rig/src/streams.rs
+++ b/rig/src/streams.rs
@@ -29,7 +29,10 @@
 type Breaks = Arc<Mutex<Vec<u64>>>;
 
 fn record_break(breaks: &Breaks) {
-    breaks.lock().unwrap_or_else(PoisonError::into_inner).push(unix_ms());
+    breaks
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .push(unix_ms());
 }
 
 impl Stream {
@@ -39,40 +42,63 @@
     /// The listening socket, or the thread, can't be created.
     pub fn to(target: SocketAddr, seed: u64) -> io::Result<Stream> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let (conditions, over): (Arc<Mutex<NetworkConditions>>, Arc<AtomicBool>) = Default::default();
+        let (conditions, over): (Arc<Mutex<NetworkConditions>>, Arc<AtomicBool>) =
+            Default::default();
         let breaks = Breaks::default();
         let at = listener.local_addr()?;
-        let stream =
-            Stream { at, conditions: conditions.clone(), breaks: breaks.clone(), over: over.clone() };
-        thread::Builder::new().name("stream".into()).spawn(move || {
-            let mut chance = fastrand::Rng::with_seed(seed);
-            for near in listener.incoming().map_while(Result::ok) {
-                if over.load(Ordering::Relaxed) {
-                    return;
-                }
-                let Ok(far) = TcpStream::connect(target) else {
-                    record_break(&breaks);
-                    continue;
-                };
-                for (from, to) in [(&near, &far), (&far, &near)] {
-                    let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { continue };
-                    let (conditions, over, breaks) = (conditions.clone(), over.clone(), breaks.clone());
-                    let direction = Direction { from, to, conditions, over, breaks, chance: chance.fork() };
-                    _ = thread::Builder::new().spawn(move || direction.run());
+        let stream = Stream {
+            at,
+            conditions: conditions.clone(),
+            breaks: breaks.clone(),
+            over: over.clone(),
+        };
+        thread::Builder::new()
+            .name("stream".into())
+            .spawn(move || {
+                let mut chance = fastrand::Rng::with_seed(seed);
+                for near in listener.incoming().map_while(Result::ok) {
+                    if over.load(Ordering::Relaxed) {
+                        return;
+                    }
+                    let Ok(far) = TcpStream::connect(target) else {
+                        record_break(&breaks);
+                        continue;
+                    };
+                    for (from, to) in [(&near, &far), (&far, &near)] {
+                        let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
+                            continue;
+                        };
+                        let (conditions, over, breaks) =
+                            (conditions.clone(), over.clone(), breaks.clone());
+                        let direction = Direction {
+                            from,
+                            to,
+                            conditions,
+                            over,
+                            breaks,
+                            chance: chance.fork(),
+                        };
+                        _ = thread::Builder::new().spawn(move || direction.run());
+                    }
                 }
-            }
-        })?;
+            })?;
         Ok(stream)
     }
 
     /// Replaces the conditions of all connections, also of open ones.
     pub fn change(&self, conditions: NetworkConditions) {
-        *self.conditions.lock().unwrap_or_else(PoisonError::into_inner) = conditions;
+        *self
+            .conditions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = conditions;
     }
 
     /// When, in Unix ms, the proxy itself closed or held up a connection.
     pub fn breaks(&self) -> Vec<u64> {
-        self.breaks.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.breaks
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
 
@@ -99,7 +125,10 @@
     fn wait_while_cut(&self) -> NetworkConditions {
         let mut held = false;
         loop {
-            let conditions = *self.conditions.lock().unwrap_or_else(PoisonError::into_inner);
+            let conditions = *self
+                .conditions
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             if !conditions.cut || self.over.load(Ordering::Relaxed) {
                 if held {
                     // The other side may have timed out meanwhile.
@@ -124,7 +153,14 @@
                     return;
                 }
                 Ok(len) => len,
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => continue,
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    ) =>
+                {
+                    continue;
+                }
                 Err(_) => break,
             };
             let conditions = self.wait_while_cut();
@@ -132,10 +168,12 @@
                 record_break(&self.breaks);
                 break;
             }
-            let transmission_micros =
-                (len as u64 * 1_000_000).checked_div(conditions.bytes_a_second).unwrap_or(0);
+            let transmission_micros = (len as u64 * 1_000_000)
+                .checked_div(conditions.bytes_a_second)
+                .unwrap_or(0);
             thread::sleep(
-                Duration::from_millis(conditions.delay_ms) + Duration::from_micros(transmission_micros),
+                Duration::from_millis(conditions.delay_ms)
+                    + Duration::from_micros(transmission_micros),
             );
             if self.to.write_all(&bytes[..len]).is_err() {
                 break;
--- a/rig/src/traffic.rs
+++ b/rig/src/traffic.rs
@@ -112,10 +112,16 @@
 impl Caller {
     fn ask(&mut self, front: SocketAddr, key: Option<&str>) -> Option<Seen> {
         self.nth += 1;
-        let script = if key.is_some() { "/svc/pay" } else { "/svc/look" };
+        let script = if key.is_some() {
+            "/svc/pay"
+        } else {
+            "/svc/look"
+        };
         let ask = Ask::new(self.nth, script, b"berth");
         let ask = key.map_or(ask.clone(), |key| ask.with("HTTP_IDEMPOTENCY_KEY", key));
-        let ask = self.tenant.map_or(ask.clone(), |tenant| ask.with("HTTP_X_TENANT", tenant));
+        let ask = self
+            .tenant
+            .map_or(ask.clone(), |tenant| ask.with("HTTP_X_TENANT", tenant));
         let sent = unix_ms();
         let Ok(pending) = ask.try_send(front, Protocol::FastCgi) else {
             self.refused.push((front, sent));
@@ -123,14 +129,24 @@
         };
         let seen = pending.seen();
         let told = Some((seen.clone(), unix_ms()));
-        self.tried
-            .push((front, Tried { nth: self.nth, idempotency_key: key.map(str::to_string), sent, told }));
+        self.tried.push((
+            front,
+            Tried {
+                nth: self.nth,
+                idempotency_key: key.map(str::to_string),
+                sent,
+                told,
+            },
+        ));
         Some(seen)
     }
 
     fn run(mut self, over: &AtomicBool) -> Caller {
         while !over.load(Ordering::Relaxed) {
-            let key = self.chance.bool().then(|| format!("{:032x}", self.chance.u128(..)));
+            let key = self
+                .chance
+                .bool()
+                .then(|| format!("{:032x}", self.chance.u128(..)));
             let from = self.chance.usize(..self.fronts.len());
             for nth in 0..2.min(self.fronts.len()) {
                 let front = self.fronts[(from + nth) % self.fronts.len()];
@@ -172,7 +188,10 @@
             let over = over.clone();
             std::thread::spawn(move || caller.run(&over))
         });
-        Traffic { callers: callers.collect(), over }
+        Traffic {
+            callers: callers.collect(),
+            over,
+        }
     }
 
     /// Ends the callers once each has its answer.
@@ -209,18 +228,32 @@
                 Some((Seen::Completed(_), at)) => Some(at),
                 _ => None,
             };
-            Offer { front: *front, at: tried.sent, completed_at }
+            Offer {
+                front: *front,
+                at: tried.sent,
+                completed_at,
+            }
+        });
+        let refused = self.refused.iter().map(|(front, at)| Offer {
+            front: *front,
+            at: *at,
+            completed_at: None,
         });
-        let refused =
-            self.refused.iter().map(|(front, at)| Offer { front: *front, at: *at, completed_at: None });
         tried.chain(refused).collect()
     }
 
     /// Judges by the four rules; every breach in words. Who was ended by the rig owes no answer.
     pub fn judge(self, ran: &[Ran], deaths: &[Death]) -> (Served, Vec<String>) {
-        let tried: Vec<Tried> =
-            self.tried.into_iter().map(|(front, tried)| excuse(front, tried, deaths)).collect();
-        let bounds = Bounds { within: WITHIN, closed: None, tries: 3 };
+        let tried: Vec<Tried> = self
+            .tried
+            .into_iter()
+            .map(|(front, tried)| excuse(front, tried, deaths))
+            .collect();
+        let bounds = Bounds {
+            within: WITHIN,
+            closed: None,
+            tries: 3,
+        };
         let completed = |one: &&Tried| matches!(one.told, Some((Seen::Completed(_), _)));
         let served = Served {
             asked: tried.len(),
@@ -229,7 +262,10 @@
         };
         let mut breaches = broken(&tried, ran, bounds, result);
         if self.stuck > 0 {
-            breaches.push(format!("rule 1: {} callers saw no end of a connection", self.stuck));
+            breaches.push(format!(
+                "rule 1: {} callers saw no end of a connection",
+                self.stuck
+            ));
         }
         (served, breaches)
     }
@@ -239,7 +275,10 @@
 fn excuse(front: SocketAddr, mut tried: Tried, deaths: &[Death]) -> Tried {
     let died = |at: u64| {
         let of = |death: &&Death| death.front == front && tried.sent >= death.owed_before;
-        deaths.iter().filter(of).any(|death| death.at + BEFORE >= tried.sent && death.at <= at)
+        deaths
+            .iter()
+            .filter(of)
+            .any(|death| death.at + BEFORE >= tried.sent && death.at <= at)
     };
     let owes_nothing = matches!(tried.told, Some((Seen::Nothing, at)) if died(at));
     tried.told = tried.told.filter(|_| !owes_nothing);
--- a/rig/src/usage.rs
+++ b/rig/src/usage.rs
@@ -20,7 +20,10 @@
             let count = earlier + 1;
             let max = max_admitted(first.sent, *end, limit, burst);
             if count as f64 > max {
-                return Some(format!("{count} from {} to {end} ms, {max:.1} at most", first.sent));
+                return Some(format!(
+                    "{count} from {} to {end} ms, {max:.1} at most",
+                    first.sent
+                ));
             }
         }
     }
@@ -56,6 +59,9 @@
 
 /// The share of a rate's limit that was used from `start` to `end`, in ms, by requests surely admitted then.
 pub fn used(admitted: &[Admitted], limit: u32, start: u64, end: u64) -> f64 {
-    let count = admitted.iter().filter(|request| request.sent >= start && request.ran < end).count();
+    let count = admitted
+        .iter()
+        .filter(|request| request.sent >= start && request.ran < end)
+        .count();
     count as f64 * 1_000.0 / f64::from(limit) / (end - start).max(1) as f64
 }
--- a/rig/tests/checkers.rs
+++ b/rig/tests/checkers.rs
@@ -8,33 +8,59 @@
 
 fn reported(node: usize, change: &str, member: usize, incarnation: u64) -> What {
     let (member, incarnation) = (Some(name(member)), Some(format!("{incarnation:x}")));
-    What::MemberChange { node, change: change.into(), member, incarnation, view: 1, members: 3 }
+    What::MemberChange {
+        node,
+        change: change.into(),
+        member,
+        incarnation,
+        view: 1,
+        members: 3,
+    }
 }
 
 fn status(node: usize, there: &[usize]) -> What {
-    let member = |of: &usize| Member { name: name(*of), incarnation: "1".into(), state: "alive".into() };
+    let member = |of: &usize| Member {
+        name: name(*of),
+        incarnation: "1".into(),
+        state: "alive".into(),
+    };
     let digest = format!("{there:?}");
-    What::Status { node, isolated: false, digest, members: there.iter().map(member).collect() }
+    What::Status {
+        node,
+        isolated: false,
+        digest,
+        members: there.iter().map(member).collect(),
+    }
 }
 
 /// Three nodes that start, and say so of one another.
 fn good() -> History {
-    let mut history = History { nodes: 3, entries: Vec::new() };
+    let mut history = History {
+        nodes: 3,
+        entries: Vec::new(),
+    };
     (0..3).for_each(|node| history.put(0, What::Began { node }));
     for node in 0..3 {
-        (0..3).filter(|of| *of != node).for_each(|of| history.put(500, reported(node, "alive", of, 0x10)));
+        (0..3)
+            .filter(|of| *of != node)
+            .for_each(|of| history.put(500, reported(node, "alive", of, 0x10)));
     }
     history
 }
 
 fn ended(mut history: History, there: &[usize]) -> History {
-    there.iter().for_each(|node| history.put(60_000, status(*node, there)));
+    there
+        .iter()
+        .for_each(|node| history.put(60_000, status(*node, there)));
     history.sort();
     history
 }
 
 fn violated(history: &History) -> Vec<&'static str> {
-    judge(history, &membership()).into_iter().map(|violation| violation.rule).collect()
+    judge(history, &membership())
+        .into_iter()
+        .map(|violation| violation.rule)
+        .collect()
 }
 
 fn fault(history: &mut History, at_ms: u64, fault: Fault) {
@@ -55,15 +81,28 @@
     let mut history = good();
     history.put(30_000, reported(0, "dead", 1, 0x10));
     history.put(30_200, reported(0, "back", 1, 0x10));
-    assert_eq!(violated(&ended(history, &[0, 1, 2])), ["nobody wrongly declared dead"]);
+    assert_eq!(
+        violated(&ended(history, &[0, 1, 2])),
+        ["nobody wrongly declared dead"]
+    );
 }
 
 #[test]
 fn one_broken_link_is_no_reason_and_a_stop_is_one() {
     let mut history = good();
-    fault(&mut history, 20_000, Fault::Cut { from: vec![0], to: vec![1] });
+    fault(
+        &mut history,
+        20_000,
+        Fault::Cut {
+            from: vec![0],
+            to: vec![1],
+        },
+    );
     history.put(25_000, reported(0, "dead", 1, 0x10));
-    assert_eq!(violated(&ended(history, &[0, 1, 2])), ["nobody wrongly declared dead"]);
+    assert_eq!(
+        violated(&ended(history, &[0, 1, 2])),
+        ["nobody wrongly declared dead"]
+    );
     let mut history = good();
     fault(&mut history, 20_000, Fault::Stop { nodes: vec![1] });
     history.put(25_000, reported(0, "dead", 1, 0x10));
@@ -84,18 +123,52 @@
 fn an_earlier_incarnation_is_found() {
     let mut history = good();
     history.put(20_000, reported(0, "alive", 2, 0x9));
-    assert_eq!(violated(&ended(history, &[0, 1, 2])), ["incarnations go forward"]);
+    assert_eq!(
+        violated(&ended(history, &[0, 1, 2])),
+        ["incarnations go forward"]
+    );
 }
 
 #[test]
 fn a_death_declared_by_one_that_is_isolated_is_found() {
     let mut history = good();
-    fault(&mut history, 20_000, Fault::Cut { from: vec![0], to: vec![1, 2] });
-    fault(&mut history, 20_000, Fault::Cut { from: vec![1, 2], to: vec![0] });
+    fault(
+        &mut history,
+        20_000,
+        Fault::Cut {
+            from: vec![0],
+            to: vec![1, 2],
+        },
+    );
+    fault(
+        &mut history,
+        20_000,
+        Fault::Cut {
+            from: vec![1, 2],
+            to: vec![0],
+        },
+    );
     history.put(24_000, reported(0, "dead", 1, 0x10));
-    fault(&mut history, 30_000, Fault::Mend { from: vec![0], to: vec![1, 2] });
-    fault(&mut history, 30_000, Fault::Mend { from: vec![1, 2], to: vec![0] });
-    assert_eq!(violated(&ended(history, &[0, 1, 2])), ["isolated, declares nobody dead"]);
+    fault(
+        &mut history,
+        30_000,
+        Fault::Mend {
+            from: vec![0],
+            to: vec![1, 2],
+        },
+    );
+    fault(
+        &mut history,
+        30_000,
+        Fault::Mend {
+            from: vec![1, 2],
+            to: vec![0],
+        },
+    );
+    assert_eq!(
+        violated(&ended(history, &[0, 1, 2])),
+        ["isolated, declares nobody dead"]
+    );
 }
 
 #[test]
@@ -104,7 +177,10 @@
     fault(&mut history, 20_000, Fault::Stop { nodes: vec![0] });
     fault(&mut history, 25_000, Fault::GoOn { nodes: vec![0] });
     history.put(25_050, reported(0, "dead", 1, 0x10));
-    assert_eq!(violated(&ended(history, &[0, 1, 2])), ["resumed, declares nobody dead"]);
+    assert_eq!(
+        violated(&ended(history, &[0, 1, 2])),
+        ["resumed, declares nobody dead"]
+    );
 }
 
 #[test]
@@ -116,7 +192,9 @@
     history.put(60_000, status(1, &[0, 1, 2]));
     assert_eq!(violated(&history), ["in the end all agree"]);
     let mut history = ended(good(), &[0, 1, 2]);
-    if let Some(What::Status { digest, .. }) = history.entries.last_mut().map(|entry| &mut entry.what) {
+    if let Some(What::Status { digest, .. }) =
+        history.entries.last_mut().map(|entry| &mut entry.what)
+    {
         *digest = "another".into();
     }
     assert_eq!(violated(&history), ["in the end all agree"]);
@@ -125,13 +203,30 @@
 #[test]
 fn the_smallest_script_keeps_what_makes_it_fail() {
     let put = |at_ms, fault| Timed { at_ms, fault };
-    let mut faults: Vec<Timed> = (0..20).map(|nth| put(nth, Fault::Stop { nodes: vec![1] })).collect();
+    let mut faults: Vec<Timed> = (0..20)
+        .map(|nth| put(nth, Fault::Stop { nodes: vec![1] }))
+        .collect();
     faults.insert(7, put(7, Fault::Kill { nodes: vec![0] }));
-    faults.insert(13, put(13, Fault::Start { nodes: vec![0], clock_ms: 0 }));
-    let script = Script { nodes: 3, ms: 100, seed: 1, faults };
+    faults.insert(
+        13,
+        put(
+            13,
+            Fault::Start {
+                nodes: vec![0],
+                clock_ms: 0,
+            },
+        ),
+    );
+    let script = Script {
+        nodes: 3,
+        ms: 100,
+        seed: 1,
+        faults,
+    };
     let wanted = |script: &Script| {
         let has = |kind: fn(&Fault) -> bool| script.faults.iter().any(|timed| kind(&timed.fault));
-        has(|fault| matches!(fault, Fault::Kill { .. })) && has(|fault| matches!(fault, Fault::Start { .. }))
+        has(|fault| matches!(fault, Fault::Kill { .. }))
+            && has(|fault| matches!(fault, Fault::Start { .. }))
     };
     let least = shrink(&script, 1_000, wanted);
     assert_eq!(least.faults.len(), 2, "{least:?}");
@@ -146,8 +241,14 @@
             r#"{"nodes": 2, "ms": 1, "faults": [{"at_ms": 1, "do": "kill", "nodes": [2]}]}"#,
             "script.faults[0]",
         ),
-        (r#"{"nodes": 2, "ms": 1, "faults": [{"at_ms": 1, "do": "links", "loss": 2}]}"#, "script.faults[0]"),
-        (r#"{"nodes": 2, "ms": 1, "faults": [{"at_ms": 1, "do": "melt"}]}"#, "script.faults[0]"),
+        (
+            r#"{"nodes": 2, "ms": 1, "faults": [{"at_ms": 1, "do": "links", "loss": 2}]}"#,
+            "script.faults[0]",
+        ),
+        (
+            r#"{"nodes": 2, "ms": 1, "faults": [{"at_ms": 1, "do": "melt"}]}"#,
+            "script.faults[0]",
+        ),
     ];
     for (text, path) in wrong {
         let why = Script::parse(text).unwrap_err();
@@ -161,7 +262,9 @@
 #[test]
 fn more_than_a_budget_is_seen_and_what_may_have_passed_earlier_is_not() {
     let admitted = |sent: u64, ran: u64| Admitted { sent, ran };
-    let even: Vec<Admitted> = (0..100).map(|nth| admitted(nth * 10, nth * 10 + 2)).collect();
+    let even: Vec<Admitted> = (0..100)
+        .map(|nth| admitted(nth * 10, nth * 10 + 2))
+        .collect();
     assert_eq!(rate_exceeded(&even, 100, 5), None);
     let mut more = even.clone();
     more.extend((0..6).map(|nth| admitted(500 + nth, 503 + nth)));
@@ -171,7 +274,10 @@
     early.truncate(50);
     early.extend((0..6).map(|nth| admitted(100, 503 + nth)));
     assert_eq!(rate_exceeded(&early, 120, 5), None);
-    assert_eq!(concurrency_exceeded(&[(0, 10), (5, 15), (10, 20), (15, 30)], 2), None);
+    assert_eq!(
+        concurrency_exceeded(&[(0, 10), (5, 15), (10, 20), (15, 30)], 2),
+        None
+    );
     assert!(concurrency_exceeded(&[(0, 10), (5, 15), (9, 20)], 2).is_some());
     assert!((used(&even, 100, 0, 1_000) - 1.0).abs() < 0.02);
 }
--- a/rig/tests/divided.rs
+++ b/rig/tests/divided.rs
@@ -18,16 +18,34 @@
 
 fn rate(limit: u32, burst: u32, reserved: u32) -> Budget {
     let kind = Kind::Rate { burst };
-    Budget { name: "rate".into(), kind, limit, reserved, reserved_for: names(5), max_per_node: limit }
+    Budget {
+        name: "rate".into(),
+        kind,
+        limit,
+        reserved,
+        reserved_for: names(5),
+        max_per_node: limit,
+    }
 }
 
 fn concurrency(limit: u32, reserved: u32) -> Budget {
     let kind = Kind::Concurrency { max_hold: 20_000 };
-    Budget { name: "places".into(), kind, limit, reserved, reserved_for: names(5), max_per_node: limit }
+    Budget {
+        name: "places".into(),
+        kind,
+        limit,
+        reserved,
+        reserved_for: names(5),
+        max_per_node: limit,
+    }
 }
 
 fn parameters(safeguards: Safeguards) -> Parameters {
-    Parameters { voters: names(5), safeguards, ..Parameters::default() }
+    Parameters {
+        voters: names(5),
+        safeguards,
+        ..Parameters::default()
+    }
 }
 
 /// More is asked for everywhere than there is, in turns most of it at one node.
@@ -64,7 +82,10 @@
     let options = Options {
         parameters: parameters(safeguards),
         budgets: vec![rate(600, 120, 20), concurrency(30, 1)],
-        latency: Law::LogNormal { mean: 300.0, sigma: 0.5 },
+        latency: Law::LogNormal {
+            mean: 300.0,
+            sigma: 0.5,
+        },
         drift_ppm,
         offset_ms: 1_000,
         demand,
@@ -82,15 +103,28 @@
 }
 
 fn script(ms: u64, seed: u64, faults: Vec<(u64, Fault)>) -> Script {
-    let faults = faults.into_iter().map(|(at_ms, fault)| Timed { at_ms, fault }).collect();
-    Script { nodes: NODES, ms, seed, faults }
+    let faults = faults
+        .into_iter()
+        .map(|(at_ms, fault)| Timed { at_ms, fault })
+        .collect();
+    Script {
+        nodes: NODES,
+        ms,
+        seed,
+        faults,
+    }
 }
 
 #[test]
 fn healthy_it_is_put_to_use_and_the_same_each_time() {
     let one = holds(&script(20_000, 1, vec![]));
     // All but what went before there was a leader that grants: 3 s of the 20.
-    assert!(one.used[0] > 17 * 600 * 85 / 100, "{} of {}", one.used[0], one.asked[0]);
+    assert!(
+        one.used[0] > 17 * 600 * 85 / 100,
+        "{} of {}",
+        one.used[0],
+        one.asked[0]
+    );
     assert_eq!(one.leaders, 1);
     assert_eq!(one.digest, holds(&script(20_000, 1, vec![])).digest);
 }
@@ -104,10 +138,23 @@
 
 #[test]
 fn with_most_voters_gone_allocations_run_out_to_the_reserved_minimums() {
-    let gone = script(20_000, 3, vec![(8_000, Fault::Kill { nodes: vec![0, 1, 2] })]);
+    let gone = script(
+        20_000,
+        3,
+        vec![(
+            8_000,
+            Fault::Kill {
+                nodes: vec![0, 1, 2],
+            },
+        )],
+    );
     let out = holds(&gone);
     let used = |from: u64, till: u64| -> u32 {
-        out.by_time.iter().filter(|((_, at), _)| (from..till).contains(at)).map(|(_, count)| count).sum()
+        out.by_time
+            .iter()
+            .filter(|((_, at), _)| (from..till).contains(at))
+            .map(|(_, count)| count)
+            .sum()
     };
     // Two reserved minimums of 20 a second are left, for 8 s.
     assert!((250..=340).contains(&used(120, 200)), "{}", used(120, 200));
@@ -119,7 +166,9 @@
     let all: Vec<usize> = (0..NODES).collect();
     let cut = |from: Vec<usize>, to: Vec<usize>| Fault::Cut { from, to };
     let mend = |from: Vec<usize>, to: Vec<usize>| Fault::Mend { from, to };
-    let mut scripts: Vec<Script> = (1..=12).map(|seed| Script::seeded(seed, NODES, 6)).collect();
+    let mut scripts: Vec<Script> = (1..=12)
+        .map(|seed| Script::seeded(seed, NODES, 6))
+        .collect();
     for seed in 1..=3 {
         let (few, rest) = (vec![0, 1, 5, 6], vec![2, 3, 4, 7, 8]);
         scripts.push(script(
@@ -133,22 +182,59 @@
             ],
         ));
         // All at once, twice; each leader in turn, with nothing left of what it knew.
-        let again = |at| (at, Fault::Start { nodes: all.clone(), clock_ms: 0 });
-        scripts.push(script(16_000, seed, vec![again(6_000), again(9_300), again(12_100)]));
-        let start = |at: u64, of: usize| (at, Fault::Start { nodes: vec![of], clock_ms: 0 });
+        let again = |at| {
+            (
+                at,
+                Fault::Start {
+                    nodes: all.clone(),
+                    clock_ms: 0,
+                },
+            )
+        };
+        scripts.push(script(
+            16_000,
+            seed,
+            vec![again(6_000), again(9_300), again(12_100)],
+        ));
+        let start = |at: u64, of: usize| {
+            (
+                at,
+                Fault::Start {
+                    nodes: vec![of],
+                    clock_ms: 0,
+                },
+            )
+        };
         scripts.push(script(
             20_000,
             seed,
-            (0..30).map(|nth| start(5_000 + nth * 400, nth as usize % 5)).collect(),
+            (0..30)
+                .map(|nth| start(5_000 + nth * 400, nth as usize % 5))
+                .collect(),
         ));
-        let rough = Fault::Links { loss: 0.1, doubled: 0.3, garbled: 0.0, delay_ms: 150 };
+        let rough = Fault::Links {
+            loss: 0.1,
+            doubled: 0.3,
+            garbled: 0.0,
+            delay_ms: 150,
+        };
         scripts.push(script(25_000, seed, vec![(4_000, rough)]));
         scripts.push(script(
             25_000,
             seed,
             vec![
-                (6_000, Fault::Stop { nodes: vec![5, 6, 7] }),
-                (9_500, Fault::GoOn { nodes: vec![5, 6, 7] }),
+                (
+                    6_000,
+                    Fault::Stop {
+                        nodes: vec![5, 6, 7],
+                    },
+                ),
+                (
+                    9_500,
+                    Fault::GoOn {
+                        nodes: vec![5, 6, 7],
+                    },
+                ),
             ],
         ));
     }
@@ -171,23 +257,63 @@
 #[test]
 fn each_safeguard_is_needed() {
     let all = Safeguards::default();
-    breaks("majority", Safeguards { majority: false, ..all });
-    breaks("settle", Safeguards { settle: false, ..all });
-    breaks("confirm", Safeguards { confirm: false, ..all });
-    breaks("run out", Safeguards { run_out: false, ..all });
+    breaks(
+        "majority",
+        Safeguards {
+            majority: false,
+            ..all
+        },
+    );
+    breaks(
+        "settle",
+        Safeguards {
+            settle: false,
+            ..all
+        },
+    );
+    breaks(
+        "confirm",
+        Safeguards {
+            confirm: false,
+            ..all
+        },
+    );
+    breaks(
+        "run out",
+        Safeguards {
+            run_out: false,
+            ..all
+        },
+    );
     breaks("held", Safeguards { held: false, ..all });
     // All clocks too fast at once: each makes more of a second than there is.
     let fast = script(30_000, 1, vec![]);
-    assert!(run_with(&fast, all, (20_000, 20_000), &|_, _, _| 200.0).violations.is_empty());
-    let without = run_with(&fast, Safeguards { drift: false, ..all }, (20_000, 20_000), &|_, _, _| 200.0);
+    assert!(
+        run_with(&fast, all, (20_000, 20_000), &|_, _, _| 200.0)
+            .violations
+            .is_empty()
+    );
+    let without = run_with(
+        &fast,
+        Safeguards {
+            drift: false,
+            ..all
+        },
+        (20_000, 20_000),
+        &|_, _, _| 200.0,
+    );
     assert!(!without.violations.is_empty(), "{}", without.used[0]);
 }
 
 /// Two hundred budgets go in pages; one node's need is absurd, and takes no more than its fair part.
 #[test]
 fn two_hundred_budgets_and_an_absurd_need() {
-    let budgets: Vec<Budget> =
-        (0..200).map(|nth| Budget { name: format!("b{nth}").into(), ..rate(90, 90, 0) }).collect();
+    let budgets: Vec<Budget> = (0..200)
+        .map(|nth| Budget {
+            name: format!("b{nth}").into(),
+            ..rate(90, 90, 0)
+        })
+        .collect();
     let demand = |of: usize, index: usize, _: u64| match (index, of) {
         (0, 8) => 1e6,
         (0, _) => 20.0,
@@ -197,7 +323,10 @@
     let options = Options {
         parameters: parameters(Safeguards::default()),
         budgets,
-        latency: Law::LogNormal { mean: 300.0, sigma: 0.5 },
+        latency: Law::LogNormal {
+            mean: 300.0,
+            sigma: 0.5,
+        },
         drift_ppm: (-20_000, 20_000),
         offset_ms: 0,
         demand: &demand,
@@ -208,6 +337,10 @@
     let out = divided::run(&script(16_000, 1, vec![]), &options);
     assert!(out.violations.is_empty(), "{:?}", out.violations);
     // A ninth of 90 a second for 10 s each, whoever shouts.
-    assert!(out.by_node.iter().all(|used| (88..=110).contains(used)), "{:?}", out.by_node);
+    assert!(
+        out.by_node.iter().all(|used| (88..=110).contains(used)),
+        "{:?}",
+        out.by_node
+    );
     assert!(out.used[199] > 700, "{}", out.used[199]);
 }
--- a/rig/tests/scale.rs
+++ b/rig/tests/scale.rs
@@ -23,7 +23,12 @@
 const RIG: &str = env!("CARGO_BIN_EXE_doortrack-rig");
 
 fn points(of: &[(f64, f64)]) -> Vec<Point> {
-    of.iter().map(|(size, value)| Point { size: *size, value: *value }).collect()
+    of.iter()
+        .map(|(size, value)| Point {
+            size: *size,
+            value: *value,
+        })
+        .collect()
 }
 
 fn near(one: f64, other: f64) -> bool {
@@ -32,9 +37,21 @@
 
 #[test]
 fn a_line_is_found_again() {
-    let line = fit(&points(&[(50.0, 110.0), (100.0, 210.0), (400.0, 810.0), (770.0, 1_550.0)])).unwrap();
-    assert!(near(line.slope, 2.0) && near(line.intercept, 10.0), "{line:?}");
-    assert!(near(line.r_squared, 1.0) && line.slope_standard_error < 1e-6, "{line:?}");
+    let line = fit(&points(&[
+        (50.0, 110.0),
+        (100.0, 210.0),
+        (400.0, 810.0),
+        (770.0, 1_550.0),
+    ]))
+    .unwrap();
+    assert!(
+        near(line.slope, 2.0) && near(line.intercept, 10.0),
+        "{line:?}"
+    );
+    assert!(
+        near(line.r_squared, 1.0) && line.slope_standard_error < 1e-6,
+        "{line:?}"
+    );
     assert!(!line.at(770.0).extrapolated && line.at(771.0).extrapolated);
     assert!(near(line.at(1_000.0).value, 2_010.0));
 }
@@ -44,16 +61,28 @@
 #[test]
 fn errors_of_a_line_are_those_of_the_textbook() {
     let line = fit(&points(&[(1.0, 2.0), (2.0, 4.0), (3.0, 5.0), (4.0, 4.0)])).unwrap();
-    assert!(near(line.slope, 0.7) && near(line.intercept, 2.0), "{line:?}");
-    assert!(near(line.residual_standard_error, 1.15_f64.sqrt()), "{line:?}");
-    assert!(near(line.slope_standard_error, (1.15_f64 / 5.0).sqrt()), "{line:?}");
+    assert!(
+        near(line.slope, 0.7) && near(line.intercept, 2.0),
+        "{line:?}"
+    );
+    assert!(
+        near(line.residual_standard_error, 1.15_f64.sqrt()),
+        "{line:?}"
+    );
+    assert!(
+        near(line.slope_standard_error, (1.15_f64 / 5.0).sqrt()),
+        "{line:?}"
+    );
     assert!(near(line.r_squared, 2.45 / 4.75), "{line:?}");
 }
 
 #[test]
 fn no_line_is_drawn_through_what_has_none() {
     let flat = fit(&points(&[(1.0, 3.0), (2.0, 3.0), (3.0, 3.0)])).unwrap();
-    assert_eq!((flat.slope, flat.intercept, flat.r_squared), (0.0, 3.0, 1.0));
+    assert_eq!(
+        (flat.slope, flat.intercept, flat.r_squared),
+        (0.0, 3.0, 1.0)
+    );
     let two = fit(&points(&[(1.0, 3.0), (2.0, 4.0), (2.0, 5.0)]));
     assert_eq!(two, Err(FitError::TooFewSizes { found: 2 }));
     let none = fit(&points(&[(1.0, f64::NAN), (2.0, 4.0), (3.0, 5.0)]));
@@ -62,7 +91,13 @@
 
 fn series(points: Vec<Point>) -> Series {
     let (role, quantity) = (Role::Leader, Quantity::BytesInPerSecond);
-    Series { role, quantity, dimension: Dimension::Nodes, held: "1 budgets".into(), points }
+    Series {
+        role,
+        quantity,
+        dimension: Dimension::Nodes,
+        held: "1 budgets".into(),
+        points,
+    }
 }
 
 #[test]
@@ -70,11 +105,17 @@
     let measured = series(points(&[(50.0, 110.0), (100.0, 210.0), (400.0, 810.0)]));
     let beyond = text(&[FittedSeries::of(measured.clone(), Some(770.0))]);
     assert!(beyond.contains("by nodes, with 1 budgets"), "{beyond}");
-    assert!(beyond.contains("leader") && beyond.contains("bytes_in_per_second"), "{beyond}");
+    assert!(
+        beyond.contains("leader") && beyond.contains("bytes_in_per_second"),
+        "{beyond}"
+    );
     assert!(beyond.contains("1550 at 770.0 (extrapolated)"), "{beyond}");
     let within = text(&[FittedSeries::of(measured, Some(400.0))]);
     assert!(within.contains("810.0 at 400.0 (within)"), "{within}");
-    let alone = text(&[FittedSeries::of(series(points(&[(50.0, 110.0)])), Some(770.0))]);
+    let alone = text(&[FittedSeries::of(
+        series(points(&[(50.0, 110.0)])),
+        Some(770.0),
+    )]);
     assert!(!alone.contains("extrapolated"), "{alone}");
 }
 
@@ -87,7 +128,10 @@
 #[test]
 fn quantiles_are_values_that_were_measured() {
     let hundred: Vec<f64> = (1..=100).map(f64::from).collect();
-    assert_eq!((quantile(&hundred, 0.5), quantile(&hundred, 0.99)), (50.0, 99.0));
+    assert_eq!(
+        (quantile(&hundred, 0.5), quantile(&hundred, 0.99)),
+        (50.0, 99.0)
+    );
     assert_eq!((quantile(&[7.0], 0.99), quantile(&[], 0.5)), (7.0, 0.0));
 }
 
@@ -103,15 +147,40 @@
     let line = r#"{"msg":"so far of the fleet","level":"INFO","received":40,"received_bytes":4000,"sent":20,
         "sent_bytes":1000,"unsent":0}"#;
     let after = link_counts(line).unwrap();
-    assert_eq!(after, LinkCounts { datagrams_in: 40, datagrams_out: 20, bytes_in: 4_000, bytes_out: 1_000 });
+    assert_eq!(
+        after,
+        LinkCounts {
+            datagrams_in: 40,
+            datagrams_out: 20,
+            bytes_in: 4_000,
+            bytes_out: 1_000
+        }
+    );
     assert_eq!(link_counts(r#"{"msg":"so far","received":40}"#), None);
-    assert_eq!(link_counts(r#"{"msg":"so far of the fleet","received":40}"#), None);
+    assert_eq!(
+        link_counts(r#"{"msg":"so far of the fleet","received":40}"#),
+        None
+    );
     assert_eq!(link_counts("no JSON"), None);
-    let before = LinkCounts { datagrams_in: 0, datagrams_out: 0, bytes_in: 0, bytes_out: 0 };
+    let before = LinkCounts {
+        datagrams_in: 0,
+        datagrams_out: 0,
+        bytes_in: 0,
+        bytes_out: 0,
+    };
     let rates = LinkRates::between(before, after, Duration::from_secs(2));
-    assert!(near(rates.datagrams_in, 20.0) && near(rates.datagrams_out, 10.0), "{rates:?}");
-    assert!(near(rates.bytes_in, 2_000.0 + 20.0 * HEADER_BYTES as f64), "{rates:?}");
-    assert!(near(rates.bytes_out, 500.0 + 10.0 * HEADER_BYTES as f64), "{rates:?}");
+    assert!(
+        near(rates.datagrams_in, 20.0) && near(rates.datagrams_out, 10.0),
+        "{rates:?}"
+    );
+    assert!(
+        near(rates.bytes_in, 2_000.0 + 20.0 * HEADER_BYTES as f64),
+        "{rates:?}"
+    );
+    assert!(
+        near(rates.bytes_out, 500.0 + 10.0 * HEADER_BYTES as f64),
+        "{rates:?}"
+    );
 }
 
 fn plan(ports: &Ports, nodes: usize) -> FleetPlan {
@@ -141,7 +210,11 @@
 }
 
 fn lost(by: usize, node: usize, unix_ms: u64) -> Loss {
-    Loss { by, name: format!("node-{node:04}"), unix_ms }
+    Loss {
+        by,
+        name: format!("node-{node:04}"),
+        unix_ms,
+    }
 }
 
 #[test]
@@ -153,8 +226,16 @@
         from_unix_ms,
         till_unix_ms,
     };
-    let outages = [outage(&[7], false, 1_000, Some(2_000)), outage(&[8, 9], true, 50_000, None)];
-    let excused = [lost(1, 7, 1_500), lost(1, 7, 2_000 + EXCUSED_MS), lost(8, 1, 50_000), lost(1, 9, 60_000)];
+    let outages = [
+        outage(&[7], false, 1_000, Some(2_000)),
+        outage(&[8, 9], true, 50_000, None),
+    ];
+    let excused = [
+        lost(1, 7, 1_500),
+        lost(1, 7, 2_000 + EXCUSED_MS),
+        lost(8, 1, 50_000),
+        lost(1, 9, 60_000),
+    ];
     let name = |name: &str| plan.node_named(name);
     assert_eq!(wrongly_lost(&excused, &outages, name), []);
     let wrong = [
@@ -180,37 +261,70 @@
 #[test]
 fn hollow_nodes_are_a_fleet_with_a_leader_and_leave_nothing_behind() {
     let ports = Ports::hold().unwrap();
-    let programs = Programs { doortrack: "none".into(), rig: RIG.into() };
-    let mut fleet = RunningFleet::start(&programs, plan(&ports, 12), &Value::Null, |_| true).unwrap();
-    assert!(fleet.agree(12, LONG).unwrap().is_some(), "views do not agree");
+    let programs = Programs {
+        doortrack: "none".into(),
+        rig: RIG.into(),
+    };
+    let mut fleet =
+        RunningFleet::start(&programs, plan(&ports, 12), &Value::Null, |_| true).unwrap();
+    assert!(
+        fleet.agree(12, LONG).unwrap().is_some(),
+        "views do not agree"
+    );
     let before = fleet.sample().unwrap();
     let leader = before.nodes[0].leader.clone().unwrap();
-    assert!(fleet.plan.is_voter(fleet.plan.node_named(&leader).unwrap()), "{leader}");
+    assert!(
+        fleet.plan.is_voter(fleet.plan.node_named(&leader).unwrap()),
+        "{leader}"
+    );
     until(&mut fleet, "counters of all nodes grow", |fleet| {
         let now = fleet.node_samples().unwrap();
         let pairs = now.iter().zip(&before.nodes);
-        pairs
-            .into_iter()
-            .all(|(now, before)| now.datagrams_in > before.datagrams_in && now.bytes_out > before.bytes_out)
+        pairs.into_iter().all(|(now, before)| {
+            now.datagrams_in > before.datagrams_in && now.bytes_out > before.bytes_out
+        })
+    });
+    fleet
+        .ask_all(&HollowCommand::Kill { nodes: vec![5, 11] })
+        .unwrap();
+    until(&mut fleet, "two that died are lost", |fleet| {
+        fleet.agrees(10).unwrap()
     });
-    fleet.ask_all(&HollowCommand::Kill { nodes: vec![5, 11] }).unwrap();
-    until(&mut fleet, "two that died are lost", |fleet| fleet.agrees(10).unwrap());
     let losses = fleet.take_losses().unwrap().into_iter();
     let mut lost: Vec<String> = losses.map(|loss| loss.name).collect();
     lost.sort_unstable();
     lost.dedup();
     assert_eq!(lost, ["node-0005", "node-0011"]);
-    fleet.ask_all(&HollowCommand::Start { nodes: vec![5, 11] }).unwrap();
-    until(&mut fleet, "two that came back are members", |fleet| fleet.agrees(12).unwrap());
+    fleet
+        .ask_all(&HollowCommand::Start { nodes: vec![5, 11] })
+        .unwrap();
+    until(&mut fleet, "two that came back are members", |fleet| {
+        fleet.agrees(12).unwrap()
+    });
     let processes: Vec<u32> = fleet.hollow.iter().map(|process| process.pid()).collect();
     drop(fleet);
-    assert!(processes.iter().all(|pid| !Path::new(&format!("/proc/{pid}")).exists()));
+    assert!(
+        processes
+            .iter()
+            .all(|pid| !Path::new(&format!("/proc/{pid}")).exists())
+    );
 }
 
 #[test]
 fn a_run_ends_by_itself_and_writes_its_results() {
-    let file = std::env::temp_dir().join(format!("doortrack-scale-test-{}.json", std::process::id()));
-    let words = ["scale", "--real", "0", "--voters", "3", "--nodes", "12", "--budgets", "0"];
+    let file =
+        std::env::temp_dir().join(format!("doortrack-scale-test-{}.json", std::process::id()));
+    let words = [
+        "scale",
+        "--real",
+        "0",
+        "--voters",
+        "3",
+        "--nodes",
+        "12",
+        "--budgets",
+        "0",
+    ];
     let more = [
         "--start-spread",
         "0.1",
@@ -223,7 +337,13 @@
         "--agree-within",
         "60",
     ];
-    let run = Command::new(RIG).args(words).args(more).arg("--json").arg(&file).output().unwrap();
+    let run = Command::new(RIG)
+        .args(words)
+        .args(more)
+        .arg("--json")
+        .arg(&file)
+        .output()
+        .unwrap();
     let said = String::from_utf8_lossy(&run.stdout).into_owned();
     let text = std::fs::read_to_string(&file).unwrap();
     _ = std::fs::remove_file(&file);
@@ -232,17 +352,33 @@
     assert!(report.plays[0].agreed_after_ms.is_some(), "{said}");
     let value = |role, quantity| {
         let of = |one: &&FittedSeries| one.series.role == role && one.series.quantity == quantity;
-        report.series.iter().find(of).map(|one| one.series.points[0].value)
+        report
+            .series
+            .iter()
+            .find(of)
+            .map(|one| one.series.points[0].value)
     };
-    assert!(value(Role::Node, Quantity::DatagramsInPerSecond).unwrap() > 0.0, "{said}");
-    assert!(value(Role::Node, Quantity::ResidentKilobytes).unwrap() > 0.0, "{said}");
+    assert!(
+        value(Role::Node, Quantity::DatagramsInPerSecond).unwrap() > 0.0,
+        "{said}"
+    );
+    assert!(
+        value(Role::Node, Quantity::ResidentKilobytes).unwrap() > 0.0,
+        "{said}"
+    );
     assert!(said.contains("by nodes, with 1 budgets"), "{said}");
 }
 
 #[test]
 fn a_size_without_room_for_voters_and_real_nodes_is_refused() {
-    let run = Command::new(RIG).args(["scale", "--nodes", "10", "--budgets", "0"]).output().unwrap();
+    let run = Command::new(RIG)
+        .args(["scale", "--nodes", "10", "--budgets", "0"])
+        .output()
+        .unwrap();
     assert!(!run.status.success());
     let said = String::from_utf8_lossy(&run.stderr).into_owned();
-    assert!(said.contains("10 nodes: 28 are voters and real ones"), "{said}");
+    assert!(
+        said.contains("10 nodes: 28 are voters and real ones"),
+        "{said}"
+    );
 }
--- a/rig/tests/scale_node.rs
+++ b/rig/tests/scale_node.rs
@@ -10,15 +10,21 @@
 use doortrack_rig::scale::node_cost::caller::{Outcome, Outcomes, paced};
 use doortrack_rig::scale::node_cost::process::Log;
 use doortrack_rig::scale::node_cost::settings::{
-    Addresses, KEYED_PATH, Size, configuration, installation, installation_changed, probe_path, request_path,
-    tenant, unchanged_path,
+    Addresses, KEYED_PATH, Size, configuration, installation, installation_changed, probe_path,
+    request_path, tenant, unchanged_path,
 };
 use doortrack_rig::scale::series::{Dimension, Point};
 use doortrack_routes::{Classed, Table};
 
 fn addresses() -> Addresses {
     let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    Addresses { listen: at(1), front: at(2), fleet: at(3), registry: at(4), server: at(5) }
+    Addresses {
+        listen: at(1),
+        front: at(2),
+        fleet: at(3),
+        registry: at(4),
+        server: at(5),
+    }
 }
 
 fn read(size: &Size) -> (Orders, Installation) {
@@ -50,16 +56,33 @@
         let (orders, installation) = read(&size);
         assert_eq!(installation.rules.len(), size.routes, "{size:?}");
         assert_eq!(orders.handed.customer_names.len(), size.tenants, "{size:?}");
-        assert_eq!(installation.pools_of_servers().count(), size.services, "{size:?}");
-        assert_eq!(installation.fleet.is_some(), size.budgets.is_some(), "{size:?}");
-        assert_eq!(installation.budgets.len(), size.budgets.unwrap_or(0), "{size:?}");
+        assert_eq!(
+            installation.pools_of_servers().count(),
+            size.services,
+            "{size:?}"
+        );
+        assert_eq!(
+            installation.fleet.is_some(),
+            size.budgets.is_some(),
+            "{size:?}"
+        );
+        assert_eq!(
+            installation.budgets.len(),
+            size.budgets.unwrap_or(0),
+            "{size:?}"
+        );
     }
 }
 
 #[test]
 fn the_settings_are_the_same_each_time() {
     for size in sizes() {
-        let both = || (configuration("n1", &size, &addresses()), installation("n1", &size, &addresses()));
+        let both = || {
+            (
+                configuration("n1", &size, &addresses()),
+                installation("n1", &size, &addresses()),
+            )
+        };
         assert_eq!(both(), both());
     }
 }
@@ -67,7 +90,13 @@
 #[test]
 fn one_dimension_grows_and_the_others_are_held() {
     let grown = Size::HELD.with(Dimension::Routes, 3_400);
-    assert_eq!(Size { routes: Size::HELD.routes, ..grown }, Size::HELD);
+    assert_eq!(
+        Size {
+            routes: Size::HELD.routes,
+            ..grown
+        },
+        Size::HELD
+    );
     let held = grown.held_beside(Dimension::Routes);
     assert_eq!(held, "2000 tenants, 10 pools, 50 callers, no fleet");
 }
@@ -77,7 +106,10 @@
     let size = Size::HELD.with(Dimension::Services, 150);
     let text = installation("n1", &size, &addresses()).to_string();
     let faults = file::parse(text.as_bytes()).unwrap_err();
-    assert!(faults.to_string().contains("installation.pools"), "{faults}");
+    assert!(
+        faults.to_string().contains("installation.pools"),
+        "{faults}"
+    );
 }
 
 fn table(size: &Size, installation: &Installation) -> Table {
@@ -86,7 +118,11 @@
 }
 
 fn group_of(table: &Table, path: &str) -> Option<u8> {
-    let request = Written { path: path.into(), method: "POST".into(), ..Written::default() };
+    let request = Written {
+        path: path.into(),
+        method: "POST".into(),
+        ..Written::default()
+    };
     match table.classify(&request, &mut Scratch::default()) {
         Classed::As(class) => Some(class.group),
         Classed::Refused { .. } | Classed::NoRule => None,
@@ -140,7 +176,11 @@
     (0..100).for_each(|nth| log.take_in(format!("line é {nth}\n").as_bytes()));
     assert_eq!(log.lines, 100);
     assert_eq!(log.bytes, 100 * "line é ".len() as u64 + 10 * 2 + 90 * 3);
-    assert!(log.tail.ends_with("line é 99\n") && log.tail.len() <= 600, "{}", log.tail);
+    assert!(
+        log.tail.ends_with("line é 99\n") && log.tail.len() <= 600,
+        "{}",
+        log.tail
+    );
 }
 
 #[test]
@@ -156,8 +196,14 @@
     ] {
         outcomes.count(&outcome);
     }
-    let one_each =
-        Outcomes { completed: 1, rejected: 1, refused: 1, failed: 1, unreadable: 1, unanswered: 1 };
+    let one_each = Outcomes {
+        completed: 1,
+        rejected: 1,
+        refused: 1,
+        failed: 1,
+        unreadable: 1,
+        unanswered: 1,
+    };
     assert_eq!(outcomes, one_each);
     outcomes.add(&one_each);
     assert_eq!(outcomes.all(), 12);
@@ -165,10 +211,17 @@
 
 #[test]
 fn a_line_goes_through_points_that_lie_on_one() {
-    let points: Vec<Point> =
-        [0.0, 340.0, 850.0, 3_400.0].map(|size| Point { size, value: 12.5 + 0.25 * size }).into();
+    let points: Vec<Point> = [0.0, 340.0, 850.0, 3_400.0]
+        .map(|size| Point {
+            size,
+            value: 12.5 + 0.25 * size,
+        })
+        .into();
     let line = fit(&points).unwrap();
-    assert!((line.intercept - 12.5).abs() < 1e-6 && (line.slope - 0.25).abs() < 1e-9, "{line:?}");
+    assert!(
+        (line.intercept - 12.5).abs() < 1e-6 && (line.slope - 0.25).abs() < 1e-9,
+        "{line:?}"
+    );
     assert!(line.r_squared > 0.999_999);
     assert!(fit(&points[..2]).is_err());
 }
--- a/rig/tests/scale_simulated.rs
+++ b/rig/tests/scale_simulated.rs
@@ -18,13 +18,21 @@
 
 fn holds(scenario: &Scenario, seed: u64) -> Outcome {
     let outcome = run(scenario, seed);
-    assert!(outcome.breaches.is_empty(), "{}: {:#?}", scenario.name, outcome.breaches);
+    assert!(
+        outcome.breaches.is_empty(),
+        "{}: {:#?}",
+        scenario.name,
+        outcome.breaches
+    );
     outcome
 }
 
 fn breaks(scenario: &Scenario, seed: u64, wanted: &str) {
     let outcome = run(scenario, seed);
-    let found = outcome.breaches.iter().any(|breach| breach.contains(wanted));
+    let found = outcome
+        .breaches
+        .iter()
+        .any(|breach| breach.contains(wanted));
     assert!(found, "{wanted}: not among {:#?}", outcome.breaches);
 }
 
@@ -39,7 +47,11 @@
     assert_eq!(FULL.in_region(1).len(), 3 * 110 + 1);
     let rack = FULL.in_rack(2);
     assert_eq!((rack.len(), rack[0]), (30, 60));
-    let zones: Vec<usize> = FULL.reserved().iter().map(|node| FULL.zone(*node)).collect();
+    let zones: Vec<usize> = FULL
+        .reserved()
+        .iter()
+        .map(|node| FULL.zone(*node))
+        .collect();
     assert_eq!(zones, [0, 0, 1, 1, 2, 2, 3, 3, 4, 4, 5, 5, 6, 6]);
 }
 
@@ -59,7 +71,12 @@
 #[test]
 fn regions_parted_for_longer_than_the_lost_are_remembered_find_together() {
     let outcome = holds(&Scenario::parted(SMALL, 90_000, 1), 1);
-    assert!(outcome.measured.iter().any(|measured| measured.label == "restart while parted"));
+    assert!(
+        outcome
+            .measured
+            .iter()
+            .any(|measured| measured.label == "restart while parted")
+    );
 }
 
 /// Each side says of the other's members that they are lost: none may be lost by its own side for that.
@@ -82,15 +99,35 @@
 #[test]
 fn without_a_majority_both_sides_use_the_whole() {
     let parted = Scenario::parted(SMALL, 30_000, 1);
-    let safeguards = Safeguards { majority: false, ..Safeguards::default() };
-    breaks(&Scenario { safeguards, ..parted }, 1, "over the whole");
+    let safeguards = Safeguards {
+        majority: false,
+        ..Safeguards::default()
+    };
+    breaks(
+        &Scenario {
+            safeguards,
+            ..parted
+        },
+        1,
+        "over the whole",
+    );
 }
 
 #[test]
 fn where_leases_do_not_run_out_what_the_parted_hold_is_used_twice() {
     let parted = Scenario::parted(SMALL, 30_000, 1);
-    let safeguards = Safeguards { run_out: false, ..Safeguards::default() };
-    breaks(&Scenario { safeguards, ..parted }, 1, "over the whole");
+    let safeguards = Safeguards {
+        run_out: false,
+        ..Safeguards::default()
+    };
+    breaks(
+        &Scenario {
+            safeguards,
+            ..parted
+        },
+        1,
+        "over the whole",
+    );
 }
 
 #[test]
@@ -104,17 +141,30 @@
         suspicion_max: 100,
         ..Parameters::default()
     };
-    breaks(&Scenario { membership: hasty, ..day }, 1, "nobody wrongly declared dead");
+    breaks(
+        &Scenario {
+            membership: hasty,
+            ..day
+        },
+        1,
+        "nobody wrongly declared dead",
+    );
 }
 
 fn measured(agree_ms: Option<u64>, budget_ms: u64, bytes_out: u64) -> Measured {
-    let node = Load { bytes_out, ..Load::default() };
+    let node = Load {
+        bytes_out,
+        ..Load::default()
+    };
     Measured {
         label: "zone back".into(),
         at_ms: 30_000,
         agree_ms,
         budget_ms,
-        peaks: Peaks { node, ..Peaks::default() },
+        peaks: Peaks {
+            node,
+            ..Peaks::default()
+        },
         fleet_peak: node,
     }
 }
@@ -124,7 +174,10 @@
     assert!(late(&measured(Some(4_000), 5_000, 0), 4_000).is_empty());
     assert_eq!(late(&measured(Some(4_001), 5_001, 0), 4_000).len(), 2);
     assert_eq!(late(&measured(None, 0, 0), 4_000).len(), 1);
-    let calm = Load { bytes_out: 1_000, ..Load::default() };
+    let calm = Load {
+        bytes_out: 1_000,
+        ..Load::default()
+    };
     assert_eq!(stampede(&measured(None, 0, 4_000), calm), None);
     assert!(stampede(&measured(None, 0, 4_001), calm).is_some());
     let apart = |with_majority, without_majority| Apart {
@@ -156,11 +209,18 @@
     assert_eq!(agreement.first(20, |state| state.all_agree), Some(40));
     // Parted, each region holds its own: four nodes and three voters, two nodes and a voter.
     for machine in (0..topology.machines()).filter(|machine| *machine != 6) {
-        let (digest, members) = if topology.region(machine) == 0 { (3, 7) } else { (4, 3) };
+        let (digest, members) = if topology.region(machine) == 0 {
+            (3, 7)
+        } else {
+            (4, 3)
+        };
         agreement.put(50, machine, held(digest, members));
     }
     assert_eq!(agreement.first(50, |state| state.all_agree), None);
-    assert_eq!(agreement.first(50, |state| state.region_agrees == [true, true]), Some(50));
+    assert_eq!(
+        agreement.first(50, |state| state.region_agrees == [true, true]),
+        Some(50)
+    );
 }
 
 #[test]
--- a/rig/tests/serving.rs
+++ b/rig/tests/serving.rs
@@ -4,26 +4,40 @@
 
 use doortrack_rig::serving::{Life, Offer, Patience, ServesNobody, serves_nobody};
 
-const PATIENCE: Patience = Patience { window_ms: 3_000, least_offers: 10 };
+const PATIENCE: Patience = Patience {
+    window_ms: 3_000,
+    least_offers: 10,
+};
 
 fn front(nth: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9_000 + nth))
 }
 
 fn life(nth: u16, ready_at: u64, ended_at: u64) -> Life {
-    Life { front: front(nth), ready_at, ended_at }
+    Life {
+        front: front(nth),
+        ready_at,
+        ended_at,
+    }
 }
 
 /// Offered every 100 ms, each completed 20 ms later.
 fn served(nth: u16, from: u64, till: u64) -> Vec<Offer> {
-    let one = |at| Offer { front: front(nth), at, completed_at: Some(at + 20) };
+    let one = |at| Offer {
+        front: front(nth),
+        at,
+        completed_at: Some(at + 20),
+    };
     (from..till).step_by(100).map(one).collect()
 }
 
 /// The same, where what is completed within the span is not.
 fn without(offers: &[Offer], from: u64, till: u64) -> Vec<Offer> {
     let tampered = |offer: &Offer| match offer.completed_at {
-        Some(at) if (from..till).contains(&at) => Offer { completed_at: None, ..*offer },
+        Some(at) if (from..till).contains(&at) => Offer {
+            completed_at: None,
+            ..*offer
+        },
         _ => *offer,
     };
     offers.iter().map(tampered).collect()
@@ -35,8 +49,17 @@
 
 #[test]
 fn processes_that_serve_are_found_good() {
-    let offers = [served(0, 0, 10_000), served(1, 0, 4_000), served(1, 5_000, 10_000)].concat();
-    let lives = [life(0, 0, 10_000), life(1, 0, 4_000), life(1, 5_000, 10_000)];
+    let offers = [
+        served(0, 0, 10_000),
+        served(1, 0, 4_000),
+        served(1, 5_000, 10_000),
+    ]
+    .concat();
+    let lives = [
+        life(0, 0, 10_000),
+        life(1, 0, 4_000),
+        life(1, 5_000, 10_000),
+    ];
     assert_eq!(found(&lives, &offers), []);
 }
 
@@ -45,21 +68,39 @@
     let offers = [served(0, 0, 10_000), served(1, 0, 10_000)].concat();
     let lives = [life(0, 0, 10_000), life(1, 0, 10_000)];
     for (from, till) in [(0, 3_200), (4_000, 7_300), (6_500, 11_000), (0, 11_000)] {
-        let tampered: Vec<Offer> =
-            [served(0, 0, 10_000), without(&served(1, 0, 10_000), from, till)].concat();
+        let tampered: Vec<Offer> = [
+            served(0, 0, 10_000),
+            without(&served(1, 0, 10_000), from, till),
+        ]
+        .concat();
         let broken = found(&lives, &tampered);
         assert_eq!(broken.len(), 1, "{from} to {till}: {broken:?}");
         assert_eq!(broken[0].front, front(1));
         assert!(broken[0].offers >= 30, "{broken:?}");
-        assert!(broken[0].to_string().contains("completed none of"), "{}", broken[0]);
+        assert!(
+            broken[0].to_string().contains("completed none of"),
+            "{}",
+            broken[0]
+        );
     }
-    assert_eq!(found(&lives, &without(&offers, 4_000, 6_500)), [], "not as long as that");
+    assert_eq!(
+        found(&lives, &without(&offers, 4_000, 6_500)),
+        [],
+        "not as long as that"
+    );
 }
 
 #[test]
 fn one_that_takes_no_connection_is_found() {
-    let refused = (0..10_000).step_by(100).map(|at| Offer { front: front(0), at, completed_at: None });
-    assert_eq!(found(&[life(0, 0, 10_000)], &refused.collect::<Vec<_>>()).len(), 1);
+    let refused = (0..10_000).step_by(100).map(|at| Offer {
+        front: front(0),
+        at,
+        completed_at: None,
+    });
+    assert_eq!(
+        found(&[life(0, 0, 10_000)], &refused.collect::<Vec<_>>()).len(),
+        1
+    );
 }
 
 #[test]
@@ -74,7 +115,10 @@
 #[test]
 fn one_that_is_offered_little_or_nothing_is_not_found() {
     assert_eq!(found(&[life(0, 0, 10_000)], &[]), []);
-    let few: Vec<Offer> = without(&served(0, 0, 10_000), 0, 11_000).into_iter().step_by(12).collect();
+    let few: Vec<Offer> = without(&served(0, 0, 10_000), 0, 11_000)
+        .into_iter()
+        .step_by(12)
+        .collect();
     assert_eq!((few.len(), found(&[life(0, 0, 10_000)], &few)), (9, vec![]));
     // Nothing was offered until shortly before its end.
     let late = without(&served(0, 8_000, 10_000), 0, 11_000);
--- a/rig/tests/state_bytes.rs
+++ b/rig/tests/state_bytes.rs
@@ -12,8 +12,8 @@
 };
 use doortrack_expr::Limits;
 use doortrack_fleet::{
-    Datagram, Event as FleetEvent, Fleet, Head, Incarnation, MAX_UPDATES, MemberState, MemberUpdate,
-    Parameters,
+    Datagram, Event as FleetEvent, Fleet, Head, Incarnation, MAX_UPDATES, MemberState,
+    MemberUpdate, Parameters,
 };
 use doortrack_node::memory::exchanges::{Ex, Exchanges, Stage};
 use doortrack_node::memory::results::Results;
@@ -61,7 +61,10 @@
 /// Prints a figure; it is to be within what the pages and the node's own bounds reckon with.
 fn within(what: &str, bytes: f64, most: f64) {
     println!("{what}: {bytes:.0} bytes (at most {most:.0})");
-    assert!(bytes > 0.0 && bytes <= most, "{what}: {bytes} bytes, at most {most} are reckoned with");
+    assert!(
+        bytes > 0.0 && bytes <= most,
+        "{what}: {bytes} bytes, at most {most} are reckoned with"
+    );
 }
 
 /// The bounds of `installation::orders`: an entry of the table of keys, a connection with nothing open.
@@ -71,7 +74,10 @@
 #[test]
 fn an_idempotency_key_and_its_result_are_within_their_bound() {
     const COUNT: usize = 20_000;
-    let result = Made { headers: &[], body: b"done" };
+    let result = Made {
+        headers: &[],
+        body: b"done",
+    };
     let bytes = bytes_each(COUNT, || {
         let mut results = Results::new(COUNT, usize::MAX, 10_000);
         for nth in 0..COUNT {
@@ -111,7 +117,11 @@
         (0..COUNT).for_each(|nth| _ = exchanges.take_in(exchange(nth)));
         exchanges
     });
-    within("an exchange in hand, with a body of 2 bytes and no variables", bytes, 600.0);
+    within(
+        "an exchange in hand, with a body of 2 bytes and no variables",
+        bytes,
+        600.0,
+    );
     let bytes = bytes_each(COUNT, || {
         let mut exchanges = Exchanges::default();
         for nth in 0..COUNT {
@@ -120,21 +130,42 @@
         }
         exchanges
     });
-    within("the id of a try that has ended, of the last 16384", bytes, 100.0);
+    within(
+        "the id of a try that has ended, of the last 16384",
+        bytes,
+        100.0,
+    );
 }
 
 #[test]
 fn a_connection_by_its_type_is_within_its_bound() {
-    within("a connection without its buffers", size_of::<Conn>() as f64, CONNECTION);
-    within("an open request without its parameters and body", size_of::<Open>() as f64, 200.0);
+    within(
+        "a connection without its buffers",
+        size_of::<Conn>() as f64,
+        CONNECTION,
+    );
+    within(
+        "an open request without its parameters and body",
+        size_of::<Open>() as f64,
+        200.0,
+    );
 }
 
 #[test]
 fn a_route_and_a_customer_are_small() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    let addresses =
-        Addresses { listen: address, front: address, fleet: address, registry: address, server: address };
-    let size = Size { routes: 3_400, tenants: 20_000, ..Size::HELD };
+    let addresses = Addresses {
+        listen: address,
+        front: address,
+        fleet: address,
+        registry: address,
+        server: address,
+    };
+    let size = Size {
+        routes: 3_400,
+        tenants: 20_000,
+        ..Size::HELD
+    };
     let generated = installation("n1", &size, &addresses);
     let text = |rule: &serde_json::Value, key: &str| rule[key].as_str().map(str::to_string);
     let rules: Vec<Rule> = generated["rules"]
@@ -148,7 +179,12 @@
             ..Rule::default()
         })
         .collect();
-    let pools: Vec<String> = generated["pools"].as_object().unwrap().keys().cloned().collect();
+    let pools: Vec<String> = generated["pools"]
+        .as_object()
+        .unwrap()
+        .keys()
+        .cloned()
+        .collect();
     let names = |customers: usize| Names {
         groups: vec![("look".into(), false), ("pay".into(), true)],
         customers: (0..customers).map(|nth| format!("tenant-{nth}")).collect(),
@@ -158,14 +194,25 @@
     let table = |names: &Names| Table::build(&rules, names, Limits::default()).unwrap();
     let bytes = bytes_each(rules.len(), || table(&few));
     within("a route, compiled and in the index", bytes, 2_000.0);
-    let bytes = bytes_each(size.tenants, || table(&many)) - bytes * rules.len() as f64 / size.tenants as f64;
+    let bytes = bytes_each(size.tenants, || table(&many))
+        - bytes * rules.len() as f64 / size.tenants as f64;
     within("a customer in the table of routes", bytes, 100.0);
 }
 
 fn update(nth: usize) -> MemberUpdate {
     let address = SocketAddr::from(([10, 0, (nth >> 8) as u8, nth as u8], 7_400));
-    let (name, incarnation) = (format!("node-{nth:04}").into(), Incarnation(1_000 + nth as u64));
-    MemberUpdate { name, incarnation, version: 0, state: MemberState::Alive, address, weight: 4 }
+    let (name, incarnation) = (
+        format!("node-{nth:04}").into(),
+        Incarnation(1_000 + nth as u64),
+    );
+    MemberUpdate {
+        name,
+        incarnation,
+        version: 0,
+        state: MemberState::Alive,
+        address,
+        weight: 4,
+    }
 }
 
 /// A node that was told of so many members by one of them.
@@ -176,11 +223,25 @@
     let mut out = Vec::new();
     let all: Vec<usize> = (1..members).collect();
     for (nth, part) in all.chunks(MAX_UPDATES).enumerate() {
-        let head = Head { sender: update(1), to: incarnation, nth: nth as u64 + 1, digest: 0, view: 0 };
+        let head = Head {
+            sender: update(1),
+            to: incarnation,
+            nth: nth as u64 + 1,
+            digest: 0,
+            view: 0,
+        };
         let updates = part.iter().map(|nth| update(*nth)).collect();
-        let datagram = Datagram { head, message: doortrack_fleet::Message::Updates, updates };
+        let datagram = Datagram {
+            head,
+            message: doortrack_fleet::Message::Updates,
+            updates,
+        };
         let from = update(1).address;
-        fleet.handle(nth as u64, FleetEvent::Received { from, datagram }, &mut out);
+        fleet.handle(
+            nth as u64,
+            FleetEvent::Received { from, datagram },
+            &mut out,
+        );
         out.clear();
     }
     assert_eq!(fleet.view().members.len(), members);
@@ -191,7 +252,11 @@
 fn a_member_is_small() {
     const MEMBERS: usize = 770;
     let bytes = bytes_each(MEMBERS, || fleet_of(MEMBERS));
-    within("a member, with what is still to be passed on of it", bytes, 2_000.0);
+    within(
+        "a member, with what is still to be passed on of it",
+        bytes,
+        2_000.0,
+    );
 }
 
 fn budget(nth: usize) -> Budget {
@@ -206,13 +271,18 @@
 }
 
 fn node_id(nth: usize) -> NodeId {
-    NodeId { name: format!("node-{nth:04}").into(), incarnation: Incarnation(1 + nth as u64) }
+    NodeId {
+        name: format!("node-{nth:04}").into(),
+        incarnation: Incarnation(1 + nth as u64),
+    }
 }
 
 /// A node that is its fleet's only voter and has been elected.
 fn leader(budgets: &[Budget]) -> (Budgets, u64) {
-    let parameters =
-        doortrack_budgets::Parameters { voters: Arc::new([node_id(0).name]), ..Default::default() };
+    let parameters = doortrack_budgets::Parameters {
+        voters: Arc::new([node_id(0).name]),
+        ..Default::default()
+    };
     let mut leader = Budgets::new(node_id(0), 1, parameters, budgets, 1, 0);
     let (mut now, mut out) = (0, Vec::new());
     while !leader.is_leader(now) {
@@ -229,13 +299,28 @@
     let mut out = Vec::new();
     let item = |budget: &Budget| {
         let (limit, reserved) = (budget.limit(), 0);
-        ReportItem { id: budget.id(), need: 5_000, holding: 0, accepted: 0, limit, reserved }
+        ReportItem {
+            id: budget.id(),
+            need: 5_000,
+            holding: 0,
+            accepted: 0,
+            limit,
+            reserved,
+        }
     };
     for holder in 1..=holders {
         for (nth, part) in budgets.chunks(MAX_ITEMS).enumerate() {
             let items = part.iter().map(item).collect();
-            let message = Message::Report { seq: nth as u64 + 1, weight: 1, items };
-            let envelope = Envelope { from: node_id(holder), to: node_id(0), message };
+            let message = Message::Report {
+                seq: nth as u64 + 1,
+                weight: 1,
+                items,
+            };
+            let envelope = Envelope {
+                from: node_id(holder),
+                to: node_id(0),
+                message,
+            };
             leader.handle(now, BudgetEvent::Received(envelope), &mut out);
             out.clear();
         }
@@ -253,8 +338,16 @@
     let forty = bytes_each(HOLDERS, || leader_of(HOLDERS, &list));
     within("a holder of one budget at the leader", one, 2_000.0);
     let line = (forty - one) / (list.len() - 1) as f64;
-    within("each further budget of a holder at the leader", line, 1_000.0);
+    within(
+        "each further budget of a holder at the leader",
+        line,
+        1_000.0,
+    );
     let most: Vec<Budget> = (0..MAX_BUDGETS).map(budget).collect();
     let whole = bytes_each(1, || leader_of(HOLDERS, &most));
-    within("the leader of 770 holders with as many budgets as there may be", whole, 60_000_000.0);
+    within(
+        "the leader of 770 holders with as many budgets as there may be",
+        whole,
+        60_000_000.0,
+    );
 }
--- a/routes/src/build.rs
+++ b/routes/src/build.rs
@@ -116,7 +116,11 @@
     ///
     /// # Errors
     /// Every fault, up to fifty, in the order of the rules.
-    pub fn build(rules: &[Rule], names: &Names, limits: Limits) -> Result<(Table, Vec<Note>), Vec<Fault>> {
+    pub fn build(
+        rules: &[Rule],
+        names: &Names,
+        limits: Limits,
+    ) -> Result<(Table, Vec<Note>), Vec<Fault>> {
         Table::build_from(None, rules, names, limits).map(|built| (built.table, built.notes))
     }
 
@@ -133,15 +137,20 @@
     ) -> Result<Built, Vec<Fault>> {
         if rules.len() > MOST_RULES {
             let what = format!("at most {MOST_RULES} are wanted, found {}", rules.len());
-            return Err(vec![Fault { path: "rules".into(), what }]);
+            return Err(vec![Fault {
+                path: "rules".into(),
+                what,
+            }]);
         }
         let environment = Environment::new(names, limits);
-        let known = previous.filter(|table| table.environment == environment).map_or_else(
-            FxHashMap::default,
-            |table| -> FxHashMap<Digest, &Arc<Compiled>> {
-                table.rules.iter().map(|rule| (rule.source, rule)).collect()
-            },
-        );
+        let known = previous
+            .filter(|table| table.environment == environment)
+            .map_or_else(
+                FxHashMap::default,
+                |table| -> FxHashMap<Digest, &Arc<Compiled>> {
+                    table.rules.iter().map(|rule| (rule.source, rule)).collect()
+                },
+            );
         let mut compiler = Compiler::new(&environment);
         let (mut compiled, mut shadows) = (Vec::with_capacity(rules.len()), Shadows::default());
         let mut reused = 0;
@@ -152,7 +161,8 @@
             let source = source_digest(rule);
             let known = known.get(&source).map(|rule| Arc::clone(rule));
             reused += usize::from(known.is_some());
-            let Some(rule) = known.or_else(|| compiler.rule(place, rule, source).map(Arc::new)) else {
+            let Some(rule) = known.or_else(|| compiler.rule(place, rule, source).map(Arc::new))
+            else {
                 continue;
             };
             shadows.add(place, &rule.condition, &rule.lifted);
@@ -163,18 +173,31 @@
         }
         let index = Index::new(compiled.iter().map(|rule| &rule.lifted[..]));
         let customers = customers(previous, &names.customers);
-        let table = Table { rules: compiled, index, customers, environment };
-        Ok(Built { table, notes: shadows.into_notes(), reused })
+        let table = Table {
+            rules: compiled,
+            index,
+            customers,
+            environment,
+        };
+        Ok(Built {
+            table,
+            notes: shadows.into_notes(),
+            reused,
+        })
     }
 }
 
 /// The places of customers by their names, shared with the previous table where they are the same.
 fn customers(previous: Option<&Table>, names: &[String]) -> Arc<Customers> {
     let same = |customers: &Customers| {
-        let has = |(place, name): (usize, &String)| customers.get(name.as_str()) == Some(&(place as u16));
+        let has =
+            |(place, name): (usize, &String)| customers.get(name.as_str()) == Some(&(place as u16));
         customers.len() == names.len() && names.iter().enumerate().all(has)
     };
-    match previous.map(|table| &table.customers).filter(|customers| same(customers)) {
+    match previous
+        .map(|table| &table.customers)
+        .filter(|customers| same(customers))
+    {
         Some(customers) => Arc::clone(customers),
         None => {
             let place = |(place, name): (usize, &String)| (name.as_str().into(), place as u16);
--- a/routes/src/classify.rs
+++ b/routes/src/classify.rs
@@ -54,15 +54,21 @@
 impl Table {
     /// Classes one exchange by the first rule whose condition holds.
     pub fn classify<R: Request>(&self, request: &R, scratch: &mut Scratch) -> Classed {
-        let found =
-            self.index.first(request, |rule| self.rules[rule as usize].when.is_true(request, scratch));
+        let found = self.index.first(request, |rule| {
+            self.rules[rule as usize].when.is_true(request, scratch)
+        });
         found.map_or(Classed::NoRule, |rule| self.class(rule, request, scratch))
     }
 
     /// The same with every rule asked in its order; for comparison.
     pub fn classify_in_order<R: Request>(&self, request: &R, scratch: &mut Scratch) -> Classed {
-        let found = self.rules.iter().position(|rule| rule.when.is_true(request, scratch));
-        found.map_or(Classed::NoRule, |rule| self.class(rule as u32, request, scratch))
+        let found = self
+            .rules
+            .iter()
+            .position(|rule| rule.when.is_true(request, scratch));
+        found.map_or(Classed::NoRule, |rule| {
+            self.class(rule as u32, request, scratch)
+        })
     }
 
     fn class<R: Request>(&self, rule: u32, request: &R, scratch: &mut Scratch) -> Classed {
@@ -78,8 +84,10 @@
             }
         }
         let mut key = None;
-        if let Some(program) =
-            of.idempotency_key.as_ref().filter(|_| self.environment.groups[usize::from(of.group)].1)
+        if let Some(program) = of
+            .idempotency_key
+            .as_ref()
+            .filter(|_| self.environment.groups[usize::from(of.group)].1)
         {
             let value = program.eval(request, scratch);
             match text(value, scratch) {
@@ -87,21 +95,34 @@
                 bytes => key = Some(Sha256::digest(bytes).into()),
             }
         }
-        let subject = of.subject.as_ref().and_then(|program| match program.eval(request, scratch) {
-            Value::Int(n) => Some(spread(n as u64)),
-            value => Some(text(value, scratch)).filter(|bytes| !bytes.is_empty()).map(|bytes| {
-                let mix = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-                spread(bytes.iter().fold(0xcbf2_9ce4_8422_2325, mix))
-            }),
-        });
-        let rank = of.rank.as_ref().and_then(|program| match program.eval(request, scratch) {
-            Value::Float(rank) => Some((rank as f32).clamp(0.0, UNDER_ONE)),
-            _ => None,
-        });
-        let due = of.due.as_ref().and_then(|program| match program.eval(request, scratch) {
-            Value::Duration(micros) => Some(tenths(micros)),
-            _ => None,
-        });
+        let subject =
+            of.subject
+                .as_ref()
+                .and_then(|program| match program.eval(request, scratch) {
+                    Value::Int(n) => Some(spread(n as u64)),
+                    value => Some(text(value, scratch))
+                        .filter(|bytes| !bytes.is_empty())
+                        .map(|bytes| {
+                            let mix = |hash: u64, byte: &u8| {
+                                (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+                            };
+                            spread(bytes.iter().fold(0xcbf2_9ce4_8422_2325, mix))
+                        }),
+                });
+        let rank = of
+            .rank
+            .as_ref()
+            .and_then(|program| match program.eval(request, scratch) {
+                Value::Float(rank) => Some((rank as f32).clamp(0.0, UNDER_ONE)),
+                _ => None,
+            });
+        let due = of
+            .due
+            .as_ref()
+            .and_then(|program| match program.eval(request, scratch) {
+                Value::Duration(micros) => Some(tenths(micros)),
+                _ => None,
+            });
         Classed::As(Class {
             rule,
             group: of.group,
@@ -117,7 +138,11 @@
 
 /// Bytes of a text; none where it is absent.
 fn text<'s, 'v: 's>(value: Value<'v>, scratch: &'s Scratch) -> &'s [u8] {
-    if let Value::Text(text) = value { scratch.text(text) } else { &[] }
+    if let Value::Text(text) = value {
+        scratch.text(text)
+    } else {
+        &[]
+    }
 }
 
 /// Spreads a number over all bits, so that near ones are not near; 0 is kept free, as it stands for no
--- a/routes/src/compile.rs
+++ b/routes/src/compile.rs
@@ -28,14 +28,26 @@
 
 /// A digest of all that a rule says.
 pub(crate) fn source_digest(rule: &Rule) -> Digest {
-    let Rule { when, group, customer, subject, idempotency_key, rank, due, servers } = rule;
+    let Rule {
+        when,
+        group,
+        customer,
+        subject,
+        idempotency_key,
+        rank,
+        due,
+        servers,
+    } = rule;
     let mut digest = Sha256::new();
     for text in [Some(when), Some(group)]
         .into_iter()
         .chain([customer, subject, idempotency_key, rank, due, servers].map(Option::as_ref))
     {
         // Lengths keep texts apart, and an absent one from an empty one.
-        digest.update(text.map_or(u64::MAX, |text| text.len() as u64).to_le_bytes());
+        digest.update(
+            text.map_or(u64::MAX, |text| text.len() as u64)
+                .to_le_bytes(),
+        );
         digest.update(text.map_or(&[][..], |text| text.as_bytes()));
     }
     digest.finalize().into()
@@ -50,27 +62,50 @@
 
 impl<'e> Compiler<'e> {
     pub(crate) fn new(environment: &'e Environment) -> Compiler<'e> {
-        let groups =
-            environment.groups.iter().enumerate().map(|(place, (name, _))| (name.as_str(), place)).collect();
-        Compiler { environment, groups, faults: Vec::new() }
+        let groups = environment
+            .groups
+            .iter()
+            .enumerate()
+            .map(|(place, (name, _))| (name.as_str(), place))
+            .collect();
+        Compiler {
+            environment,
+            groups,
+            faults: Vec::new(),
+        }
     }
 
     /// The rule at this place, or nothing where it has faults.
     pub(crate) fn rule(&mut self, place: usize, rule: &Rule, source: Digest) -> Option<Compiled> {
         let parsed = self.parsed(place, &rule.when);
-        let when = parsed.as_ref().and_then(|expr| self.condition(place, &rule.when, expr));
+        let when = parsed
+            .as_ref()
+            .and_then(|expr| self.condition(place, &rule.when, expr));
         let group = self.group(place, &rule.group);
         let mut optional = |key: &str, source: &Option<String>, types: &[Type]| {
-            source.as_ref().map(|source| self.program(place, key, source, types))
+            source
+                .as_ref()
+                .map(|source| self.program(place, key, source, types))
         };
         let customer = optional("customer", &rule.customer, &[Type::Str]);
-        let subject = optional("subject", &rule.subject, &[Type::Str, Type::Bytes, Type::Int]);
-        let key = optional("idempotency_key", &rule.idempotency_key, &[Type::Str, Type::Bytes]);
+        let subject = optional(
+            "subject",
+            &rule.subject,
+            &[Type::Str, Type::Bytes, Type::Int],
+        );
+        let key = optional(
+            "idempotency_key",
+            &rule.idempotency_key,
+            &[Type::Str, Type::Bytes],
+        );
         let rank = optional("rank", &rule.rank, &[Type::Float]);
         let due = optional("due", &rule.due, &[Type::Duration]);
         let pool = rule.servers.as_ref().map(|name| self.pool(place, name));
         if key.is_some() && group.is_some_and(|group| !self.environment.groups[group].1) {
-            let what = format!("exchanges of '{}' are not deduplicated and carry none", rule.group);
+            let what = format!(
+                "exchanges of '{}' are not deduplicated and carry none",
+                rule.group
+            );
             self.fault(place, "idempotency_key", what);
         }
         if customer.is_some() && !self.environment.has_customers {
@@ -94,14 +129,19 @@
     }
 
     fn fault(&mut self, place: usize, key: &str, what: impl Into<String>) {
-        self.faults.push(Fault { path: format!("rules[{place}].{key}"), what: what.into() });
+        self.faults.push(Fault {
+            path: format!("rules[{place}].{key}"),
+            what: what.into(),
+        });
     }
 
     fn parsed(&mut self, place: usize, when: &str) -> Option<Expr> {
         let told = |faults: Vec<_>| {
             faults
                 .iter()
-                .for_each(|fault: &doortrack_expr::Diagnostic| self.fault(place, "when", fault.line(when)));
+                .for_each(|fault: &doortrack_expr::Diagnostic| {
+                    self.fault(place, "when", fault.line(when))
+                });
         };
         parse(when).map_err(told).ok()
     }
@@ -111,7 +151,13 @@
         self.of_type(place, "when", source, found, &[Type::Bool])
     }
 
-    fn program(&mut self, place: usize, key: &str, source: &str, types: &[Type]) -> Option<Program> {
+    fn program(
+        &mut self,
+        place: usize,
+        key: &str,
+        source: &str,
+        types: &[Type],
+    ) -> Option<Program> {
         let found = infer(source, self.environment.limits);
         self.of_type(place, key, source, found, types)
     }
@@ -128,15 +174,25 @@
     ) -> Option<Program> {
         match found {
             Ok(program) => {
-                let inner = if let Type::Optional(inner) = program.ty() { inner } else { program.ty() };
+                let inner = if let Type::Optional(inner) = program.ty() {
+                    inner
+                } else {
+                    program.ty()
+                };
                 if types.contains(inner) && (key != "when" || inner == program.ty()) {
                     return Some(program);
                 }
                 let wanted: Vec<String> = types.iter().map(Type::to_string).collect();
-                let what = format!("{} is wanted, this is {}", wanted.join(" or "), program.ty());
+                let what = format!(
+                    "{} is wanted, this is {}",
+                    wanted.join(" or "),
+                    program.ty()
+                );
                 self.fault(place, key, what);
             }
-            Err(faults) => faults.iter().for_each(|fault| self.fault(place, key, fault.line(source))),
+            Err(faults) => faults
+                .iter()
+                .for_each(|fault| self.fault(place, key, fault.line(source))),
         }
         None
     }
@@ -144,8 +200,16 @@
     fn group(&mut self, place: usize, name: &str) -> Option<usize> {
         let group = self.groups.get(name).copied();
         if group.is_none() {
-            let known: Vec<&str> = self.environment.groups.iter().map(|(name, _)| name.as_str()).collect();
-            let what = format!("'{name}' is none of the endpoint groups {}", known.join(", "));
+            let known: Vec<&str> = self
+                .environment
+                .groups
+                .iter()
+                .map(|(name, _)| name.as_str())
+                .collect();
+            let what = format!(
+                "'{name}' is none of the endpoint groups {}",
+                known.join(", ")
+            );
             self.fault(place, "group", what);
         }
         group
@@ -155,14 +219,21 @@
         let pool = self.environment.pools.iter().position(|pool| pool == name);
         if pool.is_none() {
             let known = self.environment.pools.join(", ");
-            self.fault(place, "servers", format!("'{name}' is none of the pools {known}"));
+            self.fault(
+                place,
+                "servers",
+                format!("'{name}' is none of the pools {known}"),
+            );
         }
         pool.map(|pool| pool as u16)
     }
 }
 
 /// Nothing where there was nothing; nothing at all where it was wrong.
-#[expect(clippy::option_option, reason = "three cases that each mean something else")]
+#[expect(
+    clippy::option_option,
+    reason = "three cases that each mean something else"
+)]
 fn sound<T>(part: Option<Option<T>>) -> Option<Option<T>> {
     match part {
         None => Some(None),
--- a/routes/src/index.rs
+++ b/routes/src/index.rs
@@ -48,15 +48,28 @@
         }
         let mut by_use: Vec<(&Place, usize)> = places.into_iter().collect();
         by_use.sort_by_key(|(place, uses)| (std::cmp::Reverse(*uses), (*place).clone()));
-        index.places = by_use.into_iter().take(MOST_PLACES).map(|(place, _)| place.clone()).collect();
-        let place_of: BTreeMap<Place, u16> =
-            index.places.iter().enumerate().map(|(nth, place)| (place.clone(), nth as u16)).collect();
+        index.places = by_use
+            .into_iter()
+            .take(MOST_PLACES)
+            .map(|(place, _)| place.clone())
+            .collect();
+        let place_of: BTreeMap<Place, u16> = index
+            .places
+            .iter()
+            .enumerate()
+            .map(|(nth, place)| (place.clone(), nth as u16))
+            .collect();
         let keys = |part: &Part| -> Option<Vec<Key>> {
             match part {
                 Part::Prefix(start) => Some(vec![(PREFIX, hash(start.as_bytes()))]),
                 Part::OneOf(place, texts) => {
                     let place = *place_of.get(place)?;
-                    Some(texts.iter().map(|text| (place, hash(text.as_bytes()))).collect())
+                    Some(
+                        texts
+                            .iter()
+                            .map(|text| (place, hash(text.as_bytes())))
+                            .collect(),
+                    )
                 }
             }
         };
@@ -66,7 +79,9 @@
         }
         for (rule, parts) in parts.enumerate() {
             let cost = |keys: &Vec<Key>| keys.iter().map(|key| shared[key]).sum::<usize>();
-            let best = parts.iter().filter_map(|part| keys(part).map(|keys| (cost(&keys), part, keys)));
+            let best = parts
+                .iter()
+                .filter_map(|part| keys(part).map(|keys| (cost(&keys), part, keys)));
             let Some((_, part, keys)) = best.min_by_key(|(cost, ..)| *cost) else {
                 index.rest.push(rule as u32);
                 continue;
@@ -93,8 +108,16 @@
     }
 
     /// Rules that may match, in order, until one does: the first for which `holds` says so.
-    pub(crate) fn first<R: Request>(&self, request: &R, mut holds: impl FnMut(u32) -> bool) -> Option<u32> {
-        let mut lists = Lists { few: [&[]; LISTS], count: 0, more: Vec::new() };
+    pub(crate) fn first<R: Request>(
+        &self,
+        request: &R,
+        mut holds: impl FnMut(u32) -> bool,
+    ) -> Option<u32> {
+        let mut lists = Lists {
+            few: [&[]; LISTS],
+            count: 0,
+            more: Vec::new(),
+        };
         lists.push(&self.rest);
         let path = request.path().as_bytes();
         let (mut so_far, mut lengths) = (EMPTY, self.lengths.iter().peekable());
@@ -161,7 +184,9 @@
     /// The next rule in order. One is in two lists only by a clash of hashes, and asked twice then.
     fn next(&mut self) -> Option<u32> {
         let all = self.few[..self.count].iter_mut().chain(&mut self.more);
-        let list = all.filter(|list| !list.is_empty()).min_by_key(|list| list[0])?;
+        let list = all
+            .filter(|list| !list.is_empty())
+            .min_by_key(|list| list[0])?;
         let first = list[0];
         *list = &list[1..];
         Some(first)
--- a/routes/src/lift.rs
+++ b/routes/src/lift.rs
@@ -44,22 +44,32 @@
 
 fn part(expr: &Expr) -> Option<Part> {
     match &expr.kind {
-        Kind::Call { name, args, .. } if name == "starts_with" => match (&args[..], &args.get(1)?.kind) {
-            ([of, _], Kind::Str(start)) if place(of, &[]) == Some(Place::Path) && !start.is_empty() => {
-                Some(Part::Prefix(start.clone()))
+        Kind::Call { name, args, .. } if name == "starts_with" => {
+            match (&args[..], &args.get(1)?.kind) {
+                ([of, _], Kind::Str(start))
+                    if place(of, &[]) == Some(Place::Path) && !start.is_empty() =>
+                {
+                    Some(Part::Prefix(start.clone()))
+                }
+                _ => None,
             }
-            _ => None,
-        },
+        }
         Kind::Binary(Op::Eq, left, right) => match (&left.kind, &right.kind) {
             (_, Kind::Str(text)) => one_of(left, vec![text.clone()]),
             (Kind::Str(text), _) => one_of(right, vec![text.clone()]),
             _ => None,
         },
         Kind::Binary(Op::In, of, list) => {
-            let Kind::List(items) = &list.kind else { return None };
-            let texts = items
-                .iter()
-                .map(|item| if let Kind::Str(text) = &item.kind { Some(text.clone()) } else { None });
+            let Kind::List(items) = &list.kind else {
+                return None;
+            };
+            let texts = items.iter().map(|item| {
+                if let Kind::Str(text) = &item.kind {
+                    Some(text.clone())
+                } else {
+                    None
+                }
+            });
             one_of(of, texts.collect::<Option<Vec<String>>>()?)
         }
         _ => None,
@@ -85,11 +95,15 @@
             _ => None,
         },
         Kind::Binary(Op::Else, of, other) => {
-            let Kind::Str(other) = &other.kind else { return None };
+            let Kind::Str(other) = &other.kind else {
+                return None;
+            };
             if texts.contains(other) {
                 return None;
             }
-            let Kind::Call { name, args, .. } = &of.kind else { return None };
+            let Kind::Call { name, args, .. } = &of.kind else {
+                return None;
+            };
             match (name.as_str(), args.first().map(|arg| &arg.kind)) {
                 ("header", Some(Kind::Str(name))) => Some(Place::Variable(cgi_name(name))),
                 ("variable", Some(Kind::Str(name))) => Some(Place::Variable(name.clone())),
--- a/routes/src/shadows.rs
+++ b/routes/src/shadows.rs
@@ -32,7 +32,11 @@
         conjuncts.sort_unstable();
         conjuncts.dedup();
         let whole = Sha256::digest(conjuncts.as_flattened()).into();
-        Condition { conjuncts, whole, always: when.kind == Kind::Bool(true) }
+        Condition {
+            conjuncts,
+            whole,
+            always: when.kind == Kind::Bool(true),
+        }
     }
 }
 
@@ -74,8 +78,12 @@
     /// The first rule that takes all that this condition could.
     fn first_before(&self, condition: &Condition, lifted: &[Part]) -> Option<usize> {
         let mut behind: Option<usize> = self.always;
-        let mut earlier = |found: Option<&usize>| behind = behind.into_iter().chain(found.copied()).min();
-        condition.conjuncts.iter().for_each(|conjunct| earlier(self.single.get(conjunct)));
+        let mut earlier =
+            |found: Option<&usize>| behind = behind.into_iter().chain(found.copied()).min();
+        condition
+            .conjuncts
+            .iter()
+            .for_each(|conjunct| earlier(self.single.get(conjunct)));
         earlier(self.whole.get(&condition.whole));
         for part in lifted {
             match part {
@@ -98,7 +106,13 @@
 
 /// An expression without its places, so that the same one reads the same wherever it stands.
 fn without_places(expr: &Expr) -> String {
-    let all = |exprs: &[Expr]| exprs.iter().map(without_places).collect::<Vec<_>>().join(",");
+    let all = |exprs: &[Expr]| {
+        exprs
+            .iter()
+            .map(without_places)
+            .collect::<Vec<_>>()
+            .join(",")
+    };
     match &expr.kind {
         Kind::List(items) => format!("[{}]", all(items)),
         Kind::Not(operand) => format!("!({})", without_places(operand)),
@@ -106,13 +120,29 @@
         Kind::All(parts) => format!("all({})", all(parts)),
         Kind::Any(parts) => format!("any({})", all(parts)),
         Kind::Binary(op, left, right) => {
-            format!("({}{}{})", without_places(left), op.sign(), without_places(right))
+            format!(
+                "({}{}{})",
+                without_places(left),
+                op.sign(),
+                without_places(right)
+            )
         }
         Kind::If(when, then, other) => {
-            format!("if({},{},{})", without_places(when), without_places(then), without_places(other))
+            format!(
+                "if({},{},{})",
+                without_places(when),
+                without_places(then),
+                without_places(other)
+            )
         }
-        Kind::Let { name, value, body, .. } => {
-            format!("let({name},{},{})", without_places(value), without_places(body))
+        Kind::Let {
+            name, value, body, ..
+        } => {
+            format!(
+                "let({name},{},{})",
+                without_places(value),
+                without_places(body)
+            )
         }
         Kind::Call { name, args, .. } => format!("{name}({})", all(args)),
         Kind::Each { name, body, .. } => format!("{name}->{}", without_places(body)),
--- a/routes/tests/in_part.rs
+++ b/routes/tests/in_part.rs
@@ -61,7 +61,11 @@
         vec![("look".to_string(), true), ("pay".to_string(), true)],
     ]);
     let customers = prop::sample::select(vec![vec![], vec!["north"], vec!["south", "north"]]);
-    let pools = prop::sample::select(vec![vec!["main", "slow"], vec!["slow", "main"], vec!["main"]]);
+    let pools = prop::sample::select(vec![
+        vec!["main", "slow"],
+        vec!["slow", "main"],
+        vec!["main"],
+    ]);
     (groups, customers, pools).prop_map(|(groups, customers, pools)| Names {
         groups,
         customers: customers.into_iter().map(String::from).collect(),
@@ -162,7 +166,11 @@
         customers: (0..100).map(|nth| format!("customer-{nth}")).collect(),
         pools: Vec::new(),
     };
-    Sources { rules: (0..count).map(rule).collect(), names, limits: Limits::default() }
+    Sources {
+        rules: (0..count).map(rule).collect(),
+        names,
+        limits: Limits::default(),
+    }
 }
 
 #[test]
--- a/routes/tests/table.rs
+++ b/routes/tests/table.rs
@@ -15,7 +15,11 @@
 }
 
 fn rule(when: &str, group: &str) -> Rule {
-    Rule { when: when.into(), group: group.into(), ..Rule::default() }
+    Rule {
+        when: when.into(),
+        group: group.into(),
+        ..Rule::default()
+    }
 }
 
 fn table(rules: &[Rule]) -> Table {
@@ -23,18 +27,27 @@
 }
 
 fn faults(rules: &[Rule]) -> Vec<String> {
-    let faults = Table::build(rules, &names(), Limits::default()).err().unwrap_or_default();
+    let faults = Table::build(rules, &names(), Limits::default())
+        .err()
+        .unwrap_or_default();
     faults.iter().map(ToString::to_string).collect()
 }
 
 fn path(path: &str) -> Written {
-    Written { path: path.into(), ..Written::default() }
+    Written {
+        path: path.into(),
+        ..Written::default()
+    }
 }
 
 fn which(table: &Table, request: &Written) -> Option<u32> {
     let mut scratch = Scratch::default();
     let found = table.classify(request, &mut scratch);
-    assert_eq!(found, table.classify_in_order(request, &mut scratch), "{request:?}");
+    assert_eq!(
+        found,
+        table.classify_in_order(request, &mut scratch),
+        "{request:?}"
+    );
     match found {
         Classed::As(class) => Some(class.rule),
         Classed::Refused { rule, .. } => Some(rule),
@@ -46,7 +59,10 @@
 fn the_first_rule_that_holds_wins() {
     let table = table(&[
         rule("path == \"/book/special\"", "look"),
-        rule("path.starts_with(\"/book/\") && (header(\"x-yard\") ?? \"\") == \"north\"", "pay"),
+        rule(
+            "path.starts_with(\"/book/\") && (header(\"x-yard\") ?? \"\") == \"north\"",
+            "pay",
+        ),
         rule("body_length > 100", "look"),
         rule("path.starts_with(\"/book/\")", "pay"),
         rule("(segment(1) ?? \"none\") in [\"a\", \"b\"]", "look"),
@@ -57,11 +73,28 @@
         (path("/book/special"), Some(0)),
         (path("/book/x").header("x-yard", "north"), Some(1)),
         (path("/book/x").header("x-yard", "south"), Some(3)),
-        (path("/book/x").header("x-yard", "north").header("x-yard", "north"), Some(3)),
-        (Written { body: vec![0; 200], ..path("/book/x") }, Some(2)),
+        (
+            path("/book/x")
+                .header("x-yard", "north")
+                .header("x-yard", "north"),
+            Some(3),
+        ),
+        (
+            Written {
+                body: vec![0; 200],
+                ..path("/book/x")
+            },
+            Some(2),
+        ),
         (path("/other/b"), Some(4)),
         (path("/other/c"), None),
-        (Written { method: "GET".into(), ..path("/other/c") }, Some(5)),
+        (
+            Written {
+                method: "GET".into(),
+                ..path("/other/c")
+            },
+            Some(5),
+        ),
         (path(""), None),
     ] {
         assert_eq!(which(&table, &request), wanted, "{request:?}");
@@ -79,35 +112,86 @@
         servers: Some("slow".into()),
         ..rule("path.starts_with(\"/pay/\")", "pay")
     };
-    let due = Rule { due: Some("int(header(\"x-wait-ms\") ?? \"\") ?? 0".into()), ..rule("true", "look") };
-    assert!(faults(&[due]).iter().any(|fault| fault.contains("rules[0].due: duration is wanted")));
-    let due =
-        Rule { due: Some("1ms * (int(header(\"x-wait-ms\") ?? \"\") ?? -5)".into()), ..rule("true", "look") };
+    let due = Rule {
+        due: Some("int(header(\"x-wait-ms\") ?? \"\") ?? 0".into()),
+        ..rule("true", "look")
+    };
+    assert!(
+        faults(&[due])
+            .iter()
+            .any(|fault| fault.contains("rules[0].due: duration is wanted"))
+    );
+    let due = Rule {
+        due: Some("1ms * (int(header(\"x-wait-ms\") ?? \"\") ?? -5)".into()),
+        ..rule("true", "look")
+    };
     let table = table(&[full, due]);
     let class = |request: &Written| table.classify(request, &mut Scratch::default());
-    let asked = path("/pay/berth-4").header("x-yard", "South").header("x-order", "77");
-    let Classed::As(one) = class(&asked) else { panic!() };
-    assert_eq!((one.rule, one.group, one.customer, one.pool, one.rank), (0, 1, Some(1), Some(1), Some(0.25)));
-    let Classed::As(again) = class(&asked) else { panic!() };
+    let asked = path("/pay/berth-4")
+        .header("x-yard", "South")
+        .header("x-order", "77");
+    let Classed::As(one) = class(&asked) else {
+        panic!()
+    };
+    assert_eq!(
+        (one.rule, one.group, one.customer, one.pool, one.rank),
+        (0, 1, Some(1), Some(1), Some(0.25))
+    );
+    let Classed::As(again) = class(&asked) else {
+        panic!()
+    };
     assert_eq!(one, again);
-    let other = path("/pay/berth-5").header("x-yard", "South").header("x-order", "78");
-    let Classed::As(other) = class(&Written { body: vec![0; 20], ..other }) else { panic!() };
+    let other = path("/pay/berth-5")
+        .header("x-yard", "South")
+        .header("x-order", "78");
+    let Classed::As(other) = class(&Written {
+        body: vec![0; 20],
+        ..other
+    }) else {
+        panic!()
+    };
     assert!(other.subject != one.subject && other.idempotency_key != one.idempotency_key);
-    assert!(other.rank.is_some_and(|rank| rank < 1.0 && rank > 0.999), "kept under 1");
+    assert!(
+        other.rank.is_some_and(|rank| rank < 1.0 && rank > 0.999),
+        "kept under 1"
+    );
     // An empty idempotency key would make all exchanges one; an empty subject is none.
     for (request, why) in [
-        (path("/pay/x").header("x-yard", "south"), Refusal::IdempotencyKey),
-        (path("/pay/x").header("x-yard", "south").header("x-order", ""), Refusal::IdempotencyKey),
+        (
+            path("/pay/x").header("x-yard", "south"),
+            Refusal::IdempotencyKey,
+        ),
+        (
+            path("/pay/x")
+                .header("x-yard", "south")
+                .header("x-order", ""),
+            Refusal::IdempotencyKey,
+        ),
         (path("/pay/x").header("x-order", "1"), Refusal::Customer),
-        (path("/pay/x").header("x-order", "1").header("x-yard", "\u{fffd}"), Refusal::Customer),
+        (
+            path("/pay/x")
+                .header("x-order", "1")
+                .header("x-yard", "\u{fffd}"),
+            Refusal::Customer,
+        ),
     ] {
         assert_eq!(class(&request), Classed::Refused { rule: 0, why });
     }
-    let Classed::As(none) = class(&path("/pay/").header("x-order", "1").header("x-yard", "north")) else {
+    let Classed::As(none) = class(
+        &path("/pay/")
+            .header("x-order", "1")
+            .header("x-yard", "north"),
+    ) else {
         panic!()
     };
     assert_eq!(none.subject, None);
-    let due_of = |request: &Written| if let Classed::As(class) = class(request) { class.due } else { None };
+    let due_of = |request: &Written| {
+        if let Classed::As(class) = class(request) {
+            class.due
+        } else {
+            None
+        }
+    };
     assert_eq!(due_of(&path("/").header("x-wait-ms", "250")), Some(2500));
     assert_eq!(due_of(&path("/")), Some(0));
 }
@@ -116,9 +200,20 @@
 fn every_fault_is_told_with_its_rule_and_key() {
     let told = faults(&[
         rule("pth == \"a\"", "look"),
-        Rule { customer: Some("1".into()), idempotency_key: Some("path".into()), ..rule("true", "look") },
-        Rule { servers: Some("fast".into()), ..rule("header(\"x\")", "pays") },
-        Rule { rank: Some("path".into()), subject: Some("(".into()), ..rule("true", "pay") },
+        Rule {
+            customer: Some("1".into()),
+            idempotency_key: Some("path".into()),
+            ..rule("true", "look")
+        },
+        Rule {
+            servers: Some("fast".into()),
+            ..rule("header(\"x\")", "pays")
+        },
+        Rule {
+            rank: Some("path".into()),
+            subject: Some("(".into()),
+            ..rule("true", "pay")
+        },
     ]);
     for part in [
         "rules[0].when: 1:1: there is no value 'pth'; perhaps 'path' is meant",
@@ -130,7 +225,10 @@
         "rules[3].rank: float is wanted, this is string",
         "rules[3].subject: 1:2: something is wanted here",
     ] {
-        assert!(told.iter().any(|fault| fault.starts_with(part)), "{part}\n{told:#?}");
+        assert!(
+            told.iter().any(|fault| fault.starts_with(part)),
+            "{part}\n{told:#?}"
+        );
     }
 }
 
@@ -156,7 +254,12 @@
 #[test]
 fn a_hundred_thousand_rules_are_taken_or_refused_in_bounded_time() {
     let mut rules: Vec<Rule> = (0..100_000)
-        .map(|n| rule(&format!("path.starts_with(\"/yard-{n}/\") && method == \"POST\""), "look"))
+        .map(|n| {
+            rule(
+                &format!("path.starts_with(\"/yard-{n}/\") && method == \"POST\""),
+                "look",
+            )
+        })
         .collect();
     let table = table(&rules);
     assert_eq!(table.unindexed(), 0);
@@ -166,7 +269,9 @@
     rules.push(rule("true", "look"));
     assert!(faults(&rules)[0].contains("at most 100000 are wanted"));
     // All of them wrong: the first fifty are told and no more are looked at.
-    rules.iter_mut().for_each(|rule| rule.when = "(".repeat(8000));
+    rules
+        .iter_mut()
+        .for_each(|rule| rule.when = "(".repeat(8000));
     rules.pop();
     assert!((50..60).contains(&faults(&rules).len()));
 }
@@ -179,7 +284,10 @@
         0 => format!("path == \"/{one}\""),
         1 => format!("path.starts_with(\"/{one}\")"),
         2 => format!("path.starts_with(\"/{one}/{other}\")"),
-        3 => format!("(header(\"x-{}\") ?? \"\") == \"{other}\"", if one == "a" { "one" } else { "two" }),
+        3 => format!(
+            "(header(\"x-{}\") ?? \"\") == \"{other}\"",
+            if one == "a" { "one" } else { "two" }
+        ),
         4 => format!("(header(\"x-one\") ?? \"{one}\") == \"{other}\""),
         5 => format!("(segment(0) ?? \"\") in [\"{one}\", \"{other}\"]"),
         6 => format!("\"{one}\" == (segment(1) ?? \"none\")"),
@@ -187,12 +295,21 @@
         8 => "method in [\"GET\", \"POST\", \"\"]".into(),
         9 => format!("!(path == \"/{one}\")"),
         10 => format!("(segment(0) ?? \"\") == \"{one}\" || (segment(1) ?? \"\") == \"{other}\""),
-        _ => format!("front == \"{}\"", if one == "a" { "uwsgi" } else { "fastcgi" }),
+        _ => format!(
+            "front == \"{}\"",
+            if one == "a" { "uwsgi" } else { "fastcgi" }
+        ),
     });
     prop::collection::vec(part, 1..4).prop_map(|parts| {
         let wrapped: Vec<String> = parts
             .iter()
-            .map(|part| if part.contains("||") { format!("({part})") } else { part.clone() })
+            .map(|part| {
+                if part.contains("||") {
+                    format!("({part})")
+                } else {
+                    part.clone()
+                }
+            })
             .collect();
         wrapped.join(" && ")
     })
@@ -200,7 +317,11 @@
 
 fn request() -> impl Strategy<Value = Written> {
     let word = || prop::sample::select(WORDS.to_vec());
-    (prop::collection::vec(word(), 0..4), prop::collection::vec((any::<bool>(), word()), 0..3), any::<bool>())
+    (
+        prop::collection::vec(word(), 0..4),
+        prop::collection::vec((any::<bool>(), word()), 0..3),
+        any::<bool>(),
+    )
         .prop_map(|(segments, headers, get)| {
             let mut request = path(&format!("/{}", segments.join("/")));
             request.method = if get { "GET".into() } else { "PUT".into() };
--- a/servers/src/budget.rs
+++ b/servers/src/budget.rs
@@ -18,7 +18,12 @@
 
 impl Budget {
     pub(crate) fn new(terms: &Retries) -> Budget {
-        let mut budget = Budget { parts: 0, most: 0, share: 0, gate: None };
+        let mut budget = Budget {
+            parts: 0,
+            most: 0,
+            share: 0,
+            gate: None,
+        };
         budget.retune(terms);
         budget
     }
@@ -40,7 +45,9 @@
 
     /// Takes one, if there is one and the gate lets it through; else nothing is taken.
     pub(crate) fn take(&mut self) -> bool {
-        let Some(left) = self.parts.checked_sub(PARTS) else { return false };
+        let Some(left) = self.parts.checked_sub(PARTS) else {
+            return false;
+        };
         let passes = self.gate.as_mut().is_none_or(|gate| gate());
         if passes {
             self.parts = left;
@@ -52,6 +59,10 @@
 impl fmt::Debug for Budget {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let gated = self.gate.is_some();
-        write!(f, "Budget {{ parts: {}, most: {}, gated: {gated} }}", self.parts, self.most)
+        write!(
+            f,
+            "Budget {{ parts: {}, most: {}, gated: {gated} }}",
+            self.parts, self.most
+        )
     }
 }
--- a/servers/src/health.rs
+++ b/servers/src/health.rs
@@ -66,7 +66,10 @@
         match self {
             Health::Fit { .. } => Health::FIT,
             Health::Returning { trusted, .. } if trusted + 1 >= at_once => Health::FIT,
-            Health::Returning { trusted, times } => Health::Returning { trusted: trusted + 1, times },
+            Health::Returning { trusted, times } => Health::Returning {
+                trusted: trusted + 1,
+                times,
+            },
             // An answer from before it was put aside proves nothing of now.
             aside => aside,
         }
@@ -76,11 +79,17 @@
         match self {
             Health::Fit { failures } => {
                 *failures = failures.saturating_add(1);
-                if *failures >= terms.failures { Verdict::PutAside { times: 0 } } else { Verdict::Stays }
+                if *failures >= terms.failures {
+                    Verdict::PutAside { times: 0 }
+                } else {
+                    Verdict::Stays
+                }
             }
             Health::Returning { trusted, times } => {
                 *trusted = 1;
-                Verdict::PutAside { times: times.saturating_add(1) }
+                Verdict::PutAside {
+                    times: times.saturating_add(1),
+                }
             }
             Health::Aside { .. } => Verdict::Stays,
         }
@@ -89,6 +98,10 @@
 
 /// How long a server is put aside after `times` before; `chance` in 0 to 1 takes off up to half.
 pub(crate) fn span(terms: &Aside, times: u32, chance: f64) -> Tenths {
-    let whole = terms.first.saturating_mul(1 << times.min(32)).min(terms.longest).max(1);
+    let whole = terms
+        .first
+        .saturating_mul(1 << times.min(32))
+        .min(terms.longest)
+        .max(1);
     whole - (whole as f64 / 2.0 * chance) as Tenths
 }
--- a/servers/src/lib.rs
+++ b/servers/src/lib.rs
@@ -56,7 +56,10 @@
     /// The run has come to its end.
     Ended { run: RunId, end: RunEnd },
     /// For the log: what is thought of a server has changed.
-    Report { server: ServerId, standing: Standing },
+    Report {
+        server: ServerId,
+        standing: Standing,
+    },
 }
 
 /// What is thought of a server from here on.
--- a/servers/src/pool.rs
+++ b/servers/src/pool.rs
@@ -195,28 +195,54 @@
         self.turns += 1;
         let turn = self.turns;
         let otherwise = RunEnd::NeverRan;
-        self.runs.insert(run, Run { repeatable, turn, tries: 0, last: None, conn: None, otherwise });
+        self.runs.insert(
+            run,
+            Run {
+                repeatable,
+                turn,
+                tries: 0,
+                last: None,
+                conn: None,
+                otherwise,
+            },
+        );
         self.waiting.insert(turn, run);
         self.hand_out(now, actions);
     }
 
     /// Stops a run; it ends at once.
     pub fn stop(&mut self, run: RunId, now: Tenths, actions: &mut Vec<Action>) {
-        let Some(of) = self.runs.get(&run) else { return };
+        let Some(of) = self.runs.get(&run) else {
+            return;
+        };
         let Some(conn) = of.conn else {
             self.waiting.remove(&of.turn);
             return self.end(run, RunEnd::NeverRan, actions);
         };
         let sent = matches!(self.conns[conn].stage, Stage::Carrying { sent: true, .. });
         self.close(conn, actions);
-        self.end(run, if sent { RunEnd::Stopped } else { RunEnd::NeverRan }, actions);
+        self.end(
+            run,
+            if sent {
+                RunEnd::Stopped
+            } else {
+                RunEnd::NeverRan
+            },
+            actions,
+        );
         self.hand_out(now, actions);
     }
 
     // --- What became of connections ---
 
     pub fn opened(&mut self, conn: ConnId, now: Tenths, actions: &mut Vec<Action>) {
-        let Some(Conn { server, stage: Stage::Opening(run), downs, .. }) = self.conns.get(conn) else {
+        let Some(Conn {
+            server,
+            stage: Stage::Opening(run),
+            downs,
+            ..
+        }) = self.conns.get(conn)
+        else {
             return;
         };
         let (server, run, current) = (*server, *run, *downs == self.servers[*server].downs);
@@ -241,8 +267,16 @@
         self.not_opened(conn, Failure::Refused, now, actions);
     }
 
-    fn not_opened(&mut self, conn: ConnId, failure: Failure, now: Tenths, actions: &mut Vec<Action>) {
-        let Some(Stage::Opening(run)) = self.conns.get(conn).map(|of| of.stage) else { return };
+    fn not_opened(
+        &mut self,
+        conn: ConnId,
+        failure: Failure,
+        now: Tenths,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(Stage::Opening(run)) = self.conns.get(conn).map(|of| of.stage) else {
+            return;
+        };
         let server = self.forget_conn(conn);
         self.failed(server, failure, now, actions);
         self.again_or(run, RunEnd::NeverRan, actions);
@@ -252,15 +286,20 @@
 
     /// Some of the run that it carries was handed to the system, so that it may reach the server.
     pub fn sent(&mut self, conn: ConnId) {
-        if let Some(Stage::Carrying { sent, .. }) = self.conns.get_mut(conn).map(|of| &mut of.stage) {
+        if let Some(Stage::Carrying { sent, .. }) = self.conns.get_mut(conn).map(|of| &mut of.stage)
+        {
             *sent = true;
         }
     }
 
     /// The answer to what it carries has come to its end.
     pub fn over(&mut self, conn: ConnId, over: Over, now: Tenths, actions: &mut Vec<Action>) {
-        let Some(of) = self.conns.get(conn) else { return };
-        let (server, Stage::Carrying { run, .. }) = (of.server, of.stage) else { return };
+        let Some(of) = self.conns.get(conn) else {
+            return;
+        };
+        let (server, Stage::Carrying { run, .. }) = (of.server, of.stage) else {
+            return;
+        };
         let (keep, end) = match over {
             Over::Completed { keep } => (keep, RunEnd::Completed),
             Over::Failed { keep } => (keep, RunEnd::Failed),
@@ -270,7 +309,10 @@
             let health = &mut self.servers[server].health;
             let before = std::mem::replace(health, health.succeeded(self.terms.at_once));
             if before.is_returning() && !health.is_returning() {
-                actions.push(Action::Report { server, standing: Standing::Fit });
+                actions.push(Action::Report {
+                    server,
+                    standing: Standing::Fit,
+                });
             }
         } else {
             self.failed(server, Failure::Answered, now, actions);
@@ -287,7 +329,9 @@
 
     /// The connection has ended, or what came on it can't be read. It is not to be closed any more.
     pub fn lost(&mut self, conn: ConnId, now: Tenths, actions: &mut Vec<Action>) {
-        let Some(of) = self.conns.get(conn) else { return };
+        let Some(of) = self.conns.get(conn) else {
+            return;
+        };
         match (of.stage, of.used) {
             (Stage::Opening(_), _) => return self.open_failed(conn, now, actions),
             (Stage::Idle, _) => {
--- a/servers/src/pool/choose.rs
+++ b/servers/src/pool/choose.rs
@@ -9,7 +9,10 @@
 impl Pool {
     /// Gives what waits to servers that can take it, first come first served.
     pub(super) fn hand_out(&mut self, now: Tenths, actions: &mut Vec<Action>) {
-        while let Some((turn, run)) = self.waiting.first_key_value().map(|(turn, run)| (*turn, *run))
+        while let Some((turn, run)) = self
+            .waiting
+            .first_key_value()
+            .map(|(turn, run)| (*turn, *run))
             && !self.open.is_empty()
             && self.may_hand_out(now)
         {
@@ -23,7 +26,13 @@
             let (kept, downs) = (of.idle.pop(), of.downs);
             let conn = kept.unwrap_or_else(|| {
                 let due = now + self.terms.open_within;
-                self.conns.insert(Conn { server, stage: Stage::Opening(run), due, used: false, downs })
+                self.conns.insert(Conn {
+                    server,
+                    stage: Stage::Opening(run),
+                    due,
+                    used: false,
+                    downs,
+                })
             });
             if let Some(of) = self.runs.get_mut(&run) {
                 (of.conn, of.last, of.tries) = (Some(conn), Some(server), of.tries + 1);
@@ -44,13 +53,25 @@
     fn choose(&mut self, run: RunId) -> ServerId {
         let count = self.open.len();
         let one = self.rng.usize(0..count);
-        let other = (one + if count > 1 { self.rng.usize(1..count) } else { 0 }) % count;
-        let (last, repeatable) = self.runs.get(&run).map_or((None, true), |run| (run.last, run.repeatable));
+        let other =
+            (one + if count > 1 {
+                self.rng.usize(1..count)
+            } else {
+                0
+            }) % count;
+        let (last, repeatable) = self
+            .runs
+            .get(&run)
+            .map_or((None, true), |run| (run.last, run.repeatable));
         let rank = |server: ServerId| {
             let of = &self.servers[server];
             let trusted = u64::from(of.health.trusted(self.terms.at_once).max(1));
             let load = u64::from(of.in_hand) * 1_000_000 / trusted;
-            (last == Some(server), !repeatable && of.health.unproven(), load)
+            (
+                last == Some(server),
+                !repeatable && of.health.unproven(),
+                load,
+            )
         };
         let (one, other) = (self.open[one], self.open[other]);
         if rank(other) < rank(one) { other } else { one }
--- a/servers/src/pool/lives.rs
+++ b/servers/src/pool/lives.rs
@@ -6,8 +6,18 @@
 use crate::{Action, ConnId, RunEnd, RunId, ServerId};
 
 impl Pool {
-    pub(super) fn carry(&mut self, conn: ConnId, run: RunId, now: Tenths, actions: &mut Vec<Action>) {
-        self.stage(conn, Stage::Carrying { run, sent: false }, now + self.terms.answer_within);
+    pub(super) fn carry(
+        &mut self,
+        conn: ConnId,
+        run: RunId,
+        now: Tenths,
+        actions: &mut Vec<Action>,
+    ) {
+        self.stage(
+            conn,
+            Stage::Carrying { run, sent: false },
+            now + self.terms.answer_within,
+        );
         actions.push(Action::Send { conn, run });
     }
 
@@ -19,7 +29,13 @@
     }
 
     /// Its run is over: kept for the next one, or closed.
-    pub(super) fn rest(&mut self, conn: ConnId, keep: bool, now: Tenths, actions: &mut Vec<Action>) {
+    pub(super) fn rest(
+        &mut self,
+        conn: ConnId,
+        keep: bool,
+        now: Tenths,
+        actions: &mut Vec<Action>,
+    ) {
         let server = self.conns[conn].server;
         let of = &self.servers[server];
         // It may be one from before the server went down, which proves nothing of its return.
@@ -69,7 +85,13 @@
     }
 
     /// No whole answer came. What may have reached the server is tried again only if it may run twice.
-    pub(super) fn after_loss(&mut self, run: RunId, sent: bool, end: RunEnd, actions: &mut Vec<Action>) {
+    pub(super) fn after_loss(
+        &mut self,
+        run: RunId,
+        sent: bool,
+        end: RunEnd,
+        actions: &mut Vec<Action>,
+    ) {
         if !sent {
             return self.again_or(run, RunEnd::NeverRan, actions);
         }
--- a/servers/src/pool/members.rs
+++ b/servers/src/pool/members.rs
@@ -38,7 +38,10 @@
         if self.terms.ramp.is_none() {
             return self.add(now, actions);
         }
-        let health = Health::Returning { trusted: 1, times: 0 };
+        let health = Health::Returning {
+            trusted: 1,
+            times: 0,
+        };
         self.add_as(health, Some(Cold::default()), now, actions)
     }
 
@@ -50,7 +53,16 @@
         actions: &mut Vec<Action>,
     ) -> ServerId {
         let (in_hand, idle, open_place, removed, counted_warm, downs) = Default::default();
-        let fresh = Server { health, in_hand, idle, open_place, removed, cold, counted_warm, downs };
+        let fresh = Server {
+            health,
+            in_hand,
+            idle,
+            open_place,
+            removed,
+            cold,
+            counted_warm,
+            downs,
+        };
         let server = self.servers.insert(fresh);
         (self.members, self.in_use) = (self.members + 1, self.in_use + 1);
         self.place(server);
@@ -60,7 +72,9 @@
 
     /// Takes a server out: it is given nothing more, what runs there may end.
     pub fn remove(&mut self, server: ServerId, now: Tenths, actions: &mut Vec<Action>) {
-        let Some(of) = self.servers.get_mut(server).filter(|of| !of.removed) else { return };
+        let Some(of) = self.servers.get_mut(server).filter(|of| !of.removed) else {
+            return;
+        };
         of.removed = true;
         self.members -= 1;
         match of.health {
@@ -84,7 +98,11 @@
     }
 
     pub(super) fn gone_if_over(&mut self, server: ServerId) {
-        if self.servers.get(server).is_some_and(|of| of.removed && of.in_hand == 0 && of.idle.is_empty()) {
+        if self
+            .servers
+            .get(server)
+            .is_some_and(|of| of.removed && of.in_hand == 0 && of.idle.is_empty())
+        {
             self.servers.remove(server);
         }
     }
@@ -97,7 +115,10 @@
             self.place(server);
             // One that is down is probed often, and that is told once.
             if self.servers[server].cold.is_none() {
-                actions.push(Action::Report { server, standing: Standing::Returning });
+                actions.push(Action::Report {
+                    server,
+                    standing: Standing::Returning,
+                });
             }
         }
     }
@@ -111,7 +132,9 @@
         actions: &mut Vec<Action>,
     ) {
         self.counts.failures += 1;
-        let Some(of) = self.servers.get_mut(server) else { return };
+        let Some(of) = self.servers.get_mut(server) else {
+            return;
+        };
         let verdict = of.health.failed(&self.terms.aside);
         let lost = match failure {
             Failure::Refused => true,
@@ -121,7 +144,9 @@
         if lost && self.terms.ramp.is_some() && !of.removed {
             return self.goes_down(server, verdict, now, actions);
         }
-        let Verdict::PutAside { times } = verdict else { return };
+        let Verdict::PutAside { times } = verdict else {
+            return;
+        };
         if of.removed || self.in_use <= self.floor() {
             return self.place(server);
         }
@@ -130,13 +155,17 @@
         self.returns.insert((till, server));
         self.in_use -= 1;
         self.counts.put_aside += 1;
-        actions.push(Action::Report { server, standing: Standing::PutAside { till } });
+        actions.push(Action::Report {
+            server,
+            standing: Standing::PutAside { till },
+        });
         self.place(server);
     }
 
     /// Servers that are in use whatever they do.
     pub(super) fn floor(&self) -> usize {
-        let share = (self.members as f64 * f64::from(self.terms.aside.floor.clamp(0.0, 1.0))).ceil();
+        let share =
+            (self.members as f64 * f64::from(self.terms.aside.floor.clamp(0.0, 1.0))).ceil();
         (share as usize).max(1)
     }
 }
--- a/servers/src/pool/ramps.rs
+++ b/servers/src/pool/ramps.rs
@@ -48,7 +48,10 @@
 
     /// Servers that are down or ramping.
     pub fn cold(&self) -> usize {
-        self.servers.iter().filter(|(_, of)| !of.removed && of.cold.is_some()).count()
+        self.servers
+            .iter()
+            .filter(|(_, of)| !of.removed && of.cold.is_some())
+            .count()
     }
 
     /// Whether one more exchange may be admitted to this pool. It may, unless every server is down or
@@ -74,10 +77,17 @@
     }
 
     fn wait_for_credit(&self, now: Tenths) -> Tenths {
-        let most = if self.ramps.wakes.is_empty() { self.terms.aside.first } else { RAMPING_WAIT };
+        let most = if self.ramps.wakes.is_empty() {
+            self.terms.aside.first
+        } else {
+            RAMPING_WAIT
+        };
         let probe = self.returns.first().map_or(Tenths::MAX, |(till, _)| *till);
         let credit = self.next_wake();
-        probe.min(credit).saturating_sub(now).clamp(LEAST_WAIT, most.max(LEAST_WAIT))
+        probe
+            .min(credit)
+            .saturating_sub(now)
+            .clamp(LEAST_WAIT, most.max(LEAST_WAIT))
     }
 
     pub(super) fn next_wake(&self) -> Tenths {
@@ -122,7 +132,9 @@
 
     /// Takes what one run on this server costs; if it has not that, it is given nothing for a while.
     pub(super) fn charge(&mut self, server: ServerId, now: Tenths) -> bool {
-        let Some(cold) = &self.servers[server].cold else { return true };
+        let Some(cold) = &self.servers[server].cold else {
+            return true;
+        };
         if cold.ready == 0 && !self.draw(server, now) {
             self.runs_dry(server, now);
             return false;
@@ -136,8 +148,12 @@
 
     /// Makes a ramping server ready for one run more, if it has the credit.
     fn draw(&mut self, server: ServerId, now: Tenths) -> bool {
-        let Some(cold) = &mut self.servers[server].cold else { return false };
-        let Some(ramping) = &mut cold.ramping else { return false };
+        let Some(cold) = &mut self.servers[server].cold else {
+            return false;
+        };
+        let Some(ramping) = &mut cold.ramping else {
+            return false;
+        };
         let drawn = ramping.draw(&mut self.ramps.gate, now);
         if drawn {
             cold.ready += 1;
@@ -154,7 +170,9 @@
     /// Changes a ramping server, and when it is to be looked at.
     fn change_wake(&mut self, server: ServerId, change: impl FnOnce(&mut Ramping, &mut Gate)) {
         let cold = self.servers[server].cold.as_mut();
-        let Some(ramping) = cold.and_then(|cold| cold.ramping.as_mut()) else { return };
+        let Some(ramping) = cold.and_then(|cold| cold.ramping.as_mut()) else {
+            return;
+        };
         self.ramps.wakes.remove(&(ramping.wake, server));
         change(ramping, &mut self.ramps.gate);
         self.ramps.wakes.insert((ramping.wake, server));
@@ -170,7 +188,10 @@
             let ramping = cold.and_then(|cold| cold.ramping.as_ref());
             if ramping.is_none_or(|ramping| ramping.end() <= now) {
                 self.becomes_warm(server);
-                actions.push(Action::Report { server, standing: Standing::Warm });
+                actions.push(Action::Report {
+                    server,
+                    standing: Standing::Warm,
+                });
             } else {
                 self.change_wake(server, |ramping, gate| ramping.wakes(gate, now));
                 self.place(server);
@@ -187,7 +208,9 @@
 
     /// Takes back what it was made ready for; of a ramp that goes on its credit stays.
     pub(super) fn take_back_ready(&mut self, server: ServerId) {
-        let Some(cold) = &mut self.servers[server].cold else { return };
+        let Some(cold) = &mut self.servers[server].cold else {
+            return;
+        };
         let ready = std::mem::take(&mut cold.ready);
         self.ramps.ready -= ready as usize;
         if let Some(ramping) = &mut cold.ramping {
@@ -208,7 +231,11 @@
     pub(super) fn has_opened(&mut self, server: ServerId, now: Tenths, actions: &mut Vec<Action>) {
         let Some(terms) = self.terms.ramp else { return };
         let of = &mut self.servers[server];
-        let Some(cold) = of.cold.as_mut().filter(|cold| cold.ramping.is_none() && !of.removed) else {
+        let Some(cold) = of
+            .cold
+            .as_mut()
+            .filter(|cold| cold.ramping.is_none() && !of.removed)
+        else {
             return;
         };
         let ramping = Ramping::begin(terms, now);
@@ -216,7 +243,10 @@
         cold.ramping = Some(ramping);
         self.ramps.wakes.insert((wake, server));
         self.counts.ramps += 1;
-        actions.push(Action::Report { server, standing: Standing::Ramping { till } });
+        actions.push(Action::Report {
+            server,
+            standing: Standing::Ramping { till },
+        });
         self.place(server);
     }
 
@@ -232,11 +262,17 @@
         self.stop_ramping(server);
         let of = &mut self.servers[server];
         of.downs += 1;
-        let known = of.cold.replace(Cold::default()).is_some_and(|cold| cold.ramping.is_none());
+        let known = of
+            .cold
+            .replace(Cold::default())
+            .is_some_and(|cold| cold.ramping.is_none());
         if !of.health.is_aside() {
             let till = self.put_down(server, verdict, now);
             if !known {
-                actions.push(Action::Report { server, standing: Standing::Down { till } });
+                actions.push(Action::Report {
+                    server,
+                    standing: Standing::Down { till },
+                });
             }
         }
         for conn in std::mem::take(&mut self.servers[server].idle) {
@@ -267,14 +303,21 @@
         let in_use = !of.removed && !of.health.is_aside();
         let warm = in_use && of.cold.is_none();
         if warm != std::mem::replace(&mut of.counted_warm, warm) {
-            if warm { self.ramps.warm += 1 } else { self.ramps.warm -= 1 }
+            if warm {
+                self.ramps.warm += 1
+            } else {
+                self.ramps.warm -= 1
+            }
         }
         if !in_use {
             return self.take_back_ready(server);
         }
         // One probe at a time, once what ran there before is over.
         let idle = of.in_hand == 0;
-        if let Some(cold) = of.cold.as_mut().filter(|cold| idle && cold.ramping.is_none() && cold.ready == 0)
+        if let Some(cold) = of
+            .cold
+            .as_mut()
+            .filter(|cold| idle && cold.ramping.is_none() && cold.ready == 0)
         {
             cold.ready = 1;
             self.ramps.ready += 1;
--- a/servers/src/ramp.rs
+++ b/servers/src/ramp.rs
@@ -71,7 +71,14 @@
     /// Begins with the run of the probe as a debt.
     pub(crate) fn begin(terms: Ramp, now: Tenths) -> Ramping {
         let end = now.saturating_add(terms.over.max(1));
-        Ramping { terms, since: now, counted: now, credit: -1.0, dry: false, wake: end.min(now + DEBT) }
+        Ramping {
+            terms,
+            since: now,
+            counted: now,
+            credit: -1.0,
+            dry: false,
+            wake: end.min(now + DEBT),
+        }
     }
 
     pub(crate) fn end(&self) -> Tenths {
@@ -141,7 +148,11 @@
         let share = (self.curve(now) + missing) / f64::from(self.terms.runs.max(1));
         // At the earliest then; where tokens are granted by others, that is only a guess.
         let own = self.since + (share.sqrt() * self.terms.over as f64).ceil() as Tenths;
-        let next = if share > 1.0 { self.end() } else { own.max(now + 1) };
+        let next = if share > 1.0 {
+            self.end()
+        } else {
+            own.max(now + 1)
+        };
         self.wake = next.min(now + REFUSED).min(self.end()).max(now + 1);
     }
 
--- a/servers/tests/pool.rs
+++ b/servers/tests/pool.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use doortrack::Tenths;
-use doortrack_servers::{Action, Aside, ConnId, Over, Pool, Retries, RunEnd, RunId, ServerId, Terms};
+use doortrack_servers::{
+    Action, Aside, ConnId, Over, Pool, Retries, RunEnd, RunId, ServerId, Terms,
+};
 use fastrand::Rng;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -16,8 +18,17 @@
         idle: 5_000 * MS,
         open_within: 250 * MS,
         answer_within: 1_000 * MS,
-        aside: Aside { failures: 3, first: 500 * MS, longest: 8_000 * MS, floor: 0.25 },
-        retries: Retries { share: 0.1, burst: 10, tries: 3 },
+        aside: Aside {
+            failures: 3,
+            first: 500 * MS,
+            longest: 8_000 * MS,
+            floor: 0.25,
+        },
+        retries: Retries {
+            share: 0.1,
+            burst: 10,
+            tries: 3,
+        },
         ramp: None,
     }
 }
@@ -95,11 +106,21 @@
         for what in actions {
             match what {
                 Action::Open { conn, server } => {
-                    assert!(self.conns.insert(conn, (server, None)).is_none(), "{conn} is open already");
+                    assert!(
+                        self.conns.insert(conn, (server, None)).is_none(),
+                        "{conn} is open already"
+                    );
                     let open = self.conns.values().filter(|(of, _)| *of == server).count();
                     let most = self.most_on_one.entry(server).or_default();
                     *most = open.max(*most);
-                    self.at(if self.moods[&server] == Mood::Refuses { 2 } else { 1 }, conn);
+                    self.at(
+                        if self.moods[&server] == Mood::Refuses {
+                            2
+                        } else {
+                            1
+                        },
+                        conn,
+                    );
                 }
                 Action::Send { conn, run } => {
                     let (server, carries) = self.conns.get_mut(&conn).expect("sent on none");
@@ -123,7 +144,10 @@
                 }
                 Action::Report { .. } => {}
                 Action::Ended { run, end } => {
-                    assert!(self.ended.insert(run, (end, self.now)).is_none(), "{run} ended twice");
+                    assert!(
+                        self.ended.insert(run, (end, self.now)).is_none(),
+                        "{run} ended twice"
+                    );
                 }
             }
         }
@@ -135,8 +159,16 @@
         let counts = self.pool.counts;
         assert!(counts.retries <= 10 + counts.begun / 10 + 1, "{counts:?}");
         let floor = (self.pool.servers() as f64 / 4.0).ceil() as usize;
-        assert!(self.pool.in_use() >= floor.min(self.pool.servers()), "{} in use", self.pool.in_use());
-        assert!(self.most_on_one.values().all(|most| *most <= 4), "{:?}", self.most_on_one);
+        assert!(
+            self.pool.in_use() >= floor.min(self.pool.servers()),
+            "{} in use",
+            self.pool.in_use()
+        );
+        assert!(
+            self.most_on_one.values().all(|most| *most <= 4),
+            "{:?}",
+            self.most_on_one
+        );
         assert_eq!(self.pool.connections(), self.conns.len());
     }
 
@@ -152,7 +184,10 @@
                 self.handle(conn, &mut actions);
             } else if due <= self.now {
                 self.pool.tick(self.now, &mut actions);
-                assert!(self.pool.next_due() > self.now, "what was due is due again at once");
+                assert!(
+                    self.pool.next_due() > self.now,
+                    "what was due is due again at once"
+                );
             } else {
                 return;
             }
@@ -177,11 +212,13 @@
             }
             Mood::Fails => {
                 self.conns.get_mut(&conn).unwrap().1 = None;
-                self.pool.over(conn, Over::Failed { keep: true }, self.now, actions);
+                self.pool
+                    .over(conn, Over::Failed { keep: true }, self.now, actions);
             }
             _ => {
                 self.conns.get_mut(&conn).unwrap().1 = None;
-                self.pool.over(conn, Over::Completed { keep: true }, self.now, actions);
+                self.pool
+                    .over(conn, Over::Completed { keep: true }, self.now, actions);
             }
         }
     }
@@ -203,7 +240,10 @@
         }
         self.in_use = self.pool.in_use();
         self.pass(self.now + 10_000 * MS);
-        let good = counted.iter().filter(|run| self.end(**run) == Some(RunEnd::Completed)).count();
+        let good = counted
+            .iter()
+            .filter(|run| self.end(**run) == Some(RunEnd::Completed))
+            .count();
         good as f64 / counted.len() as f64
     }
 }
@@ -216,7 +256,11 @@
     assert_eq!((counts.begun, counts.retries, counts.failures), (800, 0, 0));
     assert!(counts.opened <= 16, "{counts:?}");
     let mut on = BTreeMap::<ServerId, u32>::new();
-    world.sent.values().flatten().for_each(|server| *on.entry(*server).or_default() += 1);
+    world
+        .sent
+        .values()
+        .flatten()
+        .for_each(|server| *on.entry(*server).or_default() += 1);
     assert!(on.values().all(|runs| (150..250).contains(runs)), "{on:?}");
     // Kept ones are closed after lying idle.
     world.pass(world.now + 6_000 * MS);
@@ -225,7 +269,13 @@
 
 #[test]
 fn one_bad_server_of_four_costs_little_and_comes_back_slowly() {
-    for mood in [Mood::Refuses, Mood::Breaks, Mood::Fails, Mood::Hangs, Mood::Slow(2_000 * MS)] {
+    for mood in [
+        Mood::Refuses,
+        Mood::Breaks,
+        Mood::Fails,
+        Mood::Hangs,
+        Mood::Slow(2_000 * MS),
+    ] {
         let mut world = World::new(terms(), 4, 2);
         world.moods.insert(2, mood);
         // The first seconds are for finding out.
@@ -234,7 +284,10 @@
         assert!(world.in_use <= 4, "{mood:?}");
         let without = World::load(
             &mut {
-                let aside = Aside { failures: u32::MAX, ..terms().aside };
+                let aside = Aside {
+                    failures: u32::MAX,
+                    ..terms().aside
+                };
                 let mut world = World::new(Terms { aside, ..terms() }, 4, 2);
                 world.moods.insert(2, mood);
                 world
@@ -246,10 +299,23 @@
         );
         assert!(share > without, "{mood:?}: {share} with, {without} without");
         world.moods.insert(2, Mood::Sound);
-        let before = world.sent.values().flatten().filter(|server| **server == 2).count();
+        let before = world
+            .sent
+            .values()
+            .flatten()
+            .filter(|server| **server == 2)
+            .count();
         assert_eq!(world.load(100_000, 5 * MS, 12_000 * MS, 9_000 * MS), 1.0);
         assert_eq!(world.pool.in_use(), 4);
-        assert!(world.sent.values().flatten().filter(|server| **server == 2).count() > before + 200);
+        assert!(
+            world
+                .sent
+                .values()
+                .flatten()
+                .filter(|server| **server == 2)
+                .count()
+                > before + 200
+        );
     }
 }
 
@@ -260,12 +326,21 @@
         world.moods.values_mut().for_each(|of| *of = mood);
         assert_eq!(world.load(0, 5 * MS, 20_000 * MS, 0), 0.0);
         // A quarter is tried whatever they do.
-        assert!(world.in_use <= 2, "{mood:?}: one, and perhaps one that is being probed");
+        assert!(
+            world.in_use <= 2,
+            "{mood:?}: one, and perhaps one that is being probed"
+        );
         let counts = world.pool.counts;
-        assert!(counts.retries <= 10 + counts.begun / 10, "{mood:?}: {counts:?}");
+        assert!(
+            counts.retries <= 10 + counts.begun / 10,
+            "{mood:?}: {counts:?}"
+        );
         // Where they fail at once the budget is used up, and no more than that.
         let fast = [Mood::Refuses, Mood::Breaks].contains(&mood);
-        assert!(!fast || counts.retries >= counts.begun / 20, "{mood:?}: {counts:?}");
+        assert!(
+            !fast || counts.retries >= counts.begun / 20,
+            "{mood:?}: {counts:?}"
+        );
         // Whoever begins runs does not wait for ever; where all hang, most found no server.
         (0..5000)
             .filter(|run| world.end(*run).is_none())
@@ -282,23 +357,42 @@
 
 #[test]
 fn what_may_have_reached_a_server_is_never_sent_again_unless_it_may_run_twice() {
-    let mut world = World::new(Terms { aside: Aside { failures: 9, ..terms().aside }, ..terms() }, 2, 4);
+    let mut world = World::new(
+        Terms {
+            aside: Aside {
+                failures: 9,
+                ..terms().aside
+            },
+            ..terms()
+        },
+        2,
+        4,
+    );
     world.moods.values_mut().for_each(|of| *of = Mood::Breaks);
     world.begin(1, false);
     world.begin(2, true);
     world.pass(100 * MS);
-    assert_eq!((world.end(1), world.end(2)), (Some(RunEnd::Lost), Some(RunEnd::Lost)));
+    assert_eq!(
+        (world.end(1), world.end(2)),
+        (Some(RunEnd::Lost), Some(RunEnd::Lost))
+    );
     assert_eq!((world.sent[&1].len(), world.sent[&2].len()), (1, 3));
     // What no connection could be had for is tried again in any case, and told as never run.
     world.moods.values_mut().for_each(|of| *of = Mood::Refuses);
     world.begin(3, false);
     world.pass(200 * MS);
-    assert_eq!((world.end(3), world.sent.get(&3)), (Some(RunEnd::NeverRan), None));
+    assert_eq!(
+        (world.end(3), world.sent.get(&3)),
+        (Some(RunEnd::NeverRan), None)
+    );
     // One that hangs is late, and not sent elsewhere.
     world.moods.values_mut().for_each(|of| *of = Mood::Hangs);
     world.begin(4, false);
     world.pass(3_000 * MS);
-    assert_eq!((world.end(4), world.sent[&4].len()), (Some(RunEnd::Late), 1));
+    assert_eq!(
+        (world.end(4), world.sent[&4].len()),
+        (Some(RunEnd::Late), 1)
+    );
 }
 
 #[test]
@@ -310,9 +404,17 @@
         world.pass(world.now + 100 * MS);
     });
     for (run, servers) in &world.sent {
-        assert!(servers.windows(2).all(|pair| pair[0] != pair[1]), "{run}: {servers:?}");
+        assert!(
+            servers.windows(2).all(|pair| pair[0] != pair[1]),
+            "{run}: {servers:?}"
+        );
     }
-    assert!(world.ended.values().all(|(end, _)| *end == RunEnd::Completed));
+    assert!(
+        world
+            .ended
+            .values()
+            .all(|(end, _)| *end == RunEnd::Completed)
+    );
 }
 
 #[test]
@@ -328,7 +430,10 @@
     world.conns.remove(&conn);
     actions.clear();
     world.pool.lost(conn, now, &mut actions);
-    assert!(matches!(actions[..], [Action::Open { server: 0, .. }]), "{actions:?}");
+    assert!(
+        matches!(actions[..], [Action::Open { server: 0, .. }]),
+        "{actions:?}"
+    );
     world.repeatable.insert(2, false);
     world.carry_out(actions);
     world.pass(now + 100 * MS);
@@ -341,13 +446,28 @@
 
 #[test]
 fn who_is_stopped_ends_at_once_in_every_stage() {
-    let mut world = World::new(Terms { at_once: 1, ..terms() }, 1, 7);
+    let mut world = World::new(
+        Terms {
+            at_once: 1,
+            ..terms()
+        },
+        1,
+        7,
+    );
     world.moods.insert(0, Mood::Hangs);
     (1..=3).for_each(|run| world.begin(run, false));
     world.stop(3);
-    assert_eq!(world.end(3), Some(RunEnd::NeverRan), "it waited for a server");
+    assert_eq!(
+        world.end(3),
+        Some(RunEnd::NeverRan),
+        "it waited for a server"
+    );
     world.stop(1);
-    assert_eq!(world.end(1), Some(RunEnd::NeverRan), "its connection was being opened");
+    assert_eq!(
+        world.end(1),
+        Some(RunEnd::NeverRan),
+        "its connection was being opened"
+    );
     world.pass(10 * MS);
     world.stop(2);
     assert_eq!(world.end(2), Some(RunEnd::Stopped), "it was sent");
@@ -371,16 +491,32 @@
     assert!(world.pool.knows(1) && fresh > 1, "what runs there may end");
     (8..12).for_each(|run| world.begin(run, false));
     world.pass(5_000 * MS);
-    assert!((8..12).all(|run| world.end(run) == Some(RunEnd::Completed) && world.sent[&run] == [fresh]));
+    assert!(
+        (8..12).all(|run| world.end(run) == Some(RunEnd::Completed) && world.sent[&run] == [fresh])
+    );
     assert_eq!(world.ended.len(), 12);
     assert!(!world.pool.knows(0) && !world.pool.knows(1));
     // Without any, runs wait for one; with fewer at once, what is kept beyond goes.
     let mut actions = Vec::new();
-    world.pool.retune(Terms { at_once: 1, ..terms() }, world.now, &mut actions);
+    world.pool.retune(
+        Terms {
+            at_once: 1,
+            ..terms()
+        },
+        world.now,
+        &mut actions,
+    );
     world.pool.remove(fresh, world.now, &mut actions);
     world.carry_out(actions);
     world.begin(20, true);
-    assert_eq!((world.pool.servers(), world.pool.in_hand(), world.pool.connections()), (0, 1, 0));
+    assert_eq!(
+        (
+            world.pool.servers(),
+            world.pool.in_hand(),
+            world.pool.connections()
+        ),
+        (0, 1, 0)
+    );
     let mut actions = Vec::new();
     let server = world.pool.add(world.now, &mut actions);
     world.moods.insert(server, Mood::Sound);
@@ -402,7 +538,14 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let moods = [Mood::Sound, Mood::Hangs, Mood::Refuses, Mood::Breaks, Mood::Fails, Mood::Slow(1500 * MS)];
+    let moods = [
+        Mood::Sound,
+        Mood::Hangs,
+        Mood::Refuses,
+        Mood::Breaks,
+        Mood::Fails,
+        Mood::Slow(1500 * MS),
+    ];
     let mood = prop::sample::select(moods.to_vec());
     prop_oneof![
         8 => any::<bool>().prop_map(|repeatable| Step::Begin { repeatable }),
@@ -433,7 +576,11 @@
             Step::Pass(time) => world.pass(world.now + time),
             // A connection ends for no reason.
             Step::Break(nth) => {
-                let conn = world.conns.keys().nth(usize::from(*nth) % world.conns.len().max(1)).copied();
+                let conn = world
+                    .conns
+                    .keys()
+                    .nth(usize::from(*nth) % world.conns.len().max(1))
+                    .copied();
                 if let Some(conn) = conn {
                     world.conns.remove(&conn);
                     world.next.retain(|(.., other)| *other != conn);
@@ -503,7 +650,9 @@
     pool.begin(1, false, 0, &mut actions);
     let mut seen = Vec::new();
     for _ in 0..3 {
-        let Some(Action::Open { conn, server }) = actions.pop() else { panic!("{actions:?}") };
+        let Some(Action::Open { conn, server }) = actions.pop() else {
+            panic!("{actions:?}")
+        };
         seen.push(server);
         actions.clear();
         pool.opened(conn, 0, &mut actions);
@@ -514,7 +663,20 @@
         assert!(actions.contains(&Action::Close { conn }), "{actions:?}");
     }
     // Within its three tries, never twice in a row on one; then it ends as one that never ran.
-    assert!(seen[0] != seen[1] && seen[1] != seen[2] && seen.iter().all(|server| servers.contains(server)));
-    assert!(actions.contains(&Action::Ended { run: 1, end: RunEnd::NeverRan }), "{actions:?}");
-    assert_eq!((pool.counts.retries, pool.in_hand(), pool.connections()), (2, 0, 0));
+    assert!(
+        seen[0] != seen[1]
+            && seen[1] != seen[2]
+            && seen.iter().all(|server| servers.contains(server))
+    );
+    assert!(
+        actions.contains(&Action::Ended {
+            run: 1,
+            end: RunEnd::NeverRan
+        }),
+        "{actions:?}"
+    );
+    assert_eq!(
+        (pool.counts.retries, pool.in_hand(), pool.connections()),
+        (2, 0, 0)
+    );
 }
--- a/servers/tests/ramp.rs
+++ b/servers/tests/ramp.rs
@@ -7,8 +7,8 @@
 
 use doortrack::Tenths;
 use doortrack_servers::{
-    Action, Admission, Aside, ConnId, Over, Pool, Ramp, Retries, RunEnd, RunId, ServerId, Standing, Terms,
-    Token,
+    Action, Admission, Aside, ConnId, Over, Pool, Ramp, Retries, RunEnd, RunId, ServerId, Standing,
+    Terms, Token,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -24,9 +24,21 @@
         idle: 5_000 * MS,
         open_within: 250 * MS,
         answer_within: 1_000 * MS,
-        aside: Aside { failures: 3, first: 500 * MS, longest: 8_000 * MS, floor: 0.25 },
-        retries: Retries { share: 0.1, burst: 10, tries: 3 },
-        ramp: Some(Ramp { over: OVER, runs: RUNS }),
+        aside: Aside {
+            failures: 3,
+            first: 500 * MS,
+            longest: 8_000 * MS,
+            floor: 0.25,
+        },
+        retries: Retries {
+            share: 0.1,
+            burst: 10,
+            tries: 3,
+        },
+        ramp: Some(Ramp {
+            over: OVER,
+            runs: RUNS,
+        }),
     }
 }
 
@@ -73,7 +85,18 @@
         let ids: Vec<ServerId> = (0..servers).map(|_| pool.add(0, &mut Vec::new())).collect();
         let (conns, next, came, sent, ramps, told) = Default::default();
         let moods = ids.into_iter().map(|id| (id, Mood::Sound)).collect();
-        World { pool, now: 0, moods, conns, next, runs: 0, came, sent, ramps, told }
+        World {
+            pool,
+            now: 0,
+            moods,
+            conns,
+            next,
+            runs: 0,
+            came,
+            sent,
+            ramps,
+            told,
+        }
     }
 
     /// One exchange: admitted and begun, or held back.
@@ -90,7 +113,8 @@
                     self.pool.release();
                 }
                 let mut actions = Vec::new();
-                self.pool.begin(run, run.is_multiple_of(2), self.now, &mut actions);
+                self.pool
+                    .begin(run, run.is_multiple_of(2), self.now, &mut actions);
                 self.carry_out(actions);
             }
         }
@@ -111,7 +135,10 @@
                     self.sent.entry(*server).or_default().push(self.now);
                     let mood = self.moods[server];
                     if mood != Mood::Hangs {
-                        self.next.insert((self.now + if mood == Mood::Sound { 10 * MS } else { MS }, conn));
+                        self.next.insert((
+                            self.now + if mood == Mood::Sound { 10 * MS } else { MS },
+                            conn,
+                        ));
                     }
                 }
                 Action::Close { conn } => {
@@ -145,7 +172,10 @@
                 self.happens(conn, &mut actions);
             } else if due <= self.now {
                 self.pool.tick(self.now, &mut actions);
-                assert!(self.pool.next_due() > self.now, "what was due is due again at once");
+                assert!(
+                    self.pool.next_due() > self.now,
+                    "what was due is due again at once"
+                );
             } else {
                 return;
             }
@@ -187,8 +217,12 @@
     /// A server goes: its connections end, and nothing listens.
     fn kill(&mut self, server: ServerId) {
         self.moods.insert(server, Mood::Gone);
-        let ends: Vec<ConnId> =
-            self.conns.iter().filter(|(_, (of, _))| *of == server).map(|(conn, _)| *conn).collect();
+        let ends: Vec<ConnId> = self
+            .conns
+            .iter()
+            .filter(|(_, (of, _))| *of == server)
+            .map(|(conn, _)| *conn)
+            .collect();
         for conn in ends {
             // Another's end may have closed this one.
             if self.conns.remove(&conn).is_some() {
@@ -201,7 +235,12 @@
     }
 
     fn sent_within(&self, server: ServerId, from: Tenths, till: Tenths) -> usize {
-        self.sent.get(&server).into_iter().flatten().filter(|at| (from..till).contains(at)).count()
+        self.sent
+            .get(&server)
+            .into_iter()
+            .flatten()
+            .filter(|at| (from..till).contains(at))
+            .count()
     }
 
     fn counted(&self, came: Came) -> usize {
@@ -211,10 +250,19 @@
     /// Of each ramp: no more than its curve at any time, the probe apart, and no more than its runs in all.
     fn check_ramps(&self) {
         for (server, since) in &self.ramps {
-            let next =
-                self.ramps.iter().filter(|(of, at)| of == server && at > since).map(|(_, at)| *at).min();
+            let next = self
+                .ramps
+                .iter()
+                .filter(|(of, at)| of == server && at > since)
+                .map(|(_, at)| *at)
+                .min();
             let till = next.unwrap_or(Tenths::MAX).min(since + OVER);
-            let sent = self.sent.get(server).into_iter().flatten().filter(|at| (*since..till).contains(at));
+            let sent = self
+                .sent
+                .get(server)
+                .into_iter()
+                .flatten()
+                .filter(|at| (*since..till).contains(at));
             for (nth, at) in sent.enumerate() {
                 let allowed = f64::from(RUNS) * ((at - since) as f64 / OVER as f64).powi(2);
                 let count = nth + 1;
@@ -249,8 +297,17 @@
     let asked = (world.runs - served) as usize;
     let tried = world.counted(Came::Ended(RunEnd::NeverRan));
     assert!((20..=41).contains(&tried), "{tried} probes of {asked}");
-    assert_eq!(world.counted(Came::HeldBack), asked - tried, "{:?}", world.pool.counts);
-    let told = world.told.iter().filter(|(_, what)| matches!(what, Standing::Down { .. })).count();
+    assert_eq!(
+        world.counted(Came::HeldBack),
+        asked - tried,
+        "{:?}",
+        world.pool.counts
+    );
+    let told = world
+        .told
+        .iter()
+        .filter(|(_, what)| matches!(what, Standing::Down { .. }))
+        .count();
     assert_eq!(told, 1, "{:?}", world.told);
 }
 
@@ -264,13 +321,19 @@
     assert!((95..=100).contains(&by(10)), "{}", by(10));
     // A quarter of it in the first half.
     assert!((20..=26).contains(&by(5)), "{}", by(5));
-    assert!(world.sent_within(0, since + OVER, Tenths::MAX) > 100, "full load after it");
+    assert!(
+        world.sent_within(0, since + OVER, Tenths::MAX) > 100,
+        "full load after it"
+    );
     assert_eq!(world.told.last(), Some(&(0, Standing::Warm)));
 }
 
 #[test]
 fn without_a_ramp_a_return_is_met_with_all_there_is() {
-    let mut world = returned(Terms { ramp: None, ..terms() });
+    let mut world = returned(Terms {
+        ramp: None,
+        ..terms()
+    });
     let since = world.now;
     world.load(5 * MS, OVER);
     assert!(world.sent_within(0, since, since + OVER) > 1_500);
@@ -322,16 +385,25 @@
     world.load(5 * MS, 8_000 * MS + OVER);
     let (_, since) = world.ramps[0];
     world.check_ramps();
-    assert!(world.sent_within(2, since, since + OVER) > 60, "it gets its part");
+    assert!(
+        world.sent_within(2, since, since + OVER) > 60,
+        "it gets its part"
+    );
     assert_eq!(world.pool.counts.held_back, 0);
     let ends = (asked + 1..=world.runs).filter_map(|run| world.came.get(&run));
-    let bad = ends.filter(|(came, at)| *at >= from && *came != Came::Ended(RunEnd::Completed)).count();
+    let bad = ends
+        .filter(|(came, at)| *at >= from && *came != Came::Ended(RunEnd::Completed))
+        .count();
     assert_eq!(bad, 0);
 }
 
 #[test]
 fn a_server_that_breaks_or_hangs_up_to_the_threshold_returns_cold_and_one_that_answers_does_not() {
-    for (mood, cold) in [(Mood::Breaks, true), (Mood::Hangs, true), (Mood::Fails, false)] {
+    for (mood, cold) in [
+        (Mood::Breaks, true),
+        (Mood::Hangs, true),
+        (Mood::Fails, false),
+    ] {
         let mut world = World::new(terms(), 2);
         world.moods.insert(1, mood);
         world.load(5 * MS, 4_000 * MS);
@@ -356,7 +428,11 @@
     assert_eq!(world.pool.cold(), 1);
     world.load(5 * MS, OVER + 1_000 * MS);
     world.check_ramps();
-    assert!(world.ramps.len() == 1 && world.pool.cold() == 0, "{:?}", world.ramps);
+    assert!(
+        world.ramps.len() == 1 && world.pool.cold() == 0,
+        "{:?}",
+        world.ramps
+    );
 }
 
 #[test]
@@ -364,7 +440,14 @@
     let mut world = returned(terms());
     world.load(5 * MS, 3_000 * MS);
     let mut actions = Vec::new();
-    world.pool.retune(Terms { ramp: None, ..terms() }, world.now, &mut actions);
+    world.pool.retune(
+        Terms {
+            ramp: None,
+            ..terms()
+        },
+        world.now,
+        &mut actions,
+    );
     world.carry_out(actions);
     assert_eq!(world.pool.cold(), 0);
     let before = world.sent[&0].len();
@@ -417,8 +500,16 @@
     let mut worlds: Vec<World> = (0..POOLS).map(|_| returned(terms())).collect();
     let began = worlds[0].now;
     for world in &mut worlds {
-        let (clock, mut share) = (clock.clone(), Share { tokens: 1.0, counted: began });
-        world.pool.gate_ramps(Box::new(move || share.take(*clock.borrow(), POOLS)));
+        let (clock, mut share) = (
+            clock.clone(),
+            Share {
+                tokens: 1.0,
+                counted: began,
+            },
+        );
+        world
+            .pool
+            .gate_ramps(Box::new(move || share.take(*clock.borrow(), POOLS)));
     }
     while worlds[0].now < began + OVER {
         for world in &mut worlds {
@@ -427,7 +518,9 @@
             world.pass(5 * MS);
         }
     }
-    let sent = worlds.iter().map(|world| world.sent_within(0, began, began + OVER));
+    let sent = worlds
+        .iter()
+        .map(|world| world.sent_within(0, began, began + OVER));
     let sent: Vec<usize> = sent.collect();
     let sum: usize = sent.iter().sum();
     assert!((60..=RUNS as usize).contains(&sum), "{sum}: {sent:?}");
@@ -460,7 +553,11 @@
     world.pool.gate_ramps(Box::new(|| Token::Refused));
     let back = world.now;
     world.load(5 * MS, OVER - 1_000 * MS);
-    assert_eq!(world.sent_within(0, back, Tenths::MAX), 1, "the probe alone");
+    assert_eq!(
+        world.sent_within(0, back, Tenths::MAX),
+        1,
+        "the probe alone"
+    );
     assert_eq!(world.pool.in_hand(), 0);
     // Once its time is over a ramp binds nobody.
     world.load(5 * MS, 3_000 * MS);
@@ -476,7 +573,13 @@
     world.pass(2 * MS);
     let mut actions = Vec::new();
     world.pool.begin(9_000, false, world.now, &mut actions);
-    assert!(actions.contains(&Action::Ended { run: 9_000, end: RunEnd::NeverRan }), "{actions:?}");
+    assert!(
+        actions.contains(&Action::Ended {
+            run: 9_000,
+            end: RunEnd::NeverRan
+        }),
+        "{actions:?}"
+    );
     assert_eq!(world.pool.in_hand(), 0);
 }
 
@@ -486,22 +589,44 @@
     let mut actions = Vec::new();
     let server = pool.add(0, &mut actions);
     (1..=2).for_each(|run| pool.begin(run, false, 0, &mut actions));
-    let [Action::Open { conn: first, .. }, Action::Open { conn: second, .. }] = actions[..] else {
+    let [
+        Action::Open { conn: first, .. },
+        Action::Open { conn: second, .. },
+    ] = actions[..]
+    else {
         panic!("{actions:?}");
     };
     actions.clear();
     pool.refused(first, MS, &mut actions);
-    assert!(matches!(actions[0], Action::Report { standing: Standing::Down { .. }, .. }), "{actions:?}");
+    assert!(
+        matches!(
+            actions[0],
+            Action::Report {
+                standing: Standing::Down { .. },
+                ..
+            }
+        ),
+        "{actions:?}"
+    );
     actions.clear();
     pool.opened(second, MS, &mut actions);
     // Its run is not sent, as nothing of it is within a ramp; no other server is there.
     assert_eq!(
         actions,
-        [Action::Close { conn: second }, Action::Ended { run: 2, end: RunEnd::NeverRan }],
+        [
+            Action::Close { conn: second },
+            Action::Ended {
+                run: 2,
+                end: RunEnd::NeverRan
+            }
+        ],
         "{:?}",
         pool.counts
     );
-    assert_eq!((pool.cold(), pool.counts.ramps, pool.knows(server)), (1, 0, true));
+    assert_eq!(
+        (pool.cold(), pool.counts.ramps, pool.knows(server)),
+        (1, 0, true)
+    );
 }
 
 #[test]
@@ -510,7 +635,11 @@
     let mut actions = Vec::new();
     pool.add(0, &mut actions);
     (1..=2).for_each(|run| pool.begin(run, false, 0, &mut actions));
-    let [Action::Open { conn: first, .. }, Action::Open { conn: second, .. }] = actions[..] else {
+    let [
+        Action::Open { conn: first, .. },
+        Action::Open { conn: second, .. },
+    ] = actions[..]
+    else {
         panic!("{actions:?}");
     };
     pool.opened(first, MS, &mut actions);
@@ -519,10 +648,24 @@
     // The run that was under way ends well after the server is to be probed: it says nothing of a return.
     pool.tick(600 * MS, &mut actions);
     actions.clear();
-    pool.over(first, Over::Completed { keep: true }, 600 * MS, &mut actions);
-    let ended = Action::Ended { run: 1, end: RunEnd::Completed };
-    assert!(actions.contains(&ended) && actions.contains(&Action::Close { conn: first }), "{actions:?}");
-    assert_eq!((pool.connections(), pool.cold(), pool.counts.ramps), (0, 1, 0));
+    pool.over(
+        first,
+        Over::Completed { keep: true },
+        600 * MS,
+        &mut actions,
+    );
+    let ended = Action::Ended {
+        run: 1,
+        end: RunEnd::Completed,
+    };
+    assert!(
+        actions.contains(&ended) && actions.contains(&Action::Close { conn: first }),
+        "{actions:?}"
+    );
+    assert_eq!(
+        (pool.connections(), pool.cold(), pool.counts.ramps),
+        (0, 1, 0)
+    );
     // The probe begins on a connection of its own.
     assert_eq!(pool.admit(600 * MS), Ok(Admission::Reserved));
     pool.release();
@@ -535,11 +678,21 @@
 fn a_reservation_is_kept_for_who_has_it_and_free_once_let_go_of() {
     let mut world = returned(terms());
     world.pass(600 * MS);
-    assert_eq!(world.pool.admit(world.now), Ok(Admission::Reserved), "the probe");
+    assert_eq!(
+        world.pool.admit(world.now),
+        Ok(Admission::Reserved),
+        "the probe"
+    );
     assert!(world.pool.admit(world.now).is_err(), "there is one probe");
     let mut actions = Vec::new();
     world.pool.begin(9_000, true, world.now, &mut actions);
-    assert!(actions.contains(&Action::Ended { run: 9_000, end: RunEnd::NeverRan }), "{actions:?}");
+    assert!(
+        actions.contains(&Action::Ended {
+            run: 9_000,
+            end: RunEnd::NeverRan
+        }),
+        "{actions:?}"
+    );
     world.pool.release();
     assert_eq!(world.pool.admit(world.now), Ok(Admission::Reserved));
 }
@@ -559,7 +712,14 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let moods = [Mood::Sound, Mood::Sound, Mood::Gone, Mood::Hangs, Mood::Breaks, Mood::Fails];
+    let moods = [
+        Mood::Sound,
+        Mood::Sound,
+        Mood::Gone,
+        Mood::Hangs,
+        Mood::Breaks,
+        Mood::Fails,
+    ];
     prop_oneof![
         8 => (1..20u8).prop_map(Step::Ask),
         8 => (0..700 * MS).prop_map(Step::Pass),
@@ -578,7 +738,13 @@
     let granted = Rc::new(RefCell::new(true));
     if shared {
         let granted = granted.clone();
-        let answer = move || if *granted.borrow() { Token::Granted } else { Token::Refused };
+        let answer = move || {
+            if *granted.borrow() {
+                Token::Granted
+            } else {
+                Token::Refused
+            }
+        };
         world.pool.gate_ramps(Box::new(answer));
     }
     for step in steps {
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -10,8 +10,8 @@
 use slab::Slab;
 
 use crate::{
-    Action, CallOutcome, Effect, Event, ExId, Exchange, Gauges, LevelKind, RunOutcome, ServiceContract,
-    StopKind, Tenths,
+    Action, CallOutcome, Effect, Event, ExId, Exchange, Gauges, LevelKind, RunOutcome,
+    ServiceContract, StopKind, Tenths,
 };
 
 const MS: Tenths = 10;
@@ -199,7 +199,10 @@
             capacity: terms.cores.max(1) as f32,
             took: vec![0.0; terms.groups.len()],
             saved: vec![(0.0, 0); terms.customers.len()],
-            st: State { unknown_callers: 1.0, ..State::default() },
+            st: State {
+                unknown_callers: 1.0,
+                ..State::default()
+            },
             terms,
         }
     }
@@ -213,7 +216,9 @@
                 Event::Arrived(ex) => self.arrived(ex, actions),
                 Event::RunEnded { id, outcome } => self.run_ended(*id, *outcome),
                 Event::NeedsCall { id } => self.needs_call(*id),
-                Event::CallEnded { id, outcome, took } => self.call_ended(*id, *outcome, *took, actions),
+                Event::CallEnded { id, outcome, took } => {
+                    self.call_ended(*id, *outcome, *took, actions)
+                }
                 Event::CallerGone { id } => self.caller_gone(*id, actions),
                 Event::Drain { age, stop_at } => self.leave_by(*age, *stop_at, actions),
                 Event::Alarm { gauges, .. } => self.st.gauges = *gauges,
@@ -240,8 +245,13 @@
         if self.stuck() || (busy && (load > c || unread > QUEUE_SHARE)) {
             return true;
         }
-        let established = !over_share && subject != 0 && self.st.keys.iter().any(|k| k.contains(&subject));
-        let chance = if load > T2 * c || over_share { 1.0 } else { (load - T1 * c) / (c - T1 * c) };
+        let established =
+            !over_share && subject != 0 && self.st.keys.iter().any(|k| k.contains(&subject));
+        let chance = if load > T2 * c || over_share {
+            1.0
+        } else {
+            (load - T1 * c) / (c - T1 * c)
+        };
         busy && load > T1 * c && !established && self.rng.f32() < chance
     }
 
@@ -254,7 +264,12 @@
     }
 
     fn shortest_slo(&self) -> f32 {
-        self.terms.groups.iter().map(|group| group.slo_time).min().unwrap_or(0) as f32
+        self.terms
+            .groups
+            .iter()
+            .map(|group| group.slo_time)
+            .min()
+            .unwrap_or(0) as f32
     }
 
     fn fits(&self, kb: f32) -> bool {
@@ -267,7 +282,12 @@
 
     /// What goes before such an exchange: what is queued beyond a share waits for all within one.
     fn load_before(&self, over_share: bool) -> f32 {
-        self.load() - if over_share { 0.0 } else { self.st.queued_over_share as f32 }
+        self.load()
+            - if over_share {
+                0.0
+            } else {
+                self.st.queued_over_share as f32
+            }
     }
 
     fn at(&self, stage: Stage) -> usize {
@@ -296,7 +316,10 @@
             return;
         };
         let arrived = self.st.now.saturating_sub(ex.age);
-        let due = self.last_answer(ex.due.unwrap_or((arrived + group.deadline).saturating_sub(1)));
+        let due = self.last_answer(
+            ex.due
+                .unwrap_or((arrived + group.deadline).saturating_sub(1)),
+        );
         let work = ex.work_hint.unwrap_or(0) as f32;
         let over_share = self.over_share(ex.customer as usize);
         let root = ex.repeats.filter(|first| !self.leads_back(ex.id, *first));
@@ -304,7 +327,11 @@
             id: ex.id,
             group: ex.group as usize,
             subject: ex.subject,
-            stage: if root.is_some() { Stage::Attached } else { Stage::Queued },
+            stage: if root.is_some() {
+                Stage::Attached
+            } else {
+                Stage::Queued
+            },
             attached_to: root.unwrap_or(0),
             arrived,
             slo_by: (arrived + group.slo_time + (group.slo_stretch * work) as Tenths).min(due),
@@ -319,7 +346,11 @@
         let no_room = !self.fits(needs);
         if root.is_some() {
             // Whatever became of the first try, a repeat takes its outcome: it is neither run nor rejected.
-            actions.push(if no_room { Action::Fail { id: ex.id } } else { Action::Attach { id: ex.id } });
+            actions.push(if no_room {
+                Action::Fail { id: ex.id }
+            } else {
+                Action::Attach { id: ex.id }
+            });
             if !no_room {
                 let place = self.take_in(new);
                 self.look_again(place, due);
@@ -327,12 +358,17 @@
             return;
         }
         let unread = ex.age as f32 / group.slo_time.max(1) as f32;
-        let too_late = self.st.now >= due || self.st.leave.is_some_and(|(last, _)| arrived + 1 > last);
+        let too_late =
+            self.st.now >= due || self.st.leave.is_some_and(|(last, _)| arrived + 1 > last);
         let rejected = too_late || no_room || self.turned_away(ex.subject, over_share, unread);
-        self.st.strain += STRAIN_NEWEST * (f32::from(rejected || unread > READ_LATE) - self.st.strain);
+        self.st.strain +=
+            STRAIN_NEWEST * (f32::from(rejected || unread > READ_LATE) - self.st.strain);
         self.st.read_late += NEWEST * (f32::from(unread > QUEUE_SHARE) - self.st.read_late);
         // It may still be done in time by a quicker node, and says nothing of the load.
-        let ends = self.st.now.saturating_add(self.expected(ex.group as usize, work));
+        let ends = self
+            .st
+            .now
+            .saturating_add(self.expected(ex.group as usize, work));
         let hopeless = group.late_share <= 0.0 && ends > new.slo_by;
         if rejected || hopeless || ex.held_back.is_some() {
             let wait = ex.held_back.unwrap_or(0);
@@ -345,10 +381,16 @@
             let lasting = group.window.saturating_sub(ex.age);
             actions.push(Action::Record { id: ex.id, lasting });
             self.st.records.insert(ex.id);
-            self.st.record_ends.push_back((self.st.now + lasting, ex.id));
+            self.st
+                .record_ends
+                .push_back((self.st.now + lasting, ex.id));
             self.st.memory_kb += f64::from(self.terms.record_kb);
         }
-        if let Some((saved, _)) = self.saved.get_mut(ex.customer as usize).filter(|_| !over_share) {
+        if let Some((saved, _)) = self
+            .saved
+            .get_mut(ex.customer as usize)
+            .filter(|_| !over_share)
+        {
             *saved -= 1.0;
         }
         let place = self.take_in(new);
@@ -358,9 +400,14 @@
     /// Whether this is beyond what its customer's share of the fleet comes to at one node. Only what is taken
     /// uses it up: what is turned away may come again, here or elsewhere, marked or not.
     fn over_share(&mut self, customer: usize) -> bool {
-        let Some((saved, counted)) = self.saved.get_mut(customer) else { return false };
-        let rate = SHARE_SLACK * self.terms.customers[customer] / self.terms.nodes.max(1) as f32 / 10_000.0;
-        *saved = (*saved + rate * (self.st.now - *counted) as f32).min((rate * SHARE_SAVED).max(SHARE_LEAST));
+        let Some((saved, counted)) = self.saved.get_mut(customer) else {
+            return false;
+        };
+        let rate = SHARE_SLACK * self.terms.customers[customer]
+            / self.terms.nodes.max(1) as f32
+            / 10_000.0;
+        *saved = (*saved + rate * (self.st.now - *counted) as f32)
+            .min((rate * SHARE_SAVED).max(SHARE_LEAST));
         *counted = self.st.now;
         *saved < 1.0
     }
@@ -371,7 +418,9 @@
             let ex = &self.st.exs[*self.st.at_door.get(at)?];
             (ex.stage == Stage::Attached).then_some(ex.attached_to)
         };
-        std::iter::successors(Some(first), next).take(self.st.exs.len() + 1).any(|at| at == id)
+        std::iter::successors(Some(first), next)
+            .take(self.st.exs.len() + 1)
+            .any(|at| at == id)
     }
 
     fn take_in(&mut self, ex: Ex) -> Place {
@@ -391,10 +440,28 @@
         let patient_till =
             ex.arrived + (QUEUE_SHARE * (ex.slo_by.saturating_sub(ex.arrived)) as f32) as Tenths;
         let start_by = patient_till.min(ex.slo_by.saturating_sub(expected));
-        let earns = group.benefit * if ex.over_share { self.terms.over_share } else { 1.0 };
-        let work = if ex.work > 0.0 { ex.work } else { self.took[ex.group] };
-        let need = if work > 0.0 && self.st.mean_work > 0.0 { work / self.st.mean_work } else { 1.0 };
-        let density = 1000.0 * earns / if self.terms.by_work { 1.0 } else { need.max(0.01) };
+        let earns = group.benefit
+            * if ex.over_share {
+                self.terms.over_share
+            } else {
+                1.0
+            };
+        let work = if ex.work > 0.0 {
+            ex.work
+        } else {
+            self.took[ex.group]
+        };
+        let need = if work > 0.0 && self.st.mean_work > 0.0 {
+            work / self.st.mean_work
+        } else {
+            1.0
+        };
+        let density = 1000.0 * earns
+            / if self.terms.by_work {
+                1.0
+            } else {
+                need.max(0.01)
+            };
         let ex = &mut self.st.exs[place];
         ex.long = need > LONG;
         let entry = (density as u32, Reverse(ex.arrived), Reverse(ex.id), place);
@@ -425,13 +492,23 @@
     /// Runs at once. Where the cores are all busy, more of them only make each take longer; where they are
     /// not, some wait for what the node is not told of, such as a disk.
     fn places(&self) -> usize {
-        let a_core = if self.all_busy().unwrap_or(false) { 1.0 } else { RUNS_A_CORE };
-        (a_core * self.terms.cores as f32).min(self.survivable()).max(1.0) as usize
+        let a_core = if self.all_busy().unwrap_or(false) {
+            1.0
+        } else {
+            RUNS_A_CORE
+        };
+        (a_core * self.terms.cores as f32)
+            .min(self.survivable())
+            .max(1.0) as usize
     }
 
     /// Whether the cores are all busy, by the gauge.
     fn all_busy(&self) -> Option<bool> {
-        self.st.gauges.busy_cores.filter(|share| share.is_finite()).map(|share| share >= BUSY)
+        self.st
+            .gauges
+            .busy_cores
+            .filter(|share| share.is_finite())
+            .map(|share| share >= BUSY)
     }
 
     fn begin_work(&mut self, actions: &mut Vec<Action>) {
@@ -440,7 +517,9 @@
         while self.at(Stage::Running) < places
             && self.at(Stage::Running) + self.at(Stage::AtCall) + self.at(Stage::Calling) < most
         {
-            let Some(place) = self.next_to_run(places) else { break };
+            let Some(place) = self.next_to_run(places) else {
+                break;
+            };
             let more = self.st.exs[place].kb * (self.terms.run_factor - 1.0).max(0.0);
             if !self.fits(more) {
                 break;
@@ -461,7 +540,11 @@
     fn next_to_run(&mut self, places: usize) -> Option<Place> {
         for queue in &mut self.st.queues {
             while let Some(&(.., Reverse(id), place)) = queue.peek()
-                && !self.st.exs.get(place).is_some_and(|x| x.id == id && x.stage == Stage::Queued)
+                && !self
+                    .st
+                    .exs
+                    .get(place)
+                    .is_some_and(|x| x.id == id && x.stage == Stage::Queued)
             {
                 queue.pop();
             }
@@ -482,7 +565,9 @@
     }
 
     fn run_ended(&mut self, id: ExId, outcome: RunOutcome) {
-        let Some(&place) = self.st.at_door.get(&id) else { return };
+        let Some(&place) = self.st.at_door.get(&id) else {
+            return;
+        };
         let ex = &self.st.exs[place];
         if outcome == RunOutcome::Completed && ex.stage != Stage::Queued && !ex.answered {
             let (subject, met) = (ex.subject, self.st.now <= ex.slo_by);
@@ -494,11 +579,18 @@
                 let ex = &self.st.exs[place];
                 learn(&mut self.took[ex.group], took);
                 learn(&mut self.st.mean_took, took);
-                learn(&mut self.st.mean_work, if ex.work > 0.0 { ex.work } else { took });
+                learn(
+                    &mut self.st.mean_work,
+                    if ex.work > 0.0 { ex.work } else { took },
+                );
                 self.learn_capacity(met);
             }
             self.st.keys[0].insert(subject);
-            self.st.keys_turn = if self.st.keys[0].len() < MOST_KEYS { self.st.keys_turn } else { 0 };
+            self.st.keys_turn = if self.st.keys[0].len() < MOST_KEYS {
+                self.st.keys_turn
+            } else {
+                0
+            };
         }
         self.st.last_change = self.st.now;
         self.let_go(place);
@@ -530,16 +622,28 @@
     /// Rejected ones are told to come back when the load should be down at T1.
     /// `wait` is what else keeps it from being taken.
     fn rejection(&self, id: ExId, not_elsewhere: bool, wait: Tenths) -> Action {
-        let over = (self.load() - T1 * self.capacity).max(0.0) * self.st.mean_took / self.places() as f32;
-        let wait =
-            if self.st.leave.is_some() || self.stuck() { Tenths::MAX } else { wait.max(over as Tenths) };
+        let over =
+            (self.load() - T1 * self.capacity).max(0.0) * self.st.mean_took / self.places() as f32;
+        let wait = if self.st.leave.is_some() || self.stuck() {
+            Tenths::MAX
+        } else {
+            wait.max(over as Tenths)
+        };
         let not_elsewhere = not_elsewhere && !self.stuck();
-        Action::Reject { id, not_elsewhere, retry_after: wait.min(self.terms.longest_retry_after) }
+        Action::Reject {
+            id,
+            not_elsewhere,
+            retry_after: wait.min(self.terms.longest_retry_after),
+        }
     }
 
     fn look_at_due(&mut self, actions: &mut Vec<Action>) {
         while let Some(&Reverse((at, id, place))) = self.st.watch.peek() {
-            let current = self.st.exs.get(place).is_some_and(|ex| ex.id == id && ex.look_at == at);
+            let current = self
+                .st
+                .exs
+                .get(place)
+                .is_some_and(|ex| ex.id == id && ex.look_at == at);
             if current && at > self.st.now {
                 break;
             }
@@ -576,17 +680,30 @@
                 actions.push(Action::SkipCall { id });
                 self.back_to_work(place);
             }
-            _ if over || (group.late_share <= 0.0 && others_wait && self.terms.stop != StopKind::Never) => {
+            _ if over
+                || (group.late_share <= 0.0
+                    && others_wait
+                    && self.terms.stop != StopKind::Never) =>
+            {
                 self.learn_capacity(false);
                 self.end_running(place, actions);
             }
-            _ => self.look_again(place, if others_wait { due } else { due.min(now + BEAT) }),
+            _ => self.look_again(
+                place,
+                if others_wait {
+                    due
+                } else {
+                    due.min(now + BEAT)
+                },
+            ),
         }
     }
 
     /// Answers running work and stops it where that is possible; its end is still to come.
     fn end_running(&mut self, place: Place, actions: &mut Vec<Action>) {
-        actions.push(Action::Fail { id: self.st.exs[place].id });
+        actions.push(Action::Fail {
+            id: self.st.exs[place].id,
+        });
         self.stop(place, actions);
     }
 
@@ -599,7 +716,14 @@
         if can && ex.stage == Stage::Running {
             actions.push(Action::Stop { id: ex.id });
         }
-        self.look_again(place, if can { self.st.now + 5 * BEAT } else { Tenths::MAX });
+        self.look_again(
+            place,
+            if can {
+                self.st.now + 5 * BEAT
+            } else {
+                Tenths::MAX
+            },
+        );
     }
 
     /// Lets go of what never ran, its entry included, so that a later try may run.
@@ -611,12 +735,18 @@
 
     fn drop_record(&mut self, id: ExId) -> bool {
         let live = self.st.records.remove(&id);
-        self.st.memory_kb -= if live { f64::from(self.terms.record_kb) } else { 0.0 };
+        self.st.memory_kb -= if live {
+            f64::from(self.terms.record_kb)
+        } else {
+            0.0
+        };
         live
     }
 
     fn caller_gone(&mut self, id: ExId, actions: &mut Vec<Action>) {
-        let Some(&place) = self.st.at_door.get(&id) else { return };
+        let Some(&place) = self.st.at_door.get(&id) else {
+            return;
+        };
         match self.st.exs[place].stage {
             Stage::Queued | Stage::Attached => self.drop_queued(place, actions),
             _ => self.stop(place, actions),
@@ -624,7 +754,10 @@
     }
 
     fn leave_by(&mut self, age: Tenths, stop_at: Tenths, actions: &mut Vec<Action>) {
-        self.st.leave = Some((self.st.now.saturating_sub(age) + self.terms.drain_grace, stop_at));
+        self.st.leave = Some((
+            self.st.now.saturating_sub(age) + self.terms.drain_grace,
+            stop_at,
+        ));
         self.tell_health(actions);
         let places: Vec<Place> = self.st.exs.iter().map(|(place, _)| place).collect();
         for place in places {
@@ -639,7 +772,9 @@
     // --- Calls below ---
 
     fn needs_call(&mut self, id: ExId) {
-        let Some(&place) = self.st.at_door.get(&id) else { return };
+        let Some(&place) = self.st.at_door.get(&id) else {
+            return;
+        };
         if self.st.exs[place].stage == Stage::Running {
             self.put(place, Stage::AtCall);
             self.queue_for_call(place);
@@ -651,7 +786,9 @@
         let group = &self.terms.groups[ex.group];
         // What cannot go on without its call goes first.
         let rank = (1000.0 * group.benefit * (1.0 - group.skip_share)) as u32;
-        self.st.call_queue.push((rank, Reverse(ex.arrived), Reverse(ex.id), place));
+        self.st
+            .call_queue
+            .push((rank, Reverse(ex.arrived), Reverse(ex.id), place));
         if group.skip_share > 0.0 {
             let wait = (QUEUE_SHARE * group.slo_time as f32) as Tenths;
             let at = ex.look_at.min(self.st.now + wait);
@@ -659,8 +796,16 @@
         }
     }
 
-    fn call_ended(&mut self, id: ExId, outcome: CallOutcome, took: Tenths, actions: &mut Vec<Action>) {
-        let Some(&place) = self.st.at_door.get(&id) else { return };
+    fn call_ended(
+        &mut self,
+        id: ExId,
+        outcome: CallOutcome,
+        took: Tenths,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(&place) = self.st.at_door.get(&id) else {
+            return;
+        };
         if self.st.exs[place].stage != Stage::Calling {
             return;
         }
@@ -705,8 +850,9 @@
     fn make_calls(&mut self, actions: &mut Vec<Action>) {
         let (share, window) = (self.terms.calls_share, self.terms.calls_window as f32);
         let most = share.map_or(f32::MAX, |s| (MARGIN - CALL_INFLOW) * s * window);
-        let inflow =
-            share.map_or(f32::MAX, |s| CALL_INFLOW * s * (self.st.now - self.st.call_counted) as f32);
+        let inflow = share.map_or(f32::MAX, |s| {
+            CALL_INFLOW * s * (self.st.now - self.st.call_counted) as f32
+        });
         self.st.call_budget = (self.st.call_budget + inflow).min(most);
         self.st.call_counted = self.st.now;
         while let Some(&(_, _, Reverse(id), place)) = self.st.call_queue.peek() {
@@ -718,14 +864,16 @@
                 let left = if skips { left / 2 } else { left }.max(BEAT);
                 let kept = self.terms.linger as f32 + if skips { CALL_RESERVE * most } else { 0.0 };
                 let limit = left.min((self.st.call_budget - kept) as Tenths);
-                let enough =
-                    left.min((CALL_TIMES * self.st.call_took).min((most - kept) / 2.0) as Tenths).max(1);
+                let enough = left
+                    .min((CALL_TIMES * self.st.call_took).min((most - kept) / 2.0) as Tenths)
+                    .max(1);
                 if limit < enough {
                     break;
                 }
                 self.put(place, Stage::Calling);
                 let ex = &mut self.st.exs[place];
-                (ex.calls, ex.called, ex.call_given) = (ex.calls + 1, self.st.now, limit + self.terms.linger);
+                (ex.calls, ex.called, ex.call_given) =
+                    (ex.calls + 1, self.st.now, limit + self.terms.linger);
                 self.st.call_budget -= ex.call_given as f32;
                 actions.push(Action::Call { id, limit });
             }
@@ -736,7 +884,11 @@
     // --- Time ---
 
     fn upkeep(&mut self, actions: &mut Vec<Action>) {
-        while let Some((_, id)) = self.st.record_ends.pop_front_if(|(end, _)| *end < self.st.now) {
+        while let Some((_, id)) = self
+            .st
+            .record_ends
+            .pop_front_if(|(end, _)| *end < self.st.now)
+        {
             self.drop_record(id);
         }
         if self.st.now >= self.st.keys_turn {
@@ -757,7 +909,10 @@
         if good != self.st.told_good {
             self.st.told_good = good;
             // Checks that do real work would add to the very overload they are to report.
-            actions.push(Action::Health { from_store: true, good });
+            actions.push(Action::Health {
+                from_store: true,
+                good,
+            });
         }
     }
 
@@ -777,15 +932,26 @@
     /// early. A node that is overloaded with unread work lets the table fill: callers that find no room cost
     /// nothing, while each exchange that it rejects costs a read and perhaps a new connection.
     fn tell_idle_limit(&mut self, actions: &mut Vec<Action>) {
-        let Some(links) = self.st.gauges.connections else { return };
+        let Some(links) = self.st.gauges.connections else {
+            return;
+        };
         let most = (self.terms.idle_limit as f32).max(IDLE_LEAST);
-        let most_links =
-            if self.st.unknown_callers < UNKNOWN_CALLERS { LINKS_USED_AGAIN } else { LINKS_A_CORE };
+        let most_links = if self.st.unknown_callers < UNKNOWN_CALLERS {
+            LINKS_USED_AGAIN
+        } else {
+            LINKS_A_CORE
+        };
         let crowded = links > most_links * self.terms.cores as f32;
         let next = self.st.idle_limit * if crowded { IDLE_FALL } else { IDLE_RISE };
-        let next = if self.st.read_late > OVERLOAD_READS { most } else { next.clamp(IDLE_LEAST, most) };
+        let next = if self.st.read_late > OVERLOAD_READS {
+            most
+        } else {
+            next.clamp(IDLE_LEAST, most)
+        };
         if next != self.st.idle_limit {
-            actions.push(Action::IdleLimit { after: (next as Tenths).min(self.terms.idle_limit) });
+            actions.push(Action::IdleLimit {
+                after: (next as Tenths).min(self.terms.idle_limit),
+            });
         }
         self.st.idle_limit = next;
         self.st.read_late *= STRAIN_DECAY;
@@ -794,11 +960,22 @@
     /// Reading costs work, so callers are told to keep back the lowest ranks while much is rejected.
     fn tell_level(&mut self, actions: &mut Vec<Action>) {
         let over = self.st.strain - STRAIN_BORNE;
-        let change = if over > 0.0 { LEVEL_RISE * over } else { -LEVEL_FALL };
+        let change = if over > 0.0 {
+            LEVEL_RISE * over
+        } else {
+            -LEVEL_FALL
+        };
         let level = (self.st.level + change).clamp(0.0, LEVEL_MOST);
         // A caller's part of what is wanted in hand. Nothing is said until the first need, and after it what
         // never binds.
-        let callers = self.st.callers.iter().map(FxHashSet::len).max().unwrap_or(0).max(1) as f32;
+        let callers = self
+            .st
+            .callers
+            .iter()
+            .map(FxHashSet::len)
+            .max()
+            .unwrap_or(0)
+            .max(1) as f32;
         let said = match self.terms.level {
             LevelKind::LowestRank => Some(level),
             LevelKind::InHand if self.st.strain > CREDIT_FROM => Some(T1 * self.capacity / callers),
@@ -817,7 +994,11 @@
 
     /// One alarm for all times due: it is set whenever none is due as early as the earliest of them.
     fn arm(&mut self, actions: &mut Vec<Action>) {
-        let due = self.st.watch.peek().map_or(Tenths::MAX, |Reverse((at, ..))| *at);
+        let due = self
+            .st
+            .watch
+            .peek()
+            .map_or(Tenths::MAX, |Reverse((at, ..))| *at);
         let next = due.min(self.st.beat).max(self.st.now + 1);
         if self.st.armed <= self.st.now || next < self.st.armed {
             self.st.armed = next;
@@ -854,5 +1035,9 @@
 }
 
 fn learn(mean: &mut f32, newest: f32) {
-    *mean = if *mean > 0.0 { *mean + NEWEST * (newest - *mean) } else { newest };
+    *mean = if *mean > 0.0 {
+        *mean + NEWEST * (newest - *mean)
+    } else {
+        newest
+    };
 }
--- a/standins/src/bed.rs
+++ b/standins/src/bed.rs
@@ -52,7 +52,16 @@
         config["engine"] = json!(door.local_addr().unwrap().to_string());
         config["registry"] = json!(registry.local_addr().unwrap().to_string());
         let program = program.as_ref().to_path_buf();
-        Plan { program, at, config, installation: None, words: Vec::new(), descriptors: None, door, registry }
+        Plan {
+            program,
+            at,
+            config,
+            installation: None,
+            words: Vec::new(),
+            descriptors: None,
+            door,
+            registry,
+        }
     }
 
     /// The same address with another port.
@@ -70,7 +79,9 @@
             None => Command::new(&self.program),
             Some(limit) => {
                 let mut shell = Command::new("/bin/sh");
-                shell.args(["-c", &format!("ulimit -S -n {limit}; exec \"$0\" \"$@\"")]).arg(&self.program);
+                shell
+                    .args(["-c", &format!("ulimit -S -n {limit}; exec \"$0\" \"$@\"")])
+                    .arg(&self.program);
                 shell
             }
         };
@@ -83,8 +94,18 @@
             std::fs::write(&file, installation.to_string()).unwrap();
             command.arg("--installation").arg(file);
         }
-        let program = command.env("GW_CONFIG", &file).stderr(Stdio::piped()).spawn().unwrap();
-        Bed { program, folder, at: self.at, door: self.door, registry: self.registry }
+        let program = command
+            .env("GW_CONFIG", &file)
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
+        Bed {
+            program,
+            folder,
+            at: self.at,
+            door: self.door,
+            registry: self.registry,
+        }
     }
 
     /// A node whose engine is up.
@@ -122,7 +143,9 @@
     }
 
     pub fn client(&self) -> Client {
-        Client { sock: connect(self.at) }
+        Client {
+            sock: connect(self.at),
+        }
     }
 
     pub fn report(&self) -> String {
@@ -140,7 +163,10 @@
     /// Waits for a report of this state, among a bounded number of others.
     pub fn reports(&self, state: &str) {
         let wanted = format!("BEAT n1 {state}");
-        assert!((0..40).any(|_| self.report() == wanted), "never reported {state}");
+        assert!(
+            (0..40).any(|_| self.report() == wanted),
+            "never reported {state}"
+        );
     }
 
     /// Replaces the configuration and tells the program so.
@@ -151,19 +177,34 @@
 
     /// Replaces the operators' own file and tells the program so.
     pub fn install(&self, installation: &Value) {
-        std::fs::write(self.folder.join("installation.json"), installation.to_string()).unwrap();
+        std::fs::write(
+            self.folder.join("installation.json"),
+            installation.to_string(),
+        )
+        .unwrap();
         self.signal("-HUP");
     }
 
     pub fn signal(&self, name: &str) {
         let id = self.program.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &id])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Waits for the end of the program: its status, and its log.
     pub fn end(mut self) -> (Option<i32>, String) {
         let mut log = String::new();
-        self.program.stderr.take().unwrap().read_to_string(&mut log).unwrap();
+        self.program
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut log)
+            .unwrap();
         (self.program.wait().unwrap().code(), log)
     }
 }
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -21,7 +21,12 @@
 
 impl<'a> Ask<'a> {
     pub fn new(nth: u64, script: &'a str, body: &'a [u8]) -> Ask<'a> {
-        Ask { nth, script, more: Vec::new(), body }
+        Ask {
+            nth,
+            script,
+            more: Vec::new(),
+            body,
+        }
     }
 
     pub fn with(mut self, name: &'a str, value: &'a str) -> Ask<'a> {
@@ -43,7 +48,10 @@
         ];
         fields.retain(|(name, _)| self.more.iter().all(|(other, _)| other != name));
         fields.extend(self.more.iter().filter(|(_, value)| !value.is_empty()));
-        let pairs: Vec<_> = fields.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())).collect();
+        let pairs: Vec<_> = fields
+            .iter()
+            .map(|(name, value)| (name.as_bytes(), value.as_bytes()))
+            .collect();
         let mut out = Vec::new();
         write_request(protocol, &mut out, 1, false, &pairs, self.body).unwrap();
         out
@@ -127,18 +135,29 @@
     assert!(input.is_empty(), "{} bytes follow the answer", input.len());
     let answer = match answered {
         Answered::Refused(_) => {
-            return (Seen::Rejected { retry_after: None, not_elsewhere: false }, BTreeMap::new());
+            return (
+                Seen::Rejected {
+                    retry_after: None,
+                    not_elsewhere: false,
+                },
+                BTreeMap::new(),
+            );
         }
         Answered::Whole(answer) => answer,
     };
     let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
-    let headers: BTreeMap<_, _> =
-        answer.headers.iter().map(|(name, value)| (name.clone(), text(value))).collect();
+    let headers: BTreeMap<_, _> = answer
+        .headers
+        .iter()
+        .map(|(name, value)| (name.clone(), text(value)))
+        .collect();
     let seen = match answer.status {
         200 => Seen::Completed(answer.body),
         429 | 503 => Seen::Rejected {
             retry_after: headers.get("Retry-After-Ms").map(|ms| ms.parse().unwrap()),
-            not_elsewhere: headers.get("X-Dont-Retry").is_some_and(|value| value == "1"),
+            not_elsewhere: headers
+                .get("X-Dont-Retry")
+                .is_some_and(|value| value == "1"),
         },
         500 => Seen::Failed,
         status => Seen::Unreadable(status, text(&answer.body)),
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -21,7 +21,11 @@
 
 impl Engine {
     pub fn on(sock: TcpStream) -> Engine {
-        Engine { lines: BufReader::new(sock), busy: 0.0, serial: 0 }
+        Engine {
+            lines: BufReader::new(sock),
+            busy: 0.0,
+            serial: 0,
+        }
     }
 
     /// A result as it stands in a notice.
@@ -40,17 +44,26 @@
 
     /// Tells a notice; whether the link still takes it.
     pub fn try_tell(&mut self, notice: &Value) -> bool {
-        self.lines.get_mut().write_all(format!("{notice}\n").as_bytes()).is_ok()
+        self.lines
+            .get_mut()
+            .write_all(format!("{notice}\n").as_bytes())
+            .is_ok()
     }
 
     pub fn line(&mut self) -> Value {
         let mut line = String::new();
-        assert!(self.lines.read_line(&mut line).unwrap() > 0, "the node closed its link");
+        assert!(
+            self.lines.read_line(&mut line).unwrap() > 0,
+            "the node closed its link"
+        );
         serde_json::from_str(&line).unwrap()
     }
 
     pub fn tell(&mut self, notice: Value) {
-        self.lines.get_mut().write_all(format!("{notice}\n").as_bytes()).unwrap();
+        self.lines
+            .get_mut()
+            .write_all(format!("{notice}\n").as_bytes())
+            .unwrap();
     }
 
     pub fn answer_stat(&mut self, command: &Value) {
--- a/standins/src/idle.rs
+++ b/standins/src/idle.rs
@@ -30,7 +30,12 @@
 }
 
 impl Habit {
-    pub const ALL: [Habit; 4] = [Habit::Silent, Habit::SpokeOnce, Habit::HalfRequest, Habit::SpokeThenHalf];
+    pub const ALL: [Habit; 4] = [
+        Habit::Silent,
+        Habit::SpokeOnce,
+        Habit::HalfRequest,
+        Habit::SpokeThenHalf,
+    ];
 
     fn bytes(self, nth: u64) -> Vec<u8> {
         let check = || request(1, nth, "/status/live", &[], b"");
@@ -54,13 +59,20 @@
 impl IdleClients {
     /// `count` connections for each of the habits.
     pub fn hold(at: SocketAddr, habits: &[Habit], count: usize) -> IdleClients {
-        let (stop, opened) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let (stop, opened) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicUsize::new(0)),
+        );
         let thread = |habit: &Habit| {
             let (habit, stop, opened) = (*habit, stop.clone(), opened.clone());
             thread::spawn(move || keep_up(at, habit, count, &stop, &opened))
         };
         let threads = habits.iter().map(thread).collect();
-        IdleClients { stop, opened, threads }
+        IdleClients {
+            stop,
+            opened,
+            threads,
+        }
     }
 
     /// Connections opened so far, those that took the place of an ended one included.
@@ -72,7 +84,11 @@
     pub fn wait_until_opened(&self, count: usize) {
         let until = Instant::now() + LONG;
         while self.opened() < count {
-            assert!(Instant::now() < until, "{} of {count} idle connections were opened", self.opened());
+            assert!(
+                Instant::now() < until,
+                "{} of {count} idle connections were opened",
+                self.opened()
+            );
             thread::sleep(LOOK);
         }
     }
--- a/standins/src/instant.rs
+++ b/standins/src/instant.rs
@@ -45,14 +45,23 @@
             if let Some(rest) = line.strip_prefix(RUN) {
                 serial += 1;
                 let call = word(rest);
-                write!(out, "{{\"msg\":\"DONE\",\"serial\":{serial},\"call\":\"{call}\",\"how\":\"OK\",")?;
+                write!(
+                    out,
+                    "{{\"msg\":\"DONE\",\"serial\":{serial},\"call\":\"{call}\",\"how\":\"OK\","
+                )?;
                 writeln!(out, "\"duration\":0,\"blob\":\"{RESULT}\"}}")?;
             } else if let Some(rest) = line.strip_prefix(STAT) {
                 let cookie = word(rest);
-                writeln!(out, "{{\"msg\":\"STATS\",\"cookie\":\"{cookie}\",\"stats\":[0,0]}}")?;
+                writeln!(
+                    out,
+                    "{{\"msg\":\"STATS\",\"cookie\":\"{cookie}\",\"stats\":[0,0]}}"
+                )?;
             } else if line.starts_with(ATTACH) {
                 serial = 0;
-                writeln!(out, "{{\"msg\":\"HELLO\",\"how\":\"WARM\",\"duration\":60000}}")?;
+                writeln!(
+                    out,
+                    "{{\"msg\":\"HELLO\",\"how\":\"WARM\",\"duration\":60000}}"
+                )?;
             }
         }
         input.drain(..from);
@@ -80,7 +89,8 @@
 
 fn serve(mut sock: TcpStream, protocol: Protocol) -> std::io::Result<()> {
     sock.set_nodelay(true)?;
-    let (mut reader, mut buffer, mut out) = (RequestReader::new(protocol), [0; 16 * 1024], Vec::new());
+    let (mut reader, mut buffer, mut out) =
+        (RequestReader::new(protocol), [0; 16 * 1024], Vec::new());
     let mut keeps = true;
     loop {
         let n = sock.read(&mut buffer)?;
@@ -92,7 +102,11 @@
             match piece {
                 Piece::Begin { keep, .. } => keeps = keep,
                 Piece::StdinEnd { id } => {
-                    let head = Head { status: "200 OK", headers: &[], more: b"" };
+                    let head = Head {
+                        status: "200 OK",
+                        headers: &[],
+                        more: b"",
+                    };
                     write_answer(protocol, &mut out, id, head, b"done");
                     sock.write_all(&out)?;
                     out.clear();
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -24,7 +24,10 @@
 
 /// Now, in Unix milliseconds.
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// A stream cut at these places, in whatever order they are named.
