--- a/standins/src/records.rs
+++ b/standins/src/records.rs
@@ -34,8 +34,16 @@
 /// The records of one request. `more` replaces fields of the same name.
 pub fn request(id: u16, nth: u64, script: &str, more: Fields, body: &[u8]) -> Vec<u8> {
     let (nth, now) = (try_id(nth), unix_ms().to_string());
-    let mut fields = vec![("SCRIPT_NAME", script), ("REQUEST_METHOD", "POST"), ("HTTP_X_REQUEST_ID", &nth)];
-    fields.extend([("HTTP_X_REQUEST_START", &*now), ("HTTP_X_CALLER", "1"), ("HTTP_X_MEMORY_KB", "2.5")]);
+    let mut fields = vec![
+        ("SCRIPT_NAME", script),
+        ("REQUEST_METHOD", "POST"),
+        ("HTTP_X_REQUEST_ID", &nth),
+    ];
+    fields.extend([
+        ("HTTP_X_REQUEST_START", &*now),
+        ("HTTP_X_CALLER", "1"),
+        ("HTTP_X_MEMORY_KB", "2.5"),
+    ]);
     fields.push(("HTTP_X_RANK", "0.5"));
     fields.retain(|(name, _)| more.iter().all(|(other, _)| other != name));
     fields.extend(more);
@@ -46,13 +54,25 @@
     }
     let (early, late) = params.split_at(params.len() / 2);
     let mut bytes = record(1, id, &[0, 1, 1, 0, 0, 0, 0, 0]);
-    bytes.extend([record(4, id, early), record(4, id, late), record(4, id, b"")].concat());
-    bytes.extend(if body.is_empty() { Vec::new() } else { record(5, id, body) });
+    bytes.extend(
+        [
+            record(4, id, early),
+            record(4, id, late),
+            record(4, id, b""),
+        ]
+        .concat(),
+    );
+    bytes.extend(if body.is_empty() {
+        Vec::new()
+    } else {
+        record(5, id, body)
+    });
     bytes.extend(record(5, id, b""));
     bytes
 }
 
-pub const IDEMPOTENCY_KEY: (&str, &str) = ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+pub const IDEMPOTENCY_KEY: (&str, &str) =
+    ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
 
 impl Client {
     pub fn send(&mut self, bytes: &[u8]) {
@@ -69,19 +89,30 @@
         loop {
             let mut head = [0; 8];
             self.sock.read_exact(&mut head).unwrap();
-            let mut content = vec![0; u16::from_be_bytes([head[4], head[5]]) as usize + head[6] as usize];
+            let mut content =
+                vec![0; u16::from_be_bytes([head[4], head[5]]) as usize + head[6] as usize];
             self.sock.read_exact(&mut content).unwrap();
             let id = u16::from_be_bytes([head[2], head[3]]);
             match head[1] {
                 6 => out.extend(content),
                 3 if out.is_empty() => {
-                    return Reply { id, status: content[4].into(), head: String::new(), body: out };
+                    return Reply {
+                        id,
+                        status: content[4].into(),
+                        head: String::new(),
+                        body: out,
+                    };
                 }
                 3 => {
                     let end = out.windows(4).position(|w| w == b"\r\n\r\n").unwrap();
                     let head = String::from_utf8(out[..end + 2].to_vec()).unwrap();
                     let status = head.strip_prefix("Status: ").unwrap()[..3].parse().unwrap();
-                    return Reply { id, status, head, body: out[end + 4..].to_vec() };
+                    return Reply {
+                        id,
+                        status,
+                        head,
+                        body: out[end + 4..].to_vec(),
+                    };
                 }
                 kind => panic!("record of kind {kind}"),
             }
--- a/standins/src/rules.rs
+++ b/standins/src/rules.rs
@@ -28,9 +28,16 @@
 impl From<&Got> for Ran {
     /// What an application server knows of a run: a request that named no try has none.
     fn from(got: &Got) -> Ran {
-        let text = |name: &str| got.variable(name).map(|value| String::from_utf8_lossy(value).into_owned());
+        let text = |name: &str| {
+            got.variable(name)
+                .map(|value| String::from_utf8_lossy(value).into_owned())
+        };
         let try_id = text("HTTP_X_REQUEST_ID").unwrap_or_default();
-        Ran { try_id, idempotency_key: text("HTTP_IDEMPOTENCY_KEY"), at: got.at }
+        Ran {
+            try_id,
+            idempotency_key: text("HTTP_IDEMPOTENCY_KEY"),
+            at: got.at,
+        }
     }
 }
 
@@ -46,7 +53,12 @@
 }
 
 /// What is broken, in words; empty where all is kept. `result` tells what a run of this try brings.
-pub fn broken(tried: &[Tried], ran: &[Ran], bounds: Bounds, result: impl Fn(&str) -> Vec<u8>) -> Vec<String> {
+pub fn broken(
+    tried: &[Tried],
+    ran: &[Ran],
+    bounds: Bounds,
+    result: impl Fn(&str) -> Vec<u8>,
+) -> Vec<String> {
     let mut broken = Vec::new();
     let mut by_key: BTreeMap<&str, Vec<&Ran>> = BTreeMap::new();
     let mut by_try: BTreeMap<&str, Vec<&Ran>> = BTreeMap::new();
@@ -68,17 +80,29 @@
             Some(key) => by_key.get(key.as_str()).cloned().unwrap_or_default(),
             None => by_try.get(id.as_str()).cloned().unwrap_or_default(),
         };
-        if bounds.closed.is_some_and(|closed| tried.sent > closed && by_try.contains_key(id.as_str())) {
-            broken.push(format!("rule 3: {id} was sent after notice and grace, and run"));
+        if bounds
+            .closed
+            .is_some_and(|closed| tried.sent > closed && by_try.contains_key(id.as_str()))
+        {
+            broken.push(format!(
+                "rule 3: {id} was sent after notice and grace, and run"
+            ));
         }
-        let Some((seen, at)) = &tried.told else { continue };
+        let Some((seen, at)) = &tried.told else {
+            continue;
+        };
         match seen {
             Seen::Nothing => broken.push(format!("rule 1: {id} was told nothing")),
             _ if *at > tried.sent + bounds.within => {
-                broken.push(format!("rule 1: {id} was told {} ms after it was sent", at - tried.sent));
+                broken.push(format!(
+                    "rule 1: {id} was told {} ms after it was sent",
+                    at - tried.sent
+                ));
             }
             Seen::Rejected { .. } if runs.iter().any(|run| run.at < tried.sent) => {
-                broken.push(format!("rule 2: {id} was rejected, and its key had run before"));
+                broken.push(format!(
+                    "rule 2: {id} was rejected, and its key had run before"
+                ));
             }
             Seen::Rejected { .. } if by_try.contains_key(id.as_str()) => {
                 broken.push(format!("rule 2: {id} was run and rejected"));
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -29,7 +29,10 @@
 
 impl Got {
     pub fn variable(&self, name: &str) -> Option<&[u8]> {
-        self.variables.iter().find(|(n, _)| n == name).map(|(_, value)| &value[..])
+        self.variables
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| &value[..])
     }
 }
 
@@ -37,9 +40,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Act {
     /// Answered with this status and body, after a while.
-    Answer { status: &'static str, body: Vec<u8>, after: Duration },
+    Answer {
+        status: &'static str,
+        body: Vec<u8>,
+        after: Duration,
+    },
     /// The first bytes of a sound answer, then the end of the connection.
-    Cut { body: Vec<u8>, at: usize, how: CutBy },
+    Cut {
+        body: Vec<u8>,
+        at: usize,
+        how: CutBy,
+    },
     /// These bytes, then the end of the connection.
     Garbage(Vec<u8>),
     /// Nothing ever.
@@ -69,7 +80,11 @@
 
 impl Act {
     pub fn ok(body: impl Into<Vec<u8>>) -> Act {
-        Act::Answer { status: "200 OK", body: body.into(), after: Duration::ZERO }
+        Act::Answer {
+            status: "200 OK",
+            body: body.into(),
+            after: Duration::ZERO,
+        }
     }
 }
 
@@ -93,13 +108,19 @@
         let (held, requests) = channel();
         let server = Server::start(protocol, move |got| {
             let (act, word) = channel();
-            _ = held.send(Held { got: got.clone(), act });
+            _ = held.send(Held {
+                got: got.clone(),
+                act,
+            });
             word.recv().unwrap_or(Act::Hang)
         });
         (server, requests)
     }
 
-    pub fn start(protocol: Protocol, script: impl Fn(&Got) -> Act + Send + Sync + 'static) -> Server {
+    pub fn start(
+        protocol: Protocol,
+        script: impl Fn(&Got) -> Act + Send + Sync + 'static,
+    ) -> Server {
         Server::start_at("127.0.0.1:0".parse().unwrap(), protocol, script)
     }
 
@@ -196,7 +217,9 @@
     let (mut block, mut got) = (Vec::new(), Got::default());
     let mut buffer = [0; 16 * 1024];
     loop {
-        let Ok(n) = sock.read(&mut buffer) else { return sock };
+        let Ok(n) = sock.read(&mut buffer) else {
+            return sock;
+        };
         if n == 0 {
             return sock;
         }
@@ -209,14 +232,27 @@
             };
             match piece {
                 Piece::Begin { id, keep, .. } => {
-                    (got, block) = (Got { id, keep, connection, ..Got::default() }, Vec::new())
+                    (got, block) = (
+                        Got {
+                            id,
+                            keep,
+                            connection,
+                            ..Got::default()
+                        },
+                        Vec::new(),
+                    )
                 }
                 Piece::Params { bytes, .. } => block.extend(bytes),
                 Piece::Stdin { bytes, .. } => got.body.extend(bytes),
                 Piece::StdinEnd { .. } => {
-                    let Ok(pairs) = protocol.pairs(&block) else { return sock };
+                    let Ok(pairs) = protocol.pairs(&block) else {
+                        return sock;
+                    };
                     let word = |name| String::from_utf8_lossy(name).into_owned();
-                    got.variables = pairs.iter().map(|(name, value)| (word(name), value.to_vec())).collect();
+                    got.variables = pairs
+                        .iter()
+                        .map(|(name, value)| (word(name), value.to_vec()))
+                        .collect();
                     got.at = unix_ms();
                     all.lock().unwrap().push(got.clone());
                     if !act(&mut sock, protocol, &got, script(&got)) {
@@ -233,10 +269,28 @@
 fn act(sock: &mut TcpStream, protocol: Protocol, got: &Got, act: Act) -> bool {
     let mut out = Vec::new();
     match act {
-        Act::Answer { status, body, after } => {
+        Act::Answer {
+            status,
+            body,
+            after,
+        } => {
             thread::sleep(after);
-            let headers = [("Content-Type", "text/plain"), ("X-From", "a server"), ("X-Load-Signal", "9")];
-            write_answer(protocol, &mut out, got.id, Head { status, headers: &headers, more: b"" }, &body);
+            let headers = [
+                ("Content-Type", "text/plain"),
+                ("X-From", "a server"),
+                ("X-Load-Signal", "9"),
+            ];
+            write_answer(
+                protocol,
+                &mut out,
+                got.id,
+                Head {
+                    status,
+                    headers: &headers,
+                    more: b"",
+                },
+                &body,
+            );
             sock.write_all(&out).is_ok() && got.keep && protocol == Protocol::FastCgi
         }
         Act::Cut { body, at, how } => {
@@ -244,7 +298,11 @@
                 protocol,
                 &mut out,
                 got.id,
-                Head { status: "200 OK", headers: &[], more: b"" },
+                Head {
+                    status: "200 OK",
+                    headers: &[],
+                    more: b"",
+                },
                 &body,
             );
             _ = sock.write_all(&out[..at.min(out.len())]);
--- a/tests/cases.rs
+++ b/tests/cases.rs
@@ -11,11 +11,21 @@
     let before = world.done.len();
     (0..n).for_each(|_| _ = world.arrive(0, 0, 0, None, 1.0));
     world.step();
-    world.done[before..].iter().filter(|t| matches!(t, Action::Reject { .. })).count()
+    world.done[before..]
+        .iter()
+        .filter(|t| matches!(t, Action::Reject { .. }))
+        .count()
 }
 
 fn busy_node(cores: u32, seed: u64) -> World {
-    let mut world = World::new(ServiceContract { cores, customers: Vec::new(), ..contract() }, seed);
+    let mut world = World::new(
+        ServiceContract {
+            cores,
+            customers: Vec::new(),
+            ..contract()
+        },
+        seed,
+    );
     world.pass(60 * MS);
     world
 }
@@ -23,7 +33,11 @@
 #[test]
 fn below_the_first_threshold_and_on_idle_cores_all_is_taken() {
     let mut world = busy_node(20, 1);
-    assert_eq!(denied_of(&mut world, 16), 0, "loads 0 to 15 are at or below T1 = 15");
+    assert_eq!(
+        denied_of(&mut world, 16),
+        0,
+        "loads 0 to 15 are at or below T1 = 15"
+    );
     let mut idle = World::new(contract(), 1);
     idle.busy = 0.94;
     idle.pass(60 * MS);
@@ -43,7 +57,10 @@
         world.pass(60 * MS);
         rejected += denied_of(&mut world, 1);
     }
-    assert!((700..900).contains(&rejected), "{rejected} of 2000 rejected, 800 expected");
+    assert!(
+        (700..900).contains(&rejected),
+        "{rejected} of 2000 rejected, 800 expected"
+    );
 }
 
 #[test]
@@ -57,12 +74,25 @@
     denied_of(&mut world, 19);
     world.busy = 1.0;
     world.pass(60 * MS);
-    assert_eq!(denied_of(&mut world, 1), 1, "an unknown caller at load 19, past T2 = 18");
-    let (a, b) = (world.arrive(0, 5, 0, None, 1.0), world.arrive(0, 5, 0, None, 1.0));
+    assert_eq!(
+        denied_of(&mut world, 1),
+        1,
+        "an unknown caller at load 19, past T2 = 18"
+    );
+    let (a, b) = (
+        world.arrive(0, 5, 0, None, 1.0),
+        world.arrive(0, 5, 0, None, 1.0),
+    );
     let c = world.arrive(0, 5, 0, None, 1.0);
     world.step();
-    assert!(world.items[&a].owed && world.items[&b].owed, "an established key at loads 19 and 20");
-    assert!(!world.items[&c].owed, "an established key at load 21, above C = 20");
+    assert!(
+        world.items[&a].owed && world.items[&b].owed,
+        "an established key at loads 19 and 20"
+    );
+    assert!(
+        !world.items[&c].owed,
+        "an established key at load 21, above C = 20"
+    );
 }
 
 #[test]
@@ -70,7 +100,10 @@
     let mut world = World::new(contract(), 1);
     let (a, b) = world.arrive_together(1, 7);
     world.step();
-    assert_eq!((world.items[&a].at, world.items[&b].at), (At::Attached(b), At::Running));
+    assert_eq!(
+        (world.items[&a].at, world.items[&b].at),
+        (At::Attached(b), At::Running)
+    );
     world.finish(b, RunOutcome::Completed);
     world.pass(10 * MS);
     assert_eq!(world.items[&a].at, At::Over);
@@ -91,43 +124,86 @@
 #[test]
 fn calls_that_take_long_are_left_out_and_room_is_kept_for_dear_ones() {
     // Found on apsa-lahore: all queued in a slowed ledger, or light calls used up a small share.
-    let mut terms = ServiceContract { calls_share: Some(1.0), ..contract() };
+    let mut terms = ServiceContract {
+        calls_share: Some(1.0),
+        ..contract()
+    };
     terms.groups[0].skip_share = 0.6;
     let mut world = World::new(terms, 1);
-    let ids: Vec<_> = (0..4).map(|i| world.arrive(if i < 3 { 0 } else { 2 }, i, 0, None, 1.0)).collect();
+    let ids: Vec<_> = (0..4)
+        .map(|i| world.arrive(if i < 3 { 0 } else { 2 }, i, 0, None, 1.0))
+        .collect();
     world.step();
     ids[..3].iter().for_each(|id| world.need_call(*id));
     world.step();
     world.need_call(ids[3]);
     world.step();
-    assert_eq!(world.items[&ids[3]].at, At::Calling, "what cannot go on without its call finds room");
+    assert_eq!(
+        world.items[&ids[3]].at,
+        At::Calling,
+        "what cannot go on without its call finds room"
+    );
     world.pass(600 * MS);
-    assert!(world.items.values().filter(|x| x.at == At::Running).count() >= 2, "others went on without");
+    assert!(
+        world.items.values().filter(|x| x.at == At::Running).count() >= 2,
+        "others went on without"
+    );
 }
 
 #[test]
 fn odd_starts_and_odd_numbers_are_borne() {
     let (customers, calls_share) = (Vec::new(), Some(0.0));
-    let mut terms =
-        ServiceContract { cores: 0, warm_after: 0, cold: true, customers, calls_share, ..contract() };
+    let mut terms = ServiceContract {
+        cores: 0,
+        warm_after: 0,
+        cold: true,
+        customers,
+        calls_share,
+        ..contract()
+    };
     terms.groups.truncate(1);
     let mut world = World::new(terms, 1);
     let mut actions = Vec::new();
-    let nan = Gauges { busy_cores: Some(f32::NAN), memory: Some(f32::NAN), ..Gauges::default() };
-    let odd = Exchange { customer: 900, kb: f32::NAN, rank: f32::NAN, ..exchange(70, 0) };
-    let batch =
-        [Event::Alarm { token: 5, gauges: nan }, Event::Arrived(exchange(71, 200)), Event::Arrived(odd)];
+    let nan = Gauges {
+        busy_cores: Some(f32::NAN),
+        memory: Some(f32::NAN),
+        ..Gauges::default()
+    };
+    let odd = Exchange {
+        customer: 900,
+        kb: f32::NAN,
+        rank: f32::NAN,
+        ..exchange(70, 0)
+    };
+    let batch = [
+        Event::Alarm {
+            token: 5,
+            gauges: nan,
+        },
+        Event::Arrived(exchange(71, 200)),
+        Event::Arrived(odd),
+    ];
     world.door.handle(world.now, &batch, &mut actions);
-    assert!(actions.contains(&Action::Fail { id: 71 }), "an unknown endpoint group is answered at once");
+    assert!(
+        actions.contains(&Action::Fail { id: 71 }),
+        "an unknown endpoint group is answered at once"
+    );
     world.door.handle(world.now + 9000 * MS, &[], &mut actions);
-    let answers =
-        actions.iter().filter(|t| matches!(t, Action::Reject { id: 70, .. } | Action::Fail { id: 70 }));
+    let answers = actions
+        .iter()
+        .filter(|t| matches!(t, Action::Reject { id: 70, .. } | Action::Fail { id: 70 }));
     assert_eq!(answers.count(), 1);
 }
 
 #[test]
 fn calls_that_return_together_do_not_crowd_a_cold_node() {
-    let mut world = World::new(ServiceContract { cold: true, ..contract() }, 1);
+    let mut world = World::new(
+        ServiceContract {
+            cold: true,
+            ..contract()
+        },
+        1,
+    );
     (0..40).for_each(|i| _ = world.arrive(2, i, 0, None, 1.0));
     for _ in 0..8 {
         world.step();
@@ -144,44 +220,85 @@
 #[test]
 fn a_customer_beyond_its_share_is_denied_from_the_first_threshold_on() {
     // Found on tigre-principal: one customer's surge took the places of all others.
-    let mut terms = ServiceContract { cores: 20, customers: vec![10.0, 1000.0], nodes: 10, ..contract() };
+    let mut terms = ServiceContract {
+        cores: 20,
+        customers: vec![10.0, 1000.0],
+        nodes: 10,
+        ..contract()
+    };
     terms.tip_multiple = 9.0;
     let mut world = World::new(terms, 1);
     world.pass(60 * MS);
     let surge: Vec<_> = (0..17).map(|_| world.arrive(0, 3, 0, None, 1.0)).collect();
     world.step();
-    assert!(!world.items[&surge[16]].owed, "load 16 of C = 20, beyond the share");
+    assert!(
+        !world.items[&surge[16]].owed,
+        "load 16 of C = 20, beyond the share"
+    );
     assert!(world.items[&surge[15]].owed, "load 15 is T1: all is taken");
 }
 
 /// A door that has seen runs of these hints and times, and what it does with a last one of this hint.
 fn rejects_after(runs: impl Iterator<Item = (Tenths, Tenths)>, hint: Tenths) -> bool {
-    let mut door = Door::new(ServiceContract { customers: Vec::new(), ..contract() }, 1);
+    let mut door = Door::new(
+        ServiceContract {
+            customers: Vec::new(),
+            ..contract()
+        },
+        1,
+    );
     let (mut now, mut actions) = (60_000 * MS, Vec::new());
     door.handle(now, &[Event::Started], &mut actions);
     for (id, (hint, took)) in (1..).zip(runs) {
         door.handle(
             now,
-            &[Event::Arrived(Exchange { work_hint: Some(hint), ..exchange(id, 0) })],
+            &[Event::Arrived(Exchange {
+                work_hint: Some(hint),
+                ..exchange(id, 0)
+            })],
             &mut actions,
         );
         now += took;
-        door.handle(now, &[Event::RunEnded { id, outcome: RunOutcome::Completed }], &mut actions);
+        door.handle(
+            now,
+            &[Event::RunEnded {
+                id,
+                outcome: RunOutcome::Completed,
+            }],
+            &mut actions,
+        );
     }
     actions.clear();
-    let last = Exchange { work_hint: Some(hint), ..exchange(900, 0) };
+    let last = Exchange {
+        work_hint: Some(hint),
+        ..exchange(900, 0)
+    };
     door.handle(now, &[Event::Arrived(last)], &mut actions);
-    actions.iter().any(|what| matches!(what, Action::Reject { id: 900, .. }))
+    actions
+        .iter()
+        .any(|what| matches!(what, Action::Reject { id: 900, .. }))
 }
 
 #[test]
 fn callers_are_told_their_part_of_what_is_wanted_in_hand_once_much_is_rejected() {
     // Found on quito-central: where callers heed a credit and no lowest rank, nothing was said to them.
-    let terms = ServiceContract { level: LevelKind::InHand, customers: Vec::new(), ..contract() };
+    let terms = ServiceContract {
+        level: LevelKind::InHand,
+        customers: Vec::new(),
+        ..contract()
+    };
     let mut world = World::new(terms, 1);
     let said = |world: &World| {
         let levels = world.done.iter().rev();
-        levels.filter_map(|what| if let Action::Level { level } = what { Some(*level) } else { None }).next()
+        levels
+            .filter_map(|what| {
+                if let Action::Level { level } = what {
+                    Some(*level)
+                } else {
+                    None
+                }
+            })
+            .next()
     };
     world.pass(2_000 * MS);
     assert_eq!(said(&world), None, "nothing is short");
@@ -191,23 +308,41 @@
     }
     world.pass(60 * MS);
     let credit = said(&world).unwrap();
-    assert!((0.05..0.2).contains(&credit), "{credit}: about three of C = 4 to 5 for 30 callers");
+    assert!(
+        (0.05..0.2).contains(&credit),
+        "{credit}: about three of C = 4 to 5 for 30 callers"
+    );
     world.pass(20_000 * MS);
-    assert!(said(&world).unwrap() > 10.0, "it never binds once little is rejected");
+    assert!(
+        said(&world).unwrap() > 10.0,
+        "it never binds once little is rejected"
+    );
 }
 
 #[test]
 fn work_that_cannot_be_done_in_time_is_rejected_at_once_if_hints_tell_it() {
     // Found on tunis-intake: long work was run on slow nodes, always late, with half of all benefit in it.
     let slow = || (0..200).map(|n| ((100 + n % 7 * 30) * MS, 2 * (100 + n % 7 * 30) * MS));
-    assert!(rejects_after(slow(), 800 * MS), "it would take 1.6 s of 1.5");
+    assert!(
+        rejects_after(slow(), 800 * MS),
+        "it would take 1.6 s of 1.5"
+    );
     assert!(!rejects_after(slow(), 700 * MS));
     // Runs that all take long beside what they work: little of it follows from the hint.
     let fixed = || (0..200).map(|n| ((100 + n % 7 * 30) * MS, (600 + n % 7 * 30) * MS));
-    assert!(!rejects_after(fixed(), 700 * MS), "1.2 s, though 3 s at the pace of the mean");
+    assert!(
+        !rejects_after(fixed(), 700 * MS),
+        "1.2 s, though 3 s at the pace of the mean"
+    );
     // Two runs alone, and hints of a like that leave no room for numbers.
-    assert!(!rejects_after([(100 * MS, 200 * MS), (101 * MS, 900 * MS)].into_iter(), 300 * MS));
-    assert!(!rejects_after([(1, 200 * MS), (1, 201 * MS)].into_iter(), Tenths::from(u32::MAX)));
+    assert!(!rejects_after(
+        [(100 * MS, 200 * MS), (101 * MS, 900 * MS)].into_iter(),
+        300 * MS
+    ));
+    assert!(!rejects_after(
+        [(1, 200 * MS), (1, 201 * MS)].into_iter(),
+        Tenths::from(u32::MAX)
+    ));
     // Hints that tell nothing.
     let rough = || (0..200).map(|n| ((100 + n % 7 * 30) * MS, (300 + n % 5 * 30) * MS));
     assert!(!rejects_after(rough(), 2000 * MS));
@@ -225,14 +360,24 @@
 fn is_rejected(world: &mut World, key: u64) -> bool {
     let id = world.arrive(0, key, 0, None, 1.0);
     world.step();
-    world.done.iter().any(|what| matches!(what, Action::Reject { id: of, .. } if *of == id))
+    world
+        .done
+        .iter()
+        .any(|what| matches!(what, Action::Reject { id: of, .. } if *of == id))
 }
 
 #[test]
 fn a_customer_with_a_small_share_at_a_node_is_within_it_until_it_sends_more() {
     // Found on qld-da-portal: whoever had less than one exchange saved up counted as beyond its share.
-    let mut world =
-        World::new(ServiceContract { cores: 20, customers: vec![20.0, 20.0], nodes: 100, ..contract() }, 1);
+    let mut world = World::new(
+        ServiceContract {
+            cores: 20,
+            customers: vec![20.0, 20.0],
+            nodes: 100,
+            ..contract()
+        },
+        1,
+    );
     world.busy = 0.0;
     world.pass(60 * MS);
     let established = world.arrive(0, 6, 0, None, 1.0);
@@ -242,13 +387,21 @@
     // Of a customer without a share, up to past T1 = 15.
     fill(&mut world, 2, 16);
     let rejected = [(); 4].map(|()| is_rejected(&mut world, 6));
-    assert_eq!(rejected, [false, false, false, true], "three are saved up, and C = 20 has room for a fourth");
+    assert_eq!(
+        rejected,
+        [false, false, false, true],
+        "three are saved up, and C = 20 has room for a fourth"
+    );
 }
 
 #[test]
 fn what_is_queued_beyond_a_share_keeps_nobody_out_that_is_within_one() {
     // Found on qld-da-portal: one customer at three times its share filled all queues, and all were rejected.
-    let terms = ServiceContract { cores: 2, customers: vec![1000.0, 0.1], ..contract() };
+    let terms = ServiceContract {
+        cores: 2,
+        customers: vec![1000.0, 0.1],
+        ..contract()
+    };
     let mut world = World::new(terms, 1);
     world.busy = 0.0;
     world.pass(60 * MS);
@@ -261,15 +414,27 @@
     }
     world.pass(2000 * MS);
     fill(&mut world, 1, 10);
-    assert!(is_rejected(&mut world, 4), "beyond the share itself, at load 10");
-    assert!(!is_rejected(&mut world, 3), "within one: three run, and what is queued goes after it");
+    assert!(
+        is_rejected(&mut world, 4),
+        "beyond the share itself, at load 10"
+    );
+    assert!(
+        !is_rejected(&mut world, 3),
+        "within one: three run, and what is queued goes after it"
+    );
 }
 
 #[test]
 fn one_runs_a_core_while_all_are_busy_and_more_where_some_are_idle() {
     // Found on apsa-lahore: exchanges wait for a disk unseen; elsewhere more than one a core slow each other.
     let running = |busy| {
-        let mut world = World::new(ServiceContract { customers: Vec::new(), ..contract() }, 1);
+        let mut world = World::new(
+            ServiceContract {
+                customers: Vec::new(),
+                ..contract()
+            },
+            1,
+        );
         world.busy = 0.0;
         world.pass(60 * MS);
         denied_of(&mut world, 20);
@@ -280,7 +445,11 @@
             world.finish(run, RunOutcome::Completed);
         }
         world.step();
-        world.items.values().filter(|item| item.at == At::Running).count()
+        world
+            .items
+            .values()
+            .filter(|item| item.at == At::Running)
+            .count()
     };
     assert_eq!((running(1.0), running(0.9)), (4, 6));
 }
@@ -297,7 +466,13 @@
 #[test]
 fn a_share_of_less_than_one_call_still_calls() {
     // Found on apsa-lahore grown: one call in five seconds, or a wait for more time than there can ever be.
-    let mut world = World::new(ServiceContract { calls_share: Some(0.4), ..contract() }, 1);
+    let mut world = World::new(
+        ServiceContract {
+            calls_share: Some(0.4),
+            ..contract()
+        },
+        1,
+    );
     for i in 0..3 {
         let id = world.arrive(2, i, 0, None, 1.0);
         world.step();
@@ -320,18 +495,40 @@
     world.pass(1600 * MS);
     let next = world.arrive(0, 50, 0, None, 1.0);
     world.step();
-    assert!(!world.items[&next].owed, "rejected at once, free to go elsewhere");
-    assert!(world.done.contains(&Action::Health { from_store: true, good: false }));
+    assert!(
+        !world.items[&next].owed,
+        "rejected at once, free to go elsewhere"
+    );
+    assert!(world.done.contains(&Action::Health {
+        from_store: true,
+        good: false
+    }));
 }
 
 #[test]
 fn a_table_full_of_idle_connections_is_emptied_unless_the_node_drowns() {
     // Found on tigre-principal-later: a thousand callers each kept a connection that they never used again.
-    let limit = |t: &Action| if let Action::IdleLimit { after } = t { Some(*after) } else { None };
+    let limit = |t: &Action| {
+        if let Action::IdleLimit { after } = t {
+            Some(*after)
+        } else {
+            None
+        }
+    };
     let last = |world: &World| world.done.iter().rev().find_map(limit);
-    let mut world = World::new(ServiceContract { cores: 2, ..contract() }, 1);
+    let mut world = World::new(
+        ServiceContract {
+            cores: 2,
+            ..contract()
+        },
+        1,
+    );
     world.pass(20_000 * MS);
-    assert_eq!(last(&world), Some(30_000 * MS), "few connections: the callers' own limit");
+    assert_eq!(
+        last(&world),
+        Some(30_000 * MS),
+        "few connections: the callers' own limit"
+    );
     world.links = 90.0;
     world.pass(2000 * MS);
     assert_eq!(last(&world), Some(100 * MS));
@@ -340,16 +537,32 @@
         world.step();
     });
     world.pass(60 * MS);
-    assert_eq!(last(&world), Some(30_000 * MS), "full, the table keeps out what could not be read in time");
+    assert_eq!(
+        last(&world),
+        Some(30_000 * MS),
+        "full, the table keeps out what could not be read in time"
+    );
 }
 
 #[test]
 fn idle_connections_stay_where_callers_come_again() {
     // Found on the days at full size: 200 nodes closed what 150 callers used again within seconds, and spent
     // a fifth of their cores on new connections.
-    let limit = |t: &Action| if let Action::IdleLimit { after } = t { Some(*after) } else { None };
+    let limit = |t: &Action| {
+        if let Action::IdleLimit { after } = t {
+            Some(*after)
+        } else {
+            None
+        }
+    };
     let last = |world: &World| world.done.iter().rev().find_map(limit);
-    let mut world = World::new(ServiceContract { cores: 6, ..contract() }, 1);
+    let mut world = World::new(
+        ServiceContract {
+            cores: 6,
+            ..contract()
+        },
+        1,
+    );
     world.links = 90.0;
     let reads = |world: &mut World, callers: std::ops::Range<u64>| {
         for caller in callers.clone().cycle().take(300) {
@@ -360,12 +573,24 @@
         world.pass(8_000 * MS);
     };
     reads(&mut world, 0..1_000);
-    assert_eq!(last(&world), Some(100 * MS), "hardly one of them is seen again");
+    assert_eq!(
+        last(&world),
+        Some(100 * MS),
+        "hardly one of them is seen again"
+    );
     reads(&mut world, 1_000..1_030);
-    assert_eq!(last(&world), Some(30_000 * MS), "each comes again: fifteen a core may stay");
+    assert_eq!(
+        last(&world),
+        Some(30_000 * MS),
+        "each comes again: fifteen a core may stay"
+    );
     world.links = 150.0;
     world.pass(2_000 * MS);
-    assert_eq!(last(&world), Some(100 * MS), "twenty-five a core are too many in any case");
+    assert_eq!(
+        last(&world),
+        Some(100 * MS),
+        "twenty-five a core are too many in any case"
+    );
 }
 
 #[test]
@@ -382,25 +607,50 @@
     }
     world.busy = 1.0;
     world.pass(2000 * MS);
-    assert!(denied_of(&mut world, 20) >= 15, "3 run for 400 ms each, and a third of 1500 ms may be waited");
+    assert!(
+        denied_of(&mut world, 20) >= 15,
+        "3 run for 400 ms each, and a third of 1500 ms may be waited"
+    );
 }
 
 #[test]
 fn what_a_budget_holds_back_is_denied_with_its_wait_and_a_repeat_never() {
     let mut world = World::new(contract(), 1);
     let mut actions = Vec::new();
-    let held = |id, group| Exchange { held_back: Some(70 * MS), ..exchange(id, group) };
-    let deduplicated =
-        contract().groups.iter().position(|group| group.effect == Effect::Deduplicated).unwrap() as u8;
-    world.door.handle(world.now, &[Event::Arrived(held(70, 0))], &mut actions);
+    let held = |id, group| Exchange {
+        held_back: Some(70 * MS),
+        ..exchange(id, group)
+    };
+    let deduplicated = contract()
+        .groups
+        .iter()
+        .position(|group| group.effect == Effect::Deduplicated)
+        .unwrap() as u8;
+    world
+        .door
+        .handle(world.now, &[Event::Arrived(held(70, 0))], &mut actions);
     assert!(
-        actions.contains(&Action::Reject { id: 70, not_elsewhere: false, retry_after: 70 * MS }),
+        actions.contains(&Action::Reject {
+            id: 70,
+            not_elsewhere: false,
+            retry_after: 70 * MS
+        }),
         "{actions:?}"
     );
     actions.clear();
     let first = Event::Arrived(exchange(71, deduplicated));
-    let again = Exchange { repeats: Some(71), ..held(72, deduplicated) };
-    world.door.handle(world.now, &[first, Event::Arrived(again)], &mut actions);
+    let again = Exchange {
+        repeats: Some(71),
+        ..held(72, deduplicated)
+    };
+    world
+        .door
+        .handle(world.now, &[first, Event::Arrived(again)], &mut actions);
     assert!(actions.contains(&Action::Attach { id: 72 }), "{actions:?}");
-    assert!(!actions.iter().any(|what| matches!(what, Action::Reject { .. })), "{actions:?}");
+    assert!(
+        !actions
+            .iter()
+            .any(|what| matches!(what, Action::Reject { .. })),
+        "{actions:?}"
+    );
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -13,7 +13,13 @@
 
 /// A node of four cores that survives few runs while it is cold: 3 at first, by its margin of a tenth.
 fn cold() -> ServiceContract {
-    ServiceContract { cold: true, start_speed: 0.05, tip_multiple: 2.0, customers: Vec::new(), ..contract() }
+    ServiceContract {
+        cold: true,
+        start_speed: 0.05,
+        tip_multiple: 2.0,
+        customers: Vec::new(),
+        ..contract()
+    }
 }
 
 /// Runs that a cold node is allowed to have at once after `age`.
@@ -60,10 +66,22 @@
         // Its first reading of the gauge says that its cores are busy.
         world.pass(60 * MS);
         flood(&mut world, in_one_turn);
-        assert!(count(&world, At::Running) <= allowed(&terms, 60 * MS), "{} run", count(&world, At::Running));
+        assert!(
+            count(&world, At::Running) <= allowed(&terms, 60 * MS),
+            "{} run",
+            count(&world, At::Running)
+        );
         // C is as many as there are cores, and one more is taken at a load of just that.
-        assert!((1..=5).contains(&held(&world)), "{} of 300 are held", held(&world));
-        let rejected = world.done.iter().filter(|action| matches!(action, Action::Reject { .. })).count();
+        assert!(
+            (1..=5).contains(&held(&world)),
+            "{} of 300 are held",
+            held(&world)
+        );
+        let rejected = world
+            .done
+            .iter()
+            .filter(|action| matches!(action, Action::Reject { .. }))
+            .count();
         assert_eq!(rejected + held(&world), CALLERS as usize * EACH);
         none_ran_of_the_rejected(&world);
     }
@@ -77,11 +95,23 @@
         let terms = cold();
         let mut world = World::new(terms.clone(), 2);
         flood(&mut world, in_one_turn);
-        assert!(count(&world, At::Running) <= allowed(&terms, 0), "{} run", count(&world, At::Running));
-        assert!((1..=5).contains(&held(&world)), "{} of 300 are held", held(&world));
+        assert!(
+            count(&world, At::Running) <= allowed(&terms, 0),
+            "{} run",
+            count(&world, At::Running)
+        );
+        assert!(
+            (1..=5).contains(&held(&world)),
+            "{} of 300 are held",
+            held(&world)
+        );
         world.pass(SLO_TIME / 3 + 20 * MS);
         assert_eq!(count(&world, At::Queued), 0, "none is left to its deadline");
-        assert!(held(&world) <= allowed(&terms, 0), "{} are held", held(&world));
+        assert!(
+            held(&world) <= allowed(&terms, 0),
+            "{} are held",
+            held(&world)
+        );
         none_ran_of_the_rejected(&world);
     }
 }
@@ -96,7 +126,11 @@
     while age < 2 * terms.warm_after {
         flood(&mut world, true);
         let running = count(&world, At::Running);
-        assert!(running <= allowed(&terms, age), "{running} run at an age of {} ms", age / MS);
+        assert!(
+            running <= allowed(&terms, age),
+            "{running} run at an age of {} ms",
+            age / MS
+        );
         served.push(running);
         world.pass(1_000 * MS);
         age += 1_000 * MS;
@@ -106,8 +140,18 @@
         world.step();
     }
     assert_eq!(served.first(), Some(&3), "a cold one runs three");
-    assert_eq!(served.last(), Some(&4), "a warm and busy one runs one a core");
+    assert_eq!(
+        served.last(),
+        Some(&4),
+        "a warm and busy one runs one a core"
+    );
     world.pass(4_000 * MS);
-    assert!(world.items.values().all(|item| !item.owed || item.at == At::Running), "some were left");
+    assert!(
+        world
+            .items
+            .values()
+            .all(|item| !item.owed || item.at == At::Running),
+        "some were left"
+    );
     none_ran_of_the_rejected(&world);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -54,7 +54,13 @@
 }
 
 pub fn exchange(id: ExId, group: u8) -> Exchange {
-    Exchange { id, group, kb: 40.0, rank: 0.5, ..Exchange::default() }
+    Exchange {
+        id,
+        group,
+        kb: 40.0,
+        rank: 0.5,
+        ..Exchange::default()
+    }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -136,7 +142,14 @@
     }
 
     /// Reads one exchange into the node; a repeat of its idempotency key is linked as the node's table says.
-    pub fn arrive(&mut self, group: u8, key: u64, age: Tenths, passed: Option<Tenths>, kb: f32) -> ExId {
+    pub fn arrive(
+        &mut self,
+        group: u8,
+        key: u64,
+        age: Tenths,
+        passed: Option<Tenths>,
+        kb: f32,
+    ) -> ExId {
         let id = self.next_id;
         self.next_id += 1;
         let terms = &self.terms.groups[group as usize];
@@ -144,9 +157,15 @@
         let due = passed.map_or(arrived + terms.deadline, |left| self.now + left);
         let deduplicated = terms.effect == Effect::Deduplicated;
         let here = |i: &ExId| self.items[i].ran || self.items[i].at == At::Queued;
-        let entry = self.table.iter().rev().find(|(m, i, end)| *m == key && *end >= arrived && here(i));
-        let repeats =
-            entry.map(|(_, i, _)| *i).or_else(|| self.in_batch(group, key)).filter(|_| deduplicated);
+        let entry = self
+            .table
+            .iter()
+            .rev()
+            .find(|(m, i, end)| *m == key && *end >= arrived && here(i));
+        let repeats = entry
+            .map(|(_, i, _)| *i)
+            .or_else(|| self.in_batch(group, key))
+            .filter(|_| deduplicated);
         let ex = Exchange {
             subject: if deduplicated { 0 } else { key },
             due: passed.map(|left| self.now + left),
@@ -177,7 +196,9 @@
     /// A try of the same idempotency key that is read in the same batch.
     fn in_batch(&self, group: u8, key: u64) -> Option<ExId> {
         self.events.iter().rev().find_map(|event| match event {
-            Event::Arrived(ex) if ex.group == group && self.items[&ex.id].idempotency_key == key => {
+            Event::Arrived(ex)
+                if ex.group == group && self.items[&ex.id].idempotency_key == key =>
+            {
                 Some(ex.id)
             }
             _ => None,
@@ -186,7 +207,10 @@
 
     /// Two tries of one idempotency key in one batch, each naming the other.
     pub fn arrive_together(&mut self, group: u8, key: u64) -> (ExId, ExId) {
-        let (a, b) = (self.arrive(group, key, 0, None, 30.0), self.arrive(group, key, 0, None, 30.0));
+        let (a, b) = (
+            self.arrive(group, key, 0, None, 30.0),
+            self.arrive(group, key, 0, None, 30.0),
+        );
         for event in &mut self.events {
             if let Event::Arrived(ex) = event
                 && ex.repeats.is_none()
@@ -200,7 +224,12 @@
     }
 
     pub fn pick(&self, at: At, n: u32) -> Option<ExId> {
-        let here: Vec<ExId> = self.items.iter().filter(|(_, x)| x.at == at).map(|(id, _)| *id).collect();
+        let here: Vec<ExId> = self
+            .items
+            .iter()
+            .filter(|(_, x)| x.at == at)
+            .map(|(id, _)| *id)
+            .collect();
         (!here.is_empty()).then(|| here[n as usize % here.len()])
     }
 
@@ -225,13 +254,25 @@
     pub fn end_call(&mut self, id: ExId, outcome: CallOutcome) {
         let item = self.items.get_mut(&id).unwrap();
         let from = item.called.take().unwrap();
-        let lingers = if outcome == CallOutcome::TimedOut { self.terms.linger } else { 0 };
+        let lingers = if outcome == CallOutcome::TimedOut {
+            self.terms.linger
+        } else {
+            0
+        };
         self.calls.push((from, self.now + lingers));
         let effect = self.terms.groups[item.group].effect;
         item.may_call = effect == Effect::Repeatable || outcome.proves_not_run();
-        item.at = if outcome == CallOutcome::Completed { At::Running } else { At::Waiting };
+        item.at = if outcome == CallOutcome::Completed {
+            At::Running
+        } else {
+            At::Waiting
+        };
         item.may_call |= outcome == CallOutcome::Completed;
-        self.events.push(Event::CallEnded { id, outcome, took: self.now - from });
+        self.events.push(Event::CallEnded {
+            id,
+            outcome,
+            took: self.now - from,
+        });
     }
 
     pub fn caller_gone(&mut self, id: ExId) {
@@ -248,7 +289,10 @@
     pub fn leave_in(&mut self, left: Tenths) {
         if self.leave.is_none() {
             self.leave = Some((self.now + self.terms.drain_grace, self.now + left));
-            self.events.push(Event::Drain { age: 0, stop_at: self.now + left });
+            self.events.push(Event::Drain {
+                age: 0,
+                stop_at: self.now + left,
+            });
         }
     }
 
@@ -260,7 +304,11 @@
             self.alarms.remove(&at);
             self.now = self.now.max(at.next_multiple_of(self.terms.tick));
             let (busy_cores, connections) = (Some(self.busy), Some(self.links));
-            let gauges = Gauges { busy_cores, connections, ..Gauges::default() };
+            let gauges = Gauges {
+                busy_cores,
+                connections,
+                ..Gauges::default()
+            };
             self.events.push(Event::Alarm { token: 0, gauges });
             self.step();
         }
@@ -270,8 +318,14 @@
     /// Hands over what happened, carries out what comes back, and checks the rules.
     pub fn step(&mut self) {
         let over = |x: &Item| x.at == At::Calling && x.given_up <= self.now;
-        let over: Vec<_> = self.items.iter().filter(|(_, x)| over(x)).map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|id| self.end_call(id, CallOutcome::TimedOut));
+        let over: Vec<_> = self
+            .items
+            .iter()
+            .filter(|(_, x)| over(x))
+            .map(|(id, _)| *id)
+            .collect();
+        over.into_iter()
+            .for_each(|id| self.end_call(id, CallOutcome::TimedOut));
         let batch = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
         self.door.handle(self.now, &batch, &mut actions);
@@ -285,7 +339,14 @@
         });
         for (id, at, completed) in waiting.collect::<Vec<_>>() {
             if at == At::Over {
-                self.finish(id, if completed { RunOutcome::Completed } else { RunOutcome::Failed });
+                self.finish(
+                    id,
+                    if completed {
+                        RunOutcome::Completed
+                    } else {
+                        RunOutcome::Failed
+                    },
+                );
             }
         }
         self.check();
@@ -296,7 +357,11 @@
         match *what {
             Action::Run { id } => {
                 let x = &self.items[&id];
-                assert!(x.at == At::Queued && !x.ran && x.owed, "run of {id} at {:?}", x.at);
+                assert!(
+                    x.at == At::Queued && !x.ran && x.owed,
+                    "run of {id} at {:?}",
+                    x.at
+                );
                 let late = self.leave.is_some_and(|(last, _)| x.arrived > last);
                 assert!(!late, "drain: {id} arrived after the grace and was run");
                 let group = &self.terms.groups[x.group];
@@ -306,7 +371,10 @@
                     .filter(|(_, y)| y.idempotency_key == x.idempotency_key && y.group == x.group)
                 {
                     let again = group.effect == Effect::Deduplicated && y.ran;
-                    assert!(!again || x.arrived > y.arrived + group.window, "{id} runs again after {other}");
+                    assert!(
+                        !again || x.arrived > y.arrived + group.window,
+                        "{id} runs again after {other}"
+                    );
                 }
                 let x = self.items.get_mut(&id).unwrap();
                 (x.at, x.ran) = (At::Running, true);
@@ -320,7 +388,10 @@
                     return; // It was over before this batch was answered: harmless.
                 }
                 let kept = self.terms.groups[x.group].effect != Effect::Repeatable;
-                assert!(!(rejected && kept && x.ran), "{id} was rejected after it ran");
+                assert!(
+                    !(rejected && kept && x.ran),
+                    "{id} was rejected after it ran"
+                );
                 x.owed = false;
                 match x.at {
                     At::Queued | At::Attached(_) => x.at = At::Over,
@@ -329,16 +400,26 @@
                 }
             }
             Action::Stop { id } => {
-                assert!(self.terms.stop != StopKind::Never, "stop where nothing can be stopped");
+                assert!(
+                    self.terms.stop != StopKind::Never,
+                    "stop where nothing can be stopped"
+                );
                 let x = &self.items[&id];
-                assert!(!x.owed || x.at == At::Over, "{id} was stopped before it was answered");
+                assert!(
+                    !x.owed || x.at == At::Over,
+                    "{id} was stopped before it was answered"
+                );
                 if x.at == At::Running {
                     self.finish(id, RunOutcome::Stopped);
                 }
             }
             Action::Call { id, limit } => {
                 let x = self.items.get_mut(&id).unwrap();
-                assert!(x.at == At::Waiting && x.may_call && limit > 0, "call of {id} at {:?}", x.at);
+                assert!(
+                    x.at == At::Waiting && x.may_call && limit > 0,
+                    "call of {id} at {:?}",
+                    x.at
+                );
                 (x.at, x.called, x.given_up) = (At::Calling, Some(now), now + limit);
             }
             Action::SkipCall { id } => {
@@ -347,7 +428,8 @@
                 x.at = At::Running;
             }
             Action::Record { id, lasting } => {
-                self.table.push((self.items[&id].idempotency_key, id, now + lasting))
+                self.table
+                    .push((self.items[&id].idempotency_key, id, now + lasting))
             }
             Action::Forget { id } => self.table.retain(|(_, i, _)| *i != id),
             Action::Attach { id } => {
@@ -369,30 +451,61 @@
         let live = self.items.values().filter(|x| x.at != At::Over);
         let on_cores = live.clone().filter(|x| x.at == At::Running).count() as f32;
         let warmth = (self.now - self.born) as f32 / self.terms.warm_after as f32;
-        let warmth = if self.terms.cold { warmth.min(1.0) } else { 1.0 };
+        let warmth = if self.terms.cold {
+            warmth.min(1.0)
+        } else {
+            1.0
+        };
         let speed = self.terms.start_speed + (1.0 - self.terms.start_speed) * warmth;
         let crowd = (1.0 + (self.terms.tip_multiple - 1.0) * speed) * self.terms.cores as f32;
-        assert!(on_cores <= crowd, "fall-over: {on_cores} on the cores, {crowd} survived");
-        let entries = self.table.iter().filter(|(.., end)| *end > self.now).count() as f32;
+        assert!(
+            on_cores <= crowd,
+            "fall-over: {on_cores} on the cores, {crowd} survived"
+        );
+        let entries = self
+            .table
+            .iter()
+            .filter(|(.., end)| *end > self.now)
+            .count() as f32;
         let memory = live.clone().fold(entries * self.terms.record_kb, |sum, x| {
             sum + x.kb
-                * if matches!(x.at, At::Queued | At::Attached(_)) { 1.0 } else { self.terms.run_factor }
+                * if matches!(x.at, At::Queued | At::Attached(_)) {
+                    1.0
+                } else {
+                    self.terms.run_factor
+                }
         });
         assert!(memory <= self.terms.memory_kb, "fall-over: memory {memory}");
         if let Some(share) = self.terms.calls_share {
             let from = self.now.saturating_sub(self.terms.calls_window);
             let open = live.filter_map(|x| x.called.map(|start| (start, self.now)));
-            let span = |(a, b): (Tenths, Tenths)| b.min(self.now).saturating_sub(a.max(from)) as f32;
+            let span =
+                |(a, b): (Tenths, Tenths)| b.min(self.now).saturating_sub(a.max(from)) as f32;
             let sum: f32 = self.calls.iter().copied().chain(open).map(span).sum();
             let mean = sum / self.terms.calls_window as f32;
-            assert!(mean <= share * 1.0001, "fall-over: {mean} calls below, share {share}");
+            assert!(
+                mean <= share * 1.0001,
+                "fall-over: {mean} calls below, share {share}"
+            );
         }
         for (id, x) in &self.items {
-            assert!(!x.owed || self.now <= x.due, "lost: {id} is due at {} and now is {}", x.due, self.now);
+            assert!(
+                !x.owed || self.now <= x.due,
+                "lost: {id} is due at {} and now is {}",
+                x.due,
+                self.now
+            );
         }
         if let Some((_, stop)) = self.leave.filter(|(_, stop)| self.now >= *stop) {
-            let left = self.items.iter().find(|(_, x)| x.owed).map(|(id, x)| (*id, x.at, x.arrived));
-            assert!(left.is_none(), "drain: {left:?} is not answered at the stop {stop}");
+            let left = self
+                .items
+                .iter()
+                .find(|(_, x)| x.owed)
+                .map(|(id, x)| (*id, x.at, x.arrived));
+            assert!(
+                left.is_none(),
+                "drain: {left:?} is not answered at the stop {stop}"
+            );
         }
     }
 }
--- a/tests/pinned.rs
+++ b/tests/pinned.rs
@@ -26,11 +26,20 @@
         over_share: rng.choice([0.0, 0.05, 0.6]).unwrap(),
         by_work: rng.bool(),
         nodes: rng.choice([1, 10, 300]).unwrap(),
-        stop: rng.choice([StopKind::Never, StopKind::Drop, StopKind::Pause]).unwrap(),
+        stop: rng
+            .choice([StopKind::Never, StopKind::Drop, StopKind::Pause])
+            .unwrap(),
         level: rng
-            .choice([LevelKind::None, LevelKind::LowestRank, LevelKind::InHand, LevelKind::Odds])
+            .choice([
+                LevelKind::None,
+                LevelKind::LowestRank,
+                LevelKind::InHand,
+                LevelKind::Odds,
+            ])
+            .unwrap(),
+        calls_share: rng
+            .choice([None, Some(0.0), Some(0.4), Some(1.5), Some(12.0)])
             .unwrap(),
-        calls_share: rng.choice([None, Some(0.0), Some(0.4), Some(1.5), Some(12.0)]).unwrap(),
         cold: rng.bool(),
         tip_multiple: rng.choice([1.5, 2.0, 5.0, 8.0]).unwrap(),
         longest_retry_after: rng.choice([0, 1000 * MS]).unwrap(),
@@ -52,7 +61,13 @@
     world.caller = rng.u64(1..40);
     let due = rng.bool().then(|| rng.u64(0..5_000) * MS);
     let age = rng.choice([0, 0, 0, 40 * MS, 700 * MS]).unwrap();
-    world.arrive(rng.u8(0..3), rng.u64(0..14), age, due, rng.u32(1..70) as f32);
+    world.arrive(
+        rng.u8(0..3),
+        rng.u64(0..14),
+        age,
+        due,
+        rng.u32(1..70) as f32,
+    );
     if let Some(Event::Arrived(read)) = world.events.last_mut() {
         read.work_hint = rng.bool().then(|| rng.u64(1..900) * MS);
         read.rank = rng.f32();
@@ -64,7 +79,16 @@
 fn end_call(world: &mut World, rng: &mut Rng) {
     use CallOutcome::{Bounced, Completed, Dropped, Failed, TimedOut, Unreachable};
     let outcome = rng
-        .choice([Completed, Completed, Completed, Failed, Bounced, TimedOut, Unreachable, Dropped])
+        .choice([
+            Completed,
+            Completed,
+            Completed,
+            Failed,
+            Bounced,
+            TimedOut,
+            Unreachable,
+            Dropped,
+        ])
         .unwrap();
     if let Some(id) = world.pick(At::Calling, rng.u32(..)) {
         world.end_call(id, outcome);
@@ -77,16 +101,26 @@
         0..=8 => arrive(world, rng),
         9 => _ = world.arrive_together(1, rng.u64(1..14)),
         10..=14 => {
-            let outcome = if rng.u8(0..9) == 0 { RunOutcome::Failed } else { RunOutcome::Completed };
+            let outcome = if rng.u8(0..9) == 0 {
+                RunOutcome::Failed
+            } else {
+                RunOutcome::Completed
+            };
             if let Some(id) = world.pick(At::Running, rng.u32(..)) {
                 world.finish(id, outcome);
             }
         }
-        15..=16 => world.pick(At::Running, rng.u32(..)).into_iter().for_each(|id| world.need_call(id)),
+        15..=16 => world
+            .pick(At::Running, rng.u32(..))
+            .into_iter()
+            .for_each(|id| world.need_call(id)),
         17..=18 => end_call(world, rng),
         19 => {
             let at = rng.choice([At::Queued, At::Running, At::Calling]).unwrap();
-            world.pick(at, rng.u32(..)).into_iter().for_each(|id| world.caller_gone(id));
+            world
+                .pick(at, rng.u32(..))
+                .into_iter()
+                .for_each(|id| world.caller_gone(id));
         }
         20 => world.busy = rng.choice([0.3, 0.94, 0.95, 1.0]).unwrap(),
         21 => world.links = rng.u32(0..300) as f32,
@@ -102,7 +136,11 @@
 fn text(action: &Action) -> String {
     match *action {
         Action::Run { id } => format!("run {id}"),
-        Action::Reject { id, not_elsewhere, retry_after } => {
+        Action::Reject {
+            id,
+            not_elsewhere,
+            retry_after,
+        } => {
             format!("reject {id} {not_elsewhere} {retry_after}")
         }
         Action::Fail { id } => format!("fail {id}"),
@@ -121,8 +159,12 @@
 
 /// FNV-1a with 64 bits, written here so that no package's next version changes the digests.
 fn digest(actions: &[Action]) -> u64 {
-    let bytes = actions.iter().flat_map(|action| (text(action) + "\n").into_bytes());
-    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    let bytes = actions
+        .iter()
+        .flat_map(|action| (text(action) + "\n").into_bytes());
+    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// The actions of one seed's history, which ends early at a stop.
@@ -130,7 +172,10 @@
     let mut rng = Rng::with_seed(seed);
     let mut world = World::new(settings(&mut rng), seed);
     for _ in 0..STEPS {
-        if world.leave.is_some_and(|(_, stop)| world.now + 120 * MS >= stop) {
+        if world
+            .leave
+            .is_some_and(|(_, stop)| world.now + 120 * MS >= stop)
+        {
             break;
         }
         play(&mut world, &mut rng);
@@ -142,12 +187,15 @@
 /// How often each kind of action came, so that the text shows what the histories reach.
 fn counts(actions: &[Action]) -> String {
     let kinds = [
-        "run", "reject", "fail", "stop", "call", "skip", "record", "forget", "attach", "health", "level",
-        "idle",
+        "run", "reject", "fail", "stop", "call", "skip", "record", "forget", "attach", "health",
+        "level", "idle",
     ];
     let mut line = String::new();
     for kind in kinds {
-        let count = actions.iter().filter(|action| text(action).starts_with(&format!("{kind} "))).count();
+        let count = actions
+            .iter()
+            .filter(|action| text(action).starts_with(&format!("{kind} ")))
+            .count();
         write!(line, " {kind} {count}").unwrap();
     }
     line
@@ -158,13 +206,28 @@
     let mut found = String::new();
     for seed in 0..SEEDS {
         let actions = history(seed);
-        writeln!(found, "{seed} {:016x}{}", digest(&actions), counts(&actions)).unwrap();
+        writeln!(
+            found,
+            "{seed} {:016x}{}",
+            digest(&actions),
+            counts(&actions)
+        )
+        .unwrap();
     }
     if std::env::var_os("PINNED_WRITE").is_some() {
         std::fs::write(PINNED, &found).unwrap();
     }
     let pinned = std::fs::read_to_string(PINNED).expect("pinned.txt stands beside this test");
-    let differ: Vec<_> = pinned.lines().zip(found.lines()).filter(|(before, now)| before != now).collect();
-    assert!(differ.is_empty(), "{} of {SEEDS} histories differ, the first: {:?}", differ.len(), differ[0]);
+    let differ: Vec<_> = pinned
+        .lines()
+        .zip(found.lines())
+        .filter(|(before, now)| before != now)
+        .collect();
+    assert!(
+        differ.is_empty(),
+        "{} of {SEEDS} histories differ, the first: {:?}",
+        differ.len(),
+        differ[0]
+    );
     assert_eq!(pinned.lines().count(), found.lines().count());
 }
--- a/wire/src/answer.rs
+++ b/wire/src/answer.rs
@@ -36,7 +36,10 @@
 impl Answer {
     /// The first value of a header, whose name may be written in any case.
     pub fn header(&self, name: &str) -> Option<&[u8]> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, value)| &value[..])
     }
 }
 
@@ -93,7 +96,8 @@
         match self.protocol {
             Protocol::Uwsgi => {
                 self.content(std::mem::take(input))?;
-                let whole = self.head_whole && self.announced.is_some_and(|n| self.answer.body.len() == n);
+                let whole =
+                    self.head_whole && self.announced.is_some_and(|n| self.answer.body.len() == n);
                 Ok(whole.then(|| Answered::Whole(std::mem::take(&mut self.answer))))
             }
             Protocol::FastCgi => self.records(input),
@@ -133,7 +137,11 @@
 
     fn whole(&mut self) -> Result<Answer, Broken> {
         if !self.head_whole {
-            return Err(Broken(if self.has_begun() { "a head cut short" } else { "nothing" }));
+            return Err(Broken(if self.has_begun() {
+                "a head cut short"
+            } else {
+                "nothing"
+            }));
         }
         if self.announced.is_some_and(|n| self.answer.body.len() < n) {
             return Err(Broken("a body cut short"));
@@ -145,7 +153,8 @@
     fn content(&mut self, mut bytes: &[u8]) -> Result<(), Broken> {
         if !self.head_whole {
             let before = self.raw_head.len();
-            self.raw_head.extend(&bytes[..bytes.len().min(MOST_HEAD - before)]);
+            self.raw_head
+                .extend(&bytes[..bytes.len().min(MOST_HEAD - before)]);
             let Some(end) = head_end(&self.raw_head, before) else {
                 return if self.raw_head.len() < MOST_HEAD {
                     Ok(())
@@ -159,7 +168,9 @@
             self.announced = announced(&self.answer)?;
             self.head_whole = true;
         }
-        let room = self.announced.map_or(usize::MAX, |n| n - self.answer.body.len());
+        let room = self
+            .announced
+            .map_or(usize::MAX, |n| n - self.answer.body.len());
         self.answer.excess |= bytes.len() > room;
         bytes = &bytes[..bytes.len().min(room)];
         if self.answer.body.len() + bytes.len() > self.most_body {
@@ -174,11 +185,13 @@
 /// programs write them, with or without a carriage return.
 fn head_end(head: &[u8], seen: usize) -> Option<usize> {
     let from = seen.saturating_sub(3);
-    (from..head.len()).filter(|at| head[*at] == b'\n').find_map(|at| match &head[at + 1..] {
-        [b'\n', ..] => Some(at + 2),
-        [b'\r', b'\n', ..] => Some(at + 3),
-        _ => None,
-    })
+    (from..head.len())
+        .filter(|at| head[*at] == b'\n')
+        .find_map(|at| match &head[at + 1..] {
+            [b'\n', ..] => Some(at + 2),
+            [b'\r', b'\n', ..] => Some(at + 3),
+            _ => None,
+        })
 }
 
 type ReadHead = (u16, Vec<(String, Vec<u8>)>);
@@ -205,7 +218,9 @@
     for header in headers {
         if status.is_none() && header.name.eq_ignore_ascii_case("Status") {
             let text = std::str::from_utf8(header.value).map_err(|_| UNREADABLE)?;
-            status = Some(number(text.split_ascii_whitespace().next().unwrap_or_default())?);
+            status = Some(number(
+                text.split_ascii_whitespace().next().unwrap_or_default(),
+            )?);
         } else {
             kept.push((header.name.to_string(), header.value.to_vec()));
         }
@@ -215,13 +230,19 @@
 
 fn number(word: &str) -> Result<u16, Broken> {
     let digits = word.len() == 3 && word.bytes().all(|b| b.is_ascii_digit());
-    let number = word.parse().ok().filter(|n| digits && (100..600).contains(n));
+    let number = word
+        .parse()
+        .ok()
+        .filter(|n| digits && (100..600).contains(n));
     number.ok_or(Broken("a status that is no number of three digits"))
 }
 
 fn announced(answer: &Answer) -> Result<Option<usize>, Broken> {
     const FAULT: Broken = Broken("a Content-Length that can't be read");
-    let mut lengths = answer.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("Content-Length"));
+    let mut lengths = answer
+        .headers
+        .iter()
+        .filter(|(name, _)| name.eq_ignore_ascii_case("Content-Length"));
     match (lengths.next(), lengths.next()) {
         (None, _) => Ok(None),
         (Some((_, value)), None) if !value.is_empty() && value.iter().all(u8::is_ascii_digit) => {
--- a/wire/src/fastcgi.rs
+++ b/wire/src/fastcgi.rs
@@ -61,13 +61,19 @@
             (GET_VALUES, 0) => Some(Piece::GetValues),
             (_, 0) if kind > UNKNOWN_TYPE => Some(Piece::Unknown { kind }),
             (BEGIN..=DATA, 0) => return Err(Broken("a record of an application with the id 0")),
-            (BEGIN, _) if left != 8 => return Err(Broken("a BEGIN_REQUEST that is not 8 bytes long")),
+            (BEGIN, _) if left != 8 => {
+                return Err(Broken("a BEGIN_REQUEST that is not 8 bytes long"));
+            }
             (BEGIN | DATA, _) => None,
             (ABORT, _) => Some(Piece::Abort { id }),
             (PARAMS, _) if left == 0 => Some(Piece::ParamsEnd { id }),
             (STDIN, _) if left == 0 => Some(Piece::StdinEnd { id }),
             (PARAMS | STDIN, _) => None,
-            _ => return Err(Broken("a record that only an application sends, or of an unknown kind")),
+            _ => {
+                return Err(Broken(
+                    "a record that only an application sends, or of an unknown kind",
+                ));
+            }
         })
     }
 
@@ -99,9 +105,14 @@
 
 impl ProtocolStatus {
     pub fn read(byte: u8) -> Option<ProtocolStatus> {
-        [Self::Complete, Self::CantMultiplex, Self::Overloaded, Self::UnknownRole]
-            .into_iter()
-            .find(|status| *status as u8 == byte)
+        [
+            Self::Complete,
+            Self::CantMultiplex,
+            Self::Overloaded,
+            Self::UnknownRole,
+        ]
+        .into_iter()
+        .find(|status| *status as u8 == byte)
     }
 }
 
@@ -114,7 +125,9 @@
 
 /// Standard output of a request, in as many records as it needs, with the stream's end.
 pub fn stdout(out: &mut Vec<u8>, id: u16, content: &[u8]) {
-    content.chunks(u16::MAX.into()).for_each(|part| record(out, STDOUT, id, part));
+    content
+        .chunks(u16::MAX.into())
+        .for_each(|part| record(out, STDOUT, id, part));
     record(out, STDOUT, id, &[]);
 }
 
@@ -126,9 +139,11 @@
 pub fn values(out: &mut Vec<u8>, connections: usize, requests: usize) {
     let mut content = Vec::new();
     let (connections, requests) = (connections.to_string(), requests.to_string());
-    for (name, value) in
-        [("FCGI_MAX_CONNS", &*connections), ("FCGI_MAX_REQS", &*requests), ("FCGI_MPXS_CONNS", "1")]
-    {
+    for (name, value) in [
+        ("FCGI_MAX_CONNS", &*connections),
+        ("FCGI_MAX_REQS", &*requests),
+        ("FCGI_MPXS_CONNS", "1"),
+    ] {
         content.extend([name.len() as u8, value.len() as u8]);
         content.extend(name.bytes().chain(value.bytes()));
     }
@@ -176,7 +191,10 @@
     let mut block = Vec::with_capacity(512);
     for (name, value) in variables {
         for word in [name, value] {
-            match u8::try_from(word.len()).ok().filter(|length| *length < 0x80) {
+            match u8::try_from(word.len())
+                .ok()
+                .filter(|length| *length < 0x80)
+            {
                 Some(length) => block.push(length),
                 None => block.extend((word.len() as u32 | 1 << 31).to_be_bytes()),
             }
@@ -184,9 +202,25 @@
         block.extend(name);
         block.extend(value);
     }
-    record(out, BEGIN, id, &[0, RESPONDER as u8, if keep { KEEP_CONN } else { 0 }, 0, 0, 0, 0, 0]);
+    record(
+        out,
+        BEGIN,
+        id,
+        &[
+            0,
+            RESPONDER as u8,
+            if keep { KEEP_CONN } else { 0 },
+            0,
+            0,
+            0,
+            0,
+            0,
+        ],
+    );
     for (kind, content) in [(PARAMS, &block[..]), (STDIN, body)] {
-        content.chunks(u16::MAX.into()).for_each(|part| record(out, kind, id, part));
+        content
+            .chunks(u16::MAX.into())
+            .for_each(|part| record(out, kind, id, part));
         record(out, kind, id, &[]);
     }
 }
@@ -234,7 +268,10 @@
                     self.end[self.end_have..self.end_have + bytes.len()].copy_from_slice(bytes);
                     self.end_have += bytes.len();
                     if self.frames.left() == 0 {
-                        return Ok(Some(Reply::End { id, status: ProtocolStatus::read(self.end[4]) }));
+                        return Ok(Some(Reply::End {
+                            id,
+                            status: ProtocolStatus::read(self.end[4]),
+                        }));
                     }
                 }
                 _ => {}
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -173,7 +173,13 @@
             out.extend(b"HTTP/1.1 ");
             let length = body.len().to_string();
             let headers = [head.headers, &[("Content-Length", &*length)]].concat();
-            answer::write_head(out, &Head { headers: &headers, ..head });
+            answer::write_head(
+                out,
+                &Head {
+                    headers: &headers,
+                    ..head
+                },
+            );
             out.extend(body);
         }
     }
--- a/wire/src/uwsgi.rs
+++ b/wire/src/uwsgi.rs
@@ -18,7 +18,11 @@
 /// Digits of any length that is not refused anyway.
 const MOST_DIGITS: usize = 18;
 
-const BEGIN: Piece = Piece::Begin { id: 0, role: crate::fastcgi::RESPONDER, keep: false };
+const BEGIN: Piece = Piece::Begin {
+    id: 0,
+    role: crate::fastcgi::RESPONDER,
+    keep: false,
+};
 const LENGTH_FAULT: Broken = Broken("CONTENT_LENGTH");
 
 #[derive(Debug, PartialEq)]
@@ -51,7 +55,13 @@
 
 impl Default for Splitter {
     fn default() -> Self {
-        Splitter { at: At::Head, head: [0; HEAD], have: 0, left: 0, block: Block::default() }
+        Splitter {
+            at: At::Head,
+            head: [0; HEAD],
+            have: 0,
+            left: 0,
+            block: Block::default(),
+        }
     }
 }
 
@@ -97,7 +107,10 @@
                 }
                 At::BlockEnd => {
                     self.at = At::Announced;
-                    return Ok(Some(Piece::BodyOf { id, length: self.left }));
+                    return Ok(Some(Piece::BodyOf {
+                        id,
+                        length: self.left,
+                    }));
                 }
                 At::Announced | At::Body if self.left == 0 => {
                     self.at = At::Done;
@@ -208,7 +221,9 @@
         match self.word {
             Word::Name => {
                 if let Some(have) = self.agrees {
-                    let same = LENGTH_NAME.get(have..).is_some_and(|rest| rest.starts_with(part));
+                    let same = LENGTH_NAME
+                        .get(have..)
+                        .is_some_and(|rest| rest.starts_with(part));
                     self.agrees = same.then_some(have + part.len());
                 }
             }
@@ -256,7 +271,9 @@
 /// Names and values of a whole block; an error where a length leads past its end.
 pub fn pairs(mut block: &[u8]) -> Result<Vec<Pair<'_>>, Broken> {
     fn word<'a>(block: &mut &'a [u8]) -> Result<&'a [u8], Broken> {
-        let [low, high] = *cut(block, 2) else { return Err(Broken("variables that are cut short")) };
+        let [low, high] = *cut(block, 2) else {
+            return Err(Broken("variables that are cut short"));
+        };
         let length = u16::from_le_bytes([low, high]).into();
         match cut(block, length) {
             word if word.len() == length => Ok(word),
--- a/wire/tests/codecs.rs
+++ b/wire/tests/codecs.rs
@@ -9,7 +9,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const PACKET: &[u8] = b"\x00\x1d\x00\x00\x0e\x00CONTENT_LENGTH\x01\x003\x01\x00A\x05\x00value...and more";
+const PACKET: &[u8] =
+    b"\x00\x1d\x00\x00\x0e\x00CONTENT_LENGTH\x01\x003\x01\x00A\x05\x00value...and more";
 
 fn packet(variables: &[Pair], body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
@@ -19,7 +20,10 @@
 
 /// What a stream is read as, fed in these parts: contents joined, so that cuts do not show.
 fn pieces(protocol: Protocol, parts: &[&[u8]]) -> (Vec<(String, Vec<u8>)>, Option<Broken>) {
-    let (mut reader, mut found) = (RequestReader::new(protocol), Vec::<(String, Vec<u8>)>::new());
+    let (mut reader, mut found) = (
+        RequestReader::new(protocol),
+        Vec::<(String, Vec<u8>)>::new(),
+    );
     for part in parts {
         let mut input = *part;
         loop {
@@ -30,7 +34,10 @@
                 Ok(None) => break,
                 Err(broken) => return (found, Some(broken)),
             };
-            match found.last_mut().filter(|(last, _)| *last == name && !bytes.is_empty()) {
+            match found
+                .last_mut()
+                .filter(|(last, _)| *last == name && !bytes.is_empty())
+            {
                 Some((_, so_far)) => so_far.extend(bytes),
                 None => found.push((name, bytes.to_vec())),
             }
@@ -42,9 +49,25 @@
 #[test]
 fn a_known_packet_is_read_and_written() {
     let (found, broken) = pieces(Protocol::Uwsgi, &[PACKET]);
-    let names: Vec<&str> = found.iter().map(|(name, _)| name.split(' ').next().unwrap()).collect();
-    assert_eq!(names, ["Begin", "params", "ParamsEnd", "BodyOf", "stdin", "StdinEnd"]);
-    assert_eq!((found[1].1.len(), &found[4].1[..], broken), (29, &b"..."[..], None));
+    let names: Vec<&str> = found
+        .iter()
+        .map(|(name, _)| name.split(' ').next().unwrap())
+        .collect();
+    assert_eq!(
+        names,
+        [
+            "Begin",
+            "params",
+            "ParamsEnd",
+            "BodyOf",
+            "stdin",
+            "StdinEnd"
+        ]
+    );
+    assert_eq!(
+        (found[1].1.len(), &found[4].1[..], broken),
+        (29, &b"..."[..], None)
+    );
     let variables: [Pair; 2] = [(b"CONTENT_LENGTH", b"3"), (b"A", b"value")];
     assert_eq!(uwsgi::pairs(&found[1].1).unwrap(), variables);
     assert_eq!(packet(&variables, b"...and more"), PACKET);
@@ -53,15 +76,25 @@
         Protocol::Uwsgi,
         &mut out,
         0,
-        Head { status: "200 OK", headers: &[("A", "b")], more: b"" },
+        Head {
+            status: "200 OK",
+            headers: &[("A", "b")],
+            more: b"",
+        },
         b"xy",
     );
-    assert_eq!(out, b"HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 2\r\n\r\nxy");
+    assert_eq!(
+        out,
+        b"HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 2\r\n\r\nxy"
+    );
 }
 
 #[test]
 fn a_ping_is_one_and_is_answered_with_what_is_wrong() {
-    assert_eq!(pieces(Protocol::Uwsgi, &[&[100, 0, 0, 0, 9, 9]]).0, [("Ping".to_string(), vec![])]);
+    assert_eq!(
+        pieces(Protocol::Uwsgi, &[&[100, 0, 0, 0, 9, 9]]).0,
+        [("Ping".to_string(), vec![])]
+    );
     assert!(pieces(Protocol::Uwsgi, &[&[100, 1, 0, 0, 9]]).1.is_some());
     let (mut good, mut bad) = (Vec::new(), Vec::new());
     uwsgi::pong(&mut good, true);
@@ -75,7 +108,10 @@
 #[test]
 fn lengths_that_do_not_add_up_and_other_modifiers_are_told_apart() {
     for modifier in (1..=255).filter(|m| *m != uwsgi::PING) {
-        assert!(pieces(Protocol::Uwsgi, &[&[modifier, 0, 0, 0]]).1.is_some(), "modifier {modifier}");
+        assert!(
+            pieces(Protocol::Uwsgi, &[&[modifier, 0, 0, 0]]).1.is_some(),
+            "modifier {modifier}"
+        );
     }
     for block in [
         &b"\x05\x00AB"[..],    // a name past the packet's end
@@ -98,22 +134,50 @@
 #[test]
 fn a_length_of_the_body_is_a_number_said_once_or_nothing() {
     let body_of = |values: &[&str]| {
-        let variables: Vec<Pair> = values.iter().map(|v| (&b"CONTENT_LENGTH"[..], v.as_bytes())).collect();
+        let variables: Vec<Pair> = values
+            .iter()
+            .map(|v| (&b"CONTENT_LENGTH"[..], v.as_bytes()))
+            .collect();
         let (found, broken) = pieces(Protocol::Uwsgi, &[&packet(&variables, b"")]);
-        let told = found.iter().find(|(name, _)| name.starts_with("BodyOf")).map(|(name, _)| name.clone());
+        let told = found
+            .iter()
+            .find(|(name, _)| name.starts_with("BodyOf"))
+            .map(|(name, _)| name.clone());
         (told, broken)
     };
-    for (values, wanted) in
-        [(&[][..], "0"), (&[""], "0"), (&["0"], "0"), (&["007"], "7"), (&["2048"], "2048")]
-    {
-        assert_eq!(body_of(values), (Some(format!("BodyOf {{ id: 0, length: {wanted} }}")), None));
+    for (values, wanted) in [
+        (&[][..], "0"),
+        (&[""], "0"),
+        (&["0"], "0"),
+        (&["007"], "7"),
+        (&["2048"], "2048"),
+    ] {
+        assert_eq!(
+            body_of(values),
+            (Some(format!("BodyOf {{ id: 0, length: {wanted} }}")), None)
+        );
     }
-    assert!(body_of(&["999999999999999999"]).0.is_some(), "told, and for its reader to refuse");
-    for bad in [&["-1"][..], &["+1"], &["1 "], &["1e3"], &["0x10"], &["9999999999999999999"], &["1", "1"]] {
+    assert!(
+        body_of(&["999999999999999999"]).0.is_some(),
+        "told, and for its reader to refuse"
+    );
+    for bad in [
+        &["-1"][..],
+        &["+1"],
+        &["1 "],
+        &["1e3"],
+        &["0x10"],
+        &["9999999999999999999"],
+        &["1", "1"],
+    ] {
         assert_eq!(body_of(bad).1, Some(Broken("CONTENT_LENGTH")), "{bad:?}");
     }
     // Only the whole name is it.
-    let near: [Pair; 3] = [(b"CONTENT_LENGT", b"x"), (b"CONTENT_LENGTHS", b"x"), (b"content_length", b"x")];
+    let near: [Pair; 3] = [
+        (b"CONTENT_LENGT", b"x"),
+        (b"CONTENT_LENGTHS", b"x"),
+        (b"content_length", b"x"),
+    ];
     assert_eq!(pieces(Protocol::Uwsgi, &[&packet(&near, b"")]).1, None);
 }
 
@@ -125,7 +189,17 @@
         assert!(write_request(Protocol::Uwsgi, &mut out, 0, false, variables, b"").is_err());
         assert_eq!(out, b"before");
     }
-    assert!(write_request(Protocol::FastCgi, &mut out, 1, false, &[(&long, &long)], b"").is_ok());
+    assert!(
+        write_request(
+            Protocol::FastCgi,
+            &mut out,
+            1,
+            false,
+            &[(&long, &long)],
+            b""
+        )
+        .is_ok()
+    );
 }
 
 fn answered(protocol: Protocol, bytes: &[u8]) -> Result<Option<Answered>, Broken> {
@@ -135,7 +209,17 @@
 #[test]
 fn answers_are_whole_cut_or_refused() {
     let mut sound = Vec::new();
-    write_answer(Protocol::Uwsgi, &mut sound, 1, Head { status: "200 OK", headers: &[], more: b"" }, b"body");
+    write_answer(
+        Protocol::Uwsgi,
+        &mut sound,
+        1,
+        Head {
+            status: "200 OK",
+            headers: &[],
+            more: b"",
+        },
+        b"body",
+    );
     for cut in 0..sound.len() {
         let mut reader = AnswerReader::new(Protocol::Uwsgi, 1, 4096);
         assert_eq!(reader.take(&mut &sound[..cut]), Ok(None));
@@ -144,20 +228,32 @@
     }
     // With no length its end is that of the connection.
     let mut reader = AnswerReader::new(Protocol::Uwsgi, 1, 4096);
-    assert_eq!(reader.take(&mut &b"HTTP/1.0 404 Not Found\nA:  b \n\nbo"[..]), Ok(None));
+    assert_eq!(
+        reader.take(&mut &b"HTTP/1.0 404 Not Found\nA:  b \n\nbo"[..]),
+        Ok(None)
+    );
     assert_eq!(reader.take(&mut &b"dy"[..]), Ok(None));
     let answer = reader.closed().unwrap();
-    assert_eq!((answer.status, &answer.body[..], answer.header("a")), (404, &b"body"[..], Some(&b"b"[..])));
+    assert_eq!(
+        (answer.status, &answer.body[..], answer.header("a")),
+        (404, &b"body"[..], Some(&b"b"[..]))
+    );
     // More than announced: what was announced counts, and the rest is told.
     let more = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nbody";
-    let Ok(Some(Answered::Whole(answer))) = answered(Protocol::Uwsgi, more) else { panic!() };
+    let Ok(Some(Answered::Whole(answer))) = answered(Protocol::Uwsgi, more) else {
+        panic!()
+    };
     assert_eq!((&answer.body[..], answer.excess), (&b"bo"[..], true));
     let mut fast = Vec::new();
     write_answer(
         Protocol::FastCgi,
         &mut fast,
         1,
-        Head { status: "201 Made", headers: &[], more: b"" },
+        Head {
+            status: "201 Made",
+            headers: &[],
+            more: b"",
+        },
         b"body",
     );
     for cut in 0..fast.len() {
@@ -165,7 +261,9 @@
         assert_eq!(reader.take(&mut &fast[..cut]), Ok(None));
         assert!(reader.closed().is_err(), "no end record at {cut}");
     }
-    let Ok(Some(Answered::Whole(answer))) = answered(Protocol::FastCgi, &fast) else { panic!() };
+    let Ok(Some(Answered::Whole(answer))) = answered(Protocol::FastCgi, &fast) else {
+        panic!()
+    };
     assert_eq!((answer.status, &answer.body[..]), (201, &b"body"[..]));
     let overloaded = [1, 3, 0, 1, 0, 8, 0, 0, 0, 0, 0, 0, 2, 0, 0, 0];
     let refused = Ok(Some(Answered::Refused(ProtocolStatus::Overloaded)));
@@ -185,15 +283,25 @@
         &[b'x'; 20_000],
         &[b"HTTP/1.1 200 OK\r\n\r\n".to_vec(), vec![b'x'; 5000]].concat(),
     ] {
-        assert!(answered(Protocol::Uwsgi, bytes).is_err(), "{}", String::from_utf8_lossy(bytes));
+        assert!(
+            answered(Protocol::Uwsgi, bytes).is_err(),
+            "{}",
+            String::from_utf8_lossy(bytes)
+        );
     }
     assert!(answered(Protocol::FastCgi, b"HTTP/1.1 200 OK\r\n\r\n").is_err());
-    assert!(answered(Protocol::FastCgi, &[1, 1, 0, 1, 0, 0, 0, 0]).is_err(), "a record of a web server");
+    assert!(
+        answered(Protocol::FastCgi, &[1, 1, 0, 1, 0, 0, 0, 0]).is_err(),
+        "a record of a web server"
+    );
 }
 
 fn without_excess(read: Answered) -> Answered {
     match read {
-        Answered::Whole(answer) => Answered::Whole(Answer { excess: false, ..answer }),
+        Answered::Whole(answer) => Answered::Whole(Answer {
+            excess: false,
+            ..answer
+        }),
         refused => refused,
     }
 }
@@ -205,16 +313,28 @@
 /// A byte stream that one side may send: sound, or sound but for a change, or anything.
 fn streams() -> impl Strategy<Value = (Protocol, Vec<u8>)> {
     let protocol = prop_oneof![Just(Protocol::FastCgi), Just(Protocol::Uwsgi)];
-    let words = prop::collection::vec((prop::collection::vec(any::<u8>(), 0..40), any::<u8>()), 0..6);
+    let words = prop::collection::vec(
+        (prop::collection::vec(any::<u8>(), 0..40), any::<u8>()),
+        0..6,
+    );
     let body = prop::collection::vec(any::<u8>(), 0..300);
     let noise = prop::collection::vec(any::<u8>(), 0..300);
-    (protocol, words, body, noise, any::<Option<(u16, u8)>>(), 0..4u8).prop_map(
-        |(protocol, words, body, noise, change, kind)| {
+    (
+        protocol,
+        words,
+        body,
+        noise,
+        any::<Option<(u16, u8)>>(),
+        0..4u8,
+    )
+        .prop_map(|(protocol, words, body, noise, change, kind)| {
             if kind == 0 {
                 return (protocol, noise);
             }
-            let variables: Vec<Pair> =
-                words.iter().map(|(name, byte)| (&name[..], std::slice::from_ref(byte))).collect();
+            let variables: Vec<Pair> = words
+                .iter()
+                .map(|(name, byte)| (&name[..], std::slice::from_ref(byte)))
+                .collect();
             let mut out = Vec::new();
             write_request(protocol, &mut out, 7, true, &variables, &body).unwrap();
             if let Some((place, byte)) = change.filter(|_| kind == 1) {
@@ -222,8 +342,7 @@
                 out[place] = byte;
             }
             (protocol, out)
-        },
-    )
+        })
 }
 
 proptest! {
