--- a/tests/cases.rs
+++ b/crates/admission/tests/cases.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{At, MS, World, contract, exchange};
-use doortrack::logic::Door;
-use doortrack::*;
+use doortrack_admission::logic::Door;
+use doortrack_admission::*;
 
 /// Sends `n` unknown callers in one batch to a busy node; how many were rejected.
 fn denied_of(world: &mut World, n: usize) -> usize {
--- a/tests/cold.rs
+++ b/crates/admission/tests/cold.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{At, MS, World, contract};
-use doortrack::*;
+use doortrack_admission::*;
 
 const CALLERS: u64 = 30;
 /// Exchanges that each caller sends at once.
--- a/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use doortrack::logic::Door;
-use doortrack::*;
+use doortrack_admission::logic::Door;
+use doortrack_admission::*;
 
 pub const MS: Tenths = 10;
 
--- a/tests/pinned.rs
+++ b/crates/admission/tests/pinned.rs
@@ -2,14 +2,14 @@
 //! `pinned.txt` was written. A change that means to leave the decisions alone leaves every digest as it is.
 //!
 //! Actions are written in a text of this file's own, so that renames in the code don't touch it. To write the
-//! digests of a change that is meant: `PINNED_WRITE=1 cargo test --package doortrack --test pinned`.
+//! digests of a change that is meant: `PINNED_WRITE=1 cargo test --package doortrack-admission --test pinned`.
 
 mod common;
 
 use std::fmt::Write;
 
 use common::{At, MS, World, contract};
-use doortrack::*;
+use doortrack_admission::*;
 use fastrand::Rng;
 
 const SEEDS: u64 = 64;
--- a/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{At, MS, World, contract};
-use doortrack::*;
+use doortrack_admission::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 
--- a/bench/benches/budgets.rs
+++ b/crates/bench/benches/budgets.rs
@@ -5,7 +5,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use doortrack_budgets::{Budget, Budgets, Kind, NodeId, Parameters};
-use doortrack_fleet::{Incarnation, Name};
+use doortrack_membership::{Incarnation, Name};
 
 fn checks(criterion: &mut Criterion) {
     let me: Name = "n0".into();
--- a/bench/benches/codecs.rs
+++ b/crates/bench/benches/codecs.rs
@@ -1,8 +1,8 @@
 //! Parsers and writers of both protocols by themselves: one request read whole, one answer written.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
-use doortrack_standins::caller::Ask;
-use doortrack_wire::{AnswerReader, Head, Piece, Protocol, RequestReader, write_answer};
+use doortrack_fakes::caller::Ask;
+use doortrack_protocols::{AnswerReader, Head, Piece, Protocol, RequestReader, write_answer};
 
 fn codecs(criterion: &mut Criterion) {
     for protocol in Protocol::ALL {
--- a/bench/src/bin/bad-servers.rs
+++ b/crates/bench/src/bin/bad-servers.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use doortrack_standins::bed::{Bed, Plan};
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::server::{Act, CutBy, Server};
-use doortrack_wire::Protocol;
+use doortrack_fakes::bed::{Bed, Plan};
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::server::{Act, CutBy, Server};
+use doortrack_protocols::Protocol;
 use serde_json::json;
 
 #[derive(Parser)]
@@ -124,7 +124,7 @@
             "aside": {"failures": failures, "longest_ms": 4000}}
     }));
     let bed = plan.start();
-    drop(doortrack_standins::bed::connect(at));
+    drop(doortrack_fakes::bed::connect(at));
     thread::sleep(Duration::from_millis(100));
     let told = ask(words, at, |part| {
         let now = if (0.25..0.75).contains(&part) {
--- a/bench/src/bin/budgets.rs
+++ b/crates/bench/src/bin/budgets.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 
 use doortrack_budgets::{Budget, Kind, Parameters};
-use doortrack_emulator::Law;
-use doortrack_fleet::Name;
-use doortrack_rig::divided::{self, Options, Outcome};
-use doortrack_rig::history::name;
-use doortrack_rig::script::{Fault, Script, Timed};
+use doortrack_fault_harness::divided::{self, Options, Outcome};
+use doortrack_fault_harness::history::name;
+use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_membership::Name;
+use doortrack_simulation::Law;
 
 const LIMIT: u32 = 6_000;
 const VOTERS: usize = 5;
--- a/bench/src/bin/membership.rs
+++ b/crates/bench/src/bin/membership.rs
@@ -8,10 +8,10 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use doortrack_rig::history::{History, What, name};
-use doortrack_rig::processes::Rig;
-use doortrack_rig::script::{Fault, Script, Timed};
-use doortrack_rig::simulated::{Options, run};
+use doortrack_fault_harness::history::{History, What, name};
+use doortrack_fault_harness::processes::Rig;
+use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_fault_harness::simulated::{Options, run};
 use serde_json::Value;
 
 /// Kills of one play, this far apart in ms.
--- a/bench/src/bin/reload.rs
+++ b/crates/bench/src/bin/reload.rs
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use doortrack_standins::bed::{Bed, Plan, connect};
-use doortrack_standins::caller::{Pending, Seen};
-use doortrack_standins::server::{Act, Server};
-use doortrack_wire::{Pair, Protocol, write_request};
+use doortrack_fakes::bed::{Bed, Plan, connect};
+use doortrack_fakes::caller::{Pending, Seen};
+use doortrack_fakes::server::{Act, Server};
+use doortrack_protocols::{Pair, Protocol, write_request};
 use hdrhistogram::Histogram;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
--- a/bench/src/bin/storm.rs
+++ b/crates/bench/src/bin/storm.rs
@@ -8,10 +8,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use doortrack_rig::processes::Rig;
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::server::{Act, Got, Server};
-use doortrack_wire::Protocol;
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::server::{Act, Got, Server};
+use doortrack_fault_harness::processes::Rig;
+use doortrack_protocols::Protocol;
 use serde_json::json;
 
 const NODES: usize = 5;
--- a/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -5,9 +5,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use doortrack_standins::unix_ms;
-use doortrack_wire::fastcgi::{Reply, ReplySplitter};
-use doortrack_wire::{Protocol, fastcgi};
+use doortrack_fakes::unix_ms;
+use doortrack_protocols::fastcgi::{Reply, ReplySplitter};
+use doortrack_protocols::{Protocol, fastcgi};
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 use polling::{Event, Events, PollMode, Poller};
--- a/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use clap::{Parser, ValueEnum};
-use doortrack_wire::Protocol;
+use doortrack_protocols::Protocol;
 
 use crate::load::{Load, Pace};
 use crate::report::{Row, print, write};
--- a/bench/src/request.rs
+++ b/crates/bench/src/request.rs
@@ -1,7 +1,7 @@
 //! A request written once and stamped for each exchange, so that the callers cost little.
 
-use doortrack_standins::caller::Ask;
-use doortrack_wire::Protocol;
+use doortrack_fakes::caller::Ask;
+use doortrack_protocols::Protocol;
 
 /// Stands where the name of the try and the time go; no other field holds them.
 const TRY: u64 = 0xfeed_facc_0bad_cafe;
--- a/bench/src/target.rs
+++ b/crates/bench/src/target.rs
@@ -10,9 +10,9 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use doortrack_standins::bed::{Bed, Plan, connect};
-use doortrack_standins::instant;
-use doortrack_wire::Protocol;
+use doortrack_fakes::bed::{Bed, Plan, connect};
+use doortrack_fakes::instant;
+use doortrack_protocols::Protocol;
 use rustix::process::Pid;
 use rustix::thread::{CpuSet, sched_setaffinity};
 use serde_json::json;
--- a/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -1,6 +1,6 @@
 //! The allocation of one budget at this node, and what of it is in use.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::need::NeedEstimate;
 use crate::{Budget, Grant, Kind, Parameters, ReportItem, Units};
--- a/budgets/src/budgets.rs
+++ b/crates/budgets/src/budgets.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use doortrack::Tenths;
-use doortrack_fleet::{Incarnation, Name};
+use doortrack_admission::Tenths;
+use doortrack_membership::{Incarnation, Name};
 
 use crate::allocation::Allocation;
 use crate::leadership::Leadership;
--- a/budgets/src/envelope.rs
+++ b/crates/budgets/src/envelope.rs
@@ -1,7 +1,7 @@
 //! The messages between nodes about budgets. They are encoded by position (postcard): the order of fields and
 //! variants is part of the wire format, their names are not.
 
-use doortrack_fleet::{Incarnation, Name};
+use doortrack_membership::{Incarnation, Name};
 use serde::{Deserialize, Serialize};
 
 use crate::{Id, Units};
--- a/budgets/src/leadership.rs
+++ b/crates/budgets/src/leadership.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use doortrack::Tenths;
-use doortrack_fleet::Name;
+use doortrack_admission::Tenths;
+use doortrack_membership::Name;
 
 use crate::ledger::Ledger;
 use crate::voter::Voter;
--- a/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::{Budget, Grant, HolderDemand, Id, NodeId, Parameters, ReportItem, Units, divide};
 
--- a/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -47,8 +47,8 @@
 mod reporting;
 mod voter;
 
-use doortrack::Tenths;
-use doortrack_fleet::View;
+use doortrack_admission::Tenths;
+use doortrack_membership::View;
 
 pub use budgets::Budgets;
 pub use divide::{HolderDemand, divide};
--- a/budgets/src/need.rs
+++ b/crates/budgets/src/need.rs
@@ -1,6 +1,6 @@
 //! Estimates how much of a budget a node could use, smoothed so that allocations do not oscillate.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::{Budget, Kind, Units};
 
--- a/budgets/src/parameters.rs
+++ b/crates/budgets/src/parameters.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use doortrack::Tenths;
-use doortrack_fleet::Name;
+use doortrack_admission::Tenths;
+use doortrack_membership::Name;
 
 const MS: Tenths = 10;
 
--- a/budgets/src/reporting.rs
+++ b/crates/budgets/src/reporting.rs
@@ -1,6 +1,6 @@
 //! The state of the budgets, for operators and tests.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::leadership::Leadership;
 use crate::{Budget, Budgets, Kind, NodeId, Parameters, Units};
--- a/budgets/src/voter.rs
+++ b/crates/budgets/src/voter.rs
@@ -1,6 +1,6 @@
 //! A voter: it gives one vote at a time, to one candidate, for a bounded time.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::{NodeId, Parameters};
 
--- a/budgets/tests/holder.rs
+++ b/crates/budgets/tests/holder.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_budgets::{
     Action, Budget, Budgets, Envelope, Event, Grant, Kind, Message, NodeId, Parameters, Safeguards,
 };
-use doortrack_fleet::{Incarnation, Member, Name, View};
+use doortrack_membership::{Incarnation, Member, Name, View};
 
 const MS: Tenths = 10;
 
--- a/budgets/tests/model.rs
+++ b/crates/budgets/tests/model.rs
@@ -6,11 +6,11 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_budgets::{
     Action, Budget, Budgets, Envelope, Event, Kind, Message, NodeId, Parameters, Safeguards,
 };
-use doortrack_fleet::{Incarnation, Member, Name, View};
+use doortrack_membership::{Incarnation, Member, Name, View};
 use stateright::{Checker, Model, Property};
 
 /// Times in ticks: the smallest at which votes and leases still differ from a round.
--- a/installation/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_budgets::{Budget, Kind, MAX_BUDGETS, Parameters};
-use doortrack_fleet::Name;
+use doortrack_membership::Name;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
@@ -187,7 +187,7 @@
     fn faults(&self, at: &str, voters: &[String], faults: &mut Vec<Fault>) {
         let mut fault =
             |key: &str, what: String| faults.push(Fault::new(format!("{at}{key}"), what));
-        if !doortrack_fleet::is_name(&self.name) {
+        if !doortrack_membership::is_name(&self.name) {
             fault(
                 ".name",
                 "1 to 64 bytes without control characters are wanted".into(),
--- a/installation/src/file.rs
+++ b/crates/config/src/file.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use doortrack_wire::Protocol;
+use doortrack_protocols::Protocol;
 use schemars::{JsonSchema, schema_for};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/installation/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_budgets::Safeguards;
-use doortrack_fleet::{Parameters, is_name};
+use doortrack_membership::{Parameters, is_name};
 use schemars::JsonSchema;
 use serde::Deserialize;
 
--- a/installation/src/orders.rs
+++ b/crates/config/src/orders.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use doortrack::Tenths;
-use doortrack_contract::{Handed, Part};
+use doortrack_admission::Tenths;
+use doortrack_settings::{Handed, Part};
 use serde_json::Value;
 use sha2::{Digest as _, Sha256};
 
@@ -125,7 +125,7 @@
 }
 
 /// A fault as the contract's reader words it: a path, and after it what is wrong.
-fn worded(fault: doortrack_contract::Fault) -> Faults {
+fn worded(fault: doortrack_settings::Fault) -> Faults {
     match fault.split_once(": ") {
         Some((path, what)) => Faults::one(path, what),
         None => Faults::one("config", fault),
@@ -149,7 +149,7 @@
     let mut faults = Vec::new();
     let word = |key: &str| Ok(top.word(key).map_err(worded)?.0.to_string());
     let handed = |settings: Part| {
-        doortrack_contract::read(&settings)
+        doortrack_settings::read(&settings)
             .and_then(can_serve)
             .map_err(worded)
     };
@@ -225,7 +225,7 @@
 }
 
 /// What a deployment may ask for and this node can't do yet.
-fn can_serve(handed: Handed) -> Result<Handed, doortrack_contract::Fault> {
+fn can_serve(handed: Handed) -> Result<Handed, doortrack_settings::Fault> {
     let needs = [
         (handed.calls_below, "below: calls to what lies below"),
         (
@@ -258,13 +258,13 @@
     }
 }
 
-fn address(top: &Part, key: &str) -> Result<SocketAddr, doortrack_contract::Fault> {
+fn address(top: &Part, key: &str) -> Result<SocketAddr, doortrack_settings::Fault> {
     let (word, part) = top.word(key)?;
     word.parse().or_else(|_| part.wrong("an address and port"))
 }
 
 /// Sixteen hex digits; without any, chance starts the same at each start.
-fn seed(top: &Part) -> Result<u64, doortrack_contract::Fault> {
+fn seed(top: &Part) -> Result<u64, doortrack_settings::Fault> {
     if top.find("seed").is_none() {
         return Ok(0);
     }
--- a/installation/src/reload/plan.rs
+++ b/crates/config/src/reload/plan.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_budgets::Budget;
-use doortrack_contract::Handed;
+use doortrack_settings::Handed;
 
 use super::KeyMeanings;
 use crate::file::Spoken;
--- a/installation/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -1,9 +1,9 @@
 //! The part on rules: how exchanges of the installation's fronts are classed.
 
-use doortrack::Effect;
-use doortrack_contract::Handed;
+use doortrack_admission::Effect;
 use doortrack_expr::Limits;
 use doortrack_routes::{Built, Names, Note, Rule, Table};
+use doortrack_settings::Handed;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
--- a/installation/src/servers.rs
+++ b/crates/config/src/servers.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use doortrack::Tenths;
-use doortrack_servers::{Aside, Ramp, Retries, Terms};
+use doortrack_admission::Tenths;
+use doortrack_upstream::{Aside, Ramp, Retries, Terms};
 use schemars::JsonSchema;
 use serde::Deserialize;
 
--- a/installation/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -2,17 +2,17 @@
 
 use std::sync::Arc;
 
-use doortrack_installation::orders;
-use doortrack_installation::reload::{
+use doortrack_config::orders;
+use doortrack_config::reload::{
     Builds, FrontChanges, KeyMeanings, NeedsStart, Plan, Platform, PlatformRead, Started, plan,
 };
-use doortrack_installation::{Faults, Front, Installation, Orders, file};
+use doortrack_config::{Faults, Front, Installation, Orders, file};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
 
 fn orders(change: impl Fn(&mut Value)) -> Orders {
-    let mut value = doortrack_standins::bed::config();
+    let mut value = doortrack_fakes::bed::config();
     value["settings"]["parties"] = json!([{"name": "north", "allowance_per_s": 1}]);
     change(&mut value);
     orders::parse(value.to_string().as_bytes()).unwrap()
--- a/example/src/ask.rs
+++ b/crates/demo/src/ask.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_wire::Protocol;
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_protocols::Protocol;
 
 /// What a person at a keyboard says of an exchange.
 pub struct Wish<'a> {
--- a/example/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use doortrack_standins::server::{Act, Server};
-use doortrack_wire::Protocol;
+use doortrack_fakes::server::{Act, Server};
+use doortrack_protocols::Protocol;
 
 use crate::ask::Wish;
 
 const ENGINE: &str = "127.0.0.1:4400";
 const REGISTRY: &str = "127.0.0.1:2379";
 
-/// Plays what a node talks to, so that one can be tried by hand with the files of `example/`.
+/// Plays what a node talks to, so that one can be tried by hand with the files of `examples/`.
 #[derive(Parser)]
 #[command(version)]
 struct Words {
@@ -26,7 +26,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays the engine and the registry of example/node.json, and tells what it sees
+    /// Plays the engine and the registry of examples/node.json, and tells what it sees
     Serve,
     /// Plays an application server that takes a second for each run
     Work {
@@ -96,7 +96,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("doortrack-toy: {e}");
+            eprintln!("doortrack-demo: {e}");
             ExitCode::FAILURE
         }
     }
--- a/expr/tests/expr/documented.rs
+++ b/crates/expr/tests/expr/documented.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn the_examples_of_the_reference_come_to_what_they_say() {
-    let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/expressions.md");
+    let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/expressions.md");
     let page = std::fs::read_to_string(page).unwrap();
     let (asked, mut scratch, mut run) = (asked(), Scratch::default(), 0);
     for block in page.split("```expr\n").skip(1) {
--- a/standins/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -4,7 +4,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-use doortrack_wire::{AnswerReader, Answered, Protocol, write_request};
+use doortrack_protocols::{AnswerReader, Answered, Protocol, write_request};
 
 use crate::bed::connect;
 use crate::{LONG, try_id, unix_ms};
--- a/standins/src/instant.rs
+++ b/crates/fakes/src/instant.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 
-use doortrack_wire::{Head, Piece, Protocol, RequestReader, write_answer};
+use doortrack_protocols::{Head, Piece, Protocol, RequestReader, write_answer};
 
 const RUN: &[u8] = b"{\"msg\":\"RUN\",\"call\":\"";
 const STAT: &[u8] = b"{\"msg\":\"STAT\",\"cookie\":\"";
--- a/standins/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-use doortrack_wire::{Head, Piece, Protocol, RequestReader, write_answer};
+use doortrack_protocols::{Head, Piece, Protocol, RequestReader, write_answer};
 use socket2::SockRef;
 
 use crate::unix_ms;
--- a/rig/src/divided.rs
+++ b/crates/fault-harness/src/divided.rs
@@ -10,8 +10,8 @@
 use doortrack_budgets::{
     Action, Budget, Budgets, Change, Envelope, Event, Kind, NodeId, Parameters,
 };
-use doortrack_emulator::{Clock, Law, Links, MachineId, Micros, Net, Next};
-use doortrack_fleet::{Incarnation, Member, Name, View};
+use doortrack_membership::{Incarnation, Member, Name, View};
+use doortrack_simulation::{Clock, Law, Links, MachineId, Micros, Net, Next};
 
 use self::message_size::encoded_size;
 use crate::history::name;
--- a/rig/src/links.rs
+++ b/crates/fault-harness/src/links.rs
@@ -1,6 +1,6 @@
 //! Injects the faults of a script into a simulated network, whatever runs in it.
 
-use doortrack_emulator::{Law, Net};
+use doortrack_simulation::{Law, Net};
 
 use crate::script::{Fault, Script, Timed};
 
--- a/rig/src/load.rs
+++ b/crates/fault-harness/src/load.rs
@@ -8,11 +8,11 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::rules::Ran;
-use doortrack_standins::server::{Act, Server};
-use doortrack_standins::unix_ms;
-use doortrack_wire::Protocol;
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::rules::Ran;
+use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::unix_ms;
+use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
 use crate::usage::Admitted;
@@ -125,7 +125,7 @@
             .collect();
         let by_try_id: BTreeMap<String, &RequestRecord> = requests
             .iter()
-            .map(|request| (doortrack_standins::try_id(request.id), request))
+            .map(|request| (doortrack_fakes::try_id(request.id), request))
             .collect();
         let run_ms = self.profile.run_time.as_millis() as u64;
         let (mut unkeyed, mut keyed, mut runs) = (Vec::new(), Vec::new(), Vec::new());
--- a/rig/src/main.rs
+++ b/crates/fault-harness/src/main.rs
@@ -1,16 +1,16 @@
-//! `doortrack-rig`: plays scripts of faults on fleets, and judges what came of them.
+//! `doortrack-harness`: plays scripts of faults on fleets, and judges what came of them.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use doortrack_rig::checks::{Violation, judge, membership};
-use doortrack_rig::scale::command::{self, HollowArgs, ScaleArgs};
-use doortrack_rig::scale::node_cost;
-use doortrack_rig::scale::simulated::command::{Options, scale_simulated};
-use doortrack_rig::shrink::shrink;
-use doortrack_rig::simulated;
-use doortrack_rig::{History, Script, processes, script};
+use doortrack_fault_harness::checks::{Violation, judge, membership};
+use doortrack_fault_harness::scale::command::{self, HollowArgs, ScaleArgs};
+use doortrack_fault_harness::scale::node_cost;
+use doortrack_fault_harness::scale::simulated::command::{Options, scale_simulated};
+use doortrack_fault_harness::shrink::shrink;
+use doortrack_fault_harness::simulated;
+use doortrack_fault_harness::{History, Script, processes, script};
 
 /// Plays fleets of doortrack nodes while parts of the system fail, and judges the joint history.
 #[derive(Parser)]
@@ -124,7 +124,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
-            eprintln!("doortrack-rig: {why}");
+            eprintln!("doortrack-harness: {why}");
             ExitCode::FAILURE
         }
     }
--- a/rig/src/processes.rs
+++ b/crates/fault-harness/src/processes.rs
@@ -14,8 +14,8 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-use doortrack_standins::bed::{config, fresh_address};
-use doortrack_standins::unix_ms;
+use doortrack_fakes::bed::{config, fresh_address};
+use doortrack_fakes::unix_ms;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
@@ -113,7 +113,7 @@
             .first()
             .map_or(String::new(), |node| node.at.ip().to_string());
         let folder =
-            std::env::temp_dir().join(format!("doortrack-rig-{}-{first}", std::process::id()));
+            std::env::temp_dir().join(format!("doortrack-harness-{}-{first}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         std::fs::write(
             folder.join("fleet.key"),
--- a/rig/src/processes/faults.rs
+++ b/crates/fault-harness/src/processes/faults.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use doortrack_standins::unix_ms;
+use doortrack_fakes::unix_ms;
 use rustix::process::Signal;
 
 use super::{LAST_MOMENTS, More, Rig, STOP_MS};
--- a/rig/src/scale/added.rs
+++ b/crates/fault-harness/src/scale/added.rs
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::instant;
-use doortrack_wire::Protocol;
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::instant;
+use doortrack_protocols::Protocol;
 use indicatif::ProgressBar;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
--- a/rig/src/scale/command.rs
+++ b/crates/fault-harness/src/scale/command.rs
@@ -1,4 +1,4 @@
-//! `doortrack-rig scale` and `doortrack-rig hollow`.
+//! `doortrack-harness scale` and `doortrack-harness hollow`.
 
 use std::path::PathBuf;
 use std::time::Duration;
--- a/rig/src/scale/faults.rs
+++ b/crates/fault-harness/src/scale/faults.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use doortrack_standins::unix_ms;
+use doortrack_fakes::unix_ms;
 use indicatif::ProgressBar;
 
 use super::child::ScaleError;
--- a/rig/src/scale/hollow.rs
+++ b/crates/fault-harness/src/scale/hollow.rs
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doortrack::Tenths;
-use doortrack_fleet::Change;
+use doortrack_admission::Tenths;
+use doortrack_fakes::unix_ms;
+use doortrack_membership::Change;
 use doortrack_node::parts::{Asked, Part, Use};
 use doortrack_node::peers::{Peers, Registration, Tap};
-use doortrack_standins::unix_ms;
 use polling::{Event, Events, PollMode, Poller};
 use slog::{Discard, Logger, o};
 
--- a/rig/src/scale/node_cost.rs
+++ b/crates/fault-harness/src/scale/node_cost.rs
@@ -16,7 +16,7 @@
 
 use clap::Args;
 use doortrack_budgets::MAX_BUDGETS;
-use doortrack_installation::file::MOST_POOLS;
+use doortrack_config::file::MOST_POOLS;
 use indicatif::{ProgressBar, ProgressStyle};
 
 use self::measure::{Bench, Spans, measure};
--- a/rig/src/scale/node_cost/caller.rs
+++ b/crates/fault-harness/src/scale/node_cost/caller.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use doortrack_standins::unix_ms;
-use doortrack_wire::{AnswerReader, Answered, Protocol, write_request};
+use doortrack_fakes::unix_ms;
+use doortrack_protocols::{AnswerReader, Answered, Protocol, write_request};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
--- a/rig/src/scale/node_cost/log_volume.rs
+++ b/crates/fault-harness/src/scale/node_cost/log_volume.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-use doortrack_installation::file::MOST_POOLS;
+use doortrack_config::file::MOST_POOLS;
 use serde::Serialize;
 use serde_json::json;
 
--- a/rig/src/scale/node_cost/measure.rs
+++ b/crates/fault-harness/src/scale/node_cost/measure.rs
@@ -4,9 +4,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use doortrack_standins::bed::open_registry;
-use doortrack_standins::instant;
-use doortrack_wire::Protocol;
+use doortrack_fakes::bed::open_registry;
+use doortrack_fakes::instant;
+use doortrack_protocols::Protocol;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use serde_json::Value;
--- a/rig/src/scale/node_cost/settings.rs
+++ b/crates/fault-harness/src/scale/node_cost/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-use doortrack_standins::bed;
+use doortrack_fakes::bed;
 use serde_json::{Value, json};
 
 use crate::scale::series::Dimension;
--- a/rig/src/scale/plan.rs
+++ b/crates/fault-harness/src/scale/plan.rs
@@ -5,8 +5,8 @@
 
 use std::net::SocketAddr;
 
-use doortrack_installation::{Installation, Orders, file, orders};
-use doortrack_standins::bed;
+use doortrack_config::{Installation, Orders, file, orders};
+use doortrack_fakes::bed;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
@@ -145,7 +145,7 @@
     /// # Errors
     /// All faults of either file, each on a line.
     pub fn parsed(&self, node: usize) -> Result<(Installation, Orders), String> {
-        let faults = |faults: doortrack_installation::Faults| {
+        let faults = |faults: doortrack_config::Faults| {
             faults
                 .0
                 .iter()
--- a/rig/src/scale/probe.rs
+++ b/crates/fault-harness/src/scale/probe.rs
@@ -6,9 +6,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::unix_ms;
-use doortrack_wire::Protocol;
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::unix_ms;
+use doortrack_protocols::Protocol;
 use serde::{Deserialize, Serialize};
 
 use super::plan::{CALLERS_TENANT, TENANT_FIELD};
--- a/rig/src/scale/simulated.rs
+++ b/crates/fault-harness/src/scale/simulated.rs
@@ -1,6 +1,6 @@
 //! Membership and budgets of a whole fleet together, in simulated time and at full size.
 //!
-//! Every machine runs the two packages that the node runs (`doortrack-fleet`, `doortrack-budgets`), joined as
+//! Every machine runs the two packages that the node runs (`doortrack-membership`, `doortrack-budgets`), joined as
 //! the node joins them: budgets learn of each change of the view, envelopes go only to members of the view,
 //! and only those of members are read. [`topology`] lays the machines out over zones and regions,
 //! [`scenario`] says what fails and when, [`world`] plays it, and [`verdict`] judges what came of it:
--- a/rig/src/scale/simulated/agreement.rs
+++ b/crates/fault-harness/src/scale/simulated/agreement.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use doortrack_emulator::Micros;
+use doortrack_simulation::Micros;
 
 use super::topology::{REGIONS, Topology};
 
--- a/rig/src/scale/simulated/command.rs
+++ b/crates/fault-harness/src/scale/simulated/command.rs
@@ -1,4 +1,4 @@
-//! `doortrack-rig scale-simulated`: plays fleets of this size, and prints what came of them.
+//! `doortrack-harness scale-simulated`: plays fleets of this size, and prints what came of them.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/rig/src/scale/simulated/machine.rs
+++ b/crates/fault-harness/src/scale/simulated/machine.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_budgets::{Budget, Budgets, Envelope, NodeId};
-use doortrack_emulator::MachineId;
-use doortrack_fleet::{Datagram, Fleet, Incarnation, MemberState, MemberUpdate, Parameters};
+use doortrack_membership::{Datagram, Fleet, Incarnation, MemberState, MemberUpdate, Parameters};
+use doortrack_simulation::MachineId;
 use postcard::experimental::serialized_size;
 
 use crate::history::name;
--- a/rig/src/scale/simulated/scenario.rs
+++ b/crates/fault-harness/src/scale/simulated/scenario.rs
@@ -1,7 +1,7 @@
 //! What fails in a fleet of this size, and when.
 
 use doortrack_budgets::{Budget, Safeguards};
-use doortrack_fleet::Parameters;
+use doortrack_membership::Parameters;
 
 use super::machine::address;
 use super::topology::{Topology, ZONES};
--- a/rig/src/scale/simulated/topology.rs
+++ b/crates/fault-harness/src/scale/simulated/topology.rs
@@ -1,8 +1,8 @@
 //! Where the machines of a fleet stand: racks, zones and regions, and the latency between them.
 
 use doortrack_budgets::{Budget, Kind};
-use doortrack_emulator::{Law, Links};
-use doortrack_fleet::Name;
+use doortrack_membership::Name;
+use doortrack_simulation::{Law, Links};
 
 use crate::history::name;
 
--- a/rig/src/scale/simulated/traffic.rs
+++ b/crates/fault-harness/src/scale/simulated/traffic.rs
@@ -1,6 +1,6 @@
 //! What every machine sends and receives, second by second, and the peaks of it.
 
-use doortrack_emulator::Micros;
+use doortrack_simulation::Micros;
 use serde::{Deserialize, Serialize};
 
 use crate::scale::series::Role;
--- a/rig/src/scale/simulated/usage.rs
+++ b/crates/fault-harness/src/scale/simulated/usage.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 
 use doortrack_budgets::{Budget, Kind};
-use doortrack_emulator::Micros;
+use doortrack_simulation::Micros;
 
 use super::topology::REGIONS;
 
--- a/rig/src/scale/simulated/verdict.rs
+++ b/crates/fault-harness/src/scale/simulated/verdict.rs
@@ -1,6 +1,6 @@
 //! What came of a play: figures, and every promise that was broken.
 
-use doortrack_emulator::Micros;
+use doortrack_simulation::Micros;
 use serde::{Deserialize, Serialize};
 
 use super::scenario::{CALM_S, Expected, Parting, Scenario};
--- a/rig/src/scale/simulated/world.rs
+++ b/crates/fault-harness/src/scale/simulated/world.rs
@@ -1,9 +1,9 @@
 //! The play itself: machines, their clocks and links, and what is done to them.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_budgets::{Event as BudgetEvent, Parameters as LeaseParameters};
-use doortrack_emulator::{Clock, MachineId, Micros, Net, Next};
-use doortrack_fleet::{Event, Parameters};
+use doortrack_membership::{Event, Parameters};
+use doortrack_simulation::{Clock, MachineId, Micros, Net, Next};
 
 use super::agreement::{Agreement, Held};
 use super::machine::{Content, Machine, Parcel, Start};
@@ -74,14 +74,14 @@
     /// Killed as leader or voter, not started anew yet.
     killed: Vec<MachineId>,
     played: Played,
-    fleet_actions: Vec<doortrack_fleet::Action>,
+    fleet_actions: Vec<doortrack_membership::Action>,
     budget_actions: Vec<doortrack_budgets::Action>,
 }
 
 /// Plays a scenario.
 pub fn play(scenario: &Scenario, seed: u64) -> Played {
     let topology = scenario.topology;
-    let links = doortrack_emulator::Links {
+    let links = doortrack_simulation::Links {
         loss: scenario.loss,
         ..topology.links()
     };
--- a/rig/src/scale/simulated/world/carrying.rs
+++ b/crates/fault-harness/src/scale/simulated/world/carrying.rs
@@ -1,8 +1,8 @@
 //! Carries out what a machine's decisions ask for, as the node's link does.
 
 use doortrack_budgets::{Action as BudgetAction, Event as BudgetEvent};
-use doortrack_emulator::MachineId;
-use doortrack_fleet::{Action, Change, Event};
+use doortrack_membership::{Action, Change, Event};
+use doortrack_simulation::MachineId;
 
 use super::{QUIET, World};
 use crate::history::What;
--- a/rig/src/scale/simulated/world/demand.rs
+++ b/crates/fault-harness/src/scale/simulated/world/demand.rs
@@ -1,7 +1,7 @@
 //! Those who ask the nodes, the ends of places, and the looks of the checkers.
 
 use doortrack_budgets::Kind;
-use doortrack_emulator::MachineId;
+use doortrack_simulation::MachineId;
 
 use super::{
     EXPOSED_EVERY, EXPOSED_SELDOM, LEADER_EVERY, MANY_BUDGETS, MS, TICK, TICK_MARK, World,
--- a/rig/src/scale/watchdog.rs
+++ b/crates/fault-harness/src/scale/watchdog.rs
@@ -20,7 +20,7 @@
         thread::spawn(move || {
             if gone.recv_timeout(most) == Err(RecvTimeoutError::Timeout) {
                 eprintln!(
-                    "doortrack-rig scale: not over after {} s, ended",
+                    "doortrack-harness scale: not over after {} s, ended",
                     most.as_secs()
                 );
                 exit(OVER_TIME);
--- a/rig/src/simulated.rs
+++ b/crates/fault-harness/src/simulated.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use doortrack_emulator::{Clock, Law, Links, MachineId, Micros, Net, Next};
-use doortrack_fleet::{
+use doortrack_membership::{
     Action, Change, Datagram, Event, Fleet, Incarnation, MemberState, MemberUpdate, Parameters,
     ReportedState,
 };
 use doortrack_node::peers::seal::Seal;
 use doortrack_node::peers::spoken::Spoken;
+use doortrack_simulation::{Clock, Law, Links, MachineId, Micros, Net, Next};
 
 use crate::history::{History, Member, What, name};
 use crate::links::{self, MS};
@@ -325,7 +325,7 @@
                 .ok()
                 .and_then(|v| v.as_str().map(str::to_string))
         };
-        let member = |report: doortrack_fleet::MemberReport| Member {
+        let member = |report: doortrack_membership::MemberReport| Member {
             name: report.name.to_string(),
             incarnation: report.incarnation.to_string(),
             state: state(report.state).unwrap_or_default(),
--- a/rig/src/streams.rs
+++ b/crates/fault-harness/src/streams.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use doortrack_standins::unix_ms;
+use doortrack_fakes::unix_ms;
 
 use crate::script::NetworkConditions;
 
--- a/rig/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -7,11 +7,11 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::rules::{Bounds, Ran, Tried, broken};
-use doortrack_standins::server::{Act, Server};
-use doortrack_standins::unix_ms;
-use doortrack_wire::Protocol;
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::rules::{Bounds, Ran, Tried, broken};
+use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::unix_ms;
+use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
 use crate::serving::Offer;
--- a/rig/tests/checkers.rs
+++ b/crates/fault-harness/tests/checkers.rs
@@ -1,10 +1,10 @@
 //! A checker that cannot fail is none: each is shown a good history, and the same one tampered with.
 
-use doortrack_rig::checks::{judge, membership};
-use doortrack_rig::history::{History, Member, What, name};
-use doortrack_rig::script::{Fault, Script, Timed};
-use doortrack_rig::shrink::shrink;
-use doortrack_rig::usage::{Admitted, concurrency_exceeded, rate_exceeded, used};
+use doortrack_fault_harness::checks::{judge, membership};
+use doortrack_fault_harness::history::{History, Member, What, name};
+use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_fault_harness::shrink::shrink;
+use doortrack_fault_harness::usage::{Admitted, concurrency_exceeded, rate_exceeded, used};
 
 fn reported(node: usize, change: &str, member: usize, incarnation: u64) -> What {
     let (member, incarnation) = (Some(name(member)), Some(format!("{incarnation:x}")));
--- a/rig/tests/scale.rs
+++ b/crates/fault-harness/tests/scale.rs
@@ -4,23 +4,23 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use doortrack_rig::scale::added::quantile;
-use doortrack_rig::scale::command::ScaleReport;
-use doortrack_rig::scale::fit::{FitError, FittedSeries, fit};
-use doortrack_rig::scale::fleet::{Ports, Programs, RunningFleet};
-use doortrack_rig::scale::losses::{EXCUSED_MS, Outage, wrongly_lost};
-use doortrack_rig::scale::measure::{HEADER_BYTES, LinkRates};
-use doortrack_rig::scale::plan::FleetPlan;
-use doortrack_rig::scale::protocol::{HollowCommand, Loss};
-use doortrack_rig::scale::series::{Dimension, Point, Quantity, Role, Series};
-use doortrack_rig::scale::serving::{LinkCounts, link_counts};
-use doortrack_rig::scale::settle::is_calm;
-use doortrack_rig::scale::table::{number, text};
+use doortrack_fault_harness::scale::added::quantile;
+use doortrack_fault_harness::scale::command::ScaleReport;
+use doortrack_fault_harness::scale::fit::{FitError, FittedSeries, fit};
+use doortrack_fault_harness::scale::fleet::{Ports, Programs, RunningFleet};
+use doortrack_fault_harness::scale::losses::{EXCUSED_MS, Outage, wrongly_lost};
+use doortrack_fault_harness::scale::measure::{HEADER_BYTES, LinkRates};
+use doortrack_fault_harness::scale::plan::FleetPlan;
+use doortrack_fault_harness::scale::protocol::{HollowCommand, Loss};
+use doortrack_fault_harness::scale::series::{Dimension, Point, Quantity, Role, Series};
+use doortrack_fault_harness::scale::serving::{LinkCounts, link_counts};
+use doortrack_fault_harness::scale::settle::is_calm;
+use doortrack_fault_harness::scale::table::{number, text};
 use serde_json::Value;
 
 /// Generous: other work runs beside the tests.
 const LONG: Duration = Duration::from_secs(60);
-const RIG: &str = env!("CARGO_BIN_EXE_doortrack-rig");
+const RIG: &str = env!("CARGO_BIN_EXE_doortrack-harness");
 
 fn points(of: &[(f64, f64)]) -> Vec<Point> {
     of.iter()
--- a/rig/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -4,16 +4,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use doortrack_config::{Installation, Orders, file, orders};
 use doortrack_expr::{Scratch, Written};
-use doortrack_installation::{Installation, Orders, file, orders};
-use doortrack_rig::scale::fit::fit;
-use doortrack_rig::scale::node_cost::caller::{Outcome, Outcomes, paced};
-use doortrack_rig::scale::node_cost::process::Log;
-use doortrack_rig::scale::node_cost::settings::{
+use doortrack_fault_harness::scale::fit::fit;
+use doortrack_fault_harness::scale::node_cost::caller::{Outcome, Outcomes, paced};
+use doortrack_fault_harness::scale::node_cost::process::Log;
+use doortrack_fault_harness::scale::node_cost::settings::{
     Addresses, KEYED_PATH, Size, configuration, installation, installation_changed, probe_path,
     request_path, tenant, unchanged_path,
 };
-use doortrack_rig::scale::series::{Dimension, Point};
+use doortrack_fault_harness::scale::series::{Dimension, Point};
 use doortrack_routes::{Classed, Table};
 
 fn addresses() -> Addresses {
--- a/rig/tests/scale_simulated.rs
+++ b/crates/fault-harness/tests/scale_simulated.rs
@@ -2,15 +2,15 @@
 //! of the full size. Each checker is shown to fail with a safeguard taken out.
 
 use doortrack_budgets::Safeguards;
-use doortrack_fleet::Parameters;
-use doortrack_rig::scale::simulated::agreement::{Agreement, Held};
-use doortrack_rig::scale::simulated::scenario::Scenario;
-use doortrack_rig::scale::simulated::slopes;
-use doortrack_rig::scale::simulated::topology::{Topology, VOTER_ZONES, ZONES};
-use doortrack_rig::scale::simulated::traffic::{Load, Peaks};
-use doortrack_rig::scale::simulated::verdict::{
+use doortrack_fault_harness::scale::simulated::agreement::{Agreement, Held};
+use doortrack_fault_harness::scale::simulated::scenario::Scenario;
+use doortrack_fault_harness::scale::simulated::slopes;
+use doortrack_fault_harness::scale::simulated::topology::{Topology, VOTER_ZONES, ZONES};
+use doortrack_fault_harness::scale::simulated::traffic::{Load, Peaks};
+use doortrack_fault_harness::scale::simulated::verdict::{
     Apart, Measured, Outcome, late, run, side_breaches, stampede,
 };
+use doortrack_membership::Parameters;
 
 const SMALL: Topology = Topology { nodes: 70 };
 const FULL: Topology = Topology { nodes: 770 };
--- a/rig/tests/serving.rs
+++ b/crates/fault-harness/tests/serving.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use doortrack_rig::serving::{Life, Offer, Patience, ServesNobody, serves_nobody};
+use doortrack_fault_harness::serving::{Life, Offer, Patience, ServesNobody, serves_nobody};
 
 const PATIENCE: Patience = Patience {
     window_ms: 3_000,
--- a/rig/tests/simulated.rs
+++ b/crates/fault-harness/tests/simulated.rs
@@ -1,11 +1,11 @@
 //! Fleets in simulated time, on the decisions that the node runs, judged by the checkers that judge real
 //! processes.
 
-use doortrack_fleet::Parameters;
-use doortrack_rig::checks::{judge, membership};
-use doortrack_rig::history::{History, What};
-use doortrack_rig::script::{Fault, Script, Timed};
-use doortrack_rig::simulated::{Options, run};
+use doortrack_fault_harness::checks::{judge, membership};
+use doortrack_fault_harness::history::{History, What};
+use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_fault_harness::simulated::{Options, run};
+use doortrack_membership::Parameters;
 
 fn script(nodes: usize, ms: u64, faults: Vec<(u64, Fault)>) -> Script {
     let faults = faults
--- a/rig/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -1,5 +1,5 @@
 //! What each thing that a node keeps takes of its memory, counted by the allocator, against the bound that
-//! the node's own sizes rest on. `cargo test -p doortrack-rig --test state_bytes -- --nocapture` prints all.
+//! the node's own sizes rest on. `cargo test -p doortrack-fault-harness --test state_bytes -- --nocapture` prints all.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
@@ -11,7 +11,8 @@
     ReportItem,
 };
 use doortrack_expr::Limits;
-use doortrack_fleet::{
+use doortrack_fault_harness::scale::node_cost::settings::{Addresses, Size, installation};
+use doortrack_membership::{
     Datagram, Event as FleetEvent, Fleet, Head, Incarnation, MAX_UPDATES, MemberState,
     MemberUpdate, Parameters,
 };
@@ -19,7 +20,6 @@
 use doortrack_node::memory::results::Results;
 use doortrack_node::wire::conn::{Conn, Open};
 use doortrack_node::wire::request::Made;
-use doortrack_rig::scale::node_cost::settings::{Addresses, Size, installation};
 use doortrack_routes::{Names, Rule, Table};
 
 /// Counts the bytes that a thread has taken and not given back.
@@ -233,7 +233,7 @@
         let updates = part.iter().map(|nth| update(*nth)).collect();
         let datagram = Datagram {
             head,
-            message: doortrack_fleet::Message::Updates,
+            message: doortrack_membership::Message::Updates,
             updates,
         };
         let from = update(1).address;
--- a/fleet/src/applying.rs
+++ b/crates/membership/src/applying.rs
@@ -1,6 +1,6 @@
 //! Applies updates: to the table, to the view, and to what is passed on.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::fleet::{Fleet, Timer};
 use crate::suspicion::Suspicion;
--- a/fleet/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::gossip::Gossip;
 use crate::probes::Probes;
--- a/fleet/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -1,6 +1,6 @@
 //! Joining, returning and leaving, and names that are used twice.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::fleet::{Fleet, RETRANSMISSIONS, Stage, Timer};
 use crate::receiving::MAX_UPDATES_READ;
--- a/fleet/src/parameters.rs
+++ b/crates/membership/src/parameters.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 const MS: Tenths = 10;
 
--- a/fleet/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::table::MemberIndex;
 use crate::{Incarnation, Name};
--- a/fleet/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::fleet::{Fetch, Fleet, RETRANSMISSIONS, Stage};
 use crate::probes::{Answered, IndirectProbe, Probe};
--- a/fleet/src/report.rs
+++ b/crates/membership/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::{Fleet, Stage};
--- a/fleet/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -2,7 +2,7 @@
 //!
 //! As in Lifeguard's extension of SWIM, the timeout shrinks with each independent confirmation.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::Parameters;
 
--- a/fleet/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::suspicion::Suspicion;
 use crate::{MemberState, MemberUpdate, Name};
--- a/fleet/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,6 +1,6 @@
 //! Handles timers: probes, suspicions that end, rounds of updates.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::fleet::{Fleet, Stage, Timer};
 use crate::probes::Probe;
--- a/fleet/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use doortrack_fleet::{
+use doortrack_membership::{
     Action, Change, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message,
     Parameters, ReportedState,
 };
--- a/fleet/tests/random.rs
+++ b/crates/membership/tests/random.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use doortrack_fleet::{
+use doortrack_membership::{
     Action, Datagram, Event, Fleet, Head, Incarnation, MAX_UPDATES, Member, MemberState,
     MemberUpdate, Message, Name, Parameters, UPDATE_BYTES,
 };
--- a/node/src/commands/check.rs
+++ b/crates/node/src/commands/check.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use doortrack_installation::{Faults, file, orders};
+use doortrack_config::{Faults, file, orders};
 
 /// What a good file says in one line, or every fault of both.
 pub fn check(installation: &Path, config: Option<&Path>) -> Result<String, Faults> {
--- a/node/src/commands/fleet.rs
+++ b/crates/node/src/commands/fleet.rs
@@ -7,8 +7,8 @@
 
 use clap::{Args, Subcommand};
 use doortrack_budgets::Units;
-use doortrack_fleet::{MemberReport, Name};
-use doortrack_installation::fleet::read_key;
+use doortrack_config::fleet::read_key;
+use doortrack_membership::{MemberReport, Name};
 use serde_json::{Value, json};
 
 use crate::peers::seal::{LONGEST, Seal};
--- a/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -4,9 +4,9 @@
 use std::path::{Path, PathBuf};
 
 use clap::{Args, Subcommand};
+use doortrack_config::rules::RuleFile;
+use doortrack_config::{Faults, Installation, file, gather, orders};
 use doortrack_expr::{Kind, Limits, Scratch, Span, Written, infer, parse};
-use doortrack_installation::rules::RuleFile;
-use doortrack_installation::{Faults, Installation, file, gather, orders};
 use doortrack_routes::{Classed, Refusal, Table};
 use serde::Deserialize;
 
--- a/node/src/commands/written.rs
+++ b/crates/node/src/commands/written.rs
@@ -4,8 +4,8 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::Path;
 
+use doortrack_config::{Faults, gather};
 use doortrack_expr::Written;
-use doortrack_installation::{Faults, gather};
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/node/src/life/clock.rs
+++ b/crates/node/src/life/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 const MICROS: u128 = 100;
 
--- a/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use doortrack_budgets::Safeguards;
-use doortrack_installation::{Faults, FleetTests, Installation, file, orders};
+use doortrack_config::{Faults, FleetTests, Installation, file, orders};
 use doortrack_node::commands::check::check;
 use doortrack_node::commands::expr::{self, ExprCommand};
 use doortrack_node::commands::fleet::{self, FleetCommand};
--- a/node/src/memory/exchanges.rs
+++ b/crates/node/src/memory/exchanges.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
-use doortrack::{ExId, Tenths};
-use doortrack_servers::Admission;
+use doortrack_admission::{ExId, Tenths};
+use doortrack_upstream::Admission;
 use rustc_hash::FxHashMap;
 
 use super::results::Key;
--- a/node/src/memory/results.rs
+++ b/crates/node/src/memory/results.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
 
-use doortrack::{ExId, Tenths};
+use doortrack_admission::{ExId, Tenths};
 use rustc_hash::FxHashMap;
 
 use crate::wire::request::{IdempotencyKey, Made};
--- a/node/src/parts.rs
+++ b/crates/node/src/parts.rs
@@ -6,9 +6,9 @@
 
 use std::ops::Range;
 
-use doortrack::Tenths;
-use doortrack_installation::reload::FleetChange;
-use doortrack_servers::Token;
+use doortrack_admission::Tenths;
+use doortrack_config::reload::FleetChange;
+use doortrack_upstream::Token;
 use slog::Logger;
 
 /// Keys of the poller that parts have, one each.
--- a/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -4,10 +4,10 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_budgets::{Action, Budget, Budgets, Change, Event, Kind, NodeId, Parameters, Units};
-use doortrack_installation::reload::FleetChange;
-use doortrack_installation::{BudgetIndices, FleetFile, Installation, Orders};
+use doortrack_config::reload::FleetChange;
+use doortrack_config::{BudgetIndices, FleetFile, Installation, Orders};
 use slog::{Logger, info, warn};
 
 use super::spoken::{BUDGET_PAGE, BudgetPage, BudgetStatus};
--- a/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -13,12 +13,14 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_budgets::NodeId;
-use doortrack_fleet::{Action, Change, Event, Fleet, Incarnation, MemberState, MemberUpdate, Name};
-use doortrack_installation::reload::FleetChange;
-use doortrack_installation::{FleetFile, Installation, Orders};
-use doortrack_servers::Token;
+use doortrack_config::reload::FleetChange;
+use doortrack_config::{FleetFile, Installation, Orders};
+use doortrack_membership::{
+    Action, Change, Event, Fleet, Incarnation, MemberState, MemberUpdate, Name,
+};
+use doortrack_upstream::Token;
 use slog::{Logger, info, warn};
 
 pub use self::socket::{Counts, Registration, Tap};
--- a/node/src/peers/link/logging.rs
+++ b/crates/node/src/peers/link/logging.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use doortrack::Tenths;
-use doortrack_fleet::Change;
+use doortrack_admission::Tenths;
+use doortrack_membership::Change;
 use slog::{info, warn};
 
 use super::Peers;
--- a/node/src/peers/link/socket.rs
+++ b/crates/node/src/peers/link/socket.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-use doortrack_fleet::Change;
+use doortrack_membership::Change;
 use polling::{Event, PollMode, Poller};
 
 use crate::life::addresses::once_free;
--- a/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The link to the other nodes of the fleet: one UDP socket. Membership is decided by `doortrack-fleet`, the
+//! The link to the other nodes of the fleet: one UDP socket. Membership is decided by `doortrack-membership`, the
 //! division of budgets by `doortrack-budgets`.
 
 pub mod budgets;
--- a/node/src/peers/spoken.rs
+++ b/crates/node/src/peers/spoken.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes, and status queries with their answers.
 
 use doortrack_budgets::{Envelope, Units};
-use doortrack_fleet::{Datagram, Incarnation, MemberReport, Name};
+use doortrack_membership::{Datagram, Incarnation, MemberReport, Name};
 use serde::{Deserialize, Serialize};
 
 /// The message of one datagram.
--- a/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use doortrack::logic::Door;
-use doortrack::{Action, Effect, Event, ExId, Gauges, Tenths};
-use doortrack_installation::reload::{KeyMeanings, Platform};
-use doortrack_installation::{Front, Installation, Orders};
+use doortrack_admission::logic::Door;
+use doortrack_admission::{Action, Effect, Event, ExId, Gauges, Tenths};
+use doortrack_config::reload::{KeyMeanings, Platform};
+use doortrack_config::{Front, Installation, Orders};
 use polling::{Events, Poller};
 use slog::{Logger, error, info};
 
--- a/node/src/serve/build.rs
+++ b/crates/node/src/serve/build.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doortrack_installation::orders::{self, Digest};
-use doortrack_installation::reload::{NeedsStart, Plan, PlatformRead, Started, plan};
-use doortrack_installation::{Faults, Installation, file};
+use doortrack_config::orders::{self, Digest};
+use doortrack_config::reload::{NeedsStart, Plan, PlatformRead, Started, plan};
+use doortrack_config::{Faults, Installation, file};
 use doortrack_routes::Table;
 
 use crate::wire::ruled::RuleTable;
--- a/node/src/serve/builds.rs
+++ b/crates/node/src/serve/builds.rs
@@ -7,8 +7,8 @@
 use std::sync::mpsc::{self, Receiver, Sender, TryRecvError};
 use std::thread;
 
-use doortrack_installation::Faults;
-use doortrack_installation::reload::Builds;
+use doortrack_config::Faults;
+use doortrack_config::reload::Builds;
 use polling::Poller;
 
 use super::build::{Builder, Built, Rejected, Running, Sources};
--- a/node/src/serve/events.rs
+++ b/crates/node/src/serve/events.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use doortrack::{Effect, Event, ExId, Exchange, Gauges, RunOutcome, StopKind, Tenths};
+use doortrack_admission::{Effect, Event, ExId, Exchange, Gauges, RunOutcome, StopKind, Tenths};
 use slog::warn;
 
 use super::{Node, READING, STALE};
--- a/node/src/serve/leave.rs
+++ b/crates/node/src/serve/leave.rs
@@ -1,6 +1,6 @@
 //! The end: from the notice to leave to the stop.
 
-use doortrack::{Event, Tenths};
+use doortrack_admission::{Event, Tenths};
 use slog::info;
 
 use super::{MS, Node};
--- a/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -1,13 +1,13 @@
 //! A configuration replaced while the node serves. What changes is decided beforehand, in
-//! `doortrack_installation::reload`, and built beside the loop; here it comes into force, as a whole,
+//! `doortrack_config::reload`, and built beside the loop; here it comes into force, as a whole,
 //! between two turns.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Instant;
 
-use doortrack_installation::reload::{FrontChanges, KeyMeanings, NeedsStart, PlatformRead};
-use doortrack_installation::{Fault, Faults, Front, Installation};
+use doortrack_config::reload::{FrontChanges, KeyMeanings, NeedsStart, PlatformRead};
+use doortrack_config::{Fault, Faults, Front, Installation};
 use slog::{debug, info, warn};
 
 use super::build::{Candidate, Running};
--- a/node/src/serve/report.rs
+++ b/crates/node/src/serve/report.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use slog::{Serde, info};
 
 use super::{MS, Node};
--- a/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -4,11 +4,11 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use doortrack::logic::Door;
-use doortrack::{Effect, EndpointGroup, Event, Gauges, LevelKind, Tenths};
-use doortrack_installation::reload::{KeyMeanings, Platform, Started};
-use doortrack_installation::{Installation, Orders, Servers as ServerSettings};
-use doortrack_wire::Protocol;
+use doortrack_admission::logic::Door;
+use doortrack_admission::{Effect, EndpointGroup, Event, Gauges, LevelKind, Tenths};
+use doortrack_config::reload::{KeyMeanings, Platform, Started};
+use doortrack_config::{Installation, Orders, Servers as ServerSettings};
+use doortrack_protocols::Protocol;
 use polling::Poller;
 use serde_json::Value;
 use slog::{Logger, info, o, warn};
--- a/node/src/wire/bounds.rs
+++ b/crates/node/src/wire/bounds.rs
@@ -1,7 +1,7 @@
 //! What keeps a bad client or peer off: the bounds of the wire's own protection, in this one place. None of
 //! them is a decision on work, and a sound dispatcher meets none of them.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 const MS: Tenths = 10;
 
--- a/node/src/wire/conn.rs
+++ b/crates/node/src/wire/conn.rs
@@ -3,8 +3,8 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, Shutdown, TcpStream};
 
-use doortrack::{ExId, Tenths};
-use doortrack_wire::RequestReader;
+use doortrack_admission::{ExId, Tenths};
+use doortrack_protocols::RequestReader;
 
 use super::bounds::{FAIR_UNREAD, MOST_BODY, MOST_OPEN, MOST_PARAMS, MOST_UNREAD, MOST_UNWHOLE};
 use super::end::End;
--- a/node/src/wire/end.rs
+++ b/crates/node/src/wire/end.rs
@@ -1,6 +1,6 @@
 //! Every way in which a connection, or what it carried, can end; and what each means to the decisions.
 
-use doortrack::RunOutcome;
+use doortrack_admission::RunOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
--- a/node/src/wire/engine.rs
+++ b/crates/node/src/wire/engine.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack::{ExId, Tenths};
+use doortrack_admission::{ExId, Tenths};
 use polling::{Event, PollMode, Poller};
 use slog::{Logger, info, warn};
 use socket2::{Domain, Socket, Type};
--- a/node/src/wire/fronts.rs
+++ b/crates/node/src/wire/fronts.rs
@@ -8,9 +8,9 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-use doortrack::{ExId, Tenths};
-use doortrack_installation::Room;
-use doortrack_wire::Protocol;
+use doortrack_admission::{ExId, Tenths};
+use doortrack_config::Room;
+use doortrack_protocols::Protocol;
 use polling::{Event, PollMode, Poller};
 use slab::Slab;
 
--- a/node/src/wire/fronts/coming.rs
+++ b/crates/node/src/wire/fronts/coming.rs
@@ -3,8 +3,8 @@
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 
-use doortrack::Tenths;
-use doortrack_wire::{Protocol, RequestReader};
+use doortrack_admission::Tenths;
+use doortrack_protocols::{Protocol, RequestReader};
 use polling::{Event, PollMode};
 use rustix::io::Errno;
 use socket2::{Domain, Socket, Type};
--- a/node/src/wire/fronts/reading.rs
+++ b/crates/node/src/wire/fronts/reading.rs
@@ -1,6 +1,6 @@
 //! What comes on the callers' connections: read, cut into requests, and given up where it can't be read.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use polling::Event;
 
 use super::{Block, Caller, FIRST_KEY, FrontEvent, Fronts};
@@ -9,8 +9,8 @@
 use crate::wire::end::End;
 use crate::wire::request::{self, Answer, Asked, Unreadable};
 use crate::wire::ruled::Origin;
-use doortrack_wire::fastcgi::{self, RESPONDER};
-use doortrack_wire::{Piece, uwsgi};
+use doortrack_protocols::fastcgi::{self, RESPONDER};
+use doortrack_protocols::{Piece, uwsgi};
 
 impl Fronts {
     /// A connection is ready, or broke.
--- a/node/src/wire/headers.rs
+++ b/crates/node/src/wire/headers.rs
@@ -1,6 +1,6 @@
 //! Headers of a server's answer that go on to its caller.
 
-use doortrack_wire::Answer;
+use doortrack_protocols::Answer;
 
 /// What a connection says of itself or to its next hop, and what this node says in its own words.
 const NOT_PASSED_ON: [&str; 12] = [
--- a/node/src/wire/link.rs
+++ b/crates/node/src/wire/link.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use doortrack::{RunOutcome, Tenths};
+use doortrack_admission::{RunOutcome, Tenths};
 use serde_json::Value;
 
 use super::request::TryId;
--- a/node/src/wire/mod.rs
+++ b/crates/node/src/wire/mod.rs
@@ -1,5 +1,5 @@
 //! What is spoken on the wire. What can be read and written without sockets stands in the package
-//! `doortrack-wire` (FastCGI, uwsgi), in `request` and in `link`.
+//! `doortrack-protocols` (FastCGI, uwsgi), in `request` and in `link`.
 
 pub mod bounds;
 pub mod conn;
--- a/node/src/wire/registry.rs
+++ b/crates/node/src/wire/registry.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 /// A node leaves the list 3 s after its last report. Reports are lost on the way, and nobody sends to a node
 /// that is not listed: at this pace nine in a row may be lost.
--- a/node/src/wire/request.rs
+++ b/crates/node/src/wire/request.rs
@@ -1,9 +1,9 @@
 //! What callers ask and are answered: CGI's fields, read and written without sockets, whatever carried them.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
-use doortrack_wire::fastcgi::{self, ProtocolStatus};
-use doortrack_wire::{Head, Pair, Protocol};
+use doortrack_protocols::fastcgi::{self, ProtocolStatus};
+use doortrack_protocols::{Head, Pair, Protocol};
 
 /// The name by which dispatchers and the engine know a try: 16 hex digits, as they came.
 pub type TryId = [u8; 16];
@@ -263,7 +263,7 @@
     ) {
         add("X-Dont-Retry", "1");
     }
-    doortrack_wire::write_answer(
+    doortrack_protocols::write_answer(
         protocol,
         out,
         id,
--- a/node/src/wire/ruled.rs
+++ b/crates/node/src/wire/ruled.rs
@@ -5,12 +5,12 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-use doortrack::Tenths;
-use doortrack_contract::Handed;
+use doortrack_admission::Tenths;
+use doortrack_config::Installation;
 use doortrack_expr::{Request as Seen, Scratch};
-use doortrack_installation::Installation;
+use doortrack_protocols::{Pair, Protocol};
 use doortrack_routes::{Built, Class, Classed, Note, Refusal, Table};
-use doortrack_wire::{Pair, Protocol};
+use doortrack_settings::Handed;
 
 use super::request::{
     Asked, Fields, IdempotencyKey, Names, Request, TryId, Unreadable, hex, in_range,
--- a/node/src/wire/servers.rs
+++ b/crates/node/src/wire/servers.rs
@@ -8,10 +8,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack::{ExId, RunOutcome, Tenths};
-use doortrack_installation::Servers as Asked;
-use doortrack_servers::{Action, Admission, ConnId, Pool, RunEnd, RunId, ServerId, Token};
-use doortrack_wire::{Answer, AnswerReader, Pair, Protocol, write_request};
+use doortrack_admission::{ExId, RunOutcome, Tenths};
+use doortrack_config::Servers as Asked;
+use doortrack_protocols::{Answer, AnswerReader, Pair, Protocol, write_request};
+use doortrack_upstream::{Action, Admission, ConnId, Pool, RunEnd, RunId, ServerId, Token};
 use polling::{Event, PollMode, Poller};
 use rustc_hash::FxHashMap;
 use slog::{Logger, warn};
--- a/node/src/wire/servers/transfer.rs
+++ b/crates/node/src/wire/servers/transfer.rs
@@ -2,9 +2,9 @@
 
 use std::io::{ErrorKind, Read, Write};
 
-use doortrack::Tenths;
-use doortrack_servers::{ConnId, Over, RunId};
-use doortrack_wire::{AnswerReader, Answered, Protocol};
+use doortrack_admission::Tenths;
+use doortrack_protocols::{AnswerReader, Answered, Protocol};
+use doortrack_upstream::{ConnId, Over, RunId};
 use polling::{Event, PollMode};
 
 use super::{ID, Servers};
--- a/node/src/wire/standing.rs
+++ b/crates/node/src/wire/standing.rs
@@ -1,7 +1,7 @@
 //! What the log tells of one application server.
 
-use doortrack::Tenths;
-use doortrack_servers::Standing;
+use doortrack_admission::Tenths;
+use doortrack_upstream::Standing;
 use slog::{Logger, info, warn};
 
 const MS: Tenths = 10;
--- a/node/src/wire/work.rs
+++ b/crates/node/src/wire/work.rs
@@ -3,8 +3,8 @@
 
 use std::net::SocketAddr;
 
-use doortrack::{ExId, Tenths};
-use doortrack_servers::{Admission, Token};
+use doortrack_admission::{ExId, Tenths};
+use doortrack_upstream::{Admission, Token};
 use polling::Event;
 
 use super::engine::{ENGINE_KEY, Link, WorkEvent};
--- a/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -3,15 +3,15 @@
 
 use std::time::Duration;
 
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::server::{Act, CutBy, Got, Server};
+use doortrack_fault_harness::load::{Load, LoadProfile, LoadReport};
+use doortrack_fault_harness::processes::Rig;
+use doortrack_fault_harness::script::{Fault, Script};
+use doortrack_fault_harness::usage::{concurrency_exceeded, rate_exceeded, used};
 use doortrack_node::commands::fleet::ask_budgets;
 use doortrack_node::peers::spoken::BudgetStatus;
-use doortrack_rig::load::{Load, LoadProfile, LoadReport};
-use doortrack_rig::processes::Rig;
-use doortrack_rig::script::{Fault, Script};
-use doortrack_rig::usage::{concurrency_exceeded, rate_exceeded, used};
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::server::{Act, CutBy, Got, Server};
-use doortrack_wire::Protocol;
+use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
 use crate::{parted, program, script};
@@ -313,8 +313,8 @@
         {"name": "looks", "kind": "rate", "limit": 20, "burst": 10, "reserved": 20,
             "for": {"pool": "servers"}}]});
     rig.start(0, 0, &with(own, load.installation())).unwrap();
-    drop(doortrack_standins::bed::connect(rig.front(0)));
-    let began = doortrack_standins::unix_ms();
+    drop(doortrack_fakes::bed::connect(rig.front(0)));
+    let began = doortrack_fakes::unix_ms();
     load.start(&[rig.front(0)], 1);
     std::thread::sleep(ms(2_000));
     let report = load.finish();
@@ -361,7 +361,7 @@
             "for": {"retries": "servers"}}]});
     (0..3).for_each(|of| rig.start(of, of, &own).unwrap());
     (0..3).for_each(|of| wait_for(&rig, of, |of| of.until_ms.is_some()));
-    let began = doortrack_standins::unix_ms();
+    let began = doortrack_fakes::unix_ms();
     let mut load = Load::new(LoadProfile {
         callers: 6,
         pause: Duration::from_millis(5),
@@ -370,7 +370,7 @@
     load.start(&(0..3).map(|of| rig.front(of)).collect::<Vec<_>>(), 2);
     std::thread::sleep(Duration::from_millis(4_000));
     let requests = load.finish().requests.len();
-    let lasted = doortrack_standins::unix_ms() - began;
+    let lasted = doortrack_fakes::unix_ms() - began;
     let mut tries = std::collections::BTreeMap::new();
     for got in servers.iter().flat_map(Server::got) {
         *tries
@@ -422,7 +422,7 @@
         "servers": {"protocol": "fastcgi", "addresses": [server.at.to_string()], "at_once": 8,
             "answer_within_ms": answer_within_ms, "aside": {"failures": 1000}, "retries": {"tries": 1}}});
     rig.start(0, 0, &own).unwrap();
-    drop(doortrack_standins::bed::connect(rig.front(0)));
+    drop(doortrack_fakes::bed::connect(rig.front(0)));
     rig
 }
 
--- a/node/tests/fleet/encoding.rs
+++ b/crates/node/tests/fleet/encoding.rs
@@ -2,7 +2,7 @@
 //! builds stand beside one another, so a name may change and an encoding may not.
 
 use doortrack_budgets::{Envelope, Grant, Message as BudgetMessage, NodeId, ReportItem};
-use doortrack_fleet::{
+use doortrack_membership::{
     Datagram, Head, Incarnation, MemberReport, MemberState, MemberUpdate, Message, ReportedState,
 };
 use doortrack_node::peers::spoken::{Ask, BudgetPage, BudgetStatus, Spoken, Status};
--- a/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/link.rs
@@ -5,16 +5,16 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use doortrack_fleet::{
+use doortrack_fakes::bed::Plan;
+use doortrack_fault_harness::history::{History, What};
+use doortrack_fault_harness::processes::Rig;
+use doortrack_fault_harness::script::Fault;
+use doortrack_membership::{
     Action, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message,
     Parameters,
 };
 use doortrack_node::peers::seal::{Refused, Seal};
 use doortrack_node::peers::spoken::{PAGE, Spoken, Status};
-use doortrack_rig::history::{History, What};
-use doortrack_rig::processes::Rig;
-use doortrack_rig::script::Fault;
-use doortrack_standins::bed::Plan;
 use serde_json::{Value, json};
 
 use crate::program;
@@ -24,7 +24,7 @@
 }
 
 fn all_there(rig: &Rig, of: usize, count: usize) {
-    let there = |members: &[doortrack_rig::history::Member]| {
+    let there = |members: &[doortrack_fault_harness::history::Member]| {
         members
             .iter()
             .filter(|member| member.state == "alive")
@@ -156,7 +156,7 @@
         view: u64::MAX,
     };
     // A datagram takes updates until these bytes are full; the longest takes 110.
-    let count = doortrack_fleet::UPDATE_BYTES.div_ceil(110);
+    let count = doortrack_membership::UPDATE_BYTES.div_ceil(110);
     let updates: Vec<MemberUpdate> = (0..count).map(update).collect();
     let message = Message::PingRequest {
         nonce: u32::MAX,
@@ -302,7 +302,7 @@
     [3, 4]
         .iter()
         .for_each(|of| rig.start(*of, *of, &Value::Null).unwrap());
-    let alone = |members: &[doortrack_rig::history::Member]| {
+    let alone = |members: &[doortrack_fault_harness::history::Member]| {
         members.len() == 1 && members[0].state == "joining"
     };
     assert!(rig.wait_for(3, alone) && rig.wait_for(4, alone));
@@ -318,7 +318,7 @@
     (0..3).for_each(|of| all_there(&rig, of, 3));
     rig.take_up(&Fault::Kill { nodes: vec![1] }, &|_| Value::Null)
         .unwrap();
-    let dead = |members: &[doortrack_rig::history::Member]| {
+    let dead = |members: &[doortrack_fault_harness::history::Member]| {
         members.iter().any(|member| member.state == "dead")
     };
     assert!(rig.wait_for(0, dead));
--- a/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -13,9 +13,9 @@
 
 use std::path::Path;
 
-use doortrack_rig::checks::{judge, membership};
-use doortrack_rig::processes::RunResult;
-use doortrack_rig::script::{Fault, Script, Timed};
+use doortrack_fault_harness::checks::{judge, membership};
+use doortrack_fault_harness::processes::RunResult;
+use doortrack_fault_harness::script::{Fault, Script, Timed};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_doortrack"))
--- a/node/tests/fleet/ramp.rs
+++ b/crates/node/tests/fleet/ramp.rs
@@ -7,12 +7,12 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::unix_ms;
+use doortrack_fault_harness::processes::Rig;
 use doortrack_node::commands::fleet::ask_budgets;
-use doortrack_rig::processes::Rig;
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::server::{Act, Server};
-use doortrack_standins::unix_ms;
-use doortrack_wire::Protocol;
+use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
 use crate::program;
@@ -177,7 +177,7 @@
     let fronts: Vec<SocketAddr> = (0..nodes).map(|of| rig.front(of)).collect();
     fronts
         .iter()
-        .for_each(|front| drop(doortrack_standins::bed::connect(*front)));
+        .for_each(|front| drop(doortrack_fakes::bed::connect(*front)));
     let mut callers = Callers::start(&fronts);
     callers.wait_for("served before", |tally| {
         tally.completed.load(Ordering::Relaxed) >= 3
@@ -322,7 +322,7 @@
 #[test]
 fn while_the_server_is_down_a_repeat_is_answered_and_all_else_is_told_when_to_come_back() {
     let (rig, server) = started(1, |at| installation(at, ramp(RUNS)));
-    drop(doortrack_standins::bed::connect(rig.front(0)));
+    drop(doortrack_fakes::bed::connect(rig.front(0)));
     let (key, other) = (
         "00112233445566778899aabbccddeeff",
         "ffeeddccbbaa99887766554433221100",
@@ -363,7 +363,7 @@
 #[test]
 fn a_server_that_is_added_under_way_ramps_up_beside_one_that_takes_the_rest() {
     let (mut rig, first) = started(1, |at| installation(at, ramp(RUNS)));
-    drop(doortrack_standins::bed::connect(rig.front(0)));
+    drop(doortrack_fakes::bed::connect(rig.front(0)));
     let fronts = vec![rig.front(0); 4];
     let mut callers = Callers::start(&fronts);
     callers.wait_for("served before", |tally| {
--- a/node/tests/fleet/rolling.rs
+++ b/crates/node/tests/fleet/rolling.rs
@@ -4,15 +4,15 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use doortrack_rig::processes::Rig;
-use doortrack_rig::script::Fault;
-use doortrack_rig::serving::{Life, Patience, serves_nobody};
-use doortrack_rig::traffic::{Death, Traffic, result};
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::rules::Ran;
-use doortrack_standins::server::{Act, Server};
-use doortrack_standins::{LONG, unix_ms};
-use doortrack_wire::Protocol;
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::rules::Ran;
+use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::{LONG, unix_ms};
+use doortrack_fault_harness::processes::Rig;
+use doortrack_fault_harness::script::Fault;
+use doortrack_fault_harness::serving::{Life, Patience, serves_nobody};
+use doortrack_fault_harness::traffic::{Death, Traffic, result};
+use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
 use crate::program;
--- a/node/tests/fleet/served.rs
+++ b/crates/node/tests/fleet/served.rs
@@ -3,9 +3,9 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use doortrack_rig::processes::Rig;
-use doortrack_rig::script::Fault;
-use doortrack_rig::traffic::{Behind, Traffic};
+use doortrack_fault_harness::processes::Rig;
+use doortrack_fault_harness::script::Fault;
+use doortrack_fault_harness::traffic::{Behind, Traffic};
 
 use crate::program;
 
--- a/node/tests/fleet/troubles.rs
+++ b/crates/node/tests/fleet/troubles.rs
@@ -1,8 +1,8 @@
 //! Processes that die, stop, leave and come back, and links that break.
 
-use doortrack_rig::history::What;
-use doortrack_rig::processes::{RunResult, run, run_with_older};
-use doortrack_rig::script::{Fault, NetworkConditions, Script};
+use doortrack_fault_harness::history::What;
+use doortrack_fault_harness::processes::{RunResult, run, run_with_older};
+use doortrack_fault_harness::script::{Fault, NetworkConditions, Script};
 
 use crate::{holds, parted, program, script};
 
--- a/node/tests/node/accepts.rs
+++ b/crates/node/tests/node/accepts.rs
@@ -5,11 +5,11 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use doortrack_standins::LONG;
-use doortrack_standins::bed::{Bed, Plan, connect};
-use doortrack_standins::caller::{Ask, Pending, Seen};
-use doortrack_standins::server::{Act, Server};
-use doortrack_wire::Protocol::{self, FastCgi, Uwsgi};
+use doortrack_fakes::LONG;
+use doortrack_fakes::bed::{Bed, Plan, connect};
+use doortrack_fakes::caller::{Ask, Pending, Seen};
+use doortrack_fakes::server::{Act, Server};
+use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::json;
 
 /// Starts a node under these addresses, whatever had them before. It keeps its files apart from that one.
--- a/node/tests/node/conformance.rs
+++ b/crates/node/tests/node/conformance.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::Receiver;
 
-use doortrack_standins::bed::{Bed, Plan, connect};
-use doortrack_standins::caller::{Ask, Pending, Seen};
-use doortrack_standins::engine::Engine;
-use doortrack_standins::server::{Act, CutBy, Held, Server};
-use doortrack_standins::{LONG, unix_ms};
-use doortrack_wire::Protocol::{self, FastCgi, Uwsgi};
+use doortrack_fakes::bed::{Bed, Plan, connect};
+use doortrack_fakes::caller::{Ask, Pending, Seen};
+use doortrack_fakes::engine::Engine;
+use doortrack_fakes::server::{Act, CutBy, Held, Server};
+use doortrack_fakes::{LONG, unix_ms};
+use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::{Value, json};
 
 /// What does the work behind the node.
@@ -500,12 +500,12 @@
     assert_eq!(server.connections(), 1);
     // Answered, and then closed by the server: the next run, which may not run twice, is not lost with it.
     let mut answer = Vec::new();
-    let head = doortrack_wire::Head {
+    let head = doortrack_protocols::Head {
         status: "200 OK",
         headers: &[],
         more: b"",
     };
-    doortrack_wire::write_answer(FastCgi, &mut answer, 1, head, b"last");
+    doortrack_protocols::write_answer(FastCgi, &mut answer, 1, head, b"last");
     assert_eq!(pay(Act::Garbage(answer)), Seen::Completed(b"last".into()));
     std::thread::sleep(std::time::Duration::from_millis(20));
     assert!((0..3).all(|_| pay(Act::ok("")) == Seen::Completed(Vec::new())));
@@ -589,7 +589,7 @@
                     }
                     _ => ask(n, script),
                 };
-                let id = doortrack_standins::try_id(n);
+                let id = doortrack_fakes::try_id(n);
                 let until = std::time::Instant::now() + LONG;
                 let ran = |server: &Server| {
                     server
--- a/node/tests/node/early_signals.rs
+++ b/crates/node/tests/node/early_signals.rs
@@ -6,9 +6,9 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-use doortrack_standins::bed::Plan;
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_wire::Protocol::FastCgi;
+use doortrack_fakes::bed::Plan;
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_protocols::Protocol::FastCgi;
 use serde_json::json;
 
 /// A process whose configuration is being read.
--- a/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -5,14 +5,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_installation::orders::Room;
+use doortrack_config::orders::Room;
+use doortrack_fakes::LONG;
+use doortrack_fakes::bed::fresh_address;
+use doortrack_fakes::records::{Client, record, request};
 use doortrack_node::wire::bounds::FRESH;
 use doortrack_node::wire::fronts::{Caller, FIRST_KEY, FrontEvent, Fronts, LISTEN_KEY};
 use doortrack_node::wire::request::{Answer, Made, Names};
-use doortrack_standins::LONG;
-use doortrack_standins::bed::fresh_address;
-use doortrack_standins::records::{Client, record, request};
-use doortrack_wire::Protocol;
+use doortrack_protocols::Protocol;
 use polling::{Events, Poller};
 
 /// Tenths of a ms in a second.
@@ -48,7 +48,7 @@
         let at = fresh_address();
         fronts.listen(at, Protocol::FastCgi, None).unwrap();
         // Stamps of requests are of this time, so they are not far off.
-        let now = doortrack_standins::unix_ms() * 10;
+        let now = doortrack_fakes::unix_ms() * 10;
         Table {
             poller,
             fronts,
--- a/node/tests/node/fronts.rs
+++ b/crates/node/tests/node/fronts.rs
@@ -5,12 +5,12 @@
 use std::process::Command;
 use std::time::Duration;
 
-use doortrack_standins::bed::{Bed, Plan, connect};
-use doortrack_standins::caller::{Ask, Pending, Seen, read};
-use doortrack_standins::engine::Engine;
-use doortrack_standins::records::IDEMPOTENCY_KEY;
-use doortrack_standins::{try_id, unix_ms};
-use doortrack_wire::Protocol::{self, FastCgi, Uwsgi};
+use doortrack_fakes::bed::{Bed, Plan, connect};
+use doortrack_fakes::caller::{Ask, Pending, Seen, read};
+use doortrack_fakes::engine::Engine;
+use doortrack_fakes::records::IDEMPOTENCY_KEY;
+use doortrack_fakes::{try_id, unix_ms};
+use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::{Value, json};
 
 /// A node with a front of each protocol, its engine up: the node, the engine, and where the fronts are.
@@ -617,7 +617,7 @@
 fn the_schema_kept_is_the_schema_printed() {
     let kept = concat!(
         env!("CARGO_MANIFEST_DIR"),
-        "/../deploy/installation.schema.json"
+        "/../../deploy/installation.schema.json"
     );
     let (code, printed, _) = doortrack(&["schema"]);
     assert_eq!(code, Some(0));
--- a/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -4,13 +4,13 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_installation::orders::Room;
+use doortrack_config::orders::Room;
+use doortrack_fakes::LONG;
+use doortrack_fakes::bed::fresh_address;
+use doortrack_fakes::records::{Client, request};
 use doortrack_node::wire::fronts::{Caller, FIRST_KEY, FrontEvent, Fronts, LISTEN_KEY};
 use doortrack_node::wire::request::{Answer, Made, Names};
-use doortrack_standins::LONG;
-use doortrack_standins::bed::fresh_address;
-use doortrack_standins::records::{Client, request};
-use doortrack_wire::Protocol;
+use doortrack_protocols::Protocol;
 use polling::{Events, Poller};
 
 /// Reads what is ready and writes nothing, as the loop does between two readings: the exchanges that came.
@@ -54,7 +54,7 @@
     let mut fronts = Fronts::new(poller.clone(), names, room, 100_000);
     let at: SocketAddr = fresh_address();
     fronts.listen(at, Protocol::FastCgi, None).unwrap();
-    let now = doortrack_standins::unix_ms() * 10;
+    let now = doortrack_fakes::unix_ms() * 10;
     let mut client = Client {
         sock: TcpStream::connect(at).unwrap(),
     };
--- a/node/tests/node/idle.rs
+++ b/crates/node/tests/node/idle.rs
@@ -7,13 +7,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use doortrack_standins::bed::{Bed, Plan, fresh_address};
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::engine::Engine;
-use doortrack_standins::idle::{Habit, IdleClients};
-use doortrack_standins::server::{Act, Server};
-use doortrack_standins::{LONG, try_id};
-use doortrack_wire::Protocol::{FastCgi, Uwsgi};
+use doortrack_fakes::bed::{Bed, Plan, fresh_address};
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::engine::Engine;
+use doortrack_fakes::idle::{Habit, IdleClients};
+use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::{LONG, try_id};
+use doortrack_protocols::Protocol::{FastCgi, Uwsgi};
 use rustix::process::{Pid, Resource, Rlimit, prlimit};
 use serde_json::json;
 
--- a/node/tests/node/instants.rs
+++ b/crates/node/tests/node/instants.rs
@@ -5,10 +5,10 @@
 use std::os::unix::fs::PermissionsExt;
 use std::time::Duration;
 
-use doortrack_standins::bed::{Bed, Plan, connect, fresh_address};
-use doortrack_standins::engine::Engine;
-use doortrack_standins::records::{Client, IDEMPOTENCY_KEY, record, request};
-use doortrack_standins::{try_id, unix_ms};
+use doortrack_fakes::bed::{Bed, Plan, connect, fresh_address};
+use doortrack_fakes::engine::Engine;
+use doortrack_fakes::records::{Client, IDEMPOTENCY_KEY, record, request};
+use doortrack_fakes::{try_id, unix_ms};
 use serde_json::{Value, json};
 
 use super::sockets::{start, up, up_with};
@@ -322,8 +322,7 @@
     let since = unix_ms();
     wait_until(since + 700);
     let back = std::net::UdpSocket::bind(gone).unwrap();
-    back.set_read_timeout(Some(doortrack_standins::LONG))
-        .unwrap();
+    back.set_read_timeout(Some(doortrack_fakes::LONG)).unwrap();
     let mut text = [0; 64];
     let n = back.recv(&mut text).unwrap();
     assert_eq!(&text[..n], b"BEAT n1 ready");
--- a/node/tests/node/late_answers.rs
+++ b/crates/node/tests/node/late_answers.rs
@@ -3,11 +3,11 @@
 use std::process::Command;
 use std::time::Duration;
 
-use doortrack_standins::LONG;
-use doortrack_standins::bed::Plan;
-use doortrack_standins::records::{Client, request};
-use doortrack_standins::server::Server;
-use doortrack_wire::Protocol::FastCgi;
+use doortrack_fakes::LONG;
+use doortrack_fakes::bed::Plan;
+use doortrack_fakes::records::{Client, request};
+use doortrack_fakes::server::Server;
+use doortrack_protocols::Protocol::FastCgi;
 use serde_json::json;
 
 use super::notices::{LEAVE, ends_well};
--- a/node/tests/node/late_stops.rs
+++ b/crates/node/tests/node/late_stops.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use doortrack_standins::records::Client;
-use doortrack_standins::unix_ms;
+use doortrack_fakes::records::Client;
+use doortrack_fakes::unix_ms;
 use serde_json::json;
 
 use super::notices::{LEAVE, ends_well};
--- a/node/tests/node/near_stops.rs
+++ b/crates/node/tests/node/near_stops.rs
@@ -1,7 +1,7 @@
 //! Which stop holds where the configuration that is read again beside the notice to leave names another one.
 
-use doortrack_standins::bed::{Bed, Plan};
-use doortrack_standins::engine::Engine;
+use doortrack_fakes::bed::{Bed, Plan};
+use doortrack_fakes::engine::Engine;
 use serde_json::{Value, json};
 
 use super::notices::{LEAVE, RELOAD, SOON, ends_well, rewrite, signals};
--- a/node/tests/node/notices.rs
+++ b/crates/node/tests/node/notices.rs
@@ -5,12 +5,12 @@
 use std::process::Command;
 use std::time::Instant;
 
-use doortrack_standins::LONG;
-use doortrack_standins::bed::{Bed, Plan, open_registry};
-use doortrack_standins::caller::{Ask, Pending, Seen};
-use doortrack_standins::engine::Engine;
-use doortrack_standins::records::{Client, record, request};
-use doortrack_wire::Protocol::{self, FastCgi, Uwsgi};
+use doortrack_fakes::LONG;
+use doortrack_fakes::bed::{Bed, Plan, open_registry};
+use doortrack_fakes::caller::{Ask, Pending, Seen};
+use doortrack_fakes::engine::Engine;
+use doortrack_fakes::records::{Client, record, request};
+use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::{Value, json};
 
 use super::sockets::up_with;
@@ -106,7 +106,7 @@
         engine.run();
         let halves = fronts.map(|(protocol, at)| {
             let bytes = Ask::new(50, "/svc/look", b"body").bytes(protocol);
-            let mut sock = doortrack_standins::bed::connect(at);
+            let mut sock = doortrack_fakes::bed::connect(at);
             std::io::Write::write_all(&mut sock, &bytes[..bytes.len() - 2]).unwrap();
             Pending { sock, protocol }
         });
@@ -145,7 +145,7 @@
         config["settings"]["family_info"]["cores"] = json!(20);
     });
     let mut stays = Client {
-        sock: doortrack_standins::bed::connect(withdrawn),
+        sock: doortrack_fakes::bed::connect(withdrawn),
     };
     stays.look(1, 100);
     let (call, _) = engine.run();
--- a/node/tests/node/pieces.rs
+++ b/crates/node/tests/node/pieces.rs
@@ -6,11 +6,11 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use doortrack_standins::bed::{Bed, Plan, connect};
-use doortrack_standins::caller::{Ask, Pending, Seen};
-use doortrack_standins::records::{Client, record, request};
-use doortrack_standins::{LONG, instant, try_id, unix_ms};
-use doortrack_wire::Protocol::{self, FastCgi, Uwsgi};
+use doortrack_fakes::bed::{Bed, Plan, connect};
+use doortrack_fakes::caller::{Ask, Pending, Seen};
+use doortrack_fakes::records::{Client, record, request};
+use doortrack_fakes::{LONG, instant, try_id, unix_ms};
+use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::json;
 
 /// Bytes of a BEGIN_REQUEST with its record's head, and of the head of a uwsgi packet: with fewer there is no
--- a/node/tests/node/play.rs
+++ b/crates/node/tests/node/play.rs
@@ -6,13 +6,13 @@
 use std::thread;
 use std::time::Duration;
 
-use doortrack_standins::bed::{Bed, Plan};
-use doortrack_standins::caller::{Ask, Pending};
-use doortrack_standins::engine::Engine;
-use doortrack_standins::rules::{Bounds, Ran, Tried, broken};
-use doortrack_standins::server::{Act, CutBy, Got, Server};
-use doortrack_standins::unix_ms;
-use doortrack_wire::Protocol::{self, FastCgi, Uwsgi};
+use doortrack_fakes::bed::{Bed, Plan};
+use doortrack_fakes::caller::{Ask, Pending};
+use doortrack_fakes::engine::Engine;
+use doortrack_fakes::rules::{Bounds, Ran, Tried, broken};
+use doortrack_fakes::server::{Act, CutBy, Got, Server};
+use doortrack_fakes::unix_ms;
+use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use fastrand::Rng;
 use serde_json::{Value, json};
 
@@ -170,7 +170,7 @@
     let completed = |tried: &&Tried| {
         matches!(
             &tried.told,
-            Some((doortrack_standins::caller::Seen::Completed(_), _))
+            Some((doortrack_fakes::caller::Seen::Completed(_), _))
         )
     };
     assert!(
@@ -193,7 +193,7 @@
         let (plan, fronts) = plan(|installation| installation["servers"] = part(3));
         let mut installation = plan.installation.clone().unwrap();
         let (bed, mut callers) = (plan.start(), Callers::new(seed, fronts));
-        drop(doortrack_standins::bed::connect(fronts[0].1));
+        drop(doortrack_fakes::bed::connect(fronts[0].1));
         let mut gone: Vec<Ran> = Vec::new();
         for round in 0..300 {
             callers.ask();
@@ -292,7 +292,7 @@
     );
     let told = over.clone();
     let engine = thread::spawn(move || serve(door, 14, told));
-    drop(doortrack_standins::bed::connect(fronts[0].1));
+    drop(doortrack_fakes::bed::connect(fronts[0].1));
     thread::sleep(Duration::from_millis(50));
     for _ in 0..400 {
         callers.ask();
@@ -307,7 +307,7 @@
         for run in &mut runs {
             let of = tried
                 .iter()
-                .find(|tried| doortrack_standins::try_id(tried.nth) == run.try_id);
+                .find(|tried| doortrack_fakes::try_id(tried.nth) == run.try_id);
             run.idempotency_key = of.and_then(|tried| tried.idempotency_key.clone());
         }
         runs
--- a/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -6,11 +6,11 @@
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
 
-use doortrack_standins::LONG;
-use doortrack_standins::bed::{Bed, Plan, connect};
-use doortrack_standins::caller::{Pending, Seen};
-use doortrack_standins::server::{Act, Server};
-use doortrack_wire::{Pair, Protocol, write_request};
+use doortrack_fakes::LONG;
+use doortrack_fakes::bed::{Bed, Plan, connect};
+use doortrack_fakes::caller::{Pending, Seen};
+use doortrack_fakes::server::{Act, Server};
+use doortrack_protocols::{Pair, Protocol, write_request};
 use serde_json::{Value, json};
 
 use super::notices::rewrite;
--- a/node/tests/node/restart.rs
+++ b/crates/node/tests/node/restart.rs
@@ -9,10 +9,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use doortrack_standins::bed::{Bed, Plan};
-use doortrack_standins::caller::{Ask, Seen};
-use doortrack_standins::instant;
-use doortrack_wire::Protocol::FastCgi;
+use doortrack_fakes::bed::{Bed, Plan};
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::instant;
+use doortrack_protocols::Protocol::FastCgi;
 use serde_json::{Value, json};
 
 /// Processes killed and started at once.
--- a/node/tests/node/rules.rs
+++ b/crates/node/tests/node/rules.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use doortrack_standins::bed::{Bed, Plan};
-use doortrack_standins::caller::{Pending, Seen};
-use doortrack_standins::engine::Engine;
-use doortrack_wire::{Pair, Protocol, write_request};
+use doortrack_fakes::bed::{Bed, Plan};
+use doortrack_fakes::caller::{Pending, Seen};
+use doortrack_fakes::engine::Engine;
+use doortrack_protocols::{Pair, Protocol, write_request};
 use serde_json::{Value, json};
 
 /// What a front end that knows nothing of the platform sends.
@@ -26,7 +26,7 @@
     );
     let mut out = Vec::new();
     write_request(protocol, &mut out, 1, false, &pairs, body).unwrap();
-    let mut sock = doortrack_standins::bed::connect(at);
+    let mut sock = doortrack_fakes::bed::connect(at);
     std::io::Write::write_all(&mut sock, &out).unwrap();
     Pending { sock, protocol }
 }
@@ -172,7 +172,7 @@
     let mut file = installation(&fronts, new);
     file["otherwise"] = json!("look");
     bed.install(&file);
-    let until = std::time::Instant::now() + doortrack_standins::LONG;
+    let until = std::time::Instant::now() + doortrack_fakes::LONG;
     let (call_of_new, waits_of_new) = loop {
         let waits = bare(at, protocol, "/anything", &[], b"otherwise");
         if let Some(call) = run_unless_refused(&waits, &mut engine) {
@@ -214,7 +214,7 @@
         "it was run again"
     );
     // Once no repeat can come any more the new rules are taken.
-    let until = std::time::Instant::now() + doortrack_standins::LONG;
+    let until = std::time::Instant::now() + doortrack_fakes::LONG;
     loop {
         std::thread::sleep(std::time::Duration::from_millis(300));
         bed.install(&installation(&fronts, new.clone()));
@@ -238,7 +238,7 @@
 
 #[test]
 fn rules_send_exchanges_to_pools_whose_troubles_are_their_own() {
-    use doortrack_standins::server::{Act, CutBy, Server};
+    use doortrack_fakes::server::{Act, CutBy, Server};
     let main = Server::start(Protocol::Uwsgi, |_| Act::ok("main"));
     let quick = Server::start(Protocol::FastCgi, |_| Act::ok("quick"));
     let broken = Server::start(Protocol::Uwsgi, |_| Act::Cut {
@@ -303,7 +303,7 @@
 }
 
 fn example(name: &str) -> String {
-    format!("{}/../example/{name}", env!("CARGO_MANIFEST_DIR"))
+    format!("{}/../../examples/{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
 #[test]
@@ -541,8 +541,7 @@
 fn a_rule_of_before_that_says_mark_is_read_as_one_that_says_idempotency_key() {
     let read = |key: &str| {
         let rule = json!({"when": "true", "group": "pay", key: "path"});
-        doortrack_installation::file::parse(json!({"rules": [rule]}).to_string().as_bytes())
-            .unwrap()
+        doortrack_config::file::parse(json!({"rules": [rule]}).to_string().as_bytes()).unwrap()
     };
     assert_eq!(read("mark"), read("idempotency_key"));
 }
--- a/node/tests/node/silences.rs
+++ b/crates/node/tests/node/silences.rs
@@ -3,12 +3,12 @@
 
 use std::net::UdpSocket;
 
+use doortrack_fakes::bed::{Bed, Plan, open_registry};
+use doortrack_fakes::caller::{Ask, Pending, Seen};
+use doortrack_fakes::instant;
+use doortrack_fakes::{LONG, unix_ms};
 use doortrack_node::wire::registry::Registry;
-use doortrack_standins::bed::{Bed, Plan, open_registry};
-use doortrack_standins::caller::{Ask, Pending, Seen};
-use doortrack_standins::instant;
-use doortrack_standins::{LONG, unix_ms};
-use doortrack_wire::Protocol::{FastCgi, Uwsgi};
+use doortrack_protocols::Protocol::{FastCgi, Uwsgi};
 use serde_json::json;
 
 use super::sockets::up_with;
--- a/node/tests/node/sockets.rs
+++ b/crates/node/tests/node/sockets.rs
@@ -9,10 +9,10 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use doortrack_standins::bed::{Bed, Plan, config, open_registry};
-use doortrack_standins::engine::Engine;
-use doortrack_standins::records::{self, Client, Fields, IDEMPOTENCY_KEY, Reply, request};
-use doortrack_standins::{try_id, unix_ms};
+use doortrack_fakes::bed::{Bed, Plan, config, open_registry};
+use doortrack_fakes::engine::Engine;
+use doortrack_fakes::records::{self, Client, Fields, IDEMPOTENCY_KEY, Reply, request};
+use doortrack_fakes::{try_id, unix_ms};
 use serde_json::{Value, json};
 
 pub fn start(change: impl FnOnce(&mut Value)) -> Bed {
--- a/node/tests/scale_node.rs
+++ b/crates/node/tests/scale_node.rs
@@ -3,9 +3,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use doortrack_rig::scale::node_cost::measure::{Bench, Spans, measure};
-use doortrack_rig::scale::node_cost::process::Fault;
-use doortrack_rig::scale::node_cost::settings::Size;
+use doortrack_fault_harness::scale::node_cost::measure::{Bench, Spans, measure};
+use doortrack_fault_harness::scale::node_cost::process::Fault;
+use doortrack_fault_harness::scale::node_cost::settings::Size;
 
 const SMALL: Size = Size {
     routes: 20,
--- a/wire/tests/codecs.rs
+++ b/crates/protocols/tests/codecs.rs
@@ -1,11 +1,11 @@
 //! Both protocols on both sides: known bytes, any cuts, any bytes.
 
-use doortrack_standins::cut_at;
-use doortrack_wire::fastcgi::ProtocolStatus;
-use doortrack_wire::{
+use doortrack_fakes::cut_at;
+use doortrack_protocols::fastcgi::ProtocolStatus;
+use doortrack_protocols::{
     Answer, AnswerReader, Answered, Broken, Head, Pair, Piece, Protocol, RequestReader, uwsgi,
 };
-use doortrack_wire::{write_answer, write_request};
+use doortrack_protocols::{write_answer, write_request};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/routes/src/classify.rs
+++ b/crates/routes/src/classify.rs
@@ -1,6 +1,6 @@
 //! What one exchange is, by the rule that takes it.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use doortrack_expr::{Request, Scratch, Value};
 use sha2::{Digest, Sha256};
 
--- a/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -17,7 +17,7 @@
 
 use std::sync::Arc;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 pub use build::{Built, Fault, Names, Note, Rule};
 pub use classify::{Class, Classed, Refusal};
--- a/contract/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashSet;
 
-use doortrack::{Effect, EndpointGroup, LevelKind, ServiceContract, StopKind, Tenths};
+use doortrack_admission::{Effect, EndpointGroup, LevelKind, ServiceContract, StopKind, Tenths};
 use serde_json::Value;
 
 /// What is wrong with a text that was handed over, and where.
--- a/contract/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use doortrack_contract::{Part, read};
+use doortrack_settings::{Part, read};
 use serde_json::{Value, json};
 
 fn settings(customers: usize) -> Value {
--- a/emulator/tests/net.rs
+++ b/crates/simulation/tests/net.rs
@@ -1,6 +1,6 @@
 //! What links and machines do, a case each.
 
-use doortrack_emulator::{Clock, Law, Links, Net, Next};
+use doortrack_simulation::{Clock, Law, Links, Net, Next};
 
 const MS: u64 = 1_000;
 
--- a/emulator/tests/theory.rs
+++ b/crates/simulation/tests/theory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use doortrack_emulator::{JobId, Law, Micros, Pace, Queue, Station, stream};
+use doortrack_simulation::{JobId, Law, Micros, Pace, Queue, Station, stream};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 const MEAN: f64 = 10_000.0;
--- a/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -6,9 +6,9 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-use doortrack::logic::Door;
-use doortrack::{Action, Event};
-use doortrack_contract::{Fault, GaugePlaces, Handed, Part};
+use doortrack_admission::logic::Door;
+use doortrack_admission::{Action, Event};
+use doortrack_settings::{Fault, GaugePlaces, Handed, Part};
 use wire::{Reader, Record};
 
 struct Node {
@@ -46,7 +46,7 @@
         place += 12;
         let [a, b, c, d, clock @ ..] = head;
         let len = u32::from_le_bytes([a, b, c, d]) as usize;
-        let now = doortrack_contract::down(u64::from_le_bytes(clock));
+        let now = doortrack_settings::down(u64::from_le_bytes(clock));
         body.clear();
         let got = (&mut input).take(len as u64).read_to_end(&mut body);
         let got = got.map_err(|e| format!("byte {place}: {e}"))?;
@@ -120,7 +120,7 @@
 
 fn read(text: &[u8]) -> Result<Handed, Fault> {
     let value = serde_json::from_slice(text).map_err(|e| format!("env is not JSON: {e}"))?;
-    doortrack_contract::read(&Part {
+    doortrack_settings::read(&Part {
         value: &value,
         path: "env".into(),
     })
--- a/drill/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The bench's frames: little-endian records without padding, one reply for each batch.
 
-use doortrack::{Action, CallOutcome, Event, Exchange, Gauges, RunOutcome, Tenths};
-use doortrack_contract::{Fault, GaugePlaces, TENTH, down, up};
+use doortrack_admission::{Action, CallOutcome, Event, Exchange, Gauges, RunOutcome, Tenths};
+use doortrack_settings::{Fault, GaugePlaces, TENTH, down, up};
 
 pub enum Record<'a> {
     Provision {
--- a/servers/src/health.rs
+++ b/crates/upstream/src/health.rs
@@ -1,6 +1,6 @@
 //! What is thought of one server: trusted with all, put aside, or taken back a little at a time.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::Aside;
 
--- a/servers/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -31,7 +31,7 @@
 mod ramp;
 mod terms;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 pub use pool::{Admission, Counts, Pool};
 pub use ramp::Token;
--- a/servers/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 use fastrand::Rng;
 use rustc_hash::FxHashMap;
 use slab::Slab;
--- a/servers/src/pool/choose.rs
+++ b/crates/upstream/src/pool/choose.rs
@@ -1,6 +1,6 @@
 //! Which server takes which run.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use super::{Conn, Pool, Stage};
 use crate::ramp::Cold;
--- a/servers/src/pool/lives.rs
+++ b/crates/upstream/src/pool/lives.rs
@@ -1,6 +1,6 @@
 //! The lives of connections and runs: from one stage to the next, and to their ends.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use super::{Pool, Stage};
 use crate::{Action, ConnId, RunEnd, RunId, ServerId};
--- a/servers/src/pool/members.rs
+++ b/crates/upstream/src/pool/members.rs
@@ -1,6 +1,6 @@
 //! Which servers there are, and which of them are put aside.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use super::{Pool, Server};
 use crate::health::{self, Failure, Health, Verdict};
--- a/servers/src/pool/ramps.rs
+++ b/crates/upstream/src/pool/ramps.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use super::Pool;
 use crate::health::{self, Health, Verdict};
--- a/servers/src/ramp.rs
+++ b/crates/upstream/src/ramp.rs
@@ -8,7 +8,7 @@
 
 use std::fmt;
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 use crate::Ramp;
 
--- a/servers/src/terms.rs
+++ b/crates/upstream/src/terms.rs
@@ -1,6 +1,6 @@
 //! What a pool is handed at start.
 
-use doortrack::Tenths;
+use doortrack_admission::Tenths;
 
 /// How a pool treats its servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/servers/tests/pool.rs
+++ b/crates/upstream/tests/pool.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use doortrack::Tenths;
-use doortrack_servers::{
+use doortrack_admission::Tenths;
+use doortrack_upstream::{
     Action, Aside, ConnId, Over, Pool, Retries, RunEnd, RunId, ServerId, Terms,
 };
 use fastrand::Rng;
--- a/servers/tests/ramp.rs
+++ b/crates/upstream/tests/ramp.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use doortrack::Tenths;
-use doortrack_servers::{
+use doortrack_admission::Tenths;
+use doortrack_upstream::{
     Action, Admission, Aside, ConnId, Over, Pool, Ramp, Retries, RunEnd, RunId, ServerId, Standing,
     Terms, Token,
 };
