--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,10 +4,9 @@
 //! from any fixed zero. Whoever puts a node before the module rounds a due time and an age down, a
 //! window and a wait up.
 
-pub mod logic;
+use doortrack_time::TenthMillis;
 
-/// A point in time or a duration, in tenths of a millisecond.
-pub type Tenths = u64;
+pub mod logic;
 
 /// The name an exchange goes by at the door. Never used twice by one node within one life.
 pub type ExId = u32;
@@ -31,15 +30,15 @@
     CallEnded {
         id: ExId,
         outcome: CallOutcome,
-        took: Tenths,
+        took: TenthMillis,
     },
     CallerGone {
         id: ExId,
     },
     /// Notice to leave, which came this long ago: the process is stopped at `stop_at`.
     Drain {
-        age: Tenths,
-        stop_at: Tenths,
+        age: TenthMillis,
+        stop_at: TenthMillis,
     },
     Alarm {
         token: u64,
@@ -57,9 +56,9 @@
     /// What it is about; 0 if not told.
     pub subject: u64,
     /// When its caller gives up, if that is passed on.
-    pub due: Option<Tenths>,
+    pub due: Option<TenthMillis>,
     /// Expected work on a standard core.
-    pub work_hint: Option<Tenths>,
+    pub work_hint: Option<TenthMillis>,
     /// Memory while queued, in kB.
     pub kb: f32,
     /// 0 to under 1, rising with benefit.
@@ -69,11 +68,11 @@
     /// Which caller sent it; numbers are used up as callers come and go, so no width is too much.
     pub caller: u64,
     /// Time since it reached the machine.
-    pub age: Tenths,
+    pub age: TenthMillis,
     /// The recorded exchange that this one repeats.
     pub repeats: Option<ExId>,
     /// A budget of the whole fleet has nothing left for it; when it may have.
-    pub held_back: Option<Tenths>,
+    pub held_back: Option<TenthMillis>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -129,7 +128,7 @@
     Reject {
         id: ExId,
         not_elsewhere: bool,
-        retry_after: Tenths,
+        retry_after: TenthMillis,
     },
     /// Final answer: failed, with no word on what was done.
     Fail {
@@ -142,7 +141,7 @@
     /// Make the call that the exchange waits for, abandoned after `limit`.
     Call {
         id: ExId,
-        limit: Tenths,
+        limit: TenthMillis,
     },
     /// Go on without the call.
     SkipCall {
@@ -151,7 +150,7 @@
     /// Enter a deduplicated exchange in the node's table for this long.
     Record {
         id: ExId,
-        lasting: Tenths,
+        lasting: TenthMillis,
     },
     /// Take its entry out of the table.
     Forget {
@@ -172,10 +171,10 @@
     },
     /// Close connections idle for this long.
     IdleLimit {
-        after: Tenths,
+        after: TenthMillis,
     },
     Alarm {
-        at: Tenths,
+        at: TenthMillis,
         token: u64,
     },
 }
@@ -210,12 +209,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointGroup {
     pub effect: Effect,
-    pub slo_time: Tenths,
+    pub slo_time: TenthMillis,
     /// The SLO time grows by this multiple of the exchange's own work.
     pub slo_stretch: f32,
-    pub deadline: Tenths,
+    pub deadline: TenthMillis,
     /// How long after its arrival a deduplicated exchange may come again.
-    pub window: Tenths,
+    pub window: TenthMillis,
     pub benefit: f32,
     /// Share of the benefit that an answer after the SLO time earns.
     pub late_share: f32,
@@ -243,27 +242,27 @@
     pub nodes: u32,
     pub stop: StopKind,
     pub level: LevelKind,
-    pub level_lasts: Tenths,
+    pub level_lasts: TenthMillis,
     /// How long the answer to a read may serve others.
-    pub fresh: Tenths,
+    pub fresh: TenthMillis,
     /// This node's share of the calls that what lies below survives, as a mean over `calls_window`.
     /// Absent where nothing below is shared by all.
     pub calls_share: Option<f32>,
-    pub calls_window: Tenths,
+    pub calls_window: TenthMillis,
     /// How long an abandoned call may stay in hand below.
-    pub linger: Tenths,
+    pub linger: TenthMillis,
     pub cold: bool,
     /// Least share of its speed at which a cold node starts.
     pub start_speed: f32,
     /// A cold node is warm after this at the latest.
-    pub warm_after: Tenths,
+    pub warm_after: TenthMillis,
     /// Running exchanges a core that a warm node survives, as a mean over `crowd_window`.
     pub tip_multiple: f32,
-    pub crowd_window: Tenths,
-    pub drain_grace: Tenths,
+    pub crowd_window: TenthMillis,
+    pub drain_grace: TenthMillis,
     /// Callers close idle connections after this.
-    pub idle_limit: Tenths,
+    pub idle_limit: TenthMillis,
     /// Longest advice to stay away that is heeded; 0 where none is passed on.
-    pub longest_retry_after: Tenths,
-    pub tick: Tenths,
+    pub longest_retry_after: TenthMillis,
+    pub tick: TenthMillis,
 }
--- a/crates/admission/src/logic.rs
+++ b/crates/admission/src/logic.rs
@@ -6,16 +6,15 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
+use doortrack_time::{MILLISECOND, TenthMillis};
 use rustc_hash::{FxHashMap, FxHashSet};
 use slab::Slab;
 
 use crate::{
     Action, CallOutcome, Effect, Event, ExId, Exchange, Gauges, LevelKind, RunOutcome,
-    ServiceContract, StopKind, Tenths,
+    ServiceContract, StopKind,
 };
 
-const MS: Tenths = 10;
-
 const RUNS_A_CORE: f32 = 1.5;
 /// Thresholds of the design, as shares of C.
 const T1: f32 = 0.75;
@@ -26,12 +25,12 @@
 const C_RISE: f32 = 0.5;
 const C_FALL: f32 = 0.93;
 /// A key stays established for one to two of these without a completed exchange; bound on each half.
-const IDLE_WINDOW: Tenths = 20_000 * MS;
+const IDLE_WINDOW: TenthMillis = 20_000 * MILLISECOND;
 const MOST_KEYS: usize = 4096;
 /// Share of what a node survives that it lets itself use: of crowd and calls, and of memory, which is exact.
 const MARGIN: f32 = 0.9;
 const MEMORY: f32 = 0.95;
-const BEAT: Tenths = 50 * MS;
+const BEAT: TenthMillis = 50 * MILLISECOND;
 /// Weight of the newest run or call in what is learned.
 const NEWEST: f32 = 0.1;
 /// Weight of the newest run in what hints tell.
@@ -76,11 +75,11 @@
 /// share is a mean of about as many reads; the bound is on the callers of a turn.
 const UNKNOWN_CALLERS: f32 = 0.6;
 const UNKNOWN_CALLERS_NEWEST: f32 = 0.02;
-const CALLERS_TURN: Tenths = 10_000 * MS;
+const CALLERS_TURN: TenthMillis = 10_000 * MILLISECOND;
 const MOST_CALLERS: usize = 4096;
 /// The idle limit's least, its rise in a beat below that and its fall above. It rises slowly, as a connection
 /// keeps the limit that it went idle under.
-const IDLE_LEAST: f32 = 100.0 * MS as f32;
+const IDLE_LEAST: f32 = 100.0 * MILLISECOND as f32;
 const IDLE_RISE: f32 = 1.05;
 const IDLE_FALL: f32 = 0.7;
 /// Share read too late to be queued from which on the table is left to fill.
@@ -109,11 +108,11 @@
     subject: u64,
     stage: Stage,
     attached_to: ExId,
-    arrived: Tenths,
-    slo_by: Tenths,
-    due: Tenths,
-    look_at: Tenths,
-    began: Tenths,
+    arrived: TenthMillis,
+    slo_by: TenthMillis,
+    due: TenthMillis,
+    look_at: TenthMillis,
+    began: TenthMillis,
     work: f32,
     kb: f32,
     over_share: bool,
@@ -121,14 +120,14 @@
     /// Nothing is owed any more; only its end is still to come.
     answered: bool,
     calls: u8,
-    called: Tenths,
+    called: TenthMillis,
     /// Time below that its call was charged with.
-    call_given: Tenths,
+    call_given: TenthMillis,
 }
 
 type Place = usize;
 /// Best first: benefit for the work, then the oldest. Entries that no longer hold are passed over.
-type Queue = BinaryHeap<(u32, Reverse<Tenths>, Reverse<ExId>, Place)>;
+type Queue = BinaryHeap<(u32, Reverse<TenthMillis>, Reverse<ExId>, Place)>;
 
 pub struct Door {
     terms: ServiceContract,
@@ -138,22 +137,22 @@
     /// Mean time of a run, by endpoint group; what else differs by group stands in the contract.
     took: Vec<f32>,
     /// What each customer has saved up of its share here, and when that was counted.
-    saved: Vec<(f32, Tenths)>,
+    saved: Vec<(f32, TenthMillis)>,
     st: State,
 }
 
 #[derive(Default)]
 struct State {
-    now: Tenths,
-    born: Tenths,
+    now: TenthMillis,
+    born: TenthMillis,
     /// Next reading of the gauges.
-    beat: Tenths,
+    beat: TenthMillis,
     /// When a run last began or ended.
-    last_change: Tenths,
+    last_change: TenthMillis,
     told_good: bool,
-    armed: Tenths,
+    armed: TenthMillis,
     /// Last arrival that may be run, and the stop, once told to leave.
-    leave: Option<(Tenths, Tenths)>,
+    leave: Option<(TenthMillis, TenthMillis)>,
     gauges: Gauges,
     idle_limit: f32,
     /// Share lately read too late to be queued.
@@ -165,7 +164,7 @@
     long_running: usize,
     /// Queued exchanges, short and long work.
     queues: [Queue; 2],
-    watch: BinaryHeap<Reverse<(Tenths, ExId, Place)>>,
+    watch: BinaryHeap<Reverse<(TenthMillis, ExId, Place)>>,
     /// Summed in f64, so that what fractions drift stays far under the margin.
     memory_kb: f64,
     mean_work: f32,
@@ -173,13 +172,13 @@
     hints: Hints,
     /// Live entries of the node's table, and their ends.
     records: FxHashSet<ExId>,
-    record_ends: VecDeque<(Tenths, ExId)>,
+    record_ends: VecDeque<(TenthMillis, ExId)>,
     /// Established keys, of this turn and the one before.
     keys: [FxHashSet<u64>; 2],
-    keys_turn: Tenths,
+    keys_turn: TenthMillis,
     /// Callers that were read from, of this turn and the one before, and the share of reads from others.
     callers: [FxHashSet<u64>; 2],
-    callers_turn: Tenths,
+    callers_turn: TenthMillis,
     unknown_callers: f32,
     strain: f32,
     level: f32,
@@ -188,7 +187,7 @@
     call_queue: Queue,
     /// Time that calls may still spend below, and when that was counted.
     call_budget: f32,
-    call_counted: Tenths,
+    call_counted: TenthMillis,
     call_took: f32,
 }
 
@@ -208,7 +207,7 @@
     }
 
     /// The one entry point.
-    pub fn handle(&mut self, now: Tenths, batch: &[Event], actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: TenthMillis, batch: &[Event], actions: &mut Vec<Action>) {
         self.st.now = now;
         for what in batch {
             match what {
@@ -334,7 +333,7 @@
             },
             attached_to: root.unwrap_or(0),
             arrived,
-            slo_by: (arrived + group.slo_time + (group.slo_stretch * work) as Tenths).min(due),
+            slo_by: (arrived + group.slo_time + (group.slo_stretch * work) as TenthMillis).min(due),
             due,
             work,
             kb: ex.kb.max(0.0),
@@ -437,8 +436,8 @@
         let ex = &self.st.exs[place];
         let group = &self.terms.groups[ex.group];
         let expected = self.expected(ex.group, ex.work);
-        let patient_till =
-            ex.arrived + (QUEUE_SHARE * (ex.slo_by.saturating_sub(ex.arrived)) as f32) as Tenths;
+        let patient_till = ex.arrived
+            + (QUEUE_SHARE * (ex.slo_by.saturating_sub(ex.arrived)) as f32) as TenthMillis;
         let start_by = patient_till.min(ex.slo_by.saturating_sub(expected));
         let earns = group.benefit
             * if ex.over_share {
@@ -472,11 +471,11 @@
     /// How long a run should take: by its hint, where there is one; else as its group's of late, and then
     /// never more than half the SLO time, so that a node that has come to expect too much of a run still
     /// begins fresh work and learns better.
-    fn expected(&self, group: usize, work: f32) -> Tenths {
+    fn expected(&self, group: usize, work: f32) -> TenthMillis {
         if work > 0.0 && self.st.hints.variance > 0.0 {
-            return self.st.hints.took(work) as Tenths;
+            return self.st.hints.took(work) as TenthMillis;
         }
-        (self.took[group] as Tenths).min(self.terms.groups[group].slo_time / 2)
+        (self.took[group] as TenthMillis).min(self.terms.groups[group].slo_time / 2)
     }
 
     // --- Running ---
@@ -614,20 +613,20 @@
     // --- Answers ---
 
     /// The last moment for an answer: two ticks before it is due, and before the stop.
-    fn last_answer(&self, due: Tenths) -> Tenths {
+    fn last_answer(&self, due: TenthMillis) -> TenthMillis {
         let due = self.st.leave.map_or(due, |(_, stop)| due.min(stop));
         due.saturating_sub(2 * self.terms.tick)
     }
 
     /// Rejected ones are told to come back when the load should be down at T1.
     /// `wait` is what else keeps it from being taken.
-    fn rejection(&self, id: ExId, not_elsewhere: bool, wait: Tenths) -> Action {
+    fn rejection(&self, id: ExId, not_elsewhere: bool, wait: TenthMillis) -> Action {
         let over =
             (self.load() - T1 * self.capacity).max(0.0) * self.st.mean_took / self.places() as f32;
         let wait = if self.st.leave.is_some() || self.stuck() {
-            Tenths::MAX
+            TenthMillis::MAX
         } else {
-            wait.max(over as Tenths)
+            wait.max(over as TenthMillis)
         };
         let not_elsewhere = not_elsewhere && !self.stuck();
         Action::Reject {
@@ -654,7 +653,7 @@
         }
     }
 
-    fn look_again(&mut self, place: Place, at: Tenths) {
+    fn look_again(&mut self, place: Place, at: TenthMillis) {
         let ex = &mut self.st.exs[place];
         ex.look_at = at;
         self.st.watch.push(Reverse((at, ex.id, place)));
@@ -721,7 +720,7 @@
             if can {
                 self.st.now + 5 * BEAT
             } else {
-                Tenths::MAX
+                TenthMillis::MAX
             },
         );
     }
@@ -753,7 +752,7 @@
         }
     }
 
-    fn leave_by(&mut self, age: Tenths, stop_at: Tenths, actions: &mut Vec<Action>) {
+    fn leave_by(&mut self, age: TenthMillis, stop_at: TenthMillis, actions: &mut Vec<Action>) {
         self.st.leave = Some((
             self.st.now.saturating_sub(age) + self.terms.drain_grace,
             stop_at,
@@ -790,7 +789,7 @@
             .call_queue
             .push((rank, Reverse(ex.arrived), Reverse(ex.id), place));
         if group.skip_share > 0.0 {
-            let wait = (QUEUE_SHARE * group.slo_time as f32) as Tenths;
+            let wait = (QUEUE_SHARE * group.slo_time as f32) as TenthMillis;
             let at = ex.look_at.min(self.st.now + wait);
             self.look_again(place, at);
         }
@@ -800,7 +799,7 @@
         &mut self,
         id: ExId,
         outcome: CallOutcome,
-        took: Tenths,
+        took: TenthMillis,
         actions: &mut Vec<Action>,
     ) {
         let Some(&place) = self.st.at_door.get(&id) else {
@@ -863,9 +862,9 @@
                 let left = if skips { ex.slo_by } else { ex.due }.saturating_sub(self.st.now);
                 let left = if skips { left / 2 } else { left }.max(BEAT);
                 let kept = self.terms.linger as f32 + if skips { CALL_RESERVE * most } else { 0.0 };
-                let limit = left.min((self.st.call_budget - kept) as Tenths);
+                let limit = left.min((self.st.call_budget - kept) as TenthMillis);
                 let enough = left
-                    .min((CALL_TIMES * self.st.call_took).min((most - kept) / 2.0) as Tenths)
+                    .min((CALL_TIMES * self.st.call_took).min((most - kept) / 2.0) as TenthMillis)
                     .max(1);
                 if limit < enough {
                     break;
@@ -950,7 +949,7 @@
         };
         if next != self.st.idle_limit {
             actions.push(Action::IdleLimit {
-                after: (next as Tenths).min(self.terms.idle_limit),
+                after: (next as TenthMillis).min(self.terms.idle_limit),
             });
         }
         self.st.idle_limit = next;
@@ -998,7 +997,7 @@
             .st
             .watch
             .peek()
-            .map_or(Tenths::MAX, |Reverse((at, ..))| *at);
+            .map_or(TenthMillis::MAX, |Reverse((at, ..))| *at);
         let next = due.min(self.st.beat).max(self.st.now + 1);
         if self.st.armed <= self.st.now || next < self.st.armed {
             self.st.armed = next;
--- a/crates/admission/tests/cases.rs
+++ b/crates/admission/tests/cases.rs
@@ -2,9 +2,10 @@
 
 mod common;
 
-use common::{At, MS, World, contract, exchange};
+use common::{At, World, contract, exchange};
 use doortrack_admission::logic::Door;
 use doortrack_admission::*;
+use doortrack_time::{MILLISECOND, TenthMillis};
 
 /// Sends `n` unknown callers in one batch to a busy node; how many were rejected.
 fn denied_of(world: &mut World, n: usize) -> usize {
@@ -26,7 +27,7 @@
         },
         seed,
     );
-    world.pass(60 * MS);
+    world.pass(60 * MILLISECOND);
     world
 }
 
@@ -40,7 +41,7 @@
     );
     let mut idle = World::new(contract(), 1);
     idle.busy = 0.94;
-    idle.pass(60 * MS);
+    idle.pass(60 * MILLISECOND);
     assert_eq!(denied_of(&mut idle, 30), 0);
 }
 
@@ -51,10 +52,10 @@
     for seed in 0..2000 {
         let mut world = busy_node(20, seed);
         world.busy = 0.0;
-        world.pass(60 * MS);
+        world.pass(60 * MILLISECOND);
         assert_eq!(denied_of(&mut world, 17), 0);
         world.busy = 1.0;
-        world.pass(60 * MS);
+        world.pass(60 * MILLISECOND);
         rejected += denied_of(&mut world, 1);
     }
     assert!(
@@ -70,10 +71,10 @@
     world.step();
     world.finish(first, RunOutcome::Completed);
     world.busy = 0.0;
-    world.pass(60 * MS);
+    world.pass(60 * MILLISECOND);
     denied_of(&mut world, 19);
     world.busy = 1.0;
-    world.pass(60 * MS);
+    world.pass(60 * MILLISECOND);
     assert_eq!(
         denied_of(&mut world, 1),
         1,
@@ -105,7 +106,7 @@
         (At::Attached(b), At::Running)
     );
     world.finish(b, RunOutcome::Completed);
-    world.pass(10 * MS);
+    world.pass(10 * MILLISECOND);
     assert_eq!(world.items[&a].at, At::Over);
 }
 
@@ -115,8 +116,8 @@
     let first = world.arrive(1, 7, 0, None, 10.0);
     world.step();
     world.finish(first, RunOutcome::Completed);
-    world.pass(6500 * MS);
-    let again = world.arrive(1, 7, 900 * MS, None, 10.0);
+    world.pass(6500 * MILLISECOND);
+    let again = world.arrive(1, 7, 900 * MILLISECOND, None, 10.0);
     world.step();
     assert!(!world.items[&again].ran);
 }
@@ -143,7 +144,7 @@
         At::Calling,
         "what cannot go on without its call finds room"
     );
-    world.pass(600 * MS);
+    world.pass(600 * MILLISECOND);
     assert!(
         world.items.values().filter(|x| x.at == At::Running).count() >= 2,
         "others went on without"
@@ -188,7 +189,9 @@
         actions.contains(&Action::Fail { id: 71 }),
         "an unknown endpoint group is answered at once"
     );
-    world.door.handle(world.now + 9000 * MS, &[], &mut actions);
+    world
+        .door
+        .handle(world.now + 9000 * MILLISECOND, &[], &mut actions);
     let answers = actions
         .iter()
         .filter(|t| matches!(t, Action::Reject { id: 70, .. } | Action::Fail { id: 70 }));
@@ -228,7 +231,7 @@
     };
     terms.tip_multiple = 9.0;
     let mut world = World::new(terms, 1);
-    world.pass(60 * MS);
+    world.pass(60 * MILLISECOND);
     let surge: Vec<_> = (0..17).map(|_| world.arrive(0, 3, 0, None, 1.0)).collect();
     world.step();
     assert!(
@@ -239,7 +242,10 @@
 }
 
 /// A door that has seen runs of these hints and times, and what it does with a last one of this hint.
-fn rejects_after(runs: impl Iterator<Item = (Tenths, Tenths)>, hint: Tenths) -> bool {
+fn rejects_after(
+    runs: impl Iterator<Item = (TenthMillis, TenthMillis)>,
+    hint: TenthMillis,
+) -> bool {
     let mut door = Door::new(
         ServiceContract {
             customers: Vec::new(),
@@ -247,7 +253,7 @@
         },
         1,
     );
-    let (mut now, mut actions) = (60_000 * MS, Vec::new());
+    let (mut now, mut actions) = (60_000 * MILLISECOND, Vec::new());
     door.handle(now, &[Event::Started], &mut actions);
     for (id, (hint, took)) in (1..).zip(runs) {
         door.handle(
@@ -300,19 +306,19 @@
             })
             .next()
     };
-    world.pass(2_000 * MS);
+    world.pass(2_000 * MILLISECOND);
     assert_eq!(said(&world), None, "nothing is short");
     for caller in 1..=30 {
         world.caller = caller;
         denied_of(&mut world, 3);
     }
-    world.pass(60 * MS);
+    world.pass(60 * MILLISECOND);
     let credit = said(&world).unwrap();
     assert!(
         (0.05..0.2).contains(&credit),
         "{credit}: about three of C = 4 to 5 for 30 callers"
     );
-    world.pass(20_000 * MS);
+    world.pass(20_000 * MILLISECOND);
     assert!(
         said(&world).unwrap() > 10.0,
         "it never binds once little is rejected"
@@ -322,30 +328,55 @@
 #[test]
 fn work_that_cannot_be_done_in_time_is_rejected_at_once_if_hints_tell_it() {
     // Found on tunis-intake: long work was run on slow nodes, always late, with half of all benefit in it.
-    let slow = || (0..200).map(|n| ((100 + n % 7 * 30) * MS, 2 * (100 + n % 7 * 30) * MS));
+    let slow = || {
+        (0..200).map(|n| {
+            (
+                (100 + n % 7 * 30) * MILLISECOND,
+                2 * (100 + n % 7 * 30) * MILLISECOND,
+            )
+        })
+    };
     assert!(
-        rejects_after(slow(), 800 * MS),
+        rejects_after(slow(), 800 * MILLISECOND),
         "it would take 1.6 s of 1.5"
     );
-    assert!(!rejects_after(slow(), 700 * MS));
+    assert!(!rejects_after(slow(), 700 * MILLISECOND));
     // Runs that all take long beside what they work: little of it follows from the hint.
-    let fixed = || (0..200).map(|n| ((100 + n % 7 * 30) * MS, (600 + n % 7 * 30) * MS));
+    let fixed = || {
+        (0..200).map(|n| {
+            (
+                (100 + n % 7 * 30) * MILLISECOND,
+                (600 + n % 7 * 30) * MILLISECOND,
+            )
+        })
+    };
     assert!(
-        !rejects_after(fixed(), 700 * MS),
+        !rejects_after(fixed(), 700 * MILLISECOND),
         "1.2 s, though 3 s at the pace of the mean"
     );
     // Two runs alone, and hints of a like that leave no room for numbers.
     assert!(!rejects_after(
-        [(100 * MS, 200 * MS), (101 * MS, 900 * MS)].into_iter(),
-        300 * MS
+        [
+            (100 * MILLISECOND, 200 * MILLISECOND),
+            (101 * MILLISECOND, 900 * MILLISECOND)
+        ]
+        .into_iter(),
+        300 * MILLISECOND
     ));
     assert!(!rejects_after(
-        [(1, 200 * MS), (1, 201 * MS)].into_iter(),
-        Tenths::from(u32::MAX)
+        [(1, 200 * MILLISECOND), (1, 201 * MILLISECOND)].into_iter(),
+        TenthMillis::from(u32::MAX)
     ));
     // Hints that tell nothing.
-    let rough = || (0..200).map(|n| ((100 + n % 7 * 30) * MS, (300 + n % 5 * 30) * MS));
-    assert!(!rejects_after(rough(), 2000 * MS));
+    let rough = || {
+        (0..200).map(|n| {
+            (
+                (100 + n % 7 * 30) * MILLISECOND,
+                (300 + n % 5 * 30) * MILLISECOND,
+            )
+        })
+    };
+    assert!(!rejects_after(rough(), 2000 * MILLISECOND));
 }
 
 /// Takes in so many of this key, and has the gauge read busy from then on.
@@ -353,7 +384,7 @@
     (0..n).for_each(|_| _ = world.arrive(0, key, 0, None, 1.0));
     world.step();
     world.busy = 1.0;
-    world.pass(60 * MS);
+    world.pass(60 * MILLISECOND);
 }
 
 /// Sends one exchange of this key; whether it was rejected.
@@ -379,11 +410,11 @@
         1,
     );
     world.busy = 0.0;
-    world.pass(60 * MS);
+    world.pass(60 * MILLISECOND);
     let established = world.arrive(0, 6, 0, None, 1.0);
     world.step();
     world.finish(established, RunOutcome::Completed);
-    world.pass(10_000 * MS);
+    world.pass(10_000 * MILLISECOND);
     // Of a customer without a share, up to past T1 = 15.
     fill(&mut world, 2, 16);
     let rejected = [(); 4].map(|()| is_rejected(&mut world, 6));
@@ -404,15 +435,15 @@
     };
     let mut world = World::new(terms, 1);
     world.busy = 0.0;
-    world.pass(60 * MS);
+    world.pass(60 * MILLISECOND);
     for _ in 0..20 {
         (0..12).for_each(|_| _ = world.arrive(0, 2, 0, None, 1.0));
-        world.pass(400 * MS);
+        world.pass(400 * MILLISECOND);
         while let Some(id) = world.pick(At::Running, 0) {
             world.finish(id, RunOutcome::Completed);
         }
     }
-    world.pass(2000 * MS);
+    world.pass(2000 * MILLISECOND);
     fill(&mut world, 1, 10);
     assert!(
         is_rejected(&mut world, 4),
@@ -436,10 +467,10 @@
             1,
         );
         world.busy = 0.0;
-        world.pass(60 * MS);
+        world.pass(60 * MILLISECOND);
         denied_of(&mut world, 20);
         world.busy = busy;
-        world.pass(60 * MS);
+        world.pass(60 * MILLISECOND);
         for _ in 0..6 {
             let run = world.pick(At::Running, 0).unwrap();
             world.finish(run, RunOutcome::Completed);
@@ -458,7 +489,7 @@
 fn what_stood_unread_too_long_is_denied_though_little_is_held() {
     // Found on amman-boards: a hot node spent its cores on reading what callers had given up on.
     let mut world = busy_node(4, 1);
-    let late = world.arrive(0, 0, 900 * MS, None, 1.0);
+    let late = world.arrive(0, 0, 900 * MILLISECOND, None, 1.0);
     world.step();
     assert!(!world.items[&late].owed);
 }
@@ -479,10 +510,10 @@
         world.need_call(id);
         world.step();
         assert_eq!(world.items[&id].at, At::Calling, "call {i}");
-        world.pass(500 * MS);
+        world.pass(500 * MILLISECOND);
         world.end_call(id, CallOutcome::Completed);
         world.finish(id, RunOutcome::Completed);
-        world.pass(2500 * MS);
+        world.pass(2500 * MILLISECOND);
     }
 }
 
@@ -492,7 +523,7 @@
     world.busy = 0.0;
     (0..8).for_each(|i| _ = world.arrive(0, i, 0, None, 1.0));
     world.step();
-    world.pass(1600 * MS);
+    world.pass(1600 * MILLISECOND);
     let next = world.arrive(0, 50, 0, None, 1.0);
     world.step();
     assert!(
@@ -523,23 +554,23 @@
         },
         1,
     );
-    world.pass(20_000 * MS);
+    world.pass(20_000 * MILLISECOND);
     assert_eq!(
         last(&world),
-        Some(30_000 * MS),
+        Some(30_000 * MILLISECOND),
         "few connections: the callers' own limit"
     );
     world.links = 90.0;
-    world.pass(2000 * MS);
-    assert_eq!(last(&world), Some(100 * MS));
+    world.pass(2000 * MILLISECOND);
+    assert_eq!(last(&world), Some(100 * MILLISECOND));
     (0..4).for_each(|_| {
-        world.arrive(0, 0, 900 * MS, None, 1.0);
+        world.arrive(0, 0, 900 * MILLISECOND, None, 1.0);
         world.step();
     });
-    world.pass(60 * MS);
+    world.pass(60 * MILLISECOND);
     assert_eq!(
         last(&world),
-        Some(30_000 * MS),
+        Some(30_000 * MILLISECOND),
         "full, the table keeps out what could not be read in time"
     );
 }
@@ -570,25 +601,25 @@
             world.arrive(0, 0, 0, None, 1.0);
             world.step();
         }
-        world.pass(8_000 * MS);
+        world.pass(8_000 * MILLISECOND);
     };
     reads(&mut world, 0..1_000);
     assert_eq!(
         last(&world),
-        Some(100 * MS),
+        Some(100 * MILLISECOND),
         "hardly one of them is seen again"
     );
     reads(&mut world, 1_000..1_030);
     assert_eq!(
         last(&world),
-        Some(30_000 * MS),
+        Some(30_000 * MILLISECOND),
         "each comes again: fifteen a core may stay"
     );
     world.links = 150.0;
-    world.pass(2_000 * MS);
+    world.pass(2_000 * MILLISECOND);
     assert_eq!(
         last(&world),
-        Some(100 * MS),
+        Some(100 * MILLISECOND),
         "twenty-five a core are too many in any case"
     );
 }
@@ -600,13 +631,13 @@
     world.busy = 0.0;
     for _ in 0..20 {
         denied_of(&mut world, 12);
-        world.pass(400 * MS);
+        world.pass(400 * MILLISECOND);
         while let Some(id) = world.pick(At::Running, 0) {
             world.finish(id, RunOutcome::Completed);
         }
     }
     world.busy = 1.0;
-    world.pass(2000 * MS);
+    world.pass(2000 * MILLISECOND);
     assert!(
         denied_of(&mut world, 20) >= 15,
         "3 run for 400 ms each, and a third of 1500 ms may be waited"
@@ -618,7 +649,7 @@
     let mut world = World::new(contract(), 1);
     let mut actions = Vec::new();
     let held = |id, group| Exchange {
-        held_back: Some(70 * MS),
+        held_back: Some(70 * MILLISECOND),
         ..exchange(id, group)
     };
     let deduplicated = contract()
@@ -633,7 +664,7 @@
         actions.contains(&Action::Reject {
             id: 70,
             not_elsewhere: false,
-            retry_after: 70 * MS
+            retry_after: 70 * MILLISECOND
         }),
         "{actions:?}"
     );
--- a/crates/admission/tests/cold.rs
+++ b/crates/admission/tests/cold.rs
@@ -3,13 +3,14 @@
 
 mod common;
 
-use common::{At, MS, World, contract};
+use common::{At, World, contract};
 use doortrack_admission::*;
+use doortrack_time::{MILLISECOND, TenthMillis};
 
 const CALLERS: u64 = 30;
 /// Exchanges that each caller sends at once.
 const EACH: usize = 10;
-const SLO_TIME: Tenths = 1500 * MS;
+const SLO_TIME: TenthMillis = 1500 * MILLISECOND;
 
 /// A node of four cores that survives few runs while it is cold: 3 at first, by its margin of a tenth.
 fn cold() -> ServiceContract {
@@ -23,7 +24,7 @@
 }
 
 /// Runs that a cold node is allowed to have at once after `age`.
-fn allowed(terms: &ServiceContract, age: Tenths) -> usize {
+fn allowed(terms: &ServiceContract, age: TenthMillis) -> usize {
     let warmth = (age as f32 / terms.warm_after as f32).min(1.0);
     let speed = terms.start_speed + (1.0 - terms.start_speed) * warmth;
     ((1.0 + (terms.tip_multiple - 1.0) * speed) * terms.cores as f32) as usize
@@ -64,10 +65,10 @@
         let terms = cold();
         let mut world = World::new(terms.clone(), 1);
         // Its first reading of the gauge says that its cores are busy.
-        world.pass(60 * MS);
+        world.pass(60 * MILLISECOND);
         flood(&mut world, in_one_turn);
         assert!(
-            count(&world, At::Running) <= allowed(&terms, 60 * MS),
+            count(&world, At::Running) <= allowed(&terms, 60 * MILLISECOND),
             "{} run",
             count(&world, At::Running)
         );
@@ -105,7 +106,7 @@
             "{} of 300 are held",
             held(&world)
         );
-        world.pass(SLO_TIME / 3 + 20 * MS);
+        world.pass(SLO_TIME / 3 + 20 * MILLISECOND);
         assert_eq!(count(&world, At::Queued), 0, "none is left to its deadline");
         assert!(
             held(&world) <= allowed(&terms, 0),
@@ -120,8 +121,8 @@
 fn a_flood_that_goes_on_is_served_by_more_and_more_as_the_node_warms_up() {
     let terms = cold();
     let mut world = World::new(terms.clone(), 3);
-    world.pass(60 * MS);
-    let (mut age, mut served) = (60 * MS, Vec::new());
+    world.pass(60 * MILLISECOND);
+    let (mut age, mut served) = (60 * MILLISECOND, Vec::new());
     // Once a second, for twice the time in which the node warms up.
     while age < 2 * terms.warm_after {
         flood(&mut world, true);
@@ -129,11 +130,11 @@
         assert!(
             running <= allowed(&terms, age),
             "{running} run at an age of {} ms",
-            age / MS
+            age / MILLISECOND
         );
         served.push(running);
-        world.pass(1_000 * MS);
-        age += 1_000 * MS;
+        world.pass(1_000 * MILLISECOND);
+        age += 1_000 * MILLISECOND;
         while let Some(run) = world.pick(At::Running, 0) {
             world.finish(run, RunOutcome::Completed);
         }
@@ -145,7 +146,7 @@
         Some(&4),
         "a warm and busy one runs one a core"
     );
-    world.pass(4_000 * MS);
+    world.pass(4_000 * MILLISECOND);
     assert!(
         world
             .items
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -5,16 +5,15 @@
 
 use doortrack_admission::logic::Door;
 use doortrack_admission::*;
-
-pub const MS: Tenths = 10;
+use doortrack_time::{MILLISECOND, TenthMillis};
 
 pub fn contract() -> ServiceContract {
     let group = |effect, calls| EndpointGroup {
         effect,
-        slo_time: 1500 * MS,
+        slo_time: 1500 * MILLISECOND,
         slo_stretch: 0.0,
-        deadline: 4000 * MS,
-        window: 6000 * MS,
+        deadline: 4000 * MILLISECOND,
+        window: 6000 * MILLISECOND,
         benefit: 1.0,
         late_share: 0.0,
         skip_share: 0.0,
@@ -36,20 +35,20 @@
         nodes: 10,
         stop: StopKind::Drop,
         level: LevelKind::LowestRank,
-        level_lasts: 1000 * MS,
+        level_lasts: 1000 * MILLISECOND,
         fresh: 0,
         calls_share: None,
-        calls_window: 5000 * MS,
-        linger: 200 * MS,
+        calls_window: 5000 * MILLISECOND,
+        linger: 200 * MILLISECOND,
         cold: false,
         start_speed: 0.25,
-        warm_after: 10_000 * MS,
+        warm_after: 10_000 * MILLISECOND,
         tip_multiple: 5.0,
-        crowd_window: 2000 * MS,
-        drain_grace: 1000 * MS,
-        idle_limit: 30_000 * MS,
-        longest_retry_after: 1000 * MS,
-        tick: 2 * MS,
+        crowd_window: 2000 * MILLISECOND,
+        drain_grace: 1000 * MILLISECOND,
+        idle_limit: 30_000 * MILLISECOND,
+        longest_retry_after: 1000 * MILLISECOND,
+        tick: 2 * MILLISECOND,
     }
 }
 
@@ -79,15 +78,15 @@
     pub group: usize,
     pub at: At,
     pub idempotency_key: u64,
-    pub arrived: Tenths,
-    pub due: Tenths,
+    pub arrived: TenthMillis,
+    pub due: TenthMillis,
     pub kb: f32,
     pub ran: bool,
     pub completed: bool,
     pub owed: bool,
     pub answered: bool,
-    pub called: Option<Tenths>,
-    pub given_up: Tenths,
+    pub called: Option<TenthMillis>,
+    pub given_up: TenthMillis,
     pub may_call: bool,
     /// The try that this one was told to repeat.
     pub prior: Option<ExId>,
@@ -96,27 +95,27 @@
 pub struct World {
     pub door: Door,
     pub terms: ServiceContract,
-    pub now: Tenths,
+    pub now: TenthMillis,
     pub items: BTreeMap<ExId, Item>,
     pub events: Vec<Event>,
-    pub alarms: BTreeSet<Tenths>,
+    pub alarms: BTreeSet<TenthMillis>,
     pub busy: f32,
     pub links: f32,
     /// Who sends what arrives.
     pub caller: u64,
     /// Entries of the table: idempotency key, exchange, end.
-    pub table: Vec<(u64, ExId, Tenths)>,
+    pub table: Vec<(u64, ExId, TenthMillis)>,
     /// Calls in the hands of what lies below: from, to.
-    calls: Vec<(Tenths, Tenths)>,
-    pub leave: Option<(Tenths, Tenths)>,
-    born: Tenths,
+    calls: Vec<(TenthMillis, TenthMillis)>,
+    pub leave: Option<(TenthMillis, TenthMillis)>,
+    born: TenthMillis,
     next_id: ExId,
     pub done: Vec<Action>,
 }
 
 impl World {
     pub fn new(terms: ServiceContract, seed: u64) -> World {
-        let (born, door) = (60_000 * MS, Door::new(terms.clone(), seed));
+        let (born, door) = (60_000 * MILLISECOND, Door::new(terms.clone(), seed));
         let events = vec![Event::Started];
         let (items, alarms, table, calls, done) = Default::default();
         let (now, busy, links, leave, next_id) = (born, 1.0, 1.0, None, 1);
@@ -146,8 +145,8 @@
         &mut self,
         group: u8,
         key: u64,
-        age: Tenths,
-        passed: Option<Tenths>,
+        age: TenthMillis,
+        passed: Option<TenthMillis>,
         kb: f32,
     ) -> ExId {
         let id = self.next_id;
@@ -286,7 +285,7 @@
         self.events.push(Event::CallerGone { id });
     }
 
-    pub fn leave_in(&mut self, left: Tenths) {
+    pub fn leave_in(&mut self, left: TenthMillis) {
         if self.leave.is_none() {
             self.leave = Some((self.now + self.terms.drain_grace, self.now + left));
             self.events.push(Event::Drain {
@@ -297,7 +296,7 @@
     }
 
     /// Lets time pass, with every alarm at its moment.
-    pub fn pass(&mut self, span: Tenths) {
+    pub fn pass(&mut self, span: TenthMillis) {
         let end = self.now + span;
         self.step();
         while let Some(at) = self.alarms.first().copied().filter(|at| *at <= end) {
@@ -479,8 +478,9 @@
         if let Some(share) = self.terms.calls_share {
             let from = self.now.saturating_sub(self.terms.calls_window);
             let open = live.filter_map(|x| x.called.map(|start| (start, self.now)));
-            let span =
-                |(a, b): (Tenths, Tenths)| b.min(self.now).saturating_sub(a.max(from)) as f32;
+            let span = |(a, b): (TenthMillis, TenthMillis)| {
+                b.min(self.now).saturating_sub(a.max(from)) as f32
+            };
             let sum: f32 = self.calls.iter().copied().chain(open).map(span).sum();
             let mean = sum / self.terms.calls_window as f32;
             assert!(
--- a/crates/admission/tests/pinned.rs
+++ b/crates/admission/tests/pinned.rs
@@ -8,8 +8,9 @@
 
 use std::fmt::Write;
 
-use common::{At, MS, World, contract};
+use common::{At, World, contract};
 use doortrack_admission::*;
+use doortrack_time::MILLISECOND;
 use fastrand::Rng;
 
 const SEEDS: u64 = 64;
@@ -42,11 +43,11 @@
             .unwrap(),
         cold: rng.bool(),
         tip_multiple: rng.choice([1.5, 2.0, 5.0, 8.0]).unwrap(),
-        longest_retry_after: rng.choice([0, 1000 * MS]).unwrap(),
+        longest_retry_after: rng.choice([0, 1000 * MILLISECOND]).unwrap(),
         ..base
     };
     for group in &mut terms.groups {
-        group.slo_time = rng.choice([400 * MS, 1500 * MS]).unwrap();
+        group.slo_time = rng.choice([400 * MILLISECOND, 1500 * MILLISECOND]).unwrap();
         group.slo_stretch = rng.choice([0.0, 2.0]).unwrap();
         group.benefit = rng.choice([0.2, 1.0, 4.0]).unwrap();
         group.late_share = rng.choice([0.0, 0.5]).unwrap();
@@ -59,8 +60,10 @@
 /// Reads one exchange with what a front end may pass on of it.
 fn arrive(world: &mut World, rng: &mut Rng) {
     world.caller = rng.u64(1..40);
-    let due = rng.bool().then(|| rng.u64(0..5_000) * MS);
-    let age = rng.choice([0, 0, 0, 40 * MS, 700 * MS]).unwrap();
+    let due = rng.bool().then(|| rng.u64(0..5_000) * MILLISECOND);
+    let age = rng
+        .choice([0, 0, 0, 40 * MILLISECOND, 700 * MILLISECOND])
+        .unwrap();
     world.arrive(
         rng.u8(0..3),
         rng.u64(0..14),
@@ -69,10 +72,10 @@
         rng.u32(1..70) as f32,
     );
     if let Some(Event::Arrived(read)) = world.events.last_mut() {
-        read.work_hint = rng.bool().then(|| rng.u64(1..900) * MS);
+        read.work_hint = rng.bool().then(|| rng.u64(1..900) * MILLISECOND);
         read.rank = rng.f32();
         read.retry = rng.u8(0..5) == 0;
-        read.held_back = (rng.u8(0..25) == 0).then(|| rng.u64(1..2_000) * MS);
+        read.held_back = (rng.u8(0..25) == 0).then(|| rng.u64(1..2_000) * MILLISECOND);
     }
 }
 
@@ -124,11 +127,11 @@
         }
         20 => world.busy = rng.choice([0.3, 0.94, 0.95, 1.0]).unwrap(),
         21 => world.links = rng.u32(0..300) as f32,
-        22 if rng.u8(0..60) == 0 => world.leave_in(rng.u64(800..3_800) * MS),
+        22 if rng.u8(0..60) == 0 => world.leave_in(rng.u64(800..3_800) * MILLISECOND),
         _ => {}
     }
     if rng.u8(0..3) == 0 {
-        world.pass(rng.u64(1..120) * MS);
+        world.pass(rng.u64(1..120) * MILLISECOND);
     }
 }
 
@@ -174,13 +177,13 @@
     for _ in 0..STEPS {
         if world
             .leave
-            .is_some_and(|(_, stop)| world.now + 120 * MS >= stop)
+            .is_some_and(|(_, stop)| world.now + 120 * MILLISECOND >= stop)
         {
             break;
         }
         play(&mut world, &mut rng);
     }
-    world.pass(9_000 * MS);
+    world.pass(9_000 * MILLISECOND);
     world.done
 }
 
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
-use common::{At, MS, World, contract};
+use common::{At, World, contract};
 use doortrack_admission::*;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
 
@@ -55,11 +56,11 @@
     World::new(terms, start.8)
 }
 
-fn play(world: &mut World, start: &Start, op: u8, n: u32, span: Tenths) {
-    let left = start.6.then_some(Tenths::from(n % 5000) * MS);
+fn play(world: &mut World, start: &Start, op: u8, n: u32, span: TenthMillis) {
+    let left = start.6.then_some(TenthMillis::from(n % 5000) * MILLISECOND);
     let (key, age, kb) = (
         u64::from(n % 13) + 1,
-        Tenths::from(n / 7 % 900) * MS,
+        TenthMillis::from(n / 7 % 900) * MILLISECOND,
         (10 + n % 60) as f32,
     );
     match op {
@@ -112,7 +113,9 @@
                 .for_each(|id| world.caller_gone(id));
         }
         17 => world.busy = (n % 2) as f32,
-        18 if n.is_multiple_of(40) => world.leave_in(Tenths::from(800 + n % 3000) * MS),
+        18 if n.is_multiple_of(40) => {
+            world.leave_in(TenthMillis::from(800 + n % 3000) * MILLISECOND)
+        }
         19 => {
             // What comes late, twice or for nobody changes nothing.
             let id = n % 50 + 1;
@@ -133,7 +136,7 @@
         _ => {}
     }
     if n.is_multiple_of(4) {
-        world.pass(span * MS);
+        world.pass(span * MILLISECOND);
     }
 }
 
@@ -156,13 +159,13 @@
             for (op, n, span) in ops {
                 if world
                     .leave
-                    .is_some_and(|(_, stop)| world.now + span * MS >= stop)
+                    .is_some_and(|(_, stop)| world.now + span * MILLISECOND >= stop)
                 {
                     break;
                 }
                 play(&mut world, &start, op, n, span);
             }
-            world.pass(9000 * MS);
+            world.pass(9000 * MILLISECOND);
             prop_assert!(world.items.values().all(|x| !x.owed));
             Ok(())
         })
--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -1,9 +1,8 @@
 //! The allocation of one budget at this node, and what of it is in use.
 
-use doortrack_admission::Tenths;
-
 use crate::need::NeedEstimate;
 use crate::{Budget, Grant, Kind, Parameters, ReportItem, Units};
+use doortrack_time::TenthMillis;
 
 /// The fractions that one unit of a rate is counted in: a thousandth of a unit a second makes one in a tenth
 /// of a ms.
@@ -16,7 +15,7 @@
     Rate {
         tokens: u64,
         cap: u64,
-        counted: Tenths,
+        counted: TenthMillis,
     },
     /// Units held.
     Concurrency { in_use: Units },
@@ -28,9 +27,9 @@
     pub budget: Budget,
     reserved: Units,
     /// When the reserved minimum may be used: what an earlier incarnation held may be in use until then.
-    reserved_from: Tenths,
+    reserved_from: TenthMillis,
     leased: Units,
-    till: Tenths,
+    till: TenthMillis,
     /// The latest report whose answer is in force.
     pub accepted: u64,
     uses: Uses,
@@ -43,7 +42,12 @@
 
 impl Allocation {
     /// Nothing is leased yet; `name` is that of the node.
-    pub fn new(budget: Budget, name: &str, now: Tenths, parameters: &Parameters) -> Allocation {
+    pub fn new(
+        budget: Budget,
+        name: &str,
+        now: TenthMillis,
+        parameters: &Parameters,
+    ) -> Allocation {
         let held = if parameters.safeguards.held {
             budget.max_hold()
         } else {
@@ -103,7 +107,7 @@
     }
 
     /// Counts up to now, and ends a lease that has expired.
-    fn settle(&mut self, now: Tenths, parameters: &Parameters) {
+    fn settle(&mut self, now: TenthMillis, parameters: &Parameters) {
         if self.leased > 0 && self.till <= now && parameters.safeguards.run_out {
             self.count(self.till, parameters);
             self.ran_out = Some(self.leased);
@@ -114,7 +118,7 @@
     }
 
     /// Adds the tokens of the time since the last count.
-    fn count(&mut self, now: Tenths, parameters: &Parameters) {
+    fn count(&mut self, now: TenthMillis, parameters: &Parameters) {
         let rate = self.reserved + self.leased;
         if let Uses::Rate {
             tokens,
@@ -134,7 +138,7 @@
     }
 
     /// What may be used now, the reserved minimum included.
-    pub fn usable(&mut self, now: Tenths, parameters: &Parameters) -> Units {
+    pub fn usable(&mut self, now: TenthMillis, parameters: &Parameters) -> Units {
         self.settle(now, parameters);
         self.leased
             + if now >= self.reserved_from {
@@ -148,7 +152,11 @@
     ///
     /// # Errors
     /// None is left: how long to wait before asking again, in tenths of a ms.
-    pub fn acquire(&mut self, now: Tenths, parameters: &Parameters) -> Result<(), Tenths> {
+    pub fn acquire(
+        &mut self,
+        now: TenthMillis,
+        parameters: &Parameters,
+    ) -> Result<(), TenthMillis> {
         let usable = self.usable(now, parameters);
         let rate = self.reserved + self.leased;
         let (taken, in_use) = match &mut self.uses {
@@ -202,7 +210,7 @@
     /// The item of a report; with `round` it ends a round of the measured need.
     pub fn item(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         parameters: &Parameters,
         round: bool,
         leaves: bool,
@@ -232,10 +240,10 @@
     /// is leased.
     pub fn apply_grant(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         seq: u64,
         grant: Grant,
-        till: Tenths,
+        till: TenthMillis,
         parameters: &Parameters,
     ) -> (Units, Units) {
         self.settle(now, parameters);
@@ -256,13 +264,13 @@
     }
 
     /// What was on a lease that expired since this was last asked.
-    pub fn ran_out(&mut self, now: Tenths, parameters: &Parameters) -> Option<Units> {
+    pub fn ran_out(&mut self, now: TenthMillis, parameters: &Parameters) -> Option<Units> {
         self.settle(now, parameters);
         self.ran_out.take()
     }
 
     /// When the lease expires, if there is one.
-    pub fn till(&self) -> Option<Tenths> {
+    pub fn till(&self) -> Option<TenthMillis> {
         (self.leased > 0).then_some(self.till)
     }
 
--- a/crates/budgets/src/budgets.rs
+++ b/crates/budgets/src/budgets.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use doortrack_admission::Tenths;
 use doortrack_membership::{Incarnation, Name};
+use doortrack_time::TenthMillis;
 
 use crate::allocation::Allocation;
 use crate::leadership::Leadership;
@@ -39,8 +39,8 @@
     /// Answers to reports before this one are those of an earlier leader.
     following_since: u64,
     seq: u64,
-    sent: VecDeque<(u64, Tenths)>,
-    report_at: Tenths,
+    sent: VecDeque<(u64, TenthMillis)>,
+    report_at: TenthMillis,
     unanswered_rounds: u32,
     asked: usize,
     pub(crate) ballot: u64,
@@ -67,7 +67,7 @@
         parameters: Parameters,
         list: &[Budget],
         seed: u64,
-        now: Tenths,
+        now: TenthMillis,
     ) -> Budgets {
         let allocations = list
             .iter()
@@ -83,7 +83,7 @@
             allocations,
             weight: weight.max(1),
             leadership: Leadership::Follower {
-                try_at: Tenths::MAX,
+                try_at: TenthMillis::MAX,
             },
             ledger: Ledger::default(),
             voters: BTreeMap::new(),
@@ -122,17 +122,17 @@
         chance.u64(..below.max(1))
     }
 
-    /// When [`Event::Tick`] is due at the latest; [`Tenths::MAX`] for never.
-    pub fn next_due(&self) -> Tenths {
+    /// When [`Event::Tick`] is due at the latest; [`TenthMillis::MAX`] for never.
+    pub fn next_due(&self) -> TenthMillis {
         if self.superseded || self.allocations.is_empty() {
-            return Tenths::MAX;
+            return TenthMillis::MAX;
         }
         self.report_at
             .min(self.leadership.next_due(&self.parameters))
     }
 
     /// Handles one event at the time `now`, which must not go back. Actions are added to `out`, in order.
-    pub fn handle(&mut self, now: Tenths, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: TenthMillis, event: Event, out: &mut Vec<Action>) {
         if self.superseded {
             return;
         }
@@ -167,7 +167,7 @@
         }
     }
 
-    fn change(&mut self, now: Tenths, list: Vec<Budget>) {
+    fn change(&mut self, now: TenthMillis, list: Vec<Budget>) {
         let mut old: Vec<Option<Allocation>> = std::mem::take(&mut self.allocations)
             .into_iter()
             .map(Some)
@@ -195,7 +195,7 @@
         self.ledger.change(&list);
     }
 
-    fn on_tick(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    fn on_tick(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         self.leadership_tick(now, out);
         if now < self.report_at {
             return;
@@ -224,7 +224,7 @@
     }
 
     /// Reports these budgets to the leader, or, if none is known, to a voter that may know one.
-    fn report(&mut self, now: Tenths, indices: &[usize], round: bool, out: &mut Vec<Action>) {
+    fn report(&mut self, now: TenthMillis, indices: &[usize], round: bool, out: &mut Vec<Action>) {
         let Some(to) = self.leader.clone().or_else(|| self.next_asked()) else {
             return;
         };
@@ -284,7 +284,7 @@
         self.leader = to;
     }
 
-    fn on_envelope(&mut self, now: Tenths, envelope: Envelope, out: &mut Vec<Action>) {
+    fn on_envelope(&mut self, now: TenthMillis, envelope: Envelope, out: &mut Vec<Action>) {
         if envelope.to != self.me {
             return;
         }
@@ -310,7 +310,7 @@
 
     fn on_grant(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         from: &NodeId,
         seq: u64,
         grants: &[Grant],
@@ -368,7 +368,7 @@
     ///
     /// # Errors
     /// None is left: how long to wait before asking again, in tenths of a ms.
-    pub fn acquire(&mut self, index: usize, now: Tenths) -> Result<(), Tenths> {
+    pub fn acquire(&mut self, index: usize, now: TenthMillis) -> Result<(), TenthMillis> {
         self.allocations[index].acquire(now, &self.parameters)
     }
 
--- a/crates/budgets/src/leadership.rs
+++ b/crates/budgets/src/leadership.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use doortrack_admission::Tenths;
 use doortrack_membership::Name;
+use doortrack_time::TenthMillis;
 
 use crate::ledger::Ledger;
 use crate::voter::Voter;
@@ -16,14 +16,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Election {
     /// Ballots, and when each was sent.
-    asked: VecDeque<(u64, Tenths)>,
+    asked: VecDeque<(u64, TenthMillis)>,
     /// When each voter's vote expires.
-    votes: BTreeMap<Name, Tenths>,
+    votes: BTreeMap<Name, TenthMillis>,
 }
 
 impl Election {
     /// Takes note of a ballot that is sent now.
-    pub fn asked(&mut self, ballot: u64, now: Tenths) {
+    pub fn asked(&mut self, ballot: u64, now: TenthMillis) {
         if self.asked.len() >= MAX_ASKED {
             self.asked.pop_front();
         }
@@ -41,8 +41,8 @@
     }
 
     /// When the votes no longer make a majority; 0 if they never did.
-    pub fn till(&self, parameters: &Parameters) -> Tenths {
-        let mut ends: Vec<Tenths> = self.votes.values().copied().collect();
+    pub fn till(&self, parameters: &Parameters) -> TenthMillis {
+        let mut ends: Vec<TenthMillis> = self.votes.values().copied().collect();
         ends.sort_unstable_by(|a, b| b.cmp(a));
         ends.get(parameters.majority() - 1).copied().unwrap_or(0)
     }
@@ -57,9 +57,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Leadership {
     /// It may start an election at this time; never if it is no voter.
-    Follower { try_at: Tenths },
+    Follower { try_at: TenthMillis },
     /// It has asked for votes, and abandons the election at a time.
-    Candidate { election: Election, till: Tenths },
+    Candidate {
+        election: Election,
+        till: TenthMillis,
+    },
     /// It holds the votes of a majority.
     Leader(Term),
 }
@@ -69,17 +72,17 @@
 pub(crate) struct Term {
     pub election: Election,
     /// When votes are asked for again.
-    pub renew_at: Tenths,
+    pub renew_at: TenthMillis,
     /// When the term began. A lease of an earlier leader has expired one lease later; what a budget's units
     /// may be held beyond that is added.
-    pub since: Tenths,
+    pub since: TenthMillis,
     /// When the budgets are divided next.
-    pub divide_at: Tenths,
+    pub divide_at: TenthMillis,
 }
 
 impl Leadership {
     /// When there is something to do at the latest.
-    pub fn next_due(&self, parameters: &Parameters) -> Tenths {
+    pub fn next_due(&self, parameters: &Parameters) -> TenthMillis {
         match self {
             Leadership::Follower { try_at } => *try_at,
             Leadership::Candidate { till, .. } => *till,
@@ -93,7 +96,7 @@
 
 impl Budgets {
     /// Does what is due of elections and, as the leader, of divisions.
-    pub(crate) fn leadership_tick(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    pub(crate) fn leadership_tick(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         match &self.leadership {
             Leadership::Follower { try_at } if now >= *try_at => self.start_election(now, out),
             Leadership::Candidate { till, .. } if now >= *till => self.abandon_election(now, out),
@@ -115,9 +118,9 @@
         }
     }
 
-    fn start_election(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    fn start_election(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         let jitter = self.random(self.parameters.round);
-        let free_at = self.voter.as_ref().map_or(Tenths::MAX, Voter::free_at);
+        let free_at = self.voter.as_ref().map_or(TenthMillis::MAX, Voter::free_at);
         if self.voters.len() < self.parameters.majority() || free_at > now {
             self.leadership = Leadership::Follower {
                 try_at: free_at
@@ -135,7 +138,7 @@
     }
 
     /// Asks all voters, this node included, for their votes under a new ballot.
-    fn ask_all(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    fn ask_all(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         self.ballot += 1;
         let ballot = self.ballot;
         match &mut self.leadership {
@@ -168,13 +171,13 @@
     }
 
     /// Gives up for want of votes; those given are released, so that another may have them.
-    fn abandon_election(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    fn abandon_election(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         self.release_votes(out);
         let wait = self.parameters.round / 2 + self.random(2 * self.parameters.round);
         self.leadership = Leadership::Follower { try_at: now + wait };
     }
 
-    fn step_down(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    fn step_down(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         self.leadership = Leadership::Follower {
             try_at: now + self.parameters.round,
         };
@@ -184,18 +187,18 @@
     }
 
     /// Steps down for good and releases all votes, so that another can be elected at once.
-    pub(crate) fn resign(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    pub(crate) fn resign(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         let held = matches!(self.leadership, Leadership::Leader(_));
         self.release_votes(out);
         if held {
             self.step_down(now, out);
         }
         self.leadership = Leadership::Follower {
-            try_at: Tenths::MAX,
+            try_at: TenthMillis::MAX,
         };
     }
 
-    fn on_vote(&mut self, now: Tenths, from: &NodeId, ballot: u64, out: &mut Vec<Action>) {
+    fn on_vote(&mut self, now: TenthMillis, from: &NodeId, ballot: u64, out: &mut Vec<Action>) {
         match &mut self.leadership {
             Leadership::Follower { .. } => {}
             Leadership::Leader(term) => term.election.vote(&from.name, ballot, &self.parameters),
@@ -231,7 +234,7 @@
     /// Handles the messages to voters, candidates and leaders.
     pub(crate) fn on_voter_message(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         from: NodeId,
         message: Message,
         out: &mut Vec<Action>,
@@ -274,7 +277,7 @@
 
     fn on_report(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         from: NodeId,
         (seq, weight): (u64, u32),
         items: &[ReportItem],
--- a/crates/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -2,9 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use doortrack_admission::Tenths;
-
 use crate::{Budget, Grant, HolderDemand, Id, NodeId, Parameters, ReportItem, Units, divide};
+use doortrack_time::TenthMillis;
 
 /// Unconfirmed allocations of a holder that are kept one by one; beyond that the two oldest are merged into
 /// the greater.
@@ -25,7 +24,7 @@
     /// What it is to have by the last division.
     target: Units,
     /// When nothing of this can be in use any more.
-    till: Tenths,
+    till: TenthMillis,
     limit: Units,
     reserved: Units,
 }
@@ -124,7 +123,7 @@
     /// of a budget whether all that an earlier leader granted of it has expired.
     pub fn report(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         who: &NodeId,
         (seq, weight): (u64, u32),
         items: &[ReportItem],
@@ -189,7 +188,7 @@
     }
 
     /// Strikes out what has expired, and divides the budgets anew.
-    pub fn divide(&mut self, now: Tenths, parameters: &Parameters) {
+    pub fn divide(&mut self, now: TenthMillis, parameters: &Parameters) {
         self.rotation += 1;
         for holder in self.holders.values_mut() {
             holder.accounts.retain(|index, held| {
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -47,8 +47,8 @@
 mod reporting;
 mod voter;
 
-use doortrack_admission::Tenths;
 use doortrack_membership::View;
+use doortrack_time::TenthMillis;
 
 pub use budgets::Budgets;
 pub use divide::{HolderDemand, divide};
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// This node became the leader; it grants what is free after `grants_after`.
-    Elected { grants_after: Tenths },
+    Elected { grants_after: TenthMillis },
     /// This node is no longer the leader.
     SteppedDown,
     /// The leader that this node reports to from here on.
@@ -101,7 +101,7 @@
         index: usize,
         was: Units,
         allocation: Units,
-        lasts: Tenths,
+        lasts: TenthMillis,
     },
     /// The lease expired; `allocation` was on it.
     RanOut { index: usize, allocation: Units },
--- a/crates/budgets/src/need.rs
+++ b/crates/budgets/src/need.rs
@@ -1,8 +1,7 @@
 //! Estimates how much of a budget a node could use, smoothed so that allocations do not oscillate.
 
-use doortrack_admission::Tenths;
-
 use crate::{Budget, Kind, Units};
+use doortrack_time::TenthMillis;
 
 /// How far the estimate moves to the measured need in a round, in eighths: when it rises, and when it falls.
 const UP: Units = 8;
@@ -22,14 +21,14 @@
     asked: Units,
     rejected: Units,
     peak: Units,
-    since: Tenths,
+    since: TenthMillis,
     smooth: Units,
     told: Units,
 }
 
 impl NeedEstimate {
     /// No need is known yet.
-    pub fn new(now: Tenths) -> NeedEstimate {
+    pub fn new(now: TenthMillis) -> NeedEstimate {
         NeedEstimate {
             since: now,
             ..NeedEstimate::default()
@@ -49,7 +48,7 @@
     }
 
     /// Ends a round, and returns the need to report.
-    pub fn round(&mut self, now: Tenths, budget: &Budget, in_use: Units) -> Units {
+    pub fn round(&mut self, now: TenthMillis, budget: &Budget, in_use: Units) -> Units {
         let span = now.saturating_sub(self.since);
         if span == 0 {
             return self.told;
--- a/crates/budgets/src/parameters.rs
+++ b/crates/budgets/src/parameters.rs
@@ -2,10 +2,8 @@
 
 use std::sync::Arc;
 
-use doortrack_admission::Tenths;
 use doortrack_membership::Name;
-
-const MS: Tenths = 10;
+use doortrack_time::{MILLISECOND, TenthMillis};
 
 /// An amount of a budget: units held at once, or thousandths of a unit a second.
 pub type Units = u64;
@@ -36,7 +34,7 @@
     /// Units held at once.
     Concurrency {
         /// The longest that a unit is held, in tenths of a ms, also by a node that is isolated or has died.
-        max_hold: Tenths,
+        max_hold: TenthMillis,
     },
 }
 
@@ -108,7 +106,7 @@
     }
 
     /// How long after its lease a unit may still be in use, in tenths of a ms.
-    pub fn max_hold(&self) -> Tenths {
+    pub fn max_hold(&self) -> TenthMillis {
         match self.kind {
             Kind::Rate { .. } => 0,
             Kind::Concurrency { max_hold } => max_hold,
@@ -122,11 +120,11 @@
     /// The names of the nodes of which a majority elects the leader.
     pub voters: Arc<[Name]>,
     /// The interval at which holders report.
-    pub round: Tenths,
+    pub round: TenthMillis,
     /// How long a vote lasts.
-    pub vote_duration: Tenths,
+    pub vote_duration: TenthMillis,
     /// How long a lease lasts.
-    pub lease: Tenths,
+    pub lease: TenthMillis,
     /// How far a clock may gain or lose against true time, in thousandths.
     pub drift: u64,
     /// All on but in tests.
@@ -137,9 +135,9 @@
     fn default() -> Parameters {
         Parameters {
             voters: Arc::new([]),
-            round: 200 * MS,
-            vote_duration: 800 * MS,
-            lease: 1_500 * MS,
+            round: 200 * MILLISECOND,
+            vote_duration: 800 * MILLISECOND,
+            lease: 1_500 * MILLISECOND,
             drift: 20,
             safeguards: Safeguards::default(),
         }
@@ -148,7 +146,7 @@
 
 impl Parameters {
     /// A span that has passed by the slowest admissible clock before `span` has by the fastest.
-    pub(crate) fn shortened_by_drift(&self, span: Tenths) -> Tenths {
+    pub(crate) fn shortened_by_drift(&self, span: TenthMillis) -> TenthMillis {
         if self.safeguards.drift {
             span * (1_000 - self.drift) / (1_000 + self.drift)
         } else {
--- a/crates/budgets/src/reporting.rs
+++ b/crates/budgets/src/reporting.rs
@@ -1,9 +1,8 @@
 //! The state of the budgets, for operators and tests.
 
-use doortrack_admission::Tenths;
-
 use crate::leadership::Leadership;
 use crate::{Budget, Budgets, Kind, NodeId, Parameters, Units};
+use doortrack_time::TenthMillis;
 
 /// The state of one budget at one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,7 +17,7 @@
     /// Requests for a unit that were rejected since the start.
     pub rejected: u64,
     /// How long the lease still lasts, in tenths of a ms.
-    pub lasts: Option<Tenths>,
+    pub lasts: Option<TenthMillis>,
     /// What this node has granted to all, if it is the leader.
     pub granted: Option<Units>,
 }
@@ -40,7 +39,7 @@
     }
 
     /// Whether this node holds the votes of a majority at `now`.
-    pub fn is_leader(&self, now: Tenths) -> bool {
+    pub fn is_leader(&self, now: TenthMillis) -> bool {
         matches!(&self.leadership, Leadership::Leader(term) if term.election.till(&self.parameters) > now)
     }
 
@@ -50,7 +49,7 @@
     }
 
     /// The state of the budget at this index.
-    pub fn status(&mut self, index: usize, now: Tenths) -> AllocationStatus {
+    pub fn status(&mut self, index: usize, now: TenthMillis) -> AllocationStatus {
         let leader = self.is_leader(now);
         let allocation = &mut self.allocations[index];
         let usable = allocation.usable(now, &self.parameters);
@@ -66,7 +65,7 @@
     }
 
     /// What may be in use at most at `now`, without changing anything: for tests of the sum over all nodes.
-    pub fn exposed(&self, index: usize, now: Tenths) -> Units {
+    pub fn exposed(&self, index: usize, now: TenthMillis) -> Units {
         let mut allocation = self.allocations[index].clone();
         let usable = allocation.usable(now, &self.parameters);
         match allocation.budget.kind {
--- a/crates/budgets/src/voter.rs
+++ b/crates/budgets/src/voter.rs
@@ -1,14 +1,13 @@
 //! A voter: it gives one vote at a time, to one candidate, for a bounded time.
 
-use doortrack_admission::Tenths;
-
 use crate::{NodeId, Parameters};
+use doortrack_time::TenthMillis;
 
 /// One voter's memory. It does not outlast the process, so a new one gives no vote for as long as a vote of
 /// its predecessor may last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Voter {
-    silent_until: Tenths,
+    silent_until: TenthMillis,
     vote: Option<Vote>,
 }
 
@@ -16,12 +15,12 @@
 struct Vote {
     to: NodeId,
     ballot: u64,
-    till: Tenths,
+    till: TenthMillis,
 }
 
 impl Voter {
     /// A voter that has just started.
-    pub fn new(now: Tenths, parameters: &Parameters) -> Voter {
+    pub fn new(now: TenthMillis, parameters: &Parameters) -> Voter {
         let silent = if parameters.safeguards.silent_start {
             parameters.vote_duration
         } else {
@@ -36,7 +35,7 @@
     /// Handles a request for the vote; whether the candidate has it from now on, for `vote_duration`.
     pub fn ask(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         from: &NodeId,
         ballot: u64,
         parameters: &Parameters,
@@ -70,7 +69,7 @@
     }
 
     /// The node that has the vote now.
-    pub fn leader(&self, now: Tenths) -> Option<&NodeId> {
+    pub fn leader(&self, now: TenthMillis) -> Option<&NodeId> {
         self.vote
             .as_ref()
             .filter(|vote| vote.till > now)
@@ -78,7 +77,7 @@
     }
 
     /// When the vote can next be given to another candidate.
-    pub fn free_at(&self) -> Tenths {
+    pub fn free_at(&self) -> TenthMillis {
         self.vote
             .as_ref()
             .map_or(0, |vote| vote.till)
--- a/crates/budgets/tests/holder.rs
+++ b/crates/budgets/tests/holder.rs
@@ -2,18 +2,16 @@
 
 use std::sync::Arc;
 
-use doortrack_admission::Tenths;
 use doortrack_budgets::{
     Action, Budget, Budgets, Envelope, Event, Grant, Kind, Message, NodeId, Parameters, Safeguards,
 };
 use doortrack_membership::{Incarnation, Member, Name, View};
-
-const MS: Tenths = 10;
+use doortrack_time::{MILLISECOND, TenthMillis};
 
 struct Holder {
     budgets: Budgets,
     leader: NodeId,
-    now: Tenths,
+    now: TenthMillis,
 }
 
 impl Holder {
@@ -120,11 +118,11 @@
     let mut holder = Holder::with_ten(safeguards);
     let granted_at = holder.now;
     let mut late = 0;
-    while holder.now < granted_at + 400 * MS {
+    while holder.now < granted_at + 400 * MILLISECOND {
         late = holder.reports();
     }
     // It stands still, so that it holds on to its leader; its report was sent, and takes its time.
-    holder.now = granted_at + 1_500 * MS;
+    holder.now = granted_at + 1_500 * MILLISECOND;
     assert_eq!(
         holder.budgets.exposed(0, holder.now),
         0,
@@ -164,5 +162,5 @@
         .budgets
         .handle(holder.now, Event::Superseded, &mut Vec::new());
     assert_eq!(holder.budgets.exposed(0, holder.now), 0);
-    assert_eq!(holder.budgets.next_due(), Tenths::MAX);
+    assert_eq!(holder.budgets.next_due(), TenthMillis::MAX);
 }
--- a/crates/budgets/tests/model.rs
+++ b/crates/budgets/tests/model.rs
@@ -6,36 +6,36 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-use doortrack_admission::Tenths;
 use doortrack_budgets::{
     Action, Budget, Budgets, Envelope, Event, Kind, Message, NodeId, Parameters, Safeguards,
 };
 use doortrack_membership::{Incarnation, Member, Name, View};
+use doortrack_time::TenthMillis;
 use stateright::{Checker, Model, Property};
 
 /// Times in ticks: the smallest at which votes and leases still differ from a round.
-const ROUND: Tenths = 1;
-const VOTE: Tenths = 2;
-const LEASE: Tenths = 4;
+const ROUND: TenthMillis = 1;
+const VOTE: TenthMillis = 2;
+const LEASE: TenthMillis = 4;
 
 struct Fleet {
     nodes: usize,
     safeguards: Safeguards,
     /// Bounds of the search: ticks, faults of either kind, envelopes on their way.
-    ticks: Tenths,
+    ticks: TenthMillis,
     faults: u8,
     envelopes: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    now: Tenths,
+    now: TenthMillis,
     nodes: Vec<Budgets>,
     stopped: Vec<bool>,
     net: BTreeSet<Envelope>,
     faults: u8,
     incarnation: u64,
-    ends: Tenths,
+    ends: TenthMillis,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -70,7 +70,7 @@
         }
     }
 
-    fn start(&self, of: usize, incarnation: u64, now: Tenths) -> Budgets {
+    fn start(&self, of: usize, incarnation: u64, now: TenthMillis) -> Budgets {
         // What may be used counts as used.
         let kind = Kind::Rate { burst: 1 };
         let reserved_for = Arc::new([]);
@@ -138,7 +138,7 @@
             net: BTreeSet::new(),
             faults: 0,
             incarnation: self.nodes as u64 + 1,
-            ends: Tenths::MAX,
+            ends: TenthMillis::MAX,
         };
         let view = Self::view(&state);
         (0..self.nodes).for_each(|of| self.tell(&mut state, of, Event::Members(view.clone())));
--- a/crates/config/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -2,15 +2,14 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use doortrack_admission::Tenths;
 use doortrack_budgets::{Budget, Kind, MAX_BUDGETS, Parameters};
 use doortrack_membership::Name;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use schemars::JsonSchema;
 use serde::Deserialize;
 
 use crate::{Fault, FleetFile, Installation, Orders};
 
-const MS: Tenths = 10;
 /// Upper bound of a limit, reserved minimum, maximum a node, and burst.
 const MAX_UNITS: u32 = 10_000_000;
 
@@ -97,7 +96,9 @@
 
 impl Default for LeaseTimes {
     fn default() -> LeaseTimes {
-        let (parameters, ms) = (Parameters::default(), |span: Tenths| (span / MS) as u32);
+        let (parameters, ms) = (Parameters::default(), |span: TenthMillis| {
+            (span / MILLISECOND) as u32
+        });
         LeaseTimes {
             round_ms: ms(parameters.round),
             vote_ms: ms(parameters.vote_duration),
@@ -146,7 +147,9 @@
 impl FleetFile {
     /// The parameters of the decisions on budgets.
     pub fn budget_parameters(&self) -> Parameters {
-        let (times, ms) = (self.leases, |span: u32| Tenths::from(span) * MS);
+        let (times, ms) = (self.leases, |span: u32| {
+            TenthMillis::from(span) * MILLISECOND
+        });
         Parameters {
             voters: self
                 .voters
@@ -163,9 +166,11 @@
 }
 
 impl BudgetFile {
-    fn budget(&self, voters: &[String], longest: Tenths) -> Budget {
+    fn budget(&self, voters: &[String], longest: TenthMillis) -> Budget {
         let reserved_for = self.reserved_for.as_deref().unwrap_or(voters);
-        let max_hold = self.max_hold_ms.map_or(longest, |ms| Tenths::from(ms) * MS);
+        let max_hold = self
+            .max_hold_ms
+            .map_or(longest, |ms| TenthMillis::from(ms) * MILLISECOND);
         Budget {
             name: self.name.as_str().into(),
             kind: match self.kind {
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -4,15 +4,14 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use doortrack_admission::Tenths;
 use doortrack_budgets::Safeguards;
 use doortrack_membership::{Parameters, is_name};
+use doortrack_time::{MILLISECOND, TenthMillis};
 use schemars::JsonSchema;
 use serde::Deserialize;
 
 use crate::{Fault, Faults, LeaseTimes, Orders};
 
-const MS: Tenths = 10;
 /// Seeds, and voters, that one file may name.
 const MAX_SEEDS: usize = 64;
 const MAX_VOTERS: usize = 9;
@@ -92,7 +91,9 @@
 
 impl Default for FleetTimes {
     fn default() -> FleetTimes {
-        let (parameters, ms) = (Parameters::default(), |span: Tenths| (span / MS) as u32);
+        let (parameters, ms) = (Parameters::default(), |span: TenthMillis| {
+            (span / MILLISECOND) as u32
+        });
         FleetTimes {
             period_ms: ms(parameters.period),
             answer_within_ms: ms(parameters.answer_within),
@@ -106,7 +107,9 @@
 impl FleetFile {
     /// What the decisions are handed.
     pub fn fleet_parameters(&self) -> Parameters {
-        let (times, ms) = (self.times, |span: u32| Tenths::from(span) * MS);
+        let (times, ms) = (self.times, |span: u32| {
+            TenthMillis::from(span) * MILLISECOND
+        });
         Parameters {
             seeds: self.seeds.clone(),
             period: ms(times.period_ms),
--- a/crates/config/src/orders.rs
+++ b/crates/config/src/orders.rs
@@ -3,14 +3,13 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use doortrack_admission::Tenths;
 use doortrack_settings::{Handed, Part};
+use doortrack_time::{MILLISECOND, TenthMillis};
 use serde_json::Value;
 use sha2::{Digest as _, Sha256};
 
 use crate::{Fault, Faults, stable};
 
-const MS: Tenths = 10;
 const CORES: f64 = 1.0;
 const MEMORY_MB: f64 = 192.0;
 const SOCKETS: f64 = 1024.0;
@@ -31,7 +30,7 @@
     pub registry: SocketAddr,
     pub seed: u64,
     /// From the notice to leave to the stop.
-    pub stop_after: Tenths,
+    pub stop_after: TenthMillis,
     pub room: Room,
     pub handed: Handed,
     /// Of the text that says all this.
@@ -153,7 +152,7 @@
             .and_then(can_serve)
             .map_err(worded)
     };
-    let stop_after = || Ok(top.num("stop_ms").map_err(worded)? as Tenths * MS);
+    let stop_after = || Ok(top.num("stop_ms").map_err(worded)? as TenthMillis * MILLISECOND);
     let orders = (
         Faults::keep(&mut faults, word("name")),
         Faults::keep(&mut faults, address(&top, "listen").map_err(worded)),
--- a/crates/config/src/reload/plan.rs
+++ b/crates/config/src/reload/plan.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use doortrack_admission::Tenths;
 use doortrack_budgets::Budget;
 use doortrack_settings::Handed;
+use doortrack_time::TenthMillis;
 
 use super::KeyMeanings;
 use crate::file::Spoken;
@@ -18,7 +18,7 @@
     pub engine: SocketAddr,
     pub registry: SocketAddr,
     /// From the notice to leave to the stop.
-    pub stop_after: Tenths,
+    pub stop_after: TenthMillis,
     pub seed: u64,
 }
 
--- a/crates/config/src/servers.rs
+++ b/crates/config/src/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use doortrack_admission::Tenths;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use doortrack_upstream::{Aside, Ramp, Retries, Terms};
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -11,7 +11,6 @@
 use crate::Fault;
 use crate::file::Spoken;
 
-const MS: Tenths = 10;
 /// Servers that one node may have.
 pub const MOST_SERVERS: usize = 1000;
 /// Bytes of a body that an answer may be allowed to have.
@@ -148,8 +147,8 @@
 
 impl Servers {
     /// What the pool is handed; `longest` is the longest deadline.
-    pub fn terms(&self, longest: Tenths) -> Terms {
-        let ms = |ms: u32| Tenths::from(ms) * MS;
+    pub fn terms(&self, longest: TenthMillis) -> Terms {
+        let ms = |ms: u32| TenthMillis::from(ms) * MILLISECOND;
         let (aside, retries) = (self.aside, self.retries);
         Terms {
             at_once: self.at_once,
--- a/crates/fault-harness/src/scale/hollow.rs
+++ b/crates/fault-harness/src/scale/hollow.rs
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doortrack_admission::Tenths;
 use doortrack_fakes::unix_ms;
 use doortrack_membership::Change;
 use doortrack_node::parts::{Asked, Part, Use};
 use doortrack_node::peers::{Peers, Registration, Tap};
+use doortrack_time::TenthMillis;
 use polling::{Event, Events, PollMode, Poller};
 use slog::{Discard, Logger, o};
 
@@ -217,7 +217,7 @@
         }
         peers.turn();
         let wait = match peers.wait() {
-            Tenths::MAX => LONGEST_SLEEP,
+            TenthMillis::MAX => LONGEST_SLEEP,
             tenths => TENTH.saturating_mul(u32::try_from(tenths).unwrap_or(u32::MAX)),
         };
         let own = Instant::now() + wait.min(LONGEST_SLEEP);
--- a/crates/fault-harness/src/scale/simulated/machine.rs
+++ b/crates/fault-harness/src/scale/simulated/machine.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use doortrack_admission::Tenths;
 use doortrack_budgets::{Budget, Budgets, Envelope, NodeId};
 use doortrack_membership::{Datagram, Fleet, Incarnation, MemberState, MemberUpdate, Parameters};
 use doortrack_simulation::MachineId;
+use doortrack_time::TenthMillis;
 use postcard::experimental::serialized_size;
 
 use crate::history::name;
@@ -51,8 +51,8 @@
 pub struct Machine {
     pub fleet: Fleet,
     pub budgets: Budgets,
-    /// When it asked to be woken; [`Tenths::MAX`] for not at all.
-    pub due: Tenths,
+    /// When it asked to be woken; [`TenthMillis::MAX`] for not at all.
+    pub due: TenthMillis,
     pub leaves: bool,
 }
 
@@ -61,7 +61,7 @@
     pub machine: MachineId,
     pub unix_ms: u64,
     /// What its clock shows.
-    pub now: Tenths,
+    pub now: TenthMillis,
     pub seed: u64,
     pub membership: Parameters,
     pub leases: doortrack_budgets::Parameters,
@@ -85,13 +85,13 @@
         Machine {
             fleet: Fleet::new(me, start.membership, start.seed, start.now),
             budgets: Budgets::new(id, WEIGHT, start.leases, start.list, start.seed, start.now),
-            due: Tenths::MAX,
+            due: TenthMillis::MAX,
             leaves: false,
         }
     }
 
     /// When it has to be woken at the latest.
-    pub fn next_due(&self) -> Tenths {
+    pub fn next_due(&self) -> TenthMillis {
         self.fleet.next_due().min(self.budgets.next_due())
     }
 
--- a/crates/fault-harness/src/scale/simulated/world.rs
+++ b/crates/fault-harness/src/scale/simulated/world.rs
@@ -1,9 +1,9 @@
 //! The play itself: machines, their clocks and links, and what is done to them.
 
-use doortrack_admission::Tenths;
 use doortrack_budgets::{Event as BudgetEvent, Parameters as LeaseParameters};
 use doortrack_membership::{Event, Parameters};
 use doortrack_simulation::{Clock, MachineId, Micros, Net, Next};
+use doortrack_time::TenthMillis;
 
 use super::agreement::{Agreement, Held};
 use super::machine::{Content, Machine, Parcel, Start};
@@ -165,7 +165,7 @@
     }
 
     /// What the machine's own clock shows.
-    fn shown(&self, machine: MachineId) -> Tenths {
+    fn shown(&self, machine: MachineId) -> TenthMillis {
         self.net.shown(machine) / TENTH
     }
 
@@ -221,7 +221,7 @@
         let due = own.next_due();
         if due != own.due {
             own.due = due;
-            if due != Tenths::MAX {
+            if due != TenthMillis::MAX {
                 self.net.wake(machine, due * TENTH);
             }
         }
@@ -230,7 +230,7 @@
 
     fn woken(&mut self, machine: MachineId) {
         self.with(machine, |world, own| {
-            own.due = Tenths::MAX;
+            own.due = TenthMillis::MAX;
             let now = world.shown(machine);
             if now >= own.fleet.next_due() {
                 world.membership(machine, own, Event::Tick);
--- a/crates/membership/src/applying.rs
+++ b/crates/membership/src/applying.rs
@@ -1,18 +1,17 @@
 //! Applies updates: to the table, to the view, and to what is passed on.
 
-use doortrack_admission::Tenths;
-
 use crate::fleet::{Fleet, Timer};
 use crate::suspicion::Suspicion;
 use crate::table::MemberIndex;
 use crate::{Action, Change, MemberState, MemberUpdate, View};
+use doortrack_time::TenthMillis;
 
 impl Fleet {
     /// Applies an update that takes precedence over what was known. Returns the member's index, or none if
     /// the table is full.
     pub(crate) fn apply(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         update: MemberUpdate,
         out: &mut Vec<Action>,
     ) -> Option<MemberIndex> {
@@ -46,7 +45,7 @@
     }
 
     /// Queues the latest update on a member for dissemination.
-    pub(crate) fn queue_update(&mut self, now: Tenths, index: MemberIndex) {
+    pub(crate) fn queue_update(&mut self, now: TenthMillis, index: MemberIndex) {
         if let Some(record) = self.table.get(index) {
             self.gossip.add(index, record.revision);
             self.arm_updates(now);
@@ -55,7 +54,7 @@
 
     fn add_member(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         update: MemberUpdate,
         out: &mut Vec<Action>,
     ) -> Option<MemberIndex> {
@@ -73,7 +72,7 @@
     /// incarnation, if it was present.
     fn follow_state(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         index: MemberIndex,
         update: &MemberUpdate,
         was: Option<MemberState>,
@@ -118,7 +117,7 @@
     }
 
     /// Begins a suspicion, and may probe the member to confirm or clear it.
-    fn suspected(&mut self, now: Tenths, index: MemberIndex, by: u32, out: &mut Vec<Action>) {
+    fn suspected(&mut self, now: TenthMillis, index: MemberIndex, by: u32, out: &mut Vec<Action>) {
         let members = self.view.members.len();
         let Some(record) = self.table.get_mut(index) else {
             return;
@@ -135,7 +134,12 @@
     }
 
     /// Counts the suspicion of another node on a member that is suspected already; `false` if it is not new.
-    pub(crate) fn confirm_suspicion(&mut self, now: Tenths, index: MemberIndex, by: u32) -> bool {
+    pub(crate) fn confirm_suspicion(
+        &mut self,
+        now: TenthMillis,
+        index: MemberIndex,
+        by: u32,
+    ) -> bool {
         let Some(record) = self.table.get_mut(index) else {
             return false;
         };
@@ -158,7 +162,7 @@
 
     /// Sets the end of a suspicion, and two final probes before it: an update that cleared it may have missed
     /// this node, as dissemination reaches all but one in some thousands.
-    pub(crate) fn arm_suspicion(&mut self, now: Tenths, index: MemberIndex) {
+    pub(crate) fn arm_suspicion(&mut self, now: TenthMillis, index: MemberIndex) {
         let (members, resumed_at) = (self.view.members.len(), self.resumed_at);
         let Some(suspicion) = self.table.get(index).and_then(|record| record.suspicion) else {
             return;
@@ -177,7 +181,7 @@
     }
 
     /// Changes the view, and takes note of when it changed.
-    pub(crate) fn change_view(&mut self, now: Tenths, change: impl FnOnce(&mut View)) {
+    pub(crate) fn change_view(&mut self, now: TenthMillis, change: impl FnOnce(&mut View)) {
         let before = self.view.number;
         change(&mut self.view);
         if self.view.number != before {
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -4,8 +4,6 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-use doortrack_admission::Tenths;
-
 use crate::gossip::Gossip;
 use crate::probes::Probes;
 use crate::table::{MemberIndex, Table};
@@ -13,6 +11,7 @@
     Action, Change, Datagram, Event, Head, Incarnation, MemberState, MemberUpdate, Message, Name,
     Parameters, UPDATE_BYTES, View,
 };
+use doortrack_time::TenthMillis;
 
 /// Rounds of updates in which a node announces a change of itself.
 pub(crate) const RETRANSMISSIONS: u32 = 6;
@@ -40,9 +39,9 @@
     /// If the probe of this nonce has no answer at all, suspect the member.
     ProbeTimeout(u32),
     /// The suspicion of this member that began then may end.
-    Suspicion(MemberIndex, Tenths),
+    Suspicion(MemberIndex, TenthMillis),
     /// Probe a member whose suspicion, begun then, is about to end.
-    FinalProbe(MemberIndex, Tenths),
+    FinalProbe(MemberIndex, TenthMillis),
     /// A member that was held back may enter the view.
     Admit(MemberIndex),
     /// Send a round of pending updates.
@@ -58,7 +57,7 @@
 pub(crate) struct Fetch {
     pub from: Name,
     /// When the fetch is given up, in tenths of a ms.
-    pub till: Tenths,
+    pub till: TenthMillis,
 }
 
 /// One node's membership. The crate's documentation says how to drive it.
@@ -72,11 +71,11 @@
     pub(crate) table: Table,
     pub(crate) view: View,
     /// When the view last changed.
-    pub(crate) view_since: Tenths,
+    pub(crate) view_since: TenthMillis,
     pub(crate) gossip: Gossip,
     pub(crate) probes: Probes,
     pub(crate) chance: fastrand::Rng,
-    timers: BinaryHeap<Reverse<(Tenths, Timer)>>,
+    timers: BinaryHeap<Reverse<(TenthMillis, Timer)>>,
     /// The number of the last datagram sent.
     pub(crate) nth: u64,
     /// Rounds left in which this node announces a change of itself.
@@ -90,12 +89,12 @@
     /// The process resumed after a pause and has had no answer since.
     pub(crate) resumed: bool,
     /// When the first answer came after a pause or isolation: suspicions count from here at the earliest.
-    pub(crate) resumed_at: Tenths,
+    pub(crate) resumed_at: TenthMillis,
     /// Rounds of join requests sent.
     pub(crate) join_requests: u32,
     pub(crate) fetch: Option<Fetch>,
     /// When the last fetch began.
-    pub(crate) fetched_at: Tenths,
+    pub(crate) fetched_at: TenthMillis,
     /// The earlier incarnation of this node's name that was last reported as a duplicate.
     pub(crate) duplicate: Incarnation,
     /// Datagrams refused; see [`Fleet::refused`].
@@ -105,7 +104,7 @@
 impl Fleet {
     /// The membership of a node that has just started. `me.state` and `me.version` are set here; `now` is in
     /// tenths of a ms from any zero.
-    pub fn new(me: MemberUpdate, parameters: Parameters, seed: u64, now: Tenths) -> Fleet {
+    pub fn new(me: MemberUpdate, parameters: Parameters, seed: u64, now: TenthMillis) -> Fleet {
         let me = MemberUpdate {
             version: 0,
             state: MemberState::Alive,
@@ -148,18 +147,18 @@
         fleet
     }
 
-    /// When [`Event::Tick`] is due at the latest; [`Tenths::MAX`] for never.
-    pub fn next_due(&self) -> Tenths {
+    /// When [`Event::Tick`] is due at the latest; [`TenthMillis::MAX`] for never.
+    pub fn next_due(&self) -> TenthMillis {
         if self.stage == Stage::Superseded {
-            return Tenths::MAX;
+            return TenthMillis::MAX;
         }
         self.timers
             .peek()
-            .map_or(Tenths::MAX, |Reverse((at, _))| *at)
+            .map_or(TenthMillis::MAX, |Reverse((at, _))| *at)
     }
 
     /// Handles one event at the time `now`, which must not go back. Actions are added to `out`, in order.
-    pub fn handle(&mut self, now: Tenths, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: TenthMillis, event: Event, out: &mut Vec<Action>) {
         if self.stage == Stage::Superseded {
             return;
         }
@@ -205,11 +204,11 @@
         self.isolated || self.resumed
     }
 
-    pub(crate) fn arm(&mut self, at: Tenths, timer: Timer) {
+    pub(crate) fn arm(&mut self, at: TenthMillis, timer: Timer) {
         self.timers.push(Reverse((at, timer)));
     }
 
-    pub(crate) fn due(&mut self, now: Tenths) -> Option<Timer> {
+    pub(crate) fn due(&mut self, now: TenthMillis) -> Option<Timer> {
         let Reverse((at, timer)) = self.timers.peek().copied()?;
         if at > now {
             return None;
@@ -219,7 +218,7 @@
     }
 
     /// Sees to it that pending updates are sent soon.
-    pub(crate) fn arm_updates(&mut self, now: Tenths) {
+    pub(crate) fn arm_updates(&mut self, now: TenthMillis) {
         if !self.updates_armed {
             self.updates_armed = true;
             // A little chance keeps those that heard the same thing from passing it on in one instant.
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -1,11 +1,10 @@
 //! Joining, returning and leaving, and names that are used twice.
 
-use doortrack_admission::Tenths;
-
 use crate::fleet::{Fleet, RETRANSMISSIONS, Stage, Timer};
 use crate::receiving::MAX_UPDATES_READ;
 use crate::table::MemberIndex;
 use crate::{Action, Change, Incarnation, MemberState, MemberUpdate, Message, UPDATE_BYTES};
+use doortrack_time::TenthMillis;
 
 /// Rounds of join requests that all go to seeds; of later rounds only every so many.
 const EARLY_JOIN_REQUESTS: u32 = 5;
@@ -70,7 +69,7 @@
     }
 
     /// Puts a present member into the view, unless it is held back.
-    pub(crate) fn admit(&mut self, now: Tenths, index: MemberIndex, out: &mut Vec<Action>) {
+    pub(crate) fn admit(&mut self, now: TenthMillis, index: MemberIndex, out: &mut Vec<Action>) {
         let Some(record) = self
             .table
             .get_mut(index)
@@ -96,7 +95,12 @@
 
     /// Counts a return from being dead, and holds the member back if it returns repeatedly. The first return
     /// is free, as after a restart or a broken link.
-    pub(crate) fn note_return(&mut self, now: Tenths, index: MemberIndex, out: &mut Vec<Action>) {
+    pub(crate) fn note_return(
+        &mut self,
+        now: TenthMillis,
+        index: MemberIndex,
+        out: &mut Vec<Action>,
+    ) {
         let (first, max) = (self.parameters.hold_first, self.parameters.hold_max);
         let Some(record) = self.table.get_mut(index) else {
             return;
@@ -122,7 +126,7 @@
     }
 
     /// Announces that this node leaves, at once and in further rounds.
-    pub(crate) fn on_leave(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    pub(crate) fn on_leave(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         if self.stage == Stage::Leaving {
             return;
         }
@@ -137,7 +141,7 @@
     /// Handles an update on this node's own name; `direct` if a process of that name sent it.
     pub(crate) fn on_own_name(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         update: &MemberUpdate,
         direct: bool,
         out: &mut Vec<Action>,
@@ -187,7 +191,7 @@
     }
 
     /// Continues under an incarnation later than `than`.
-    fn start_incarnation(&mut self, now: Tenths, than: Incarnation, out: &mut Vec<Action>) {
+    fn start_incarnation(&mut self, now: TenthMillis, than: Incarnation, out: &mut Vec<Action>) {
         self.me.incarnation = Incarnation(than.0.saturating_add(1 + self.chance.u64(..256)));
         self.me.version = 0;
         let (name, update) = (self.me.name.clone(), &self.me);
--- a/crates/membership/src/parameters.rs
+++ b/crates/membership/src/parameters.rs
@@ -1,11 +1,8 @@
 //! Timing and bounds of membership, as the operators set them.
 
+use doortrack_time::{MILLISECOND, TenthMillis};
 use std::net::SocketAddr;
 
-use doortrack_admission::Tenths;
-
-const MS: Tenths = 10;
-
 /// Timing and bounds. All times are in tenths of a ms. The reader of the operators' file checks their ranges;
 /// nothing here does.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -13,27 +10,27 @@
     /// Addresses that join requests go to, at start and now and then later, so that a split fleet heals.
     pub seeds: Vec<SocketAddr>,
     /// One member is probed in each period.
-    pub period: Tenths,
+    pub period: TenthMillis,
     /// How long a direct answer is awaited before indirect probers are asked; less than `period`.
-    pub answer_within: Tenths,
+    pub answer_within: TenthMillis,
     /// Members that are asked to probe in this node's place when there is no direct answer.
     pub indirect_probers: usize,
     /// How long a suspicion lasts before the member is declared dead: confirmed by others, and unconfirmed.
-    pub suspicion_min: Tenths,
-    pub suspicion_max: Tenths,
+    pub suspicion_min: TenthMillis,
+    pub suspicion_max: TenthMillis,
     /// The interval at which pending updates are sent, and the members that each round of them goes to.
-    pub gossip_interval: Tenths,
+    pub gossip_interval: TenthMillis,
     pub gossip_fanout: usize,
     /// A process that runs later than it asked for by more than this counts as having been paused.
-    pub max_lateness: Tenths,
+    pub max_lateness: TenthMillis,
     /// Periods without any answer after which this node considers itself isolated.
     pub silent_periods: u32,
     /// How long a member that came back for the second time is kept out of the view; doubled with each
     /// further return, up to the maximum.
-    pub hold_first: Tenths,
-    pub hold_max: Tenths,
+    pub hold_first: TenthMillis,
+    pub hold_max: TenthMillis,
     /// Dead and left members are forgotten after this.
-    pub forget_after: Tenths,
+    pub forget_after: TenthMillis,
     /// Members that the table holds beside this node; further ones are left out.
     pub max_members: usize,
 }
@@ -42,18 +39,18 @@
     fn default() -> Parameters {
         Parameters {
             seeds: Vec::new(),
-            period: 200 * MS,
-            answer_within: 70 * MS,
+            period: 200 * MILLISECOND,
+            answer_within: 70 * MILLISECOND,
             indirect_probers: 3,
-            suspicion_min: 400 * MS,
-            suspicion_max: 2_000 * MS,
-            gossip_interval: 50 * MS,
+            suspicion_min: 400 * MILLISECOND,
+            suspicion_max: 2_000 * MILLISECOND,
+            gossip_interval: 50 * MILLISECOND,
             gossip_fanout: 3,
-            max_lateness: 100 * MS,
+            max_lateness: 100 * MILLISECOND,
             silent_periods: 4,
-            hold_first: 1_000 * MS,
-            hold_max: 30_000 * MS,
-            forget_after: 60_000 * MS,
+            hold_first: 1_000 * MILLISECOND,
+            hold_max: 30_000 * MILLISECOND,
+            forget_after: 60_000 * MILLISECOND,
             max_members: 4_096,
         }
     }
@@ -61,17 +58,17 @@
 
 impl Parameters {
     /// The interval between join requests to nodes outside the view.
-    pub fn join_request_interval(&self) -> Tenths {
+    pub fn join_request_interval(&self) -> TenthMillis {
         self.period * 5
     }
 
     /// How long before its end a suspected member is first probed finally; again after half of it.
-    pub(crate) fn final_probes(&self) -> Tenths {
+    pub(crate) fn final_probes(&self) -> TenthMillis {
         self.answer_within * 3
     }
 
     /// The longest time that an answer is awaited, however slow the member.
-    pub fn max_wait(&self) -> Tenths {
+    pub fn max_wait(&self) -> TenthMillis {
         self.suspicion_max
     }
 }
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -2,10 +2,9 @@
 
 use std::collections::VecDeque;
 
-use doortrack_admission::Tenths;
-
 use crate::table::MemberIndex;
 use crate::{Incarnation, Name};
+use doortrack_time::TenthMillis;
 
 /// Probes under way at once: one each period, and those that a suspicion heard of gives cause for.
 const MAX_UNDER_WAY: usize = 16;
@@ -23,7 +22,7 @@
     pub index: MemberIndex,
     pub incarnation: Incarnation,
     /// When it was sent, in tenths of a ms.
-    pub began: Tenths,
+    pub began: TenthMillis,
 }
 
 /// A probe that another node asked for.
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -2,12 +2,11 @@
 
 use std::net::SocketAddr;
 
-use doortrack_admission::Tenths;
-
 use crate::fleet::{Fetch, Fleet, RETRANSMISSIONS, Stage};
 use crate::probes::{Answered, IndirectProbe, Probe};
 use crate::table::MemberIndex;
 use crate::{Action, Change, Datagram, Head, Incarnation, MemberState, MemberUpdate, Message};
+use doortrack_time::TenthMillis;
 
 /// The mark of a suspicion that rests on other nodes' having declared the member dead.
 const OTHERS: u32 = 0;
@@ -17,7 +16,7 @@
 impl Fleet {
     pub(crate) fn on_datagram(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         _from: SocketAddr,
         datagram: Datagram,
         out: &mut Vec<Action>,
@@ -85,7 +84,7 @@
     /// handled: it is not replayed, and not of an earlier incarnation or a member that left.
     fn direct_evidence(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         head: &Head,
         message: &Message,
         out: &mut Vec<Action>,
@@ -131,7 +130,7 @@
     }
 
     /// Takes in an update on another member than the sender.
-    fn indirect_evidence(&mut self, now: Tenths, update: MemberUpdate, out: &mut Vec<Action>) {
+    fn indirect_evidence(&mut self, now: TenthMillis, update: MemberUpdate, out: &mut Vec<Action>) {
         if !update.is_valid() {
             self.refused += 1;
             return;
@@ -168,7 +167,7 @@
     /// Where it was suspected for longer already, there is time for the final probes.
     fn reported_dead(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         index: MemberIndex,
         update: MemberUpdate,
         out: &mut Vec<Action>,
@@ -197,7 +196,7 @@
 
     fn handle_message(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         index: MemberIndex,
         message: Message,
         out: &mut Vec<Action>,
@@ -239,7 +238,7 @@
         }
     }
 
-    fn on_ack(&mut self, now: Tenths, nonce: u32, out: &mut Vec<Action>) {
+    fn on_ack(&mut self, now: TenthMillis, nonce: u32, out: &mut Vec<Action>) {
         match self.probes.answered(nonce) {
             Answered::InTime(probe) => {
                 self.note_answer(now, out);
@@ -274,7 +273,7 @@
     }
 
     /// Smooths a member's response time; a slow member is given longer to answer.
-    fn note_response_time(&mut self, now: Tenths, probe: Probe, out: &mut Vec<Action>) {
+    fn note_response_time(&mut self, now: TenthMillis, probe: Probe, out: &mut Vec<Action>) {
         let late = 3 * self.parameters.answer_within;
         let Some(record) = self.table.get_mut(probe.index) else {
             return;
@@ -305,7 +304,7 @@
         record.slow = slow;
     }
 
-    fn note_answer(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    fn note_answer(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         self.answered = true;
         self.silent = 0;
         if self.suspects_nobody() {
@@ -322,7 +321,7 @@
     /// Fetches the table of a member whose view differs while this node's has not changed for a while.
     fn compare_views(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         index: MemberIndex,
         head: &Head,
         out: &mut Vec<Action>,
@@ -347,7 +346,7 @@
     /// Asks for the next page, if this one is of the table that is being fetched.
     fn on_page(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         index: MemberIndex,
         next: Option<crate::Name>,
         out: &mut Vec<Action>,
--- a/crates/membership/src/report.rs
+++ b/crates/membership/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use doortrack_admission::Tenths;
+use doortrack_time::TenthMillis;
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::{Fleet, Stage};
@@ -45,7 +45,7 @@
         &self,
         after: Option<&Name>,
         max: usize,
-        now: Tenths,
+        now: TenthMillis,
     ) -> (Vec<MemberReport>, bool) {
         let own = MemberReport {
             name: self.me.name.clone(),
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -2,9 +2,8 @@
 //!
 //! As in Lifeguard's extension of SWIM, the timeout shrinks with each independent confirmation.
 
-use doortrack_admission::Tenths;
-
 use crate::Parameters;
+use doortrack_time::TenthMillis;
 
 /// Confirmations by other nodes that shorten a suspicion; further ones change nothing.
 const MAX_CONFIRMATIONS: usize = 2;
@@ -13,19 +12,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Suspicion {
     /// When it began, in tenths of a ms of the node's own clock.
-    pub since: Tenths,
+    pub since: TenthMillis,
     /// Marks of the node that suspected first, and of those that confirmed it.
     first: u32,
     others: [u32; MAX_CONFIRMATIONS],
     count: usize,
     /// It ends no earlier: one that began long ago must not end at a report of others before the member was
     /// probed once more.
-    not_before: Tenths,
+    not_before: TenthMillis,
 }
 
 impl Suspicion {
     /// A suspicion by the node with this mark.
-    pub fn new(by: u32, since: Tenths) -> Suspicion {
+    pub fn new(by: u32, since: TenthMillis) -> Suspicion {
         Suspicion {
             since,
             first: by,
@@ -52,7 +51,7 @@
 
     /// Counts all confirmations at once, as other nodes have already declared the member dead; it still ends
     /// no earlier than `not_before`. Returns whether any were still missing.
-    pub fn confirm_fully(&mut self, not_before: Tenths) -> bool {
+    pub fn confirm_fully(&mut self, not_before: TenthMillis) -> bool {
         let missing = std::mem::replace(&mut self.count, MAX_CONFIRMATIONS) < MAX_CONFIRMATIONS;
         if missing {
             self.not_before = not_before;
@@ -66,7 +65,12 @@
     /// once all that can be expected are there. Fewer than [`MAX_CONFIRMATIONS`] are expected of a small
     /// view, and none of a view of two, where it always lasts `suspicion_max`. Time before `resumed_at`,
     /// when this process was paused or isolated, does not count.
-    pub fn ends(&self, parameters: &Parameters, members: usize, resumed_at: Tenths) -> Tenths {
+    pub fn ends(
+        &self,
+        parameters: &Parameters,
+        members: usize,
+        resumed_at: TenthMillis,
+    ) -> TenthMillis {
         let since = self.since.max(resumed_at);
         let wanted = members.saturating_sub(2).min(MAX_CONFIRMATIONS);
         let (min, max) = (
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -3,10 +3,9 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-use doortrack_admission::Tenths;
-
 use crate::suspicion::Suspicion;
 use crate::{MemberState, MemberUpdate, Name};
+use doortrack_time::TenthMillis;
 
 /// Index of a member in the table; used again once that member was forgotten.
 pub type MemberIndex = usize;
@@ -49,26 +48,26 @@
     /// Grows with each change of the update, so that queued copies of earlier ones are recognized.
     pub revision: u32,
     /// When the state last changed, in tenths of a ms.
-    pub since: Tenths,
+    pub since: TenthMillis,
     /// Its datagrams of this incarnation.
     pub received: Received,
     /// Smoothed response time in tenths of a ms; 0 before the first answer.
-    pub response_time: Tenths,
+    pub response_time: TenthMillis,
     /// Whether it was reported as slow.
     pub slow: bool,
     /// The suspicion under way, if its state is [`MemberState::Suspected`].
     pub suspicion: Option<Suspicion>,
     /// Times that it came back from being dead, and when it last did.
     pub returns: u32,
-    pub returned_at: Tenths,
+    pub returned_at: TenthMillis,
     /// Kept out of the view until then, as it came back too often.
-    pub held_until: Option<Tenths>,
+    pub held_until: Option<TenthMillis>,
     /// Its position in the list of present members, or of dead ones.
     pub listed: usize,
 }
 
 impl MemberRecord {
-    fn new(update: MemberUpdate, now: Tenths) -> MemberRecord {
+    fn new(update: MemberUpdate, now: TenthMillis) -> MemberRecord {
         MemberRecord {
             update,
             revision: 0,
@@ -135,7 +134,7 @@
     }
 
     /// Adds a member that is not in the table.
-    pub fn insert(&mut self, update: MemberUpdate, now: Tenths) -> MemberIndex {
+    pub fn insert(&mut self, update: MemberUpdate, now: TenthMillis) -> MemberIndex {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
@@ -158,7 +157,7 @@
     }
 
     /// Replaces a member's update, and moves the member to the list of its new state.
-    pub fn set(&mut self, index: MemberIndex, update: MemberUpdate, now: Tenths) {
+    pub fn set(&mut self, index: MemberIndex, update: MemberUpdate, now: TenthMillis) {
         let Some(record) = self.get_mut(index) else {
             return;
         };
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,14 +1,13 @@
 //! Handles timers: probes, suspicions that end, rounds of updates.
 
-use doortrack_admission::Tenths;
-
 use crate::fleet::{Fleet, Stage, Timer};
 use crate::probes::Probe;
 use crate::table::MemberIndex;
 use crate::{Action, Change, MemberState, MemberUpdate, Message};
+use doortrack_time::TenthMillis;
 
 impl Fleet {
-    pub(crate) fn on_tick(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    pub(crate) fn on_tick(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         while let Some(timer) = self.due(now) {
             match timer {
                 Timer::Period => self.on_period(now, out),
@@ -34,7 +33,7 @@
         }
     }
 
-    fn repeat_join_request(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    fn repeat_join_request(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         if self.stage == Stage::Leaving {
             return;
         }
@@ -46,7 +45,7 @@
         );
     }
 
-    fn on_period(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    fn on_period(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         if self.stage == Stage::Leaving {
             return;
         }
@@ -65,7 +64,7 @@
         }
     }
 
-    pub(crate) fn probe(&mut self, now: Tenths, index: MemberIndex, out: &mut Vec<Action>) {
+    pub(crate) fn probe(&mut self, now: TenthMillis, index: MemberIndex, out: &mut Vec<Action>) {
         let Some(record) = self.table.get(index) else {
             return;
         };
@@ -115,7 +114,7 @@
         }
     }
 
-    fn on_probe_timeout(&mut self, now: Tenths, nonce: u32, out: &mut Vec<Action>) {
+    fn on_probe_timeout(&mut self, now: TenthMillis, nonce: u32, out: &mut Vec<Action>) {
         let Some(probe) = self.probes.fail(nonce) else {
             return;
         };
@@ -141,7 +140,7 @@
 
     /// Probes a member once more before its suspicion ends: its answer carries its version, which clears the
     /// suspicion if it was refuted.
-    fn final_probe(&mut self, index: MemberIndex, since: Tenths, out: &mut Vec<Action>) {
+    fn final_probe(&mut self, index: MemberIndex, since: TenthMillis, out: &mut Vec<Action>) {
         let suspected = |suspicion: &crate::suspicion::Suspicion| suspicion.since == since;
         if self
             .table
@@ -157,9 +156,9 @@
 
     fn suspicion_ends(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         index: MemberIndex,
-        since: Tenths,
+        since: TenthMillis,
         out: &mut Vec<Action>,
     ) {
         let members = self.view.members.len();
@@ -187,7 +186,7 @@
     }
 
     /// Sends one round of pending updates, if there are any.
-    pub(crate) fn send_updates(&mut self, now: Tenths, out: &mut Vec<Action>) {
+    pub(crate) fn send_updates(&mut self, now: TenthMillis, out: &mut Vec<Action>) {
         if self.gossip.is_empty() && self.retransmissions == 0 {
             return;
         }
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -8,8 +8,7 @@
     Action, Change, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message,
     Parameters, ReportedState,
 };
-
-const MS: u64 = 10;
+use doortrack_time::MILLISECOND;
 
 fn address(of: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, of as u8 + 1], 7_400))
@@ -88,7 +87,7 @@
 
     /// Lets time pass, in steps as fine as the timers.
     fn pass(&mut self, ms: u64) {
-        let till = self.now + ms * MS;
+        let till = self.now + ms * MILLISECOND;
         loop {
             let up = (0..self.fleets.len()).filter(|of| !self.stopped[*of]);
             let Some((due, of)) = up.map(|of| (self.fleets[of].next_due(), of)).min() else {
@@ -266,7 +265,7 @@
         .map(|(_, change)| change)
         .collect();
     assert!(
-        matches!(own[0], Change::Resumed { late } if *late > 4_000 * MS),
+        matches!(own[0], Change::Resumed { late } if *late > 4_000 * MILLISECOND),
         "{own:?}"
     );
     assert!(
@@ -427,7 +426,7 @@
         few.pass(10);
         for (by, to, datagram) in &few.sent[sent..] {
             if *by == 2 {
-                late.push_back((few.now + 300 * MS, *to, datagram.clone()));
+                late.push_back((few.now + 300 * MILLISECOND, *to, datagram.clone()));
             }
         }
         while late.front().is_some_and(|(at, ..)| *at <= few.now) {
@@ -658,7 +657,7 @@
         );
     }
     out.clear();
-    while fleet.next_due() < 60 * MS {
+    while fleet.next_due() < 60 * MILLISECOND {
         fleet.handle(fleet.next_due(), Event::Tick, &mut out);
     }
     let news = out.iter().filter_map(|action| match action {
--- a/crates/membership/tests/random.rs
+++ b/crates/membership/tests/random.rs
@@ -7,10 +7,10 @@
     Action, Datagram, Event, Fleet, Head, Incarnation, MAX_UPDATES, Member, MemberState,
     MemberUpdate, Message, Name, Parameters, UPDATE_BYTES,
 };
+use doortrack_time::MILLISECOND;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const MS: u64 = 10;
 const MAX_MEMBERS: usize = 12;
 
 fn address(of: u8) -> SocketAddr {
@@ -113,7 +113,7 @@
         for step in steps {
             match step {
                 Step::Pass(ms) => {
-                    let till = now + ms * MS;
+                    let till = now + ms * MILLISECOND;
                     while fleet.next_due() <= till {
                         now = now.max(fleet.next_due());
                         fleet.handle(now, Event::Tick, &mut out);
--- a/crates/node/src/memory/exchanges.rs
+++ b/crates/node/src/memory/exchanges.rs
@@ -2,7 +2,8 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
-use doortrack_admission::{ExId, Tenths};
+use doortrack_admission::ExId;
+use doortrack_time::TenthMillis;
 use doortrack_upstream::Admission;
 use rustc_hash::FxHashMap;
 
@@ -45,7 +46,7 @@
     pub group: u8,
     /// By what a repeat of it is known, if it is deduplicated.
     pub key: Option<Key>,
-    pub stamp: Tenths,
+    pub stamp: TenthMillis,
     pub body: Vec<u8>,
     /// Its variables as they came, where a server is to have them.
     pub block: Option<Block>,
--- a/crates/node/src/memory/results.rs
+++ b/crates/node/src/memory/results.rs
@@ -3,16 +3,17 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
 
-use doortrack_admission::{ExId, Tenths};
+use doortrack_admission::ExId;
+use doortrack_time::TenthMillis;
 use rustc_hash::FxHashMap;
 
 use crate::wire::request::{IdempotencyKey, Made};
 
 /// Stamps are whole ms and every limit on sockets is 50 ms longer; a window is held open for a little more
 /// than both, as a repeat taken for one too long is merely answered from the table.
-const WINDOW_SLACK: Tenths = 1_000;
+const WINDOW_SLACK: TenthMillis = 1_000;
 
-const TIDY: Tenths = 5_000;
+const TIDY: TenthMillis = 5_000;
 
 /// Endpoint group and idempotency key.
 pub type Key = (u8, IdempotencyKey);
@@ -22,8 +23,8 @@
     /// Tells the body that it came with from others.
     tag: u64,
     /// The last stamp that is within the window.
-    until: Tenths,
-    kept_till: Tenths,
+    until: TenthMillis,
+    kept_till: TenthMillis,
     end: Option<Result<Kept, NoResult>>,
 }
 
@@ -79,12 +80,12 @@
     most_entries: usize,
     most_bytes: usize,
     /// A repeat may be read so long after it came.
-    longest_deadline: Tenths,
-    tidied: Tenths,
+    longest_deadline: TenthMillis,
+    tidied: TenthMillis,
 }
 
 impl Results {
-    pub fn new(most_entries: usize, most_bytes: usize, longest_deadline: Tenths) -> Self {
+    pub fn new(most_entries: usize, most_bytes: usize, longest_deadline: TenthMillis) -> Self {
         let (entries, tags, keys) = Default::default();
         Results {
             entries,
@@ -105,7 +106,7 @@
     /// What one with this key and body repeats. The window counts from stamp to stamp, so it does not matter
     /// how late a repeat is read. `stamp` is never later than now: whatever its caller's clock says, it came
     /// no later than that, and one that came within the window may not pass for a new one.
-    pub fn repeats(&self, key: &Key, body: &[u8], stamp: Tenths) -> Repeats {
+    pub fn repeats(&self, key: &Key, body: &[u8], stamp: TenthMillis) -> Repeats {
         let Some(entry) = self.entries.get(key) else {
             return if self.entries.len() < self.most_entries {
                 Repeats::Nothing
@@ -128,9 +129,9 @@
         ex: ExId,
         key: Key,
         body: &[u8],
-        stamp: Tenths,
-        lasting: Tenths,
-        now: Tenths,
+        stamp: TenthMillis,
+        lasting: TenthMillis,
+        now: TenthMillis,
     ) {
         let until = stamp.max(now).saturating_add(lasting);
         let kept_till = until.saturating_add(WINDOW_SLACK + self.longest_deadline);
@@ -185,7 +186,7 @@
 
     /// When the last entry of a group that is there now can be named by no repeat any more; none where
     /// there is none, and no time where one is in hand. It looks at every entry.
-    pub fn last_of(&self, group: u8) -> Option<Option<Tenths>> {
+    pub fn last_of(&self, group: u8) -> Option<Option<TenthMillis>> {
         let of = self
             .entries
             .iter()
@@ -195,7 +196,7 @@
     }
 
     /// Lets go of what no repeat can name any more; now and then, as it looks at every entry.
-    pub fn tidy(&mut self, now: Tenths) {
+    pub fn tidy(&mut self, now: TenthMillis) {
         if now < self.tidied + TIDY {
             return;
         }
--- a/crates/node/src/parts.rs
+++ b/crates/node/src/parts.rs
@@ -6,8 +6,8 @@
 
 use std::ops::Range;
 
-use doortrack_admission::Tenths;
 use doortrack_config::reload::FleetChange;
+use doortrack_time::TenthMillis;
 use doortrack_upstream::Token;
 use slog::Logger;
 
@@ -48,8 +48,8 @@
     /// Does what is due. Called with each turn of the loop, after what is ready was read.
     fn turn(&mut self);
 
-    /// How long it can wait, in tenths of a ms; [`Tenths::MAX`] for ever.
-    fn wait(&self) -> Tenths;
+    /// How long it can wait, in tenths of a ms; [`TenthMillis::MAX`] for ever.
+    fn wait(&self) -> TenthMillis;
 
     /// The node was told to leave.
     fn leave(&mut self);
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// Nothing is left for it; how long to wait before it comes back, in tenths of a ms.
-    fn admit(&mut self, _: Asked) -> Result<Permit, Tenths> {
+    fn admit(&mut self, _: Asked) -> Result<Permit, TenthMillis> {
         Ok(Permit::default())
     }
 
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -4,19 +4,18 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use doortrack_admission::Tenths;
 use doortrack_budgets::{Action, Budget, Budgets, Change, Event, Kind, NodeId, Parameters, Units};
 use doortrack_config::reload::FleetChange;
 use doortrack_config::{BudgetIndices, FleetFile, Installation, Orders};
+use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::{Logger, info, warn};
 
 use super::spoken::{BUDGET_PAGE, BudgetPage, BudgetStatus};
 use crate::parts::{Asked, Permit, Use};
 
-const MS: Tenths = 10;
 /// Between reading the clock and the use that follows lie some hundred ns. A use after a longer pause of the
 /// process is counted as late.
-const LATE: Tenths = 5 * MS;
+const LATE: TenthMillis = 5 * MILLISECOND;
 
 /// The decisions on budgets, and which budgets apply to which requests.
 pub struct FleetBudgets {
@@ -30,7 +29,7 @@
     /// Uses after a pause of the process, between reading the clock and the use.
     late: u64,
     /// Budgets held by abandoned runs, and until when those may go on.
-    lingering: BinaryHeap<Reverse<(Tenths, u16)>>,
+    lingering: BinaryHeap<Reverse<(TenthMillis, u16)>>,
 }
 
 impl FleetBudgets {
@@ -70,12 +69,12 @@
         })
     }
 
-    pub fn handle(&mut self, now: Tenths, event: Event) {
+    pub fn handle(&mut self, now: TenthMillis, event: Event) {
         self.budgets.handle(now, event, &mut self.actions);
     }
 
     /// Takes over changed budgets from a reload; [`FleetBudgets::needs_a_start`] says which can't be.
-    pub fn change(&mut self, now: Tenths, change: &mut FleetChange) {
+    pub fn change(&mut self, now: TenthMillis, change: &mut FleetChange) {
         let list = std::mem::take(&mut change.budgets);
         let names: Vec<_> = self
             .budgets
@@ -123,7 +122,11 @@
     ///
     /// # Errors
     /// One of them has none left; how long to wait, in tenths of a ms.
-    pub fn admit(&mut self, asked: Asked, now: impl Fn() -> Tenths) -> Result<Permit, Tenths> {
+    pub fn admit(
+        &mut self,
+        asked: Asked,
+        now: impl Fn() -> TenthMillis,
+    ) -> Result<Permit, TenthMillis> {
         let by = &self.indices;
         let under = |list: &[Option<u16>], index: usize| list.get(index).copied().flatten();
         let indices = [
@@ -160,7 +163,7 @@
     }
 
     /// Acquires one retry; false if there is none left.
-    pub fn retry(&mut self, index: u16, now: Tenths) -> bool {
+    pub fn retry(&mut self, index: u16, now: TenthMillis) -> bool {
         self.acquire_one(index, now)
     }
 
@@ -170,7 +173,7 @@
     }
 
     /// Takes one token of the budget at this index, if there is one.
-    pub fn acquire_one(&mut self, index: u16, now: Tenths) -> bool {
+    pub fn acquire_one(&mut self, index: u16, now: TenthMillis) -> bool {
         let taken = self.budgets.acquire(usize::from(index), now).is_ok();
         self.used[usize::from(index)] += u64::from(taken);
         taken
@@ -185,7 +188,7 @@
         }
     }
 
-    pub fn release(&mut self, permit: Permit, came: Use, now: Tenths) {
+    pub fn release(&mut self, permit: Permit, came: Use, now: TenthMillis) {
         for index in permit.0.into_iter().flatten() {
             let held = self
                 .budgets
@@ -201,7 +204,7 @@
     }
 
     /// Releases what abandoned runs held, once their maximum hold time is over.
-    pub fn free(&mut self, now: Tenths) {
+    pub fn free(&mut self, now: TenthMillis) {
         while let Some(Reverse((_, index))) = self
             .lingering
             .peek()
@@ -213,7 +216,7 @@
         }
     }
 
-    pub fn page(&mut self, nonce: u64, from: u16, now: Tenths) -> BudgetPage {
+    pub fn page(&mut self, nonce: u64, from: u16, now: TenthMillis) -> BudgetPage {
         let count = self.used.len();
         let indices = usize::from(from).min(count)..(usize::from(from) + BUDGET_PAGE).min(count);
         let more = indices.end < count;
@@ -233,7 +236,7 @@
                 rejected: status.rejected,
                 need: status.need,
                 in_use: status.in_use,
-                until_ms: status.lasts.map(|lasts| lasts / MS),
+                until_ms: status.lasts.map(|lasts| lasts / MILLISECOND),
                 granted: status.granted,
             }
         });
@@ -268,7 +271,7 @@
         };
         match change {
             Change::Elected { grants_after } => {
-                info!(log, "budget"; "what" => word, "grants_after_ms" => grants_after / MS);
+                info!(log, "budget"; "what" => word, "grants_after_ms" => grants_after / MILLISECOND);
             }
             Change::SteppedDown => info!(log, "budget"; "what" => word),
             Change::Leader(who) => info!(log, "budget"; "what" => word, "of" => &*who.name),
@@ -280,7 +283,7 @@
                 lasts,
             } => {
                 info!(log, "budget"; "what" => word, "budget" => name(*index), "was" => was,
-                    "allocation" => allocation, "lasts_ms" => lasts / MS);
+                    "allocation" => allocation, "lasts_ms" => lasts / MILLISECOND);
             }
             Change::RanOut { index, allocation } => {
                 warn!(log, "budget"; "what" => word, "budget" => name(*index), "was" => allocation);
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -13,13 +13,13 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use doortrack_admission::Tenths;
 use doortrack_budgets::NodeId;
 use doortrack_config::reload::FleetChange;
 use doortrack_config::{FleetFile, Installation, Orders};
 use doortrack_membership::{
     Action, Change, Event, Fleet, Incarnation, MemberState, MemberUpdate, Name,
 };
+use doortrack_time::TenthMillis;
 use doortrack_upstream::Token;
 use slog::{Logger, info, warn};
 
@@ -38,14 +38,14 @@
 const MAX_WAITS: u32 = 4;
 
 /// The link's time since `zero`, in tenths of a ms; a test may make it drift, by millionths.
-fn now(zero: Instant, drift_ppm: i32) -> Tenths {
+fn now(zero: Instant, drift_ppm: i32) -> TenthMillis {
     let micros = zero.elapsed().as_micros() as i64;
     let gained = if drift_ppm == 0 {
         0
     } else {
         micros / 1_000 * i64::from(drift_ppm) / 1_000
     };
-    ((micros + gained) / 100) as Tenths
+    ((micros + gained) / 100) as TenthMillis
 }
 
 /// The link, with the decisions on membership and budgets.
@@ -59,7 +59,7 @@
     actions: Vec<Action>,
     /// The fleet's budgets, where there are any.
     budgets: Option<Rc<RefCell<FleetBudgets>>>,
-    told_at: BTreeMap<&'static str, Tenths>,
+    told_at: BTreeMap<&'static str, TenthMillis>,
     /// Datagrams may still wait after the last reading.
     unread: bool,
     /// Turns for which due timers have waited for them.
@@ -143,7 +143,7 @@
         budgets.budgets.leader().map(|leader| leader.name.clone())
     }
 
-    fn now(&self) -> Tenths {
+    fn now(&self) -> TenthMillis {
         now(self.zero, self.file.tests.drift_ppm)
     }
 
@@ -241,7 +241,7 @@
         }
     }
 
-    fn admit(&mut self, asked: Asked) -> Result<Permit, Tenths> {
+    fn admit(&mut self, asked: Asked) -> Result<Permit, TenthMillis> {
         let (zero, drift) = (self.zero, self.file.tests.drift_ppm);
         match &self.budgets {
             Some(budgets) => budgets.borrow_mut().admit(asked, || now(zero, drift)),
@@ -281,13 +281,12 @@
         }
     }
 
-    fn wait(&self) -> Tenths {
-        let budgets = self
-            .budgets
-            .as_ref()
-            .map_or(Tenths::MAX, |budgets| budgets.borrow().budgets.next_due());
+    fn wait(&self) -> TenthMillis {
+        let budgets = self.budgets.as_ref().map_or(TenthMillis::MAX, |budgets| {
+            budgets.borrow().budgets.next_due()
+        });
         match self.fleet.next_due().min(budgets) {
-            Tenths::MAX => Tenths::MAX,
+            TenthMillis::MAX => TenthMillis::MAX,
             due => due.saturating_sub(self.now()),
         }
     }
--- a/crates/node/src/peers/link/logging.rs
+++ b/crates/node/src/peers/link/logging.rs
@@ -2,15 +2,15 @@
 
 use std::net::SocketAddr;
 
-use doortrack_admission::Tenths;
 use doortrack_membership::Change;
+use doortrack_time::TenthMillis;
 use slog::{info, warn};
 
 use super::Peers;
 use crate::peers::seal::Refused;
 
 /// Interval between two log lines of one kind about unknown peers, in tenths of a ms.
-const REFUSAL_LOG_INTERVAL: Tenths = 600_000;
+const REFUSAL_LOG_INTERVAL: TenthMillis = 600_000;
 
 impl Peers {
     /// Counts a datagram that was refused, and logs the first of its kind in each interval: a flood must not
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -15,9 +15,10 @@
 use std::time::Duration;
 
 use doortrack_admission::logic::Door;
-use doortrack_admission::{Action, Effect, Event, ExId, Gauges, Tenths};
+use doortrack_admission::{Action, Effect, Event, ExId, Gauges};
 use doortrack_config::reload::{KeyMeanings, Platform};
 use doortrack_config::{Front, Installation, Orders};
+use doortrack_time::{MILLISECOND, TenthMillis};
 use polling::{Events, Poller};
 use slog::{Logger, error, info};
 
@@ -39,15 +40,14 @@
 /// What ends the program before its time.
 pub type Fault = String;
 
-const MS: Tenths = 10;
 /// A reading of the gauges is waited for so long; the engine may be slow or out of reach.
-const READING: Tenths = 5 * MS;
+const READING: TenthMillis = 5 * MILLISECOND;
 /// A reading older than this says nothing about now.
-const STALE: Tenths = 250 * MS;
+const STALE: TenthMillis = 250 * MILLISECOND;
 /// How often connections are looked over for idle ones.
-const SWEEP: Tenths = 25 * MS;
+const SWEEP: TenthMillis = 25 * MILLISECOND;
 /// Woken so much later than asked for, the process has stood still.
-const STALL: Tenths = 10 * MS;
+const STALL: TenthMillis = 10 * MILLISECOND;
 
 pub struct Node {
     /// The platform's configuration as it was at the start, and what of it may change.
@@ -61,7 +61,7 @@
     reloader: Reloader,
     log: Logger,
     clock: Clock,
-    now: Tenths,
+    now: TenthMillis,
     poller: Arc<Poller>,
     signals: Signals,
     fronts: Fronts,
@@ -76,17 +76,17 @@
     batch: Vec<Event>,
     /// Marks of the exchanges in the batch.
     batch_keys: HashSet<Key>,
-    alarms: BinaryHeap<Reverse<(Tenths, u64)>>,
+    alarms: BinaryHeap<Reverse<(TenthMillis, u64)>>,
     /// A reading that alarms wait for, and when they stop waiting.
-    reading: Option<(u64, Tenths)>,
+    reading: Option<(u64, TenthMillis)>,
     gauges: Gauges,
-    read_at: Tenths,
-    sweep_at: Tenths,
-    summary_at: Tenths,
+    read_at: TenthMillis,
+    sweep_at: TenthMillis,
+    summary_at: TenthMillis,
     /// When the loop ends at the latest, once told to leave.
-    stop_at: Option<Tenths>,
+    stop_at: Option<TenthMillis>,
     /// When it was told so, at the earliest.
-    noticed: Tenths,
+    noticed: TenthMillis,
     /// The configuration that is being built was noticed no later than the notice to leave, so that its stop
     /// counts too.
     build_names_stop: bool,
@@ -153,7 +153,7 @@
     /// Waits until something is ready or due, and reads it.
     fn gather(
         &mut self,
-        due: Tenths,
+        due: TenthMillis,
         events: &mut Events,
         front_events: &mut Vec<FrontEvent>,
         work_events: &mut Vec<WorkEvent>,
@@ -218,14 +218,14 @@
     }
 
     /// When the next turn is due at the latest; never before this one, as what is overdue is due now.
-    fn next_due(&self) -> Tenths {
+    fn next_due(&self) -> TenthMillis {
         let alarm = self
             .alarms
             .peek()
-            .map_or(Tenths::MAX, |Reverse((at, _))| *at);
+            .map_or(TenthMillis::MAX, |Reverse((at, _))| *at);
         let alarm = self.reading.map_or(alarm, |(_, till)| till);
         let work = self.work.next_due();
-        let stop = self.stop_at.unwrap_or(Tenths::MAX);
+        let stop = self.stop_at.unwrap_or(TenthMillis::MAX);
         let stop = if self.closing {
             stop
         } else {
@@ -234,7 +234,7 @@
         let sweep = if self.fronts.to_sweep() {
             self.sweep_at
         } else {
-            Tenths::MAX
+            TenthMillis::MAX
         };
         let parts = self
             .parts
@@ -247,7 +247,7 @@
             .min(sweep)
             .min(self.registry.next)
             .min(self.summary_at);
-        own.min(parts.unwrap_or(Tenths::MAX)).max(self.now)
+        own.min(parts.unwrap_or(TenthMillis::MAX)).max(self.now)
     }
 
     // --- Deciding and carrying out ---
--- a/crates/node/src/serve/events.rs
+++ b/crates/node/src/serve/events.rs
@@ -2,7 +2,8 @@
 
 use std::cmp::Reverse;
 
-use doortrack_admission::{Effect, Event, ExId, Exchange, Gauges, RunOutcome, StopKind, Tenths};
+use doortrack_admission::{Effect, Event, ExId, Exchange, Gauges, RunOutcome, StopKind};
+use doortrack_time::TenthMillis;
 use slog::warn;
 
 use super::{Node, READING, STALE};
@@ -111,7 +112,7 @@
         &mut self,
         key: &Key,
         body: &[u8],
-        stamp: Tenths,
+        stamp: TenthMillis,
     ) -> Result<Option<ExId>, Answer<'static>> {
         match self.results.repeats(key, body, stamp.min(self.now)) {
             Repeats::Nothing => Ok(None),
@@ -124,7 +125,7 @@
     }
 
     /// What it holds of the fleet's budgets and of its pool's servers, or when it is to come back.
-    fn admit(&mut self, asked: Asked) -> (Hold, Option<Tenths>) {
+    fn admit(&mut self, asked: Asked) -> (Hold, Option<TenthMillis>) {
         let admission = match self.work.admit(asked.pool, self.now) {
             Ok(admission) => admission,
             Err(wait) => return (Hold::default(), Some(wait)),
@@ -203,7 +204,7 @@
     }
 
     /// How long a caller of this group waits at the most.
-    fn deadline_of(&self, group: u8) -> Tenths {
+    fn deadline_of(&self, group: u8) -> TenthMillis {
         self.orders.handed.contract.groups[usize::from(group)].deadline
     }
 
--- a/crates/node/src/serve/leave.rs
+++ b/crates/node/src/serve/leave.rs
@@ -1,18 +1,19 @@
 //! The end: from the notice to leave to the stop.
 
-use doortrack_admission::{Event, Tenths};
+use doortrack_admission::Event;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::info;
 
-use super::{MS, Node};
+use super::Node;
 use crate::life::signals::LEAVE_KEY;
 
 /// The last of the time before the stop is for what is still on its way out.
-pub(super) const FLUSH: Tenths = 100 * MS;
+pub(super) const FLUSH: TenthMillis = 100 * MILLISECOND;
 
 impl Node {
     /// The notice to leave came at `noticed`, or later: what is counted from it is over no later than it may
     /// be.
-    pub(super) fn leave(&mut self, noticed: Tenths) {
+    pub(super) fn leave(&mut self, noticed: TenthMillis) {
         self.signals.acknowledge(LEAVE_KEY);
         if self.stop_at.is_some() {
             return;
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -8,12 +8,13 @@
 
 use doortrack_config::reload::{FrontChanges, KeyMeanings, NeedsStart, PlatformRead};
 use doortrack_config::{Fault, Faults, Front, Installation};
+use doortrack_time::MILLISECOND;
 use slog::{debug, info, warn};
 
+use super::Node;
 use super::build::{Candidate, Running};
 use super::builds::Retired;
 use super::start::log_rules;
-use super::{MS, Node};
 use crate::life::signals::RELOAD_KEY;
 use crate::wire::engine::WorkEvent;
 use crate::wire::fronts::FrontEvent;
@@ -104,7 +105,7 @@
                 |till| {
                     format!(
                         "in {} ms none is",
-                        till.saturating_sub(self.now).div_ceil(MS)
+                        till.saturating_sub(self.now).div_ceil(MILLISECOND)
                     )
                 },
             );
--- a/crates/node/src/serve/report.rs
+++ b/crates/node/src/serve/report.rs
@@ -2,21 +2,21 @@
 
 use std::fs;
 
-use doortrack_admission::Tenths;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::{Serde, info};
 
-use super::{MS, Node};
+use super::Node;
 use crate::life::descriptors;
 use crate::wire::work::Work;
 
-pub(super) const EVERY: Tenths = 10_000 * MS;
+pub(super) const EVERY: TenthMillis = 10_000 * MILLISECOND;
 
 /// The longest of each since the last summary.
 #[derive(Default)]
 pub struct Slowest {
-    pub turn: Tenths,
-    pub reading: Tenths,
-    pub arrival: Tenths,
+    pub turn: TenthMillis,
+    pub reading: TenthMillis,
+    pub arrival: TenthMillis,
 }
 
 impl Node {
@@ -30,8 +30,8 @@
             "no_room" => counts.no_room, "checks" => counts.checks, "ends" => Serde(counts.ends.clone()),
             "unread_bytes" => self.fronts.unread(),
             "result_bytes" => self.results.bytes(), "link_losses" => self.work.link_losses(),
-            "turn_ms" => self.slowest.turn / MS, "reading_ms" => self.slowest.reading / MS,
-            "read_after_ms" => self.slowest.arrival / MS, "memory_kb" => peak_kb(),
+            "turn_ms" => self.slowest.turn / MILLISECOND, "reading_ms" => self.slowest.reading / MILLISECOND,
+            "read_after_ms" => self.slowest.arrival / MILLISECOND, "memory_kb" => peak_kb(),
             "cpu_ms" => cpu_ms(), "descriptors" => descriptors::open());
         self.slowest = Slowest::default();
         self.parts.iter().for_each(|part| part.summary(&self.log));
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -5,10 +5,11 @@
 use std::sync::Arc;
 
 use doortrack_admission::logic::Door;
-use doortrack_admission::{Effect, EndpointGroup, Event, Gauges, LevelKind, Tenths};
+use doortrack_admission::{Effect, EndpointGroup, Event, Gauges, LevelKind};
 use doortrack_config::reload::{KeyMeanings, Platform, Started};
 use doortrack_config::{Installation, Orders, Servers as ServerSettings};
 use doortrack_protocols::Protocol;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use polling::Poller;
 use serde_json::Value;
 use slog::{Logger, info, o, warn};
@@ -16,7 +17,7 @@
 use super::build::Sources;
 use super::builds::Reloader;
 use super::report::Slowest;
-use super::{Fault, MS, Node};
+use super::{Fault, Node};
 use crate::life::addresses::once_free;
 use crate::life::clock::Clock;
 use crate::life::descriptors;
@@ -100,7 +101,7 @@
 fn open_work(
     installation: &Installation,
     orders: &Orders,
-    longest_deadline: Tenths,
+    longest_deadline: TenthMillis,
     poller: &Arc<Poller>,
     log: &Logger,
 ) -> Work {
@@ -149,7 +150,7 @@
     };
     let folder = file.and_then(Path::parent).unwrap_or(Path::new(""));
     let key = fleet.key(folder).map_err(|faults| faults.to_string())?;
-    let unix_ms = clock.now() / MS;
+    let unix_ms = clock.now() / MILLISECOND;
     let registration = Registration { poller, key: KEY };
     Ok(vec![Box::new(Peers::open(
         installation,
@@ -263,7 +264,7 @@
     }
 
     /// The engine is up, and with it the node. Its age counts for a cold one's speed.
-    pub(super) fn open_door(&mut self, cold: bool, age: Tenths) {
+    pub(super) fn open_door(&mut self, cold: bool, age: TenthMillis) {
         if self.door.is_some() {
             return;
         }
--- a/crates/node/src/wire/bounds.rs
+++ b/crates/node/src/wire/bounds.rs
@@ -1,9 +1,7 @@
 //! What keeps a bad client or peer off: the bounds of the wire's own protection, in this one place. None of
 //! them is a decision on work, and a sound dispatcher meets none of them.
 
-use doortrack_admission::Tenths;
-
-const MS: Tenths = 10;
+use doortrack_time::{MILLISECOND, TenthMillis};
 
 /// Requests that one connection may have open, by the protocol.
 pub const MOST_OPEN: usize = 32;
@@ -30,22 +28,22 @@
 pub const EVICTED: usize = 16;
 /// On a connection where something moved so lately a request may be under way, so it is not let go of for
 /// another: two callers that come at once would push each other out.
-pub const FRESH: Tenths = 25 * MS;
+pub const FRESH: TenthMillis = 25 * MILLISECOND;
 /// One place in this many is kept free ahead of need, so that who is let go of can be told the end in order
 /// before its place is taken. A smaller table has none to spare.
 const PLACES_A_SPARE: usize = 16;
 const LEAST_BACKLOG: usize = 1024;
 /// Most that a connection has for a whole request, from its start or from when one began to come.
-const WHOLE_WITHIN: Tenths = 2_000 * MS;
+const WHOLE_WITHIN: TenthMillis = 2_000 * MILLISECOND;
 /// A stamp so many times the longest deadline away from now was not written by a sound clock. Handed
 /// over, it would pass for a node that drowns.
-const FAR_OFF: Tenths = 10;
+const FAR_OFF: TenthMillis = 10;
 
 /// No notice of the engine is longer: a result of 4 KiB in base64 with its frame is a tenth of it.
 pub const MOST_LINE: usize = 64 * 1024;
 
 /// How long a connection may take over a request, where nobody waits for anything beyond `longest_deadline`.
-pub fn whole_within(longest_deadline: Tenths) -> Tenths {
+pub fn whole_within(longest_deadline: TenthMillis) -> TenthMillis {
     longest_deadline.min(WHOLE_WITHIN)
 }
 
@@ -60,6 +58,6 @@
     (places / PLACES_A_SPARE).min(EVICTED)
 }
 
-pub fn is_far_off(stamp: Tenths, now: Tenths, longest_deadline: Tenths) -> bool {
+pub fn is_far_off(stamp: TenthMillis, now: TenthMillis, longest_deadline: TenthMillis) -> bool {
     stamp.abs_diff(now) > longest_deadline.saturating_mul(FAR_OFF)
 }
--- a/crates/node/src/wire/conn.rs
+++ b/crates/node/src/wire/conn.rs
@@ -3,8 +3,9 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, Shutdown, TcpStream};
 
-use doortrack_admission::{ExId, Tenths};
+use doortrack_admission::ExId;
 use doortrack_protocols::RequestReader;
+use doortrack_time::TenthMillis;
 
 use super::bounds::{FAIR_UNREAD, MOST_BODY, MOST_OPEN, MOST_PARAMS, MOST_UNREAD, MOST_UNWHOLE};
 use super::end::End;
@@ -64,11 +65,11 @@
     pub out: Vec<u8>,
     written: usize,
     /// Last time that anything was read, or that unread answers moved.
-    pub moved: Tenths,
+    pub moved: TenthMillis,
     /// A whole request has come on it.
     pub spoke: bool,
     /// Since when a whole request is due: from the start, and while one is half read.
-    due_since: Option<Tenths>,
+    due_since: Option<TenthMillis>,
     /// Bytes read with no whole request in them.
     unwhole: usize,
     /// Something on it could not be read: it is not read again before the next sweep, so that who sends the
@@ -97,7 +98,7 @@
         peer: IpAddr,
         front: usize,
         reader: RequestReader,
-        now: Tenths,
+        now: TenthMillis,
     ) -> Conn {
         Conn {
             sock,
@@ -158,7 +159,7 @@
     }
 
     /// Whether a whole request has been due for longer than it may take: nothing came, or it trickles.
-    pub fn is_slow(&self, now: Tenths, within: Tenths) -> bool {
+    pub fn is_slow(&self, now: TenthMillis, within: TenthMillis) -> bool {
         ((self.reading && !self.is_ending()) || self.lingers)
             && self
                 .due_since
@@ -167,7 +168,7 @@
     }
 
     /// What came was taken in; whether it is more than any request can hold.
-    pub fn took_in(&mut self, bytes: usize, now: Tenths) -> bool {
+    pub fn took_in(&mut self, bytes: usize, now: TenthMillis) -> bool {
         let between = self.reader.at_boundary() && !self.open.iter().any(Open::half_read);
         match between && self.spoke {
             true => self.due_since = None,
@@ -183,7 +184,7 @@
     }
 
     /// Reads once; how many bytes came, or how it ended.
-    pub fn read(&mut self, into: &mut [u8], now: Tenths) -> Result<usize, End> {
+    pub fn read(&mut self, into: &mut [u8], now: TenthMillis) -> Result<usize, End> {
         match self.sock.read(into) {
             // Of one that is not read nothing is told but errors, so this is one.
             Ok(_) if !self.reading && !self.lingers => Err(End::Reset),
@@ -207,7 +208,7 @@
     /// All is written and nothing more is wanted. Closed now, with something unread or about to come, the
     /// system would reset the connection, and the peer could lose an answer that it has not read. So the end
     /// is said first, and what comes is passed over until the peer ends too: whether that is waited for.
-    pub fn linger(&mut self, now: Tenths) -> bool {
+    pub fn linger(&mut self, now: TenthMillis) -> bool {
         self.ended |= matches!(self.sock.peek(&mut [0]), Ok(0));
         if self.lingers || self.ended {
             return self.lingers;
@@ -224,7 +225,7 @@
     }
 
     /// Writes what the peer takes.
-    pub fn write(&mut self, now: Tenths) -> Result<(), End> {
+    pub fn write(&mut self, now: TenthMillis) -> Result<(), End> {
         while self.unread() > 0 {
             match self.sock.write(&self.out[self.written..]) {
                 Ok(0) => return Err(End::Reset),
--- a/crates/node/src/wire/engine.rs
+++ b/crates/node/src/wire/engine.rs
@@ -4,7 +4,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_admission::{ExId, Tenths};
+use doortrack_admission::ExId;
+use doortrack_time::TenthMillis;
 use polling::{Event, PollMode, Poller};
 use slog::{Logger, info, warn};
 use socket2::{Domain, Socket, Type};
@@ -16,7 +17,7 @@
 
 pub const ENGINE_KEY: usize = 1;
 
-const TRY_AGAIN: Tenths = 1_000;
+const TRY_AGAIN: TenthMillis = 1_000;
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
@@ -35,7 +36,7 @@
 pub enum WorkEvent {
     Hello {
         cold: bool,
-        age: Tenths,
+        age: TenthMillis,
     },
     /// All notices missed are in. Runs sent after the STAT of this number may not have arrived.
     CaughtUp {
@@ -61,7 +62,7 @@
     most_commands: usize,
     state: State,
     sock: Option<TcpStream>,
-    pub next_try: Tenths,
+    pub next_try: TenthMillis,
     input: Vec<u8>,
     out: Vec<u8>,
     watching_writes: bool,
@@ -108,7 +109,7 @@
     }
 
     /// Makes the link if there is none.
-    pub fn tend(&mut self, now: Tenths) {
+    pub fn tend(&mut self, now: TenthMillis) {
         if self.state != State::Down || now < self.next_try {
             return;
         }
@@ -137,7 +138,7 @@
         Ok(sock)
     }
 
-    fn lose(&mut self, now: Tenths, why: &str, work_events: &mut Vec<WorkEvent>) {
+    fn lose(&mut self, now: TenthMillis, why: &str, work_events: &mut Vec<WorkEvent>) {
         if let Some(sock) = self.sock.take() {
             _ = self.poller.delete(&sock);
         }
@@ -155,7 +156,7 @@
     }
 
     /// The engine is to be found elsewhere from here on.
-    pub fn move_to(&mut self, at: SocketAddr, now: Tenths, work_events: &mut Vec<WorkEvent>) {
+    pub fn move_to(&mut self, at: SocketAddr, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
         if at == self.at {
             return;
         }
@@ -166,7 +167,7 @@
         self.next_try = now;
     }
 
-    pub fn ready(&mut self, event: Event, now: Tenths, work_events: &mut Vec<WorkEvent>) {
+    pub fn ready(&mut self, event: Event, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
         if self.state == State::Connecting && (event.writable || event.readable) {
             let error = self
                 .sock
@@ -183,7 +184,7 @@
         }
     }
 
-    fn read(&mut self, now: Tenths, work_events: &mut Vec<WorkEvent>) {
+    fn read(&mut self, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
         let Some(sock) = &mut self.sock else { return };
         let start = self.input.len();
         self.input.resize(start + MOST_LINE, 0);
@@ -280,7 +281,7 @@
         link::halt(&mut self.out, try_id);
     }
 
-    pub fn flush(&mut self, now: Tenths, work_events: &mut Vec<WorkEvent>) {
+    pub fn flush(&mut self, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
         let Some(sock) = self
             .sock
             .as_mut()
--- a/crates/node/src/wire/fronts.rs
+++ b/crates/node/src/wire/fronts.rs
@@ -8,9 +8,10 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-use doortrack_admission::{ExId, Tenths};
+use doortrack_admission::ExId;
 use doortrack_config::Room;
 use doortrack_protocols::Protocol;
+use doortrack_time::TenthMillis;
 use polling::{Event, PollMode, Poller};
 use slab::Slab;
 
@@ -122,18 +123,23 @@
     dirty: Vec<usize>,
     scratch: Vec<u8>,
     /// Nobody waits longer than this for anything.
-    longest_deadline: Tenths,
+    longest_deadline: TenthMillis,
     /// What goes out with each answer, and what health checks are told.
     pub level: Option<f32>,
     pub good: bool,
-    pub idle_limit: Tenths,
+    pub idle_limit: TenthMillis,
     /// What fronts counted that are no more.
     gone: Counts,
 }
 
 impl Fronts {
     /// A table without any front yet.
-    pub fn new(poller: Arc<Poller>, names: Names, room: Room, longest_deadline: Tenths) -> Self {
+    pub fn new(
+        poller: Arc<Poller>,
+        names: Names,
+        room: Room,
+        longest_deadline: TenthMillis,
+    ) -> Self {
         Fronts {
             poller,
             fronts: Slab::new(),
@@ -149,7 +155,7 @@
             longest_deadline,
             level: None,
             good: true,
-            idle_limit: Tenths::MAX,
+            idle_limit: TenthMillis::MAX,
             gone: Counts::default(),
         }
     }
@@ -241,7 +247,7 @@
     }
 
     /// Writes what the present turn brought, and closes what is to be closed.
-    pub fn flush(&mut self, now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    pub fn flush(&mut self, now: TenthMillis, front_events: &mut Vec<FrontEvent>) {
         let mut dirty = std::mem::take(&mut self.dirty);
         for slot in dirty.drain(..) {
             let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.dirty) else {
--- a/crates/node/src/wire/fronts/coming.rs
+++ b/crates/node/src/wire/fronts/coming.rs
@@ -3,8 +3,8 @@
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 
-use doortrack_admission::Tenths;
 use doortrack_protocols::{Protocol, RequestReader};
+use doortrack_time::TenthMillis;
 use polling::{Event, PollMode};
 use rustix::io::Errno;
 use socket2::{Domain, Socket, Type};
@@ -79,7 +79,12 @@
 
     /// Takes a front out of service: what the machine has accepted for it is still read, once more, and
     /// answered; what comes after that is refused, and it is forgotten with the last connection.
-    pub fn withdraw(&mut self, at: SocketAddr, now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    pub fn withdraw(
+        &mut self,
+        at: SocketAddr,
+        now: TenthMillis,
+        front_events: &mut Vec<FrontEvent>,
+    ) {
         let slots = self.fronts.iter().filter(|(_, front)| front.is_at(at));
         let slots: Vec<usize> = slots.map(|(front, _)| front).collect();
         slots
@@ -88,7 +93,7 @@
     }
 
     /// Takes in what the machine has accepted on any front, and nothing after it.
-    pub fn last_reading(&mut self, now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    pub fn last_reading(&mut self, now: TenthMillis, front_events: &mut Vec<FrontEvent>) {
         let slots: Vec<usize> = self.fronts.iter().map(|(front, _)| front).collect();
         slots
             .into_iter()
@@ -97,7 +102,13 @@
 
     /// Takes in the backlog of a front, reads each of its connections once more, and ends those with nothing
     /// open from then on.
-    fn shut(&mut self, front: usize, end: End, now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    fn shut(
+        &mut self,
+        front: usize,
+        end: End,
+        now: TenthMillis,
+        front_events: &mut Vec<FrontEvent>,
+    ) {
         // One that was withdrawn before takes in nobody. It may go with its last connection meanwhile.
         if self
             .fronts
@@ -146,7 +157,7 @@
     pub fn accept(
         &mut self,
         front: usize,
-        now: Tenths,
+        now: TenthMillis,
         front_events: &mut Vec<FrontEvent>,
     ) -> bool {
         self.accept_sparing(FRESH, front, now, front_events)
@@ -155,9 +166,9 @@
     /// The same; where room has to be made, those are spared on which something moved so lately.
     fn accept_sparing(
         &mut self,
-        fresh: Tenths,
+        fresh: TenthMillis,
         front: usize,
-        now: Tenths,
+        now: TenthMillis,
         front_events: &mut Vec<FrontEvent>,
     ) -> bool {
         let quiet_since = now.saturating_sub(fresh);
@@ -218,7 +229,7 @@
         sock: TcpStream,
         peer: IpAddr,
         front: usize,
-        now: Tenths,
+        now: TenthMillis,
     ) -> io::Result<()> {
         sock.set_nonblocking(true)?;
         sock.set_nodelay(true)?;
@@ -249,7 +260,7 @@
     fn make_room(
         &mut self,
         among: Option<usize>,
-        quiet_since: Tenths,
+        quiet_since: TenthMillis,
         front_events: &mut Vec<FrontEvent>,
     ) -> bool {
         let useless = self.least_missed(among, quiet_since);
@@ -273,8 +284,8 @@
     fn make_room_ahead(
         &mut self,
         front: usize,
-        quiet_since: Tenths,
-        now: Tenths,
+        quiet_since: TenthMillis,
+        now: TenthMillis,
         front_events: &mut Vec<FrontEvent>,
     ) {
         let among = self.bounded(front);
@@ -326,7 +337,11 @@
 
     /// Connections that could be let go of, those first that are missed least: what they are good for, when
     /// something last moved on them, and where they are.
-    fn least_missed(&self, among: Option<usize>, quiet_since: Tenths) -> Vec<(Use, Tenths, usize)> {
+    fn least_missed(
+        &self,
+        among: Option<usize>,
+        quiet_since: TenthMillis,
+    ) -> Vec<(Use, TenthMillis, usize)> {
         let useless =
             |conn: &Conn| conn.lingers || (conn.moved <= quiet_since && conn.asks_nothing());
         let concerned = |conn: &Conn| among.is_none_or(|front| conn.front == front);
@@ -370,7 +385,7 @@
         &mut self,
         slot: usize,
         end: End,
-        now: Tenths,
+        now: TenthMillis,
         front_events: &mut Vec<FrontEvent>,
     ) {
         let conn = &mut self.conns[slot];
@@ -401,7 +416,7 @@
     }
 
     /// Closes what lay idle for long enough, and what nobody can be waiting for any more.
-    pub fn sweep(&mut self, now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    pub fn sweep(&mut self, now: TenthMillis, front_events: &mut Vec<FrontEvent>) {
         let mut over = Vec::new();
         let within = bounds::whole_within(self.longest_deadline);
         for (slot, conn) in &mut self.conns {
--- a/crates/node/src/wire/fronts/reading.rs
+++ b/crates/node/src/wire/fronts/reading.rs
@@ -1,6 +1,5 @@
 //! What comes on the callers' connections: read, cut into requests, and given up where it can't be read.
 
-use doortrack_admission::Tenths;
 use polling::Event;
 
 use super::{Block, Caller, FIRST_KEY, FrontEvent, Fronts};
@@ -11,10 +10,11 @@
 use crate::wire::ruled::Origin;
 use doortrack_protocols::fastcgi::{self, RESPONDER};
 use doortrack_protocols::{Piece, uwsgi};
+use doortrack_time::TenthMillis;
 
 impl Fronts {
     /// A connection is ready, or broke.
-    pub fn ready(&mut self, event: Event, now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    pub fn ready(&mut self, event: Event, now: TenthMillis, front_events: &mut Vec<FrontEvent>) {
         let slot = event.key - FIRST_KEY;
         if !self.conns.contains(slot) {
             return; // Closed earlier in this turn.
@@ -31,7 +31,12 @@
         }
     }
 
-    pub(super) fn read(&mut self, slot: usize, now: Tenths, front_events: &mut Vec<FrontEvent>) {
+    pub(super) fn read(
+        &mut self,
+        slot: usize,
+        now: TenthMillis,
+        front_events: &mut Vec<FrontEvent>,
+    ) {
         let mut scratch = std::mem::take(&mut self.scratch);
         let conn = &mut self.conns[slot];
         match conn.read(&mut scratch, now) {
@@ -57,7 +62,7 @@
         &mut self,
         slot: usize,
         mut input: &[u8],
-        now: Tenths,
+        now: TenthMillis,
         front_events: &mut Vec<FrontEvent>,
     ) {
         let size = input.len();
@@ -108,7 +113,7 @@
         &mut self,
         slot: usize,
         piece: Piece,
-        now: Tenths,
+        now: TenthMillis,
         front_events: &mut Vec<FrontEvent>,
     ) {
         let conn = &mut self.conns[slot];
@@ -185,7 +190,7 @@
         slot: usize,
         id: u16,
         stream: Stream,
-        now: Tenths,
+        now: TenthMillis,
         front_events: &mut Vec<FrontEvent>,
     ) {
         let Some(whole) = self.conns[slot].end_stream(id, stream) else {
--- a/crates/node/src/wire/link.rs
+++ b/crates/node/src/wire/link.rs
@@ -2,7 +2,8 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use doortrack_admission::{RunOutcome, Tenths};
+use doortrack_admission::RunOutcome;
+use doortrack_time::TenthMillis;
 use serde_json::Value;
 
 use super::request::TryId;
@@ -11,7 +12,7 @@
 pub enum Notice {
     Hello {
         cold: bool,
-        age: Tenths,
+        age: TenthMillis,
     },
     Done {
         serial: u64,
@@ -87,7 +88,7 @@
             };
             Ok(Notice::Hello {
                 cold,
-                age: (age * 10.0) as Tenths,
+                age: (age * 10.0) as TenthMillis,
             })
         }
         "DONE" => {
--- a/crates/node/src/wire/registry.rs
+++ b/crates/node/src/wire/registry.rs
@@ -1,19 +1,18 @@
 //! Reports to the registry: one datagram each, never answered.
 
+use doortrack_time::TenthMillis;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-use doortrack_admission::Tenths;
-
 /// A node leaves the list 3 s after its last report. Reports are lost on the way, and nobody sends to a node
 /// that is not listed: at this pace nine in a row may be lost.
-const EVERY: Tenths = 3_000;
+const EVERY: TenthMillis = 3_000;
 
 pub struct Registry {
     sock: UdpSocket,
     own: SocketAddr,
     name: String,
-    pub next: Tenths,
+    pub next: TenthMillis,
     draining: bool,
 }
 
@@ -43,7 +42,7 @@
         }
     }
 
-    pub fn beat(&mut self, now: Tenths) {
+    pub fn beat(&mut self, now: TenthMillis) {
         if now >= self.next {
             self.next = now + EVERY;
             let text = report(&self.name, self.draining);
--- a/crates/node/src/wire/request.rs
+++ b/crates/node/src/wire/request.rs
@@ -1,9 +1,8 @@
 //! What callers ask and are answered: CGI's fields, read and written without sockets, whatever carried them.
 
-use doortrack_admission::Tenths;
-
 use doortrack_protocols::fastcgi::{self, ProtocolStatus};
 use doortrack_protocols::{Head, Pair, Protocol};
+use doortrack_time::{MILLISECOND, TenthMillis};
 
 /// The name by which dispatchers and the engine know a try: 16 hex digits, as they came.
 pub type TryId = [u8; 16];
@@ -23,15 +22,12 @@
     }
 }
 
-/// Tenths of a ms in one.
-const MS: u64 = 10;
-
 /// One request, with only those fields taken out that the decisions need.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     pub try_id: TryId,
     /// When it came to the machine, on the Unix clock.
-    pub stamp: Tenths,
+    pub stamp: TenthMillis,
     pub group: u8,
     pub customer: u16,
     pub caller: u64,
@@ -41,7 +37,7 @@
     pub idempotency_key: Option<IdempotencyKey>,
     pub subject: u64,
     /// How long its caller waits, if that was told.
-    pub wait: Option<Tenths>,
+    pub wait: Option<TenthMillis>,
     /// The place of the pool of servers that it goes to, if a rule says so.
     pub pool: Option<u16>,
 }
@@ -117,7 +113,7 @@
         try_id: hex(fields.needed("HTTP_X_REQUEST_ID")?, "HTTP_X_REQUEST_ID")?,
         stamp: fields
             .number::<u64>("HTTP_X_REQUEST_START")?
-            .saturating_mul(MS),
+            .saturating_mul(MILLISECOND),
         group: group as u8,
         customer,
         caller: fields.number("HTTP_X_CALLER")?,
@@ -199,7 +195,7 @@
     Completed(Made<'a>),
     Rejected {
         not_elsewhere: bool,
-        retry_after: Tenths,
+        retry_after: TenthMillis,
     },
     Failed,
     Health {
@@ -279,7 +275,7 @@
 /// The ms for which a rejected caller is to stay away; 0 where nothing is said of it.
 fn retry_after(answer: Answer) -> u64 {
     match answer {
-        Answer::Rejected { retry_after, .. } => retry_after.div_ceil(MS),
+        Answer::Rejected { retry_after, .. } => retry_after.div_ceil(MILLISECOND),
         _ => 0,
     }
 }
--- a/crates/node/src/wire/ruled.rs
+++ b/crates/node/src/wire/ruled.rs
@@ -5,19 +5,18 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-use doortrack_admission::Tenths;
 use doortrack_config::Installation;
 use doortrack_expr::{Request as Seen, Scratch};
 use doortrack_protocols::{Pair, Protocol};
 use doortrack_routes::{Built, Class, Classed, Note, Refusal, Table};
 use doortrack_settings::Handed;
+use doortrack_time::{MILLISECOND, TenthMillis};
 
 use super::request::{
     Asked, Fields, IdempotencyKey, Names, Request, TryId, Unreadable, hex, in_range,
 };
 
-const MS: u64 = 10;
-const DAY: Tenths = 86_400_000 * MS;
+const DAY: TenthMillis = 86_400_000 * MILLISECOND;
 /// Microseconds in a tenth of a ms.
 const MICROS: i64 = 100;
 /// Rank and memory of an exchange of which nothing is said.
@@ -69,7 +68,7 @@
 pub struct Origin {
     pub protocol: Protocol,
     pub peer: IpAddr,
-    pub now: Tenths,
+    pub now: TenthMillis,
 }
 
 impl Rules {
@@ -131,7 +130,7 @@
         };
         Ok(Asked::Exchange(Request {
             try_id,
-            stamp: stamp_ms.map_or(origin.now, |ms| ms.saturating_mul(MS)),
+            stamp: stamp_ms.map_or(origin.now, |ms| ms.saturating_mul(MILLISECOND)),
             group,
             customer,
             caller: parsed(&fields, "HTTP_X_CALLER")?.unwrap_or(0),
--- a/crates/node/src/wire/servers.rs
+++ b/crates/node/src/wire/servers.rs
@@ -8,9 +8,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_admission::{ExId, RunOutcome, Tenths};
+use doortrack_admission::{ExId, RunOutcome};
 use doortrack_config::Servers as Asked;
 use doortrack_protocols::{Answer, AnswerReader, Pair, Protocol, write_request};
+use doortrack_time::TenthMillis;
 use doortrack_upstream::{Action, Admission, ConnId, Pool, RunEnd, RunId, ServerId, Token};
 use polling::{Event, PollMode, Poller};
 use rustc_hash::FxHashMap;
@@ -69,7 +70,7 @@
         log: Logger,
         asked: &Asked,
         place: usize,
-        longest: Tenths,
+        longest: TenthMillis,
         seed: u64,
     ) -> Servers {
         let (at, socks, actions, ends) = Default::default();
@@ -102,7 +103,7 @@
 
     /// Takes up a new list of servers and how the pool is to be kept. What they speak is as it was at the
     /// start: requests in hand are written in that.
-    pub fn take_up(&mut self, asked: &Asked, longest: Tenths, now: Tenths) {
+    pub fn take_up(&mut self, asked: &Asked, longest: TenthMillis, now: TenthMillis) {
         let terms = asked.terms(longest);
         (self.keep, self.most_answer) = (terms.idle > 0, asked.most_answer_bytes as usize);
         self.pool.retune(terms, now, &mut self.actions);
@@ -154,7 +155,7 @@
     ///
     /// # Errors
     /// How long to wait before it comes back, in tenths of a ms.
-    pub fn admit(&mut self, now: Tenths) -> Result<Admission, Tenths> {
+    pub fn admit(&mut self, now: TenthMillis) -> Result<Admission, TenthMillis> {
         let admission = self.pool.admit(now);
         self.settle(now);
         admission
@@ -168,7 +169,7 @@
         &self.pool
     }
 
-    pub fn tend(&mut self, now: Tenths) {
+    pub fn tend(&mut self, now: TenthMillis) {
         if !std::mem::replace(&mut self.up, true) {
             // Nobody tells whether servers are warm; a pool takes one at a time back that is not.
             self.work_events.push(WorkEvent::Hello {
@@ -182,7 +183,7 @@
         }
     }
 
-    pub fn next_due(&self) -> Tenths {
+    pub fn next_due(&self) -> TenthMillis {
         // What is to be told is not waited for.
         if self.up && self.work_events.is_empty() {
             self.pool.next_due()
@@ -197,7 +198,7 @@
         block: Option<Block>,
         body: &[u8],
         repeatable: bool,
-        now: Tenths,
+        now: TenthMillis,
     ) {
         let pairs = block
             .as_ref()
@@ -214,17 +215,17 @@
         self.settle(now);
     }
 
-    pub fn stop(&mut self, run: ExId, now: Tenths) {
+    pub fn stop(&mut self, run: ExId, now: TenthMillis) {
         self.pool.stop(run, now, &mut self.actions);
         self.settle(now);
     }
 
-    pub fn ready(&mut self, event: Event, now: Tenths) {
+    pub fn ready(&mut self, event: Event, now: TenthMillis) {
         self.became_ready(event.key - self.first_key, event, now);
         self.settle(now);
     }
 
-    fn became_ready(&mut self, conn: ConnId, event: Event, now: Tenths) {
+    fn became_ready(&mut self, conn: ConnId, event: Event, now: TenthMillis) {
         let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
             return;
         };
@@ -251,7 +252,7 @@
     }
 
     /// A connection did not open. Refused, there is no doubt that nothing listens there.
-    fn not_opened(&mut self, conn: ConnId, why: Option<std::io::Error>, now: Tenths) {
+    fn not_opened(&mut self, conn: ConnId, why: Option<std::io::Error>, now: TenthMillis) {
         if why.is_some_and(|e| e.kind() == ErrorKind::ConnectionRefused) {
             self.pool.refused(conn, now, &mut self.actions);
         } else {
@@ -267,7 +268,7 @@
     /// Carries out what the pool decided, until nothing new comes of it. That is done after each event:
     /// places of connections are used again at once, and an event of the one before would be taken for the
     /// next one's.
-    fn settle(&mut self, now: Tenths) {
+    fn settle(&mut self, now: TenthMillis) {
         while !self.actions.is_empty() {
             let actions = std::mem::take(&mut self.actions);
             actions
@@ -276,7 +277,7 @@
         }
     }
 
-    fn carry_out(&mut self, what: Action, now: Tenths) {
+    fn carry_out(&mut self, what: Action, now: TenthMillis) {
         match what {
             Action::Open { conn, server } => {
                 if let Err(e) = self.open(conn, server) {
--- a/crates/node/src/wire/servers/transfer.rs
+++ b/crates/node/src/wire/servers/transfer.rs
@@ -2,20 +2,20 @@
 
 use std::io::{ErrorKind, Read, Write};
 
-use doortrack_admission::Tenths;
 use doortrack_protocols::{AnswerReader, Answered, Protocol};
+use doortrack_time::TenthMillis;
 use doortrack_upstream::{ConnId, Over, RunId};
 use polling::{Event, PollMode};
 
 use super::{ID, Servers};
 
 impl Servers {
-    fn lost(&mut self, conn: ConnId, now: Tenths) {
+    fn lost(&mut self, conn: ConnId, now: TenthMillis) {
         self.drop_sock(conn);
         self.pool.lost(conn, now, &mut self.actions);
     }
 
-    pub(super) fn send(&mut self, conn: ConnId, run: RunId, now: Tenths) {
+    pub(super) fn send(&mut self, conn: ConnId, run: RunId, now: TenthMillis) {
         let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
             return;
         };
@@ -33,7 +33,7 @@
         self.write(conn, now);
     }
 
-    pub(super) fn write(&mut self, conn: ConnId, now: Tenths) {
+    pub(super) fn write(&mut self, conn: ConnId, now: TenthMillis) {
         let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
             return;
         };
@@ -72,13 +72,13 @@
         }
     }
 
-    pub(super) fn read(&mut self, conn: ConnId, now: Tenths) {
+    pub(super) fn read(&mut self, conn: ConnId, now: TenthMillis) {
         let mut scratch = std::mem::take(&mut self.scratch);
         self.read_into(conn, &mut scratch, now);
         self.scratch = scratch;
     }
 
-    fn read_into(&mut self, conn: ConnId, scratch: &mut [u8], now: Tenths) {
+    fn read_into(&mut self, conn: ConnId, scratch: &mut [u8], now: TenthMillis) {
         let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
             return;
         };
@@ -105,7 +105,7 @@
         }
     }
 
-    fn over(&mut self, conn: ConnId, answered: Answered, clean: bool, now: Tenths) {
+    fn over(&mut self, conn: ConnId, answered: Answered, clean: bool, now: TenthMillis) {
         let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
             return;
         };
--- a/crates/node/src/wire/standing.rs
+++ b/crates/node/src/wire/standing.rs
@@ -1,14 +1,18 @@
 //! What the log tells of one application server.
 
-use doortrack_admission::Tenths;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use doortrack_upstream::Standing;
 use slog::{Logger, info, warn};
 
-const MS: Tenths = 10;
-
 /// Tells what is thought of the server at this address from now on; `in_use` counts servers of its pool.
-pub fn log_standing(log: &Logger, address: &str, in_use: usize, standing: Standing, now: Tenths) {
-    let left_ms = |till: Tenths| till.saturating_sub(now) / MS;
+pub fn log_standing(
+    log: &Logger,
+    address: &str,
+    in_use: usize,
+    standing: Standing,
+    now: TenthMillis,
+) {
+    let left_ms = |till: TenthMillis| till.saturating_sub(now) / MILLISECOND;
     match standing {
         Standing::PutAside { till } => {
             warn!(log, "server put aside"; "address" => address, "for_ms" => left_ms(till),
--- a/crates/node/src/wire/work.rs
+++ b/crates/node/src/wire/work.rs
@@ -3,7 +3,8 @@
 
 use std::net::SocketAddr;
 
-use doortrack_admission::{ExId, Tenths};
+use doortrack_admission::ExId;
+use doortrack_time::TenthMillis;
 use doortrack_upstream::{Admission, Token};
 use polling::Event;
 
@@ -28,7 +29,7 @@
 
 impl Work {
     /// Does what is due: makes a link, gives up what took too long.
-    pub fn tend(&mut self, now: Tenths) {
+    pub fn tend(&mut self, now: TenthMillis) {
         match self {
             Work::Engine(link) => link.tend(now),
             Work::Servers(pools) => pools.iter_mut().for_each(|(_, pool)| pool.tend(now)),
@@ -36,15 +37,15 @@
     }
 
     /// When it is to be tended at the latest.
-    pub fn next_due(&self) -> Tenths {
+    pub fn next_due(&self) -> TenthMillis {
         match self {
             Work::Engine(link) if link.is_down() => link.next_try,
-            Work::Engine(_) => Tenths::MAX,
+            Work::Engine(_) => TenthMillis::MAX,
             Work::Servers(pools) => pools
                 .iter()
                 .map(|(_, pool)| pool.next_due())
                 .min()
-                .unwrap_or(Tenths::MAX),
+                .unwrap_or(TenthMillis::MAX),
         }
     }
 
@@ -53,7 +54,7 @@
         key == ENGINE_KEY || key >= SERVER_KEY
     }
 
-    pub fn ready(&mut self, event: Event, now: Tenths, work_events: &mut Vec<WorkEvent>) {
+    pub fn ready(&mut self, event: Event, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
         match self {
             Work::Engine(link) => link.ready(event, now, work_events),
             Work::Servers(pools) => {
@@ -91,7 +92,7 @@
     ///
     /// # Errors
     /// How long to wait before it comes back, in tenths of a ms.
-    pub fn admit(&mut self, pool: u16, now: Tenths) -> Result<Admission, Tenths> {
+    pub fn admit(&mut self, pool: u16, now: TenthMillis) -> Result<Admission, TenthMillis> {
         match self {
             Work::Engine(_) => Ok(Admission::Free),
             Work::Servers(pools) => {
@@ -135,7 +136,7 @@
         ex: &mut Ex,
         group: &str,
         repeatable: bool,
-        now: Tenths,
+        now: TenthMillis,
     ) -> Option<u64> {
         match self {
             Work::Engine(link) => link.is_up().then(|| link.run(&ex.try_id, group, &ex.body)),
@@ -151,7 +152,7 @@
     }
 
     /// Stops a run that was begun.
-    pub fn stop(&mut self, id: ExId, ex: &Ex, now: Tenths) {
+    pub fn stop(&mut self, id: ExId, ex: &Ex, now: TenthMillis) {
         match self {
             Work::Engine(link) if link.is_up() => link.halt(&ex.try_id),
             Work::Engine(_) => {}
@@ -172,7 +173,7 @@
     }
 
     /// Writes what there is, and tells what came of runs.
-    pub fn flush(&mut self, now: Tenths, work_events: &mut Vec<WorkEvent>) {
+    pub fn flush(&mut self, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
         match self {
             Work::Engine(link) => link.flush(now, work_events),
             Work::Servers(pools) => pools
@@ -182,7 +183,7 @@
     }
 
     /// The engine is to be found elsewhere.
-    pub fn move_to(&mut self, at: SocketAddr, now: Tenths, work_events: &mut Vec<WorkEvent>) {
+    pub fn move_to(&mut self, at: SocketAddr, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
         if let Work::Engine(link) = self {
             link.move_to(at, now, work_events);
         }
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -18,14 +18,13 @@
 use doortrack_node::wire::request::{self, Answer, Asked, Made, Names, Unreadable};
 use doortrack_protocols::fastcgi::{self, Splitter};
 use doortrack_protocols::{Piece, Protocol};
+use doortrack_time::MILLISECOND;
 use polling::{Events, Poller};
 use proptest::prelude::*;
 use proptest::sample::Index;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
 
-const MS: u64 = 10;
-
 fn record(kind: u8, id: u16, content: &[u8], padding: u8) -> Vec<u8> {
     let mut bytes = vec![1, kind];
     bytes.extend(id.to_be_bytes());
@@ -234,7 +233,7 @@
     assert_eq!((request.group, request.customer, request.caller), (1, 0, 4));
     assert_eq!(
         (request.stamp, request.kb, request.rank),
-        (1_764_576_000_123 * MS, 24.5, 0.625)
+        (1_764_576_000_123 * MILLISECOND, 24.5, 0.625)
     );
     assert_eq!(
         (request.idempotency_key, request.subject),
@@ -537,7 +536,7 @@
     list.set_nonblocking(true).unwrap();
     let own = "127.0.0.1:9".parse().unwrap();
     let mut registry = Registry::open(own, list.local_addr().unwrap(), "n3".into()).unwrap();
-    (0..3000).for_each(|ms| registry.beat(ms * MS));
+    (0..3000).for_each(|ms| registry.beat(ms * MILLISECOND));
     let reports = (0..100)
         .filter(|_| list.recv(&mut [0; 100]).is_ok())
         .count();
@@ -554,20 +553,27 @@
 
 #[test]
 fn the_window_goes_from_stamp_to_stamp_however_late_a_repeat_is_read() {
-    let mut results = Results::new(10, 100, 4500 * MS);
-    let (stamp, window) = (1000 * MS, 6000 * MS);
+    let mut results = Results::new(10, 100, 4500 * MILLISECOND);
+    let (stamp, window) = (1000 * MILLISECOND, 6000 * MILLISECOND);
     // Read 20 ms after it came, so 5980 ms of the window are left.
-    results.record(1, KEY, b"", stamp, window - 20 * MS, stamp + 20 * MS);
+    results.record(
+        1,
+        KEY,
+        b"",
+        stamp,
+        window - 20 * MILLISECOND,
+        stamp + 20 * MILLISECOND,
+    );
     assert_eq!(results.result(1), Found::Pending);
     results.ended(1, Ok(Made::from(&b"done"[..])));
-    results.tidy(stamp + window + 4000 * MS);
+    results.tidy(stamp + window + 4000 * MILLISECOND);
     assert_eq!(
         results.repeats(&KEY, b"", stamp + window),
         Repeats::Of(1),
         "read 4 s after the window ran out"
     );
     assert_eq!(
-        results.repeats(&KEY, b"", stamp + window + 200 * MS),
+        results.repeats(&KEY, b"", stamp + window + 200 * MILLISECOND),
         Repeats::Nothing,
         "it came after the window"
     );
@@ -581,11 +587,11 @@
         Repeats::Misused
     );
     assert_eq!(
-        results.repeats(&KEY, b"another body", stamp + window + 200 * MS),
+        results.repeats(&KEY, b"another body", stamp + window + 200 * MILLISECOND),
         Repeats::Nothing
     );
     assert_eq!(results.result(1), Found::Result(Made::from(&b"done"[..])));
-    results.tidy(stamp + window + 5000 * MS);
+    results.tidy(stamp + window + 5000 * MILLISECOND);
     assert_eq!(
         (results.repeats(&KEY, b"", stamp), results.bytes()),
         (Repeats::Nothing, 0)
@@ -595,9 +601,12 @@
 #[test]
 fn one_in_hand_is_repeated_even_past_its_window() {
     let mut results = Results::new(10, 100, 0);
-    results.record(1, KEY, b"", 0, 10 * MS, 0);
-    results.tidy(60_000 * MS);
-    assert_eq!(results.repeats(&KEY, b"", 60_000 * MS), Repeats::Of(1));
+    results.record(1, KEY, b"", 0, 10 * MILLISECOND, 0);
+    results.tidy(60_000 * MILLISECOND);
+    assert_eq!(
+        results.repeats(&KEY, b"", 60_000 * MILLISECOND),
+        Repeats::Of(1)
+    );
 }
 
 #[test]
@@ -608,7 +617,7 @@
             results.repeats(&(0, [ex as u8; 32]), b"", 0),
             Repeats::Nothing
         );
-        results.record(ex, (0, [ex as u8; 32]), b"", 0, 1000 * MS, 0);
+        results.record(ex, (0, [ex as u8; 32]), b"", 0, 1000 * MILLISECOND, 0);
         results.ended(ex, Ok(Made::from(&b"123456"[..])));
     }
     assert_eq!(
@@ -637,7 +646,14 @@
         (results.bytes(), results.repeats(&(0, [1; 32]), b"", 0)),
         (0, Repeats::Nothing)
     );
-    results.record(4, (0, [3; 32]), b"", 2000 * MS, 1000 * MS, 2000 * MS);
+    results.record(
+        4,
+        (0, [3; 32]),
+        b"",
+        2000 * MILLISECOND,
+        1000 * MILLISECOND,
+        2000 * MILLISECOND,
+    );
     assert_eq!(
         (results.result(3), results.result(4)),
         (Found::None, Found::Pending),
@@ -650,18 +666,37 @@
 #[test]
 fn the_window_of_a_clock_ahead_counts_from_its_stamp_and_ends_all_the_same() {
     let mut results = Results::new(3, 10, 0);
-    results.record(1, KEY, b"", 2500 * MS, 1000 * MS, 500 * MS);
+    results.record(
+        1,
+        KEY,
+        b"",
+        2500 * MILLISECOND,
+        1000 * MILLISECOND,
+        500 * MILLISECOND,
+    );
     results.ended(1, Ok(Made::from(&b"1"[..])));
-    assert_eq!(results.repeats(&KEY, b"", 500 * MS), Repeats::Of(1));
-    assert_eq!(results.repeats(&KEY, b"", 3500 * MS), Repeats::Of(1));
-    assert_eq!(results.repeats(&KEY, b"", 3700 * MS), Repeats::Nothing);
-    results.tidy(3500 * MS);
+    assert_eq!(
+        results.repeats(&KEY, b"", 500 * MILLISECOND),
+        Repeats::Of(1)
+    );
+    assert_eq!(
+        results.repeats(&KEY, b"", 3500 * MILLISECOND),
+        Repeats::Of(1)
+    );
+    assert_eq!(
+        results.repeats(&KEY, b"", 3700 * MILLISECOND),
+        Repeats::Nothing
+    );
+    results.tidy(3500 * MILLISECOND);
     assert_eq!(results.result(1), Found::Result(Made::from(&b"1"[..])));
-    results.tidy(4000 * MS);
+    results.tidy(4000 * MILLISECOND);
     assert_eq!((results.result(1), results.bytes()), (Found::None, 0));
     // However far ahead, nothing runs over.
-    results.record(2, KEY, b"", u64::MAX, 1000 * MS, 500 * MS);
-    assert_eq!(results.repeats(&KEY, b"", 500 * MS), Repeats::Of(2));
+    results.record(2, KEY, b"", u64::MAX, 1000 * MILLISECOND, 500 * MILLISECOND);
+    assert_eq!(
+        results.repeats(&KEY, b"", 500 * MILLISECOND),
+        Repeats::Of(2)
+    );
 }
 
 fn ex(try_id: u8) -> Ex {
@@ -719,7 +754,7 @@
     let orders = orders::parse(value.to_string().as_bytes()).unwrap();
     assert_eq!(
         (orders.name.as_str(), orders.seed, orders.stop_after),
-        ("n1", 0, 3200 * MS)
+        ("n1", 0, 3200 * MILLISECOND)
     );
     assert_eq!(
         orders.room,
--- a/crates/routes/src/classify.rs
+++ b/crates/routes/src/classify.rs
@@ -1,7 +1,7 @@
 //! What one exchange is, by the rule that takes it.
 
-use doortrack_admission::Tenths;
 use doortrack_expr::{Request, Scratch, Value};
+use doortrack_time::TenthMillis;
 use sha2::{Digest, Sha256};
 
 use crate::{Table, tenths};
@@ -22,7 +22,7 @@
     /// From 0 to under 1.
     pub rank: Option<f32>,
     /// How long its caller waits.
-    pub due: Option<Tenths>,
+    pub due: Option<TenthMillis>,
     /// The place of the pool of servers that it goes to.
     pub pool: Option<u16>,
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -15,10 +15,9 @@
 mod lift;
 mod shadows;
 
+use doortrack_time::TenthMillis;
 use std::sync::Arc;
 
-use doortrack_admission::Tenths;
-
 pub use build::{Built, Fault, Names, Note, Rule};
 pub use classify::{Class, Classed, Refusal};
 
@@ -55,6 +54,6 @@
 /// Microseconds in a tenth of a ms.
 pub(crate) const MICROS: i64 = 100;
 
-pub(crate) fn tenths(micros: i64) -> Tenths {
-    (micros.max(0) / MICROS) as Tenths
+pub(crate) fn tenths(micros: i64) -> TenthMillis {
+    (micros.max(0) / MICROS) as TenthMillis
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,8 @@
 
 use std::collections::HashSet;
 
-use doortrack_admission::{Effect, EndpointGroup, LevelKind, ServiceContract, StopKind, Tenths};
+use doortrack_admission::{Effect, EndpointGroup, LevelKind, ServiceContract, StopKind};
+use doortrack_time::TenthMillis;
 use serde_json::Value;
 
 /// What is wrong with a text that was handed over, and where.
@@ -12,11 +13,11 @@
 /// Microseconds in a tenth of a millisecond.
 pub const TENTH: u64 = 100;
 
-pub fn up(us: u64) -> Tenths {
+pub fn up(us: u64) -> TenthMillis {
     us.div_ceil(TENTH)
 }
 
-pub fn down(us: u64) -> Tenths {
+pub fn down(us: u64) -> TenthMillis {
     us / TENTH
 }
 
@@ -251,7 +252,7 @@
         "unsafe" => Effect::Mutating,
         _ => return part.wrong("safe, keyed or unsafe"),
     };
-    let time = |key: &str| -> Result<Tenths, Fault> { Ok(down(lane.us(key)?)) };
+    let time = |key: &str| -> Result<TenthMillis, Fault> { Ok(down(lane.us(key)?)) };
     Ok(EndpointGroup {
         effect,
         slo_time: time("target")?,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,8 @@
 //! The bench's frames: little-endian records without padding, one reply for each batch.
 
-use doortrack_admission::{Action, CallOutcome, Event, Exchange, Gauges, RunOutcome, Tenths};
+use doortrack_admission::{Action, CallOutcome, Event, Exchange, Gauges, RunOutcome};
 use doortrack_settings::{Fault, GaugePlaces, TENTH, down, up};
+use doortrack_time::TenthMillis;
 
 pub enum Record<'a> {
     Provision {
@@ -209,7 +210,7 @@
     }
 }
 
-fn us32(time: Tenths) -> [u8; 4] {
+fn us32(time: TenthMillis) -> [u8; 4] {
     u32::try_from(time.saturating_mul(TENTH))
         .unwrap_or(u32::MAX)
         .to_le_bytes()
--- a/crates/upstream/src/health.rs
+++ b/crates/upstream/src/health.rs
@@ -1,15 +1,14 @@
 //! What is thought of one server: trusted with all, put aside, or taken back a little at a time.
 
-use doortrack_admission::Tenths;
-
 use crate::Aside;
+use doortrack_time::TenthMillis;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
     /// Trusted with all; failures since its last success.
     Fit { failures: u32 },
     /// Given nothing until then. `times` it was put aside before, one after the other.
-    Aside { till: Tenths, times: u32 },
+    Aside { till: TenthMillis, times: u32 },
     /// Taken back slowly: trusted with so many runs at once, one more with each success. The first of them
     /// is its probe.
     Returning { trusted: u32, times: u32 },
@@ -97,11 +96,11 @@
 }
 
 /// How long a server is put aside after `times` before; `chance` in 0 to 1 takes off up to half.
-pub(crate) fn span(terms: &Aside, times: u32, chance: f64) -> Tenths {
+pub(crate) fn span(terms: &Aside, times: u32, chance: f64) -> TenthMillis {
     let whole = terms
         .first
         .saturating_mul(1 << times.min(32))
         .min(terms.longest)
         .max(1);
-    whole - (whole as f64 / 2.0 * chance) as Tenths
+    whole - (whole as f64 / 2.0 * chance) as TenthMillis
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -25,14 +25,14 @@
 //! Cost: choosing looks at two servers however many there are; times are kept in ordered sets of what is
 //! open.
 
+use doortrack_time::TenthMillis;
+
 mod budget;
 mod health;
 mod pool;
 mod ramp;
 mod terms;
 
-use doortrack_admission::Tenths;
-
 pub use pool::{Admission, Counts, Pool};
 pub use ramp::Token;
 pub use terms::{Aside, Ramp, Retries, Terms};
@@ -66,15 +66,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
     /// Given nothing until then.
-    PutAside { till: Tenths },
+    PutAside { till: TenthMillis },
     /// Given one run, then more with each success.
     Returning,
     /// Trusted with all.
     Fit,
     /// Nothing answers there; probed for the first time then.
-    Down { till: Tenths },
+    Down { till: TenthMillis },
     /// It has returned, and its ramp is over then.
-    Ramping { till: Tenths },
+    Ramping { till: TenthMillis },
     /// Its ramp is over.
     Warm,
 }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use doortrack_admission::Tenths;
+use doortrack_time::TenthMillis;
 use fastrand::Rng;
 use rustc_hash::FxHashMap;
 use slab::Slab;
@@ -76,7 +76,7 @@
     server: ServerId,
     stage: Stage,
     /// When its stage has lasted for too long.
-    due: Tenths,
+    due: TenthMillis,
     /// It carried a run before.
     used: bool,
     /// Times that its server had gone down when it was begun.
@@ -112,8 +112,8 @@
     /// Servers that are not put aside, and not removed; and all that are not removed.
     in_use: usize,
     members: usize,
-    dues: BTreeSet<(Tenths, ConnId)>,
-    returns: BTreeSet<(Tenths, ServerId)>,
+    dues: BTreeSet<(TenthMillis, ConnId)>,
+    returns: BTreeSet<(TenthMillis, ServerId)>,
     budget: Budget,
     ramps: Ramps,
     pub counts: Counts,
@@ -180,16 +180,25 @@
     }
 
     /// When [`Pool::tick`] is due.
-    pub fn next_due(&self) -> Tenths {
-        let conn = self.dues.first().map_or(Tenths::MAX, |(due, _)| *due);
-        let returns = self.returns.first().map_or(Tenths::MAX, |(till, _)| *till);
+    pub fn next_due(&self) -> TenthMillis {
+        let conn = self.dues.first().map_or(TenthMillis::MAX, |(due, _)| *due);
+        let returns = self
+            .returns
+            .first()
+            .map_or(TenthMillis::MAX, |(till, _)| *till);
         conn.min(returns).min(self.next_wake())
     }
 
     // --- Runs ---
 
     /// Begins a run. One that is not repeatable is never sent twice.
-    pub fn begin(&mut self, run: RunId, repeatable: bool, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn begin(
+        &mut self,
+        run: RunId,
+        repeatable: bool,
+        now: TenthMillis,
+        actions: &mut Vec<Action>,
+    ) {
         self.counts.begun += 1;
         self.budget.run_begun();
         self.turns += 1;
@@ -211,7 +220,7 @@
     }
 
     /// Stops a run; it ends at once.
-    pub fn stop(&mut self, run: RunId, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn stop(&mut self, run: RunId, now: TenthMillis, actions: &mut Vec<Action>) {
         let Some(of) = self.runs.get(&run) else {
             return;
         };
@@ -235,7 +244,7 @@
 
     // --- What became of connections ---
 
-    pub fn opened(&mut self, conn: ConnId, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn opened(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
         let Some(Conn {
             server,
             stage: Stage::Opening(run),
@@ -258,12 +267,12 @@
     }
 
     /// It could not be opened, so nothing of its run was sent.
-    pub fn open_failed(&mut self, conn: ConnId, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn open_failed(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
         self.not_opened(conn, Failure::Lost, now, actions);
     }
 
     /// It was refused: nothing listens there, and nothing of its run was sent.
-    pub fn refused(&mut self, conn: ConnId, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn refused(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
         self.not_opened(conn, Failure::Refused, now, actions);
     }
 
@@ -271,7 +280,7 @@
         &mut self,
         conn: ConnId,
         failure: Failure,
-        now: Tenths,
+        now: TenthMillis,
         actions: &mut Vec<Action>,
     ) {
         let Some(Stage::Opening(run)) = self.conns.get(conn).map(|of| of.stage) else {
@@ -293,7 +302,7 @@
     }
 
     /// The answer to what it carries has come to its end.
-    pub fn over(&mut self, conn: ConnId, over: Over, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn over(&mut self, conn: ConnId, over: Over, now: TenthMillis, actions: &mut Vec<Action>) {
         let Some(of) = self.conns.get(conn) else {
             return;
         };
@@ -328,7 +337,7 @@
     }
 
     /// The connection has ended, or what came on it can't be read. It is not to be closed any more.
-    pub fn lost(&mut self, conn: ConnId, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn lost(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
         let Some(of) = self.conns.get(conn) else {
             return;
         };
@@ -359,7 +368,7 @@
     }
 
     /// Acts on the times that ran out.
-    pub fn tick(&mut self, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn tick(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         while let Some((due, conn)) = self.dues.first().copied()
             && due <= now
         {
--- a/crates/upstream/src/pool/choose.rs
+++ b/crates/upstream/src/pool/choose.rs
@@ -1,14 +1,13 @@
 //! Which server takes which run.
 
-use doortrack_admission::Tenths;
-
 use super::{Conn, Pool, Stage};
 use crate::ramp::Cold;
 use crate::{Action, RunId, ServerId};
+use doortrack_time::TenthMillis;
 
 impl Pool {
     /// Gives what waits to servers that can take it, first come first served.
-    pub(super) fn hand_out(&mut self, now: Tenths, actions: &mut Vec<Action>) {
+    pub(super) fn hand_out(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         while let Some((turn, run)) = self
             .waiting
             .first_key_value()
--- a/crates/upstream/src/pool/lives.rs
+++ b/crates/upstream/src/pool/lives.rs
@@ -1,16 +1,15 @@
 //! The lives of connections and runs: from one stage to the next, and to their ends.
 
-use doortrack_admission::Tenths;
-
 use super::{Pool, Stage};
 use crate::{Action, ConnId, RunEnd, RunId, ServerId};
+use doortrack_time::TenthMillis;
 
 impl Pool {
     pub(super) fn carry(
         &mut self,
         conn: ConnId,
         run: RunId,
-        now: Tenths,
+        now: TenthMillis,
         actions: &mut Vec<Action>,
     ) {
         self.stage(
@@ -21,7 +20,7 @@
         actions.push(Action::Send { conn, run });
     }
 
-    pub(super) fn stage(&mut self, conn: ConnId, stage: Stage, due: Tenths) {
+    pub(super) fn stage(&mut self, conn: ConnId, stage: Stage, due: TenthMillis) {
         let of = &mut self.conns[conn];
         self.dues.remove(&(of.due, conn));
         (of.stage, of.due) = (stage, due);
@@ -33,7 +32,7 @@
         &mut self,
         conn: ConnId,
         keep: bool,
-        now: Tenths,
+        now: TenthMillis,
         actions: &mut Vec<Action>,
     ) {
         let server = self.conns[conn].server;
--- a/crates/upstream/src/pool/members.rs
+++ b/crates/upstream/src/pool/members.rs
@@ -1,15 +1,14 @@
 //! Which servers there are, and which of them are put aside.
 
-use doortrack_admission::Tenths;
-
 use super::{Pool, Server};
 use crate::health::{self, Failure, Health, Verdict};
 use crate::ramp::Cold;
 use crate::{Action, ServerId, Standing, Terms};
+use doortrack_time::TenthMillis;
 
 impl Pool {
     /// Other terms from here on; what is under way keeps the times that it was given.
-    pub fn retune(&mut self, terms: Terms, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn retune(&mut self, terms: Terms, now: TenthMillis, actions: &mut Vec<Action>) {
         self.terms = terms;
         self.budget.retune(&terms.retries);
         let all: Vec<ServerId> = self.servers.iter().map(|(server, _)| server).collect();
@@ -29,12 +28,12 @@
     }
 
     /// A new server, trusted with all at once: most are there when the pool starts.
-    pub fn add(&mut self, now: Tenths, actions: &mut Vec<Action>) -> ServerId {
+    pub fn add(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> ServerId {
         self.add_as(Health::FIT, None, now, actions)
     }
 
     /// A new server that came later than the others: with a ramp it is probed, and then ramps up.
-    pub fn add_cold(&mut self, now: Tenths, actions: &mut Vec<Action>) -> ServerId {
+    pub fn add_cold(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> ServerId {
         if self.terms.ramp.is_none() {
             return self.add(now, actions);
         }
@@ -49,7 +48,7 @@
         &mut self,
         health: Health,
         cold: Option<Cold>,
-        now: Tenths,
+        now: TenthMillis,
         actions: &mut Vec<Action>,
     ) -> ServerId {
         let (in_hand, idle, open_place, removed, counted_warm, downs) = Default::default();
@@ -71,7 +70,7 @@
     }
 
     /// Takes a server out: it is given nothing more, what runs there may end.
-    pub fn remove(&mut self, server: ServerId, now: Tenths, actions: &mut Vec<Action>) {
+    pub fn remove(&mut self, server: ServerId, now: TenthMillis, actions: &mut Vec<Action>) {
         let Some(of) = self.servers.get_mut(server).filter(|of| !of.removed) else {
             return;
         };
@@ -107,7 +106,12 @@
         }
     }
 
-    pub(super) fn take_back(&mut self, till: Tenths, server: ServerId, actions: &mut Vec<Action>) {
+    pub(super) fn take_back(
+        &mut self,
+        till: TenthMillis,
+        server: ServerId,
+        actions: &mut Vec<Action>,
+    ) {
         self.returns.remove(&(till, server));
         if let Health::Aside { times, .. } = self.servers[server].health {
             self.servers[server].health = Health::Returning { trusted: 1, times };
@@ -128,7 +132,7 @@
         &mut self,
         server: ServerId,
         failure: Failure,
-        now: Tenths,
+        now: TenthMillis,
         actions: &mut Vec<Action>,
     ) {
         self.counts.failures += 1;
--- a/crates/upstream/src/pool/ramps.rs
+++ b/crates/upstream/src/pool/ramps.rs
@@ -3,16 +3,15 @@
 
 use std::collections::BTreeSet;
 
-use doortrack_admission::Tenths;
-
 use super::Pool;
 use crate::health::{self, Health, Verdict};
 use crate::ramp::{Cold, Gate, Ramping, Token};
 use crate::{Action, ServerId, Standing};
+use doortrack_time::TenthMillis;
 
 /// Bounds of the advice when to come back: as long as a server is ramping, credit comes in steadily.
-const LEAST_WAIT: Tenths = 200;
-const RAMPING_WAIT: Tenths = 1_000;
+const LEAST_WAIT: TenthMillis = 200;
+const RAMPING_WAIT: TenthMillis = 1_000;
 /// Servers that are asked for credit for one run.
 const MOST_ASKED: usize = 2;
 
@@ -21,7 +20,7 @@
 pub(super) struct Ramps {
     gate: Gate,
     /// When ramping servers are to be looked at, one entry each.
-    wakes: BTreeSet<(Tenths, ServerId)>,
+    wakes: BTreeSet<(TenthMillis, ServerId)>,
     /// Sum of what servers are ready for.
     ready: usize,
     /// Exchanges that were admitted on that and not begun yet.
@@ -59,7 +58,7 @@
     ///
     /// # Errors
     /// How long to wait before coming back, in tenths of a ms.
-    pub fn admit(&mut self, now: Tenths) -> Result<Admission, Tenths> {
+    pub fn admit(&mut self, now: TenthMillis) -> Result<Admission, TenthMillis> {
         if self.has_warm() {
             return Ok(Admission::Free);
         }
@@ -76,13 +75,16 @@
         self.ramps.promised = self.ramps.promised.saturating_sub(1);
     }
 
-    fn wait_for_credit(&self, now: Tenths) -> Tenths {
+    fn wait_for_credit(&self, now: TenthMillis) -> TenthMillis {
         let most = if self.ramps.wakes.is_empty() {
             self.terms.aside.first
         } else {
             RAMPING_WAIT
         };
-        let probe = self.returns.first().map_or(Tenths::MAX, |(till, _)| *till);
+        let probe = self
+            .returns
+            .first()
+            .map_or(TenthMillis::MAX, |(till, _)| *till);
         let credit = self.next_wake();
         probe
             .min(credit)
@@ -90,8 +92,11 @@
             .clamp(LEAST_WAIT, most.max(LEAST_WAIT))
     }
 
-    pub(super) fn next_wake(&self) -> Tenths {
-        self.ramps.wakes.first().map_or(Tenths::MAX, |(at, _)| *at)
+    pub(super) fn next_wake(&self) -> TenthMillis {
+        self.ramps
+            .wakes
+            .first()
+            .map_or(TenthMillis::MAX, |(at, _)| *at)
     }
 
     /// Whether a run that waits will find a server by itself.
@@ -100,12 +105,12 @@
     }
 
     /// Whether the first run that waits may be handed out: not on what was promised to others.
-    pub(super) fn may_hand_out(&mut self, now: Tenths) -> bool {
+    pub(super) fn may_hand_out(&mut self, now: TenthMillis) -> bool {
         self.has_warm() || self.secure(self.ramps.promised + 1, now)
     }
 
     /// Ends those that wait for nothing: no server is there but cold ones, and these have no credit left.
-    pub(super) fn give_up_waiting(&mut self, now: Tenths, actions: &mut Vec<Action>) {
+    pub(super) fn give_up_waiting(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         while !self.waiting.is_empty()
             && !self.has_warm()
             && !self.secure(self.ramps.promised + self.waiting.len(), now)
@@ -117,7 +122,7 @@
     }
 
     /// Sees to it that cold servers are ready for so many runs, if they can be.
-    fn secure(&mut self, wanted: usize, now: Tenths) -> bool {
+    fn secure(&mut self, wanted: usize, now: TenthMillis) -> bool {
         for _ in 0..MOST_ASKED {
             if self.ramps.ready >= wanted || self.open.is_empty() {
                 break;
@@ -131,7 +136,7 @@
     }
 
     /// Takes what one run on this server costs; if it has not that, it is given nothing for a while.
-    pub(super) fn charge(&mut self, server: ServerId, now: Tenths) -> bool {
+    pub(super) fn charge(&mut self, server: ServerId, now: TenthMillis) -> bool {
         let Some(cold) = &self.servers[server].cold else {
             return true;
         };
@@ -147,7 +152,7 @@
     }
 
     /// Makes a ramping server ready for one run more, if it has the credit.
-    fn draw(&mut self, server: ServerId, now: Tenths) -> bool {
+    fn draw(&mut self, server: ServerId, now: TenthMillis) -> bool {
         let Some(cold) = &mut self.servers[server].cold else {
             return false;
         };
@@ -162,7 +167,7 @@
         drawn
     }
 
-    fn runs_dry(&mut self, server: ServerId, now: Tenths) {
+    fn runs_dry(&mut self, server: ServerId, now: TenthMillis) {
         self.change_wake(server, |ramping, _| ramping.runs_dry(now));
         self.place(server);
     }
@@ -179,7 +184,7 @@
     }
 
     /// Looks at the ramping servers that are to be looked at by now.
-    pub(super) fn wake_ramping(&mut self, now: Tenths, actions: &mut Vec<Action>) {
+    pub(super) fn wake_ramping(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         while let Some((at, server)) = self.ramps.wakes.first().copied()
             && at <= now
         {
@@ -228,7 +233,12 @@
     }
 
     /// A connection to it has opened: if it was down, it has returned.
-    pub(super) fn has_opened(&mut self, server: ServerId, now: Tenths, actions: &mut Vec<Action>) {
+    pub(super) fn has_opened(
+        &mut self,
+        server: ServerId,
+        now: TenthMillis,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(terms) = self.terms.ramp else { return };
         let of = &mut self.servers[server];
         let Some(cold) = of
@@ -256,7 +266,7 @@
         &mut self,
         server: ServerId,
         verdict: Verdict,
-        now: Tenths,
+        now: TenthMillis,
         actions: &mut Vec<Action>,
     ) {
         self.stop_ramping(server);
@@ -283,7 +293,7 @@
     }
 
     /// Puts a server aside whatever the floor; till when.
-    fn put_down(&mut self, server: ServerId, verdict: Verdict, now: Tenths) -> Tenths {
+    fn put_down(&mut self, server: ServerId, verdict: Verdict, now: TenthMillis) -> TenthMillis {
         self.in_use -= 1;
         let times = match verdict {
             Verdict::PutAside { times } if self.in_use >= self.floor() => times,
--- a/crates/upstream/src/ramp.rs
+++ b/crates/upstream/src/ramp.rs
@@ -8,16 +8,15 @@
 
 use std::fmt;
 
-use doortrack_admission::Tenths;
-
 use crate::Ramp;
+use doortrack_time::TenthMillis;
 
 /// Credit that lies unused is kept for this long at the rate of that time, and one run at the least.
-const KEPT: Tenths = 1_000;
+const KEPT: TenthMillis = 1_000;
 /// How long a pool that was refused a token waits before it asks for another.
-const REFUSED: Tenths = 200;
+const REFUSED: TenthMillis = 200;
 /// How often a debt is asked tokens for where nothing else is wanted.
-const DEBT: Tenths = 1_000;
+const DEBT: TenthMillis = 1_000;
 /// Tokens that are asked for at once at the most: early in a ramp each is worth very little.
 const MOST_TOKENS: u32 = 64;
 
@@ -56,20 +55,20 @@
 pub(crate) struct Ramping {
     /// As they were when it began.
     terms: Ramp,
-    since: Tenths,
+    since: TenthMillis,
     /// Up to when the pool's own credit is counted.
-    counted: Tenths,
+    counted: TenthMillis,
     /// Runs that it may be sent, as a fraction; below 0 while the probe is not made up for.
     credit: f64,
     /// A run was wanted and there was no credit; not asked again before `wake`.
     pub dry: bool,
     /// When it is to be looked at next, at the latest at its end.
-    pub wake: Tenths,
+    pub wake: TenthMillis,
 }
 
 impl Ramping {
     /// Begins with the run of the probe as a debt.
-    pub(crate) fn begin(terms: Ramp, now: Tenths) -> Ramping {
+    pub(crate) fn begin(terms: Ramp, now: TenthMillis) -> Ramping {
         let end = now.saturating_add(terms.over.max(1));
         Ramping {
             terms,
@@ -81,23 +80,23 @@
         }
     }
 
-    pub(crate) fn end(&self) -> Tenths {
+    pub(crate) fn end(&self) -> TenthMillis {
         self.since.saturating_add(self.terms.over.max(1))
     }
 
     /// What of the ramp is behind at this time, 0 to 1.
-    fn progress(&self, now: Tenths) -> f64 {
+    fn progress(&self, now: TenthMillis) -> f64 {
         let span = now.saturating_sub(self.since) as f64;
         (span / self.terms.over.max(1) as f64).min(1.0)
     }
 
     /// Runs that the server is sent up to this time, where the ramp is not shared.
-    fn curve(&self, now: Tenths) -> f64 {
+    fn curve(&self, now: TenthMillis) -> f64 {
         f64::from(self.terms.runs) * self.progress(now).powi(2)
     }
 
     /// Takes the credit of one run, if there is so much.
-    pub(crate) fn draw(&mut self, gate: &mut Gate, now: Tenths) -> bool {
+    pub(crate) fn draw(&mut self, gate: &mut Gate, now: TenthMillis) -> bool {
         let has_one = self.gather(1.0, gate, now);
         if has_one {
             self.credit -= 1.0;
@@ -106,7 +105,7 @@
     }
 
     /// Asks for credit until there is so much, or none is given.
-    fn gather(&mut self, wanted: f64, gate: &mut Gate, now: Tenths) -> bool {
+    fn gather(&mut self, wanted: f64, gate: &mut Gate, now: TenthMillis) -> bool {
         let progress = self.progress(now);
         let mut asked = 0;
         while self.credit < wanted && progress > 0.0 && asked < MOST_TOKENS {
@@ -127,7 +126,7 @@
     }
 
     /// Adds what came in since the last time.
-    fn add_own(&mut self, now: Tenths) {
+    fn add_own(&mut self, now: TenthMillis) {
         let over = self.terms.over.max(1) as f64;
         let rate = 2.0 * f64::from(self.terms.runs) * self.progress(now) / over;
         let most = (rate * KEPT as f64).max(1.0);
@@ -142,12 +141,12 @@
     }
 
     /// No credit was found: when to look again.
-    pub(crate) fn runs_dry(&mut self, now: Tenths) {
+    pub(crate) fn runs_dry(&mut self, now: TenthMillis) {
         self.dry = true;
         let missing = (1.0 - self.credit).max(0.0);
         let share = (self.curve(now) + missing) / f64::from(self.terms.runs.max(1));
         // At the earliest then; where tokens are granted by others, that is only a guess.
-        let own = self.since + (share.sqrt() * self.terms.over as f64).ceil() as Tenths;
+        let own = self.since + (share.sqrt() * self.terms.over as f64).ceil() as TenthMillis;
         let next = if share > 1.0 {
             self.end()
         } else {
@@ -158,9 +157,13 @@
 
     /// It may be asked for credit again. The probe is made up for also where nothing more is wanted: others
     /// who share the ramp would send as much without it.
-    pub(crate) fn wakes(&mut self, gate: &mut Gate, now: Tenths) {
+    pub(crate) fn wakes(&mut self, gate: &mut Gate, now: TenthMillis) {
         let made_up = self.gather(0.0, gate, now);
-        let next = if made_up { Tenths::MAX } else { now + DEBT };
+        let next = if made_up {
+            TenthMillis::MAX
+        } else {
+            now + DEBT
+        };
         (self.dry, self.wake) = (false, next.min(self.end()));
     }
 }
