--- a/crates/upstream/src/terms.rs
+++ b/crates/upstream/src/terms.rs
@@ -1,6 +1,6 @@
 //! What a pool is handed at start.
 
-use doortrack_admission::Tenths;
+use doortrack_time::TenthMillis;
 
 /// How a pool treats its servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -8,11 +8,11 @@
     /// Runs at once on one server, and so its connections; at least 1.
     pub at_once: u32,
     /// Connections are kept after an answer for this long; none are where it is 0.
-    pub idle: Tenths,
+    pub idle: TenthMillis,
     /// A connection that takes longer to open counts as failed.
-    pub open_within: Tenths,
+    pub open_within: TenthMillis,
     /// An answer that takes longer counts as lost.
-    pub answer_within: Tenths,
+    pub answer_within: TenthMillis,
     pub aside: Aside,
     pub retries: Retries,
     /// Absent: a server that returns is sent all at once.
@@ -25,9 +25,9 @@
     /// Failures one after the other that put a server aside; at least 1.
     pub failures: u32,
     /// How long the first time; twice that the next, and so on.
-    pub first: Tenths,
+    pub first: TenthMillis,
     /// The longest. By chance up to half of any span is left off, so that servers do not all return at once.
-    pub longest: Tenths,
+    pub longest: TenthMillis,
     /// Share of the servers that are in use whatever they do, and at least one; 0 to 1.
     pub floor: f32,
 }
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ramp {
     /// How long the ramp takes; at least 1.
-    pub over: Tenths,
+    pub over: TenthMillis,
     /// Runs that one server is sent meanwhile, at a rate that grows linearly; at least 1.
     pub runs: u32,
 }
--- a/crates/upstream/tests/pool.rs
+++ b/crates/upstream/tests/pool.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use doortrack_admission::Tenths;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use doortrack_upstream::{
     Action, Aside, ConnId, Over, Pool, Retries, RunEnd, RunId, ServerId, Terms,
 };
@@ -10,18 +10,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const MS: Tenths = 10;
-
 fn terms() -> Terms {
     Terms {
         at_once: 4,
-        idle: 5_000 * MS,
-        open_within: 250 * MS,
-        answer_within: 1_000 * MS,
+        idle: 5_000 * MILLISECOND,
+        open_within: 250 * MILLISECOND,
+        answer_within: 1_000 * MILLISECOND,
         aside: Aside {
             failures: 3,
-            first: 500 * MS,
-            longest: 8_000 * MS,
+            first: 500 * MILLISECOND,
+            longest: 8_000 * MILLISECOND,
             floor: 0.25,
         },
         retries: Retries {
@@ -45,21 +43,21 @@
     /// Answers at once that it failed.
     Fails,
     /// Takes so long.
-    Slow(Tenths),
+    Slow(TenthMillis),
 }
 
 /// Plays the sockets: carries out what the pool wants, on servers with moods.
 struct World {
     pool: Pool,
-    now: Tenths,
+    now: TenthMillis,
     moods: BTreeMap<ServerId, Mood>,
     conns: BTreeMap<ConnId, (ServerId, Option<RunId>)>,
     /// What happens next, by time: a connection opens, or answers.
-    next: BTreeSet<(Tenths, u64, ConnId)>,
+    next: BTreeSet<(TenthMillis, u64, ConnId)>,
     nth: u64,
     repeatable: BTreeMap<RunId, bool>,
     sent: BTreeMap<RunId, Vec<ServerId>>,
-    ended: BTreeMap<RunId, (RunEnd, Tenths)>,
+    ended: BTreeMap<RunId, (RunEnd, TenthMillis)>,
     most_on_one: BTreeMap<ServerId, usize>,
     /// Servers in use when the last load ended.
     in_use: usize,
@@ -84,7 +82,7 @@
         }
     }
 
-    fn at(&mut self, after: Tenths, conn: ConnId) {
+    fn at(&mut self, after: TenthMillis, conn: ConnId) {
         self.nth += 1;
         self.next.insert((self.now + after, self.nth, conn));
     }
@@ -134,8 +132,8 @@
                     match mood {
                         Mood::Hangs => {}
                         Mood::Slow(time) => self.at(time, conn),
-                        Mood::Sound => self.at(20 * MS, conn),
-                        Mood::Breaks | Mood::Fails | Mood::Refuses => self.at(MS, conn),
+                        Mood::Sound => self.at(20 * MILLISECOND, conn),
+                        Mood::Breaks | Mood::Fails | Mood::Refuses => self.at(MILLISECOND, conn),
                     }
                 }
                 Action::Close { conn } => {
@@ -173,9 +171,9 @@
     }
 
     /// Lets time pass, with what happens in it.
-    fn pass(&mut self, till: Tenths) {
+    fn pass(&mut self, till: TenthMillis) {
         loop {
-            let next = self.next.first().map_or(Tenths::MAX, |(at, ..)| *at);
+            let next = self.next.first().map_or(TenthMillis::MAX, |(at, ..)| *at);
             let due = self.pool.next_due();
             self.now = next.min(due).min(till).max(self.now);
             let mut actions = Vec::new();
@@ -228,7 +226,13 @@
     }
 
     /// A run every `every` for so long; the share of them that completed, of those begun from `since` on.
-    fn load(&mut self, from: RunId, every: Tenths, lasts: Tenths, since: Tenths) -> f64 {
+    fn load(
+        &mut self,
+        from: RunId,
+        every: TenthMillis,
+        lasts: TenthMillis,
+        since: TenthMillis,
+    ) -> f64 {
         let (start, mut run, mut counted) = (self.now, from, Vec::new());
         while self.now < start + lasts {
             self.begin(run, run % 2 == 0);
@@ -239,7 +243,7 @@
             self.pass(self.now + every);
         }
         self.in_use = self.pool.in_use();
-        self.pass(self.now + 10_000 * MS);
+        self.pass(self.now + 10_000 * MILLISECOND);
         let good = counted
             .iter()
             .filter(|run| self.end(**run) == Some(RunEnd::Completed))
@@ -251,7 +255,7 @@
 #[test]
 fn sound_servers_share_the_runs_and_keep_their_connections() {
     let mut world = World::new(terms(), 4, 1);
-    assert_eq!(world.load(0, 5 * MS, 4_000 * MS, 0), 1.0);
+    assert_eq!(world.load(0, 5 * MILLISECOND, 4_000 * MILLISECOND, 0), 1.0);
     let counts = world.pool.counts;
     assert_eq!((counts.begun, counts.retries, counts.failures), (800, 0, 0));
     assert!(counts.opened <= 16, "{counts:?}");
@@ -263,7 +267,7 @@
         .for_each(|server| *on.entry(*server).or_default() += 1);
     assert!(on.values().all(|runs| (150..250).contains(runs)), "{on:?}");
     // Kept ones are closed after lying idle.
-    world.pass(world.now + 6_000 * MS);
+    world.pass(world.now + 6_000 * MILLISECOND);
     assert_eq!((world.pool.connections(), world.pool.in_hand()), (0, 0));
 }
 
@@ -274,12 +278,17 @@
         Mood::Breaks,
         Mood::Fails,
         Mood::Hangs,
-        Mood::Slow(2_000 * MS),
+        Mood::Slow(2_000 * MILLISECOND),
     ] {
         let mut world = World::new(terms(), 4, 2);
         world.moods.insert(2, mood);
         // The first seconds are for finding out.
-        let share = world.load(0, 5 * MS, 20_000 * MS, 4_000 * MS);
+        let share = world.load(
+            0,
+            5 * MILLISECOND,
+            20_000 * MILLISECOND,
+            4_000 * MILLISECOND,
+        );
         assert!(share > 0.985, "{mood:?}: {share}, {:?}", world.pool.counts);
         assert!(world.in_use <= 4, "{mood:?}");
         let without = World::load(
@@ -293,9 +302,9 @@
                 world
             },
             0,
-            5 * MS,
-            20_000 * MS,
-            4_000 * MS,
+            5 * MILLISECOND,
+            20_000 * MILLISECOND,
+            4_000 * MILLISECOND,
         );
         assert!(share > without, "{mood:?}: {share} with, {without} without");
         world.moods.insert(2, Mood::Sound);
@@ -305,7 +314,15 @@
             .flatten()
             .filter(|server| **server == 2)
             .count();
-        assert_eq!(world.load(100_000, 5 * MS, 12_000 * MS, 9_000 * MS), 1.0);
+        assert_eq!(
+            world.load(
+                100_000,
+                5 * MILLISECOND,
+                12_000 * MILLISECOND,
+                9_000 * MILLISECOND
+            ),
+            1.0
+        );
         assert_eq!(world.pool.in_use(), 4);
         assert!(
             world
@@ -324,7 +341,7 @@
     for mood in [Mood::Refuses, Mood::Breaks, Mood::Fails, Mood::Hangs] {
         let mut world = World::new(terms(), 4, 3);
         world.moods.values_mut().for_each(|of| *of = mood);
-        assert_eq!(world.load(0, 5 * MS, 20_000 * MS, 0), 0.0);
+        assert_eq!(world.load(0, 5 * MILLISECOND, 20_000 * MILLISECOND, 0), 0.0);
         // A quarter is tried whatever they do.
         assert!(
             world.in_use <= 2,
@@ -348,9 +365,14 @@
             .into_iter()
             .for_each(|run| world.stop(run));
         world.moods.values_mut().for_each(|of| *of = Mood::Sound);
-        let share = world.load(100_000, 50 * MS, 3_000 * MS, 200 * MS);
+        let share = world.load(
+            100_000,
+            50 * MILLISECOND,
+            3_000 * MILLISECOND,
+            200 * MILLISECOND,
+        );
         assert_eq!(share, 1.0, "{mood:?}: the floor serves at once");
-        world.load(200_000, 50 * MS, 9_000 * MS, 0);
+        world.load(200_000, 50 * MILLISECOND, 9_000 * MILLISECOND, 0);
         assert_eq!(world.pool.in_use(), 4, "{mood:?}");
     }
 }
@@ -371,7 +393,7 @@
     world.moods.values_mut().for_each(|of| *of = Mood::Breaks);
     world.begin(1, false);
     world.begin(2, true);
-    world.pass(100 * MS);
+    world.pass(100 * MILLISECOND);
     assert_eq!(
         (world.end(1), world.end(2)),
         (Some(RunEnd::Lost), Some(RunEnd::Lost))
@@ -380,7 +402,7 @@
     // What no connection could be had for is tried again in any case, and told as never run.
     world.moods.values_mut().for_each(|of| *of = Mood::Refuses);
     world.begin(3, false);
-    world.pass(200 * MS);
+    world.pass(200 * MILLISECOND);
     assert_eq!(
         (world.end(3), world.sent.get(&3)),
         (Some(RunEnd::NeverRan), None)
@@ -388,7 +410,7 @@
     // One that hangs is late, and not sent elsewhere.
     world.moods.values_mut().for_each(|of| *of = Mood::Hangs);
     world.begin(4, false);
-    world.pass(3_000 * MS);
+    world.pass(3_000 * MILLISECOND);
     assert_eq!(
         (world.end(4), world.sent[&4].len()),
         (Some(RunEnd::Late), 1)
@@ -401,7 +423,7 @@
     world.moods.insert(0, Mood::Breaks);
     (0..60).filter(|run| run % 2 == 0).for_each(|run| {
         world.begin(run, true);
-        world.pass(world.now + 100 * MS);
+        world.pass(world.now + 100 * MILLISECOND);
     });
     for (run, servers) in &world.sent {
         assert!(
@@ -421,7 +443,7 @@
 fn a_kept_connection_that_its_server_closed_costs_neither_retry_nor_failure() {
     let mut world = World::new(terms(), 1, 6);
     world.begin(1, false);
-    world.pass(100 * MS);
+    world.pass(100 * MILLISECOND);
     let conn = *world.conns.keys().next().unwrap();
     let (mut actions, now) = (Vec::new(), world.now);
     world.pool.begin(2, false, now, &mut actions);
@@ -436,7 +458,7 @@
     );
     world.repeatable.insert(2, false);
     world.carry_out(actions);
-    world.pass(now + 100 * MS);
+    world.pass(now + 100 * MILLISECOND);
     let counts = world.pool.counts;
     assert_eq!(
         (world.end(2), counts.stale, counts.failures, counts.retries),
@@ -468,7 +490,7 @@
         Some(RunEnd::NeverRan),
         "its connection was being opened"
     );
-    world.pass(10 * MS);
+    world.pass(10 * MILLISECOND);
     world.stop(2);
     assert_eq!(world.end(2), Some(RunEnd::Stopped), "it was sent");
     world.stop(2);
@@ -480,7 +502,7 @@
     let mut world = World::new(terms(), 2, 8);
     world.moods.insert(1, Mood::Hangs);
     (0..8).for_each(|run| world.begin(run, false));
-    world.pass(10 * MS);
+    world.pass(10 * MILLISECOND);
     let mut actions = Vec::new();
     world.pool.remove(0, world.now, &mut actions);
     world.pool.remove(1, world.now, &mut actions);
@@ -490,7 +512,7 @@
     world.carry_out(actions);
     assert!(world.pool.knows(1) && fresh > 1, "what runs there may end");
     (8..12).for_each(|run| world.begin(run, false));
-    world.pass(5_000 * MS);
+    world.pass(5_000 * MILLISECOND);
     assert!(
         (8..12).all(|run| world.end(run) == Some(RunEnd::Completed) && world.sent[&run] == [fresh])
     );
@@ -521,7 +543,7 @@
     let server = world.pool.add(world.now, &mut actions);
     world.moods.insert(server, Mood::Sound);
     world.carry_out(actions);
-    world.pass(world.now + 100 * MS);
+    world.pass(world.now + 100 * MILLISECOND);
     assert_eq!(world.end(20), Some(RunEnd::Completed));
 }
 
@@ -531,7 +553,7 @@
     Begin { repeatable: bool },
     Stop(u8),
     Mood(u8, Mood),
-    Pass(Tenths),
+    Pass(TenthMillis),
     Break(u8),
     Add,
     Remove(u8),
@@ -544,14 +566,14 @@
         Mood::Refuses,
         Mood::Breaks,
         Mood::Fails,
-        Mood::Slow(1500 * MS),
+        Mood::Slow(1500 * MILLISECOND),
     ];
     let mood = prop::sample::select(moods.to_vec());
     prop_oneof![
         8 => any::<bool>().prop_map(|repeatable| Step::Begin { repeatable }),
         1 => any::<u8>().prop_map(Step::Stop),
         2 => (any::<u8>(), mood).prop_map(|(server, mood)| Step::Mood(server, mood)),
-        4 => (0..900 * MS).prop_map(Step::Pass),
+        4 => (0..900 * MILLISECOND).prop_map(Step::Pass),
         1 => any::<u8>().prop_map(Step::Break),
         1 => Just(Step::Add),
         1 => any::<u8>().prop_map(Step::Remove),
@@ -600,7 +622,7 @@
         }
         world.carry_out(actions);
     }
-    world.pass(world.now + 60_000 * MS);
+    world.pass(world.now + 60_000 * MILLISECOND);
     world
 }
 
@@ -626,16 +648,19 @@
 #[test]
 fn spans_of_two_servers_differ_by_chance() {
     let mut rng = Rng::with_seed(9);
-    let returns: BTreeSet<Tenths> = (0..20)
+    let returns: BTreeSet<TenthMillis> = (0..20)
         .map(|_| {
             let mut world = World::new(terms(), 2, rng.u64(..));
             world.moods.insert(0, Mood::Refuses);
             world.moods.insert(1, Mood::Refuses);
             (0..9).for_each(|run| world.begin(run, true));
-            world.pass(100 * MS);
+            world.pass(100 * MILLISECOND);
             assert_eq!(world.pool.in_use(), 1);
             let due = world.pool.next_due();
-            assert!((250 * MS..=510 * MS).contains(&due), "{due}");
+            assert!(
+                (250 * MILLISECOND..=510 * MILLISECOND).contains(&due),
+                "{due}"
+            );
             due
         })
         .collect();
--- a/crates/upstream/tests/ramp.rs
+++ b/crates/upstream/tests/ramp.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use doortrack_admission::Tenths;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use doortrack_upstream::{
     Action, Admission, Aside, ConnId, Over, Pool, Ramp, Retries, RunEnd, RunId, ServerId, Standing,
     Terms, Token,
@@ -13,21 +13,20 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const MS: Tenths = 10;
-const OVER: Tenths = 10_000 * MS;
+const OVER: TenthMillis = 10_000 * MILLISECOND;
 const RUNS: u32 = 100;
 const AT_ONCE: u32 = 4;
 
 fn terms() -> Terms {
     Terms {
         at_once: AT_ONCE,
-        idle: 5_000 * MS,
-        open_within: 250 * MS,
-        answer_within: 1_000 * MS,
+        idle: 5_000 * MILLISECOND,
+        open_within: 250 * MILLISECOND,
+        answer_within: 1_000 * MILLISECOND,
         aside: Aside {
             failures: 3,
-            first: 500 * MS,
-            longest: 8_000 * MS,
+            first: 500 * MILLISECOND,
+            longest: 8_000 * MILLISECOND,
             floor: 0.25,
         },
         retries: Retries {
@@ -66,16 +65,16 @@
 /// Plays node and sockets: exchanges that are admitted begin at once, on servers with moods.
 struct World {
     pool: Pool,
-    now: Tenths,
+    now: TenthMillis,
     moods: BTreeMap<ServerId, Mood>,
     conns: BTreeMap<ConnId, (ServerId, Option<RunId>)>,
     /// What happens next, by time: a connection opens, or answers.
-    next: BTreeSet<(Tenths, ConnId)>,
+    next: BTreeSet<(TenthMillis, ConnId)>,
     runs: RunId,
-    came: BTreeMap<RunId, (Came, Tenths)>,
+    came: BTreeMap<RunId, (Came, TenthMillis)>,
     /// When runs were sent, by server, and when ramps began.
-    sent: BTreeMap<ServerId, Vec<Tenths>>,
-    ramps: Vec<(ServerId, Tenths)>,
+    sent: BTreeMap<ServerId, Vec<TenthMillis>>,
+    ramps: Vec<(ServerId, TenthMillis)>,
     told: Vec<(ServerId, Standing)>,
 }
 
@@ -126,7 +125,7 @@
             match what {
                 Action::Open { conn, server } => {
                     assert!(self.conns.insert(conn, (server, None)).is_none());
-                    self.next.insert((self.now + MS, conn));
+                    self.next.insert((self.now + MILLISECOND, conn));
                 }
                 Action::Send { conn, run } => {
                     let (server, carries) = self.conns.get_mut(&conn).expect("sent on none");
@@ -136,7 +135,12 @@
                     let mood = self.moods[server];
                     if mood != Mood::Hangs {
                         self.next.insert((
-                            self.now + if mood == Mood::Sound { 10 * MS } else { MS },
+                            self.now
+                                + if mood == Mood::Sound {
+                                    10 * MILLISECOND
+                                } else {
+                                    MILLISECOND
+                                },
                             conn,
                         ));
                     }
@@ -160,10 +164,10 @@
     }
 
     /// Lets time pass, with what happens in it.
-    fn pass(&mut self, span: Tenths) {
+    fn pass(&mut self, span: TenthMillis) {
         let till = self.now + span;
         loop {
-            let next = self.next.first().map_or(Tenths::MAX, |(at, _)| *at);
+            let next = self.next.first().map_or(TenthMillis::MAX, |(at, _)| *at);
             let due = self.pool.next_due();
             self.now = next.min(due).min(till).max(self.now);
             let mut actions = Vec::new();
@@ -206,7 +210,7 @@
     }
 
     /// Exchanges at this pace for so long.
-    fn load(&mut self, every: Tenths, lasts: Tenths) {
+    fn load(&mut self, every: TenthMillis, lasts: TenthMillis) {
         let till = self.now + lasts;
         while self.now < till {
             self.ask();
@@ -234,7 +238,7 @@
         }
     }
 
-    fn sent_within(&self, server: ServerId, from: Tenths, till: Tenths) -> usize {
+    fn sent_within(&self, server: ServerId, from: TenthMillis, till: TenthMillis) -> usize {
         self.sent
             .get(&server)
             .into_iter()
@@ -256,7 +260,7 @@
                 .filter(|(of, at)| of == server && at > since)
                 .map(|(_, at)| *at)
                 .min();
-            let till = next.unwrap_or(Tenths::MAX).min(since + OVER);
+            let till = next.unwrap_or(TenthMillis::MAX).min(since + OVER);
             let sent = self
                 .sent
                 .get(server)
@@ -279,9 +283,9 @@
 /// A pool of one server that was served, went down, and returns just before its next probe.
 fn returned(terms: Terms) -> World {
     let mut world = World::new(terms, 1);
-    world.load(5 * MS, 100 * MS);
+    world.load(5 * MILLISECOND, 100 * MILLISECOND);
     world.kill(0);
-    world.load(5 * MS, 2_000 * MS);
+    world.load(5 * MILLISECOND, 2_000 * MILLISECOND);
     world.moods.insert(0, Mood::Sound);
     world
 }
@@ -289,10 +293,10 @@
 #[test]
 fn a_server_that_is_down_is_probed_by_one_run_at_a_time_and_the_rest_is_told_when_to_come_back() {
     let mut world = World::new(terms(), 1);
-    world.load(5 * MS, 100 * MS);
+    world.load(5 * MILLISECOND, 100 * MILLISECOND);
     let served = world.runs;
     world.kill(0);
-    world.load(5 * MS, 10_000 * MS);
+    world.load(5 * MILLISECOND, 10_000 * MILLISECOND);
     // A probe every 250 to 500 ms, though the only server there is.
     let asked = (world.runs - served) as usize;
     let tried = world.counted(Came::Ended(RunEnd::NeverRan));
@@ -314,15 +318,15 @@
 #[test]
 fn a_return_is_met_with_a_rate_that_grows_from_one_probe_to_all_runs_of_the_ramp() {
     let mut world = returned(terms());
-    world.load(5 * MS, OVER + 1_000 * MS);
+    world.load(5 * MILLISECOND, OVER + 1_000 * MILLISECOND);
     let (_, since) = world.ramps[0];
     world.check_ramps();
-    let by = |tenth: Tenths| world.sent_within(0, since, since + OVER * tenth / 10);
+    let by = |tenth: TenthMillis| world.sent_within(0, since, since + OVER * tenth / 10);
     assert!((95..=100).contains(&by(10)), "{}", by(10));
     // A quarter of it in the first half.
     assert!((20..=26).contains(&by(5)), "{}", by(5));
     assert!(
-        world.sent_within(0, since + OVER, Tenths::MAX) > 100,
+        world.sent_within(0, since + OVER, TenthMillis::MAX) > 100,
         "full load after it"
     );
     assert_eq!(world.told.last(), Some(&(0, Standing::Warm)));
@@ -335,7 +339,7 @@
         ..terms()
     });
     let since = world.now;
-    world.load(5 * MS, OVER);
+    world.load(5 * MILLISECOND, OVER);
     assert!(world.sent_within(0, since, since + OVER) > 1_500);
     assert_eq!((world.pool.counts.held_back, world.ramps.len()), (0, 0));
 }
@@ -346,14 +350,14 @@
     // The probe is due within half a second.
     for _ in 0..100 {
         if world.ramps.is_empty() {
-            world.load(5 * MS, 5 * MS);
+            world.load(5 * MILLISECOND, 5 * MILLISECOND);
         }
     }
     assert_eq!(world.ramps.len(), 1);
-    world.pass(OVER - 500 * MS);
+    world.pass(OVER - 500 * MILLISECOND);
     let before = world.sent[&0].len();
     // Nothing was wanted for most of the ramp: what comes now gets the rate of now, about 20 a second.
-    world.load(MS, 400 * MS);
+    world.load(MILLISECOND, 400 * MILLISECOND);
     let sent = world.sent[&0].len() - before;
     assert!((6..=11).contains(&sent), "{sent}");
 }
@@ -361,28 +365,28 @@
 #[test]
 fn a_ramp_begins_anew_where_the_server_goes_down_again() {
     let mut world = returned(terms());
-    world.load(5 * MS, 9_000 * MS);
+    world.load(5 * MILLISECOND, 9_000 * MILLISECOND);
     world.kill(0);
-    world.load(5 * MS, 1_000 * MS);
+    world.load(5 * MILLISECOND, 1_000 * MILLISECOND);
     world.moods.insert(0, Mood::Sound);
     let back = world.now;
-    world.load(5 * MS, 5_000 * MS);
+    world.load(5 * MILLISECOND, 5_000 * MILLISECOND);
     assert_eq!(world.ramps.len(), 2);
     world.check_ramps();
     // Five seconds into the first ramp's successor, not fifteen into the first.
-    assert!(world.sent_within(0, back, back + 5_000 * MS) <= 25);
+    assert!(world.sent_within(0, back, back + 5_000 * MILLISECOND) <= 25);
 }
 
 #[test]
 fn the_other_servers_take_what_a_ramping_one_may_not_have() {
     let mut world = World::new(terms(), 3);
-    world.load(5 * MS, 1_000 * MS);
+    world.load(5 * MILLISECOND, 1_000 * MILLISECOND);
     world.kill(2);
-    world.load(5 * MS, 5_000 * MS);
+    world.load(5 * MILLISECOND, 5_000 * MILLISECOND);
     world.moods.insert(2, Mood::Sound);
     let (from, asked) = (world.now, world.runs);
     // A probe may have been due long ago: the spans of one that stays down grow.
-    world.load(5 * MS, 8_000 * MS + OVER);
+    world.load(5 * MILLISECOND, 8_000 * MILLISECOND + OVER);
     let (_, since) = world.ramps[0];
     world.check_ramps();
     assert!(
@@ -406,10 +410,10 @@
     ] {
         let mut world = World::new(terms(), 2);
         world.moods.insert(1, mood);
-        world.load(5 * MS, 4_000 * MS);
+        world.load(5 * MILLISECOND, 4_000 * MILLISECOND);
         assert_eq!(world.pool.cold() == 1, cold, "{mood:?}");
         world.moods.insert(1, Mood::Sound);
-        world.load(5 * MS, 20_000 * MS);
+        world.load(5 * MILLISECOND, 20_000 * MILLISECOND);
         assert_eq!(world.pool.counts.ramps > 0, cold, "{mood:?}");
         assert_eq!((world.pool.cold(), world.pool.in_use()), (0, 2), "{mood:?}");
         world.check_ramps();
@@ -419,14 +423,14 @@
 #[test]
 fn one_that_is_added_later_ramps_up_and_those_of_the_start_do_not() {
     let mut world = World::new(terms(), 1);
-    world.load(5 * MS, 1_000 * MS);
+    world.load(5 * MILLISECOND, 1_000 * MILLISECOND);
     assert_eq!((world.pool.cold(), world.ramps.len()), (0, 0));
     let mut actions = Vec::new();
     let late = world.pool.add_cold(world.now, &mut actions);
     world.moods.insert(late, Mood::Sound);
     world.carry_out(actions);
     assert_eq!(world.pool.cold(), 1);
-    world.load(5 * MS, OVER + 1_000 * MS);
+    world.load(5 * MILLISECOND, OVER + 1_000 * MILLISECOND);
     world.check_ramps();
     assert!(
         world.ramps.len() == 1 && world.pool.cold() == 0,
@@ -438,7 +442,7 @@
 #[test]
 fn terms_without_a_ramp_end_those_under_way() {
     let mut world = returned(terms());
-    world.load(5 * MS, 3_000 * MS);
+    world.load(5 * MILLISECOND, 3_000 * MILLISECOND);
     let mut actions = Vec::new();
     world.pool.retune(
         Terms {
@@ -451,23 +455,23 @@
     world.carry_out(actions);
     assert_eq!(world.pool.cold(), 0);
     let before = world.sent[&0].len();
-    world.load(5 * MS, 1_000 * MS);
+    world.load(5 * MILLISECOND, 1_000 * MILLISECOND);
     assert!(world.sent[&0].len() >= before + 150);
 }
 
 #[test]
 fn a_removed_server_leaves_nothing_of_its_ramp() {
     let mut world = World::new(terms(), 2);
-    world.load(5 * MS, 500 * MS);
+    world.load(5 * MILLISECOND, 500 * MILLISECOND);
     world.kill(1);
-    world.load(5 * MS, 1_000 * MS);
+    world.load(5 * MILLISECOND, 1_000 * MILLISECOND);
     world.moods.insert(1, Mood::Sound);
-    world.load(5 * MS, 3_000 * MS);
+    world.load(5 * MILLISECOND, 3_000 * MILLISECOND);
     assert_eq!(world.ramps.len(), 1);
     let mut actions = Vec::new();
     world.pool.remove(1, world.now, &mut actions);
     world.carry_out(actions);
-    world.load(5 * MS, 2 * OVER);
+    world.load(5 * MILLISECOND, 2 * OVER);
     assert!(!world.pool.knows(1) && world.pool.cold() == 0);
 }
 
@@ -476,11 +480,11 @@
 /// One pool's part of the tokens of a budget, where all need as much.
 struct Share {
     tokens: f64,
-    counted: Tenths,
+    counted: TenthMillis,
 }
 
 impl Share {
-    fn take(&mut self, now: Tenths, pools: usize) -> Token {
+    fn take(&mut self, now: TenthMillis, pools: usize) -> Token {
         let rate = 2.0 * f64::from(RUNS) / OVER as f64 / pools as f64;
         // A share holds one whole token.
         self.tokens = (self.tokens + rate * (now - self.counted) as f64).min(1.0);
@@ -496,7 +500,7 @@
 #[test]
 fn pools_that_share_a_ramp_send_no_more_than_one_would_and_each_sends_some() {
     const POOLS: usize = 12;
-    let clock: Rc<RefCell<Tenths>> = Rc::default();
+    let clock: Rc<RefCell<TenthMillis>> = Rc::default();
     let mut worlds: Vec<World> = (0..POOLS).map(|_| returned(terms())).collect();
     let began = worlds[0].now;
     for world in &mut worlds {
@@ -515,7 +519,7 @@
         for world in &mut worlds {
             *clock.borrow_mut() = world.now;
             world.ask();
-            world.pass(5 * MS);
+            world.pass(5 * MILLISECOND);
         }
     }
     let sent = worlds
@@ -537,7 +541,7 @@
         Token::Granted
     }));
     while world.now < 2 * OVER && world.ramps.is_empty() {
-        world.load(5 * MS, 5 * MS);
+        world.load(5 * MILLISECOND, 5 * MILLISECOND);
     }
     world.pass(OVER / 2);
     // One run's worth, at tokens of a hundredth and more; then no more are asked for.
@@ -552,25 +556,25 @@
     let mut world = returned(terms());
     world.pool.gate_ramps(Box::new(|| Token::Refused));
     let back = world.now;
-    world.load(5 * MS, OVER - 1_000 * MS);
+    world.load(5 * MILLISECOND, OVER - 1_000 * MILLISECOND);
     assert_eq!(
-        world.sent_within(0, back, Tenths::MAX),
+        world.sent_within(0, back, TenthMillis::MAX),
         1,
         "the probe alone"
     );
     assert_eq!(world.pool.in_hand(), 0);
     // Once its time is over a ramp binds nobody.
-    world.load(5 * MS, 3_000 * MS);
-    assert!(world.sent_within(0, back, Tenths::MAX) > 100);
+    world.load(5 * MILLISECOND, 3_000 * MILLISECOND);
+    assert!(world.sent_within(0, back, TenthMillis::MAX) > 100);
 }
 
 #[test]
 fn what_is_begun_without_a_reservation_while_all_are_down_ends_at_once_as_never_run() {
     let mut world = World::new(terms(), 1);
-    world.load(5 * MS, 100 * MS);
+    world.load(5 * MILLISECOND, 100 * MILLISECOND);
     world.kill(0);
     world.ask();
-    world.pass(2 * MS);
+    world.pass(2 * MILLISECOND);
     let mut actions = Vec::new();
     world.pool.begin(9_000, false, world.now, &mut actions);
     assert!(
@@ -597,7 +601,7 @@
         panic!("{actions:?}");
     };
     actions.clear();
-    pool.refused(first, MS, &mut actions);
+    pool.refused(first, MILLISECOND, &mut actions);
     assert!(
         matches!(
             actions[0],
@@ -609,7 +613,7 @@
         "{actions:?}"
     );
     actions.clear();
-    pool.opened(second, MS, &mut actions);
+    pool.opened(second, MILLISECOND, &mut actions);
     // Its run is not sent, as nothing of it is within a ramp; no other server is there.
     assert_eq!(
         actions,
@@ -642,16 +646,16 @@
     else {
         panic!("{actions:?}");
     };
-    pool.opened(first, MS, &mut actions);
+    pool.opened(first, MILLISECOND, &mut actions);
     pool.sent(first);
-    pool.refused(second, MS, &mut actions);
+    pool.refused(second, MILLISECOND, &mut actions);
     // The run that was under way ends well after the server is to be probed: it says nothing of a return.
-    pool.tick(600 * MS, &mut actions);
+    pool.tick(600 * MILLISECOND, &mut actions);
     actions.clear();
     pool.over(
         first,
         Over::Completed { keep: true },
-        600 * MS,
+        600 * MILLISECOND,
         &mut actions,
     );
     let ended = Action::Ended {
@@ -667,17 +671,17 @@
         (0, 1, 0)
     );
     // The probe begins on a connection of its own.
-    assert_eq!(pool.admit(600 * MS), Ok(Admission::Reserved));
+    assert_eq!(pool.admit(600 * MILLISECOND), Ok(Admission::Reserved));
     pool.release();
     actions.clear();
-    pool.begin(3, false, 600 * MS, &mut actions);
+    pool.begin(3, false, 600 * MILLISECOND, &mut actions);
     assert!(matches!(actions[..], [Action::Open { .. }]), "{actions:?}");
 }
 
 #[test]
 fn a_reservation_is_kept_for_who_has_it_and_free_once_let_go_of() {
     let mut world = returned(terms());
-    world.pass(600 * MS);
+    world.pass(600 * MILLISECOND);
     assert_eq!(
         world.pool.admit(world.now),
         Ok(Admission::Reserved),
@@ -702,7 +706,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Ask(u8),
-    Pass(Tenths),
+    Pass(TenthMillis),
     Kill(u8),
     Mood(u8, Mood),
     Add,
@@ -722,7 +726,7 @@
     ];
     prop_oneof![
         8 => (1..20u8).prop_map(Step::Ask),
-        8 => (0..700 * MS).prop_map(Step::Pass),
+        8 => (0..700 * MILLISECOND).prop_map(Step::Pass),
         1 => any::<u8>().prop_map(Step::Kill),
         3 => (any::<u8>(), prop::sample::select(moods.to_vec())).prop_map(|(of, mood)| Step::Mood(of, mood)),
         1 => Just(Step::Add),
@@ -799,20 +803,20 @@
         if !shared {
             world.check_ramps();
         }
-        world.pass(60_000 * MS);
+        world.pass(60_000 * MILLISECOND);
         prop_assert_eq!(world.came.len(), world.runs as usize, "not all have come to something");
         prop_assert_eq!(world.pool.in_hand(), 0);
         // Left alone and sound, all return and serve.
         world.moods.values_mut().for_each(|mood| *mood = Mood::Sound);
-        world.load(20 * MS, 10_000 * MS + 2 * OVER);
+        world.load(20 * MILLISECOND, 10_000 * MILLISECOND + 2 * OVER);
         let last = world.ask();
-        world.pass(1_000 * MS);
+        world.pass(1_000 * MILLISECOND);
         prop_assert_eq!(world.came.get(&last).map(|(came, _)| *came), Some(Came::Ended(RunEnd::Completed)));
     }
 
     #[test]
     fn one_server_alone_gets_no_more_than_its_ramp_for_any_arrivals(
-        gaps in prop::collection::vec(1..300 * MS, 50..400),
+        gaps in prop::collection::vec(1..300 * MILLISECOND, 50..400),
         bursts in prop::collection::vec(1..6usize, 50..400),
     ) {
         let mut world = returned(terms());
@@ -821,7 +825,7 @@
             world.pass(*gap);
         }
         world.check_ramps();
-        world.pass(5_000 * MS);
+        world.pass(5_000 * MILLISECOND);
         prop_assert_eq!(world.came.len(), world.runs as usize);
     }
 }
