--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,268 +1,345 @@
-//! Interface of doortrack: what happened, what is to be done, and what is read at start.
+//! Interface of the admission decisions: what happened at this node, what is to be done about it, and the
+//! configuration read at start.
 //!
-//! All decisions are in [`logic`]. Times are whole tenths of a millisecond; points in time are counted
-//! from any fixed zero. Whoever puts a node before the module rounds a due time and an age down, a
-//! window and a wait up.
-
-use doortrack_time::TenthMillis;
+//! All decisions are in [`logic`]; there is no I/O and no clock in this package, and the same events with the
+//! same seed give the same actions. Times are in the unit of [`doortrack_time`]. The caller rounds a deadline
+//! and an age down, a window and a wait up, so that no promise is broken by rounding.
 
 pub mod logic;
 
-/// The name an exchange goes by at the door. Never used twice by one node within one life.
-pub type ExId = u32;
+pub use logic::AdmissionController;
+
+use doortrack_time::TenthMillis;
+
+/// Identifies a request at this node. Never used twice by one node within one process.
+pub type RequestId = u32;
 
 /// One thing that happened at this node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The node is up; the first event of each life.
+    /// The node is up; the first event of each process.
     Started,
-    /// An exchange was read and is queued; one final answer is owed from here on.
-    Arrived(Exchange),
-    /// A run, or a wait begun with [`Action::Attach`], came to its end.
+    /// A request was read and is queued; one final answer is owed from here on.
+    Arrived(Request),
+    /// A run, or a wait begun with [`Action::Attach`], has ended.
     RunEnded {
-        id: ExId,
+        /// The request that ran or waited.
+        id: RequestId,
+        /// How it ended.
         outcome: RunOutcome,
     },
-    /// A running exchange cannot go on without a call to what lies below.
-    NeedsCall {
-        id: ExId,
+    /// A running request cannot continue without a call to a downstream service.
+    CallRequired {
+        /// The running request.
+        id: RequestId,
     },
+    /// A call made with [`Action::Call`] has ended.
     CallEnded {
-        id: ExId,
+        /// The request that made the call.
+        id: RequestId,
+        /// How the call ended.
         outcome: CallOutcome,
-        took: TenthMillis,
+        /// Time from the call to its end.
+        duration: TenthMillis,
     },
+    /// The caller no longer waits for an answer.
     CallerGone {
-        id: ExId,
+        /// The request whose caller left.
+        id: RequestId,
     },
-    /// Notice to leave, which came this long ago: the process is stopped at `stop_at`.
+    /// A graceful shutdown was requested.
     Drain {
+        /// Time since the request to shut down.
         age: TenthMillis,
+        /// When the process is stopped.
         stop_at: TenthMillis,
     },
-    Alarm {
+    /// A timer set with [`Action::SetTimer`] fired.
+    Timer {
+        /// The token it was set with.
         token: u64,
+        /// The node's gauges at this time.
         gauges: Gauges,
     },
 }
 
+/// A request as the decisions see it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Exchange {
-    pub id: ExId,
-    /// Place of its endpoint group in [`ServiceContract::groups`].
+pub struct Request {
+    /// Its id at this node.
+    pub id: RequestId,
+    /// Index of its endpoint group in [`AdmissionConfig::groups`].
     pub group: u8,
-    /// Place of its customer in [`ServiceContract::customers`].
-    pub customer: u16,
-    /// What it is about; 0 if not told.
-    pub subject: u64,
-    /// When its caller gives up, if that is passed on.
-    pub due: Option<TenthMillis>,
-    /// Expected work on a standard core.
+    /// Index of its tenant in [`AdmissionConfig::tenant_quotas`].
+    pub tenant: u16,
+    /// Identifies the session that it belongs to; 0 if none is known.
+    pub session_key: u64,
+    /// When its caller stops waiting, if the protocol passes that on.
+    pub deadline: Option<TenthMillis>,
+    /// Expected work, as time on a standard core.
     pub work_hint: Option<TenthMillis>,
-    /// Memory while queued, in kB.
-    pub kb: f32,
-    /// 0 to under 1, rising with benefit.
+    /// Memory that it takes while queued, in kB.
+    pub memory_kb: f32,
+    /// Its rank within its group: from 0 to under 1, rising with its value.
     pub rank: f32,
-    /// Marked as a further try or second copy.
+    /// Marked by the caller as a retry or a hedged request.
     pub retry: bool,
-    /// Which caller sent it; numbers are used up as callers come and go, so no width is too much.
+    /// Identifies the caller. Numbers are used up as callers come and go, hence the width.
     pub caller: u64,
-    /// Time since it reached the machine.
+    /// Time since it reached this machine.
     pub age: TenthMillis,
-    /// The recorded exchange that this one repeats.
-    pub repeats: Option<ExId>,
-    /// A budget of the whole fleet has nothing left for it; when it may have.
-    pub held_back: Option<TenthMillis>,
+    /// The recorded request with the same idempotency key, if there is one.
+    pub duplicate_of: Option<RequestId>,
+    /// Set where a budget of the whole fleet has nothing left for it: how long until it may have.
+    pub budget_retry_after: Option<TenthMillis>,
 }
 
+/// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
+    /// It produced a result.
     Completed,
+    /// It failed, or its result was lost.
     Failed,
-    Stopped,
-    /// Nothing was begun: the exchange had ended before.
-    Moot,
+    /// It was cancelled with [`Action::Cancel`].
+    Cancelled,
+    /// Nothing was begun: the request had ended before.
+    NotStarted,
 }
 
+/// How a call to a downstream service ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
+    /// It produced a result.
     Completed,
+    /// The service reported a failure.
     Failed,
-    /// Turned away below, unseen.
-    Bounced,
-    /// Given up after its limit; may have taken effect.
+    /// The service rejected it without running it.
+    Rejected,
+    /// Abandoned after its timeout; may have taken effect.
     TimedOut,
+    /// The service could not be reached.
     Unreachable,
-    /// Broken off midway; may have taken effect.
-    Dropped,
-    Stopped,
-    Moot,
+    /// The connection was lost during the call; may have taken effect.
+    ConnectionLost,
+    /// Cancelled together with its request.
+    Cancelled,
+    /// The call was never made.
+    NotStarted,
 }
 
 impl CallOutcome {
+    /// Whether the call certainly had no effect.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Self::Bounced | Self::Unreachable | Self::Moot)
+        matches!(self, Self::Rejected | Self::Unreachable | Self::NotStarted)
     }
 }
 
-/// The node's own gauges; absent where the node has no such gauge.
+/// The node's own gauges; each absent where the node has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Share of the cores busy over the last half second.
+    /// Share of the cores that were busy over the last half second.
     pub busy_cores: Option<f32>,
-    /// All work that wants a core now: runs, reading, checks, new connections.
-    pub on_cores: Option<f32>,
+    /// All work that wants a core now: runs, reading, health checks, new connections.
+    pub runnable_tasks: Option<f32>,
     /// Share of the memory in use.
     pub memory: Option<f32>,
+    /// Open connections.
     pub connections: Option<f32>,
 }
 
 /// One thing to be done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin a queued exchange or take up a paused one.
+    /// Start a queued request.
     Run {
-        id: ExId,
+        /// The request.
+        id: RequestId,
     },
-    /// Final answer: rejected, with the word that it never ran.
+    /// Final answer: rejected, with the promise that it never ran.
     Reject {
-        id: ExId,
-        not_elsewhere: bool,
+        /// The request.
+        id: RequestId,
+        /// The caller is told not to retry on another node either.
+        no_retry_elsewhere: bool,
+        /// How long the caller is told to wait before a retry.
         retry_after: TenthMillis,
     },
-    /// Final answer: failed, with no word on what was done.
+    /// Final answer: failed, without a promise about its effect.
     Fail {
-        id: ExId,
+        /// The request.
+        id: RequestId,
     },
-    /// Stop running work; no answer by itself.
-    Stop {
-        id: ExId,
+    /// Cancel running work; this is not an answer by itself.
+    Cancel {
+        /// The request.
+        id: RequestId,
     },
-    /// Make the call that the exchange waits for, abandoned after `limit`.
+    /// Make the call that the request waits for.
     Call {
-        id: ExId,
-        limit: TenthMillis,
+        /// The request.
+        id: RequestId,
+        /// When the call is abandoned.
+        timeout: TenthMillis,
     },
-    /// Go on without the call.
+    /// Continue the run without the call: a degraded answer.
     SkipCall {
-        id: ExId,
+        /// The request.
+        id: RequestId,
     },
-    /// Enter a deduplicated exchange in the node's table for this long.
+    /// Enter a deduplicated request into the node's table.
     Record {
-        id: ExId,
-        lasting: TenthMillis,
+        /// The request.
+        id: RequestId,
+        /// How long the entry stays.
+        ttl: TenthMillis,
     },
-    /// Take its entry out of the table.
+    /// Remove its entry from the table.
     Forget {
-        id: ExId,
+        /// The request.
+        id: RequestId,
     },
-    /// Answer it with the result of the exchange it repeats.
+    /// Answer it with the result of the request that it duplicates.
     Attach {
-        id: ExId,
+        /// The duplicate.
+        id: RequestId,
     },
-    /// What health checks are told from here on, from the store or by real work.
+    /// What health checks are answered from here on.
     Health {
-        from_store: bool,
-        good: bool,
+        /// Answer from the stored state in place of doing real work.
+        cached: bool,
+        /// Whether the node is healthy.
+        healthy: bool,
     },
-    /// The free value that goes out with each answer.
-    Level {
-        level: f32,
+    /// The backpressure value that goes out with each answer; see [`Backpressure`].
+    Backpressure {
+        /// The value.
+        value: f32,
     },
-    /// Close connections idle for this long.
-    IdleLimit {
-        after: TenthMillis,
+    /// Close connections that have been idle for this long.
+    IdleTimeout {
+        /// The timeout.
+        timeout: TenthMillis,
     },
-    Alarm {
+    /// Fire [`Event::Timer`] at this time.
+    SetTimer {
+        /// When it fires.
         at: TenthMillis,
+        /// Handed back with the event.
         token: u64,
     },
 }
 
+/// What running a request again would mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Repeatable,
+    /// Idempotent: it may run any number of times.
+    Idempotent,
+    /// Carries an idempotency key: it runs at most once per node and window.
     Deduplicated,
+    /// Not idempotent, and without a key.
     Mutating,
 }
 
-/// What stopping running work does here, if it can be stopped at all.
+/// What cancelling running work does here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopKind {
-    Never,
+pub enum Cancellation {
+    /// Running work cannot be cancelled.
+    Unsupported,
+    /// The work is dropped.
     Drop,
+    /// The work is suspended and gives up its core.
     Pause,
 }
 
-/// What callers make of the free value, if anything.
+/// What callers make of the backpressure value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LevelKind {
+pub enum Backpressure {
+    /// They disregard it.
     None,
-    /// They send nothing here whose rank is below it.
-    LowestRank,
-    /// Each keeps at most so many exchanges in hand here.
-    InHand,
-    /// The odds that a caller does not pass this node by.
-    Odds,
+    /// They send nothing whose rank is below it.
+    MinRank,
+    /// Each keeps at most so many requests in flight here.
+    Credits,
+    /// The probability that a caller does not pass this node over.
+    Weight,
 }
 
+/// The terms of one endpoint group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointGroup {
+    /// What running a request again would mean.
     pub effect: Effect,
-    pub slo_time: TenthMillis,
-    /// The SLO time grows by this multiple of the exchange's own work.
-    pub slo_stretch: f32,
+    /// Response time below which an answer has its full value.
+    pub latency_objective: TenthMillis,
+    /// The latency objective grows by this multiple of the request's own work.
+    pub objective_per_work: f32,
+    /// How long callers wait for an answer.
     pub deadline: TenthMillis,
-    /// How long after its arrival a deduplicated exchange may come again.
-    pub window: TenthMillis,
-    pub benefit: f32,
-    /// Share of the benefit that an answer after the SLO time earns.
-    pub late_share: f32,
-    /// Share of the benefit kept when a call is left out.
-    pub skip_share: f32,
-    pub calls: bool,
+    /// How long after its arrival a deduplicated request may be retried.
+    pub dedup_window: TenthMillis,
+    /// Value of an answer within the latency objective.
+    pub priority_weight: f32,
+    /// Share of the value that an answer after the latency objective keeps.
+    pub late_weight: f32,
+    /// Share of the value that an answer without its downstream call keeps.
+    pub degraded_weight: f32,
+    /// Its requests may call a downstream service.
+    pub calls_downstream: bool,
 }
 
-/// What a node is handed at start.
+/// The configuration of the decisions, read once at start.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServiceContract {
+pub struct AdmissionConfig {
+    /// Cores that run requests.
     pub cores: u32,
+    /// Memory that the node survives, in kB.
     pub memory_kb: f32,
-    /// Memory of a running exchange over that of a queued one.
-    pub run_factor: f32,
+    /// Memory of a running request as a multiple of that of a queued one.
+    pub run_memory_factor: f32,
+    /// Memory of one entry in the table of deduplicated requests, in kB.
     pub record_kb: f32,
+    /// Endpoint groups, by index.
     pub groups: Vec<EndpointGroup>,
-    /// Exchanges a second that each customer has a share for, over the whole fleet.
-    pub customers: Vec<f32>,
-    /// Share of the benefit left for what a customer sends beyond its share.
-    pub over_share: f32,
-    /// Benefit is counted for each unit of work.
-    pub by_work: bool,
-    /// Nodes listed beside this one, itself included.
+    /// Quota of each tenant over the whole fleet, in requests per second.
+    pub tenant_quotas: Vec<f32>,
+    /// Share of the value that remains for what a tenant sends beyond its quota.
+    pub over_quota_weight: f32,
+    /// Value is counted per unit of work and not per request.
+    pub weight_per_work: bool,
+    /// Nodes in the endpoint list, this one included.
     pub nodes: u32,
-    pub stop: StopKind,
-    pub level: LevelKind,
-    pub level_lasts: TenthMillis,
+    /// What cancelling running work does.
+    pub cancellation: Cancellation,
+    /// What callers make of the backpressure value.
+    pub backpressure: Backpressure,
+    /// How long callers heed a backpressure value.
+    pub backpressure_ttl: TenthMillis,
     /// How long the answer to a read may serve others.
-    pub fresh: TenthMillis,
-    /// This node's share of the calls that what lies below survives, as a mean over `calls_window`.
-    /// Absent where nothing below is shared by all.
-    pub calls_share: Option<f32>,
-    pub calls_window: TenthMillis,
-    /// How long an abandoned call may stay in hand below.
-    pub linger: TenthMillis,
+    pub max_staleness: TenthMillis,
+    /// This node's share of the concurrent calls that the downstream service survives, as a mean over
+    /// `downstream_window`. Absent where no downstream service is shared.
+    pub downstream_concurrency: Option<f32>,
+    /// Window over which concurrent downstream calls are averaged.
+    pub downstream_window: TenthMillis,
+    /// How long an abandoned call may occupy the downstream service.
+    pub abandoned_call_time: TenthMillis,
+    /// The node starts cold and warms up.
     pub cold: bool,
-    /// Least share of its speed at which a cold node starts.
-    pub start_speed: f32,
+    /// Least share of its full speed at which a cold node starts.
+    pub initial_speed: f32,
     /// A cold node is warm after this at the latest.
-    pub warm_after: TenthMillis,
-    /// Running exchanges a core that a warm node survives, as a mean over `crowd_window`.
-    pub tip_multiple: f32,
-    pub crowd_window: TenthMillis,
+    pub warm_up_time: TenthMillis,
+    /// Running requests per core that a warm node survives, as a mean over `overload_window`.
+    pub overload_multiple: f32,
+    /// Window over which running requests are averaged.
+    pub overload_window: TenthMillis,
+    /// After a request to shut down, requests are still accepted for this long.
     pub drain_grace: TenthMillis,
     /// Callers close idle connections after this.
-    pub idle_limit: TenthMillis,
-    /// Longest advice to stay away that is heeded; 0 where none is passed on.
-    pub longest_retry_after: TenthMillis,
+    pub idle_timeout: TenthMillis,
+    /// Longest retry delay that callers heed; 0 where none is passed on.
+    pub max_retry_after: TenthMillis,
+    /// Granularity of the node's clock.
     pub tick: TenthMillis,
 }
--- a/crates/admission/src/logic.rs
+++ b/crates/admission/src/logic.rs
@@ -1,7 +1,7 @@
-//! All decisions of a node. `Door::new` is handed the contract and a seed; from then on `Door::handle`
+//! All decisions of a node. `AdmissionController::new` is handed the contract and a seed; from then on `AdmissionController::handle`
 //! takes a batch of what happened, in order, and adds what is to be done. Both types are in `lib.rs`.
 //! Ordinary path: `arrived` asks `turned_away` (the design's rule), queues what is taken in one of two
-//! queues, and `begin_work` runs it. `look` acts at the moments at which an exchange is due for a decision.
+//! queues, and `begin_work` runs it. `look` acts at the moments at which a request is due for a decision.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -11,8 +11,8 @@
 use slab::Slab;
 
 use crate::{
-    Action, CallOutcome, Effect, Event, ExId, Exchange, Gauges, LevelKind, RunOutcome,
-    ServiceContract, StopKind,
+    Action, AdmissionConfig, Backpressure, CallOutcome, Cancellation, Effect, Event, Gauges,
+    Request, RequestId, RunOutcome,
 };
 
 const RUNS_A_CORE: f32 = 1.5;
@@ -24,7 +24,7 @@
 /// C rises by so much for each run that met its SLO time under load, and falls to this share at a miss.
 const C_RISE: f32 = 0.5;
 const C_FALL: f32 = 0.93;
-/// A key stays established for one to two of these without a completed exchange; bound on each half.
+/// A key stays established for one to two of these without a completed request; bound on each half.
 const IDLE_WINDOW: TenthMillis = 20_000 * MILLISECOND;
 const MOST_KEYS: usize = 4096;
 /// Share of what a node survives that it lets itself use: of crowd and calls, and of memory, which is exact.
@@ -38,7 +38,7 @@
 /// Spread of hints that the line begins with, flat, as a share of the first hint squared: two runs alone
 /// could make any line.
 const HINT_DOUBT: f32 = 0.1;
-/// Share of its SLO time that an exchange may wait unread and queued, as one rejected later has no time left
+/// Share of its SLO time that a request may wait unread and queued, as one rejected later has no time left
 /// elsewhere; and again at a call that may be left out.
 const QUEUE_SHARE: f32 = 0.33;
 /// Work is long from this multiple of the mean on; its share of the places while short work waits.
@@ -63,7 +63,7 @@
 /// From this strain on each caller is told its part of what is wanted in hand. Less is borne without: it
 /// holds back a caller that sends more than others where nothing is short.
 const CREDIT_FROM: f32 = 0.2;
-/// An exchange that was unread for this share of its SLO time counts for strain as if rejected.
+/// A request that was unread for this share of its SLO time counts for strain as if rejected.
 const READ_LATE: f32 = 0.1;
 /// Stuck: nothing ended for this many times what a run takes.
 const STUCK: f32 = 6.0;
@@ -87,7 +87,7 @@
 /// A customer may send this multiple of its share at one node, and save up this much time of it.
 const SHARE_SLACK: f32 = 1.3;
 const SHARE_SAVED: f32 = 20_000.0;
-/// Exchanges that it may save up at the least: where its share at a node is less than one in that time, it
+/// Requests that it may save up at the least: where its share at a node is less than one in that time, it
 /// would be beyond it whatever it sends.
 const SHARE_LEAST: f32 = 3.0;
 
@@ -103,11 +103,11 @@
 
 #[derive(Default)]
 struct Ex {
-    id: ExId,
+    id: RequestId,
     group: usize,
     subject: u64,
     stage: Stage,
-    attached_to: ExId,
+    attached_to: RequestId,
     arrived: TenthMillis,
     slo_by: TenthMillis,
     due: TenthMillis,
@@ -127,10 +127,10 @@
 
 type Place = usize;
 /// Best first: benefit for the work, then the oldest. Entries that no longer hold are passed over.
-type Queue = BinaryHeap<(u32, Reverse<TenthMillis>, Reverse<ExId>, Place)>;
+type Queue = BinaryHeap<(u32, Reverse<TenthMillis>, Reverse<RequestId>, Place)>;
 
-pub struct Door {
-    terms: ServiceContract,
+pub struct AdmissionController {
+    terms: AdmissionConfig,
     rng: fastrand::Rng,
     /// C of the design.
     capacity: f32,
@@ -158,21 +158,21 @@
     /// Share lately read too late to be queued.
     read_late: f32,
     exs: Slab<Ex>,
-    at_door: FxHashMap<ExId, Place>,
+    at_door: FxHashMap<RequestId, Place>,
     at_stage: [usize; 5],
     queued_over_share: usize,
     long_running: usize,
-    /// Queued exchanges, short and long work.
+    /// Queued requests, short and long work.
     queues: [Queue; 2],
-    watch: BinaryHeap<Reverse<(TenthMillis, ExId, Place)>>,
+    watch: BinaryHeap<Reverse<(TenthMillis, RequestId, Place)>>,
     /// Summed in f64, so that what fractions drift stays far under the margin.
     memory_kb: f64,
     mean_work: f32,
     mean_took: f32,
     hints: Hints,
     /// Live entries of the node's table, and their ends.
-    records: FxHashSet<ExId>,
-    record_ends: VecDeque<(TenthMillis, ExId)>,
+    records: FxHashSet<RequestId>,
+    record_ends: VecDeque<(TenthMillis, RequestId)>,
     /// Established keys, of this turn and the one before.
     keys: [FxHashSet<u64>; 2],
     keys_turn: TenthMillis,
@@ -191,13 +191,13 @@
     call_took: f32,
 }
 
-impl Door {
-    pub fn new(terms: ServiceContract, seed: u64) -> Self {
-        Door {
+impl AdmissionController {
+    pub fn new(terms: AdmissionConfig, seed: u64) -> Self {
+        AdmissionController {
             rng: fastrand::Rng::with_seed(seed),
             capacity: terms.cores.max(1) as f32,
             took: vec![0.0; terms.groups.len()],
-            saved: vec![(0.0, 0); terms.customers.len()],
+            saved: vec![(0.0, 0); terms.tenant_quotas.len()],
             st: State {
                 unknown_callers: 1.0,
                 ..State::default()
@@ -214,13 +214,15 @@
                 Event::Started => self.st.born = now,
                 Event::Arrived(ex) => self.arrived(ex, actions),
                 Event::RunEnded { id, outcome } => self.run_ended(*id, *outcome),
-                Event::NeedsCall { id } => self.needs_call(*id),
-                Event::CallEnded { id, outcome, took } => {
-                    self.call_ended(*id, *outcome, *took, actions)
-                }
+                Event::CallRequired { id } => self.needs_call(*id),
+                Event::CallEnded {
+                    id,
+                    outcome,
+                    duration: took,
+                } => self.call_ended(*id, *outcome, *took, actions),
                 Event::CallerGone { id } => self.caller_gone(*id, actions),
                 Event::Drain { age, stop_at } => self.leave_by(*age, *stop_at, actions),
-                Event::Alarm { gauges, .. } => self.st.gauges = *gauges,
+                Event::Timer { gauges, .. } => self.st.gauges = *gauges,
             }
         }
         self.upkeep(actions);
@@ -266,7 +268,7 @@
         self.terms
             .groups
             .iter()
-            .map(|group| group.slo_time)
+            .map(|group| group.latency_objective)
             .min()
             .unwrap_or(0) as f32
     }
@@ -279,7 +281,7 @@
         (self.at(Stage::Queued) + self.at(Stage::Running)) as f32
     }
 
-    /// What goes before such an exchange: what is queued beyond a share waits for all within one.
+    /// What goes before such a request: what is queued beyond a share waits for all within one.
     fn load_before(&self, over_share: bool) -> f32 {
         self.load()
             - if over_share {
@@ -298,7 +300,7 @@
         let cores = self.terms.cores.max(1) as f32;
         // More than begins within the time queued would be taken only to be given up.
         let begins = 1.0 + QUEUE_SHARE * self.shortest_slo() / self.st.mean_took.max(1.0);
-        let most = (self.places() as f32 * begins).min(self.terms.tip_multiple * cores);
+        let most = (self.places() as f32 * begins).min(self.terms.overload_multiple * cores);
         if !met {
             self.capacity *= C_FALL;
         } else if self.load() > T1 * self.capacity {
@@ -308,7 +310,7 @@
         self.capacity = self.capacity.clamp(cores, most.max(cores));
     }
 
-    fn arrived(&mut self, ex: &Exchange, actions: &mut Vec<Action>) {
+    fn arrived(&mut self, ex: &Request, actions: &mut Vec<Action>) {
         self.note_caller(ex.caller);
         let Some(&group) = self.terms.groups.get(ex.group as usize) else {
             actions.push(Action::Fail { id: ex.id });
@@ -316,16 +318,18 @@
         };
         let arrived = self.st.now.saturating_sub(ex.age);
         let due = self.last_answer(
-            ex.due
+            ex.deadline
                 .unwrap_or((arrived + group.deadline).saturating_sub(1)),
         );
         let work = ex.work_hint.unwrap_or(0) as f32;
-        let over_share = self.over_share(ex.customer as usize);
-        let root = ex.repeats.filter(|first| !self.leads_back(ex.id, *first));
+        let over_share = self.over_share(ex.tenant as usize);
+        let root = ex
+            .duplicate_of
+            .filter(|first| !self.leads_back(ex.id, *first));
         let new = Ex {
             id: ex.id,
             group: ex.group as usize,
-            subject: ex.subject,
+            subject: ex.session_key,
             stage: if root.is_some() {
                 Stage::Attached
             } else {
@@ -333,10 +337,13 @@
             },
             attached_to: root.unwrap_or(0),
             arrived,
-            slo_by: (arrived + group.slo_time + (group.slo_stretch * work) as TenthMillis).min(due),
+            slo_by: (arrived
+                + group.latency_objective
+                + (group.objective_per_work * work) as TenthMillis)
+                .min(due),
             due,
             work,
-            kb: ex.kb.max(0.0),
+            kb: ex.memory_kb.max(0.0),
             over_share,
             ..Ex::default()
         };
@@ -356,10 +363,10 @@
             }
             return;
         }
-        let unread = ex.age as f32 / group.slo_time.max(1) as f32;
+        let unread = ex.age as f32 / group.latency_objective.max(1) as f32;
         let too_late =
             self.st.now >= due || self.st.leave.is_some_and(|(last, _)| arrived + 1 > last);
-        let rejected = too_late || no_room || self.turned_away(ex.subject, over_share, unread);
+        let rejected = too_late || no_room || self.turned_away(ex.session_key, over_share, unread);
         self.st.strain +=
             STRAIN_NEWEST * (f32::from(rejected || unread > READ_LATE) - self.st.strain);
         self.st.read_late += NEWEST * (f32::from(unread > QUEUE_SHARE) - self.st.read_late);
@@ -368,17 +375,21 @@
             .st
             .now
             .saturating_add(self.expected(ex.group as usize, work));
-        let hopeless = group.late_share <= 0.0 && ends > new.slo_by;
-        if rejected || hopeless || ex.held_back.is_some() {
-            let wait = ex.held_back.unwrap_or(0);
-            let strained = (rejected || ex.held_back.is_some()) && self.st.strain > STRAIN_BORNE;
+        let hopeless = group.late_weight <= 0.0 && ends > new.slo_by;
+        if rejected || hopeless || ex.budget_retry_after.is_some() {
+            let wait = ex.budget_retry_after.unwrap_or(0);
+            let strained =
+                (rejected || ex.budget_retry_after.is_some()) && self.st.strain > STRAIN_BORNE;
             actions.push(self.rejection(ex.id, ex.retry || strained, wait));
             return;
         }
         if records {
             // Entered on reading: a repeat of a try queued without an entry would not be known as one.
-            let lasting = group.window.saturating_sub(ex.age);
-            actions.push(Action::Record { id: ex.id, lasting });
+            let lasting = group.dedup_window.saturating_sub(ex.age);
+            actions.push(Action::Record {
+                id: ex.id,
+                ttl: lasting,
+            });
             self.st.records.insert(ex.id);
             self.st
                 .record_ends
@@ -387,7 +398,7 @@
         }
         if let Some((saved, _)) = self
             .saved
-            .get_mut(ex.customer as usize)
+            .get_mut(ex.tenant as usize)
             .filter(|_| !over_share)
         {
             *saved -= 1.0;
@@ -402,7 +413,7 @@
         let Some((saved, counted)) = self.saved.get_mut(customer) else {
             return false;
         };
-        let rate = SHARE_SLACK * self.terms.customers[customer]
+        let rate = SHARE_SLACK * self.terms.tenant_quotas[customer]
             / self.terms.nodes.max(1) as f32
             / 10_000.0;
         *saved = (*saved + rate * (self.st.now - *counted) as f32)
@@ -412,8 +423,8 @@
     }
 
     /// Tries of one batch may name each other: the one whose chain leads back to itself is the first.
-    fn leads_back(&self, id: ExId, first: ExId) -> bool {
-        let next = |at: &ExId| {
+    fn leads_back(&self, id: RequestId, first: RequestId) -> bool {
+        let next = |at: &RequestId| {
             let ex = &self.st.exs[*self.st.at_door.get(at)?];
             (ex.stage == Stage::Attached).then_some(ex.attached_to)
         };
@@ -431,7 +442,7 @@
         place
     }
 
-    /// Puts a queued exchange in its queue, by what it still earns for the work it needs.
+    /// Puts a queued request in its queue, by what it still earns for the work it needs.
     fn file(&mut self, place: Place) {
         let ex = &self.st.exs[place];
         let group = &self.terms.groups[ex.group];
@@ -439,9 +450,9 @@
         let patient_till = ex.arrived
             + (QUEUE_SHARE * (ex.slo_by.saturating_sub(ex.arrived)) as f32) as TenthMillis;
         let start_by = patient_till.min(ex.slo_by.saturating_sub(expected));
-        let earns = group.benefit
+        let earns = group.priority_weight
             * if ex.over_share {
-                self.terms.over_share
+                self.terms.over_quota_weight
             } else {
                 1.0
             };
@@ -456,7 +467,7 @@
             1.0
         };
         let density = 1000.0 * earns
-            / if self.terms.by_work {
+            / if self.terms.weight_per_work {
                 1.0
             } else {
                 need.max(0.01)
@@ -475,17 +486,19 @@
         if work > 0.0 && self.st.hints.variance > 0.0 {
             return self.st.hints.took(work) as TenthMillis;
         }
-        (self.took[group] as TenthMillis).min(self.terms.groups[group].slo_time / 2)
+        (self.took[group] as TenthMillis).min(self.terms.groups[group].latency_objective / 2)
     }
 
     // --- Running ---
 
     /// Runs that the crowd rule survives at this age; less while cold.
     fn survivable(&self) -> f32 {
-        let age = (self.st.now - self.st.born) as f32 / self.terms.warm_after.max(1) as f32;
+        let age = (self.st.now - self.st.born) as f32 / self.terms.warm_up_time.max(1) as f32;
         let warmth = if self.terms.cold { age.min(1.0) } else { 1.0 };
-        let speed = self.terms.start_speed + (1.0 - self.terms.start_speed) * warmth;
-        MARGIN * (1.0 + (self.terms.tip_multiple - 1.0).max(0.0) * speed) * self.terms.cores as f32
+        let speed = self.terms.initial_speed + (1.0 - self.terms.initial_speed) * warmth;
+        MARGIN
+            * (1.0 + (self.terms.overload_multiple - 1.0).max(0.0) * speed)
+            * self.terms.cores as f32
     }
 
     /// Runs at once. Where the cores are all busy, more of them only make each take longer; where they are
@@ -519,7 +532,7 @@
             let Some(place) = self.next_to_run(places) else {
                 break;
             };
-            let more = self.st.exs[place].kb * (self.terms.run_factor - 1.0).max(0.0);
+            let more = self.st.exs[place].kb * (self.terms.run_memory_factor - 1.0).max(0.0);
             if !self.fits(more) {
                 break;
             }
@@ -563,7 +576,7 @@
         ex.stage = stage;
     }
 
-    fn run_ended(&mut self, id: ExId, outcome: RunOutcome) {
+    fn run_ended(&mut self, id: RequestId, outcome: RunOutcome) {
         let Some(&place) = self.st.at_door.get(&id) else {
             return;
         };
@@ -606,7 +619,7 @@
         self.st.memory_kb -= f64::from(ex.kb);
         if !matches!(ex.stage, Stage::Queued | Stage::Attached) {
             self.st.long_running -= usize::from(ex.long);
-            self.st.memory_kb -= f64::from(ex.kb * (self.terms.run_factor - 1.0).max(0.0));
+            self.st.memory_kb -= f64::from(ex.kb * (self.terms.run_memory_factor - 1.0).max(0.0));
         }
     }
 
@@ -620,7 +633,7 @@
 
     /// Rejected ones are told to come back when the load should be down at T1.
     /// `wait` is what else keeps it from being taken.
-    fn rejection(&self, id: ExId, not_elsewhere: bool, wait: TenthMillis) -> Action {
+    fn rejection(&self, id: RequestId, not_elsewhere: bool, wait: TenthMillis) -> Action {
         let over =
             (self.load() - T1 * self.capacity).max(0.0) * self.st.mean_took / self.places() as f32;
         let wait = if self.st.leave.is_some() || self.stuck() {
@@ -631,8 +644,8 @@
         let not_elsewhere = not_elsewhere && !self.stuck();
         Action::Reject {
             id,
-            not_elsewhere,
-            retry_after: wait.min(self.terms.longest_retry_after),
+            no_retry_elsewhere: not_elsewhere,
+            retry_after: wait.min(self.terms.max_retry_after),
         }
     }
 
@@ -659,7 +672,7 @@
         self.st.watch.push(Reverse((at, ex.id, place)));
     }
 
-    /// An exchange has come to the moment at which it is due for a decision.
+    /// A request has come to the moment at which it is due for a decision.
     fn look(&mut self, place: Place, actions: &mut Vec<Action>) {
         let ex = &self.st.exs[place];
         let group = &self.terms.groups[ex.group];
@@ -675,14 +688,14 @@
                 self.drop_queued(place, actions);
             }
             _ if ex.answered => self.stop(place, actions),
-            Stage::AtCall if !over && group.skip_share > 0.0 => {
+            Stage::AtCall if !over && group.degraded_weight > 0.0 => {
                 actions.push(Action::SkipCall { id });
                 self.back_to_work(place);
             }
             _ if over
-                || (group.late_share <= 0.0
+                || (group.late_weight <= 0.0
                     && others_wait
-                    && self.terms.stop != StopKind::Never) =>
+                    && self.terms.cancellation != Cancellation::Unsupported) =>
             {
                 self.learn_capacity(false);
                 self.end_running(place, actions);
@@ -711,9 +724,9 @@
     fn stop(&mut self, place: Place, actions: &mut Vec<Action>) {
         let ex = &mut self.st.exs[place];
         ex.answered = true;
-        let can = self.terms.stop != StopKind::Never;
+        let can = self.terms.cancellation != Cancellation::Unsupported;
         if can && ex.stage == Stage::Running {
-            actions.push(Action::Stop { id: ex.id });
+            actions.push(Action::Cancel { id: ex.id });
         }
         self.look_again(
             place,
@@ -732,7 +745,7 @@
         self.let_go(place);
     }
 
-    fn drop_record(&mut self, id: ExId) -> bool {
+    fn drop_record(&mut self, id: RequestId) -> bool {
         let live = self.st.records.remove(&id);
         self.st.memory_kb -= if live {
             f64::from(self.terms.record_kb)
@@ -742,7 +755,7 @@
         live
     }
 
-    fn caller_gone(&mut self, id: ExId, actions: &mut Vec<Action>) {
+    fn caller_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(&place) = self.st.at_door.get(&id) else {
             return;
         };
@@ -770,7 +783,7 @@
 
     // --- Calls below ---
 
-    fn needs_call(&mut self, id: ExId) {
+    fn needs_call(&mut self, id: RequestId) {
         let Some(&place) = self.st.at_door.get(&id) else {
             return;
         };
@@ -784,12 +797,12 @@
         let ex = &self.st.exs[place];
         let group = &self.terms.groups[ex.group];
         // What cannot go on without its call goes first.
-        let rank = (1000.0 * group.benefit * (1.0 - group.skip_share)) as u32;
+        let rank = (1000.0 * group.priority_weight * (1.0 - group.degraded_weight)) as u32;
         self.st
             .call_queue
             .push((rank, Reverse(ex.arrived), Reverse(ex.id), place));
-        if group.skip_share > 0.0 {
-            let wait = (QUEUE_SHARE * group.slo_time as f32) as TenthMillis;
+        if group.degraded_weight > 0.0 {
+            let wait = (QUEUE_SHARE * group.latency_objective as f32) as TenthMillis;
             let at = ex.look_at.min(self.st.now + wait);
             self.look_again(place, at);
         }
@@ -797,7 +810,7 @@
 
     fn call_ended(
         &mut self,
-        id: ExId,
+        id: RequestId,
         outcome: CallOutcome,
         took: TenthMillis,
         actions: &mut Vec<Action>,
@@ -815,12 +828,12 @@
         }
         let ex = &self.st.exs[place];
         let group = &self.terms.groups[ex.group];
-        let repeatable = group.effect == Effect::Repeatable || outcome.proves_not_run();
+        let repeatable = group.effect == Effect::Idempotent || outcome.proves_not_run();
         if outcome == CallOutcome::Completed {
             self.back_to_work(place);
         } else if ex.answered {
             // Its end is on the way.
-        } else if group.skip_share > 0.0 {
+        } else if group.degraded_weight > 0.0 {
             actions.push(Action::SkipCall { id });
             self.back_to_work(place);
         } else if repeatable && ex.calls <= MORE_CALLS {
@@ -839,7 +852,11 @@
     /// What a call was given and did not use goes back; an abandoned one lingers below for a while.
     fn call_left(&mut self, place: Place, abandoned: bool) {
         let ex = &self.st.exs[place];
-        let lingers = if abandoned { self.terms.linger } else { 0 };
+        let lingers = if abandoned {
+            self.terms.abandoned_call_time
+        } else {
+            0
+        };
         self.st.call_budget += ex.call_given as f32 - (self.st.now - ex.called + lingers) as f32;
     }
 
@@ -847,7 +864,10 @@
     /// a part of the share flows in, the rest of the window may be saved up, and a call is charged beforehand
     /// with all that it may take.
     fn make_calls(&mut self, actions: &mut Vec<Action>) {
-        let (share, window) = (self.terms.calls_share, self.terms.calls_window as f32);
+        let (share, window) = (
+            self.terms.downstream_concurrency,
+            self.terms.downstream_window as f32,
+        );
         let most = share.map_or(f32::MAX, |s| (MARGIN - CALL_INFLOW) * s * window);
         let inflow = share.map_or(f32::MAX, |s| {
             CALL_INFLOW * s * (self.st.now - self.st.call_counted) as f32
@@ -858,10 +878,11 @@
             let waits = |x: &&Ex| x.id == id && x.stage == Stage::AtCall && !x.answered;
             if let Some(ex) = self.st.exs.get(place).filter(waits) {
                 // Where the call may be left out, it is given up while the rest can still be done in time.
-                let skips = self.terms.groups[ex.group].skip_share > 0.0;
+                let skips = self.terms.groups[ex.group].degraded_weight > 0.0;
                 let left = if skips { ex.slo_by } else { ex.due }.saturating_sub(self.st.now);
                 let left = if skips { left / 2 } else { left }.max(BEAT);
-                let kept = self.terms.linger as f32 + if skips { CALL_RESERVE * most } else { 0.0 };
+                let kept = self.terms.abandoned_call_time as f32
+                    + if skips { CALL_RESERVE * most } else { 0.0 };
                 let limit = left.min((self.st.call_budget - kept) as TenthMillis);
                 let enough = left
                     .min((CALL_TIMES * self.st.call_took).min((most - kept) / 2.0) as TenthMillis)
@@ -871,10 +892,13 @@
                 }
                 self.put(place, Stage::Calling);
                 let ex = &mut self.st.exs[place];
-                (ex.calls, ex.called, ex.call_given) =
-                    (ex.calls + 1, self.st.now, limit + self.terms.linger);
+                (ex.calls, ex.called, ex.call_given) = (
+                    ex.calls + 1,
+                    self.st.now,
+                    limit + self.terms.abandoned_call_time,
+                );
                 self.st.call_budget -= ex.call_given as f32;
-                actions.push(Action::Call { id, limit });
+                actions.push(Action::Call { id, timeout: limit });
             }
             self.st.call_queue.pop();
         }
@@ -909,8 +933,8 @@
             self.st.told_good = good;
             // Checks that do real work would add to the very overload they are to report.
             actions.push(Action::Health {
-                from_store: true,
-                good,
+                cached: true,
+                healthy: good,
             });
         }
     }
@@ -929,12 +953,12 @@
 
     /// With many callers most idle connections are never used again and fill the table, so they are closed
     /// early. A node that is overloaded with unread work lets the table fill: callers that find no room cost
-    /// nothing, while each exchange that it rejects costs a read and perhaps a new connection.
+    /// nothing, while each request that it rejects costs a read and perhaps a new connection.
     fn tell_idle_limit(&mut self, actions: &mut Vec<Action>) {
         let Some(links) = self.st.gauges.connections else {
             return;
         };
-        let most = (self.terms.idle_limit as f32).max(IDLE_LEAST);
+        let most = (self.terms.idle_timeout as f32).max(IDLE_LEAST);
         let most_links = if self.st.unknown_callers < UNKNOWN_CALLERS {
             LINKS_USED_AGAIN
         } else {
@@ -948,8 +972,8 @@
             next.clamp(IDLE_LEAST, most)
         };
         if next != self.st.idle_limit {
-            actions.push(Action::IdleLimit {
-                after: (next as TenthMillis).min(self.terms.idle_limit),
+            actions.push(Action::IdleTimeout {
+                timeout: (next as TenthMillis).min(self.terms.idle_timeout),
             });
         }
         self.st.idle_limit = next;
@@ -975,17 +999,19 @@
             .max()
             .unwrap_or(0)
             .max(1) as f32;
-        let said = match self.terms.level {
-            LevelKind::LowestRank => Some(level),
-            LevelKind::InHand if self.st.strain > CREDIT_FROM => Some(T1 * self.capacity / callers),
-            LevelKind::InHand if self.st.said > 0.0 => {
-                Some(self.terms.tip_multiple * self.terms.cores as f32)
+        let said = match self.terms.backpressure {
+            Backpressure::MinRank => Some(level),
+            Backpressure::Credits if self.st.strain > CREDIT_FROM => {
+                Some(T1 * self.capacity / callers)
+            }
+            Backpressure::Credits if self.st.said > 0.0 => {
+                Some(self.terms.overload_multiple * self.terms.cores as f32)
             }
             _ => None,
         };
         if let Some(level) = said.filter(|level| self.st.said != *level) {
             self.st.said = level;
-            actions.push(Action::Level { level });
+            actions.push(Action::Backpressure { value: level });
         }
         self.st.level = level;
         self.st.strain *= STRAIN_DECAY;
@@ -1001,7 +1027,7 @@
         let next = due.min(self.st.beat).max(self.st.now + 1);
         if self.st.armed <= self.st.now || next < self.st.armed {
             self.st.armed = next;
-            actions.push(Action::Alarm { at: next, token: 0 });
+            actions.push(Action::SetTimer { at: next, token: 0 });
         }
     }
 }
--- a/crates/admission/tests/cases.rs
+++ b/crates/admission/tests/cases.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{At, World, contract, exchange};
-use doortrack_admission::logic::Door;
+use doortrack_admission::AdmissionController;
 use doortrack_admission::*;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
@@ -20,9 +20,9 @@
 
 fn busy_node(cores: u32, seed: u64) -> World {
     let mut world = World::new(
-        ServiceContract {
+        AdmissionConfig {
             cores,
-            customers: Vec::new(),
+            tenant_quotas: Vec::new(),
             ..contract()
         },
         seed,
@@ -125,11 +125,11 @@
 #[test]
 fn calls_that_take_long_are_left_out_and_room_is_kept_for_dear_ones() {
     // Found on apsa-lahore: all queued in a slowed ledger, or light calls used up a small share.
-    let mut terms = ServiceContract {
-        calls_share: Some(1.0),
+    let mut terms = AdmissionConfig {
+        downstream_concurrency: Some(1.0),
         ..contract()
     };
-    terms.groups[0].skip_share = 0.6;
+    terms.groups[0].degraded_weight = 0.6;
     let mut world = World::new(terms, 1);
     let ids: Vec<_> = (0..4)
         .map(|i| world.arrive(if i < 3 { 0 } else { 2 }, i, 0, None, 1.0))
@@ -154,12 +154,12 @@
 #[test]
 fn odd_starts_and_odd_numbers_are_borne() {
     let (customers, calls_share) = (Vec::new(), Some(0.0));
-    let mut terms = ServiceContract {
+    let mut terms = AdmissionConfig {
         cores: 0,
-        warm_after: 0,
+        warm_up_time: 0,
         cold: true,
-        customers,
-        calls_share,
+        tenant_quotas: customers,
+        downstream_concurrency: calls_share,
         ..contract()
     };
     terms.groups.truncate(1);
@@ -170,14 +170,14 @@
         memory: Some(f32::NAN),
         ..Gauges::default()
     };
-    let odd = Exchange {
-        customer: 900,
-        kb: f32::NAN,
+    let odd = Request {
+        tenant: 900,
+        memory_kb: f32::NAN,
         rank: f32::NAN,
         ..exchange(70, 0)
     };
     let batch = [
-        Event::Alarm {
+        Event::Timer {
             token: 5,
             gauges: nan,
         },
@@ -201,7 +201,7 @@
 #[test]
 fn calls_that_return_together_do_not_crowd_a_cold_node() {
     let mut world = World::new(
-        ServiceContract {
+        AdmissionConfig {
             cold: true,
             ..contract()
         },
@@ -223,13 +223,13 @@
 #[test]
 fn a_customer_beyond_its_share_is_denied_from_the_first_threshold_on() {
     // Found on tigre-principal: one customer's surge took the places of all others.
-    let mut terms = ServiceContract {
+    let mut terms = AdmissionConfig {
         cores: 20,
-        customers: vec![10.0, 1000.0],
+        tenant_quotas: vec![10.0, 1000.0],
         nodes: 10,
         ..contract()
     };
-    terms.tip_multiple = 9.0;
+    terms.overload_multiple = 9.0;
     let mut world = World::new(terms, 1);
     world.pass(60 * MILLISECOND);
     let surge: Vec<_> = (0..17).map(|_| world.arrive(0, 3, 0, None, 1.0)).collect();
@@ -246,9 +246,9 @@
     runs: impl Iterator<Item = (TenthMillis, TenthMillis)>,
     hint: TenthMillis,
 ) -> bool {
-    let mut door = Door::new(
-        ServiceContract {
-            customers: Vec::new(),
+    let mut door = AdmissionController::new(
+        AdmissionConfig {
+            tenant_quotas: Vec::new(),
             ..contract()
         },
         1,
@@ -258,7 +258,7 @@
     for (id, (hint, took)) in (1..).zip(runs) {
         door.handle(
             now,
-            &[Event::Arrived(Exchange {
+            &[Event::Arrived(Request {
                 work_hint: Some(hint),
                 ..exchange(id, 0)
             })],
@@ -275,7 +275,7 @@
         );
     }
     actions.clear();
-    let last = Exchange {
+    let last = Request {
         work_hint: Some(hint),
         ..exchange(900, 0)
     };
@@ -288,9 +288,9 @@
 #[test]
 fn callers_are_told_their_part_of_what_is_wanted_in_hand_once_much_is_rejected() {
     // Found on quito-central: where callers heed a credit and no lowest rank, nothing was said to them.
-    let terms = ServiceContract {
-        level: LevelKind::InHand,
-        customers: Vec::new(),
+    let terms = AdmissionConfig {
+        backpressure: Backpressure::Credits,
+        tenant_quotas: Vec::new(),
         ..contract()
     };
     let mut world = World::new(terms, 1);
@@ -298,7 +298,7 @@
         let levels = world.done.iter().rev();
         levels
             .filter_map(|what| {
-                if let Action::Level { level } = what {
+                if let Action::Backpressure { value: level } = what {
                     Some(*level)
                 } else {
                     None
@@ -387,7 +387,7 @@
     world.pass(60 * MILLISECOND);
 }
 
-/// Sends one exchange of this key; whether it was rejected.
+/// Sends one request of this key; whether it was rejected.
 fn is_rejected(world: &mut World, key: u64) -> bool {
     let id = world.arrive(0, key, 0, None, 1.0);
     world.step();
@@ -399,11 +399,11 @@
 
 #[test]
 fn a_customer_with_a_small_share_at_a_node_is_within_it_until_it_sends_more() {
-    // Found on qld-da-portal: whoever had less than one exchange saved up counted as beyond its share.
+    // Found on qld-da-portal: whoever had less than one request saved up counted as beyond its share.
     let mut world = World::new(
-        ServiceContract {
+        AdmissionConfig {
             cores: 20,
-            customers: vec![20.0, 20.0],
+            tenant_quotas: vec![20.0, 20.0],
             nodes: 100,
             ..contract()
         },
@@ -428,9 +428,9 @@
 #[test]
 fn what_is_queued_beyond_a_share_keeps_nobody_out_that_is_within_one() {
     // Found on qld-da-portal: one customer at three times its share filled all queues, and all were rejected.
-    let terms = ServiceContract {
+    let terms = AdmissionConfig {
         cores: 2,
-        customers: vec![1000.0, 0.1],
+        tenant_quotas: vec![1000.0, 0.1],
         ..contract()
     };
     let mut world = World::new(terms, 1);
@@ -457,11 +457,11 @@
 
 #[test]
 fn one_runs_a_core_while_all_are_busy_and_more_where_some_are_idle() {
-    // Found on apsa-lahore: exchanges wait for a disk unseen; elsewhere more than one a core slow each other.
+    // Found on apsa-lahore: requests wait for a disk unseen; elsewhere more than one a core slow each other.
     let running = |busy| {
         let mut world = World::new(
-            ServiceContract {
-                customers: Vec::new(),
+            AdmissionConfig {
+                tenant_quotas: Vec::new(),
                 ..contract()
             },
             1,
@@ -498,8 +498,8 @@
 fn a_share_of_less_than_one_call_still_calls() {
     // Found on apsa-lahore grown: one call in five seconds, or a wait for more time than there can ever be.
     let mut world = World::new(
-        ServiceContract {
-            calls_share: Some(0.4),
+        AdmissionConfig {
+            downstream_concurrency: Some(0.4),
             ..contract()
         },
         1,
@@ -531,8 +531,8 @@
         "rejected at once, free to go elsewhere"
     );
     assert!(world.done.contains(&Action::Health {
-        from_store: true,
-        good: false
+        cached: true,
+        healthy: false
     }));
 }
 
@@ -540,7 +540,7 @@
 fn a_table_full_of_idle_connections_is_emptied_unless_the_node_drowns() {
     // Found on tigre-principal-later: a thousand callers each kept a connection that they never used again.
     let limit = |t: &Action| {
-        if let Action::IdleLimit { after } = t {
+        if let Action::IdleTimeout { timeout: after } = t {
             Some(*after)
         } else {
             None
@@ -548,7 +548,7 @@
     };
     let last = |world: &World| world.done.iter().rev().find_map(limit);
     let mut world = World::new(
-        ServiceContract {
+        AdmissionConfig {
             cores: 2,
             ..contract()
         },
@@ -580,7 +580,7 @@
     // Found on the days at full size: 200 nodes closed what 150 callers used again within seconds, and spent
     // a fifth of their cores on new connections.
     let limit = |t: &Action| {
-        if let Action::IdleLimit { after } = t {
+        if let Action::IdleTimeout { timeout: after } = t {
             Some(*after)
         } else {
             None
@@ -588,7 +588,7 @@
     };
     let last = |world: &World| world.done.iter().rev().find_map(limit);
     let mut world = World::new(
-        ServiceContract {
+        AdmissionConfig {
             cores: 6,
             ..contract()
         },
@@ -648,8 +648,8 @@
 fn what_a_budget_holds_back_is_denied_with_its_wait_and_a_repeat_never() {
     let mut world = World::new(contract(), 1);
     let mut actions = Vec::new();
-    let held = |id, group| Exchange {
-        held_back: Some(70 * MILLISECOND),
+    let held = |id, group| Request {
+        budget_retry_after: Some(70 * MILLISECOND),
         ..exchange(id, group)
     };
     let deduplicated = contract()
@@ -663,15 +663,15 @@
     assert!(
         actions.contains(&Action::Reject {
             id: 70,
-            not_elsewhere: false,
+            no_retry_elsewhere: false,
             retry_after: 70 * MILLISECOND
         }),
         "{actions:?}"
     );
     actions.clear();
     let first = Event::Arrived(exchange(71, deduplicated));
-    let again = Exchange {
-        repeats: Some(71),
+    let again = Request {
+        duplicate_of: Some(71),
         ..held(72, deduplicated)
     };
     world
--- a/crates/admission/tests/cold.rs
+++ b/crates/admission/tests/cold.rs
@@ -8,26 +8,26 @@
 use doortrack_time::{MILLISECOND, TenthMillis};
 
 const CALLERS: u64 = 30;
-/// Exchanges that each caller sends at once.
+/// Requests that each caller sends at once.
 const EACH: usize = 10;
 const SLO_TIME: TenthMillis = 1500 * MILLISECOND;
 
 /// A node of four cores that survives few runs while it is cold: 3 at first, by its margin of a tenth.
-fn cold() -> ServiceContract {
-    ServiceContract {
+fn cold() -> AdmissionConfig {
+    AdmissionConfig {
         cold: true,
-        start_speed: 0.05,
-        tip_multiple: 2.0,
-        customers: Vec::new(),
+        initial_speed: 0.05,
+        overload_multiple: 2.0,
+        tenant_quotas: Vec::new(),
         ..contract()
     }
 }
 
 /// Runs that a cold node is allowed to have at once after `age`.
-fn allowed(terms: &ServiceContract, age: TenthMillis) -> usize {
-    let warmth = (age as f32 / terms.warm_after as f32).min(1.0);
-    let speed = terms.start_speed + (1.0 - terms.start_speed) * warmth;
-    ((1.0 + (terms.tip_multiple - 1.0) * speed) * terms.cores as f32) as usize
+fn allowed(terms: &AdmissionConfig, age: TenthMillis) -> usize {
+    let warmth = (age as f32 / terms.warm_up_time as f32).min(1.0);
+    let speed = terms.initial_speed + (1.0 - terms.initial_speed) * warmth;
+    ((1.0 + (terms.overload_multiple - 1.0) * speed) * terms.cores as f32) as usize
 }
 
 fn count(world: &World, at: At) -> usize {
@@ -124,7 +124,7 @@
     world.pass(60 * MILLISECOND);
     let (mut age, mut served) = (60 * MILLISECOND, Vec::new());
     // Once a second, for twice the time in which the node warms up.
-    while age < 2 * terms.warm_after {
+    while age < 2 * terms.warm_up_time {
         flood(&mut world, true);
         let running = count(&world, At::Running);
         assert!(
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -3,62 +3,62 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use doortrack_admission::logic::Door;
+use doortrack_admission::AdmissionController;
 use doortrack_admission::*;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
-pub fn contract() -> ServiceContract {
+pub fn contract() -> AdmissionConfig {
     let group = |effect, calls| EndpointGroup {
         effect,
-        slo_time: 1500 * MILLISECOND,
-        slo_stretch: 0.0,
+        latency_objective: 1500 * MILLISECOND,
+        objective_per_work: 0.0,
         deadline: 4000 * MILLISECOND,
-        window: 6000 * MILLISECOND,
-        benefit: 1.0,
-        late_share: 0.0,
-        skip_share: 0.0,
-        calls,
+        dedup_window: 6000 * MILLISECOND,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        degraded_weight: 0.0,
+        calls_downstream: calls,
     };
-    ServiceContract {
+    AdmissionConfig {
         cores: 4,
         memory_kb: 20_000.0,
-        run_factor: 8.0,
+        run_memory_factor: 8.0,
         record_kb: 100.0,
         groups: vec![
-            group(Effect::Repeatable, true),
+            group(Effect::Idempotent, true),
             group(Effect::Deduplicated, true),
             group(Effect::Mutating, true),
         ],
-        customers: vec![50.0, 20.0],
-        over_share: 0.05,
-        by_work: false,
+        tenant_quotas: vec![50.0, 20.0],
+        over_quota_weight: 0.05,
+        weight_per_work: false,
         nodes: 10,
-        stop: StopKind::Drop,
-        level: LevelKind::LowestRank,
-        level_lasts: 1000 * MILLISECOND,
-        fresh: 0,
-        calls_share: None,
-        calls_window: 5000 * MILLISECOND,
-        linger: 200 * MILLISECOND,
+        cancellation: Cancellation::Drop,
+        backpressure: Backpressure::MinRank,
+        backpressure_ttl: 1000 * MILLISECOND,
+        max_staleness: 0,
+        downstream_concurrency: None,
+        downstream_window: 5000 * MILLISECOND,
+        abandoned_call_time: 200 * MILLISECOND,
         cold: false,
-        start_speed: 0.25,
-        warm_after: 10_000 * MILLISECOND,
-        tip_multiple: 5.0,
-        crowd_window: 2000 * MILLISECOND,
+        initial_speed: 0.25,
+        warm_up_time: 10_000 * MILLISECOND,
+        overload_multiple: 5.0,
+        overload_window: 2000 * MILLISECOND,
         drain_grace: 1000 * MILLISECOND,
-        idle_limit: 30_000 * MILLISECOND,
-        longest_retry_after: 1000 * MILLISECOND,
+        idle_timeout: 30_000 * MILLISECOND,
+        max_retry_after: 1000 * MILLISECOND,
         tick: 2 * MILLISECOND,
     }
 }
 
-pub fn exchange(id: ExId, group: u8) -> Exchange {
-    Exchange {
+pub fn exchange(id: RequestId, group: u8) -> Request {
+    Request {
         id,
         group,
-        kb: 40.0,
+        memory_kb: 40.0,
         rank: 0.5,
-        ..Exchange::default()
+        ..Request::default()
     }
 }
 
@@ -66,7 +66,7 @@
 pub enum At {
     #[default]
     Queued,
-    Attached(ExId),
+    Attached(RequestId),
     Running,
     Waiting,
     Calling,
@@ -89,33 +89,36 @@
     pub given_up: TenthMillis,
     pub may_call: bool,
     /// The try that this one was told to repeat.
-    pub prior: Option<ExId>,
+    pub prior: Option<RequestId>,
 }
 
 pub struct World {
-    pub door: Door,
-    pub terms: ServiceContract,
+    pub door: AdmissionController,
+    pub terms: AdmissionConfig,
     pub now: TenthMillis,
-    pub items: BTreeMap<ExId, Item>,
+    pub items: BTreeMap<RequestId, Item>,
     pub events: Vec<Event>,
     pub alarms: BTreeSet<TenthMillis>,
     pub busy: f32,
     pub links: f32,
     /// Who sends what arrives.
     pub caller: u64,
-    /// Entries of the table: idempotency key, exchange, end.
-    pub table: Vec<(u64, ExId, TenthMillis)>,
+    /// Entries of the table: idempotency key, request, end.
+    pub table: Vec<(u64, RequestId, TenthMillis)>,
     /// Calls in the hands of what lies below: from, to.
     calls: Vec<(TenthMillis, TenthMillis)>,
     pub leave: Option<(TenthMillis, TenthMillis)>,
     born: TenthMillis,
-    next_id: ExId,
+    next_id: RequestId,
     pub done: Vec<Action>,
 }
 
 impl World {
-    pub fn new(terms: ServiceContract, seed: u64) -> World {
-        let (born, door) = (60_000 * MILLISECOND, Door::new(terms.clone(), seed));
+    pub fn new(terms: AdmissionConfig, seed: u64) -> World {
+        let (born, door) = (
+            60_000 * MILLISECOND,
+            AdmissionController::new(terms.clone(), seed),
+        );
         let events = vec![Event::Started];
         let (items, alarms, table, calls, done) = Default::default();
         let (now, busy, links, leave, next_id) = (born, 1.0, 1.0, None, 1);
@@ -140,7 +143,7 @@
         world
     }
 
-    /// Reads one exchange into the node; a repeat of its idempotency key is linked as the node's table says.
+    /// Reads one request into the node; a repeat of its idempotency key is linked as the node's table says.
     pub fn arrive(
         &mut self,
         group: u8,
@@ -148,14 +151,14 @@
         age: TenthMillis,
         passed: Option<TenthMillis>,
         kb: f32,
-    ) -> ExId {
+    ) -> RequestId {
         let id = self.next_id;
         self.next_id += 1;
         let terms = &self.terms.groups[group as usize];
         let arrived = self.now - age;
         let due = passed.map_or(arrived + terms.deadline, |left| self.now + left);
         let deduplicated = terms.effect == Effect::Deduplicated;
-        let here = |i: &ExId| self.items[i].ran || self.items[i].at == At::Queued;
+        let here = |i: &RequestId| self.items[i].ran || self.items[i].at == At::Queued;
         let entry = self
             .table
             .iter()
@@ -165,14 +168,14 @@
             .map(|(_, i, _)| *i)
             .or_else(|| self.in_batch(group, key))
             .filter(|_| deduplicated);
-        let ex = Exchange {
-            subject: if deduplicated { 0 } else { key },
-            due: passed.map(|left| self.now + left),
-            customer: (key % 3) as u16,
+        let ex = Request {
+            session_key: if deduplicated { 0 } else { key },
+            deadline: passed.map(|left| self.now + left),
+            tenant: (key % 3) as u16,
             caller: self.caller,
-            kb,
+            memory_kb: kb,
             age,
-            repeats,
+            duplicate_of: repeats,
             ..exchange(id, group)
         };
         self.events.push(Event::Arrived(ex));
@@ -193,7 +196,7 @@
     }
 
     /// A try of the same idempotency key that is read in the same batch.
-    fn in_batch(&self, group: u8, key: u64) -> Option<ExId> {
+    fn in_batch(&self, group: u8, key: u64) -> Option<RequestId> {
         self.events.iter().rev().find_map(|event| match event {
             Event::Arrived(ex)
                 if ex.group == group && self.items[&ex.id].idempotency_key == key =>
@@ -205,25 +208,25 @@
     }
 
     /// Two tries of one idempotency key in one batch, each naming the other.
-    pub fn arrive_together(&mut self, group: u8, key: u64) -> (ExId, ExId) {
+    pub fn arrive_together(&mut self, group: u8, key: u64) -> (RequestId, RequestId) {
         let (a, b) = (
             self.arrive(group, key, 0, None, 30.0),
             self.arrive(group, key, 0, None, 30.0),
         );
         for event in &mut self.events {
             if let Event::Arrived(ex) = event
-                && ex.repeats.is_none()
+                && ex.duplicate_of.is_none()
                 && [a, b].contains(&ex.id)
             {
-                ex.repeats = Some(if ex.id == a { b } else { a });
-                self.items.get_mut(&ex.id).unwrap().prior = ex.repeats;
+                ex.duplicate_of = Some(if ex.id == a { b } else { a });
+                self.items.get_mut(&ex.id).unwrap().prior = ex.duplicate_of;
             }
         }
         (a, b)
     }
 
-    pub fn pick(&self, at: At, n: u32) -> Option<ExId> {
-        let here: Vec<ExId> = self
+    pub fn pick(&self, at: At, n: u32) -> Option<RequestId> {
+        let here: Vec<RequestId> = self
             .items
             .iter()
             .filter(|(_, x)| x.at == at)
@@ -232,35 +235,36 @@
         (!here.is_empty()).then(|| here[n as usize % here.len()])
     }
 
-    pub fn finish(&mut self, id: ExId, outcome: RunOutcome) {
+    pub fn finish(&mut self, id: RequestId, outcome: RunOutcome) {
         let item = self.items.get_mut(&id).unwrap();
         (item.at, item.owed, item.completed) = (At::Over, false, outcome == RunOutcome::Completed);
         if let Some(from) = item.called.take() {
-            self.calls.push((from, self.now + self.terms.linger));
+            self.calls
+                .push((from, self.now + self.terms.abandoned_call_time));
         }
         self.events.push(Event::RunEnded { id, outcome });
     }
 
-    pub fn need_call(&mut self, id: ExId) {
+    pub fn need_call(&mut self, id: RequestId) {
         let item = self.items.get_mut(&id).unwrap();
         if !item.owed {
-            return self.finish(id, RunOutcome::Stopped);
+            return self.finish(id, RunOutcome::Cancelled);
         }
         item.at = At::Waiting;
-        self.events.push(Event::NeedsCall { id });
+        self.events.push(Event::CallRequired { id });
     }
 
-    pub fn end_call(&mut self, id: ExId, outcome: CallOutcome) {
+    pub fn end_call(&mut self, id: RequestId, outcome: CallOutcome) {
         let item = self.items.get_mut(&id).unwrap();
         let from = item.called.take().unwrap();
         let lingers = if outcome == CallOutcome::TimedOut {
-            self.terms.linger
+            self.terms.abandoned_call_time
         } else {
             0
         };
         self.calls.push((from, self.now + lingers));
         let effect = self.terms.groups[item.group].effect;
-        item.may_call = effect == Effect::Repeatable || outcome.proves_not_run();
+        item.may_call = effect == Effect::Idempotent || outcome.proves_not_run();
         item.at = if outcome == CallOutcome::Completed {
             At::Running
         } else {
@@ -270,16 +274,16 @@
         self.events.push(Event::CallEnded {
             id,
             outcome,
-            took: self.now - from,
+            duration: self.now - from,
         });
     }
 
-    pub fn caller_gone(&mut self, id: ExId) {
+    pub fn caller_gone(&mut self, id: RequestId) {
         let item = self.items.get_mut(&id).unwrap();
         item.owed = false;
         match item.at {
             At::Queued | At::Attached(_) => item.at = At::Over,
-            At::Waiting | At::Calling => self.finish(id, RunOutcome::Stopped),
+            At::Waiting | At::Calling => self.finish(id, RunOutcome::Cancelled),
             _ => {}
         }
         self.events.push(Event::CallerGone { id });
@@ -308,7 +312,7 @@
                 connections,
                 ..Gauges::default()
             };
-            self.events.push(Event::Alarm { token: 0, gauges });
+            self.events.push(Event::Timer { token: 0, gauges });
             self.step();
         }
         self.now = self.now.max(end.next_multiple_of(self.terms.tick));
@@ -371,7 +375,7 @@
                 {
                     let again = group.effect == Effect::Deduplicated && y.ran;
                     assert!(
-                        !again || x.arrived > y.arrived + group.window,
+                        !again || x.arrived > y.arrived + group.dedup_window,
                         "{id} runs again after {other}"
                     );
                 }
@@ -386,7 +390,7 @@
                 if x.at == At::Over {
                     return; // It was over before this batch was answered: harmless.
                 }
-                let kept = self.terms.groups[x.group].effect != Effect::Repeatable;
+                let kept = self.terms.groups[x.group].effect != Effect::Idempotent;
                 assert!(
                     !(rejected && kept && x.ran),
                     "{id} was rejected after it ran"
@@ -394,13 +398,13 @@
                 x.owed = false;
                 match x.at {
                     At::Queued | At::Attached(_) => x.at = At::Over,
-                    At::Waiting | At::Calling => self.finish(id, RunOutcome::Stopped),
+                    At::Waiting | At::Calling => self.finish(id, RunOutcome::Cancelled),
                     _ => {}
                 }
             }
-            Action::Stop { id } => {
+            Action::Cancel { id } => {
                 assert!(
-                    self.terms.stop != StopKind::Never,
+                    self.terms.cancellation != Cancellation::Unsupported,
                     "stop where nothing can be stopped"
                 );
                 let x = &self.items[&id];
@@ -409,10 +413,10 @@
                     "{id} was stopped before it was answered"
                 );
                 if x.at == At::Running {
-                    self.finish(id, RunOutcome::Stopped);
+                    self.finish(id, RunOutcome::Cancelled);
                 }
             }
-            Action::Call { id, limit } => {
+            Action::Call { id, timeout: limit } => {
                 let x = self.items.get_mut(&id).unwrap();
                 assert!(
                     x.at == At::Waiting && x.may_call && limit > 0,
@@ -423,10 +427,10 @@
             }
             Action::SkipCall { id } => {
                 let x = self.items.get_mut(&id).unwrap();
-                assert!(x.at == At::Waiting && self.terms.groups[x.group].skip_share > 0.0);
+                assert!(x.at == At::Waiting && self.terms.groups[x.group].degraded_weight > 0.0);
                 x.at = At::Running;
             }
-            Action::Record { id, lasting } => {
+            Action::Record { id, ttl: lasting } => {
                 self.table
                     .push((self.items[&id].idempotency_key, id, now + lasting))
             }
@@ -438,25 +442,25 @@
                 }
                 x.at = At::Attached(x.prior.expect("attached with nothing to repeat"));
             }
-            Action::Alarm { at, .. } => {
+            Action::SetTimer { at, .. } => {
                 assert!(at > now, "alarm in the past");
                 self.alarms.insert(at);
             }
-            Action::Health { .. } | Action::Level { .. } | Action::IdleLimit { .. } => {}
+            Action::Health { .. } | Action::Backpressure { .. } | Action::IdleTimeout { .. } => {}
         }
     }
 
     fn check(&self) {
         let live = self.items.values().filter(|x| x.at != At::Over);
         let on_cores = live.clone().filter(|x| x.at == At::Running).count() as f32;
-        let warmth = (self.now - self.born) as f32 / self.terms.warm_after as f32;
+        let warmth = (self.now - self.born) as f32 / self.terms.warm_up_time as f32;
         let warmth = if self.terms.cold {
             warmth.min(1.0)
         } else {
             1.0
         };
-        let speed = self.terms.start_speed + (1.0 - self.terms.start_speed) * warmth;
-        let crowd = (1.0 + (self.terms.tip_multiple - 1.0) * speed) * self.terms.cores as f32;
+        let speed = self.terms.initial_speed + (1.0 - self.terms.initial_speed) * warmth;
+        let crowd = (1.0 + (self.terms.overload_multiple - 1.0) * speed) * self.terms.cores as f32;
         assert!(
             on_cores <= crowd,
             "fall-over: {on_cores} on the cores, {crowd} survived"
@@ -471,18 +475,18 @@
                 * if matches!(x.at, At::Queued | At::Attached(_)) {
                     1.0
                 } else {
-                    self.terms.run_factor
+                    self.terms.run_memory_factor
                 }
         });
         assert!(memory <= self.terms.memory_kb, "fall-over: memory {memory}");
-        if let Some(share) = self.terms.calls_share {
-            let from = self.now.saturating_sub(self.terms.calls_window);
+        if let Some(share) = self.terms.downstream_concurrency {
+            let from = self.now.saturating_sub(self.terms.downstream_window);
             let open = live.filter_map(|x| x.called.map(|start| (start, self.now)));
             let span = |(a, b): (TenthMillis, TenthMillis)| {
                 b.min(self.now).saturating_sub(a.max(from)) as f32
             };
             let sum: f32 = self.calls.iter().copied().chain(open).map(span).sum();
-            let mean = sum / self.terms.calls_window as f32;
+            let mean = sum / self.terms.downstream_window as f32;
             assert!(
                 mean <= share * 1.0001,
                 "fall-over: {mean} calls below, share {share}"
--- a/crates/admission/tests/pinned.rs
+++ b/crates/admission/tests/pinned.rs
@@ -18,46 +18,50 @@
 const PINNED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/pinned.txt");
 
 /// Settings drawn from the seed: every kind of stop and of the free value, with and without each limit.
-fn settings(rng: &mut Rng) -> ServiceContract {
+fn settings(rng: &mut Rng) -> AdmissionConfig {
     let base = contract();
-    let mut terms = ServiceContract {
+    let mut terms = AdmissionConfig {
         cores: rng.u32(1..9),
         memory_kb: rng.choice([3_000.0, 20_000.0, 200_000.0]).unwrap(),
-        customers: vec![rng.choice([0.5, 8.0, 50.0]).unwrap(), 20.0],
-        over_share: rng.choice([0.0, 0.05, 0.6]).unwrap(),
-        by_work: rng.bool(),
+        tenant_quotas: vec![rng.choice([0.5, 8.0, 50.0]).unwrap(), 20.0],
+        over_quota_weight: rng.choice([0.0, 0.05, 0.6]).unwrap(),
+        weight_per_work: rng.bool(),
         nodes: rng.choice([1, 10, 300]).unwrap(),
-        stop: rng
-            .choice([StopKind::Never, StopKind::Drop, StopKind::Pause])
+        cancellation: rng
+            .choice([
+                Cancellation::Unsupported,
+                Cancellation::Drop,
+                Cancellation::Pause,
+            ])
             .unwrap(),
-        level: rng
+        backpressure: rng
             .choice([
-                LevelKind::None,
-                LevelKind::LowestRank,
-                LevelKind::InHand,
-                LevelKind::Odds,
+                Backpressure::None,
+                Backpressure::MinRank,
+                Backpressure::Credits,
+                Backpressure::Weight,
             ])
             .unwrap(),
-        calls_share: rng
+        downstream_concurrency: rng
             .choice([None, Some(0.0), Some(0.4), Some(1.5), Some(12.0)])
             .unwrap(),
         cold: rng.bool(),
-        tip_multiple: rng.choice([1.5, 2.0, 5.0, 8.0]).unwrap(),
-        longest_retry_after: rng.choice([0, 1000 * MILLISECOND]).unwrap(),
+        overload_multiple: rng.choice([1.5, 2.0, 5.0, 8.0]).unwrap(),
+        max_retry_after: rng.choice([0, 1000 * MILLISECOND]).unwrap(),
         ..base
     };
     for group in &mut terms.groups {
-        group.slo_time = rng.choice([400 * MILLISECOND, 1500 * MILLISECOND]).unwrap();
-        group.slo_stretch = rng.choice([0.0, 2.0]).unwrap();
-        group.benefit = rng.choice([0.2, 1.0, 4.0]).unwrap();
-        group.late_share = rng.choice([0.0, 0.5]).unwrap();
+        group.latency_objective = rng.choice([400 * MILLISECOND, 1500 * MILLISECOND]).unwrap();
+        group.objective_per_work = rng.choice([0.0, 2.0]).unwrap();
+        group.priority_weight = rng.choice([0.2, 1.0, 4.0]).unwrap();
+        group.late_weight = rng.choice([0.0, 0.5]).unwrap();
     }
-    // A call may be left out of repeatable exchanges alone: the world takes a later one for the same call.
-    terms.groups[0].skip_share = rng.choice([0.0, 0.4]).unwrap();
+    // A call may be left out of repeatable requests alone: the world takes a later one for the same call.
+    terms.groups[0].degraded_weight = rng.choice([0.0, 0.4]).unwrap();
     terms
 }
 
-/// Reads one exchange with what a front end may pass on of it.
+/// Reads one request with what a front end may pass on of it.
 fn arrive(world: &mut World, rng: &mut Rng) {
     world.caller = rng.u64(1..40);
     let due = rng.bool().then(|| rng.u64(0..5_000) * MILLISECOND);
@@ -75,22 +79,22 @@
         read.work_hint = rng.bool().then(|| rng.u64(1..900) * MILLISECOND);
         read.rank = rng.f32();
         read.retry = rng.u8(0..5) == 0;
-        read.held_back = (rng.u8(0..25) == 0).then(|| rng.u64(1..2_000) * MILLISECOND);
+        read.budget_retry_after = (rng.u8(0..25) == 0).then(|| rng.u64(1..2_000) * MILLISECOND);
     }
 }
 
 fn end_call(world: &mut World, rng: &mut Rng) {
-    use CallOutcome::{Bounced, Completed, Dropped, Failed, TimedOut, Unreachable};
+    use CallOutcome::{Completed, ConnectionLost, Failed, Rejected, TimedOut, Unreachable};
     let outcome = rng
         .choice([
             Completed,
             Completed,
             Completed,
             Failed,
-            Bounced,
+            Rejected,
             TimedOut,
             Unreachable,
-            Dropped,
+            ConnectionLost,
         ])
         .unwrap();
     if let Some(id) = world.pick(At::Calling, rng.u32(..)) {
@@ -141,22 +145,25 @@
         Action::Run { id } => format!("run {id}"),
         Action::Reject {
             id,
-            not_elsewhere,
+            no_retry_elsewhere: not_elsewhere,
             retry_after,
         } => {
             format!("reject {id} {not_elsewhere} {retry_after}")
         }
         Action::Fail { id } => format!("fail {id}"),
-        Action::Stop { id } => format!("stop {id}"),
-        Action::Call { id, limit } => format!("call {id} {limit}"),
+        Action::Cancel { id } => format!("stop {id}"),
+        Action::Call { id, timeout: limit } => format!("call {id} {limit}"),
         Action::SkipCall { id } => format!("skip {id}"),
-        Action::Record { id, lasting } => format!("record {id} {lasting}"),
+        Action::Record { id, ttl: lasting } => format!("record {id} {lasting}"),
         Action::Forget { id } => format!("forget {id}"),
         Action::Attach { id } => format!("attach {id}"),
-        Action::Health { from_store, good } => format!("health {from_store} {good}"),
-        Action::Level { level } => format!("level {:08x}", level.to_bits()),
-        Action::IdleLimit { after } => format!("idle {after}"),
-        Action::Alarm { at, token } => format!("alarm {at} {token}"),
+        Action::Health {
+            cached: from_store,
+            healthy: good,
+        } => format!("health {from_store} {good}"),
+        Action::Backpressure { value: level } => format!("level {:08x}", level.to_bits()),
+        Action::IdleTimeout { timeout: after } => format!("idle {after}"),
+        Action::SetTimer { at, token } => format!("alarm {at} {token}"),
     }
 }
 
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -10,13 +10,23 @@
 
 /// What differs between starts: how work stops, warmth, share of calls, benefit without a call and late,
 /// memory, whether due times are passed, whether leaving callers are told, and the seed.
-type Start = (StopKind, bool, Option<f32>, f32, f32, f32, bool, bool, u64);
+type Start = (
+    Cancellation,
+    bool,
+    Option<f32>,
+    f32,
+    f32,
+    f32,
+    bool,
+    bool,
+    u64,
+);
 
 fn starts() -> impl Strategy<Value = Start> {
     let stop = prop_oneof![
-        Just(StopKind::Never),
-        Just(StopKind::Drop),
-        Just(StopKind::Pause)
+        Just(Cancellation::Unsupported),
+        Just(Cancellation::Drop),
+        Just(Cancellation::Pause)
     ];
     let share = prop_oneof![
         Just(None),
@@ -41,18 +51,18 @@
 
 fn world(start: &Start) -> World {
     let (stop, cold, calls_share, skip_share, late_share, memory_kb, ..) = *start;
-    let mut terms = ServiceContract {
-        stop,
+    let mut terms = AdmissionConfig {
+        cancellation: stop,
         cold,
-        calls_share,
+        downstream_concurrency: calls_share,
         memory_kb,
         ..contract()
     };
-    terms.groups[0].skip_share = skip_share;
+    terms.groups[0].degraded_weight = skip_share;
     terms
         .groups
         .iter_mut()
-        .for_each(|g| g.late_share = late_share);
+        .for_each(|g| g.late_weight = late_share);
     World::new(terms, start.8)
 }
 
@@ -94,10 +104,10 @@
                 Completed,
                 Completed,
                 Failed,
-                Bounced,
+                Rejected,
                 TimedOut,
                 Unreachable,
-                Dropped,
+                ConnectionLost,
             ];
             let outcome = outcomes[n as usize / 16 % 8];
             world
@@ -122,15 +132,15 @@
             if world.items.get(&id).is_none_or(|x| x.at == At::Over) {
                 world.events.push(Event::RunEnded {
                     id,
-                    outcome: RunOutcome::Moot,
+                    outcome: RunOutcome::NotStarted,
                 });
                 world.events.push(Event::CallEnded {
                     id,
-                    outcome: CallOutcome::Moot,
-                    took: 1,
+                    outcome: CallOutcome::NotStarted,
+                    duration: 1,
                 });
                 world.events.push(Event::CallerGone { id });
-                world.events.push(Event::NeedsCall { id });
+                world.events.push(Event::CallRequired { id });
             }
         }
         _ => {}
@@ -177,7 +187,7 @@
 fn same_input_same_output() {
     let run = || {
         let start = (
-            StopKind::Drop,
+            Cancellation::Drop,
             true,
             Some(1.5),
             0.5,
--- a/crates/bench/src/bin/bad-servers.rs
+++ b/crates/bench/src/bin/bad-servers.rs
@@ -21,7 +21,7 @@
     /// The program
     #[arg(long, default_value = "target/release/doortrack")]
     node: PathBuf,
-    /// Exchanges a second
+    /// Requests a second
     #[arg(long, default_value_t = 200.0)]
     rate: f64,
     /// Seconds of each play; the first quarter is sound, then one server, or all, are bad until the last
@@ -93,7 +93,7 @@
     })
 }
 
-/// One exchange: its part of the play, from 0 to 1, and whether it was completed in time.
+/// One request: its part of the play, from 0 to 1, and whether it was completed in time.
 type Told = (f64, bool);
 
 fn play(
@@ -112,7 +112,7 @@
     let mut plan = Plan::new(&words.node);
     let at = plan.port(9091);
     plan.config["settings"]["family_info"]["cores"] = json!(64);
-    // Entries of deduplicated exchanges are not to run out.
+    // Entries of deduplicated requests are not to run out.
     plan.config["settings"]["family_info"]["memory_kb"] = json!(10_000_000);
     plan.config["stop_ms"] = json!(1500);
     let addresses: Vec<String> = servers.iter().map(|server| server.at.to_string()).collect();
--- a/crates/bench/src/bin/reload.rs
+++ b/crates/bench/src/bin/reload.rs
@@ -40,7 +40,7 @@
     /// Seconds with changes, and as many without
     #[arg(long, default_value_t = 20)]
     seconds: u32,
-    /// Deadline of every exchange
+    /// Deadline of every request
     #[arg(long, default_value_t = 30_000)]
     deadline_ms: u64,
     /// Changes one right after the other; memory is read after 10 and after all
--- a/crates/bench/src/bin/storm.rs
+++ b/crates/bench/src/bin/storm.rs
@@ -18,7 +18,7 @@
 /// Runs that the server does at once, and what one takes.
 const SLOTS: u32 = 4;
 const WORK: Duration = Duration::from_millis(20);
-/// Exchanges a second, of the 200 that the server can do.
+/// Requests a second, of the 200 that the server can do.
 const OFFERED: u64 = 120;
 const CALLERS: u64 = 120;
 /// The server stands still from and till; what counts is from there on.
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! The callers: closed loop, or open loop whose latencies count from when an exchange was due to begin, so
+//! The callers: closed loop, or open loop whose latencies count from when a request was due to begin, so
 //! that a node that stands still is charged for all that would have come meanwhile.
 
 use std::io::{self, ErrorKind, Read, Write};
@@ -19,7 +19,7 @@
 
 #[derive(Clone, Copy)]
 pub enum Pace {
-    /// So many exchanges in hand at once.
+    /// So many requests in hand at once.
     Closed(usize),
     /// So many begun a second, at times drawn by chance.
     Open(f64),
@@ -92,7 +92,7 @@
     sock: TcpStream,
     out: Vec<u8>,
     written: usize,
-    /// Exchanges in hand: id, when it was due, and the start of its answer.
+    /// Requests in hand: id, when it was due, and the start of its answer.
     hand: Vec<(u16, Instant, Vec<u8>)>,
     reader: ReplySplitter,
     next_id: u16,
@@ -104,7 +104,7 @@
     at: SocketAddr,
     protocol: Protocol,
     pace: Pace,
-    /// Mean time between exchanges of this thread.
+    /// Mean time between requests of this thread.
     every: Duration,
     template: Template,
     poller: Poller,
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -17,7 +17,7 @@
 use crate::report::{Row, print, write};
 use crate::target::{Behind, Target};
 
-/// Plays load against nodes in turn, and tells exchanges a second, latency and time on the core.
+/// Plays load against nodes in turn, and tells requests a second, latency and time on the core.
 ///
 /// Each node is started anew for each round, on a core of its own, with work behind it that takes no time.
 /// Rounds go through all nodes, fronts and kinds of work in turn, so that what the machine does besides
@@ -35,14 +35,14 @@
     /// What does the work
     #[arg(long = "work", value_enum, default_values = ["engine"])]
     works: Vec<WorkWord>,
-    /// Exchanges a second, begun at their times whatever the node does; absent: as many as it takes, from a
+    /// Requests a second, begun at their times whatever the node does; absent: as many as it takes, from a
     /// fixed number of callers that each wait for their answer
     #[arg(long, value_name = "A_SECOND")]
     open: Option<f64>,
-    /// Exchanges in hand at once where the loop is closed
+    /// Requests in hand at once where the loop is closed
     #[arg(long, default_value_t = 64)]
     callers: usize,
-    /// Connections, where a protocol has many exchanges on one
+    /// Connections, where a protocol has many requests on one
     #[arg(long, default_value_t = 8)]
     connections: usize,
     /// Threads that play the callers
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -19,7 +19,7 @@
     pub median_us: u64,
     pub p99_us: u64,
     pub p999_us: u64,
-    /// Time of the node on its core for each exchange, and share of the core.
+    /// Time of the node on its core for each request, and share of the core.
     pub cpu_us: f64,
     pub busy: f64,
     pub memory_kb: u64,
--- a/crates/bench/src/request.rs
+++ b/crates/bench/src/request.rs
@@ -1,4 +1,4 @@
-//! A request written once and stamped for each exchange, so that the callers cost little.
+//! A request written once and stamped for each request, so that the callers cost little.
 
 use doortrack_fakes::caller::Ask;
 use doortrack_protocols::Protocol;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Appends the request of one exchange; `unix_ms` has thirteen digits for a while yet.
+    /// Appends the request of one request; `unix_ms` has thirteen digits for a while yet.
     pub fn stamp(&self, out: &mut Vec<u8>, id: u16, try_id: u64, unix_ms: u64) {
         let from = out.len();
         out.extend(&self.bytes);
--- a/crates/bench/src/target.rs
+++ b/crates/bench/src/target.rs
@@ -95,7 +95,7 @@
         nodes: usize,
     ) -> io::Result<Target> {
         let mut plan = Plan::new(program);
-        // Nothing is to be rejected: what is measured is the way of an exchange, not the decision on it.
+        // Nothing is to be rejected: what is measured is the way of a request, not the decision on it.
         plan.config["settings"]["family_info"]["cores"] = json!(1000);
         plan.config["settings"]["family_info"]["memory_kb"] = json!(10_000_000);
         plan.config["settings"]["family_info"]["keepalive_max"] = json!(3_600_000_000u64);
--- a/crates/config/src/orders.rs
+++ b/crates/config/src/orders.rs
@@ -49,9 +49,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Room {
     pub connections: usize,
-    /// Exchanges open at once, each with its parameters and body.
+    /// Requests open at once, each with its parameters and body.
     pub open: usize,
-    /// Entries of the table of deduplicated exchanges, and bytes of results in it.
+    /// Entries of the table of deduplicated requests, and bytes of results in it.
     pub entries: usize,
     pub result_bytes: usize,
     /// Bytes of answers that dispatchers have not read.
@@ -228,7 +228,11 @@
     let needs = [
         (handed.calls_below, "below: calls to what lies below"),
         (
-            handed.contract.groups.iter().any(|group| group.calls),
+            handed
+                .contract
+                .groups
+                .iter()
+                .any(|group| group.calls_downstream),
             "calls_by_class: endpoint groups that call",
         ),
         (
--- a/crates/config/src/reload/keys.rs
+++ b/crates/config/src/reload/keys.rs
@@ -1,5 +1,5 @@
 //! What idempotency keys mean by the rules of an installation. While keys are within their window it must
-//! not change: the same exchange could come again under another one, and run twice.
+//! not change: the same request could come again under another one, and run twice.
 
 use std::collections::HashMap;
 
@@ -9,11 +9,11 @@
 
 type Digest = [u8; 32];
 
-/// For each endpoint group a digest of all that leads to its keys: which exchanges are of the group, and
+/// For each endpoint group a digest of all that leads to its keys: which requests are of the group, and
 /// which key each has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyMeanings {
-    /// Whether exchanges of fronts are classed by rules, or by the platform's variables.
+    /// Whether requests of fronts are classed by rules, or by the platform's variables.
     by_rules: bool,
     /// Whether there are fronts, which rules are for.
     has_fronts: bool,
@@ -62,7 +62,7 @@
 
     /// The places of the groups whose keys mean something else by `new`.
     pub fn changed(&self, new: &KeyMeanings) -> Vec<usize> {
-        // Where variables alone said what an exchange is, any group may have been one's own.
+        // Where variables alone said what a request is, any group may have been one's own.
         let all = self.has_fronts && !self.by_rules && new.by_rules;
         let places = 0..self.groups.len().max(new.groups.len());
         let differs = |place: &usize| all || self.groups.get(*place) != new.groups.get(*place);
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -253,7 +253,7 @@
         ),
         ["pay"]
     );
-    // A rule without a key that goes over to another group takes its exchanges with it.
+    // A rule without a key that goes over to another group takes its requests with it.
     let last = rule("path == \"/last\"", "book", None);
     let keyless = with(json!([look, book, last]));
     let gone = with(json!([look, rule("path == \"/book\"", "look", None), last]));
@@ -278,7 +278,7 @@
     let longer =
         json!({"rules": [rule], "otherwise": "book", "expressions": {"variable_bytes": 100}});
     assert_eq!(changed(&base, &longer), ["pay", "book"]);
-    // Where there are fronts and no rules, variables say of which group an exchange is: of any.
+    // Where there are fronts and no rules, variables say of which group a request is: of any.
     let front = json!([{"protocol": "uwsgi", "listen": "127.0.0.1:9091"}]);
     let ruled = json!({"fronts": front, "rules": [rule]});
     assert_eq!(changed(&json!({"fronts": front}), &ruled), GROUPS);
--- a/crates/demo/src/ask.rs
+++ b/crates/demo/src/ask.rs
@@ -1,4 +1,4 @@
-//! A toy caller: one exchange over either protocol, and its answer.
+//! A toy caller: one request over either protocol, and its answer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use doortrack_fakes::caller::{Ask, Seen};
 use doortrack_protocols::Protocol;
 
-/// What a person at a keyboard says of an exchange.
+/// What a person at a keyboard says of a request.
 pub struct Wish<'a> {
     pub group: &'a str,
     pub text: &'a str,
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -35,7 +35,7 @@
         #[arg(long, default_value = "127.0.0.1:7001")]
         listen: SocketAddr,
     },
-    /// Sends one exchange to the node and prints the answer
+    /// Sends one request to the node and prints the answer
     Ask {
         #[arg(long, value_enum, default_value = "fastcgi")]
         protocol: Spoken,
--- a/crates/fakes/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller over either protocol, one connection for each exchange: the same test body serves both.
+//! A caller over either protocol, one connection for each request: the same test body serves both.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -9,7 +9,7 @@
 use crate::bed::connect;
 use crate::{LONG, try_id, unix_ms};
 
-/// One exchange as a caller writes it. Fields in `more` replace those of the same name; with an empty value a
+/// One request as a caller writes it. Fields in `more` replace those of the same name; with an empty value a
 /// field is left out, and what is named twice is sent twice.
 #[derive(Clone, Debug)]
 pub struct Ask<'a> {
@@ -73,7 +73,7 @@
     }
 }
 
-/// What an exchange came to, in words that are the same for every protocol.
+/// What a request came to, in words that are the same for every protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Seen {
     Completed(Vec<u8>),
@@ -89,7 +89,7 @@
     Nothing,
 }
 
-/// An exchange that waits for its answer.
+/// A request that waits for its answer.
 pub struct Pending {
     pub sock: TcpStream,
     pub protocol: Protocol,
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -48,7 +48,7 @@
     pub within: u64,
     /// Nothing that was sent after this may be run: notice and grace, where the node was told to leave.
     pub closed: Option<u64>,
-    /// Tries that one repeatable exchange may have.
+    /// Tries that one repeatable request may have.
     pub tries: usize,
 }
 
--- a/crates/fault-harness/src/scale/command.rs
+++ b/crates/fault-harness/src/scale/command.rs
@@ -79,7 +79,7 @@
     /// Stand-in callers of the real processes
     #[arg(long, default_value_t = 6, value_name = "COUNT")]
     callers: usize,
-    /// Exchanges a second that each hollow node books on its budgets
+    /// Requests a second that each hollow node books on its budgets
     #[arg(long, default_value_t = 2, value_name = "COUNT")]
     uses_per_second: u32,
     /// Within which the hollow nodes of each process are started one after the other
@@ -190,7 +190,7 @@
             play.leaders
         ));
     }
-    // Budgets are so great that no exchange has a reason to be rejected.
+    // Budgets are so great that no request has a reason to be rejected.
     if play.completed < play.asked {
         faults.push(format!(
             "{of}: of {} exchanges {} were completed",
--- a/crates/fault-harness/src/scale/hollow.rs
+++ b/crates/fault-harness/src/scale/hollow.rs
@@ -79,7 +79,7 @@
     peers: Option<Peers>,
     /// When it is to be looked at again, at the latest.
     due: Option<Instant>,
-    /// When it next books an exchange on its budgets.
+    /// When it next books a request on its budgets.
     use_at: Option<Instant>,
 }
 
@@ -328,7 +328,7 @@
     }
 }
 
-/// Books one exchange as a caller's would be: on the group's budget, and on one tenant's.
+/// Books one request as a caller's would be: on the group's budget, and on one tenant's.
 fn book_one(peers: &mut Peers, tenants: usize) {
     let customer = if tenants == 0 {
         u16::MAX
--- a/crates/fault-harness/src/scale/node_cost/alone.rs
+++ b/crates/fault-harness/src/scale/node_cost/alone.rs
@@ -13,7 +13,7 @@
 use super::settings::{Addresses, Size, request_path, tenant};
 
 const NAMES: [&str; 3] = ["n1", "n2", "n3"];
-/// Exchanges a second of a budget's whole, and what is set aside for the node that stays.
+/// Requests a second of a budget's whole, and what is set aside for the node that stays.
 const WHOLE: u32 = 300;
 const FLOOR: u32 = 60;
 /// Until the node has a share of both budgets.
--- a/crates/fault-harness/src/scale/node_cost/settings.rs
+++ b/crates/fault-harness/src/scale/node_cost/settings.rs
@@ -21,7 +21,7 @@
 /// Of every 20 rules 17 compare the start of the path alone; the last three also ask for method or header.
 const RULE_KINDS: usize = 20;
 const METHOD_KINDS: Range<usize> = 17..19;
-/// Where exchanges of the deduplicated endpoint group go.
+/// Where requests of the deduplicated endpoint group go.
 pub const KEYED_PATH: &str = "/keyed/";
 /// What the last rule takes.
 const PROBE_PATH: &str = "/probe";
--- a/crates/fault-harness/src/scale/plan.rs
+++ b/crates/fault-harness/src/scale/plan.rs
@@ -37,7 +37,7 @@
     pub budgets: usize,
     pub fleet_port: u16,
     pub front_port: u16,
-    /// Exchanges a second that each hollow node books on its budgets, as its load would.
+    /// Requests a second that each hollow node books on its budgets, as its load would.
     pub uses_per_second: u32,
     /// Hollow nodes of one process are started one after the other within this time.
     pub start_spread_ms: u64,
--- a/crates/fault-harness/src/scale/probe.rs
+++ b/crates/fault-harness/src/scale/probe.rs
@@ -15,10 +15,10 @@
 
 const REST: Duration = Duration::from_millis(20);
 
-/// Exchanges without a completed answer that are told one by one.
+/// Requests without a completed answer that are told one by one.
 const MOST_TOLD: usize = 200;
 
-/// One exchange that was not completed.
+/// One request that was not completed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NotCompleted {
     pub unix_ms: u64,
--- a/crates/fault-harness/src/serving.rs
+++ b/crates/fault-harness/src/serving.rs
@@ -24,7 +24,7 @@
     pub ended_at: u64,
 }
 
-/// One exchange that a caller offered to a front; an attempt that found no connection is one too.
+/// One request that a caller offered to a front; an attempt that found no connection is one too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer {
     pub front: SocketAddr,
--- a/crates/fault-harness/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -19,7 +19,7 @@
 /// The deadline of both endpoint groups of `standins::bed::config`, and what a slow machine may add,
 /// in ms.
 const WITHIN: u64 = 30_000 + 10_000;
-/// A caller rests so long after each exchange, so that few of them do not take the machine.
+/// A caller rests so long after each request, so that few of them do not take the machine.
 const REST: Duration = Duration::from_millis(40);
 /// What a node waits for an answer of the server, in ms.
 const ANSWER_WITHIN: u64 = 3_000;
@@ -67,7 +67,7 @@
 /// What callers took note of, until they were ended.
 #[derive(Debug, Default)]
 pub struct Asked {
-    /// Each exchange with the front that was asked.
+    /// Each request with the front that was asked.
     pub tried: Vec<(SocketAddr, Tried)>,
     /// Fronts that took no connection, and when, in Unix ms.
     pub refused: Vec<(SocketAddr, u64)>,
@@ -271,7 +271,7 @@
     }
 }
 
-/// Takes an exchange for one whose caller left, if it was asked of a process that died before its answer.
+/// Takes a request for one whose caller left, if it was asked of a process that died before its answer.
 fn excuse(front: SocketAddr, mut tried: Tried, deaths: &[Death]) -> Tried {
     let died = |at: u64| {
         let of = |death: &&Death| death.front == front && tried.sent >= death.owed_before;
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -16,7 +16,7 @@
     Datagram, Event as FleetEvent, Fleet, Head, Incarnation, MAX_UPDATES, MemberState,
     MemberUpdate, Parameters,
 };
-use doortrack_node::memory::exchanges::{Ex, Exchanges, Stage};
+use doortrack_node::memory::in_flight::{InFlight, InFlightRequest, Stage};
 use doortrack_node::memory::results::Results;
 use doortrack_node::wire::conn::{Conn, Open};
 use doortrack_node::wire::request::Made;
@@ -91,10 +91,10 @@
     within("an idempotency key with a result of 4 bytes", bytes, ENTRY);
 }
 
-fn exchange(nth: usize) -> Ex {
+fn exchange(nth: usize) -> InFlightRequest {
     let mut try_id = [0; 16];
     try_id[..8].copy_from_slice(&nth.to_le_bytes());
-    Ex {
+    InFlightRequest {
         try_id,
         group: 0,
         key: None,
@@ -113,7 +113,7 @@
 fn exchanges_in_hand_and_ended_tries_are_small() {
     const COUNT: usize = 10_000;
     let bytes = bytes_each(COUNT, || {
-        let mut exchanges = Exchanges::default();
+        let mut exchanges = InFlight::default();
         (0..COUNT).for_each(|nth| _ = exchanges.take_in(exchange(nth)));
         exchanges
     });
@@ -123,7 +123,7 @@
         600.0,
     );
     let bytes = bytes_each(COUNT, || {
-        let mut exchanges = Exchanges::default();
+        let mut exchanges = InFlight::default();
         for nth in 0..COUNT {
             let id = exchanges.take_in(exchange(nth)).unwrap();
             exchanges.remove(id).unwrap();
--- a/crates/node/src/commands/fleet.rs
+++ b/crates/node/src/commands/fleet.rs
@@ -64,7 +64,7 @@
 }
 
 fn budget(status: &BudgetStatus, leader: Option<&Name>) -> Value {
-    // Allocations of a rate are thousandths on the wire, and exchanges a second for people.
+    // Allocations of a rate are thousandths on the wire, and requests a second for people.
     let units = |units: Units| {
         if status.rate {
             json!(units as f64 / 1_000.0)
--- a/crates/node/src/memory/exchanges.rs
+++ b/crates/node/src/memory/in_flight.rs
@@ -1,8 +1,8 @@
-//! Exchanges in hand: those that are owed an answer, and those whose run has yet to end.
+//! Requests in hand: those that are owed an answer, and those whose run has yet to end.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
-use doortrack_admission::ExId;
+use doortrack_admission::RequestId;
 use doortrack_time::TenthMillis;
 use doortrack_upstream::Admission;
 use rustc_hash::FxHashMap;
@@ -20,7 +20,7 @@
     Queued,
     /// Waits for the result of another.
     Attached {
-        to: ExId,
+        to: RequestId,
     },
     /// Handed to the engine or the servers; the number of the last STAT before it, or none while the link is
     /// down.
@@ -41,7 +41,7 @@
     }
 }
 
-pub struct Ex {
+pub struct InFlightRequest {
     pub try_id: TryId,
     pub group: u8,
     /// By what a repeat of it is known, if it is deduplicated.
@@ -56,11 +56,11 @@
     pub caller: Option<Caller>,
     pub stage: Stage,
     /// The one that it repeats.
-    pub repeats: Option<ExId>,
+    pub repeats: Option<RequestId>,
     pub hold: Hold,
 }
 
-/// What an exchange holds until it ends, or until its run begins.
+/// What a request holds until it ends, or until its run begins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Hold {
     /// Of the fleet's budgets.
@@ -70,19 +70,19 @@
 }
 
 #[derive(Default)]
-pub struct Exchanges {
+pub struct InFlight {
     /// The next name to be given.
-    next: ExId,
-    by_id: FxHashMap<ExId, Ex>,
-    by_try: HashMap<TryId, ExId>,
-    waiting: FxHashMap<ExId, Vec<ExId>>,
+    next: RequestId,
+    by_id: FxHashMap<RequestId, InFlightRequest>,
+    by_try: HashMap<TryId, RequestId>,
+    waiting: FxHashMap<RequestId, Vec<RequestId>>,
     ended: HashSet<TryId>,
     order: VecDeque<TryId>,
 }
 
-impl Exchanges {
+impl InFlight {
     /// Takes one in under a name that was never used before; none if its try was seen already.
-    pub fn take_in(&mut self, ex: Ex) -> Option<ExId> {
+    pub fn take_in(&mut self, ex: InFlightRequest) -> Option<RequestId> {
         if self.by_try.contains_key(&ex.try_id) || self.ended.contains(&ex.try_id) {
             return None;
         }
@@ -97,15 +97,15 @@
         Some(id)
     }
 
-    pub fn get(&mut self, id: ExId) -> Option<&mut Ex> {
+    pub fn get(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
         self.by_id.get_mut(&id)
     }
 
-    pub fn of_try(&self, try_id: &TryId) -> Option<ExId> {
+    pub fn of_try(&self, try_id: &TryId) -> Option<RequestId> {
         self.by_try.get(try_id).copied()
     }
 
-    pub fn attach(&mut self, id: ExId, to: ExId) {
+    pub fn attach(&mut self, id: RequestId, to: RequestId) {
         if let Some(ex) = self.by_id.get_mut(&id) {
             ex.stage = Stage::Attached { to };
             self.waiting.entry(to).or_default().push(id);
@@ -113,11 +113,11 @@
     }
 
     /// Those that wait for the result of this one, which has come to its end.
-    pub fn waiting_for(&mut self, id: ExId) -> Vec<ExId> {
+    pub fn waiting_for(&mut self, id: RequestId) -> Vec<RequestId> {
         self.waiting.remove(&id).unwrap_or_default()
     }
 
-    pub fn remove(&mut self, id: ExId) -> Option<Ex> {
+    pub fn remove(&mut self, id: RequestId) -> Option<InFlightRequest> {
         let ex = self.by_id.remove(&id)?;
         self.by_try.remove(&ex.try_id);
         if let Stage::Attached { to } = ex.stage
@@ -142,7 +142,7 @@
         self.by_id.len()
     }
 
-    pub fn running(&self) -> impl Iterator<Item = (ExId, Option<u64>)> {
+    pub fn running(&self) -> impl Iterator<Item = (RequestId, Option<u64>)> {
         self.by_id.iter().filter_map(|(id, ex)| match ex.stage {
             Stage::Running { sent } => Some((*id, sent)),
             _ => None,
--- a/crates/node/src/memory/mod.rs
+++ b/crates/node/src/memory/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in memory between events: exchanges in hand, and the results of deduplicated ones.
+//! What is kept in memory between events: requests in hand, and the results of deduplicated ones.
 
-pub mod exchanges;
+pub mod in_flight;
 pub mod results;
--- a/crates/node/src/memory/results.rs
+++ b/crates/node/src/memory/results.rs
@@ -1,9 +1,9 @@
-//! The table of deduplicated exchanges: which idempotency key was taken in when, and what its run brought.
+//! The table of deduplicated requests: which idempotency key was taken in when, and what its run brought.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
 
-use doortrack_admission::ExId;
+use doortrack_admission::RequestId;
 use doortrack_time::TenthMillis;
 use rustc_hash::FxHashMap;
 
@@ -19,7 +19,7 @@
 pub type Key = (u8, IdempotencyKey);
 
 struct Entry {
-    ex: ExId,
+    ex: RequestId,
     /// Tells the body that it came with from others.
     tag: u64,
     /// The last stamp that is within the window.
@@ -56,7 +56,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Repeats {
     Nothing,
-    Of(ExId),
+    Of(RequestId),
     /// It repeats nothing and finds no place for an entry, without which its own repeats would not be known.
     NoRoom,
     /// The key is in use for another body, by a mistake or by design: what that one brings is not for it.
@@ -75,7 +75,7 @@
     entries: HashMap<Key, Entry>,
     /// Keyed by chance, so that nobody can make a body that passes for another.
     tags: RandomState,
-    keys: FxHashMap<ExId, Key>,
+    keys: FxHashMap<RequestId, Key>,
     bytes: usize,
     most_entries: usize,
     most_bytes: usize,
@@ -122,11 +122,11 @@
         }
     }
 
-    /// Enters an exchange that came at `stamp`, for a window that has `lasting` left. Where the stamp is of a
+    /// Enters a request that came at `stamp`, for a window that has `lasting` left. Where the stamp is of a
     /// clock ahead of this one, nothing of the window is used up yet, and all of it counts from the stamp.
     pub fn record(
         &mut self,
-        ex: ExId,
+        ex: RequestId,
         key: Key,
         body: &[u8],
         stamp: TenthMillis,
@@ -151,7 +151,7 @@
     }
 
     /// Takes out one that never ran, so that a later try may.
-    pub fn forget(&mut self, ex: ExId) {
+    pub fn forget(&mut self, ex: RequestId) {
         if let Some(key) = self.keys.remove(&ex)
             && let Some(old) = self.entries.remove(&key)
         {
@@ -160,7 +160,7 @@
     }
 
     /// A run has ended. Where its result finds no room, repeats are told that there is none.
-    pub fn ended(&mut self, ex: ExId, result: Result<Made, NoResult>) {
+    pub fn ended(&mut self, ex: RequestId, result: Result<Made, NoResult>) {
         let Some(entry) = self.keys.get(&ex).and_then(|key| self.entries.get_mut(key)) else {
             return;
         };
@@ -171,7 +171,7 @@
         entry.end = Some(kept.map(Kept::of).ok_or(NoResult));
     }
 
-    pub fn result(&self, ex: ExId) -> Found<'_> {
+    pub fn result(&self, ex: RequestId) -> Found<'_> {
         match self
             .keys
             .get(&ex)
--- a/crates/node/src/parts.rs
+++ b/crates/node/src/parts.rs
@@ -14,7 +14,7 @@
 /// Keys of the poller that parts have, one each.
 pub const PART_KEYS: Range<usize> = 4..8;
 
-/// What a part is told of an exchange that was read and repeats no other.
+/// What a part is told of a request that was read and repeats no other.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked {
     pub group: u8,
@@ -23,11 +23,11 @@
     pub pool: u16,
 }
 
-/// What an exchange has taken of a part's budgets, by their places; it goes back when the exchange ends.
+/// What a request has taken of a part's budgets, by their places; it goes back when the request ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Permit(pub [Option<u16>; 3]);
 
-/// What became of an exchange that holds a permit.
+/// What became of a request that holds a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Use {
     /// It was never run.
@@ -58,7 +58,7 @@
     /// beside the loop.
     fn take_up(&mut self, change: &mut FleetChange);
 
-    /// Whether an exchange may be taken as far as this part goes; the decisions have the last word.
+    /// Whether a request may be taken as far as this part goes; the decisions have the last word.
     ///
     /// # Errors
     /// Nothing is left for it; how long to wait before it comes back, in tenths of a ms.
@@ -76,7 +76,7 @@
         None
     }
 
-    /// An exchange that was let in has come to its end.
+    /// A request that was let in has come to its end.
     fn release(&mut self, _: Permit, _: Use) {}
 
     /// A line for the log now and then.
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -90,7 +90,7 @@
         self.handle(now, Event::Changed { list });
     }
 
-    /// Why budgets of this file can't be taken up under way, if they can't: what exchanges in hand hold is
+    /// Why budgets of this file can't be taken up under way, if they can't: what requests in hand hold is
     /// known by its index, and votes under two lists of voters, or of two lengths, would not meet.
     pub fn needs_a_start(&self, file: &FleetFile, list: &[Budget]) -> Option<&str> {
         let (old, new) = (self.budgets.parameters(), file.budget_parameters());
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use doortrack_admission::logic::Door;
-use doortrack_admission::{Action, Effect, Event, ExId, Gauges};
+use doortrack_admission::AdmissionController;
+use doortrack_admission::{Action, Effect, Event, Gauges, RequestId};
 use doortrack_config::reload::{KeyMeanings, Platform};
 use doortrack_config::{Front, Installation, Orders};
 use doortrack_time::{MILLISECOND, TenthMillis};
@@ -27,7 +27,7 @@
 use self::report::Slowest;
 use crate::life::clock::Clock;
 use crate::life::signals::{LEAVE_KEY, RELOAD_KEY, Signals};
-use crate::memory::exchanges::{Ex, Exchanges, Stage};
+use crate::memory::in_flight::{InFlight, InFlightRequest, Stage};
 use crate::memory::results::{Key, Results};
 use crate::parts::{PART_KEYS, Part};
 use crate::wire::end::End;
@@ -68,13 +68,13 @@
     work: Work,
     registry: Registry,
     /// None until the engine has come up.
-    door: Option<Door>,
-    exs: Exchanges,
+    door: Option<AdmissionController>,
+    in_flight: InFlight,
     results: Results,
     /// Names of the endpoint groups as JSON.
     groups: Vec<String>,
     batch: Vec<Event>,
-    /// Marks of the exchanges in the batch.
+    /// Marks of the requests in the batch.
     batch_keys: HashSet<Key>,
     alarms: BinaryHeap<Reverse<(TenthMillis, u64)>>,
     /// A reading that alarms wait for, and when they stop waiting.
@@ -272,7 +272,7 @@
             Action::Run { id } => self.run(id),
             Action::Reject {
                 id,
-                not_elsewhere,
+                no_retry_elsewhere: not_elsewhere,
                 retry_after,
             } => self.final_answer(
                 id,
@@ -282,14 +282,14 @@
                 },
             ),
             Action::Fail { id } => self.final_answer(id, Answer::Failed),
-            Action::Stop { id } => match self.exs.get(id) {
-                Some(Ex {
+            Action::Cancel { id } => match self.in_flight.get(id) {
+                Some(InFlightRequest {
                     stage: Stage::Running { sent: None },
                     ..
                 }) => self.ended(id, End::Unsent, Made::default()),
                 // Asked for again, so it was answered some time ago: to a RUN the engine now says that it
                 // runs, or that nothing is begun for a request that is over.
-                Some(Ex {
+                Some(InFlightRequest {
                     stage: Stage::InDoubt { stopped: true },
                     ..
                 }) if self.work.is_up() => self.run(id),
@@ -301,8 +301,11 @@
                 }
                 _ => {}
             },
-            Action::Record { id, lasting } => {
-                if let Some((ex, key)) = self.exs.get(id).and_then(|ex| ex.key.map(|key| (ex, key)))
+            Action::Record { id, ttl: lasting } => {
+                if let Some((ex, key)) = self
+                    .in_flight
+                    .get(id)
+                    .and_then(|ex| ex.key.map(|key| (ex, key)))
                 {
                     self.results
                         .record(id, key, &ex.body, ex.stamp, lasting, self.now);
@@ -313,19 +316,19 @@
                 self.settle(id);
             }
             Action::Attach { id } => {
-                let root = self.exs.get(id).and_then(|ex| ex.repeats);
+                let root = self.in_flight.get(id).and_then(|ex| ex.repeats);
                 root.into_iter().for_each(|root| self.serve_from(id, root));
             }
-            Action::Health { good, .. } => {
+            Action::Health { healthy: good, .. } => {
                 self.fronts.good = good;
                 let follows = self.orders.handed.list_follows_health;
                 self.registry
                     .tell(self.stop_at.is_some() || (follows && !good));
                 info!(self.log, "health"; "good" => good);
             }
-            Action::Level { level } => self.fronts.level = Some(level),
-            Action::IdleLimit { after } => self.fronts.idle_limit = after,
-            Action::Alarm { at, token } => self.alarms.push(Reverse((at, token))),
+            Action::Backpressure { value: level } => self.fronts.level = Some(level),
+            Action::IdleTimeout { timeout: after } => self.fronts.idle_limit = after,
+            Action::SetTimer { at, token } => self.alarms.push(Reverse((at, token))),
             // Refused at start, as this node can't make calls.
             Action::Call { id, .. } | Action::SkipCall { id } => {
                 error!(self.log, "call asked for"; "ex" => id)
@@ -333,10 +336,12 @@
         }
     }
 
-    fn run(&mut self, id: ExId) {
-        let Some(ex) = self.exs.get(id) else { return };
+    fn run(&mut self, id: RequestId) {
+        let Some(ex) = self.in_flight.get(id) else {
+            return;
+        };
         let group = ex.group as usize;
-        let repeatable = self.orders.handed.contract.groups[group].effect == Effect::Repeatable;
+        let repeatable = self.orders.handed.contract.groups[group].effect == Effect::Idempotent;
         // Its reservation is used up by the run itself, at once.
         self.work
             .release(ex.pool, std::mem::take(&mut ex.hold.admission));
@@ -346,8 +351,8 @@
         ex.stage = Stage::Running { sent };
     }
 
-    fn final_answer(&mut self, id: ExId, answer: Answer) {
-        let Some(caller) = self.exs.get(id).and_then(|ex| ex.caller.take()) else {
+    fn final_answer(&mut self, id: RequestId, answer: Answer) {
+        let Some(caller) = self.in_flight.get(id).and_then(|ex| ex.caller.take()) else {
             return;
         };
         self.fronts.answer(caller, answer);
@@ -355,9 +360,9 @@
     }
 
     /// Lets go of what never ran and is owed nothing, its entry included, so that a later try may run.
-    fn drop_if_queued(&mut self, id: ExId) {
-        if self.exs.get(id).is_some_and(|ex| !ex.stage.may_run()) {
-            if let Some(ex) = self.exs.remove(id) {
+    fn drop_if_queued(&mut self, id: RequestId) {
+        if self.in_flight.get(id).is_some_and(|ex| !ex.stage.may_run()) {
+            if let Some(ex) = self.in_flight.remove(id) {
                 self.let_go(ex.pool, ex.hold);
             }
             self.results.forget(id);
--- a/crates/node/src/serve/events.rs
+++ b/crates/node/src/serve/events.rs
@@ -2,24 +2,24 @@
 
 use std::cmp::Reverse;
 
-use doortrack_admission::{Effect, Event, ExId, Exchange, Gauges, RunOutcome, StopKind};
+use doortrack_admission::{Cancellation, Effect, Event, Gauges, Request, RequestId, RunOutcome};
 use doortrack_time::TenthMillis;
 use slog::warn;
 
 use super::{Node, READING, STALE};
-use crate::memory::exchanges::{Ex, Hold, Stage};
+use crate::memory::in_flight::{Hold, InFlightRequest, Stage};
 use crate::memory::results::{Found, Key, NoResult, Repeats};
 use crate::parts::{Asked, Permit, Use};
 use crate::wire::end::{End, Outcome};
 use crate::wire::engine::WorkEvent;
 use crate::wire::fronts::{Block, Caller, FrontEvent};
 use crate::wire::link::Notice;
-use crate::wire::request::{Answer, Made, Request, Unreadable};
+use crate::wire::request::{Answer, IncomingRequest, Made, Unreadable};
 
 impl Node {
     pub(super) fn front_event(&mut self, what: FrontEvent) {
         match what {
-            FrontEvent::Exchange {
+            FrontEvent::Request {
                 caller,
                 request,
                 block,
@@ -29,7 +29,7 @@
         }
     }
 
-    fn arrived(&mut self, caller: Caller, request: Request, block: Block, body: Vec<u8>) {
+    fn arrived(&mut self, caller: Caller, request: IncomingRequest, block: Block, body: Vec<u8>) {
         if !self.fronts.waits(caller) {
             return; // Given up in the same turn in which it came.
         }
@@ -62,7 +62,7 @@
             None => self.admit(asked),
             Some(_) => Default::default(),
         };
-        let ex = Ex {
+        let ex = InFlightRequest {
             try_id,
             group,
             key,
@@ -75,7 +75,7 @@
             repeats,
             hold,
         };
-        let Some(id) = self.exs.take_in(ex) else {
+        let Some(id) = self.in_flight.take_in(ex) else {
             self.let_go(pool, hold);
             let doubled = Answer::Unreadable(Unreadable::Field("HTTP_X_REQUEST_ID"));
             return self.fronts.answer(caller, doubled);
@@ -84,26 +84,26 @@
         // Stamps are whole ms, cut off: the age is never too small, so no answer comes late.
         let age = self.now.saturating_sub(request.stamp);
         self.slowest.arrival = self.slowest.arrival.max(age);
-        self.batch.push(Event::Arrived(Exchange {
+        self.batch.push(Event::Arrived(Request {
             id,
             group: request.group,
-            customer: request.customer,
-            subject: request.subject,
-            due: request
+            tenant: request.customer,
+            session_key: request.subject,
+            deadline: request
                 .wait
                 .map(|wait| request.stamp + wait.min(self.deadline_of(request.group))),
             work_hint: None,
-            kb: request.kb,
+            memory_kb: request.kb,
             rank: request.rank,
             retry: request.retry,
             caller: request.caller,
             age,
-            repeats,
-            held_back,
+            duplicate_of: repeats,
+            budget_retry_after: held_back,
         }));
     }
 
-    /// The exchange that one with this key repeats, if it repeats any.
+    /// The request that one with this key repeats, if it repeats any.
     ///
     /// # Errors
     /// The answer to one that can't be taken: only what has no entry, as a repeat of one that has run is
@@ -113,7 +113,7 @@
         key: &Key,
         body: &[u8],
         stamp: TenthMillis,
-    ) -> Result<Option<ExId>, Answer<'static>> {
+    ) -> Result<Option<RequestId>, Answer<'static>> {
         match self.results.repeats(key, body, stamp.min(self.now)) {
             Repeats::Nothing => Ok(None),
             Repeats::Of(first) => Ok(Some(first)),
@@ -148,7 +148,7 @@
         (hold, None)
     }
 
-    /// What an exchange holds that will not be run.
+    /// What a request holds that will not be run.
     pub(super) fn let_go(&mut self, pool: u16, hold: Hold) {
         self.give_back(hold.permit, Use::None);
         self.work.release(pool, hold.admission);
@@ -162,12 +162,12 @@
         }
     }
 
-    /// Something ended, with all that this means for the exchange it concerns.
-    pub(super) fn ended(&mut self, id: ExId, end: End, made: Made) {
+    /// Something ended, with all that this means for the request it concerns.
+    pub(super) fn ended(&mut self, id: RequestId, end: End, made: Made) {
         match end.outcome() {
             Outcome::StillOwed => {}
             Outcome::CallerGone => {
-                let Some(ex) = self.exs.get(id).filter(|ex| ex.caller.is_some()) else {
+                let Some(ex) = self.in_flight.get(id).filter(|ex| ex.caller.is_some()) else {
                     return;
                 };
                 ex.caller = None;
@@ -175,7 +175,7 @@
                 self.drop_if_queued(id);
             }
             Outcome::RunEnded(outcome) => {
-                let Some(ex) = self.exs.remove(id) else {
+                let Some(ex) = self.in_flight.remove(id) else {
                     return;
                 };
                 self.work.release(ex.pool, ex.hold.admission);
@@ -183,8 +183,8 @@
                     ex.hold.permit,
                     match outcome {
                         RunOutcome::Completed => Use::Over,
-                        RunOutcome::Failed | RunOutcome::Stopped => Use::MayGoOn,
-                        RunOutcome::Moot => Use::None,
+                        RunOutcome::Failed | RunOutcome::Cancelled => Use::MayGoOn,
+                        RunOutcome::NotStarted => Use::None,
                     },
                 );
                 self.batch.push(Event::RunEnded { id, outcome });
@@ -193,10 +193,10 @@
                 }
                 match outcome {
                     RunOutcome::Completed => self.results.ended(id, Ok(made)),
-                    RunOutcome::Failed | RunOutcome::Stopped => {
+                    RunOutcome::Failed | RunOutcome::Cancelled => {
                         self.results.ended(id, Err(NoResult))
                     }
-                    RunOutcome::Moot => self.results.forget(id),
+                    RunOutcome::NotStarted => self.results.forget(id),
                 }
                 self.settle(id);
             }
@@ -214,16 +214,16 @@
     }
 
     /// Answers those that wait for what this one brought.
-    pub(super) fn settle(&mut self, id: ExId) {
-        for waiting in self.exs.waiting_for(id) {
+    pub(super) fn settle(&mut self, id: RequestId) {
+        for waiting in self.in_flight.waiting_for(id) {
             self.serve_from(waiting, id);
         }
     }
 
-    /// Ends a repeat with what the exchange that it repeats came to.
-    pub(super) fn serve_from(&mut self, id: ExId, root: ExId) {
+    /// Ends a repeat with what the request that it repeats came to.
+    pub(super) fn serve_from(&mut self, id: RequestId, root: RequestId) {
         let (headers, body) = match self.results.result(root) {
-            Found::Pending => return self.exs.attach(id, root),
+            Found::Pending => return self.in_flight.attach(id, root),
             Found::Result(made) => (made.headers.to_vec(), made.body.to_vec()),
             Found::None => return self.ended(id, End::Run(RunOutcome::Failed), Made::default()),
         };
@@ -247,13 +247,13 @@
                 result,
                 ..
             }) => {
-                if let Some(id) = self.exs.of_try(&try_id) {
+                if let Some(id) = self.in_flight.of_try(&try_id) {
                     self.ended(id, End::Run(outcome), Made::from(&result[..]));
                 }
             }
             WorkEvent::Notice(Notice::Not { command, try_id }) => {
                 warn!(self.log, "engine would not"; "command" => &command);
-                let id = try_id.and_then(|try_id| self.exs.of_try(&try_id));
+                let id = try_id.and_then(|try_id| self.in_flight.of_try(&try_id));
                 let end = if command == "RUN" {
                     End::RunRefused
                 } else {
@@ -280,7 +280,7 @@
                 },
             ),
             WorkEvent::Ended(end) => {
-                let running: Vec<ExId> = self.exs.running().map(|(id, _)| id).collect();
+                let running: Vec<RequestId> = self.in_flight.running().map(|(id, _)| id).collect();
                 running
                     .into_iter()
                     .for_each(|id| self.ended(id, end, Made::default()));
@@ -293,20 +293,25 @@
     /// again only where it may run twice.
     fn caught_up(&mut self, proven: u64) {
         let unproven = |sent: Option<u64>| sent.is_none_or(|sent| sent >= proven);
-        let running = self.exs.running().filter(|(_, sent)| unproven(*sent));
-        let mut lost: Vec<ExId> = running.map(|(id, _)| id).collect();
+        let running = self.in_flight.running().filter(|(_, sent)| unproven(*sent));
+        let mut lost: Vec<RequestId> = running.map(|(id, _)| id).collect();
         lost.sort_unstable();
         for id in lost {
-            let Some(ex) = self.exs.get(id) else { continue };
+            let Some(ex) = self.in_flight.get(id) else {
+                continue;
+            };
             let (surely_not_run, waits) = (
                 ex.stage == Stage::Running { sent: None },
                 ex.caller.is_some(),
             );
             let contract = &self.orders.handed.contract;
-            let repeatable = contract.groups[usize::from(ex.group)].effect == Effect::Repeatable;
+            let repeatable = contract.groups[usize::from(ex.group)].effect == Effect::Idempotent;
             if surely_not_run && !waits {
                 self.ended(id, End::Unsent, Made::default());
-            } else if surely_not_run || repeatable || contract.stop == StopKind::Never {
+            } else if surely_not_run
+                || repeatable
+                || contract.cancellation == Cancellation::Unsupported
+            {
                 self.run(id);
             } else {
                 // Running, it may end before a second RUN is read, and that one would run it
@@ -323,7 +328,7 @@
         let read = |place: Option<usize>| place.and_then(|p| values.get(p).copied());
         self.gauges = Gauges {
             busy_cores: read(places.busy_cores),
-            on_cores: read(places.on_cores),
+            runnable_tasks: read(places.on_cores),
             memory: read(places.memory),
             connections: read(places.connections),
         };
@@ -369,7 +374,7 @@
             && at <= self.now
         {
             self.alarms.pop();
-            self.batch.push(Event::Alarm { token, gauges });
+            self.batch.push(Event::Timer { token, gauges });
         }
     }
 }
--- a/crates/node/src/serve/leave.rs
+++ b/crates/node/src/serve/leave.rs
@@ -23,7 +23,7 @@
         self.registry.tell(true);
         self.parts.iter_mut().for_each(|part| part.leave());
         self.build_names_stop = self.reloader.is_under_way();
-        info!(self.log, "told to leave"; "in_hand" => self.exs.in_hand());
+        info!(self.log, "told to leave"; "in_hand" => self.in_flight.in_hand());
         if self.door.is_some() {
             self.pass_on_notice();
         }
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -93,7 +93,7 @@
     }
 
     /// What an idempotency key means may not change while keys of before are within their window: the same
-    /// exchange could come again under another one, and run twice.
+    /// request could come again under another one, and run twice.
     fn check_keys(&self, new: &KeyMeanings) -> Result<(), Faults> {
         let mut faults = Vec::new();
         for place in self.keys.changed(new) {
--- a/crates/node/src/serve/report.rs
+++ b/crates/node/src/serve/report.rs
@@ -25,7 +25,7 @@
         let counts = self.fronts.counts();
         info!(self.log, "so far"; "completed" => counts.completed, "rejected" => counts.rejected,
             "failed" => counts.failed,
-            "in_hand" => self.exs.in_hand(), "connections" => self.fronts.connections(),
+            "in_hand" => self.in_flight.in_hand(), "connections" => self.fronts.connections(),
             "accepted" => counts.accepted, "unreadable" => Serde(counts.unreadable.clone()),
             "no_room" => counts.no_room, "checks" => counts.checks, "ends" => Serde(counts.ends.clone()),
             "unread_bytes" => self.fronts.unread(),
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use doortrack_admission::logic::Door;
-use doortrack_admission::{Effect, EndpointGroup, Event, Gauges, LevelKind};
+use doortrack_admission::AdmissionController;
+use doortrack_admission::{Backpressure, Effect, EndpointGroup, Event, Gauges};
 use doortrack_config::reload::{KeyMeanings, Platform, Started};
 use doortrack_config::{Installation, Orders, Servers as ServerSettings};
 use doortrack_protocols::Protocol;
@@ -22,7 +22,7 @@
 use crate::life::clock::Clock;
 use crate::life::descriptors;
 use crate::life::signals::Signals;
-use crate::memory::exchanges::Exchanges;
+use crate::memory::in_flight::InFlight;
 use crate::memory::results::Results;
 use crate::parts::Part;
 use crate::peers::{KEY, Peers, Registration};
@@ -97,7 +97,7 @@
     }
 }
 
-/// What runs exchanges: the engine, or the application servers where an installation names any.
+/// What runs requests: the engine, or the application servers where an installation names any.
 fn open_work(
     installation: &Installation,
     orders: &Orders,
@@ -188,7 +188,7 @@
         once_free(|| fronts.listen(orders.listen, Protocol::FastCgi, None))
             .map_err(|e| format!("config.listen: {}: {e}", orders.listen))?;
         // Nothing is said before the decisions do, but where the least rank is meant, none is held back.
-        fronts.level = (handed.contract.level == LevelKind::LowestRank).then_some(0.0);
+        fronts.level = (handed.contract.backpressure == Backpressure::MinRank).then_some(0.0);
         let registry = Registry::open(orders.listen, orders.registry, orders.name.clone())
             .map_err(|e| format!("config.registry: {}: {e}", orders.registry))?;
         info!(log, "listening"; "address" => %orders.listen, "connections" => room.connections,
@@ -228,7 +228,7 @@
             work,
             registry,
             door: None,
-            exs: Exchanges::default(),
+            in_flight: InFlight::default(),
             batch: Vec::new(),
             batch_keys: HashSet::new(),
             alarms: BinaryHeap::new(),
@@ -270,7 +270,7 @@
         }
         let mut contract = self.orders.handed.contract.clone();
         contract.cold = cold;
-        let mut door = Door::new(contract, self.platform.seed);
+        let mut door = AdmissionController::new(contract, self.platform.seed);
         let mut actions = Vec::new();
         door.handle(
             self.now.saturating_sub(age),
--- a/crates/node/src/wire/conn.rs
+++ b/crates/node/src/wire/conn.rs
@@ -3,7 +3,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, Shutdown, TcpStream};
 
-use doortrack_admission::ExId;
+use doortrack_admission::RequestId;
 use doortrack_protocols::RequestReader;
 use doortrack_time::TenthMillis;
 
@@ -21,7 +21,7 @@
     params_whole: bool,
     body_whole: bool,
     /// Known to the decisions under this name.
-    pub ex: Option<ExId>,
+    pub ex: Option<RequestId>,
 }
 
 impl Open {
--- a/crates/node/src/wire/end.rs
+++ b/crates/node/src/wire/end.rs
@@ -44,7 +44,7 @@
     LinkLost,
 }
 
-/// What an end is to each exchange that it concerns.
+/// What an end is to each request that it concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Nothing changes: an answer is still owed and can be given.
@@ -68,10 +68,12 @@
             | End::Withdrawn
             | End::LinkLost => Outcome::StillOwed,
             End::Run(outcome) => Outcome::RunEnded(outcome),
-            End::RunRefused | End::Unsent | End::Unreached => Outcome::RunEnded(RunOutcome::Moot),
+            End::RunRefused | End::Unsent | End::Unreached => {
+                Outcome::RunEnded(RunOutcome::NotStarted)
+            }
             // It may have run, so a repeat may not.
             End::ServerLost | End::ServerLate => Outcome::RunEnded(RunOutcome::Failed),
-            End::StopRefused => Outcome::RunEnded(RunOutcome::Stopped),
+            End::StopRefused => Outcome::RunEnded(RunOutcome::Cancelled),
         }
     }
 
@@ -91,8 +93,8 @@
             End::Withdrawn => "withdrawn",
             End::Run(RunOutcome::Completed) => "completed",
             End::Run(RunOutcome::Failed) => "failed",
-            End::Run(RunOutcome::Stopped) => "stopped",
-            End::Run(RunOutcome::Moot) => "moot",
+            End::Run(RunOutcome::Cancelled) => "stopped",
+            End::Run(RunOutcome::NotStarted) => "moot",
             End::RunRefused => "run_refused",
             End::StopRefused => "stop_refused",
             End::Unsent => "unsent",
--- a/crates/node/src/wire/engine.rs
+++ b/crates/node/src/wire/engine.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_admission::ExId;
+use doortrack_admission::RequestId;
 use doortrack_time::TenthMillis;
 use polling::{Event, PollMode, Poller};
 use slog::{Logger, info, warn};
@@ -45,7 +45,7 @@
     Notice(Notice),
     /// A run at a server came to its end, with what it brought.
     RunEnded {
-        id: ExId,
+        id: RequestId,
         end: End,
         headers: Vec<u8>,
         body: Vec<u8>,
--- a/crates/node/src/wire/fronts.rs
+++ b/crates/node/src/wire/fronts.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-use doortrack_admission::ExId;
+use doortrack_admission::RequestId;
 use doortrack_config::Room;
 use doortrack_protocols::Protocol;
 use doortrack_time::TenthMillis;
@@ -18,7 +18,7 @@
 use super::bounds::{FAIR_UNREAD, MOST_FRONTS, TURN};
 use super::conn::Conn;
 use super::end::End;
-use super::request::{self, Answer, Names, Request};
+use super::request::{self, Answer, IncomingRequest, Names};
 use super::ruled::Rules;
 
 /// Fronts have the keys from here on, connections those after them.
@@ -41,14 +41,14 @@
 
 /// What the connections brought.
 pub enum FrontEvent {
-    Exchange {
+    Request {
         caller: Caller,
-        request: Request,
+        request: IncomingRequest,
         block: Block,
         body: Vec<u8>,
     },
     Ended {
-        ex: ExId,
+        ex: RequestId,
         end: End,
     },
 }
@@ -94,7 +94,7 @@
     /// None once it was withdrawn; it is forgotten with its last connection.
     listener: Option<TcpListener>,
     withdrawn: bool,
-    /// It is the platform's own, where its protocol alone says what an exchange is.
+    /// It is the platform's own, where its protocol alone says what a request is.
     platform: bool,
     accepting: bool,
     pub connections: usize,
@@ -112,7 +112,7 @@
     fronts: Slab<Front>,
     conns: Slab<Conn>,
     names: Names,
-    /// How exchanges of the installation's fronts are classed, if it has rules.
+    /// How requests of the installation's fronts are classed, if it has rules.
     pub rules: Option<Rules>,
     room: Room,
     /// Requests open on all connections, and how many were begun so far.
@@ -190,7 +190,7 @@
     }
 
     /// From here on the decisions know this request as `ex`.
-    pub fn known_as(&mut self, caller: Caller, ex: ExId) {
+    pub fn known_as(&mut self, caller: Caller, ex: RequestId) {
         let Some(conn) = self.conns.get_mut(caller.slot) else {
             return;
         };
--- a/crates/node/src/wire/fronts/reading.rs
+++ b/crates/node/src/wire/fronts/reading.rs
@@ -216,7 +216,7 @@
             _ => request::read(protocol, &whole.params, &self.names),
         };
         let asked = match asked {
-            Ok(Asked::Exchange(request))
+            Ok(Asked::Request(request))
                 if bounds::is_far_off(request.stamp, now, self.longest_deadline) =>
             {
                 Err(Unreadable::Field("HTTP_X_REQUEST_START"))
@@ -224,12 +224,12 @@
             asked => asked,
         };
         match asked {
-            Ok(Asked::Exchange(request)) => {
+            Ok(Asked::Request(request)) => {
                 let block = Block {
                     protocol,
                     bytes: whole.params,
                 };
-                front_events.push(FrontEvent::Exchange {
+                front_events.push(FrontEvent::Request {
                     caller,
                     request,
                     block,
--- a/crates/node/src/wire/link.rs
+++ b/crates/node/src/wire/link.rs
@@ -95,8 +95,8 @@
             let result = word("blob").map_or(Ok(Vec::new()), |blob| STANDARD.decode(blob));
             let outcome = match (word("how").ok_or("DONE without how")?, &result) {
                 ("OK", Ok(_)) => RunOutcome::Completed,
-                ("STOPPED", _) => RunOutcome::Stopped,
-                ("MOOT", _) => RunOutcome::Moot,
+                ("STOPPED", _) => RunOutcome::Cancelled,
+                ("MOOT", _) => RunOutcome::NotStarted,
                 // An end that can't be read, or a result that can't, is an end all the same.
                 _ => RunOutcome::Failed,
             };
--- a/crates/node/src/wire/request.rs
+++ b/crates/node/src/wire/request.rs
@@ -6,7 +6,7 @@
 
 /// The name by which dispatchers and the engine know a try: 16 hex digits, as they came.
 pub type TryId = [u8; 16];
-/// The idempotency key of a deduplicated exchange, as it came.
+/// The idempotency key of a deduplicated request, as it came.
 pub type IdempotencyKey = [u8; 32];
 
 /// What a run brought: header lines of its answer, each with its end of line, and a body.
@@ -24,7 +24,7 @@
 
 /// One request, with only those fields taken out that the decisions need.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Request {
+pub struct IncomingRequest {
     pub try_id: TryId,
     /// When it came to the machine, on the Unix clock.
     pub stamp: TenthMillis,
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Asked {
     Health,
-    Exchange(Request),
+    Request(IncomingRequest),
 }
 
 /// Why a request can't be read; it is answered by itself and reaches no decision.
@@ -71,7 +71,7 @@
 /// The names that may stand in a request, in the order of the contract.
 pub struct Names {
     pub groups: Vec<String>,
-    /// Whether exchanges of the group carry an idempotency key.
+    /// Whether requests of the group carry an idempotency key.
     pub keyed: Vec<bool>,
     pub customers: Vec<String>,
 }
@@ -109,7 +109,7 @@
     let customer = names.customer(&fields)?;
     let kb = fields.number::<f32>("HTTP_X_MEMORY_KB")?;
     let rank = fields.number::<f32>("HTTP_X_RANK")?;
-    Ok(Asked::Exchange(Request {
+    Ok(Asked::Request(IncomingRequest {
         try_id: hex(fields.needed("HTTP_X_REQUEST_ID")?, "HTTP_X_REQUEST_ID")?,
         stamp: fields
             .number::<u64>("HTTP_X_REQUEST_START")?
--- a/crates/node/src/wire/ruled.rs
+++ b/crates/node/src/wire/ruled.rs
@@ -13,16 +13,16 @@
 use doortrack_time::{MILLISECOND, TenthMillis};
 
 use super::request::{
-    Asked, Fields, IdempotencyKey, Names, Request, TryId, Unreadable, hex, in_range,
+    Asked, Fields, IdempotencyKey, IncomingRequest, Names, TryId, Unreadable, hex, in_range,
 };
 
 const DAY: TenthMillis = 86_400_000 * MILLISECOND;
 /// Microseconds in a tenth of a ms.
 const MICROS: i64 = 100;
-/// Rank and memory of an exchange of which nothing is said.
+/// Rank and memory of a request of which nothing is said.
 const RANK: f32 = 0.5;
 
-/// What the installation says of exchanges, with what is to be told of it. It does not change.
+/// What the installation says of requests, with what is to be told of it. It does not change.
 pub struct RuleTable {
     pub table: Arc<Table>,
     /// The group of what no rule takes.
@@ -55,7 +55,7 @@
     }
 }
 
-/// How exchanges are classed; another table is taken up as a whole.
+/// How requests are classed; another table is taken up as a whole.
 pub struct Rules {
     rules: RuleTable,
     scratch: Scratch,
@@ -128,7 +128,7 @@
             Some(text) => hex(text, "HTTP_X_REQUEST_ID")?,
             None => self.name(),
         };
-        Ok(Asked::Exchange(Request {
+        Ok(Asked::Request(IncomingRequest {
             try_id,
             stamp: stamp_ms.map_or(origin.now, |ms| ms.saturating_mul(MILLISECOND)),
             group,
--- a/crates/node/src/wire/servers.rs
+++ b/crates/node/src/wire/servers.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_admission::{ExId, RunOutcome};
+use doortrack_admission::{RequestId, RunOutcome};
 use doortrack_config::Servers as Asked;
 use doortrack_protocols::{Answer, AnswerReader, Pair, Protocol, write_request};
 use doortrack_time::TenthMillis;
@@ -151,7 +151,7 @@
         self.pool.gate_ramps(gate);
     }
 
-    /// Whether one more exchange may be admitted.
+    /// Whether one more request may be admitted.
     ///
     /// # Errors
     /// How long to wait before it comes back, in tenths of a ms.
@@ -194,7 +194,7 @@
 
     pub fn run(
         &mut self,
-        run: ExId,
+        run: RequestId,
         block: Option<Block>,
         body: &[u8],
         repeatable: bool,
@@ -215,7 +215,7 @@
         self.settle(now);
     }
 
-    pub fn stop(&mut self, run: ExId, now: TenthMillis) {
+    pub fn stop(&mut self, run: RequestId, now: TenthMillis) {
         self.pool.stop(run, now, &mut self.actions);
         self.settle(now);
     }
@@ -293,7 +293,7 @@
                 let end = match end {
                     RunEnd::Completed => End::Run(RunOutcome::Completed),
                     RunEnd::Failed => End::Run(RunOutcome::Failed),
-                    RunEnd::Stopped => End::Run(RunOutcome::Stopped),
+                    RunEnd::Stopped => End::Run(RunOutcome::Cancelled),
                     RunEnd::NeverRan => End::Unreached,
                     RunEnd::Lost => End::ServerLost,
                     RunEnd::Late => End::ServerLate,
--- a/crates/node/src/wire/work.rs
+++ b/crates/node/src/wire/work.rs
@@ -3,14 +3,14 @@
 
 use std::net::SocketAddr;
 
-use doortrack_admission::ExId;
+use doortrack_admission::RequestId;
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{Admission, Token};
 use polling::Event;
 
 use super::engine::{ENGINE_KEY, Link, WorkEvent};
 use super::servers::{POOL_KEYS, SERVER_KEY, Servers};
-use crate::memory::exchanges::Ex;
+use crate::memory::in_flight::InFlightRequest;
 
 pub enum Work {
     Engine(Box<Link>),
@@ -18,7 +18,7 @@
     Servers(Vec<(String, Servers)>),
 }
 
-/// Rules are read with the pools that there are; whatever else an exchange says, it is run.
+/// Rules are read with the pools that there are; whatever else a request says, it is run.
 fn pool_place(pool: u16, pools: usize) -> usize {
     if usize::from(pool) < pools {
         usize::from(pool)
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Whether one more exchange may be admitted to the pool at this place, as far as its servers go.
+    /// Whether one more request may be admitted to the pool at this place, as far as its servers go.
     ///
     /// # Errors
     /// How long to wait before it comes back, in tenths of a ms.
@@ -104,7 +104,7 @@
         }
     }
 
-    /// What was reserved for an exchange is begun next, or not wanted any more.
+    /// What was reserved for a request is begun next, or not wanted any more.
     pub fn release(&mut self, pool: u16, admission: Admission) {
         if let (Work::Servers(pools), Admission::Reserved) = (self, admission) {
             let place = pool_place(pool, pools.len());
@@ -132,8 +132,8 @@
     /// or none while it can't be sent.
     pub fn run(
         &mut self,
-        id: ExId,
-        ex: &mut Ex,
+        id: RequestId,
+        ex: &mut InFlightRequest,
         group: &str,
         repeatable: bool,
         now: TenthMillis,
@@ -152,7 +152,7 @@
     }
 
     /// Stops a run that was begun.
-    pub fn stop(&mut self, id: ExId, ex: &Ex, now: TenthMillis) {
+    pub fn stop(&mut self, id: RequestId, ex: &InFlightRequest, now: TenthMillis) {
         match self {
             Work::Engine(link) if link.is_up() => link.halt(&ex.try_id),
             Work::Engine(_) => {}
--- a/crates/node/tests/fleet/ramp.rs
+++ b/crates/node/tests/fleet/ramp.rs
@@ -26,7 +26,7 @@
 const TOKENS: u32 = 48;
 /// What a run takes in the server.
 const WORK: Duration = Duration::from_millis(5);
-/// Between the answer to a caller and its next exchange.
+/// Between the answer to a caller and its next request.
 const REST: Duration = Duration::from_millis(20);
 /// How long the server is away.
 const AWAY: Duration = Duration::from_secs(2);
@@ -40,7 +40,7 @@
     (f64::from(runs) + 2.0 * f64::from(runs).sqrt() + 2.0).floor() as usize
 }
 
-/// What one caller has seen so far; it asks one node, one exchange after the other.
+/// What one caller has seen so far; it asks one node, one request after the other.
 #[derive(Default)]
 struct Tally {
     completed: AtomicU64,
@@ -304,7 +304,7 @@
     }
 }
 
-/// Sends one exchange, under an idempotency key if there is one.
+/// Sends one request, under an idempotency key if there is one.
 fn seen(rig: &Rig, nth: u64, key: Option<&str>) -> Seen {
     let ask = Ask::new(
         nth,
--- a/crates/node/tests/fleet/served.rs
+++ b/crates/node/tests/fleet/served.rs
@@ -1,4 +1,4 @@
-//! Exchanges are served by all four rules while the link between the nodes is flooded with garbage.
+//! Requests are served by all four rules while the link between the nodes is flooded with garbage.
 
 use std::net::UdpSocket;
 use std::time::Duration;
--- a/crates/node/tests/node/accepts.rs
+++ b/crates/node/tests/node/accepts.rs
@@ -24,7 +24,7 @@
     plan.start()
 }
 
-/// Asks until one exchange is completed: a process that is about to end may still take the first in.
+/// Asks until one request is completed: a process that is about to end may still take the first in.
 fn until_completed(at: SocketAddr, protocol: Protocol, first: u64) {
     let until = Instant::now() + LONG;
     for nth in first.. {
--- a/crates/node/tests/node/conformance.rs
+++ b/crates/node/tests/node/conformance.rs
@@ -203,7 +203,7 @@
                 let later = house.pay(key, b"berth 4").seen();
                 all.extend([call, told(&first.seen()), told(&again.seen()), told(&later)]);
             }
-            // Nothing else was run: the next run is that of the next exchange.
+            // Nothing else was run: the next run is that of the next request.
             let waits = house.send("/svc/look", b"last");
             let (_, body, run) = house.work.run();
             assert_eq!(body, b"last");
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -24,7 +24,7 @@
     fronts: Fronts,
     at: SocketAddr,
     now: u64,
-    /// Exchanges read so far.
+    /// Requests read so far.
     exchanges: Vec<Caller>,
 }
 
@@ -78,7 +78,7 @@
         self.fronts.flush(self.now, &mut front_events);
         self.exchanges
             .extend(front_events.into_iter().filter_map(|came| match came {
-                FrontEvent::Exchange { caller, .. } => Some(caller),
+                FrontEvent::Request { caller, .. } => Some(caller),
                 FrontEvent::Ended { .. } => None,
             }));
     }
@@ -111,7 +111,7 @@
         client
     }
 
-    /// One that has an exchange open.
+    /// One that has a request open.
     fn busy_caller(&mut self, nth: u64) -> Client {
         let (mut client, open) = (self.caller(), self.exchanges.len());
         client.look(1, nth);
@@ -126,7 +126,7 @@
         assert_eq!(client.reply().status, 200);
     }
 
-    /// Sends one more exchange on a connection that is about to end, which is refused as never run.
+    /// Sends one more request on a connection that is about to end, which is refused as never run.
     fn refuses(&mut self, client: &mut Client, id: u16, nth: u64) {
         let refused = self.fronts.counts().no_room;
         client.look(id, nth);
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -13,7 +13,7 @@
 use doortrack_protocols::Protocol;
 use polling::{Events, Poller};
 
-/// Reads what is ready and writes nothing, as the loop does between two readings: the exchanges that came.
+/// Reads what is ready and writes nothing, as the loop does between two readings: the requests that came.
 fn reads(poller: &Poller, fronts: &mut Fronts, now: u64) -> Vec<Caller> {
     let (mut events, mut front_events) = (Events::new(), Vec::new());
     assert!(
@@ -29,7 +29,7 @@
         }
     }
     let exchange = |came| match came {
-        FrontEvent::Exchange { caller, .. } => Some(caller),
+        FrontEvent::Request { caller, .. } => Some(caller),
         FrontEvent::Ended { .. } => None,
     };
     front_events.into_iter().filter_map(exchange).collect()
--- a/crates/node/tests/node/idle.rs
+++ b/crates/node/tests/node/idle.rs
@@ -39,7 +39,7 @@
 
 /// Idle connections, of all habits of a test together: twice what the bounds above allow.
 const IDLE: usize = 120;
-/// Health checks and exchanges that are to get in under the pressure of one habit.
+/// Health checks and requests that are to get in under the pressure of one habit.
 const ROUNDS: u64 = 8;
 /// Far longer than anything is waited for here, so that no idle connection ends by itself.
 const IDLE_FOR_US: u64 = 3_600_000_000;
@@ -92,7 +92,7 @@
     assert!(matches!(seen, Seen::Completed(_)), "{seen:?}");
 }
 
-/// Asks for an exchange until it runs: what its caller will be told.
+/// Asks for a request until it runs: what its caller will be told.
 fn begins(bed: &Bed, engine: &mut Engine, tries: &mut u64) -> JoinHandle<Seen> {
     let until = Instant::now() + LONG;
     loop {
@@ -120,7 +120,7 @@
     }
 }
 
-/// One exchange that is run and answered.
+/// One request that is run and answered.
 fn works(bed: &Bed, engine: &mut Engine, tries: &mut u64) {
     let caller = begins(bed, engine, tries);
     engine.end(&try_id(*tries), "OK", b"worked");
--- a/crates/node/tests/node/instants.rs
+++ b/crates/node/tests/node/instants.rs
@@ -207,7 +207,7 @@
     assert_eq!(bed.end().0, Some(0));
 }
 
-/// A deduplicated exchange is asked for, and the link breaks behind its RUN: the next link.
+/// A deduplicated request is asked for, and the link breaks behind its RUN: the next link.
 fn loses_the_link_over_a_run(bed: &Bed, mut engine: Engine, client: &mut Client) -> Engine {
     engine.readings(1);
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -9,7 +9,7 @@
 use doortrack_config::orders::{self, Room};
 use doortrack_fakes::bed::config;
 use doortrack_fakes::cut_at;
-use doortrack_node::memory::exchanges::{Ex, Exchanges, Stage};
+use doortrack_node::memory::in_flight::{InFlight, InFlightRequest, Stage};
 use doortrack_node::memory::results::{Found, NoResult, Repeats, Results};
 use doortrack_node::wire::end::{End, Outcome};
 use doortrack_node::wire::fronts::{FIRST_KEY, Fronts};
@@ -227,7 +227,7 @@
 
 #[test]
 fn a_request_is_read_with_its_fields() {
-    let Ok(Asked::Exchange(request)) = read(&FIELDS) else {
+    let Ok(Asked::Request(request)) = read(&FIELDS) else {
         panic!("not read")
     };
     assert_eq!((request.group, request.customer, request.caller), (1, 0, 4));
@@ -247,7 +247,7 @@
         ("HTTP_X_OBJECT", "7f3a9c21e0b4d655"),
         ("HTTP_X_NEW", "passed over"),
     ]);
-    let Ok(Asked::Exchange(request)) = read(&look) else {
+    let Ok(Asked::Request(request)) = read(&look) else {
         panic!("not read")
     };
     assert_eq!(
@@ -257,7 +257,7 @@
     assert_eq!(read(&[("SCRIPT_NAME", "/status/live")]), Ok(Asked::Health));
     // Found on a long day: numbers of fronts are always new, and past 65,535 all were turned away.
     look[4].1 = "18446744073709551615";
-    assert!(matches!(read(&look), Ok(Asked::Exchange(request)) if request.caller == u64::MAX));
+    assert!(matches!(read(&look), Ok(Asked::Request(request)) if request.caller == u64::MAX));
 }
 
 #[test]
@@ -355,8 +355,8 @@
         Ok(Notice::Done { outcome, .. }) => outcome,
         other => panic!("{other:?}"),
     };
-    assert_eq!(outcome(done("STOPPED", "")), RunOutcome::Stopped);
-    assert_eq!(outcome(done("MOOT", "")), RunOutcome::Moot);
+    assert_eq!(outcome(done("STOPPED", "")), RunOutcome::Cancelled);
+    assert_eq!(outcome(done("MOOT", "")), RunOutcome::NotStarted);
     assert_eq!(
         outcome(done("OK", "not base64!")),
         RunOutcome::Failed,
@@ -400,7 +400,7 @@
     }
     assert_eq!(
         End::RunRefused.outcome(),
-        Outcome::RunEnded(RunOutcome::Moot)
+        Outcome::RunEnded(RunOutcome::NotStarted)
     );
     assert_eq!(
         End::Run(RunOutcome::Failed).outcome(),
@@ -699,8 +699,8 @@
     );
 }
 
-fn ex(try_id: u8) -> Ex {
-    Ex {
+fn ex(try_id: u8) -> InFlightRequest {
+    InFlightRequest {
         block: None,
         pool: 0,
         try_id: [try_id; 16],
@@ -717,23 +717,23 @@
 
 #[test]
 fn a_doubled_id_is_known_while_in_hand_and_after_and_names_are_new() {
-    let mut exs = Exchanges::default();
-    let first = exs.take_in(ex(1)).unwrap();
-    assert_eq!(exs.take_in(ex(1)), None);
-    exs.remove(first);
-    assert_eq!(exs.take_in(ex(1)), None);
-    assert_ne!(exs.take_in(ex(2)), Some(first));
+    let mut in_flight = InFlight::default();
+    let first = in_flight.take_in(ex(1)).unwrap();
+    assert_eq!(in_flight.take_in(ex(1)), None);
+    in_flight.remove(first);
+    assert_eq!(in_flight.take_in(ex(1)), None);
+    assert_ne!(in_flight.take_in(ex(2)), Some(first));
 }
 
 #[test]
 fn a_repeat_that_went_away_is_waited_for_no_more() {
-    let mut exs = Exchanges::default();
-    let ids: Vec<_> = (1..=3).map(|n| exs.take_in(ex(n)).unwrap()).collect();
-    exs.attach(ids[1], ids[0]);
-    exs.attach(ids[2], ids[0]);
-    exs.remove(ids[1]);
-    assert_eq!(exs.waiting_for(ids[0]), [ids[2]]);
-    assert!(exs.waiting_for(ids[0]).is_empty());
+    let mut in_flight = InFlight::default();
+    let ids: Vec<_> = (1..=3).map(|n| in_flight.take_in(ex(n)).unwrap()).collect();
+    in_flight.attach(ids[1], ids[0]);
+    in_flight.attach(ids[2], ids[0]);
+    in_flight.remove(ids[1]);
+    assert_eq!(in_flight.waiting_for(ids[0]), [ids[2]]);
+    assert!(in_flight.waiting_for(ids[0]).is_empty());
 }
 
 fn fault(change: impl FnOnce(&mut Value)) -> String {
--- a/crates/node/tests/node/pieces.rs
+++ b/crates/node/tests/node/pieces.rs
@@ -23,7 +23,7 @@
     std::thread::sleep(Duration::from_micros(300));
 }
 
-/// Asks over FastCGI until an exchange is completed, which none is before the engine is up.
+/// Asks over FastCGI until a request is completed, which none is before the engine is up.
 pub fn until_served(at: SocketAddr) {
     let until = Instant::now() + LONG;
     for nth in 1 << 40.. {
--- a/crates/node/tests/node/restart.rs
+++ b/crates/node/tests/node/restart.rs
@@ -181,7 +181,7 @@
     }
 }
 
-/// Whether one exchange was answered within a tenth of a second; nodes that are starting keep it waiting.
+/// Whether one request was answered within a tenth of a second; nodes that are starting keep it waiting.
 fn asks(at: SocketAddr, nth: u64) -> bool {
     let patience = Duration::from_millis(100);
     let Ok(sock) = TcpStream::connect_timeout(&at, patience) else {
--- a/crates/node/tests/node/rules.rs
+++ b/crates/node/tests/node/rules.rs
@@ -106,7 +106,7 @@
             engine.end(&call, "OK", b"confirmed");
         }
         assert_eq!(waits.seen(), Seen::Completed(b"confirmed".into()));
-        // Absent and empty idempotency keys are refused, not taken for one exchange.
+        // Absent and empty idempotency keys are refused, not taken for one request.
         for more in [
             &[][..],
             &[("HTTP_X_ORDER", "")],
@@ -202,7 +202,7 @@
     let (call, _) = engine.run();
     engine.end(&call, "OK", b"confirmed");
     assert_eq!(waits.seen(), Seen::Completed(b"confirmed".into()));
-    // With another idempotency key the same exchange would be a new one, and run again.
+    // With another idempotency key the same request would be a new one, and run again.
     let mut new = rules();
     new[0]["idempotency_key"] = json!("(header(\"x-order\") ?? \"\") + path");
     bed.install(&installation(&fronts, new.clone()));
--- a/crates/node/tests/node/sockets.rs
+++ b/crates/node/tests/node/sockets.rs
@@ -72,7 +72,7 @@
     client.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 200);
     assert_eq!(bed.report(), "BEAT n1 ready");
-    // An exchange that comes too early never ran.
+    // A request that comes too early never ran.
     client.look(2, 2);
     assert_eq!(
         client.reply(),
@@ -118,7 +118,7 @@
         (&*try_id(1), &b"one boat"[..])
     );
     two.send(&pay(1, 3));
-    // Its order among other exchanges shows that none of the repeats was run.
+    // Its order among other requests shows that none of the repeats was run.
     two.look(2, 4);
     assert_eq!(engine.run().0, try_id(4));
     engine.done(1, &call, "OK", b"paid");
--- a/crates/routes/src/build.rs
+++ b/crates/routes/src/build.rs
@@ -20,9 +20,9 @@
     pub group: String,
     /// The name of a customer: string, or optional string.
     pub customer: Option<String>,
-    /// What the exchange is about: string, bytes or int, or optional. Absent and empty are no subject.
+    /// What the request is about: string, bytes or int, or optional. Absent and empty are no subject.
     pub subject: Option<String>,
-    /// The idempotency key of a deduplicated exchange: string or bytes, or optional. Absent and empty are
+    /// The idempotency key of a deduplicated request: string or bytes, or optional. Absent and empty are
     /// a refusal.
     pub idempotency_key: Option<String>,
     /// From 0 to 1: float, or optional float.
@@ -36,7 +36,7 @@
 /// Names that rules may use, in the order of their places.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Endpoint groups, and whether their exchanges carry an idempotency key.
+    /// Endpoint groups, and whether their requests carry an idempotency key.
     pub groups: Vec<(String, bool)>,
     pub customers: Vec<String>,
     pub pools: Vec<String>,
--- a/crates/routes/src/classify.rs
+++ b/crates/routes/src/classify.rs
@@ -1,4 +1,4 @@
-//! What one exchange is, by the rule that takes it.
+//! What one request is, by the rule that takes it.
 
 use doortrack_expr::{Request, Scratch, Value};
 use doortrack_time::TenthMillis;
@@ -6,7 +6,7 @@
 
 use crate::{Table, tenths};
 
-/// What an exchange was classed as. What a rule does not say is left to who reads the request.
+/// What a request was classed as. What a rule does not say is left to who reads the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// The place of the rule that took it.
@@ -27,13 +27,13 @@
     pub pool: Option<u16>,
 }
 
-/// Why an exchange that a rule took can't be classed.
+/// Why a request that a rule took can't be classed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Its customer is absent, or none of those known.
     Customer,
     /// Its group is deduplicated and its key is absent or empty: with an empty one all would be one
-    /// exchange.
+    /// request.
     IdempotencyKey,
 }
 
@@ -52,7 +52,7 @@
 const UNDER_ONE: f32 = 1.0 - f32::EPSILON / 2.0;
 
 impl Table {
-    /// Classes one exchange by the first rule whose condition holds.
+    /// Classes one request by the first rule whose condition holds.
     pub fn classify<R: Request>(&self, request: &R, scratch: &mut Scratch) -> Classed {
         let found = self.index.first(request, |rule| {
             self.rules[rule as usize].when.is_true(request, scratch)
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table: the index against trying all in order, what each rule makes of an exchange, what is told at
+//! The table: the index against trying all in order, what each rule makes of a request, what is told at
 //! load.
 
 use doortrack_expr::{Limits, Scratch, Written};
@@ -155,7 +155,7 @@
         other.rank.is_some_and(|rank| rank < 1.0 && rank > 0.999),
         "kept under 1"
     );
-    // An empty idempotency key would make all exchanges one; an empty subject is none.
+    // An empty idempotency key would make all requests one; an empty subject is none.
     for (request, why) in [
         (
             path("/pay/x").header("x-yard", "south"),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashSet;
 
-use doortrack_admission::{Effect, EndpointGroup, LevelKind, ServiceContract, StopKind};
+use doortrack_admission::{AdmissionConfig, Backpressure, Cancellation, Effect, EndpointGroup};
 use doortrack_time::TenthMillis;
 use serde_json::Value;
 
@@ -33,7 +33,7 @@
 /// The settings as far as a node reads them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Handed {
-    pub contract: ServiceContract,
+    pub contract: AdmissionConfig,
     pub gauges: GaugePlaces,
     /// Names of the endpoint groups and customers, in the order of the contract.
     pub group_names: Vec<String>,
@@ -42,9 +42,9 @@
     pub list_follows_health: bool,
     /// Health checks ask for real work.
     pub deep_checks: bool,
-    /// Exchanges tell how long their caller waits.
+    /// Requests tell how long their caller waits.
     pub passes_due: bool,
-    /// Something lies below that exchanges may call.
+    /// Something lies below that requests may call.
     pub calls_below: bool,
 }
 
@@ -187,31 +187,31 @@
         _ => return below_part.wrong("common, next_hop or silent"),
     };
     let passes_on = bounds.flag("retry_after")?;
-    let contract = ServiceContract {
+    let contract = AdmissionConfig {
         cores: info.num("cores")? as u32,
         memory_kb: info.num("memory_kb")?,
-        run_factor: info.num("run_factor")?,
+        run_memory_factor: info.num("run_factor")?,
         record_kb: info.num("key_kb")?,
         groups,
-        customers,
-        over_share: top.share("over_share_worth")?,
-        by_work: top.word("worth_by")?.0 == "work",
+        tenant_quotas: customers,
+        over_quota_weight: top.share("over_share_worth")?,
+        weight_per_work: top.word("worth_by")?.0 == "work",
         nodes: top.num("servers")? as u32,
-        stop: stop_kind(&info)?,
-        level: level_kind(&info)?,
-        level_lasts: down(info.us("said_for")?),
-        fresh: down(info.us("fresh")?),
-        calls_share,
-        calls_window: down(info.us("dep_window")?),
-        linger: up(info.us("linger")?),
+        cancellation: stop_kind(&info)?,
+        backpressure: level_kind(&info)?,
+        backpressure_ttl: down(info.us("said_for")?),
+        max_staleness: down(info.us("fresh")?),
+        downstream_concurrency: calls_share,
+        downstream_window: down(info.us("dep_window")?),
+        abandoned_call_time: up(info.us("linger")?),
         cold: info.flag("fresh_start")?,
-        start_speed: safety.share("start_capacity")?,
-        warm_after: up(safety.us("ramp_time")?),
-        tip_multiple: safety.num("tip_multiple")?,
-        crowd_window: down(safety.us("overload_for")?),
+        initial_speed: safety.share("start_capacity")?,
+        warm_up_time: up(safety.us("ramp_time")?),
+        overload_multiple: safety.num("tip_multiple")?,
+        overload_window: down(safety.us("overload_for")?),
         drain_grace: down(safety.us("drain_grace")?),
-        idle_limit: down(info.us("keepalive_max")?),
-        longest_retry_after: if passes_on {
+        idle_timeout: down(info.us("keepalive_max")?),
+        max_retry_after: if passes_on {
             down(bounds.us("max_retry_after")?)
         } else {
             0
@@ -230,7 +230,7 @@
     })
 }
 
-/// The names of a list's items. Two alike would leave it open which one an exchange means.
+/// The names of a list's items. Two alike would leave it open which one a request means.
 fn names(list: &[Part]) -> Result<Vec<String>, Fault> {
     let mut names = Vec::with_capacity(list.len());
     let mut seen = HashSet::with_capacity(list.len());
@@ -247,7 +247,7 @@
 fn group(lane: &Part, skip_share: f32, calls: bool) -> Result<EndpointGroup, Fault> {
     let (effect, part) = lane.word("idempotency")?;
     let effect = match effect {
-        "safe" => Effect::Repeatable,
+        "safe" => Effect::Idempotent,
         "keyed" => Effect::Deduplicated,
         "unsafe" => Effect::Mutating,
         _ => return part.wrong("safe, keyed or unsafe"),
@@ -255,34 +255,34 @@
     let time = |key: &str| -> Result<TenthMillis, Fault> { Ok(down(lane.us(key)?)) };
     Ok(EndpointGroup {
         effect,
-        slo_time: time("target")?,
-        slo_stretch: lane.find("aim_stretch").map_or(Ok(0.0), |p| p.number())? as f32,
+        latency_objective: time("target")?,
+        objective_per_work: lane.find("aim_stretch").map_or(Ok(0.0), |p| p.number())? as f32,
         deadline: time("deadline")?,
-        window: up(lane.us("window")?),
-        benefit: lane.num("worth")?,
-        late_share: lane.share("late_worth")?,
-        skip_share,
-        calls,
+        dedup_window: up(lane.us("window")?),
+        priority_weight: lane.num("worth")?,
+        late_weight: lane.share("late_worth")?,
+        degraded_weight: skip_share,
+        calls_downstream: calls,
     })
 }
 
-fn stop_kind(info: &Part) -> Result<StopKind, Fault> {
+fn stop_kind(info: &Part) -> Result<Cancellation, Fault> {
     let (word, part) = info.word("halt")?;
     Ok(match word {
-        "silent" => StopKind::Never,
-        "drop" => StopKind::Drop,
-        "pause" => StopKind::Pause,
+        "silent" => Cancellation::Unsupported,
+        "drop" => Cancellation::Drop,
+        "pause" => Cancellation::Pause,
         _ => return part.wrong("silent, drop or pause"),
     })
 }
 
-fn level_kind(info: &Part) -> Result<LevelKind, Fault> {
+fn level_kind(info: &Part) -> Result<Backpressure, Fault> {
     let (word, part) = info.word("say")?;
     Ok(match word {
-        "silent" => LevelKind::None,
-        "min_rank" => LevelKind::LowestRank,
-        "tokens" => LevelKind::InHand,
-        "bias" => LevelKind::Odds,
+        "silent" => Backpressure::None,
+        "min_rank" => Backpressure::MinRank,
+        "tokens" => Backpressure::Credits,
+        "bias" => Backpressure::Weight,
         _ => return part.wrong("min_rank, tokens, bias or silent"),
     })
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -6,13 +6,13 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-use doortrack_admission::logic::Door;
+use doortrack_admission::AdmissionController;
 use doortrack_admission::{Action, Event};
 use doortrack_settings::{Fault, GaugePlaces, Handed, Part};
 use wire::{Reader, Record};
 
 struct Node {
-    door: Door,
+    door: AdmissionController,
     gauges: GaugePlaces,
     batch: Vec<Event>,
 }
@@ -97,7 +97,7 @@
             nodes.insert(
                 node,
                 Node {
-                    door: Door::new(contract, seed),
+                    door: AdmissionController::new(contract, seed),
                     gauges,
                     batch,
                 },
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The bench's frames: little-endian records without padding, one reply for each batch.
 
-use doortrack_admission::{Action, CallOutcome, Event, Exchange, Gauges, RunOutcome};
+use doortrack_admission::{Action, CallOutcome, Event, Gauges, Request, RunOutcome};
 use doortrack_settings::{Fault, GaugePlaces, TENTH, down, up};
 use doortrack_time::TenthMillis;
 
@@ -103,7 +103,7 @@
                     text: self.take(len, "env")?,
                 });
             }
-            2 => Event::NeedsCall {
+            2 => Event::CallRequired {
                 id: self.u32("req")?,
             },
             3 => Event::CallerGone {
@@ -121,13 +121,13 @@
                 let gauges = match places(node) {
                     Some(p) => Gauges {
                         busy_cores: read(p.busy_cores),
-                        on_cores: read(p.on_cores),
+                        runnable_tasks: read(p.on_cores),
                         memory: read(p.memory),
                         connections: read(p.connections),
                     },
                     None => Gauges::default(),
                 };
-                Event::Alarm { token, gauges }
+                Event::Timer { token, gauges }
             }
             6 => Event::Arrived(self.exchange()?),
             7 => {
@@ -136,7 +136,7 @@
                 Event::CallEnded {
                     id,
                     outcome,
-                    took: up(self.u32("time_taken")?.into()),
+                    duration: up(self.u32("time_taken")?.into()),
                 }
             }
             8 => {
@@ -153,7 +153,7 @@
         Ok(Record::Event { node, what })
     }
 
-    fn exchange(&mut self) -> Result<Exchange, Fault> {
+    fn exchange(&mut self) -> Result<Request, Fault> {
         let id = self.u32("req")?;
         let group = self.u8("band")?;
         let customer = self.u16("billing")?;
@@ -166,20 +166,20 @@
         let caller = self.u16("who")?.into();
         let age = self.u32("lay")?;
         let repeats = self.u32("prior")?;
-        Ok(Exchange {
+        Ok(Request {
             id,
             group,
-            customer,
-            subject,
-            due: (due > 0).then(|| down(due)),
+            tenant: customer,
+            session_key: subject,
+            deadline: (due > 0).then(|| down(due)),
             work_hint: (bits & 1 != 0).then(|| up(hint.into())),
-            kb,
+            memory_kb: kb,
             rank,
             retry: bits & 2 != 0,
             caller,
             age: down(age.into()),
-            repeats: (repeats > 0).then_some(repeats),
-            held_back: None,
+            duplicate_of: (repeats > 0).then_some(repeats),
+            budget_retry_after: None,
         })
     }
 
@@ -188,12 +188,12 @@
         Ok(match self.u16("reason")? {
             0 => CallOutcome::Completed,
             13 => CallOutcome::Failed,
-            8 => CallOutcome::Bounced,
+            8 => CallOutcome::Rejected,
             4 => CallOutcome::TimedOut,
             14 => CallOutcome::Unreachable,
-            10 => CallOutcome::Dropped,
-            1 => CallOutcome::Stopped,
-            9 => CallOutcome::Moot,
+            10 => CallOutcome::ConnectionLost,
+            1 => CallOutcome::Cancelled,
+            9 => CallOutcome::NotStarted,
             other => return Err(format!("byte {start}: unknown outcome of a call: {other}")),
         })
     }
@@ -203,8 +203,8 @@
         Ok(match self.u16("reason")? {
             0 => RunOutcome::Completed,
             13 => RunOutcome::Failed,
-            1 => RunOutcome::Stopped,
-            9 => RunOutcome::Moot,
+            1 => RunOutcome::Cancelled,
+            9 => RunOutcome::NotStarted,
             other => return Err(format!("byte {start}: unknown outcome of a run: {other}")),
         })
     }
@@ -229,7 +229,7 @@
         Action::Run { id } => head(65, Some(id)),
         Action::Reject {
             id,
-            not_elsewhere,
+            no_retry_elsewhere: not_elsewhere,
             retry_after,
         } => {
             head(66, Some(id));
@@ -237,31 +237,34 @@
             out.extend(us32(retry_after));
         }
         Action::Fail { id } => head(67, Some(id)),
-        Action::Stop { id } => head(68, Some(id)),
-        Action::Call { id, limit } => {
+        Action::Cancel { id } => head(68, Some(id)),
+        Action::Call { id, timeout: limit } => {
             head(69, Some(id));
             out.extend(us32(limit));
         }
         Action::SkipCall { id } => head(70, Some(id)),
-        Action::Record { id, lasting } => {
+        Action::Record { id, ttl: lasting } => {
             head(71, Some(id));
             out.extend(us32(lasting));
         }
         Action::Forget { id } => head(72, Some(id)),
         Action::Attach { id } => head(73, Some(id)),
-        Action::Health { from_store, good } => {
+        Action::Health {
+            cached: from_store,
+            healthy: good,
+        } => {
             head(74, None);
             out.extend([u8::from(from_store), u8::from(good)]);
         }
-        Action::Level { level } => {
+        Action::Backpressure { value: level } => {
             head(75, None);
             out.extend(level.to_le_bytes());
         }
-        Action::IdleLimit { after } => {
+        Action::IdleTimeout { timeout: after } => {
             head(76, None);
             out.extend(us32(after));
         }
-        Action::Alarm { at, token } => {
+        Action::SetTimer { at, token } => {
             head(77, None);
             out.extend(at.saturating_mul(TENTH).to_le_bytes());
             out.extend(token.to_le_bytes());
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -37,7 +37,7 @@
     pub stale: u64,
     /// Returns of servers that began a ramp.
     pub ramps: u64,
-    /// Exchanges that were not admitted as no server was there but cold ones.
+    /// Requests that were not admitted as no server was there but cold ones.
     pub held_back: u64,
 }
 
--- a/crates/upstream/src/pool/ramps.rs
+++ b/crates/upstream/src/pool/ramps.rs
@@ -23,13 +23,13 @@
     wakes: BTreeSet<(TenthMillis, ServerId)>,
     /// Sum of what servers are ready for.
     ready: usize,
-    /// Exchanges that were admitted on that and not begun yet.
+    /// Requests that were admitted on that and not begun yet.
     promised: usize,
     /// Servers that are in use and not cold.
     warm: usize,
 }
 
-/// How an exchange was admitted.
+/// How a request was admitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Admission {
     /// As any other.
@@ -53,7 +53,7 @@
             .count()
     }
 
-    /// Whether one more exchange may be admitted to this pool. It may, unless every server is down or
+    /// Whether one more request may be admitted to this pool. It may, unless every server is down or
     /// ramping and nothing is left of what those may be sent now.
     ///
     /// # Errors
@@ -70,7 +70,7 @@
         Err(self.wait_for_credit(now))
     }
 
-    /// A reserved exchange is begun next, or will never be.
+    /// A reserved request is begun next, or will never be.
     pub fn release(&mut self) {
         self.ramps.promised = self.ramps.promised.saturating_sub(1);
     }
--- a/crates/upstream/tests/ramp.rs
+++ b/crates/upstream/tests/ramp.rs
@@ -55,14 +55,14 @@
     Fails,
 }
 
-/// What came of one exchange that was asked for.
+/// What came of one request that was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Came {
     HeldBack,
     Ended(RunEnd),
 }
 
-/// Plays node and sockets: exchanges that are admitted begin at once, on servers with moods.
+/// Plays node and sockets: requests that are admitted begin at once, on servers with moods.
 struct World {
     pool: Pool,
     now: TenthMillis,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// One exchange: admitted and begun, or held back.
+    /// One request: admitted and begun, or held back.
     fn ask(&mut self) -> RunId {
         self.runs += 1;
         let run = self.runs;
@@ -209,7 +209,7 @@
         self.pool.over(conn, over, self.now, actions);
     }
 
-    /// Exchanges at this pace for so long.
+    /// Requests at this pace for so long.
     fn load(&mut self, every: TenthMillis, lasts: TenthMillis) {
         let till = self.now + lasts;
         while self.now < till {
