--- a/crates/admission/src/logic.rs
+++ b/crates/admission/src/logic.rs
@@ -84,7 +84,7 @@
 const IDLE_FALL: f32 = 0.7;
 /// Share read too late to be queued from which on the table is left to fill.
 const OVERLOAD_READS: f32 = 0.1;
-/// A customer may send this multiple of its share at one node, and save up this much time of it.
+/// A tenant may send this multiple of its share at one node, and save up this much time of it.
 const SHARE_SLACK: f32 = 1.3;
 const SHARE_SAVED: f32 = 20_000.0;
 /// Requests that it may save up at the least: where its share at a node is less than one in that time, it
@@ -136,7 +136,7 @@
     capacity: f32,
     /// Mean time of a run, by endpoint group; what else differs by group stands in the contract.
     took: Vec<f32>,
-    /// What each customer has saved up of its share here, and when that was counted.
+    /// What each tenant has saved up of its share here, and when that was counted.
     saved: Vec<(f32, TenthMillis)>,
     st: State,
 }
@@ -407,13 +407,13 @@
         self.file(place);
     }
 
-    /// Whether this is beyond what its customer's share of the fleet comes to at one node. Only what is taken
+    /// Whether this is beyond what its tenant's share of the fleet comes to at one node. Only what is taken
     /// uses it up: what is turned away may come again, here or elsewhere, marked or not.
-    fn over_share(&mut self, customer: usize) -> bool {
-        let Some((saved, counted)) = self.saved.get_mut(customer) else {
+    fn over_share(&mut self, tenant: usize) -> bool {
+        let Some((saved, counted)) = self.saved.get_mut(tenant) else {
             return false;
         };
-        let rate = SHARE_SLACK * self.terms.tenant_quotas[customer]
+        let rate = SHARE_SLACK * self.terms.tenant_quotas[tenant]
             / self.terms.nodes.max(1) as f32
             / 10_000.0;
         *saved = (*saved + rate * (self.st.now - *counted) as f32)
--- a/crates/admission/tests/cases.rs
+++ b/crates/admission/tests/cases.rs
@@ -153,12 +153,12 @@
 
 #[test]
 fn odd_starts_and_odd_numbers_are_borne() {
-    let (customers, calls_share) = (Vec::new(), Some(0.0));
+    let (tenants, calls_share) = (Vec::new(), Some(0.0));
     let mut terms = AdmissionConfig {
         cores: 0,
         warm_up_time: 0,
         cold: true,
-        tenant_quotas: customers,
+        tenant_quotas: tenants,
         downstream_concurrency: calls_share,
         ..contract()
     };
@@ -221,8 +221,8 @@
 }
 
 #[test]
-fn a_customer_beyond_its_share_is_denied_from_the_first_threshold_on() {
-    // Found on tigre-principal: one customer's surge took the places of all others.
+fn a_tenant_beyond_its_share_is_denied_from_the_first_threshold_on() {
+    // Found on tigre-principal: one tenant's surge took the places of all others.
     let mut terms = AdmissionConfig {
         cores: 20,
         tenant_quotas: vec![10.0, 1000.0],
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn a_customer_with_a_small_share_at_a_node_is_within_it_until_it_sends_more() {
+fn a_tenant_with_a_small_share_at_a_node_is_within_it_until_it_sends_more() {
     // Found on qld-da-portal: whoever had less than one request saved up counted as beyond its share.
     let mut world = World::new(
         AdmissionConfig {
@@ -415,7 +415,7 @@
     world.step();
     world.finish(established, RunOutcome::Completed);
     world.pass(10_000 * MILLISECOND);
-    // Of a customer without a share, up to past T1 = 15.
+    // Of a tenant without a share, up to past T1 = 15.
     fill(&mut world, 2, 16);
     let rejected = [(); 4].map(|()| is_rejected(&mut world, 6));
     assert_eq!(
@@ -427,7 +427,7 @@
 
 #[test]
 fn what_is_queued_beyond_a_share_keeps_nobody_out_that_is_within_one() {
-    // Found on qld-da-portal: one customer at three times its share filled all queues, and all were rejected.
+    // Found on qld-da-portal: one tenant at three times its share filled all queues, and all were rejected.
     let terms = AdmissionConfig {
         cores: 2,
         tenant_quotas: vec![1000.0, 0.1],
--- a/crates/bench/src/bin/reload.rs
+++ b/crates/bench/src/bin/reload.rs
@@ -32,8 +32,8 @@
     doortrack: PathBuf,
     #[arg(long, default_value_t = 3_400)]
     rules: usize,
-    #[arg(long, default_value_t = 20_000)]
-    customers: usize,
+    #[arg(long = "customers", default_value_t = 20_000)]
+    tenants: usize,
     /// Requests a second
     #[arg(long, default_value_t = 400)]
     rate: u32,
@@ -72,7 +72,7 @@
         let servers: Vec<Server> = (0..POOLS).map(start).collect();
         let party =
             |nth: usize| json!({"name": format!("customer-{nth:05}"), "allowance_per_s": 1});
-        plan.config["settings"]["parties"] = (0..words.customers).map(party).collect();
+        plan.config["settings"]["parties"] = (0..words.tenants).map(party).collect();
         plan.config["settings"]["family_info"]["cores"] = json!(64);
         for group in plan.config["settings"]["lanes"].as_array_mut().unwrap() {
             group["deadline"] = json!(words.deadline_ms * 1000);
--- a/crates/config/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -65,7 +65,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum BudgetFor {
-    Customer(String),
+    #[serde(rename = "customer")]
+    Tenant(String),
     Group(String),
     /// A pool of servers; `servers` is the one without a name.
     Pool(String),
@@ -135,7 +136,7 @@
     /// By endpoint group, in the order of the platform's configuration.
     pub groups: Vec<Option<u16>>,
     /// By customer, in the same order.
-    pub customers: Vec<Option<u16>>,
+    pub tenants: Vec<Option<u16>>,
     /// By pool of servers: the pool without a name first, then the others by name.
     pub pools: Vec<Option<u16>>,
     /// Of retries, by pool.
@@ -309,15 +310,15 @@
         if self.budgets.is_empty() {
             return;
         }
-        let customers: HashSet<&str> = orders
+        let tenants: HashSet<&str> = orders
             .handed
-            .customer_names
+            .tenant_names
             .iter()
             .map(String::as_str)
             .collect();
         for (nth, budget) in self.budgets.iter().enumerate() {
             let (kind, known, name) = match &budget.applies_to {
-                BudgetFor::Customer(name) => ("customer", customers.contains(name.as_str()), name),
+                BudgetFor::Tenant(name) => ("customer", tenants.contains(name.as_str()), name),
                 BudgetFor::Group(name) => (
                     "endpoint group",
                     orders.handed.group_names.contains(name),
@@ -397,7 +398,7 @@
         };
         BudgetIndices {
             groups: all(&orders.handed.group_names, BudgetFor::Group),
-            customers: all(&orders.handed.customer_names, BudgetFor::Customer),
+            tenants: all(&orders.handed.tenant_names, BudgetFor::Tenant),
             pools: self
                 .pool_names()
                 .map(|name| under(BudgetFor::Pool(name.into())))
--- a/crates/config/src/orders.rs
+++ b/crates/config/src/orders.rs
@@ -254,7 +254,7 @@
         None if handed.group_names.len() > 256 => {
             Err("config.settings.lanes: at most 256 are wanted".into())
         }
-        None if handed.customer_names.len() > 65_536 => {
+        None if handed.tenant_names.len() > 65_536 => {
             Err("config.settings.parties: at most 65536 are wanted".into())
         }
         None => Ok(handed),
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -19,8 +19,8 @@
     /// The endpoint group, by its name.
     pub group: String,
     /// The customer's name. Absent: the variable HTTP_X_TENANT.
-    #[serde(default)]
-    pub customer: Option<String>,
+    #[serde(default, rename = "customer")]
+    pub tenant: Option<String>,
     /// What the exchange is about, as string, bytes or int. Absent: the variable HTTP_X_OBJECT, if there is
     /// one.
     #[serde(default)]
@@ -122,13 +122,13 @@
             .iter()
             .map(|group| group.effect == Effect::Deduplicated);
         let groups = handed.group_names.iter().cloned().zip(keyed).collect();
-        let customers = handed.customer_names.clone();
+        let tenants = handed.tenant_names.clone();
         let pools = self.pools.keys().cloned().collect();
         let table = self.build(
             previous,
             &Names {
                 groups,
-                customers,
+                tenants,
                 pools,
             },
         )?;
@@ -158,7 +158,7 @@
             None,
             &Names {
                 groups,
-                customers: vec!["any".into()],
+                tenants: vec!["any".into()],
                 pools,
             },
         )?;
@@ -180,7 +180,7 @@
         let rule = |rule: &RuleFile| Rule {
             when: rule.when.clone(),
             group: rule.group.clone(),
-            customer: rule.customer.clone(),
+            tenant: rule.tenant.clone(),
             subject: rule.subject.clone(),
             idempotency_key: rule.idempotency_key.clone(),
             rank: rule.rank.clone(),
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -141,7 +141,7 @@
         &budgets(json!({"customer": "north"})),
     )
     .unwrap();
-    assert_eq!(known.fleet.indices.customers, [Some(0)]);
+    assert_eq!(known.fleet.indices.tenants, [Some(0)]);
     let unknown = planned(
         &started(true),
         &json!({}),
--- a/crates/demo/src/ask.rs
+++ b/crates/demo/src/ask.rs
@@ -11,7 +11,7 @@
 pub struct Wish<'a> {
     pub group: &'a str,
     pub text: &'a str,
-    pub customer: &'a str,
+    pub tenant: &'a str,
     pub idempotency_key: Option<&'a str>,
 }
 
@@ -22,7 +22,7 @@
     let script = format!("/svc/{}", wish.group);
     // Any name that is new with each try; the clock's will do for a person at a keyboard.
     let mut ask = Ask::new(since.as_nanos() as u64, &script, wish.text.as_bytes())
-        .with("HTTP_X_TENANT", wish.customer)
+        .with("HTTP_X_TENANT", wish.tenant)
         .with("HTTP_X_MEMORY_KB", "20");
     if let Some(key) = wish.idempotency_key {
         ask = ask.with("HTTP_IDEMPOTENCY_KEY", key);
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -45,7 +45,7 @@
         group: String,
         text: String,
         #[arg(default_value = "east-quay")]
-        customer: String,
+        tenant: String,
         /// 32 hex digits, for the group `moor`
         idempotency_key: Option<String>,
     },
@@ -75,7 +75,7 @@
             node,
             group,
             text,
-            customer,
+            tenant,
             idempotency_key,
         } => {
             let port = if matches!(protocol, Spoken::Uwsgi) {
@@ -87,7 +87,7 @@
             let wish = Wish {
                 group: &group,
                 text: &text,
-                customer: &customer,
+                tenant: &tenant,
                 idempotency_key: idempotency_key.as_deref(),
             };
             ask::ask(node, protocol.into(), wish)
--- a/crates/fault-harness/src/scale/hollow.rs
+++ b/crates/fault-harness/src/scale/hollow.rs
@@ -330,14 +330,14 @@
 
 /// Books one request as a caller's would be: on the group's budget, and on one tenant's.
 fn book_one(peers: &mut Peers, tenants: usize) {
-    let customer = if tenants == 0 {
+    let tenant = if tenants == 0 {
         u16::MAX
     } else {
         fastrand::usize(..tenants) as u16
     };
     if let Ok(permit) = peers.admit(Asked {
         group: 0,
-        customer,
+        tenant,
         pool: 0,
     }) {
         peers.release(permit, Use::Over);
--- a/crates/fault-harness/src/scale/node_cost/settings.rs
+++ b/crates/fault-harness/src/scale/node_cost/settings.rs
@@ -193,7 +193,7 @@
     installation
 }
 
-/// The same with its last rule changed so that it has a customer whom nobody knows: what it takes is answered
+/// The same with its last rule changed so that it has a tenant whom nobody knows: what it takes is answered
 /// with 400 from then on. Without rules the change adds one.
 pub fn installation_changed(installation: &Value) -> Value {
     let mut changed = installation.clone();
--- a/crates/fault-harness/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -90,7 +90,7 @@
     nth: u64,
     chance: fastrand::Rng,
     fronts: Vec<SocketAddr>,
-    /// Named in each request, where the nodes know customers.
+    /// Named in each request, where the nodes know tenants.
     tenant: Option<&'static str>,
     /// With the front that was asked.
     tried: Vec<(SocketAddr, Tried)>,
@@ -168,7 +168,7 @@
         Traffic::start_for(None, callers, fronts, seed)
     }
 
-    /// As [`Traffic::start`], on behalf of a customer that the nodes know.
+    /// As [`Traffic::start`], on behalf of a tenant that the nodes know.
     pub fn start_for(
         tenant: Option<&'static str>,
         callers: usize,
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -55,7 +55,7 @@
     for size in sizes() {
         let (orders, installation) = read(&size);
         assert_eq!(installation.rules.len(), size.routes, "{size:?}");
-        assert_eq!(orders.handed.customer_names.len(), size.tenants, "{size:?}");
+        assert_eq!(orders.handed.tenant_names.len(), size.tenants, "{size:?}");
         assert_eq!(
             installation.pools_of_servers().count(),
             size.services,
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_route_and_a_customer_are_small() {
+fn a_route_and_a_tenant_are_small() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let addresses = Addresses {
         listen: address,
@@ -185,9 +185,9 @@
         .keys()
         .cloned()
         .collect();
-    let names = |customers: usize| Names {
+    let names = |tenants: usize| Names {
         groups: vec![("look".into(), false), ("pay".into(), true)],
-        customers: (0..customers).map(|nth| format!("tenant-{nth}")).collect(),
+        tenants: (0..tenants).map(|nth| format!("tenant-{nth}")).collect(),
         pools: pools.clone(),
     };
     let (few, many) = (names(1), names(size.tenants));
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -17,7 +17,7 @@
     /// The operators' own file, with the rules
     #[arg(long, value_name = "FILE")]
     installation: PathBuf,
-    /// The platform's configuration, whose endpoint groups and customers are meant; absent: those that the
+    /// The platform's configuration, whose endpoint groups and tenants are meant; absent: those that the
     /// rules name
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
@@ -123,7 +123,7 @@
         }
         Classed::Refused {
             rule,
-            why: Refusal::Customer,
+            why: Refusal::Tenant,
         } => {
             format!("rules[{rule}], refused: no known customer")
         }
--- a/crates/node/src/parts.rs
+++ b/crates/node/src/parts.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Asked {
     pub group: u8,
-    pub customer: u16,
+    pub tenant: u16,
     /// The place of its pool of servers; 0 is the one without a name.
     pub pool: u16,
 }
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -131,7 +131,7 @@
         let under = |list: &[Option<u16>], index: usize| list.get(index).copied().flatten();
         let indices = [
             under(&by.groups, usize::from(asked.group)),
-            under(&by.customers, usize::from(asked.customer)),
+            under(&by.tenants, usize::from(asked.tenant)),
             under(&by.pools, usize::from(asked.pool)),
         ];
         if indices == [None; 3] {
--- a/crates/node/src/serve/events.rs
+++ b/crates/node/src/serve/events.rs
@@ -55,7 +55,7 @@
         // A repeat takes the outcome of the first: it uses nothing more.
         let asked = Asked {
             group,
-            customer: request.customer,
+            tenant: request.tenant,
             pool,
         };
         let (hold, held_back) = match repeats {
@@ -87,7 +87,7 @@
         self.batch.push(Event::Arrived(Request {
             id,
             group: request.group,
-            tenant: request.customer,
+            tenant: request.tenant,
             session_key: request.subject,
             deadline: request
                 .wait
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -86,14 +86,14 @@
     Ok(rules)
 }
 
-/// The names by which callers speak of groups and customers.
+/// The names by which callers speak of groups and tenants.
 fn names(orders: &Orders) -> Names {
     let handed = &orders.handed;
     let is_keyed = |group: &EndpointGroup| group.effect == Effect::Deduplicated;
     Names {
         groups: handed.group_names.clone(),
         keyed: handed.contract.groups.iter().map(is_keyed).collect(),
-        customers: handed.customer_names.clone(),
+        tenants: handed.tenant_names.clone(),
     }
 }
 
--- a/crates/node/src/wire/request.rs
+++ b/crates/node/src/wire/request.rs
@@ -29,7 +29,7 @@
     /// When it came to the machine, on the Unix clock.
     pub stamp: TenthMillis,
     pub group: u8,
-    pub customer: u16,
+    pub tenant: u16,
     pub caller: u64,
     pub retry: bool,
     pub kb: f32,
@@ -73,17 +73,17 @@
     pub groups: Vec<String>,
     /// Whether requests of the group carry an idempotency key.
     pub keyed: Vec<bool>,
-    pub customers: Vec<String>,
+    pub tenants: Vec<String>,
 }
 
 impl Names {
-    /// The place of a customer; 0 where the deployment knows none.
-    pub(super) fn customer(&self, fields: &Fields) -> Result<u16, Unreadable> {
-        if self.customers.is_empty() {
+    /// The place of a tenant; 0 where the deployment knows none.
+    pub(super) fn tenant(&self, fields: &Fields) -> Result<u16, Unreadable> {
+        if self.tenants.is_empty() {
             return Ok(0);
         }
         let tenant = fields.needed("HTTP_X_TENANT")?;
-        let place = self.customers.iter().position(|name| name == tenant);
+        let place = self.tenants.iter().position(|name| name == tenant);
         place
             .map(|place| place as u16)
             .ok_or(Unreadable::Field("HTTP_X_TENANT"))
@@ -106,7 +106,7 @@
     if fields.needed("REQUEST_METHOD")? != "POST" {
         return Err(Unreadable::Field("REQUEST_METHOD"));
     }
-    let customer = names.customer(&fields)?;
+    let tenant = names.tenant(&fields)?;
     let kb = fields.number::<f32>("HTTP_X_MEMORY_KB")?;
     let rank = fields.number::<f32>("HTTP_X_RANK")?;
     Ok(Asked::Request(IncomingRequest {
@@ -115,7 +115,7 @@
             .number::<u64>("HTTP_X_REQUEST_START")?
             .saturating_mul(MILLISECOND),
         group: group as u8,
-        customer,
+        tenant,
         caller: fields.number("HTTP_X_CALLER")?,
         retry: fields
             .find("HTTP_X_RETRY")?
--- a/crates/node/src/wire/ruled.rs
+++ b/crates/node/src/wire/ruled.rs
@@ -112,9 +112,9 @@
         let group = class.as_ref().map(|class| class.group);
         let group = group.or(self.rules.otherwise).ok_or(Unreadable::NoRule)?;
         let fields = Fields(&pairs);
-        let customer = match class.as_ref().and_then(|class| class.customer) {
-            Some(customer) => customer,
-            None => names.customer(&fields)?,
+        let tenant = match class.as_ref().and_then(|class| class.tenant) {
+            Some(tenant) => tenant,
+            None => names.tenant(&fields)?,
         };
         let rank = match class.as_ref().and_then(|class| class.rank) {
             Some(rank) => rank,
@@ -132,7 +132,7 @@
             try_id,
             stamp: stamp_ms.map_or(origin.now, |ms| ms.saturating_mul(MILLISECOND)),
             group,
-            customer,
+            tenant,
             caller: parsed(&fields, "HTTP_X_CALLER")?.unwrap_or(0),
             retry: fields
                 .find("HTTP_X_RETRY")?
@@ -159,7 +159,7 @@
             Classed::As(class) => Ok(Some(class)),
             Classed::NoRule => Ok(None),
             Classed::Refused {
-                why: Refusal::Customer,
+                why: Refusal::Tenant,
                 ..
             } => Err(Unreadable::Field("customer")),
             Classed::Refused {
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -42,7 +42,7 @@
         let names = Names {
             groups: vec!["look".into()],
             keyed: vec![false],
-            customers: Vec::new(),
+            tenants: Vec::new(),
         };
         let mut fronts = Fronts::new(poller.clone(), names, room, 10 * S);
         let at = fresh_address();
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -49,7 +49,7 @@
     let names = Names {
         groups: vec!["look".into()],
         keyed: vec![false],
-        customers: Vec::new(),
+        tenants: Vec::new(),
     };
     let mut fronts = Fronts::new(poller.clone(), names, room, 100_000);
     let at: SocketAddr = fresh_address();
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -205,7 +205,7 @@
     Names {
         groups: vec!["look".into(), "pay".into()],
         keyed: vec![false, true],
-        customers: vec!["one".into()],
+        tenants: vec!["one".into()],
     }
 }
 
@@ -230,7 +230,7 @@
     let Ok(Asked::Request(request)) = read(&FIELDS) else {
         panic!("not read")
     };
-    assert_eq!((request.group, request.customer, request.caller), (1, 0, 4));
+    assert_eq!((request.group, request.tenant, request.caller), (1, 0, 4));
     assert_eq!(
         (request.stamp, request.kb, request.rank),
         (1_764_576_000_123 * MILLISECOND, 24.5, 0.625)
@@ -761,7 +761,7 @@
         orders::parse(config().to_string().as_bytes()).unwrap().room
     );
     assert!(orders.room.connections < 1024);
-    assert!(orders.handed.list_follows_health && orders.handed.customer_names.is_empty());
+    assert!(orders.handed.list_follows_health && orders.handed.tenant_names.is_empty());
     // All that may be held at once leaves room for the program itself.
     for (memory_mb, sockets) in [(192, 1024), (48, 512), (32, 384), (24, 1024)] {
         let mut value = config();
--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -21,20 +21,20 @@
 #[derive(Clone, Copy)]
 struct Size {
     rules: usize,
-    customers: usize,
+    tenants: usize,
 }
 
 const LARGE: Size = Size {
     rules: 3_400,
-    customers: 20_000,
+    tenants: 20_000,
 };
 const SMALL: Size = Size {
     rules: 400,
-    customers: 2_000,
+    tenants: 2_000,
 };
 const MIDDLE: Size = Size {
     rules: 1_000,
-    customers: 2_000,
+    tenants: 2_000,
 };
 
 /// A node with application servers, each of which answers with its pool's name, and a front over uwsgi.
@@ -84,7 +84,7 @@
             .collect();
         let party =
             |nth: usize| json!({"name": format!("customer-{nth:05}"), "allowance_per_s": 1});
-        plan.config["settings"]["parties"] = (0..size.customers).map(party).collect();
+        plan.config["settings"]["parties"] = (0..size.tenants).map(party).collect();
         plan.config["settings"]["family_info"]["cores"] = json!(64);
         plan.words = ["--log-level", "debug", "--log-lines", "1000"]
             .map(String::from)
--- a/crates/node/tests/node/restart.rs
+++ b/crates/node/tests/node/restart.rs
@@ -27,16 +27,16 @@
 /// Threads that keep asking, each of all nodes in turn.
 const CALLERS: usize = 4;
 
-const CUSTOMERS: usize = 20_000;
+const TENANTS: usize = 20_000;
 const RULES: usize = 3_400;
 
-fn customer(nth: usize) -> String {
+fn tenant(nth: usize) -> String {
     format!("customer-{nth:05}")
 }
 
-fn customers() -> Value {
-    (0..CUSTOMERS)
-        .map(|nth| json!({"name": customer(nth), "allowance_per_s": 10}))
+fn tenants() -> Value {
+    (0..TENANTS)
+        .map(|nth| json!({"name": tenant(nth), "allowance_per_s": 10}))
         .collect()
 }
 
@@ -71,7 +71,7 @@
     fn start(large: bool) -> Node {
         let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
         if large {
-            plan.config["settings"]["parties"] = customers();
+            plan.config["settings"]["parties"] = tenants();
             let front = json!({"protocol": "fastcgi", "listen": plan.port(9091).to_string()});
             plan.installation =
                 Some(json!({"fronts": [front], "rules": rules(), "otherwise": "look"}));
@@ -187,8 +187,8 @@
     let Ok(sock) = TcpStream::connect_timeout(&at, patience) else {
         return false;
     };
-    let customer = customer(nth as usize % CUSTOMERS);
-    let ask = Ask::new(nth, "/svc/look", b"work").with("HTTP_X_TENANT", &customer);
+    let tenant = tenant(nth as usize % TENANTS);
+    let ask = Ask::new(nth, "/svc/look", b"work").with("HTTP_X_TENANT", &tenant);
     let sent = (&sock).write_all(&ask.bytes(FastCgi));
     let patient = sock.set_read_timeout(Some(patience));
     sent.and(patient)
@@ -217,6 +217,6 @@
 }
 
 #[test]
-fn so_are_nodes_with_thousands_of_rules_and_customers() {
+fn so_are_nodes_with_thousands_of_rules_and_tenants() {
     nine_in_ten_are_ready_in_time(true);
 }
--- a/crates/routes/src/build.rs
+++ b/crates/routes/src/build.rs
@@ -18,8 +18,8 @@
     pub when: String,
     /// The name of an endpoint group.
     pub group: String,
-    /// The name of a customer: string, or optional string.
-    pub customer: Option<String>,
+    /// The name of a tenant: string, or optional string.
+    pub tenant: Option<String>,
     /// What the request is about: string, bytes or int, or optional. Absent and empty are no subject.
     pub subject: Option<String>,
     /// The idempotency key of a deduplicated request: string or bytes, or optional. Absent and empty are
@@ -38,7 +38,7 @@
 pub struct Names {
     /// Endpoint groups, and whether their requests carry an idempotency key.
     pub groups: Vec<(String, bool)>,
-    pub customers: Vec<String>,
+    pub tenants: Vec<String>,
     pub pools: Vec<String>,
 }
 
@@ -93,8 +93,8 @@
 pub(crate) struct Environment {
     pub(crate) groups: Vec<(String, bool)>,
     pub(crate) pools: Vec<String>,
-    /// Which customers there are is looked up for each request, and is no part of a compiled rule.
-    pub(crate) has_customers: bool,
+    /// Which tenants there are is looked up for each request, and is no part of a compiled rule.
+    pub(crate) has_tenants: bool,
     pub(crate) limits: Limits,
 }
 
@@ -103,13 +103,13 @@
         Environment {
             groups: names.groups.clone(),
             pools: names.pools.clone(),
-            has_customers: !names.customers.is_empty(),
+            has_tenants: !names.tenants.is_empty(),
             limits,
         }
     }
 }
 
-type Customers = FxHashMap<Box<str>, u16>;
+type Tenants = FxHashMap<Box<str>, u16>;
 
 impl Table {
     /// Reads, checks and compiles all rules.
@@ -172,11 +172,11 @@
             return Err(compiler.faults);
         }
         let index = Index::new(compiled.iter().map(|rule| &rule.lifted[..]));
-        let customers = customers(previous, &names.customers);
+        let tenants = tenants(previous, &names.tenants);
         let table = Table {
             rules: compiled,
             index,
-            customers,
+            tenants,
             environment,
         };
         Ok(Built {
@@ -187,18 +187,18 @@
     }
 }
 
-/// The places of customers by their names, shared with the previous table where they are the same.
-fn customers(previous: Option<&Table>, names: &[String]) -> Arc<Customers> {
-    let same = |customers: &Customers| {
+/// The places of tenants by their names, shared with the previous table where they are the same.
+fn tenants(previous: Option<&Table>, names: &[String]) -> Arc<Tenants> {
+    let same = |tenants: &Tenants| {
         let has =
-            |(place, name): (usize, &String)| customers.get(name.as_str()) == Some(&(place as u16));
-        customers.len() == names.len() && names.iter().enumerate().all(has)
+            |(place, name): (usize, &String)| tenants.get(name.as_str()) == Some(&(place as u16));
+        tenants.len() == names.len() && names.iter().enumerate().all(has)
     };
     match previous
-        .map(|table| &table.customers)
-        .filter(|customers| same(customers))
+        .map(|table| &table.tenants)
+        .filter(|tenants| same(tenants))
     {
-        Some(customers) => Arc::clone(customers),
+        Some(tenants) => Arc::clone(tenants),
         None => {
             let place = |(place, name): (usize, &String)| (name.as_str().into(), place as u16);
             Arc::new(names.iter().enumerate().map(place).collect())
--- a/crates/routes/src/classify.rs
+++ b/crates/routes/src/classify.rs
@@ -13,8 +13,8 @@
     pub rule: u32,
     /// The place of its endpoint group.
     pub group: u8,
-    /// The place of its customer.
-    pub customer: Option<u16>,
+    /// The place of its tenant.
+    pub tenant: Option<u16>,
     /// What it is about, none where it has no subject. Never 0.
     pub subject: Option<u64>,
     /// A digest of its idempotency key.
@@ -30,8 +30,8 @@
 /// Why a request that a rule took can't be classed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Its customer is absent, or none of those known.
-    Customer,
+    /// Its tenant is absent, or none of those known.
+    Tenant,
     /// Its group is deduplicated and its key is absent or empty: with an empty one all would be one
     /// request.
     IdempotencyKey,
@@ -74,13 +74,13 @@
     fn class<R: Request>(&self, rule: u32, request: &R, scratch: &mut Scratch) -> Classed {
         let of = &self.rules[rule as usize];
         let refused = |why| Classed::Refused { rule, why };
-        let mut customer = None;
-        if let Some(program) = &of.customer {
+        let mut tenant = None;
+        if let Some(program) = &of.tenant {
             let value = program.eval(request, scratch);
             let name = std::str::from_utf8(text(value, scratch)).unwrap_or_default();
-            match self.customers.get(name) {
-                Some(place) => customer = Some(*place),
-                None => return refused(Refusal::Customer),
+            match self.tenants.get(name) {
+                Some(place) => tenant = Some(*place),
+                None => return refused(Refusal::Tenant),
             }
         }
         let mut key = None;
@@ -126,7 +126,7 @@
         Classed::As(Class {
             rule,
             group: of.group,
-            customer,
+            tenant,
             subject,
             idempotency_key: key,
             rank,
--- a/crates/routes/src/compile.rs
+++ b/crates/routes/src/compile.rs
@@ -15,7 +15,7 @@
     pub(crate) source: Digest,
     pub(crate) when: Program,
     pub(crate) group: u8,
-    pub(crate) customer: Option<Program>,
+    pub(crate) tenant: Option<Program>,
     pub(crate) subject: Option<Program>,
     pub(crate) idempotency_key: Option<Program>,
     pub(crate) rank: Option<Program>,
@@ -31,7 +31,7 @@
     let Rule {
         when,
         group,
-        customer,
+        tenant,
         subject,
         idempotency_key,
         rank,
@@ -41,7 +41,7 @@
     let mut digest = Sha256::new();
     for text in [Some(when), Some(group)]
         .into_iter()
-        .chain([customer, subject, idempotency_key, rank, due, servers].map(Option::as_ref))
+        .chain([tenant, subject, idempotency_key, rank, due, servers].map(Option::as_ref))
     {
         // Lengths keep texts apart, and an absent one from an empty one.
         digest.update(
@@ -87,7 +87,7 @@
                 .as_ref()
                 .map(|source| self.program(place, key, source, types))
         };
-        let customer = optional("customer", &rule.customer, &[Type::Str]);
+        let tenant = optional("customer", &rule.tenant, &[Type::Str]);
         let subject = optional(
             "subject",
             &rule.subject,
@@ -108,7 +108,7 @@
             );
             self.fault(place, "idempotency_key", what);
         }
-        if customer.is_some() && !self.environment.has_customers {
+        if tenant.is_some() && !self.environment.has_tenants {
             self.fault(place, "customer", "the deployment has no customers");
         }
         let expr = parsed?;
@@ -117,7 +117,7 @@
             source,
             when: when?,
             group: group? as u8,
-            customer: sound(customer)?,
+            tenant: sound(tenant)?,
             subject: sound(subject)?,
             idempotency_key: sound(key)?,
             rank: sound(rank)?,
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,4 +1,4 @@
-//! A table of rules that classes requests: which endpoint group, customer, subject, key, rank, due time
+//! A table of rules that classes requests: which endpoint group, tenant, subject, key, rank, due time
 //! and pool of servers each has. It never admits or rejects; that is the decisions' job.
 //!
 //! Rules are tried in order and the first whose condition holds wins. [`Table::build`] reads and checks all
@@ -30,7 +30,7 @@
 pub struct Table {
     rules: Vec<Arc<compile::Compiled>>,
     index: index::Index,
-    customers: Arc<rustc_hash::FxHashMap<Box<str>, u16>>,
+    tenants: Arc<rustc_hash::FxHashMap<Box<str>, u16>>,
     /// Names that rules may use; of groups also whether their requests carry an idempotency key.
     environment: build::Environment,
 }
--- a/crates/routes/tests/in_part.rs
+++ b/crates/routes/tests/in_part.rs
@@ -60,15 +60,15 @@
         vec![("pay".to_string(), true), ("look".to_string(), false)],
         vec![("look".to_string(), true), ("pay".to_string(), true)],
     ]);
-    let customers = prop::sample::select(vec![vec![], vec!["north"], vec!["south", "north"]]);
+    let tenants = prop::sample::select(vec![vec![], vec!["north"], vec!["south", "north"]]);
     let pools = prop::sample::select(vec![
         vec!["main", "slow"],
         vec!["slow", "main"],
         vec!["main"],
     ]);
-    (groups, customers, pools).prop_map(|(groups, customers, pools)| Names {
+    (groups, tenants, pools).prop_map(|(groups, tenants, pools)| Names {
         groups,
-        customers: customers.into_iter().map(String::from).collect(),
+        tenants: tenants.into_iter().map(String::from).collect(),
         pools: pools.into_iter().map(String::from).collect(),
     })
 }
@@ -163,7 +163,7 @@
     };
     let names = Names {
         groups: vec![("look".into(), false)],
-        customers: (0..100).map(|nth| format!("customer-{nth}")).collect(),
+        tenants: (0..100).map(|nth| format!("customer-{nth}")).collect(),
         pools: Vec::new(),
     };
     Sources {
@@ -188,9 +188,9 @@
     sources.rules.swap(3, 400);
     sources.rules.remove(10);
     assert_eq!(build(Some(&second.table), &sources).reused, 499);
-    // Other customers are looked up for each request; whether there are any is part of what is checked.
-    sources.names.customers.push("another".into());
+    // Other tenants are looked up for each request; whether there are any is part of what is checked.
+    sources.names.tenants.push("another".into());
     assert_eq!(build(Some(&second.table), &sources).reused, 499);
-    sources.names.customers.clear();
+    sources.names.tenants.clear();
     assert_eq!(build(Some(&second.table), &sources).reused, 0);
 }
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -9,7 +9,7 @@
 fn names() -> Names {
     Names {
         groups: vec![("look".into(), false), ("pay".into(), true)],
-        customers: vec!["north".into(), "south".into()],
+        tenants: vec!["north".into(), "south".into()],
         pools: vec!["main".into(), "slow".into()],
     }
 }
@@ -104,7 +104,7 @@
 #[test]
 fn a_rule_says_what_an_exchange_is() {
     let full = Rule {
-        customer: Some("lower(header(\"x-yard\") ?? \"\")".into()),
+        tenant: Some("lower(header(\"x-yard\") ?? \"\")".into()),
         subject: Some("segment(1)".into()),
         idempotency_key: Some("header(\"x-order\")".into()),
         rank: Some("if body_length > 10 { 7.5 } else { 0.25 }".into()),
@@ -134,7 +134,7 @@
         panic!()
     };
     assert_eq!(
-        (one.rule, one.group, one.customer, one.pool, one.rank),
+        (one.rule, one.group, one.tenant, one.pool, one.rank),
         (0, 1, Some(1), Some(1), Some(0.25))
     );
     let Classed::As(again) = class(&asked) else {
@@ -167,12 +167,12 @@
                 .header("x-order", ""),
             Refusal::IdempotencyKey,
         ),
-        (path("/pay/x").header("x-order", "1"), Refusal::Customer),
+        (path("/pay/x").header("x-order", "1"), Refusal::Tenant),
         (
             path("/pay/x")
                 .header("x-order", "1")
                 .header("x-yard", "\u{fffd}"),
-            Refusal::Customer,
+            Refusal::Tenant,
         ),
     ] {
         assert_eq!(class(&request), Classed::Refused { rule: 0, why });
@@ -201,7 +201,7 @@
     let told = faults(&[
         rule("pth == \"a\"", "look"),
         Rule {
-            customer: Some("1".into()),
+            tenant: Some("1".into()),
             idempotency_key: Some("path".into()),
             ..rule("true", "look")
         },
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -35,9 +35,9 @@
 pub struct Handed {
     pub contract: AdmissionConfig,
     pub gauges: GaugePlaces,
-    /// Names of the endpoint groups and customers, in the order of the contract.
+    /// Names of the endpoint groups and tenants, in the order of the contract.
     pub group_names: Vec<String>,
-    pub customer_names: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// The callers' list follows the health that a node reports.
     pub list_follows_health: bool,
     /// Health checks ask for real work.
@@ -172,14 +172,14 @@
     } else {
         Vec::new()
     };
-    let customers = parties
+    let tenants = parties
         .iter()
         .map(|p| p.num("allowance_per_s"))
         .collect::<Result<_, _>>()?;
     for party in parties.iter().filter(|party| party.find("share").is_some()) {
         party.share("share")?;
     }
-    let customer_names = names(&parties)?;
+    let tenant_names = names(&parties)?;
     let (below, below_part) = info.word("below")?;
     let calls_share = match below {
         "common" => Some(info.num("calls_out")?),
@@ -193,7 +193,7 @@
         run_memory_factor: info.num("run_factor")?,
         record_kb: info.num("key_kb")?,
         groups,
-        tenant_quotas: customers,
+        tenant_quotas: tenants,
         over_quota_weight: top.share("over_share_worth")?,
         weight_per_work: top.word("worth_by")?.0 == "work",
         nodes: top.num("servers")? as u32,
@@ -223,7 +223,7 @@
         contract,
         gauges: gauge_places(&info)?,
         group_names,
-        customer_names,
+        tenant_names,
         list_follows_health: info.switch("readiness")?,
         deep_checks: info.switch("deep_checks")?,
         passes_due: info.switch("passes_deadline")?,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,12 +1,12 @@
-//! Reading settings of any size: the time grows with the number of customers and not with its square.
+//! Reading settings of any size: the time grows with the number of tenants and not with its square.
 
 use std::time::{Duration, Instant};
 
 use doortrack_settings::{Part, read};
 use serde_json::{Value, json};
 
-fn settings(customers: usize) -> Value {
-    let customer = |nth: usize| json!({"name": format!("customer-{nth:06}"), "allowance_per_s": 1});
+fn settings(tenants: usize) -> Value {
+    let tenant = |nth: usize| json!({"name": format!("customer-{nth:06}"), "allowance_per_s": 1});
     json!({
         "bounds": {"max_retry_after": 1_000_000, "retry_after": true},
         "family_info": {
@@ -19,7 +19,7 @@
         "lanes": [{"deadline": 30_000_000, "idempotency": "safe", "late_worth": 0, "name": "look",
             "target": 20_000_000, "window": 5_000_000, "worth": 1}],
         "over_share_worth": 0.1,
-        "parties": (0..customers).map(customer).collect::<Value>(),
+        "parties": (0..tenants).map(tenant).collect::<Value>(),
         "safety": {"drain_grace": 1_000_000, "overload_for": 2_000_000, "ramp_time": 10_000_000,
             "start_capacity": 0.25, "tip_multiple": 5},
         "servers": 3, "tick": 4000, "worth_by": "request"
@@ -27,22 +27,22 @@
 }
 
 /// The shortest of three readings, as anything else on the machine only makes one longer.
-fn time_to_read(customers: usize) -> Duration {
-    let settings = settings(customers);
+fn time_to_read(tenants: usize) -> Duration {
+    let settings = settings(tenants);
     let top = Part {
         value: &settings,
         path: "settings".into(),
     };
     let once = || {
         let since = Instant::now();
-        assert_eq!(read(&top).unwrap().customer_names.len(), customers);
+        assert_eq!(read(&top).unwrap().tenant_names.len(), tenants);
         since.elapsed()
     };
     (0..3).map(|_| once()).min().unwrap()
 }
 
 #[test]
-fn reading_customers_takes_time_that_grows_with_their_number_alone() {
+fn reading_tenants_takes_time_that_grows_with_their_number_alone() {
     const FEW: usize = 2_000;
     const TIMES: u32 = 32;
     let (few, many) = (time_to_read(FEW), time_to_read(FEW * TIMES as usize));
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -156,7 +156,7 @@
     fn exchange(&mut self) -> Result<Request, Fault> {
         let id = self.u32("req")?;
         let group = self.u8("band")?;
-        let customer = self.u16("billing")?;
+        let tenant = self.u16("billing")?;
         let subject = self.u64("resource")?;
         let due = self.u64("valid_until")?;
         let hint = self.u32("hint")?;
@@ -169,7 +169,7 @@
         Ok(Request {
             id,
             group,
-            tenant: customer,
+            tenant: tenant,
             session_key: subject,
             deadline: (due > 0).then(|| down(due)),
             work_hint: (bits & 1 != 0).then(|| up(hint.into())),
