--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -225,7 +225,7 @@
     SetTimer {
         /// When it fires.
         at: TenthMillis,
-        /// Handed back with the event.
+        /// DeploymentSettings back with the event.
         token: u64,
     },
 }
--- a/crates/config/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -8,7 +8,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-use crate::{Fault, FleetFile, Installation, Orders};
+use crate::{ConfigError, FleetFile, Installation, NodeConfig};
 
 /// Upper bound of a limit, reserved minimum, maximum a node, and burst.
 const MAX_UNITS: u32 = 10_000_000;
@@ -110,11 +110,14 @@
 }
 
 impl LeaseTimes {
-    pub(crate) fn faults(&self, faults: &mut Vec<Fault>) {
+    pub(crate) fn faults(&self, faults: &mut Vec<ConfigError>) {
         let mut check_range = |key: &str, value: u32, least: u32, most: u32| {
             if !(least..=most).contains(&value) {
                 let what = format!("{least} to {most} is wanted, found {value}");
-                faults.push(Fault::new(format!("installation.fleet.leases.{key}"), what));
+                faults.push(ConfigError::new(
+                    format!("installation.fleet.leases.{key}"),
+                    what,
+                ));
             }
         };
         check_range("round_ms", self.round_ms, 20, 10_000);
@@ -190,9 +193,9 @@
         }
     }
 
-    fn faults(&self, at: &str, voters: &[String], faults: &mut Vec<Fault>) {
+    fn faults(&self, at: &str, voters: &[String], faults: &mut Vec<ConfigError>) {
         let mut fault =
-            |key: &str, what: String| faults.push(Fault::new(format!("{at}{key}"), what));
+            |key: &str, what: String| faults.push(ConfigError::new(format!("{at}{key}"), what));
         if !doortrack_membership::is_name(&self.name) {
             fault(
                 ".name",
@@ -261,7 +264,7 @@
 }
 
 impl Installation {
-    pub(crate) fn budget_faults(&self, faults: &mut Vec<Fault>) {
+    pub(crate) fn budget_faults(&self, faults: &mut Vec<ConfigError>) {
         const AT: &str = "installation.budgets";
         if self.budgets.is_empty() {
             return;
@@ -271,15 +274,15 @@
                 "at most {MAX_BUDGETS} are wanted, found {}",
                 self.budgets.len()
             );
-            faults.push(Fault::new(AT, what));
+            faults.push(ConfigError::new(AT, what));
         }
         match &self.fleet {
-            None => faults.push(Fault::new(
+            None => faults.push(ConfigError::new(
                 AT,
                 "without 'fleet' there is nobody to divide them with",
             )),
             Some(fleet) if fleet.voters.is_empty() => {
-                faults.push(Fault::new(
+                faults.push(ConfigError::new(
                     "installation.fleet.voters",
                     "budgets need at least one",
                 ));
@@ -292,26 +295,26 @@
             budget.faults(&format!("{AT}[{nth}]"), voters, faults);
             if let Some(other) = names.insert(&budget.name, nth) {
                 let what = format!("the name of {AT}[{other}]");
-                faults.push(Fault::new(format!("{AT}[{nth}].name"), what));
+                faults.push(ConfigError::new(format!("{AT}[{nth}].name"), what));
             } else if let Some(other) = ids.insert(budget.budget(voters, 0).id(), nth) {
                 let what =
                     format!("nodes could not tell it from that of {AT}[{other}]: take another");
-                faults.push(Fault::new(format!("{AT}[{nth}].name"), what));
+                faults.push(ConfigError::new(format!("{AT}[{nth}].name"), what));
             }
             if let Some(other) = targets.insert(&budget.applies_to, nth) {
                 let what = format!("under {AT}[{other}] already");
-                faults.push(Fault::new(format!("{AT}[{nth}].for"), what));
+                faults.push(ConfigError::new(format!("{AT}[{nth}].for"), what));
             }
         }
     }
 
     /// Conflicts with the platform's configuration.
-    pub(crate) fn budgets_beside(&self, orders: &Orders, faults: &mut Vec<Fault>) {
+    pub(crate) fn budgets_beside(&self, orders: &NodeConfig, faults: &mut Vec<ConfigError>) {
         if self.budgets.is_empty() {
             return;
         }
         let tenants: HashSet<&str> = orders
-            .handed
+            .settings
             .tenant_names
             .iter()
             .map(String::as_str)
@@ -321,7 +324,7 @@
                 BudgetFor::Tenant(name) => ("customer", tenants.contains(name.as_str()), name),
                 BudgetFor::Group(name) => (
                     "endpoint group",
-                    orders.handed.group_names.contains(name),
+                    orders.settings.group_names.contains(name),
                     name,
                 ),
                 BudgetFor::Pool(name) | BudgetFor::Retries(name) | BudgetFor::Ramp(name) => {
@@ -330,7 +333,10 @@
             };
             if !known {
                 let what = format!("there is no {kind} '{name}'");
-                faults.push(Fault::new(format!("installation.budgets[{nth}].for"), what));
+                faults.push(ConfigError::new(
+                    format!("installation.budgets[{nth}].for"),
+                    what,
+                ));
             }
             if let BudgetFor::Ramp(name) = &budget.applies_to
                 && known
@@ -346,14 +352,14 @@
     }
 
     /// A budget for the ramp of a pool that has none, or one that grants more than that ramp.
-    fn ramp_fault(&self, limit: u32, pool: &str, at: &str, faults: &mut Vec<Fault>) {
+    fn ramp_fault(&self, limit: u32, pool: &str, at: &str, faults: &mut Vec<ConfigError>) {
         let place = self.pool_names().position(|name| name == pool);
         let servers = place.and_then(|place| self.pools_of_servers().nth(place));
         let Some((path, servers)) = servers else {
             return;
         };
         let Some(ramp) = servers.ramp else {
-            return faults.push(Fault::new(
+            return faults.push(ConfigError::new(
                 format!("{at}.for"),
                 format!("{path} has no ramp"),
             ));
@@ -363,7 +369,7 @@
             let what = format!(
                 "at most {most} is wanted, 2 * runs / over_ms a second of {path}.ramp; found {limit}"
             );
-            faults.push(Fault::new(format!("{at}.limit"), what));
+            faults.push(ConfigError::new(format!("{at}.limit"), what));
         }
     }
 
@@ -374,9 +380,9 @@
 
     /// The budgets in the order of the file. A concurrency without a maximum hold time has the longest
     /// deadline of all endpoint groups.
-    pub fn budget_list(&self, orders: &Orders) -> Vec<Budget> {
+    pub fn budget_list(&self, orders: &NodeConfig) -> Vec<Budget> {
         let voters = self.fleet.as_ref().map_or(&[][..], |fleet| &fleet.voters);
-        let groups = &orders.handed.contract.groups;
+        let groups = &orders.settings.admission.groups;
         let longest = groups.iter().map(|group| group.deadline).max().unwrap_or(0);
         self.budgets
             .iter()
@@ -385,7 +391,7 @@
     }
 
     /// Which budgets apply to which requests.
-    pub fn budget_indices(&self, orders: &Orders) -> BudgetIndices {
+    pub fn budget_indices(&self, orders: &NodeConfig) -> BudgetIndices {
         let indices: HashMap<&BudgetFor, u16> = self
             .budgets
             .iter()
@@ -397,8 +403,8 @@
             names.iter().map(|name| under(of(name.clone()))).collect()
         };
         BudgetIndices {
-            groups: all(&orders.handed.group_names, BudgetFor::Group),
-            tenants: all(&orders.handed.tenant_names, BudgetFor::Tenant),
+            groups: all(&orders.settings.group_names, BudgetFor::Group),
+            tenants: all(&orders.settings.tenant_names, BudgetFor::Tenant),
             pools: self
                 .pool_names()
                 .map(|name| under(BudgetFor::Pool(name.into())))
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -11,7 +11,9 @@
 use serde_json::Value;
 
 use crate::rules::{ExpressionLimits, RuleFile};
-use crate::{BudgetFile, Fault, Faults, FleetFile, Orders, Servers, gather, stable};
+use crate::{
+    BudgetFile, ConfigError, ConfigErrors, FleetFile, NodeConfig, Servers, gather, stable,
+};
 
 /// Fronts that one node may have beside the platform's listener.
 pub const MOST_FRONTS: usize = 8;
@@ -92,9 +94,9 @@
 }
 
 /// Reads and checks the file.
-pub fn read(path: &Path) -> Result<Installation, Faults> {
-    let text =
-        stable::read(path).map_err(|e| Faults::one(path.display().to_string(), e.to_string()))?;
+pub fn read(path: &Path) -> Result<Installation, ConfigErrors> {
+    let text = stable::read(path)
+        .map_err(|e| ConfigErrors::one(path.display().to_string(), e.to_string()))?;
     parse(&text)
 }
 
@@ -102,10 +104,10 @@
 ///
 /// # Errors
 /// All its faults, each with the path of its key.
-pub fn parse(text: &[u8]) -> Result<Installation, Faults> {
+pub fn parse(text: &[u8]) -> Result<Installation, ConfigErrors> {
     const AT: &str = "installation";
-    let value: Value =
-        serde_json::from_slice(text).map_err(|e| Faults::one(AT, format!("not JSON: {e}")))?;
+    let value: Value = serde_json::from_slice(text)
+        .map_err(|e| ConfigErrors::one(AT, format!("not JSON: {e}")))?;
     let lists = ["fronts", "rules", "budgets"]
         .into_iter()
         .filter_map(|key| Some((key, value.get(key)?.as_array()?)));
@@ -123,40 +125,40 @@
         .chain([(AT.to_string(), &value)])
         .filter(|(_, part)| !part.is_object());
     // A list would be taken for the values of an object in the order of its keys.
-    let lists: Vec<Fault> = parts
-        .map(|(at, _)| Fault::new(at, "an object is wanted"))
+    let lists: Vec<ConfigError> = parts
+        .map(|(at, _)| ConfigError::new(at, "an object is wanted"))
         .collect();
     if !lists.is_empty() {
-        return Err(Faults(lists));
+        return Err(ConfigErrors(lists));
     }
     let installation: Installation = gather::read(&value, AT)?;
     let faults = installation.faults();
     if !faults.is_empty() {
-        return Err(Faults(faults));
+        return Err(ConfigErrors(faults));
     }
     Ok(installation)
 }
 
 impl Installation {
-    fn faults(&self) -> Vec<Fault> {
+    fn faults(&self) -> Vec<ConfigError> {
         let mut faults = Vec::new();
         if self.fronts.len() > MOST_FRONTS {
             let what = format!(
                 "at most {MOST_FRONTS} are wanted, found {}",
                 self.fronts.len()
             );
-            faults.push(Fault::new("installation.fronts", what));
+            faults.push(ConfigError::new("installation.fronts", what));
         }
         for (nth, front) in self.fronts.iter().enumerate() {
             let at = |key: &str| format!("installation.fronts[{nth}].{key}");
             if front.listen.port() == 0 {
-                faults.push(Fault::new(
+                faults.push(ConfigError::new(
                     at("listen"),
                     "a port from 1 to 65535 is wanted, found 0",
                 ));
             }
             if front.connections == Some(0) {
-                faults.push(Fault::new(
+                faults.push(ConfigError::new(
                     at("connections"),
                     "at least 1 is wanted, found 0",
                 ));
@@ -166,7 +168,7 @@
                 .position(|other| clash(other.listen, front.listen));
             if let Some(other) = earlier {
                 let what = format!("{} is taken by installation.fronts[{other}]", front.listen);
-                faults.push(Fault::new(at("listen"), what));
+                faults.push(ConfigError::new(at("listen"), what));
             }
         }
         for (at, servers) in self.pools_of_servers() {
@@ -174,14 +176,14 @@
         }
         if self.servers.is_none() && !self.pools.is_empty() {
             let what = "needed key 'servers' is missing: what no rule sends to a pool goes there";
-            faults.push(Fault::new("installation", what));
+            faults.push(ConfigError::new("installation", what));
         }
         if self.pools.len() > MOST_POOLS {
             let what = format!(
                 "at most {MOST_POOLS} are wanted, found {}",
                 self.pools.len()
             );
-            faults.push(Fault::new("installation.pools", what));
+            faults.push(ConfigError::new("installation.pools", what));
         }
         self.expressions.faults(&mut faults);
         if let Some(fleet) = &self.fleet {
@@ -189,7 +191,7 @@
         }
         self.budget_faults(&mut faults);
         if self.otherwise.is_some() && self.rules.is_empty() {
-            faults.push(Fault::new(
+            faults.push(ConfigError::new(
                 "installation.otherwise",
                 "without rules there is nothing else",
             ));
@@ -256,7 +258,7 @@
     }
 
     /// What can't go together with the platform's configuration.
-    pub fn beside(&self, orders: &Orders) -> Result<(), Faults> {
+    pub fn beside(&self, orders: &NodeConfig) -> Result<(), ConfigErrors> {
         let listen = orders.listen;
         let clashes = self
             .fronts
@@ -265,16 +267,16 @@
             .filter(|(_, front)| clash(front.listen, listen));
         let fault = |(nth, _)| {
             let what = format!("{listen} is taken by config.listen");
-            Fault::new(format!("installation.fronts[{nth}].listen"), what)
+            ConfigError::new(format!("installation.fronts[{nth}].listen"), what)
         };
-        let mut faults: Vec<Fault> = clashes.map(fault).collect();
-        let (wanted, room) = (self.server_connections(), orders.room.connections);
+        let mut faults: Vec<ConfigError> = clashes.map(fault).collect();
+        let (wanted, room) = (self.server_connections(), orders.limits.connections);
         if wanted > room / 2 {
             let what = format!(
                 "all pools together may have {wanted} connections, more than half of the {room} that the \
                  node may have; raise config.limits.sockets or lower it"
             );
-            faults.push(Fault::new("installation.servers.at_once", what));
+            faults.push(ConfigError::new("installation.servers.at_once", what));
         }
         if let Some(fleet) = &self.fleet {
             fleet.beside(orders, &mut faults);
@@ -283,7 +285,7 @@
         if faults.is_empty() {
             Ok(())
         } else {
-            Err(Faults(faults))
+            Err(ConfigErrors(faults))
         }
     }
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -10,7 +10,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-use crate::{Fault, Faults, LeaseTimes, Orders};
+use crate::{ConfigError, ConfigErrors, LeaseTimes, NodeConfig};
 
 /// Seeds, and voters, that one file may name.
 const MAX_SEEDS: usize = 64;
@@ -130,18 +130,18 @@
     ///
     /// # Errors
     /// The file can't be read, or does not hold 64 hex digits.
-    pub fn key(&self, folder: &Path) -> Result<Option<[u8; KEY]>, Faults> {
+    pub fn key(&self, folder: &Path) -> Result<Option<[u8; KEY]>, ConfigErrors> {
         let Some(file) = &self.key_file else {
             return Ok(None);
         };
         read_key(&folder.join(file))
             .map(Some)
-            .map_err(|what| Faults::one("installation.fleet.key_file", what))
+            .map_err(|what| ConfigErrors::one("installation.fleet.key_file", what))
     }
 
-    pub(crate) fn faults(&self, faults: &mut Vec<Fault>) {
+    pub(crate) fn faults(&self, faults: &mut Vec<ConfigError>) {
         let mut fault = |key: &str, what: String| {
-            faults.push(Fault::new(format!("installation.fleet{key}"), what))
+            faults.push(ConfigError::new(format!("installation.fleet{key}"), what))
         };
         if !is_name(&self.name) {
             fault(
@@ -239,11 +239,11 @@
     }
 
     /// What can't go together with the platform's configuration.
-    pub(crate) fn beside(&self, orders: &Orders, faults: &mut Vec<Fault>) {
+    pub(crate) fn beside(&self, orders: &NodeConfig, faults: &mut Vec<ConfigError>) {
         if !is_name(&orders.name) {
             let what =
                 "names this node in its fleet: 1 to 64 bytes without control characters are wanted";
-            faults.push(Fault::new("config.name", what));
+            faults.push(ConfigError::new("config.name", what));
         }
     }
 }
--- a/crates/config/src/gather.rs
+++ b/crates/config/src/gather.rs
@@ -5,9 +5,9 @@
 use serde_json::Value;
 use serde_path_to_error::{Path, Segment};
 
-use crate::{Fault, Faults};
+use crate::{ConfigError, ConfigErrors};
 
-/// Faults told of one value; a text that is wrong throughout is not read over and over.
+/// ConfigErrors told of one value; a text that is wrong throughout is not read over and over.
 const MOST: usize = 50;
 
 /// Reads `value`, which stands at `at` in its file.
@@ -15,12 +15,12 @@
 /// # Errors
 /// Every key that is unknown, of a wrong type or missing, each with its path; of several that are missing
 /// from one object the first.
-pub fn read<T: DeserializeOwned>(value: &Value, at: &str) -> Result<T, Faults> {
+pub fn read<T: DeserializeOwned>(value: &Value, at: &str) -> Result<T, ConfigErrors> {
     // A value without faults is read once, and neither copied nor followed by its paths.
     if let Ok(whole) = T::deserialize(value) {
         return Ok(whole);
     }
-    let mut faults: Vec<Fault> = Vec::new();
+    let mut faults: Vec<ConfigError> = Vec::new();
     let mut rest = value.clone();
     let mut taken_out: Vec<(String, usize)> = Vec::new();
     while faults.len() < MOST {
@@ -40,14 +40,17 @@
                 if faults
                     .iter()
                     .any(|fault| fault.path == format!("{place}.{key}")) => {}
-            Some(key) => faults.push(Fault::new(place, format!("needed key '{key}' is missing"))),
-            None => faults.push(Fault::new(place, what)),
+            Some(key) => faults.push(ConfigError::new(
+                place,
+                format!("needed key '{key}' is missing"),
+            )),
+            None => faults.push(ConfigError::new(place, what)),
         }
         if !take_out(&mut rest, at, &path, &mut taken_out) {
             break;
         }
     }
-    Err(Faults(faults))
+    Err(ConfigErrors(faults))
 }
 
 /// The path as it stood in the file, where places in lists have not moved up.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod file;
 pub mod fleet;
 pub mod gather;
-pub mod orders;
+pub mod node_config;
 pub mod reload;
 pub mod rules;
 pub mod servers;
@@ -20,27 +20,27 @@
 pub use budgets::{BudgetFile, BudgetFor, BudgetIndices, BudgetKind, LeaseTimes};
 pub use file::{Front, Installation};
 pub use fleet::{FleetFile, FleetTests, FleetTimes};
-pub use orders::{Orders, Room};
+pub use node_config::{NodeConfig, ResourceLimits};
 pub use servers::Servers;
 
 /// What is wrong with a text that was handed over, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ConfigError {
     /// The file or variable, and the keys that lead to the place.
     pub path: String,
     pub what: String,
 }
 
-impl Fault {
-    pub fn new(path: impl Into<String>, what: impl Into<String>) -> Fault {
-        Fault {
+impl ConfigError {
+    pub fn new(path: impl Into<String>, what: impl Into<String>) -> ConfigError {
+        ConfigError {
             path: path.into(),
             what: what.into(),
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}: {}", self.path, self.what)
     }
@@ -48,27 +48,27 @@
 
 /// Everything that is wrong with a text; never empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl Faults {
-    pub fn one(path: impl Into<String>, what: impl Into<String>) -> Faults {
-        Faults(vec![Fault::new(path, what)])
+impl ConfigErrors {
+    pub fn one(path: impl Into<String>, what: impl Into<String>) -> ConfigErrors {
+        ConfigErrors(vec![ConfigError::new(path, what)])
     }
 
     /// Takes note of what is wrong with a part and goes on, so that all faults are told at once.
-    pub fn keep<T>(list: &mut Vec<Fault>, part: Result<T, Faults>) -> Option<T> {
+    pub fn keep<T>(list: &mut Vec<ConfigError>, part: Result<T, ConfigErrors>) -> Option<T> {
         part.map_err(|faults| list.extend(faults.0)).ok()
     }
 }
 
-impl From<Fault> for Faults {
-    fn from(fault: Fault) -> Faults {
-        Faults(vec![fault])
+impl From<ConfigError> for ConfigErrors {
+    fn from(fault: ConfigError) -> ConfigErrors {
+        ConfigErrors(vec![fault])
     }
 }
 
 /// In one line, for a log.
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (nth, fault) in self.0.iter().enumerate() {
             write!(f, "{}{fault}", if nth > 0 { "; " } else { "" })?;
@@ -77,4 +77,4 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ConfigErrors {}
--- a/crates/config/src/reload/plan.rs
+++ b/crates/config/src/reload/plan.rs
@@ -5,12 +5,14 @@
 use std::sync::Arc;
 
 use doortrack_budgets::Budget;
-use doortrack_settings::Handed;
+use doortrack_settings::DeploymentSettings;
 use doortrack_time::TenthMillis;
 
 use super::KeyMeanings;
 use crate::file::Spoken;
-use crate::{BudgetIndices, Faults, FleetFile, Front, Installation, Orders, Room};
+use crate::{
+    BudgetIndices, ConfigErrors, FleetFile, Front, Installation, NodeConfig, ResourceLimits,
+};
 
 /// What of the platform's configuration may change while a node serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,8 +25,8 @@
 }
 
 impl Platform {
-    pub fn new(orders: &Orders) -> Platform {
-        let Orders {
+    pub fn new(orders: &NodeConfig) -> Platform {
+        let NodeConfig {
             engine,
             registry,
             stop_after,
@@ -50,7 +52,7 @@
 
 impl PlatformRead {
     /// `started` is what the node was started with.
-    pub fn new(started: &Orders, read: &Orders) -> PlatformRead {
+    pub fn new(started: &NodeConfig, read: &NodeConfig) -> PlatformRead {
         PlatformRead {
             platform: Platform::new(read),
             rest_needs_start: fixed(started) != fixed(read),
@@ -59,12 +61,12 @@
 }
 
 /// What of the platform's configuration is as it was at the start.
-fn fixed(orders: &Orders) -> (&str, SocketAddr, Room, &Handed) {
-    let Orders {
+fn fixed(orders: &NodeConfig) -> (&str, SocketAddr, ResourceLimits, &DeploymentSettings) {
+    let NodeConfig {
         name,
         listen,
-        room,
-        handed,
+        limits: room,
+        settings: handed,
         engine: _,
         registry: _,
         stop_after: _,
@@ -77,7 +79,7 @@
 /// What a node was started with.
 #[derive(Clone, Debug)]
 pub struct Started {
-    pub orders: Arc<Orders>,
+    pub orders: Arc<NodeConfig>,
     /// Whether it is of a fleet.
     pub in_fleet: bool,
 }
@@ -120,7 +122,7 @@
 }
 
 impl FleetChange {
-    pub fn new(installation: &Installation, started: &Orders) -> FleetChange {
+    pub fn new(installation: &Installation, started: &NodeConfig) -> FleetChange {
         FleetChange {
             file: installation.fleet.clone(),
             budgets: installation.budget_list(started),
@@ -149,7 +151,7 @@
     running: &Installation,
     platform: PlatformRead,
     read: Installation,
-) -> Result<Plan, Faults> {
+) -> Result<Plan, ConfigErrors> {
     // What can't change under way is as it was at the start.
     let orders = &started.orders;
     read.beside(orders)?;
@@ -163,7 +165,7 @@
     if !started.in_fleet && installation.fleet.is_some() {
         needs_start.push(NeedsStart::JoinFleet);
     }
-    let keys = KeyMeanings::new(&installation, &orders.handed.group_names);
+    let keys = KeyMeanings::new(&installation, &orders.settings.group_names);
     let fleet = FleetChange::new(&installation, orders);
     Ok(Plan {
         platform,
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -3,11 +3,11 @@
 use doortrack_admission::Effect;
 use doortrack_expr::Limits;
 use doortrack_routes::{Built, Names, Note, Rule, Table};
-use doortrack_settings::Handed;
+use doortrack_settings::DeploymentSettings;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-use crate::{Fault, Faults, Installation};
+use crate::{ConfigError, ConfigErrors, Installation};
 
 /// One rule. The first whose condition holds says what an exchange is. All but `group` are expressions
 /// (docs/expressions.md).
@@ -77,7 +77,7 @@
         }
     }
 
-    pub(crate) fn faults(self, faults: &mut Vec<Fault>) {
+    pub(crate) fn faults(self, faults: &mut Vec<ConfigError>) {
         for (key, value, most) in [
             ("max_cost", self.max_cost, 10_000_000),
             ("variable_bytes", self.variable_bytes, 8192),
@@ -85,7 +85,10 @@
         ] {
             if value > most || (value == 0 && key != "body_bytes") {
                 let what = format!("a whole number up to {most} is wanted, found {value}");
-                faults.push(Fault::new(format!("installation.expressions.{key}"), what));
+                faults.push(ConfigError::new(
+                    format!("installation.expressions.{key}"),
+                    what,
+                ));
             }
         }
     }
@@ -103,7 +106,7 @@
     ///
     /// # Errors
     /// Every fault of the rules, each with its path.
-    pub fn table(&self, handed: &Handed) -> Result<Option<Ruled>, Faults> {
+    pub fn table(&self, handed: &DeploymentSettings) -> Result<Option<Ruled>, ConfigErrors> {
         Ok(self.table_from(None, handed)?.map(ruled))
     }
 
@@ -114,10 +117,10 @@
     pub fn table_from(
         &self,
         previous: Option<&Table>,
-        handed: &Handed,
-    ) -> Result<Option<Built>, Faults> {
+        handed: &DeploymentSettings,
+    ) -> Result<Option<Built>, ConfigErrors> {
         let keyed = handed
-            .contract
+            .admission
             .groups
             .iter()
             .map(|group| group.effect == Effect::Deduplicated);
@@ -141,13 +144,13 @@
                 "'{name}' is none of the endpoint groups {}",
                 handed.group_names.join(", ")
             );
-            return Err(Faults::one("installation.otherwise", what));
+            return Err(ConfigErrors::one("installation.otherwise", what));
         }
         Ok(table)
     }
 
     /// The same where the deployment is not known: its names are taken to be those that the rules use.
-    pub fn table_by_itself(&self) -> Result<Option<Ruled>, Faults> {
+    pub fn table_by_itself(&self) -> Result<Option<Ruled>, ConfigErrors> {
         let groups = self
             .groups_named()
             .into_iter()
@@ -173,7 +176,11 @@
         groups
     }
 
-    fn build(&self, previous: Option<&Table>, names: &Names) -> Result<Option<Built>, Faults> {
+    fn build(
+        &self,
+        previous: Option<&Table>,
+        names: &Names,
+    ) -> Result<Option<Built>, ConfigErrors> {
         if self.rules.is_empty() {
             return Ok(None);
         }
@@ -191,10 +198,10 @@
         let path = |path: String| format!("installation.{path}");
         let built = Table::build_from(previous, &rules, names, self.expressions.limits());
         let faults = |faults: Vec<doortrack_routes::Fault>| {
-            Faults(
+            ConfigErrors(
                 faults
                     .into_iter()
-                    .map(|fault| Fault::new(path(fault.path), fault.what))
+                    .map(|fault| ConfigError::new(path(fault.path), fault.what))
                     .collect(),
             )
         };
--- a/crates/config/src/servers.rs
+++ b/crates/config/src/servers.rs
@@ -8,7 +8,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-use crate::Fault;
+use crate::ConfigError;
 use crate::file::Spoken;
 
 /// Servers that one node may have.
@@ -192,12 +192,12 @@
         )
     }
 
-    pub(crate) fn faults(&self, at: &str, faults: &mut Vec<Fault>) {
+    pub(crate) fn faults(&self, at: &str, faults: &mut Vec<ConfigError>) {
         let mut whole = |key: &str, value: u32, least: u32, most: u32| {
             if !(least..=most).contains(&value) {
                 let what =
                     format!("a whole number from {least} to {most} is wanted, found {value}");
-                faults.push(Fault::new(format!("{at}.{key}"), what));
+                faults.push(ConfigError::new(format!("{at}.{key}"), what));
             }
         };
         whole("at_once", self.at_once, 1, 10_000);
@@ -230,7 +230,7 @@
         ] {
             if !(0.0..=1.0).contains(&share) {
                 let what = format!("a share from 0 to 1 is wanted, found {share}");
-                faults.push(Fault::new(format!("{at}.{key}"), what));
+                faults.push(ConfigError::new(format!("{at}.{key}"), what));
             }
         }
         if !(1..=MOST_SERVERS).contains(&self.addresses.len()) {
@@ -238,19 +238,22 @@
                 "1 to {MOST_SERVERS} are wanted, found {}",
                 self.addresses.len()
             );
-            faults.push(Fault::new(format!("{at}.addresses"), what));
+            faults.push(ConfigError::new(format!("{at}.addresses"), what));
         }
         let mut seen = BTreeSet::new();
         for (nth, address) in self.addresses.iter().enumerate() {
             let place = || format!("{at}.addresses[{nth}]");
             if address.port() == 0 || address.ip().is_unspecified() {
-                faults.push(Fault::new(
+                faults.push(ConfigError::new(
                     place(),
                     format!("{address} can't be connected to"),
                 ));
             }
             if !seen.insert(address) {
-                faults.push(Fault::new(place(), format!("{address} stands there twice")));
+                faults.push(ConfigError::new(
+                    place(),
+                    format!("{address} stands there twice"),
+                ));
             }
         }
     }
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -2,20 +2,20 @@
 
 use std::sync::Arc;
 
-use doortrack_config::orders;
+use doortrack_config::node_config;
 use doortrack_config::reload::{
     Builds, FrontChanges, KeyMeanings, NeedsStart, Plan, Platform, PlatformRead, Started, plan,
 };
-use doortrack_config::{Faults, Front, Installation, Orders, file};
+use doortrack_config::{ConfigErrors, Front, Installation, NodeConfig, file};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
 
-fn orders(change: impl Fn(&mut Value)) -> Orders {
+fn orders(change: impl Fn(&mut Value)) -> NodeConfig {
     let mut value = doortrack_fakes::bed::config();
     value["settings"]["parties"] = json!([{"name": "north", "allowance_per_s": 1}]);
     change(&mut value);
-    orders::parse(value.to_string().as_bytes()).unwrap()
+    node_config::parse(value.to_string().as_bytes()).unwrap()
 }
 
 fn started(in_fleet: bool) -> Started {
@@ -29,7 +29,7 @@
     file::parse(value.to_string().as_bytes()).unwrap()
 }
 
-fn planned(started: &Started, old: &Value, new: &Value) -> Result<Plan, Faults> {
+fn planned(started: &Started, old: &Value, new: &Value) -> Result<Plan, ConfigErrors> {
     let platform = PlatformRead::new(&started.orders, &started.orders);
     plan(started, &installation(old), platform, installation(new))
 }
--- a/crates/fault-harness/src/scale/plan.rs
+++ b/crates/fault-harness/src/scale/plan.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use doortrack_config::{Installation, Orders, file, orders};
+use doortrack_config::{Installation, NodeConfig, file, node_config};
 use doortrack_fakes::bed;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -144,8 +144,8 @@
     ///
     /// # Errors
     /// All faults of either file, each on a line.
-    pub fn parsed(&self, node: usize) -> Result<(Installation, Orders), String> {
-        let faults = |faults: doortrack_config::Faults| {
+    pub fn parsed(&self, node: usize) -> Result<(Installation, NodeConfig), String> {
+        let faults = |faults: doortrack_config::ConfigErrors| {
             faults
                 .0
                 .iter()
@@ -153,7 +153,8 @@
                 .collect::<Vec<_>>()
                 .join("\n")
         };
-        let orders = orders::parse(self.config(node).to_string().as_bytes()).map_err(faults)?;
+        let orders =
+            node_config::parse(self.config(node).to_string().as_bytes()).map_err(faults)?;
         let installation =
             file::parse(self.installation(node).to_string().as_bytes()).map_err(faults)?;
         installation.beside(&orders).map_err(faults)?;
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use doortrack_config::{Installation, Orders, file, orders};
+use doortrack_config::{Installation, NodeConfig, file, node_config};
 use doortrack_expr::{Scratch, Written};
 use doortrack_fault_harness::scale::fit::fit;
 use doortrack_fault_harness::scale::node_cost::caller::{Outcome, Outcomes, paced};
@@ -27,10 +27,10 @@
     }
 }
 
-fn read(size: &Size) -> (Orders, Installation) {
+fn read(size: &Size) -> (NodeConfig, Installation) {
     let configuration = configuration("n1", size, &addresses()).to_string();
     let installation = installation("n1", size, &addresses()).to_string();
-    let orders = orders::parse(configuration.as_bytes()).unwrap();
+    let orders = node_config::parse(configuration.as_bytes()).unwrap();
     let installation = file::parse(installation.as_bytes()).unwrap();
     installation.beside(&orders).unwrap();
     (orders, installation)
@@ -55,7 +55,7 @@
     for size in sizes() {
         let (orders, installation) = read(&size);
         assert_eq!(installation.rules.len(), size.routes, "{size:?}");
-        assert_eq!(orders.handed.tenant_names.len(), size.tenants, "{size:?}");
+        assert_eq!(orders.settings.tenant_names.len(), size.tenants, "{size:?}");
         assert_eq!(
             installation.pools_of_servers().count(),
             size.services,
@@ -114,7 +114,7 @@
 
 fn table(size: &Size, installation: &Installation) -> Table {
     let (orders, _) = read(size);
-    installation.table(&orders.handed).unwrap().unwrap().0
+    installation.table(&orders.settings).unwrap().unwrap().0
 }
 
 fn group_of(table: &Table, path: &str) -> Option<u8> {
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Subcommand};
 use doortrack_config::rules::RuleFile;
-use doortrack_config::{Faults, Installation, file, gather, orders};
+use doortrack_config::{ConfigErrors, Installation, file, gather, node_config};
 use doortrack_expr::{Kind, Limits, Scratch, Span, Written, infer, parse};
 use doortrack_routes::{Classed, Refusal, Table};
 use serde::Deserialize;
@@ -64,7 +64,7 @@
 }
 
 pub fn run(command: &RoutesCommand) -> Result<String, String> {
-    let all = |faults: Faults| {
+    let all = |faults: ConfigErrors| {
         faults
             .0
             .iter()
@@ -92,17 +92,17 @@
 }
 
 impl Files {
-    fn read(&self) -> Result<Read, Faults> {
+    fn read(&self) -> Result<Read, ConfigErrors> {
         let installation = file::read(&self.installation)?;
         let (table, groups) = match &self.config {
             Some(path) => {
-                let handed = orders::read_file(path)?.handed;
+                let handed = node_config::read_file(path)?.settings;
                 (installation.table(&handed)?, handed.group_names)
             }
             None => (installation.table_by_itself()?, installation.groups_named()),
         };
         let (table, _) =
-            table.ok_or_else(|| Faults::one("installation.rules", "there are none"))?;
+            table.ok_or_else(|| ConfigErrors::one("installation.rules", "there are none"))?;
         Ok(Read {
             installation,
             table,
@@ -142,7 +142,7 @@
 
 type Tested = Result<String, String>;
 
-fn test(read: &Read, cases: &Path) -> Result<Tested, Faults> {
+fn test(read: &Read, cases: &Path) -> Result<Tested, ConfigErrors> {
     let cases: Vec<Case> = gather::read(&written::json(cases, "cases")?, "cases")?;
     let (mut out, mut failed, mut scratch) = (String::new(), 0, Scratch::default());
     for (nth, case) in cases.iter().enumerate() {
--- a/crates/node/src/commands/written.rs
+++ b/crates/node/src/commands/written.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::Path;
 
-use doortrack_config::{Faults, gather};
+use doortrack_config::{ConfigErrors, gather};
 use doortrack_expr::Written;
 use serde::Deserialize;
 use serde_json::Value;
@@ -49,7 +49,7 @@
 }
 
 impl RequestFile {
-    pub fn request(&self, at: &str) -> Result<Written, Faults> {
+    pub fn request(&self, at: &str) -> Result<Written, ConfigErrors> {
         let parts: Vec<Option<i64>> = self
             .time_of_day
             .split(':')
@@ -58,7 +58,7 @@
         let (Some(Some(hours)), Some(Some(minutes)), seconds, None) =
             (parts.first(), parts.get(1), parts.get(2), parts.get(3))
         else {
-            return Err(Faults::one(
+            return Err(ConfigErrors::one(
                 format!("{at}.time_of_day"),
                 "a time as 09:30 or 09:30:00 is wanted",
             ));
@@ -85,13 +85,13 @@
 }
 
 /// A JSON file; `name` stands for it in faults.
-pub fn json(path: &Path, name: &str) -> Result<Value, Faults> {
-    let text =
-        std::fs::read(path).map_err(|e| Faults::one(path.display().to_string(), e.to_string()))?;
-    serde_json::from_slice(&text).map_err(|e| Faults::one(name, format!("not JSON: {e}")))
+pub fn json(path: &Path, name: &str) -> Result<Value, ConfigErrors> {
+    let text = std::fs::read(path)
+        .map_err(|e| ConfigErrors::one(path.display().to_string(), e.to_string()))?;
+    serde_json::from_slice(&text).map_err(|e| ConfigErrors::one(name, format!("not JSON: {e}")))
 }
 
-pub fn read(path: &Path) -> Result<Written, Faults> {
+pub fn read(path: &Path) -> Result<Written, ConfigErrors> {
     let file: RequestFile = gather::read(&json(path, "request")?, "request")?;
     file.request("request")
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use doortrack_budgets::Safeguards;
-use doortrack_config::{Faults, FleetTests, Installation, file, orders};
+use doortrack_config::{ConfigErrors, FleetTests, Installation, file, node_config};
 use doortrack_node::commands::check::check;
 use doortrack_node::commands::expr::{self, ExprCommand};
 use doortrack_node::commands::fleet::{self, FleetCommand};
@@ -164,8 +164,8 @@
 
 fn serve(words: Serve) -> Result<(), Vec<String>> {
     let signals = Signals::heed().map_err(|e| vec![format!("signals: {e}")])?;
-    let all = |faults: Faults| faults.0.iter().map(ToString::to_string).collect::<Vec<_>>();
-    let orders = orders::read().map_err(all)?;
+    let all = |faults: ConfigErrors| faults.0.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let orders = node_config::read().map_err(all)?;
     let mut installation = match &words.installation {
         Some(path) => file::read(path).map_err(all)?,
         None => Installation::default(),
--- a/crates/node/src/memory/in_flight.rs
+++ b/crates/node/src/memory/in_flight.rs
@@ -22,7 +22,7 @@
     Attached {
         to: RequestId,
     },
-    /// Handed to the engine or the servers; the number of the last STAT before it, or none while the link is
+    /// DeploymentSettings to the engine or the servers; the number of the last STAT before it, or none while the link is
     /// down.
     Running {
         sent: Option<u64>,
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -6,7 +6,7 @@
 
 use doortrack_budgets::{Action, Budget, Budgets, Change, Event, Kind, NodeId, Parameters, Units};
 use doortrack_config::reload::FleetChange;
-use doortrack_config::{BudgetIndices, FleetFile, Installation, Orders};
+use doortrack_config::{BudgetIndices, FleetFile, Installation, NodeConfig};
 use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::{Logger, info, warn};
 
@@ -37,14 +37,17 @@
     pub fn open(
         file: &FleetFile,
         installation: &Installation,
-        orders: &Orders,
+        orders: &NodeConfig,
         me: NodeId,
     ) -> Option<FleetBudgets> {
         if installation.budgets.is_empty() {
             return None;
         }
         let list = installation.budget_list(orders);
-        let weight = file.weight.unwrap_or(orders.handed.contract.cores).max(1);
+        let weight = file
+            .weight
+            .unwrap_or(orders.settings.admission.cores)
+            .max(1);
         let budgets = Budgets::new(
             me,
             weight,
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -15,7 +15,7 @@
 
 use doortrack_budgets::NodeId;
 use doortrack_config::reload::FleetChange;
-use doortrack_config::{FleetFile, Installation, Orders};
+use doortrack_config::{FleetFile, Installation, NodeConfig};
 use doortrack_membership::{
     Action, Change, Event, Fleet, Incarnation, MemberState, MemberUpdate, Name,
 };
@@ -75,7 +75,7 @@
         installation: &Installation,
         file: &FleetFile,
         key: Option<[u8; 32]>,
-        orders: &Orders,
+        orders: &NodeConfig,
         unix_ms: u64,
         registration: Registration,
         log: Logger,
@@ -84,7 +84,10 @@
         let seal = Seal::new(key, &file.name);
         let socket = SealedSocket::bind(file.listen, registration, seal).map_err(at)?;
         let chance = fastrand::u64(..);
-        let weight = file.weight.unwrap_or(orders.handed.contract.cores).max(1);
+        let weight = file
+            .weight
+            .unwrap_or(orders.settings.admission.cores)
+            .max(1);
         let me = MemberUpdate {
             name: orders.name.as_str().into(),
             incarnation: Incarnation::started(unix_ms, chance),
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -17,7 +17,7 @@
 use doortrack_admission::AdmissionController;
 use doortrack_admission::{Action, Effect, Event, Gauges, RequestId};
 use doortrack_config::reload::{KeyMeanings, Platform};
-use doortrack_config::{Front, Installation, Orders};
+use doortrack_config::{Front, Installation, NodeConfig};
 use doortrack_time::{MILLISECOND, TenthMillis};
 use polling::{Events, Poller};
 use slog::{Logger, error, info};
@@ -51,7 +51,7 @@
 
 pub struct Node {
     /// The platform's configuration as it was at the start, and what of it may change.
-    orders: Arc<Orders>,
+    orders: Arc<NodeConfig>,
     platform: Platform,
     /// What the operators' own file says, and what idempotency keys mean by it.
     installation: Arc<Installation>,
@@ -321,7 +321,7 @@
             }
             Action::Health { healthy: good, .. } => {
                 self.fronts.good = good;
-                let follows = self.orders.handed.list_follows_health;
+                let follows = self.orders.settings.list_follows_health;
                 self.registry
                     .tell(self.stop_at.is_some() || (follows && !good));
                 info!(self.log, "health"; "good" => good);
@@ -341,7 +341,7 @@
             return;
         };
         let group = ex.group as usize;
-        let repeatable = self.orders.handed.contract.groups[group].effect == Effect::Idempotent;
+        let repeatable = self.orders.settings.admission.groups[group].effect == Effect::Idempotent;
         // Its reservation is used up by the run itself, at once.
         self.work
             .release(ex.pool, std::mem::take(&mut ex.hold.admission));
--- a/crates/node/src/serve/build.rs
+++ b/crates/node/src/serve/build.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doortrack_config::orders::{self, Digest};
+use doortrack_config::node_config::{self, Digest};
 use doortrack_config::reload::{NeedsStart, Plan, PlatformRead, Started, plan};
-use doortrack_config::{Faults, Installation, file};
+use doortrack_config::{ConfigErrors, Installation, file};
 use doortrack_routes::Table;
 
 use crate::wire::ruled::RuleTable;
@@ -29,13 +29,13 @@
 
 /// Why a configuration can't come into force.
 pub(super) struct Rejected {
-    pub faults: Faults,
+    pub faults: ConfigErrors,
     /// What could not be taken up in any case: a fault may be due to it.
     pub needs_start: Vec<NeedsStart>,
 }
 
-impl From<Faults> for Rejected {
-    fn from(faults: Faults) -> Rejected {
+impl From<ConfigErrors> for Rejected {
+    fn from(faults: ConfigErrors) -> Rejected {
         Rejected {
             faults,
             needs_start: Vec::new(),
@@ -79,7 +79,7 @@
             None => Installation::default(),
         };
         let plan = plan(&self.sources.started, &running.installation, platform, read)?;
-        let handed = &self.sources.started.orders.handed;
+        let handed = &self.sources.started.orders.settings;
         let built = match plan
             .installation
             .table_from(running.table.as_deref(), handed)
@@ -101,12 +101,12 @@
     }
 
     /// The platform's configuration; the same bytes as before are not parsed again.
-    fn platform(&mut self) -> Result<PlatformRead, Faults> {
-        let path = orders::path()?;
-        let bytes = orders::read_bytes(&path)?;
-        let source = orders::digest(&bytes);
+    fn platform(&mut self) -> Result<PlatformRead, ConfigErrors> {
+        let path = node_config::path()?;
+        let bytes = node_config::read_bytes(&path)?;
+        let source = node_config::digest(&bytes);
         if source != self.last_read.0 {
-            let read = orders::parse_file(&path, &bytes)?;
+            let read = node_config::parse_file(&path, &bytes)?;
             self.last_read = (
                 source,
                 PlatformRead::new(&self.sources.started.orders, &read),
--- a/crates/node/src/serve/builds.rs
+++ b/crates/node/src/serve/builds.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{self, Receiver, Sender, TryRecvError};
 use std::thread;
 
-use doortrack_config::Faults;
+use doortrack_config::ConfigErrors;
 use doortrack_config::reload::Builds;
 use polling::Poller;
 
@@ -121,7 +121,7 @@
 }
 
 fn no_thread(why: &str) -> Rejected {
-    Faults::one("thread that builds configurations", why).into()
+    ConfigErrors::one("thread that builds configurations", why).into()
 }
 
 impl Worker {
--- a/crates/node/src/serve/events.rs
+++ b/crates/node/src/serve/events.rs
@@ -205,7 +205,7 @@
 
     /// How long a caller of this group waits at the most.
     fn deadline_of(&self, group: u8) -> TenthMillis {
-        self.orders.handed.contract.groups[usize::from(group)].deadline
+        self.orders.settings.admission.groups[usize::from(group)].deadline
     }
 
     fn finish(&mut self, caller: Caller, made: Option<Made>) {
@@ -304,7 +304,7 @@
                 ex.stage == Stage::Running { sent: None },
                 ex.caller.is_some(),
             );
-            let contract = &self.orders.handed.contract;
+            let contract = &self.orders.settings.admission;
             let repeatable = contract.groups[usize::from(ex.group)].effect == Effect::Idempotent;
             if surely_not_run && !waits {
                 self.ended(id, End::Unsent, Made::default());
@@ -324,7 +324,7 @@
 
     /// A reading of the gauges came; alarms that waited for it wait no more.
     fn gauges_read(&mut self, cookie: u64, values: &[f32]) {
-        let places = &self.orders.handed.gauges;
+        let places = &self.orders.settings.gauges;
         let read = |place: Option<usize>| place.and_then(|p| values.get(p).copied());
         self.gauges = Gauges {
             busy_cores: read(places.busy_cores),
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use doortrack_config::reload::{FrontChanges, KeyMeanings, NeedsStart, PlatformRead};
-use doortrack_config::{Fault, Faults, Front, Installation};
+use doortrack_config::{ConfigError, ConfigErrors, Front, Installation};
 use doortrack_time::MILLISECOND;
 use slog::{debug, info, warn};
 
@@ -94,7 +94,7 @@
 
     /// What an idempotency key means may not change while keys of before are within their window: the same
     /// request could come again under another one, and run twice.
-    fn check_keys(&self, new: &KeyMeanings) -> Result<(), Faults> {
+    fn check_keys(&self, new: &KeyMeanings) -> Result<(), ConfigErrors> {
         let mut faults = Vec::new();
         for place in self.keys.changed(new) {
             let Some(last) = self.results.last_of(place as u8) else {
@@ -109,16 +109,16 @@
                     )
                 },
             );
-            let name = &self.orders.handed.group_names[place];
+            let name = &self.orders.settings.group_names[place];
             let what = format!(
                 "keys of '{name}' would mean something else while some are within their window; {wait}"
             );
-            faults.push(Fault::new("installation.rules", what));
+            faults.push(ConfigError::new("installation.rules", what));
         }
         if faults.is_empty() {
             Ok(())
         } else {
-            Err(Faults(faults))
+            Err(ConfigErrors(faults))
         }
     }
 
@@ -167,7 +167,7 @@
 
     /// Servers come and go, and the pools' terms change.
     fn change_servers(&mut self, installation: &Installation) {
-        let groups = &self.orders.handed.contract.groups;
+        let groups = &self.orders.settings.admission.groups;
         let longest = groups.iter().map(|group| group.deadline).max().unwrap_or(0);
         if let Work::Servers(pools) = &mut self.work {
             for ((_, pool), (_, servers)) in pools.iter_mut().zip(installation.named_pools()) {
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -7,7 +7,7 @@
 use doortrack_admission::AdmissionController;
 use doortrack_admission::{Backpressure, Effect, EndpointGroup, Event, Gauges};
 use doortrack_config::reload::{KeyMeanings, Platform, Started};
-use doortrack_config::{Installation, Orders, Servers as ServerSettings};
+use doortrack_config::{Installation, NodeConfig, Servers as ServerSettings};
 use doortrack_protocols::Protocol;
 use doortrack_time::{MILLISECOND, TenthMillis};
 use polling::Poller;
@@ -73,13 +73,13 @@
 /// Every fault of the rules, each with its path.
 fn rule_table(
     installation: &Installation,
-    orders: &Orders,
+    orders: &NodeConfig,
     log: &Logger,
 ) -> Result<Option<RuleTable>, Fault> {
     let built = installation
-        .table_from(None, &orders.handed)
+        .table_from(None, &orders.settings)
         .map_err(|faults| faults.to_string())?;
-    let rules = built.map(|built| RuleTable::new(built, installation, &orders.handed));
+    let rules = built.map(|built| RuleTable::new(built, installation, &orders.settings));
     if let Some(rules) = &rules {
         log_rules(log, rules);
     }
@@ -87,12 +87,12 @@
 }
 
 /// The names by which callers speak of groups and tenants.
-fn names(orders: &Orders) -> Names {
-    let handed = &orders.handed;
+fn names(orders: &NodeConfig) -> Names {
+    let handed = &orders.settings;
     let is_keyed = |group: &EndpointGroup| group.effect == Effect::Deduplicated;
     Names {
         groups: handed.group_names.clone(),
-        keyed: handed.contract.groups.iter().map(is_keyed).collect(),
+        keyed: handed.admission.groups.iter().map(is_keyed).collect(),
         tenants: handed.tenant_names.clone(),
     }
 }
@@ -100,7 +100,7 @@
 /// What runs requests: the engine, or the application servers where an installation names any.
 fn open_work(
     installation: &Installation,
-    orders: &Orders,
+    orders: &NodeConfig,
     longest_deadline: TenthMillis,
     poller: &Arc<Poller>,
     log: &Logger,
@@ -128,7 +128,7 @@
             orders.engine,
             poller.clone(),
             log.clone(),
-            orders.room.commands,
+            orders.limits.engine_command_bytes,
         );
         Work::Engine(Box::new(link))
     } else {
@@ -139,7 +139,7 @@
 /// What an installation asks for beside fronts and servers; nothing where it asks for nothing.
 fn parts(
     installation: &Installation,
-    orders: &Orders,
+    orders: &NodeConfig,
     file: Option<&Path>,
     mut clock: Clock,
     poller: &Arc<Poller>,
@@ -167,7 +167,7 @@
     /// Opens all that the node needs. `file` is where `installation` was read, to be read again at SIGHUP.
     pub fn start(
         signals: Signals,
-        orders: Orders,
+        orders: NodeConfig,
         file: Option<PathBuf>,
         installation: Installation,
         clock: Clock,
@@ -178,21 +178,21 @@
         let plain = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
         let poller = Arc::new(Poller::new().map_err(plain("poller"))?);
         signals.watch(&poller).map_err(plain("signals"))?;
-        let handed = &orders.handed;
-        let groups = &handed.contract.groups;
+        let handed = &orders.settings;
+        let groups = &handed.admission.groups;
         let longest_deadline = groups.iter().map(|group| group.deadline).max().unwrap_or(0);
-        let mut room = orders.room;
+        let mut room = orders.limits;
         room.connections = connections(&installation, room.connections, &log)?;
         let mut work = open_work(&installation, &orders, longest_deadline, &poller, &log);
         let mut fronts = Fronts::new(poller.clone(), names(&orders), room, longest_deadline);
         once_free(|| fronts.listen(orders.listen, Protocol::FastCgi, None))
             .map_err(|e| format!("config.listen: {}: {e}", orders.listen))?;
         // Nothing is said before the decisions do, but where the least rank is meant, none is held back.
-        fronts.level = (handed.contract.backpressure == Backpressure::MinRank).then_some(0.0);
+        fronts.level = (handed.admission.backpressure == Backpressure::MinRank).then_some(0.0);
         let registry = Registry::open(orders.listen, orders.registry, orders.name.clone())
             .map_err(|e| format!("config.registry: {}: {e}", orders.registry))?;
         info!(log, "listening"; "address" => %orders.listen, "connections" => room.connections,
-            "open" => room.open);
+            "open" => room.open_requests);
         let parts = parts(
             &installation,
             &orders,
@@ -210,7 +210,7 @@
             in_fleet: installation.fleet.is_some(),
         };
         let reloader = Reloader::new(Sources { started, file }, poller.clone());
-        let keys = KeyMeanings::new(&installation, &orders.handed.group_names);
+        let keys = KeyMeanings::new(&installation, &orders.settings.group_names);
         let mut node = Node {
             parts,
             groups: handed
@@ -218,7 +218,7 @@
                 .iter()
                 .map(|name| Value::from(name.as_str()).to_string())
                 .collect(),
-            results: Results::new(room.entries, room.result_bytes, longest_deadline),
+            results: Results::new(room.dedup_entries, room.result_bytes, longest_deadline),
             log,
             clock,
             now: 0,
@@ -268,7 +268,7 @@
         if self.door.is_some() {
             return;
         }
-        let mut contract = self.orders.handed.contract.clone();
+        let mut contract = self.orders.settings.admission.clone();
         contract.cold = cold;
         let mut door = AdmissionController::new(contract, self.platform.seed);
         let mut actions = Vec::new();
--- a/crates/node/src/wire/bounds.rs
+++ b/crates/node/src/wire/bounds.rs
@@ -35,7 +35,7 @@
 const LEAST_BACKLOG: usize = 1024;
 /// Most that a connection has for a whole request, from its start or from when one began to come.
 const WHOLE_WITHIN: TenthMillis = 2_000 * MILLISECOND;
-/// A stamp so many times the longest deadline away from now was not written by a sound clock. Handed
+/// A stamp so many times the longest deadline away from now was not written by a sound clock. DeploymentSettings
 /// over, it would pass for a node that drowns.
 const FAR_OFF: TenthMillis = 10;
 
--- a/crates/node/src/wire/fronts.rs
+++ b/crates/node/src/wire/fronts.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use doortrack_admission::RequestId;
-use doortrack_config::Room;
+use doortrack_config::ResourceLimits;
 use doortrack_protocols::Protocol;
 use doortrack_time::TenthMillis;
 use polling::{Event, PollMode, Poller};
@@ -114,7 +114,7 @@
     names: Names,
     /// How requests of the installation's fronts are classed, if it has rules.
     pub rules: Option<Rules>,
-    room: Room,
+    room: ResourceLimits,
     /// Requests open on all connections, and how many were begun so far.
     open: usize,
     begun: u64,
@@ -137,7 +137,7 @@
     pub fn new(
         poller: Arc<Poller>,
         names: Names,
-        room: Room,
+        room: ResourceLimits,
         longest_deadline: TenthMillis,
     ) -> Self {
         Fronts {
@@ -222,7 +222,7 @@
         }
         self.open -= 1;
         // While answers pile up everywhere, who leaves more than a fair part unread is not given more.
-        if self.unread > self.room.unread && conn.unread() > FAIR_UNREAD {
+        if self.unread > self.room.unread_answer_bytes && conn.unread() > FAIR_UNREAD {
             conn.doomed = Some(End::Unread);
         }
         let (level, protocol) = (self.level, conn.reader.protocol());
--- a/crates/node/src/wire/fronts/reading.rs
+++ b/crates/node/src/wire/fronts/reading.rs
@@ -129,7 +129,7 @@
                     slot,
                     nth: self.begun,
                 };
-                let too_many = conn.begin(id, caller.nth) || self.open > self.room.open;
+                let too_many = conn.begin(id, caller.nth) || self.open > self.room.open_requests;
                 if role != RESPONDER {
                     self.answer(caller, Answer::UnknownRole);
                 } else if too_many || ending {
@@ -168,7 +168,7 @@
                 self.put(slot, |out| uwsgi::pong(out, good));
             }
             Piece::GetValues => {
-                let (connections, requests) = (self.room.connections, self.room.open);
+                let (connections, requests) = (self.room.connections, self.room.open_requests);
                 self.put(slot, |out| fastcgi::values(out, connections, requests));
             }
             Piece::Unknown { kind } => self.put(slot, |out| fastcgi::unknown_type(out, kind)),
--- a/crates/node/src/wire/ruled.rs
+++ b/crates/node/src/wire/ruled.rs
@@ -9,7 +9,7 @@
 use doortrack_expr::{Request as Seen, Scratch};
 use doortrack_protocols::{Pair, Protocol};
 use doortrack_routes::{Built, Class, Classed, Note, Refusal, Table};
-use doortrack_settings::Handed;
+use doortrack_settings::DeploymentSettings;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
 use super::request::{
@@ -34,7 +34,11 @@
 }
 
 impl RuleTable {
-    pub fn new(built: Built, installation: &Installation, handed: &Handed) -> RuleTable {
+    pub fn new(
+        built: Built,
+        installation: &Installation,
+        handed: &DeploymentSettings,
+    ) -> RuleTable {
         let place = |name: &String| handed.group_names.iter().position(|group| group == name);
         let otherwise = installation
             .otherwise
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_config::orders::Room;
+use doortrack_config::node_config::ResourceLimits;
 use doortrack_fakes::LONG;
 use doortrack_fakes::bed::fresh_address;
 use doortrack_fakes::records::{Client, record, request};
@@ -31,13 +31,13 @@
 impl Table {
     fn new(connections: usize) -> Table {
         let poller = Arc::new(Poller::new().unwrap());
-        let room = Room {
+        let room = ResourceLimits {
             connections,
-            open: 64,
-            entries: 1,
+            open_requests: 64,
+            dedup_entries: 1,
             result_bytes: 1,
-            unread: 100_000,
-            commands: 1,
+            unread_answer_bytes: 100_000,
+            engine_command_bytes: 1,
         };
         let names = Names {
             groups: vec!["look".into()],
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_config::orders::Room;
+use doortrack_config::node_config::ResourceLimits;
 use doortrack_fakes::LONG;
 use doortrack_fakes::bed::fresh_address;
 use doortrack_fakes::records::{Client, request};
@@ -38,13 +38,13 @@
 #[test]
 fn a_half_close_that_is_read_twice_in_one_turn_is_no_reset() {
     let poller = Arc::new(Poller::new().unwrap());
-    let room = Room {
+    let room = ResourceLimits {
         connections: 8,
-        open: 8,
-        entries: 1,
+        open_requests: 8,
+        dedup_entries: 1,
         result_bytes: 1,
-        unread: 100_000,
-        commands: 1,
+        unread_answer_bytes: 100_000,
+        engine_command_bytes: 1,
     };
     let names = Names {
         groups: vec!["look".into()],
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use doortrack_admission::RunOutcome;
-use doortrack_config::orders::{self, Room};
+use doortrack_config::node_config::{self, ResourceLimits};
 use doortrack_fakes::bed::config;
 use doortrack_fakes::cut_at;
 use doortrack_node::memory::in_flight::{InFlight, InFlightRequest, Stage};
@@ -121,7 +121,7 @@
         let names = names();
         prop_assert!(Protocol::ALL.iter().all(|spoken| request::read(*spoken, &bytes, &names).is_err()));
         prop_assert!(link::read(&bytes).is_err());
-        prop_assert!(orders::parse(&bytes).is_err());
+        prop_assert!(node_config::parse(&bytes).is_err());
         let mut sound = vec![1];
         sound.extend(&bytes);
         pieces(&[&sound]);
@@ -412,13 +412,13 @@
 /// over: whether it was closed. `nth` keeps the addresses apart.
 fn deaf_caller_is_closed(nth: u8, unread: usize, turns: usize) -> bool {
     let poller = Arc::new(Poller::new().unwrap());
-    let room = Room {
+    let room = ResourceLimits {
         connections: 8,
-        open: 8,
-        entries: 1,
+        open_requests: 8,
+        dedup_entries: 1,
         result_bytes: 1,
-        unread,
-        commands: 1,
+        unread_answer_bytes: unread,
+        engine_command_bytes: 1,
     };
     let [.., b, c] = std::process::id().to_be_bytes();
     let at: SocketAddr = format!("127.{nth}.{b}.{c}:9090").parse().unwrap();
@@ -484,13 +484,13 @@
 #[test]
 fn who_sends_what_cannot_be_read_is_not_read_again_before_the_next_sweep() {
     let poller = Arc::new(Poller::new().unwrap());
-    let room = Room {
+    let room = ResourceLimits {
         connections: 8,
-        open: 8,
-        entries: 1,
+        open_requests: 8,
+        dedup_entries: 1,
         result_bytes: 1,
-        unread: 1000,
-        commands: 1,
+        unread_answer_bytes: 1000,
+        engine_command_bytes: 1,
     };
     let [.., b, c] = std::process::id().to_be_bytes();
     let at: SocketAddr = format!("127.17.{b}.{c}:9090").parse().unwrap();
@@ -739,7 +739,7 @@
 fn fault(change: impl FnOnce(&mut Value)) -> String {
     let mut value = config();
     change(&mut value);
-    orders::parse(value.to_string().as_bytes())
+    node_config::parse(value.to_string().as_bytes())
         .expect_err("it was taken")
         .to_string()
 }
@@ -751,24 +751,28 @@
         .as_object_mut()
         .unwrap()
         .retain(|key, _| key != "limits" && key != "seed");
-    let orders = orders::parse(value.to_string().as_bytes()).unwrap();
+    let orders = node_config::parse(value.to_string().as_bytes()).unwrap();
     assert_eq!(
         (orders.name.as_str(), orders.seed, orders.stop_after),
         ("n1", 0, 3200 * MILLISECOND)
     );
     assert_eq!(
-        orders.room,
-        orders::parse(config().to_string().as_bytes()).unwrap().room
+        orders.limits,
+        node_config::parse(config().to_string().as_bytes())
+            .unwrap()
+            .limits
     );
-    assert!(orders.room.connections < 1024);
-    assert!(orders.handed.list_follows_health && orders.handed.tenant_names.is_empty());
+    assert!(orders.limits.connections < 1024);
+    assert!(orders.settings.list_follows_health && orders.settings.tenant_names.is_empty());
     // All that may be held at once leaves room for the program itself.
     for (memory_mb, sockets) in [(192, 1024), (48, 512), (32, 384), (24, 1024)] {
         let mut value = config();
         value["limits"] = json!({"cores": 0.2, "memory_mb": memory_mb, "sockets": sockets});
-        let room = orders::parse(value.to_string().as_bytes()).unwrap().room;
-        let held = room.open * 10_500 + room.entries * 300 + room.result_bytes + room.commands;
-        let all = held + room.unread + room.connections * 20_000;
+        let room = node_config::parse(value.to_string().as_bytes())
+            .unwrap()
+            .limits;
+        let held = room.open_requests * 10_500 + room.dedup_entries * 300 + room.result_bytes + room.engine_command_bytes;
+        let all = held + room.unread_answer_bytes + room.connections * 20_000;
         assert!(
             all + 3_000_000 < memory_mb * 1_000_000,
             "{memory_mb} MB: {all}"
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 /// What is wrong with a text that was handed over, and where.
-pub type Fault = String;
+pub type SettingsError = String;
 
 /// Microseconds in a tenth of a millisecond.
 pub const TENTH: u64 = 100;
@@ -32,8 +32,8 @@
 
 /// The settings as far as a node reads them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Handed {
-    pub contract: AdmissionConfig,
+pub struct DeploymentSettings {
+    pub admission: AdmissionConfig,
     pub gauges: GaugePlaces,
     /// Names of the endpoint groups and tenants, in the order of the contract.
     pub group_names: Vec<String>,
@@ -43,9 +43,9 @@
     /// Health checks ask for real work.
     pub deep_checks: bool,
     /// Requests tell how long their caller waits.
-    pub passes_due: bool,
+    pub passes_deadline: bool,
     /// Something lies below that requests may call.
-    pub calls_below: bool,
+    pub has_downstream: bool,
 }
 
 /// A part of a text that was handed over, with the path that led to it, for plain messages.
@@ -63,19 +63,19 @@
         })
     }
 
-    pub fn part(&self, key: &str) -> Result<Part<'a>, Fault> {
+    pub fn part(&self, key: &str) -> Result<Part<'a>, SettingsError> {
         self.find(key)
             .ok_or_else(|| format!("{}: needed key '{key}' is missing", self.path))
     }
 
-    pub fn wrong<T>(&self, want: &str) -> Result<T, Fault> {
+    pub fn wrong<T>(&self, want: &str) -> Result<T, SettingsError> {
         Err(format!(
             "{}: {want} is wanted, found {}",
             self.path, self.value
         ))
     }
 
-    pub fn number(&self) -> Result<f64, Fault> {
+    pub fn number(&self) -> Result<f64, SettingsError> {
         match self.value.as_f64() {
             Some(n) if n >= 0.0 && n.is_finite() => Ok(n),
             _ => self.wrong("a number of 0 or more"),
@@ -83,26 +83,26 @@
     }
 
     /// A part of a whole.
-    fn fraction(&self) -> Result<f32, Fault> {
+    fn fraction(&self) -> Result<f32, SettingsError> {
         match self.value.as_f64() {
             Some(n) if (0.0..=1.0).contains(&n) => Ok(n as f32),
             _ => self.wrong("a share from 0 to 1"),
         }
     }
 
-    fn share(&self, key: &str) -> Result<f32, Fault> {
+    fn share(&self, key: &str) -> Result<f32, SettingsError> {
         self.part(key)?.fraction()
     }
 
-    pub fn num(&self, key: &str) -> Result<f32, Fault> {
+    pub fn num(&self, key: &str) -> Result<f32, SettingsError> {
         Ok(self.part(key)?.number()? as f32)
     }
 
-    fn us(&self, key: &str) -> Result<u64, Fault> {
+    fn us(&self, key: &str) -> Result<u64, SettingsError> {
         Ok(self.part(key)?.number()? as u64)
     }
 
-    pub fn flag(&self, key: &str) -> Result<bool, Fault> {
+    pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         let part = self.part(key)?;
         part.value
             .as_bool()
@@ -110,7 +110,7 @@
     }
 
     /// A flag that stands for no where it is absent.
-    fn switch(&self, key: &str) -> Result<bool, Fault> {
+    fn switch(&self, key: &str) -> Result<bool, SettingsError> {
         if self.find(key).is_some() {
             self.flag(key)
         } else {
@@ -118,7 +118,7 @@
         }
     }
 
-    pub fn word(&self, key: &str) -> Result<(&'a str, Part<'a>), Fault> {
+    pub fn word(&self, key: &str) -> Result<(&'a str, Part<'a>), SettingsError> {
         let part = self.part(key)?;
         match part.value.as_str() {
             Some(word) => Ok((word, part)),
@@ -126,7 +126,7 @@
         }
     }
 
-    fn list(&self, key: &str) -> Result<Vec<Part<'a>>, Fault> {
+    fn list(&self, key: &str) -> Result<Vec<Part<'a>>, SettingsError> {
         let part = self.part(key)?;
         let Some(list) = part.value.as_array() else {
             return part.wrong("a list");
@@ -139,7 +139,7 @@
     }
 
     /// A list with one item for each endpoint group.
-    fn list_by_group(&self, key: &str, groups: usize) -> Result<Vec<Part<'a>>, Fault> {
+    fn list_by_group(&self, key: &str, groups: usize) -> Result<Vec<Part<'a>>, SettingsError> {
         let list = self.list(key)?;
         if list.len() != groups {
             return self.part(key)?.wrong(&format!(
@@ -151,7 +151,7 @@
 }
 
 /// Reads the settings; keys that are not known are disregarded.
-pub fn read(top: &Part) -> Result<Handed, Fault> {
+pub fn read(top: &Part) -> Result<DeploymentSettings, SettingsError> {
     let info = top.part("family_info")?;
     let safety = top.part("safety")?;
     let bounds = top.part("bounds")?;
@@ -218,20 +218,20 @@
         },
         tick: up(top.us("tick")?),
     };
-    Ok(Handed {
-        calls_below: below != "silent",
-        contract,
+    Ok(DeploymentSettings {
+        has_downstream: below != "silent",
+        admission: contract,
         gauges: gauge_places(&info)?,
         group_names,
         tenant_names,
         list_follows_health: info.switch("readiness")?,
         deep_checks: info.switch("deep_checks")?,
-        passes_due: info.switch("passes_deadline")?,
+        passes_deadline: info.switch("passes_deadline")?,
     })
 }
 
 /// The names of a list's items. Two alike would leave it open which one a request means.
-fn names(list: &[Part]) -> Result<Vec<String>, Fault> {
+fn names(list: &[Part]) -> Result<Vec<String>, SettingsError> {
     let mut names = Vec::with_capacity(list.len());
     let mut seen = HashSet::with_capacity(list.len());
     for item in list {
@@ -244,7 +244,7 @@
     Ok(names)
 }
 
-fn group(lane: &Part, skip_share: f32, calls: bool) -> Result<EndpointGroup, Fault> {
+fn group(lane: &Part, skip_share: f32, calls: bool) -> Result<EndpointGroup, SettingsError> {
     let (effect, part) = lane.word("idempotency")?;
     let effect = match effect {
         "safe" => Effect::Idempotent,
@@ -252,7 +252,7 @@
         "unsafe" => Effect::Mutating,
         _ => return part.wrong("safe, keyed or unsafe"),
     };
-    let time = |key: &str| -> Result<TenthMillis, Fault> { Ok(down(lane.us(key)?)) };
+    let time = |key: &str| -> Result<TenthMillis, SettingsError> { Ok(down(lane.us(key)?)) };
     Ok(EndpointGroup {
         effect,
         latency_objective: time("target")?,
@@ -266,7 +266,7 @@
     })
 }
 
-fn stop_kind(info: &Part) -> Result<Cancellation, Fault> {
+fn stop_kind(info: &Part) -> Result<Cancellation, SettingsError> {
     let (word, part) = info.word("halt")?;
     Ok(match word {
         "silent" => Cancellation::Unsupported,
@@ -276,7 +276,7 @@
     })
 }
 
-fn level_kind(info: &Part) -> Result<Backpressure, Fault> {
+fn level_kind(info: &Part) -> Result<Backpressure, SettingsError> {
     let (word, part) = info.word("say")?;
     Ok(match word {
         "silent" => Backpressure::None,
@@ -287,7 +287,7 @@
     })
 }
 
-fn gauge_places(info: &Part) -> Result<GaugePlaces, Fault> {
+fn gauge_places(info: &Part) -> Result<GaugePlaces, SettingsError> {
     let names = info.list("gauges")?;
     let place = |name: &str| {
         names
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -8,7 +8,7 @@
 
 use doortrack_admission::AdmissionController;
 use doortrack_admission::{Action, Event};
-use doortrack_settings::{Fault, GaugePlaces, Handed, Part};
+use doortrack_settings::{DeploymentSettings, GaugePlaces, Part, SettingsError};
 use wire::{Reader, Record};
 
 struct Node {
@@ -27,7 +27,7 @@
     }
 }
 
-fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), Fault> {
+fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), SettingsError> {
     let mut nodes: BTreeMap<u32, Node> = BTreeMap::new();
     let mut order: Vec<u32> = Vec::new();
     let (mut body, mut reply, mut actions) = (Vec::new(), Vec::new(), Vec::new());
@@ -87,11 +87,13 @@
     record: Record,
     nodes: &mut BTreeMap<u32, Node>,
     order: &mut Vec<u32>,
-) -> Result<(), Fault> {
+) -> Result<(), SettingsError> {
     match record {
         Record::Provision { node, seed, text } => {
-            let Handed {
-                contract, gauges, ..
+            let DeploymentSettings {
+                admission: contract,
+                gauges,
+                ..
             } = read(text).map_err(|e| format!("node {node}: {e}"))?;
             let batch = vec![Event::Started];
             nodes.insert(
@@ -118,7 +120,7 @@
     Ok(())
 }
 
-fn read(text: &[u8]) -> Result<Handed, Fault> {
+fn read(text: &[u8]) -> Result<DeploymentSettings, SettingsError> {
     let value = serde_json::from_slice(text).map_err(|e| format!("env is not JSON: {e}"))?;
     doortrack_settings::read(&Part {
         value: &value,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The bench's frames: little-endian records without padding, one reply for each batch.
 
 use doortrack_admission::{Action, CallOutcome, Event, Gauges, Request, RunOutcome};
-use doortrack_settings::{Fault, GaugePlaces, TENTH, down, up};
+use doortrack_settings::{GaugePlaces, SettingsError, TENTH, down, up};
 use doortrack_time::TenthMillis;
 
 pub enum Record<'a> {
@@ -43,7 +43,7 @@
         self.base + self.pos as u64
     }
 
-    fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], Fault> {
+    fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], SettingsError> {
         let rest = &self.bytes[self.pos..];
         if rest.len() < n {
             let left = rest.len();
@@ -56,29 +56,29 @@
         Ok(&rest[..n])
     }
 
-    fn array<const N: usize>(&mut self, what: &str) -> Result<[u8; N], Fault> {
+    fn array<const N: usize>(&mut self, what: &str) -> Result<[u8; N], SettingsError> {
         let mut raw = [0; N];
         raw.copy_from_slice(self.take(N, what)?);
         Ok(raw)
     }
 
-    fn u8(&mut self, what: &str) -> Result<u8, Fault> {
+    fn u8(&mut self, what: &str) -> Result<u8, SettingsError> {
         Ok(self.array::<1>(what)?[0])
     }
 
-    fn u16(&mut self, what: &str) -> Result<u16, Fault> {
+    fn u16(&mut self, what: &str) -> Result<u16, SettingsError> {
         Ok(u16::from_le_bytes(self.array(what)?))
     }
 
-    fn u32(&mut self, what: &str) -> Result<u32, Fault> {
+    fn u32(&mut self, what: &str) -> Result<u32, SettingsError> {
         Ok(u32::from_le_bytes(self.array(what)?))
     }
 
-    fn u64(&mut self, what: &str) -> Result<u64, Fault> {
+    fn u64(&mut self, what: &str) -> Result<u64, SettingsError> {
         Ok(u64::from_le_bytes(self.array(what)?))
     }
 
-    fn f32(&mut self, what: &str) -> Result<f32, Fault> {
+    fn f32(&mut self, what: &str) -> Result<f32, SettingsError> {
         Ok(f32::from_le_bytes(self.array(what)?))
     }
 
@@ -86,7 +86,7 @@
     pub fn record<'p>(
         &mut self,
         places: impl Fn(u32) -> Option<&'p GaugePlaces>,
-    ) -> Result<Record<'a>, Fault> {
+    ) -> Result<Record<'a>, SettingsError> {
         let start = self.place();
         let code = self.u8("a record's code")?;
         if !(1..=9).contains(&code) {
@@ -153,7 +153,7 @@
         Ok(Record::Event { node, what })
     }
 
-    fn exchange(&mut self) -> Result<Request, Fault> {
+    fn exchange(&mut self) -> Result<Request, SettingsError> {
         let id = self.u32("req")?;
         let group = self.u8("band")?;
         let tenant = self.u16("billing")?;
@@ -183,7 +183,7 @@
         })
     }
 
-    fn call_outcome(&mut self) -> Result<CallOutcome, Fault> {
+    fn call_outcome(&mut self) -> Result<CallOutcome, SettingsError> {
         let start = self.place();
         Ok(match self.u16("reason")? {
             0 => CallOutcome::Completed,
@@ -198,7 +198,7 @@
         })
     }
 
-    fn run_outcome(&mut self) -> Result<RunOutcome, Fault> {
+    fn run_outcome(&mut self) -> Result<RunOutcome, SettingsError> {
         let start = self.place();
         Ok(match self.u16("reason")? {
             0 => RunOutcome::Completed,
