--- a/crates/fault-harness/src/scale/hollow.rs
+++ b/crates/fault-harness/src/scale/hollow.rs
@@ -16,8 +16,8 @@
 
 use doortrack_fakes::unix_ms;
 use doortrack_membership::Change;
-use doortrack_node::parts::{Asked, Part, Use};
 use doortrack_node::peers::{Peers, Registration, Tap};
+use doortrack_node::subsystem::{AdmissionRequest, Subsystem, Use};
 use doortrack_time::TenthMillis;
 use polling::{Event, Events, PollMode, Poller};
 use slog::{Discard, Logger, o};
@@ -335,7 +335,7 @@
     } else {
         fastrand::usize(..tenants) as u16
     };
-    if let Ok(permit) = peers.admit(Asked {
+    if let Ok(permit) = peers.admit(AdmissionRequest {
         group: 0,
         tenant,
         pool: 0,
--- a/crates/fault-harness/src/scale/serving.rs
+++ b/crates/fault-harness/src/scale/serving.rs
@@ -8,8 +8,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+use doortrack_node::peers::peer_message::{Ask, PeerMessage};
 use doortrack_node::peers::seal::{LONGEST, Seal};
-use doortrack_node::peers::spoken::{Ask, Spoken};
 use serde_json::{Value, json};
 
 use super::child::{ScaleError, end_with_parent};
@@ -189,13 +189,13 @@
     for _ in 0..TRIES {
         let nonce = fastrand::u64(..);
         let question = seal
-            .close(&Spoken::Ask(Ask { nonce, after: None }))
+            .close(&PeerMessage::Ask(Ask { nonce, after: None }))
             .unwrap_or_default();
         socket.send_to(&question, address)?;
         let Ok((len, _)) = socket.recv_from(&mut bytes) else {
             continue;
         };
-        if let Ok(Spoken::Status(status)) = seal.open(&bytes[..len])
+        if let Ok(PeerMessage::Status(status)) = seal.open(&bytes[..len])
             && status.nonce == nonce
         {
             return Ok(Some(ViewSeen {
--- a/crates/fault-harness/src/simulated.rs
+++ b/crates/fault-harness/src/simulated.rs
@@ -8,8 +8,8 @@
     Action, Change, Datagram, Event, Fleet, Incarnation, MemberState, MemberUpdate, Parameters,
     ReportedState,
 };
+use doortrack_node::peers::peer_message::PeerMessage;
 use doortrack_node::peers::seal::Seal;
-use doortrack_node::peers::spoken::Spoken;
 use doortrack_simulation::{Clock, Law, Links, MachineId, Micros, Net, Next};
 
 use crate::history::{History, Member, What, name};
@@ -239,7 +239,7 @@
             return;
         };
         if self.options.count_bytes {
-            let sealed = self.seal.close(&Spoken::Fleet(datagram.clone()));
+            let sealed = self.seal.close(&PeerMessage::Fleet(datagram.clone()));
             self.cost.bytes += sealed.map_or(0, |bytes| bytes.len() as u64) + HEADER_BYTES;
         }
         self.net.send(node, to, datagram);
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -16,10 +16,10 @@
     Datagram, Event as FleetEvent, Fleet, Head, Incarnation, MAX_UPDATES, MemberState,
     MemberUpdate, Parameters,
 };
-use doortrack_node::memory::in_flight::{InFlight, InFlightRequest, Stage};
-use doortrack_node::memory::results::Results;
-use doortrack_node::wire::conn::{Conn, Open};
-use doortrack_node::wire::request::Made;
+use doortrack_node::network::connection::{Connection, Open};
+use doortrack_node::network::request::RunOutput;
+use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
+use doortrack_node::state::results::Results;
 use doortrack_routes::{Names, Rule, Table};
 
 /// Counts the bytes that a thread has taken and not given back.
@@ -74,7 +74,7 @@
 #[test]
 fn an_idempotency_key_and_its_result_are_within_their_bound() {
     const COUNT: usize = 20_000;
-    let result = Made {
+    let result = RunOutput {
         headers: &[],
         body: b"done",
     };
@@ -141,7 +141,7 @@
 fn a_connection_by_its_type_is_within_its_bound() {
     within(
         "a connection without its buffers",
-        size_of::<Conn>() as f64,
+        size_of::<Connection>() as f64,
         CONNECTION,
     );
     within(
--- a/crates/node/src/commands/expr.rs
+++ b/crates/node/src/commands/expr.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use doortrack_expr::{Limits, List, Program, Request, Scratch, Value, Written, infer, render};
 
-use super::written;
+use super::input;
 
 #[derive(Subcommand)]
 pub enum ExprCommand {
@@ -63,7 +63,7 @@
 }
 
 fn read(path: &Path) -> Result<Written, String> {
-    written::read(path).map_err(|faults| faults.to_string())
+    input::read(path).map_err(|faults| faults.to_string())
 }
 
 fn program(name: &str, source: &str) -> Result<Program, String> {
--- a/crates/node/src/commands/fleet.rs
+++ b/crates/node/src/commands/fleet.rs
@@ -11,8 +11,8 @@
 use doortrack_membership::{MemberReport, Name};
 use serde_json::{Value, json};
 
+use crate::peers::peer_message::{Ask, BudgetPage, BudgetStatus, PeerMessage, Status};
 use crate::peers::seal::{LONGEST, Seal};
-use crate::peers::spoken::{Ask, BudgetPage, BudgetStatus, Spoken, Status};
 
 /// One answer is waited for so long, and asked for so often.
 const PATIENCE: Duration = Duration::from_millis(300);
@@ -176,7 +176,7 @@
         })
     }
 
-    fn send(&self, question: &Spoken) -> Result<(), String> {
+    fn send(&self, question: &PeerMessage) -> Result<(), String> {
         let datagram = self.seal.close(question).ok_or("too long a name")?;
         self.sock
             .send_to(&datagram, self.peer)
@@ -199,14 +199,14 @@
     fn members(&self, after: Option<&Name>) -> Result<Status, String> {
         for _ in 0..TRIES {
             let nonce = fastrand::u64(..);
-            self.send(&Spoken::Ask(Ask {
+            self.send(&PeerMessage::Ask(Ask {
                 nonce,
                 after: after.cloned(),
             }))?;
             let till = Instant::now() + PATIENCE;
             while Instant::now() < till {
                 match self.receive() {
-                    Received::Answer(Spoken::Status(status)) if status.nonce == nonce => {
+                    Received::Answer(PeerMessage::Status(status)) if status.nonce == nonce => {
                         return Ok(*status);
                     }
                     Received::Answer(_) | Received::Unreadable => {}
@@ -223,12 +223,14 @@
     /// The budgets from an index on, asked for once.
     fn budgets(&self, from: usize) -> Result<Option<BudgetPage>, String> {
         let nonce = fastrand::u64(..);
-        self.send(&Spoken::AskBudgets {
+        self.send(&PeerMessage::AskBudgets {
             nonce,
             from: from as u16,
         })?;
         match self.receive() {
-            Received::Answer(Spoken::BudgetStatus(page)) if page.nonce == nonce => Ok(Some(*page)),
+            Received::Answer(PeerMessage::BudgetStatus(page)) if page.nonce == nonce => {
+                Ok(Some(*page))
+            }
             _ => Ok(None),
         }
     }
@@ -236,7 +238,7 @@
 
 /// What came of waiting for an answer.
 enum Received {
-    Answer(Spoken),
+    Answer(PeerMessage),
     Unreadable,
     Nothing,
 }
--- a/crates/node/src/commands/mod.rs
+++ b/crates/node/src/commands/mod.rs
@@ -3,5 +3,5 @@
 pub mod check;
 pub mod expr;
 pub mod fleet;
+mod input;
 pub mod routes;
-mod written;
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -10,7 +10,7 @@
 use doortrack_routes::{Classed, Refusal, Table};
 use serde::Deserialize;
 
-use super::written::{self, RequestFile};
+use super::input::{self, RequestFile};
 
 #[derive(Args)]
 pub struct Files {
@@ -78,7 +78,7 @@
             test(&files.read().map_err(all)?, cases).map_err(all)?
         }
         RoutesCommand::Explain { files, request } => {
-            let request = written::read(request).map_err(all)?;
+            let request = input::read(request).map_err(all)?;
             Ok(explain(&files.read().map_err(all)?, &request))
         }
     }
@@ -143,7 +143,7 @@
 type Tested = Result<String, String>;
 
 fn test(read: &Read, cases: &Path) -> Result<Tested, ConfigErrors> {
-    let cases: Vec<Case> = gather::read(&written::json(cases, "cases")?, "cases")?;
+    let cases: Vec<Case> = gather::read(&input::json(cases, "cases")?, "cases")?;
     let (mut out, mut failed, mut scratch) = (String::new(), 0, Scratch::default());
     for (nth, case) in cases.iter().enumerate() {
         let request = case.request.request(&format!("cases[{nth}].request"))?;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,9 +2,9 @@
 //! `memory`, start and stop in `life`. All decisions are the module's (`doortrack_admission::logic`).
 
 pub mod commands;
-pub mod life;
-pub mod memory;
-pub mod parts;
+pub mod network;
 pub mod peers;
 pub mod serve;
-pub mod wire;
+pub mod state;
+pub mod subsystem;
+pub mod system;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -10,10 +10,10 @@
 use doortrack_node::commands::expr::{self, ExprCommand};
 use doortrack_node::commands::fleet::{self, FleetCommand};
 use doortrack_node::commands::routes::{self, RoutesCommand};
-use doortrack_node::life::clock::Clock;
-use doortrack_node::life::log::{self, Format};
-use doortrack_node::life::signals::Signals;
 use doortrack_node::serve::Node;
+use doortrack_node::system::clock::Clock;
+use doortrack_node::system::log::{self, Format};
+use doortrack_node::system::signals::Signals;
 use slog::Level;
 
 /// Decides, inside each server of a fleet, what it takes, runs and turns away.
--- a/crates/node/src/wire/work.rs
+++ b/crates/node/src/network/backend.rs
@@ -8,12 +8,12 @@
 use doortrack_upstream::{Admission, Token};
 use polling::Event;
 
-use super::engine::{ENGINE_KEY, Link, WorkEvent};
+use super::engine::{BackendEvent, ENGINE_KEY, EngineLink};
 use super::servers::{POOL_KEYS, SERVER_KEY, Servers};
-use crate::memory::in_flight::InFlightRequest;
+use crate::state::in_flight::InFlightRequest;
 
-pub enum Work {
-    Engine(Box<Link>),
+pub enum Backend {
+    Engine(Box<EngineLink>),
     /// Pools of servers with their names; the one without a name first.
     Servers(Vec<(String, Servers)>),
 }
@@ -27,21 +27,21 @@
     }
 }
 
-impl Work {
+impl Backend {
     /// Does what is due: makes a link, gives up what took too long.
-    pub fn tend(&mut self, now: TenthMillis) {
+    pub fn maintain(&mut self, now: TenthMillis) {
         match self {
-            Work::Engine(link) => link.tend(now),
-            Work::Servers(pools) => pools.iter_mut().for_each(|(_, pool)| pool.tend(now)),
+            Backend::Engine(link) => link.maintain(now),
+            Backend::Servers(pools) => pools.iter_mut().for_each(|(_, pool)| pool.maintain(now)),
         }
     }
 
     /// When it is to be tended at the latest.
     pub fn next_due(&self) -> TenthMillis {
         match self {
-            Work::Engine(link) if link.is_down() => link.next_try,
-            Work::Engine(_) => TenthMillis::MAX,
-            Work::Servers(pools) => pools
+            Backend::Engine(link) if link.is_down() => link.next_try,
+            Backend::Engine(_) => TenthMillis::MAX,
+            Backend::Servers(pools) => pools
                 .iter()
                 .map(|(_, pool)| pool.next_due())
                 .min()
@@ -54,10 +54,15 @@
         key == ENGINE_KEY || key >= SERVER_KEY
     }
 
-    pub fn ready(&mut self, event: Event, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
+    pub fn ready(
+        &mut self,
+        event: Event,
+        now: TenthMillis,
+        backend_events: &mut Vec<BackendEvent>,
+    ) {
         match self {
-            Work::Engine(link) => link.ready(event, now, work_events),
-            Work::Servers(pools) => {
+            Backend::Engine(link) => link.ready(event, now, backend_events),
+            Backend::Servers(pools) => {
                 let place = event.key.saturating_sub(SERVER_KEY) / POOL_KEYS;
                 if let Some((_, pool)) = pools.get_mut(place) {
                     pool.ready(event, now);
@@ -68,7 +73,7 @@
 
     /// Pools whose retries are bounded elsewhere as well: by place, what they are to pass.
     pub fn gate_retries(&mut self, mut gate: impl FnMut(u16) -> Option<Box<dyn FnMut() -> bool>>) {
-        if let Work::Servers(pools) = self {
+        if let Backend::Servers(pools) = self {
             for (place, (_, pool)) in pools.iter_mut().enumerate() {
                 gate(place as u16)
                     .into_iter()
@@ -79,7 +84,7 @@
 
     /// Pools whose ramps are shared with others: by place, where they ask for tokens.
     pub fn gate_ramps(&mut self, mut gate: impl FnMut(u16) -> Option<Box<dyn FnMut() -> Token>>) {
-        if let Work::Servers(pools) = self {
+        if let Backend::Servers(pools) = self {
             for (place, (_, pool)) in pools.iter_mut().enumerate() {
                 gate(place as u16)
                     .into_iter()
@@ -94,8 +99,8 @@
     /// How long to wait before it comes back, in tenths of a ms.
     pub fn admit(&mut self, pool: u16, now: TenthMillis) -> Result<Admission, TenthMillis> {
         match self {
-            Work::Engine(_) => Ok(Admission::Free),
-            Work::Servers(pools) => {
+            Backend::Engine(_) => Ok(Admission::Free),
+            Backend::Servers(pools) => {
                 let place = pool_place(pool, pools.len());
                 pools
                     .get_mut(place)
@@ -106,7 +111,7 @@
 
     /// What was reserved for a request is begun next, or not wanted any more.
     pub fn release(&mut self, pool: u16, admission: Admission) {
-        if let (Work::Servers(pools), Admission::Reserved) = (self, admission) {
+        if let (Backend::Servers(pools), Admission::Reserved) = (self, admission) {
             let place = pool_place(pool, pools.len());
             pools
                 .get_mut(place)
@@ -118,14 +123,14 @@
     /// Whether what is asked for now is sent at once.
     pub fn is_up(&self) -> bool {
         match self {
-            Work::Engine(link) => link.is_up(),
-            Work::Servers(_) => true,
+            Backend::Engine(link) => link.is_up(),
+            Backend::Servers(_) => true,
         }
     }
 
     /// Whether a run needs the variables that its request came with.
     pub fn wants_variables(&self) -> bool {
-        matches!(self, Work::Servers(_))
+        matches!(self, Backend::Servers(_))
     }
 
     /// Begins a run. `group` is the endpoint group's name as JSON. The number of the last STAT before it,
@@ -139,8 +144,8 @@
         now: TenthMillis,
     ) -> Option<u64> {
         match self {
-            Work::Engine(link) => link.is_up().then(|| link.run(&ex.try_id, group, &ex.body)),
-            Work::Servers(pools) => {
+            Backend::Engine(link) => link.is_up().then(|| link.run(&ex.try_id, group, &ex.body)),
+            Backend::Servers(pools) => {
                 let block = ex.block.take();
                 ex.pool = pool_place(ex.pool, pools.len()) as u16;
                 if let Some((_, pool)) = pools.get_mut(usize::from(ex.pool)) {
@@ -154,9 +159,9 @@
     /// Stops a run that was begun.
     pub fn stop(&mut self, id: RequestId, ex: &InFlightRequest, now: TenthMillis) {
         match self {
-            Work::Engine(link) if link.is_up() => link.halt(&ex.try_id),
-            Work::Engine(_) => {}
-            Work::Servers(pools) => {
+            Backend::Engine(link) if link.is_up() => link.halt(&ex.try_id),
+            Backend::Engine(_) => {}
+            Backend::Servers(pools) => {
                 if let Some((_, pool)) = pools.get_mut(usize::from(ex.pool)) {
                     pool.stop(id, now);
                 }
@@ -167,32 +172,37 @@
     /// Asks for the gauges, where somebody has any: the number that the answer will carry.
     pub fn stat(&mut self) -> Option<u64> {
         match self {
-            Work::Engine(link) => link.is_up().then(|| link.stat()),
-            Work::Servers(_) => None,
+            Backend::Engine(link) => link.is_up().then(|| link.stat()),
+            Backend::Servers(_) => None,
         }
     }
 
     /// Writes what there is, and tells what came of runs.
-    pub fn flush(&mut self, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
+    pub fn flush(&mut self, now: TenthMillis, backend_events: &mut Vec<BackendEvent>) {
         match self {
-            Work::Engine(link) => link.flush(now, work_events),
-            Work::Servers(pools) => pools
+            Backend::Engine(link) => link.flush(now, backend_events),
+            Backend::Servers(pools) => pools
                 .iter_mut()
-                .for_each(|(_, pool)| pool.flush(work_events)),
+                .for_each(|(_, pool)| pool.flush(backend_events)),
         }
     }
 
     /// The engine is to be found elsewhere.
-    pub fn move_to(&mut self, at: SocketAddr, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
-        if let Work::Engine(link) = self {
-            link.move_to(at, now, work_events);
+    pub fn move_to(
+        &mut self,
+        at: SocketAddr,
+        now: TenthMillis,
+        backend_events: &mut Vec<BackendEvent>,
+    ) {
+        if let Backend::Engine(link) = self {
+            link.move_to(at, now, backend_events);
         }
     }
 
     pub fn link_losses(&self) -> u64 {
         match self {
-            Work::Engine(link) => link.losses,
-            Work::Servers(_) => 0,
+            Backend::Engine(link) => link.losses,
+            Backend::Servers(_) => 0,
         }
     }
 }
--- a/crates/node/src/wire/ruled.rs
+++ b/crates/node/src/network/classified.rs
@@ -13,7 +13,7 @@
 use doortrack_time::{MILLISECOND, TenthMillis};
 
 use super::request::{
-    Asked, Fields, IdempotencyKey, IncomingRequest, Names, TryId, Unreadable, hex, in_range,
+    Fields, IdempotencyKey, Inbound, IncomingRequest, Names, TryId, Unreadable, hex, in_range,
 };
 
 const DAY: TenthMillis = 86_400_000 * MILLISECOND;
@@ -103,14 +103,14 @@
         body: &[u8],
         origin: Origin,
         names: &Names,
-    ) -> Result<Asked, Unreadable> {
+    ) -> Result<Inbound, Unreadable> {
         let pairs = origin
             .protocol
             .pairs(block)
             .map_err(|broken| Unreadable::Field(broken.0))?;
         let view = View::of(&pairs, body, origin)?;
         if view.path == "/status/live" {
-            return Ok(Asked::Health);
+            return Ok(Inbound::Health);
         }
         let class = self.classify(&view)?;
         let group = class.as_ref().map(|class| class.group);
@@ -132,7 +132,7 @@
             Some(text) => hex(text, "HTTP_X_REQUEST_ID")?,
             None => self.name(),
         };
-        Ok(Asked::Request(IncomingRequest {
+        Ok(Inbound::Request(IncomingRequest {
             try_id,
             stamp: stamp_ms.map_or(origin.now, |ms| ms.saturating_mul(MILLISECOND)),
             group,
--- a/crates/node/src/wire/conn.rs
+++ b/crates/node/src/network/connection.rs
@@ -8,7 +8,7 @@
 use doortrack_time::TenthMillis;
 
 use super::bounds::{FAIR_UNREAD, MOST_BODY, MOST_OPEN, MOST_PARAMS, MOST_UNREAD, MOST_UNWHOLE};
-use super::end::End;
+use super::termination::Termination;
 
 /// A request that has not been answered.
 #[derive(Default)]
@@ -55,7 +55,7 @@
     HalfRequest,
 }
 
-pub struct Conn {
+pub struct Connection {
     pub sock: TcpStream,
     pub peer: IpAddr,
     /// The front on which it came.
@@ -83,24 +83,24 @@
     /// The peer said that it sends nothing more.
     ended: bool,
     /// It is to be closed once all that is open has been answered.
-    pub last: Option<End>,
+    pub last: Option<Termination>,
     /// It is to be closed at the end of the present turn.
-    pub doomed: Option<End>,
+    pub doomed: Option<Termination>,
     /// Whether the poller tells when it can be read, and when written.
     pub watched: (bool, bool),
     /// It is on the list of those to be written.
     pub dirty: bool,
 }
 
-impl Conn {
+impl Connection {
     pub fn new(
         sock: TcpStream,
         peer: IpAddr,
         front: usize,
         reader: RequestReader,
         now: TenthMillis,
-    ) -> Conn {
-        Conn {
+    ) -> Connection {
+        Connection {
             sock,
             peer,
             front,
@@ -155,7 +155,10 @@
 
     /// This node ends it once all that is open has been answered: what begins now would come too late.
     pub fn is_ending(&self) -> bool {
-        matches!(self.last, Some(End::Slow | End::Withdrawn | End::Left))
+        matches!(
+            self.last,
+            Some(Termination::Slow | Termination::Withdrawn | Termination::Left)
+        )
     }
 
     /// Whether a whole request has been due for longer than it may take: nothing came, or it trickles.
@@ -184,16 +187,16 @@
     }
 
     /// Reads once; how many bytes came, or how it ended.
-    pub fn read(&mut self, into: &mut [u8], now: TenthMillis) -> Result<usize, End> {
+    pub fn read(&mut self, into: &mut [u8], now: TenthMillis) -> Result<usize, Termination> {
         match self.sock.read(into) {
             // Of one that is not read nothing is told but errors, so this is one.
-            Ok(_) if !self.reading && !self.lingers => Err(End::Reset),
+            Ok(_) if !self.reading && !self.lingers => Err(Termination::Reset),
             Ok(0) => {
                 self.ended = true;
                 Err(if self.idle() {
-                    End::Closed
+                    Termination::Closed
                 } else {
-                    End::HalfClosed
+                    Termination::HalfClosed
                 })
             }
             Ok(n) => {
@@ -201,7 +204,7 @@
                 Ok(n)
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Ok(0),
-            Err(_) => Err(End::Reset),
+            Err(_) => Err(Termination::Reset),
         }
     }
 
@@ -225,14 +228,14 @@
     }
 
     /// Writes what the peer takes.
-    pub fn write(&mut self, now: TenthMillis) -> Result<(), End> {
+    pub fn write(&mut self, now: TenthMillis) -> Result<(), Termination> {
         while self.unread() > 0 {
             match self.sock.write(&self.out[self.written..]) {
-                Ok(0) => return Err(End::Reset),
+                Ok(0) => return Err(Termination::Reset),
                 Ok(n) => (self.written, self.moved) = (self.written + n, now),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => return Err(End::Reset),
+                Err(_) => return Err(Termination::Reset),
             }
         }
         // Also while some is unread, as a slow peer may never take the last of it.
@@ -245,7 +248,7 @@
     }
 
     /// Nothing more is read. What was not whole was never had, and its rest can't come: how many those were.
-    pub fn stop_reading(&mut self, end: End) -> usize {
+    pub fn stop_reading(&mut self, end: Termination) -> usize {
         (self.reading, self.last) = (false, Some(end));
         let before = self.open.len();
         self.open.retain(|open| !open.half_read());
@@ -312,7 +315,7 @@
 
     /// It asked in the protocol's own way whether this side is well, and nothing else can come of it.
     pub fn answers_a_ping(&mut self) {
-        (self.spoke, self.due_since, self.last) = (true, None, Some(End::Closed));
+        (self.spoke, self.due_since, self.last) = (true, None, Some(Termination::Closed));
     }
 
     /// Takes out a request by its id, or by its number.
--- a/crates/node/src/wire/engine.rs
+++ b/crates/node/src/network/engine.rs
@@ -11,9 +11,9 @@
 use socket2::{Domain, Socket, Type};
 
 use super::bounds::MOST_LINE;
-use super::end::End;
-use super::link::{self, Notice};
+use super::engine_protocol::{self, EngineMessage};
 use super::request::TryId;
+use super::termination::Termination;
 
 pub const ENGINE_KEY: usize = 1;
 
@@ -33,7 +33,7 @@
 }
 
 /// What the link brought, in order.
-pub enum WorkEvent {
+pub enum BackendEvent {
     Hello {
         cold: bool,
         age: TenthMillis,
@@ -42,19 +42,19 @@
     CaughtUp {
         proven: u64,
     },
-    Notice(Notice),
+    EngineMessage(EngineMessage),
     /// A run at a server came to its end, with what it brought.
     RunEnded {
         id: RequestId,
-        end: End,
+        end: Termination,
         headers: Vec<u8>,
         body: Vec<u8>,
     },
     /// The link itself came to an end.
-    Ended(End),
+    Ended(Termination),
 }
 
-pub struct Link {
+pub struct EngineLink {
     at: SocketAddr,
     poller: Arc<Poller>,
     log: Logger,
@@ -78,9 +78,9 @@
     pub losses: u64,
 }
 
-impl Link {
+impl EngineLink {
     pub fn new(at: SocketAddr, poller: Arc<Poller>, log: Logger, most_commands: usize) -> Self {
-        Link {
+        EngineLink {
             at,
             poller,
             log,
@@ -109,7 +109,7 @@
     }
 
     /// Makes the link if there is none.
-    pub fn tend(&mut self, now: TenthMillis) {
+    pub fn maintain(&mut self, now: TenthMillis) {
         if self.state != State::Down || now < self.next_try {
             return;
         }
@@ -138,7 +138,7 @@
         Ok(sock)
     }
 
-    fn lose(&mut self, now: TenthMillis, why: &str, work_events: &mut Vec<WorkEvent>) {
+    fn lose(&mut self, now: TenthMillis, why: &str, backend_events: &mut Vec<BackendEvent>) {
         if let Some(sock) = self.sock.take() {
             _ = self.poller.delete(&sock);
         }
@@ -147,7 +147,7 @@
         } else {
             self.losses += 1;
             warn!(self.log, "engine link lost"; "why" => why, "last" => self.last);
-            work_events.push(WorkEvent::Ended(End::LinkLost));
+            backend_events.push(BackendEvent::Ended(Termination::LinkLost));
         }
         self.state = State::Down;
         self.next_try = self.next_try.max(now);
@@ -156,64 +156,78 @@
     }
 
     /// The engine is to be found elsewhere from here on.
-    pub fn move_to(&mut self, at: SocketAddr, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
+    pub fn move_to(
+        &mut self,
+        at: SocketAddr,
+        now: TenthMillis,
+        backend_events: &mut Vec<BackendEvent>,
+    ) {
         if at == self.at {
             return;
         }
         (self.at, self.missed) = (at, false);
         if self.state != State::Down {
-            self.lose(now, "the engine moved", work_events);
+            self.lose(now, "the engine moved", backend_events);
         }
         self.next_try = now;
     }
 
-    pub fn ready(&mut self, event: Event, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
+    pub fn ready(
+        &mut self,
+        event: Event,
+        now: TenthMillis,
+        backend_events: &mut Vec<BackendEvent>,
+    ) {
         if self.state == State::Connecting && (event.writable || event.readable) {
             let error = self
                 .sock
                 .as_ref()
                 .and_then(|sock| sock.take_error().transpose());
             if let Some(Ok(e) | Err(e)) = error {
-                return self.lose(now, &e.to_string(), work_events);
+                return self.lose(now, &e.to_string(), backend_events);
             }
             self.state = State::Attaching;
-            link::attach(&mut self.out, self.last);
+            engine_protocol::attach(&mut self.out, self.last);
         }
         if event.readable {
-            self.read(now, work_events);
+            self.read(now, backend_events);
         }
     }
 
-    fn read(&mut self, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
+    fn read(&mut self, now: TenthMillis, backend_events: &mut Vec<BackendEvent>) {
         let Some(sock) = &mut self.sock else { return };
         let start = self.input.len();
         self.input.resize(start + MOST_LINE, 0);
         let got = sock.read(&mut self.input[start..]);
         self.input.truncate(start + got.as_ref().map_or(0, |n| *n));
         match got {
-            Ok(0) => return self.lose(now, "closed by the engine", work_events),
+            Ok(0) => return self.lose(now, "closed by the engine", backend_events),
             Ok(_) => {}
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return,
-            Err(e) => return self.lose(now, &e.to_string(), work_events),
+            Err(e) => return self.lose(now, &e.to_string(), backend_events),
         }
         let input = std::mem::take(&mut self.input);
         let mut rest = &input[..];
         while let Some(end) = rest.iter().position(|b| *b == b'\n') {
             let line = &rest[..end];
             rest = &rest[end + 1..];
-            if let Err(why) = self.line(line, work_events) {
-                return self.lose(now, why, work_events);
+            if let Err(why) = self.line(line, backend_events) {
+                return self.lose(now, why, backend_events);
             }
         }
         if rest.len() > MOST_LINE {
-            return self.lose(now, "a line without end", work_events);
+            return self.lose(now, "a line without end", backend_events);
         }
         self.input = rest.to_vec();
     }
 
     /// Takes one line; an error where the link is to be made anew, so that what was missed comes again.
-    fn line(&mut self, line: &[u8], work_events: &mut Vec<WorkEvent>) -> Result<(), &'static str> {
-        let notice = match link::read(line) {
+    fn line(
+        &mut self,
+        line: &[u8],
+        backend_events: &mut Vec<BackendEvent>,
+    ) -> Result<(), &'static str> {
+        let notice = match engine_protocol::read(line) {
             Ok(notice) => notice,
             Err(what) => {
                 warn!(self.log, "engine line left out"; "what" => what);
@@ -230,29 +244,29 @@
             self.last = serial;
         }
         match notice {
-            Notice::Hello { cold, age } if self.state == State::Attaching => {
+            EngineMessage::Hello { cold, age } if self.state == State::Attaching => {
                 info!(self.log, "engine attached"; "cold" => cold, "age_ms" => age / 10, "last" => self.last);
                 self.missed = false;
-                work_events.push(WorkEvent::Hello { cold, age });
+                backend_events.push(BackendEvent::Hello { cold, age });
                 self.state = State::CatchingUp {
                     cookie: self.cookie + 1,
                 };
                 self.stat();
             }
-            Notice::Hello { .. } => return self.doubt("HELLO out of turn"),
-            Notice::Stats { cookie, .. } if self.state == (State::CatchingUp { cookie }) => {
+            EngineMessage::Hello { .. } => return self.doubt("HELLO out of turn"),
+            EngineMessage::Stats { cookie, .. } if self.state == (State::CatchingUp { cookie }) => {
                 self.state = State::Up;
-                work_events.push(WorkEvent::CaughtUp {
+                backend_events.push(BackendEvent::CaughtUp {
                     proven: self.proven,
                 });
                 self.proven = cookie;
             }
-            Notice::Stats { cookie, .. } => {
+            EngineMessage::Stats { cookie, .. } => {
                 self.proven = self.proven.max(cookie.min(self.cookie));
-                work_events.push(WorkEvent::Notice(notice));
+                backend_events.push(BackendEvent::EngineMessage(notice));
             }
-            Notice::Note { text, .. } => info!(self.log, "engine remark"; "text" => text),
-            _ => work_events.push(WorkEvent::Notice(notice)),
+            EngineMessage::Note { text, .. } => info!(self.log, "engine remark"; "text" => text),
+            _ => backend_events.push(BackendEvent::EngineMessage(notice)),
         }
         Ok(())
     }
@@ -267,21 +281,21 @@
     /// Asks for the gauges; the number that the answer will carry.
     pub fn stat(&mut self) -> u64 {
         self.cookie += 1;
-        link::stat(&mut self.out, self.cookie);
+        engine_protocol::stat(&mut self.out, self.cookie);
         self.cookie
     }
 
     /// Sends a run; the number of the last STAT before it.
     pub fn run(&mut self, try_id: &TryId, group: &str, body: &[u8]) -> u64 {
-        link::run(&mut self.out, try_id, group, body);
+        engine_protocol::run(&mut self.out, try_id, group, body);
         self.cookie
     }
 
     pub fn halt(&mut self, try_id: &TryId) {
-        link::halt(&mut self.out, try_id);
+        engine_protocol::halt(&mut self.out, try_id);
     }
 
-    pub fn flush(&mut self, now: TenthMillis, work_events: &mut Vec<WorkEvent>) {
+    pub fn flush(&mut self, now: TenthMillis, backend_events: &mut Vec<BackendEvent>) {
         let Some(sock) = self
             .sock
             .as_mut()
@@ -295,14 +309,14 @@
                 Ok(n) if n > 0 => written += n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Ok(_) => return self.lose(now, "closed by the engine", work_events),
-                Err(e) => return self.lose(now, &e.to_string(), work_events),
+                Ok(_) => return self.lose(now, "closed by the engine", backend_events),
+                Err(e) => return self.lose(now, &e.to_string(), backend_events),
             }
         }
         self.out.drain(..written);
         self.out.shrink_to(MOST_LINE);
         if self.out.len() > self.most_commands {
-            return self.lose(now, "commands stay unread", work_events);
+            return self.lose(now, "commands stay unread", backend_events);
         }
         let wants = !self.out.is_empty();
         if wants != self.watching_writes {
--- a/crates/node/src/wire/link.rs
+++ b/crates/node/src/network/engine_protocol.rs
@@ -9,7 +9,7 @@
 use super::request::TryId;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Notice {
+pub enum EngineMessage {
     Hello {
         cold: bool,
         age: TenthMillis,
@@ -35,10 +35,12 @@
     },
 }
 
-impl Notice {
+impl EngineMessage {
     pub fn serial(&self) -> Option<u64> {
         match self {
-            Notice::Done { serial, .. } | Notice::Note { serial, .. } => Some(*serial),
+            EngineMessage::Done { serial, .. } | EngineMessage::Note { serial, .. } => {
+                Some(*serial)
+            }
             _ => None,
         }
     }
@@ -70,7 +72,7 @@
 }
 
 /// One line; the error names what is wrong with it.
-pub fn read(line: &[u8]) -> Result<Notice, &'static str> {
+pub fn read(line: &[u8]) -> Result<EngineMessage, &'static str> {
     let value: Value = serde_json::from_slice(line).map_err(|_| "not JSON")?;
     let word = |key: &str| value.get(key).and_then(Value::as_str);
     let whole = |key: &str| value.get(key).and_then(Value::as_u64);
@@ -86,7 +88,7 @@
                 Some("WARM") => false,
                 _ => return Err("HELLO that is neither COLD nor WARM"),
             };
-            Ok(Notice::Hello {
+            Ok(EngineMessage::Hello {
                 cold,
                 age: (age * 10.0) as TenthMillis,
             })
@@ -102,7 +104,7 @@
             };
             let serial = whole("serial").ok_or("DONE without serial")?;
             let try_id = try_id().ok_or("DONE without call")?;
-            Ok(Notice::Done {
+            Ok(EngineMessage::Done {
                 serial,
                 try_id,
                 outcome,
@@ -119,21 +121,21 @@
                 .ok_or("STATS without stats")?;
             // A value that is no number reads as none, so that it is taken for an absent gauge.
             let number = |v: &Value| v.as_f64().map_or(f32::NAN, |n| n as f32);
-            Ok(Notice::Stats {
+            Ok(EngineMessage::Stats {
                 cookie,
                 values: stats.iter().map(number).collect(),
             })
         }
         "NO" => {
             let command = word("how").ok_or("NO without how")?.to_string();
-            Ok(Notice::Not {
+            Ok(EngineMessage::Not {
                 command,
                 try_id: try_id(),
             })
         }
         "NOTE" => {
             let serial = whole("serial").ok_or("NOTE without serial")?;
-            Ok(Notice::Note {
+            Ok(EngineMessage::Note {
                 serial,
                 text: word("how").unwrap_or_default().to_string(),
             })
--- a/crates/node/src/wire/fronts.rs
+++ b/crates/node/src/network/listeners.rs
@@ -1,7 +1,7 @@
 //! The table of the callers' connections on all fronts: answered within bounds that hold by design, one state
 //! whatever they speak. How connections come and go stands in `coming`, how they are read in `reading`.
 
-mod coming;
+mod accept;
 mod reading;
 
 use std::collections::BTreeMap;
@@ -16,10 +16,10 @@
 use slab::Slab;
 
 use super::bounds::{FAIR_UNREAD, MOST_FRONTS, TURN};
-use super::conn::Conn;
-use super::end::End;
+use super::classified::Rules;
+use super::connection::Connection;
 use super::request::{self, Answer, IncomingRequest, Names};
-use super::ruled::Rules;
+use super::termination::Termination;
 
 /// Fronts have the keys from here on, connections those after them.
 pub const LISTEN_KEY: usize = 8;
@@ -40,7 +40,7 @@
 }
 
 /// What the connections brought.
-pub enum FrontEvent {
+pub enum ListenerEvent {
     Request {
         caller: Caller,
         request: IncomingRequest,
@@ -49,7 +49,7 @@
     },
     Ended {
         ex: RequestId,
-        end: End,
+        end: Termination,
     },
 }
 
@@ -86,7 +86,7 @@
 }
 
 /// One address on which callers are taken in.
-pub struct Front {
+pub struct Listener {
     pub protocol: Protocol,
     pub at: SocketAddr,
     /// Connections that it may have at once.
@@ -101,16 +101,16 @@
     pub counts: Counts,
 }
 
-impl Front {
+impl Listener {
     fn is_at(&self, at: SocketAddr) -> bool {
         self.listener.is_some() && self.at == at
     }
 }
 
-pub struct Fronts {
+pub struct Listeners {
     poller: Arc<Poller>,
-    fronts: Slab<Front>,
-    conns: Slab<Conn>,
+    listeners: Slab<Listener>,
+    conns: Slab<Connection>,
     names: Names,
     /// How requests of the installation's fronts are classed, if it has rules.
     pub rules: Option<Rules>,
@@ -132,7 +132,7 @@
     gone: Counts,
 }
 
-impl Fronts {
+impl Listeners {
     /// A table without any front yet.
     pub fn new(
         poller: Arc<Poller>,
@@ -140,9 +140,9 @@
         room: ResourceLimits,
         longest_deadline: TenthMillis,
     ) -> Self {
-        Fronts {
+        Listeners {
             poller,
-            fronts: Slab::new(),
+            listeners: Slab::new(),
             conns: Slab::new(),
             names,
             rules: None,
@@ -169,8 +169,8 @@
     }
 
     /// The fronts that are open or being drained.
-    pub fn each(&self) -> impl Iterator<Item = &Front> {
-        self.fronts.iter().map(|(_, front)| front)
+    pub fn each(&self) -> impl Iterator<Item = &Listener> {
+        self.listeners.iter().map(|(_, front)| front)
     }
 
     /// What was counted on all fronts since the start.
@@ -190,7 +190,7 @@
     }
 
     /// From here on the decisions know this request as `ex`.
-    pub fn known_as(&mut self, caller: Caller, ex: RequestId) {
+    pub fn bind_request(&mut self, caller: Caller, ex: RequestId) {
         let Some(conn) = self.conns.get_mut(caller.slot) else {
             return;
         };
@@ -207,7 +207,7 @@
         let Some(open) = conn.take(|open| open.nth == caller.nth) else {
             return;
         };
-        let counts = &mut self.fronts[conn.front].counts;
+        let counts = &mut self.listeners[conn.front].counts;
         match answer {
             Answer::Completed(_) => counts.completed += 1,
             Answer::Rejected { .. } => counts.rejected += 1,
@@ -223,7 +223,7 @@
         self.open -= 1;
         // While answers pile up everywhere, who leaves more than a fair part unread is not given more.
         if self.unread > self.room.unread_answer_bytes && conn.unread() > FAIR_UNREAD {
-            conn.doomed = Some(End::Unread);
+            conn.doomed = Some(Termination::Unread);
         }
         let (level, protocol) = (self.level, conn.reader.protocol());
         self.put(caller.slot, |out| {
@@ -247,7 +247,7 @@
     }
 
     /// Writes what the present turn brought, and closes what is to be closed.
-    pub fn flush(&mut self, now: TenthMillis, front_events: &mut Vec<FrontEvent>) {
+    pub fn flush(&mut self, now: TenthMillis, listener_events: &mut Vec<ListenerEvent>) {
         let mut dirty = std::mem::take(&mut self.dirty);
         for slot in dirty.drain(..) {
             let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.dirty) else {
@@ -261,8 +261,8 @@
                 .last
                 .filter(|_| conn.open.is_empty() && conn.unread() == 0);
             match (written, over) {
-                (Err(end), _) => self.close(slot, end, front_events),
-                (Ok(()), Some(end)) => self.hang_up(slot, end, now, front_events),
+                (Err(end), _) => self.close(slot, end, listener_events),
+                (Ok(()), Some(end)) => self.linger(slot, end, now, listener_events),
                 _ => self.watch(slot),
             }
         }
--- a/crates/node/src/wire/fronts/coming.rs
+++ b/crates/node/src/network/listeners/accept.rs
@@ -9,11 +9,11 @@
 use rustix::io::Errno;
 use socket2::{Domain, Socket, Type};
 
-use super::{Counts, FIRST_KEY, Front, FrontEvent, Fronts, LISTEN_KEY};
-use crate::wire::bounds::{self, ACCEPTS, EVICTED, FRESH, LAST_TURNS, MOST_FRONTS};
-use crate::wire::conn::{Conn, Use};
-use crate::wire::end::End;
-use crate::wire::request::{Answer, Unreadable};
+use super::{Counts, FIRST_KEY, LISTEN_KEY, Listener, ListenerEvent, Listeners};
+use crate::network::bounds::{self, ACCEPTS, EVICTED, FRESH, LAST_TURNS, MOST_FRONTS};
+use crate::network::connection::{Connection, Use};
+use crate::network::request::{Answer, Unreadable};
+use crate::network::termination::Termination;
 
 /// Whether the process (EMFILE) or the whole system (ENFILE) has no descriptor left.
 fn lacks_descriptor(error: &io::Error) -> bool {
@@ -23,7 +23,7 @@
     )
 }
 
-impl Fronts {
+impl Listeners {
     /// Opens a front. `most` bounds its connections; all fronts together keep within the node's own bound.
     pub fn listen(
         &mut self,
@@ -31,7 +31,7 @@
         protocol: Protocol,
         most: Option<usize>,
     ) -> io::Result<()> {
-        if self.fronts.len() >= MOST_FRONTS {
+        if self.listeners.len() >= MOST_FRONTS {
             return Err(io::Error::other(
                 "too many fronts, those that are drained included",
             ));
@@ -43,7 +43,7 @@
         socket.listen(bounds::backlog(self.room.connections))?;
         socket.set_nonblocking(true)?;
         let listener = TcpListener::from(socket);
-        let entry = self.fronts.vacant_entry();
+        let entry = self.listeners.vacant_entry();
         let key = LISTEN_KEY + entry.key();
         // SAFETY: the listener is taken out of the poller in `shut`, or lives as long as it.
         unsafe {
@@ -54,7 +54,7 @@
         let (listener, counts) = (Some(listener), Counts::default());
         // The first is there from the start to the end.
         let (platform, withdrawn, accepting) = (key == LISTEN_KEY, false, true);
-        let front = Front {
+        let front = Listener {
             protocol,
             at,
             most,
@@ -71,7 +71,11 @@
 
     /// Changes the bound on a front's connections; those that are open stay.
     pub fn bound(&mut self, at: SocketAddr, most: Option<usize>) {
-        for (_, front) in self.fronts.iter_mut().filter(|(_, front)| front.is_at(at)) {
+        for (_, front) in self
+            .listeners
+            .iter_mut()
+            .filter(|(_, front)| front.is_at(at))
+        {
             front.most = most.unwrap_or(usize::MAX);
         }
         self.accept_all(true);
@@ -79,25 +83,25 @@
 
     /// Takes a front out of service: what the machine has accepted for it is still read, once more, and
     /// answered; what comes after that is refused, and it is forgotten with the last connection.
-    pub fn withdraw(
+    pub fn drain_listener(
         &mut self,
         at: SocketAddr,
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) {
-        let slots = self.fronts.iter().filter(|(_, front)| front.is_at(at));
+        let slots = self.listeners.iter().filter(|(_, front)| front.is_at(at));
         let slots: Vec<usize> = slots.map(|(front, _)| front).collect();
         slots
             .into_iter()
-            .for_each(|front| self.shut(front, End::Withdrawn, now, front_events));
+            .for_each(|front| self.shut(front, Termination::Withdrawn, now, listener_events));
     }
 
     /// Takes in what the machine has accepted on any front, and nothing after it.
-    pub fn last_reading(&mut self, now: TenthMillis, front_events: &mut Vec<FrontEvent>) {
-        let slots: Vec<usize> = self.fronts.iter().map(|(front, _)| front).collect();
+    pub fn last_reading(&mut self, now: TenthMillis, listener_events: &mut Vec<ListenerEvent>) {
+        let slots: Vec<usize> = self.listeners.iter().map(|(front, _)| front).collect();
         slots
             .into_iter()
-            .for_each(|front| self.shut(front, End::Left, now, front_events));
+            .for_each(|front| self.shut(front, Termination::Left, now, listener_events));
     }
 
     /// Takes in the backlog of a front, reads each of its connections once more, and ends those with nothing
@@ -105,32 +109,32 @@
     fn shut(
         &mut self,
         front: usize,
-        end: End,
+        end: Termination,
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) {
         // One that was withdrawn before takes in nobody. It may go with its last connection meanwhile.
         if self
-            .fronts
+            .listeners
             .get(front)
             .is_some_and(|front| front.listener.is_some())
         {
             // There is no later turn for what waits in the backlog, so nobody is spared for being fresh.
-            while self.accept_sparing(0, front, now, front_events) {}
+            while self.accept_sparing(0, front, now, listener_events) {}
         }
-        let Some(shut) = self.fronts.get_mut(front) else {
+        let Some(shut) = self.listeners.get_mut(front) else {
             return;
         };
         if let Some(listener) = shut.listener.take() {
             _ = self.poller.delete(&listener);
         }
-        shut.withdrawn |= end == End::Withdrawn;
+        shut.withdrawn |= end == Termination::Withdrawn;
         let slots = self.conns.iter().filter(|(_, conn)| conn.front == front);
         let slots: Vec<usize> = slots.map(|(slot, _)| slot).collect();
         for slot in slots {
             for _ in 0..LAST_TURNS {
                 if self.conns.get(slot).is_some_and(|conn| conn.reading) {
-                    self.read(slot, now, front_events);
+                    self.read(slot, now, listener_events);
                 }
             }
             if self.conns.contains(slot) {
@@ -144,11 +148,11 @@
     /// A front that was withdrawn goes with its last connection; what it counted stays in the whole.
     fn forget_if_over(&mut self, front: usize) {
         if self
-            .fronts
+            .listeners
             .get(front)
             .is_some_and(|front| front.withdrawn && front.connections == 0)
         {
-            let front = self.fronts.remove(front);
+            let front = self.listeners.remove(front);
             self.gone.add(&front.counts);
         }
     }
@@ -158,9 +162,9 @@
         &mut self,
         front: usize,
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) -> bool {
-        self.accept_sparing(FRESH, front, now, front_events)
+        self.accept_sparing(FRESH, front, now, listener_events)
     }
 
     /// The same; where room has to be made, those are spared on which something moved so lately.
@@ -169,30 +173,30 @@
         fresh: TenthMillis,
         front: usize,
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) -> bool {
         let quiet_since = now.saturating_sub(fresh);
-        if !self.fronts.contains(front) {
+        if !self.listeners.contains(front) {
             return false;
         }
         for nth in 0..ACCEPTS {
             // Only the first is known to be waiting, so room is made for no more than one.
             let bounded = self.bounded(front);
             if self.is_full(front)
-                && !(nth == 0 && self.make_room(bounded, quiet_since, front_events))
+                && !(nth == 0 && self.make_room(bounded, quiet_since, listener_events))
             {
                 // A full table is no reason to fall over: the rest waits in the backlog for a close.
                 self.accept_again(front, nth > 0);
                 return nth > 0;
             }
-            let Some(listener) = &self.fronts[front].listener else {
+            let Some(listener) = &self.listeners[front].listener else {
                 return false;
             };
             match listener.accept() {
                 // One that is gone again before it was taken in has brought nothing.
                 Ok((sock, peer)) => {
                     _ = self.take_in(sock, peer.ip(), front, now);
-                    self.make_room_ahead(front, quiet_since, now, front_events);
+                    self.make_room_ahead(front, quiet_since, now, listener_events);
                 }
                 Err(e)
                     if matches!(
@@ -202,7 +206,7 @@
                 // The system takes a descriptor before it looks for a connection, so after the first one
                 // this says nothing of whether more are waiting.
                 Err(e) if lacks_descriptor(&e) => {
-                    if nth > 0 || !self.make_room(None, quiet_since, front_events) {
+                    if nth > 0 || !self.make_room(None, quiet_since, listener_events) {
                         self.accept_again(front, nth > 0);
                         return nth > 0;
                     }
@@ -220,7 +224,7 @@
     }
 
     fn is_full(&self, front: usize) -> bool {
-        let front = &self.fronts[front];
+        let front = &self.listeners[front];
         self.conns.len() >= self.room.connections || front.connections >= front.most
     }
 
@@ -240,9 +244,9 @@
             self.poller
                 .add_with_mode(&sock, interest, PollMode::Level)?
         };
-        let of = &mut self.fronts[front];
+        let of = &mut self.listeners[front];
         (of.counts.accepted, of.connections) = (of.counts.accepted + 1, of.connections + 1);
-        entry.insert(Conn::new(
+        entry.insert(Connection::new(
             sock,
             peer,
             front,
@@ -261,7 +265,7 @@
         &mut self,
         among: Option<usize>,
         quiet_since: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) -> bool {
         let useless = self.least_missed(among, quiet_since);
         let silent = useless
@@ -273,7 +277,7 @@
                 break;
             }
             if self.conns[slot].lingers || self.conns[slot].nothing_came() {
-                self.close(slot, End::Evicted, front_events);
+                self.close(slot, Termination::Evicted, listener_events);
             }
         }
         self.conns.len() < before
@@ -286,7 +290,7 @@
         front: usize,
         quiet_since: TenthMillis,
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) {
         let among = self.bounded(front);
         let (_, places, free) = self.tighter_bound(front);
@@ -294,14 +298,16 @@
         if free >= spare {
             return;
         }
-        let going = |conn: &Conn| conn.lingers && among.is_none_or(|front| conn.front == front);
+        let going =
+            |conn: &Connection| conn.lingers && among.is_none_or(|front| conn.front == front);
         let going = self.conns.iter().filter(|(_, conn)| going(conn)).count();
         let wanted = spare.saturating_sub(free + going);
         // Half of them at once, as each look goes over all connections.
         if 2 * wanted <= spare {
             return;
         }
-        let stays = |conn: &Conn| !conn.lingers && conn.open.is_empty() && conn.nothing_came();
+        let stays =
+            |conn: &Connection| !conn.lingers && conn.open.is_empty() && conn.nothing_came();
         let useless = self
             .least_missed(among, quiet_since)
             .into_iter()
@@ -312,13 +318,13 @@
             .collect();
         useless
             .into_iter()
-            .for_each(|slot| self.hang_up(slot, End::Evicted, now, front_events));
+            .for_each(|slot| self.linger(slot, Termination::Evicted, now, listener_events));
     }
 
     /// Whether a front's own bound is met before that of the table, how many places that is, and how many of
     /// them are free.
     fn tighter_bound(&self, front: usize) -> (bool, usize, usize) {
-        let of = &self.fronts[front];
+        let of = &self.listeners[front];
         let own = (true, of.most, of.most.saturating_sub(of.connections));
         let all = (
             false,
@@ -343,20 +349,20 @@
         quiet_since: TenthMillis,
     ) -> Vec<(Use, TenthMillis, usize)> {
         let useless =
-            |conn: &Conn| conn.lingers || (conn.moved <= quiet_since && conn.asks_nothing());
-        let concerned = |conn: &Conn| among.is_none_or(|front| conn.front == front);
+            |conn: &Connection| conn.lingers || (conn.moved <= quiet_since && conn.asks_nothing());
+        let concerned = |conn: &Connection| among.is_none_or(|front| conn.front == front);
         let useless = self
             .conns
             .iter()
             .filter(|(_, conn)| useless(conn) && concerned(conn));
-        let rank = |(slot, conn): (usize, &Conn)| (conn.use_of(), conn.moved, slot);
+        let rank = |(slot, conn): (usize, &Connection)| (conn.use_of(), conn.moved, slot);
         let mut useless: Vec<_> = useless.map(rank).collect();
         useless.sort_unstable();
         useless
     }
 
     fn accept_again(&mut self, front: usize, accepting: bool) {
-        let Some(of) = self.fronts.get_mut(front) else {
+        let Some(of) = self.listeners.get_mut(front) else {
             return;
         };
         if accepting != of.accepting
@@ -374,41 +380,46 @@
     }
 
     fn accept_all(&mut self, accepting: bool) {
-        (0..self.fronts.capacity().min(MOST_FRONTS))
+        (0..self.listeners.capacity().min(MOST_FRONTS))
             .for_each(|front| self.accept_again(front, accepting));
     }
 
     /// The one way in which this node ends a connection that nothing is owed on: it says so, passes over what
     /// still comes, and closes once the peer has ended too. A request that crosses this is never run, and
     /// its caller sees an orderly end and may send it again.
-    pub(super) fn hang_up(
+    pub(super) fn linger(
         &mut self,
         slot: usize,
-        end: End,
+        end: Termination,
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) {
         let conn = &mut self.conns[slot];
         (conn.reading, conn.last) = (false, Some(end));
         if conn.linger(now) {
             self.watch(slot)
         } else {
-            self.close(slot, end, front_events)
+            self.close(slot, end, listener_events)
         }
     }
 
-    pub(super) fn close(&mut self, slot: usize, end: End, front_events: &mut Vec<FrontEvent>) {
+    pub(super) fn close(
+        &mut self,
+        slot: usize,
+        end: Termination,
+        listener_events: &mut Vec<ListenerEvent>,
+    ) {
         let conn = self.conns.remove(slot);
         _ = self.poller.delete(&conn.sock);
         self.open -= conn.open.len();
         self.unread -= conn.unread();
-        front_events.extend(
+        listener_events.extend(
             conn.open
                 .iter()
                 .filter_map(|open| open.ex)
-                .map(|ex| FrontEvent::Ended { ex, end }),
+                .map(|ex| ListenerEvent::Ended { ex, end }),
         );
-        let front = &mut self.fronts[conn.front];
+        let front = &mut self.listeners[conn.front];
         front.connections -= 1;
         *front.counts.ends.entry(end.name()).or_default() += 1;
         self.forget_if_over(conn.front);
@@ -416,7 +427,7 @@
     }
 
     /// Closes what lay idle for long enough, and what nobody can be waiting for any more.
-    pub fn sweep(&mut self, now: TenthMillis, front_events: &mut Vec<FrontEvent>) {
+    pub fn sweep(&mut self, now: TenthMillis, listener_events: &mut Vec<ListenerEvent>) {
         let mut over = Vec::new();
         let within = bounds::whole_within(self.longest_deadline);
         for (slot, conn) in &mut self.conns {
@@ -429,38 +440,38 @@
             if conn.lingers {
                 over.extend(conn.last.filter(|_| slow).map(|end| (slot, end)));
             } else if conn.idle() && quiet >= self.idle_limit && conn.nothing_came() {
-                over.push((slot, End::Idle));
+                over.push((slot, Termination::Idle));
             } else if conn.unread() > 0 && quiet > self.longest_deadline {
-                over.push((slot, End::Unread));
+                over.push((slot, Termination::Unread));
             } else if slow {
-                over.push((slot, End::Slow));
+                over.push((slot, Termination::Slow));
             }
         }
         for (slot, end) in over {
             match end {
-                _ if self.conns[slot].lingers => self.close(slot, end, front_events),
-                End::Idle => self.hang_up(slot, end, now, front_events),
+                _ if self.conns[slot].lingers => self.close(slot, end, listener_events),
+                Termination::Idle => self.linger(slot, end, now, listener_events),
                 // A dispatcher that passes on what a slow client sends may have others open on it.
-                End::Slow => {
+                Termination::Slow => {
                     self.answer_half_read(slot, Answer::Unreadable(Unreadable::Field("record")));
                     self.end_once_answered(slot, end);
                 }
-                _ => self.close(slot, end, front_events),
+                _ => self.close(slot, end, listener_events),
             }
         }
         let makes_room = self
             .conns
             .iter()
             .any(|(_, conn)| conn.lingers || conn.asks_nothing());
-        for front in 0..self.fronts.capacity().min(MOST_FRONTS) {
-            if self.fronts.contains(front) {
+        for front in 0..self.listeners.capacity().min(MOST_FRONTS) {
+            if self.listeners.contains(front) {
                 self.accept_again(front, makes_room || !self.is_full(front));
             }
         }
     }
 
     /// Whether there is anything that a sweep could do.
-    pub fn to_sweep(&self) -> bool {
-        !self.conns.is_empty() || self.fronts.iter().any(|(_, front)| !front.accepting)
+    pub fn has_idle(&self) -> bool {
+        !self.conns.is_empty() || self.listeners.iter().any(|(_, front)| !front.accepting)
     }
 }
--- a/crates/node/src/wire/fronts/reading.rs
+++ b/crates/node/src/network/listeners/reading.rs
@@ -2,19 +2,24 @@
 
 use polling::Event;
 
-use super::{Block, Caller, FIRST_KEY, FrontEvent, Fronts};
-use crate::wire::bounds::{self, MOST_BODY};
-use crate::wire::conn::Stream;
-use crate::wire::end::End;
-use crate::wire::request::{self, Answer, Asked, Unreadable};
-use crate::wire::ruled::Origin;
+use super::{Block, Caller, FIRST_KEY, ListenerEvent, Listeners};
+use crate::network::bounds::{self, MOST_BODY};
+use crate::network::classified::Origin;
+use crate::network::connection::Stream;
+use crate::network::request::{self, Answer, Inbound, Unreadable};
+use crate::network::termination::Termination;
 use doortrack_protocols::fastcgi::{self, RESPONDER};
 use doortrack_protocols::{Piece, uwsgi};
 use doortrack_time::TenthMillis;
 
-impl Fronts {
+impl Listeners {
     /// A connection is ready, or broke.
-    pub fn ready(&mut self, event: Event, now: TenthMillis, front_events: &mut Vec<FrontEvent>) {
+    pub fn ready(
+        &mut self,
+        event: Event,
+        now: TenthMillis,
+        listener_events: &mut Vec<ListenerEvent>,
+    ) {
         let slot = event.key - FIRST_KEY;
         if !self.conns.contains(slot) {
             return; // Closed earlier in this turn.
@@ -27,7 +32,7 @@
         let conn = &self.conns[slot];
         let ended_in_this_turn = !conn.reading && !conn.lingers && conn.watched.0;
         if event.readable && !ended_in_this_turn {
-            self.read(slot, now, front_events);
+            self.read(slot, now, listener_events);
         }
     }
 
@@ -35,24 +40,24 @@
         &mut self,
         slot: usize,
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) {
         let mut scratch = std::mem::take(&mut self.scratch);
         let conn = &mut self.conns[slot];
         match conn.read(&mut scratch, now) {
             Ok(n) if conn.lingers => {
                 if conn.passed_over(n) {
-                    let end = conn.last.unwrap_or(End::Closed);
-                    self.close(slot, end, front_events);
+                    let end = conn.last.unwrap_or(Termination::Closed);
+                    self.close(slot, end, listener_events);
                 }
             }
             // All was said, so however it ends takes nothing away.
             Err(_) if conn.lingers => {
-                let end = conn.last.unwrap_or(End::Closed);
-                self.close(slot, end, front_events);
+                let end = conn.last.unwrap_or(Termination::Closed);
+                self.close(slot, end, listener_events);
             }
-            Ok(n) => self.split(slot, &scratch[..n], now, front_events),
-            Err(End::Reset) => self.close(slot, End::Reset, front_events),
+            Ok(n) => self.split(slot, &scratch[..n], now, listener_events),
+            Err(Termination::Reset) => self.close(slot, Termination::Reset, listener_events),
             Err(end) => self.stop_reading(slot, end),
         }
         self.scratch = scratch;
@@ -63,23 +68,23 @@
         slot: usize,
         mut input: &[u8],
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) {
         let size = input.len();
         while self.conns[slot].reading {
             match self.conns[slot].reader.next(&mut input) {
-                Ok(Some(piece)) => self.piece(slot, piece, now, front_events),
+                Ok(Some(piece)) => self.piece(slot, piece, now, listener_events),
                 Ok(None) => break,
-                Err(_) => self.give_up(slot, End::Malformed),
+                Err(_) => self.give_up(slot, Termination::Malformed),
             }
         }
         if self.conns[slot].took_in(size, now) && self.conns[slot].reading {
-            self.give_up(slot, End::Malformed);
+            self.give_up(slot, Termination::Malformed);
         }
     }
 
     /// What comes can't be read any further: what is whole is answered yet, what is not is told so.
-    fn give_up(&mut self, slot: usize, end: End) {
+    fn give_up(&mut self, slot: usize, end: Termination) {
         self.answer_half_read(slot, Answer::Unreadable(Unreadable::Field("record")));
         self.stop_reading(slot, end);
     }
@@ -99,12 +104,12 @@
 
     /// It ends once all that is open on it has been answered. Until then it is read, as the peer may be
     /// writing requests that it could not know to be in vain; those are refused.
-    pub(super) fn end_once_answered(&mut self, slot: usize, end: End) {
+    pub(super) fn end_once_answered(&mut self, slot: usize, end: Termination) {
         self.conns[slot].last = Some(end);
         self.mark_dirty(slot);
     }
 
-    fn stop_reading(&mut self, slot: usize, end: End) {
+    fn stop_reading(&mut self, slot: usize, end: Termination) {
         self.open -= self.conns[slot].stop_reading(end);
         self.mark_dirty(slot);
     }
@@ -114,15 +119,15 @@
         slot: usize,
         piece: Piece,
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) {
         let conn = &mut self.conns[slot];
         match piece {
-            Piece::Begin { id, .. } if conn.has(id) => self.give_up(slot, End::Malformed),
+            Piece::Begin { id, .. } if conn.has(id) => self.give_up(slot, Termination::Malformed),
             Piece::Begin { id, role, keep } => {
                 let ending = conn.is_ending();
                 if !keep && !ending {
-                    conn.last = Some(End::Closed);
+                    conn.last = Some(Termination::Closed);
                 }
                 (self.begun, self.open) = (self.begun + 1, self.open + 1);
                 let caller = Caller {
@@ -139,17 +144,19 @@
             Piece::Abort { id } => {
                 if let Some(open) = conn.take(|open| open.id == id) {
                     self.open -= 1;
-                    front_events.extend(open.ex.map(|ex| FrontEvent::Ended {
+                    listener_events.extend(open.ex.map(|ex| ListenerEvent::Ended {
                         ex,
-                        end: End::Aborted,
+                        end: Termination::Aborted,
                     }));
                     self.mark_dirty(slot);
                 }
             }
             Piece::Params { id, bytes } => self.collect(slot, id, Stream::Params, bytes),
             Piece::Stdin { id, bytes } => self.collect(slot, id, Stream::Body, bytes),
-            Piece::ParamsEnd { id } => self.end_stream(slot, id, Stream::Params, now, front_events),
-            Piece::StdinEnd { id } => self.end_stream(slot, id, Stream::Body, now, front_events),
+            Piece::ParamsEnd { id } => {
+                self.end_stream(slot, id, Stream::Params, now, listener_events)
+            }
+            Piece::StdinEnd { id } => self.end_stream(slot, id, Stream::Body, now, listener_events),
             Piece::BodyOf { id, length } => {
                 if length > MOST_BODY as u64
                     && let Some(open) = conn.open.iter().find(|open| open.id == id)
@@ -164,7 +171,7 @@
             Piece::Ping => {
                 conn.answers_a_ping();
                 let (front, good) = (conn.front, self.good);
-                self.fronts[front].counts.checks += 1;
+                self.listeners[front].counts.checks += 1;
                 self.put(slot, |out| uwsgi::pong(out, good));
             }
             Piece::GetValues => {
@@ -191,7 +198,7 @@
         id: u16,
         stream: Stream,
         now: TenthMillis,
-        front_events: &mut Vec<FrontEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
     ) {
         let Some(whole) = self.conns[slot].end_stream(id, stream) else {
             return;
@@ -203,7 +210,7 @@
         let conn = &self.conns[slot];
         let (protocol, peer) = (conn.reader.protocol(), conn.peer);
         let asked = match &mut self.rules {
-            Some(rules) if !self.fronts[conn.front].platform => rules.read(
+            Some(rules) if !self.listeners[conn.front].platform => rules.read(
                 &whole.params,
                 &whole.body,
                 Origin {
@@ -216,7 +223,7 @@
             _ => request::read(protocol, &whole.params, &self.names),
         };
         let asked = match asked {
-            Ok(Asked::Request(request))
+            Ok(Inbound::Request(request))
                 if bounds::is_far_off(request.stamp, now, self.longest_deadline) =>
             {
                 Err(Unreadable::Field("HTTP_X_REQUEST_START"))
@@ -224,19 +231,19 @@
             asked => asked,
         };
         match asked {
-            Ok(Asked::Request(request)) => {
+            Ok(Inbound::Request(request)) => {
                 let block = Block {
                     protocol,
                     bytes: whole.params,
                 };
-                front_events.push(FrontEvent::Request {
+                listener_events.push(ListenerEvent::Request {
                     caller,
                     request,
                     block,
                     body: whole.body,
                 });
             }
-            Ok(Asked::Health) => self.answer(caller, Answer::Health { good: self.good }),
+            Ok(Inbound::Health) => self.answer(caller, Answer::Health { good: self.good }),
             Err(unreadable) => self.answer(caller, Answer::Unreadable(unreadable)),
         }
     }
--- a/crates/node/src/wire/mod.rs
+++ b/crates/node/src/network/mod.rs
@@ -1,16 +1,16 @@
 //! What is spoken on the wire. What can be read and written without sockets stands in the package
 //! `doortrack-protocols` (FastCGI, uwsgi), in `request` and in `link`.
 
+pub mod backend;
 pub mod bounds;
-pub mod conn;
-pub mod end;
+pub mod classified;
+pub mod connection;
 pub mod engine;
-pub mod fronts;
+pub mod engine_protocol;
 mod headers;
-pub mod link;
+pub mod listeners;
 pub mod registry;
 pub mod request;
-pub mod ruled;
+mod server_log;
 pub mod servers;
-mod standing;
-pub mod work;
+pub mod termination;
--- a/crates/node/src/wire/registry.rs
+++ b/crates/node/src/network/registry.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    pub fn beat(&mut self, now: TenthMillis) {
+    pub fn heartbeat(&mut self, now: TenthMillis) {
         if now >= self.next {
             self.next = now + EVERY;
             let text = report(&self.name, self.draining);
--- a/crates/node/src/wire/request.rs
+++ b/crates/node/src/network/request.rs
@@ -11,14 +11,14 @@
 
 /// What a run brought: header lines of its answer, each with its end of line, and a body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Made<'a> {
+pub struct RunOutput<'a> {
     pub headers: &'a [u8],
     pub body: &'a [u8],
 }
 
-impl<'a> From<&'a [u8]> for Made<'a> {
-    fn from(body: &'a [u8]) -> Made<'a> {
-        Made { headers: &[], body }
+impl<'a> From<&'a [u8]> for RunOutput<'a> {
+    fn from(body: &'a [u8]) -> RunOutput<'a> {
+        RunOutput { headers: &[], body }
     }
 }
 
@@ -43,7 +43,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asked {
+pub enum Inbound {
     Health,
     Request(IncomingRequest),
 }
@@ -90,14 +90,14 @@
     }
 }
 
-pub fn read(protocol: Protocol, variables: &[u8], names: &Names) -> Result<Asked, Unreadable> {
+pub fn read(protocol: Protocol, variables: &[u8], names: &Names) -> Result<Inbound, Unreadable> {
     let pairs = protocol
         .pairs(variables)
         .map_err(|broken| Unreadable::Field(broken.0))?;
     let fields = Fields(&pairs);
     let script = fields.needed("SCRIPT_NAME")?;
     if script == "/status/live" {
-        return Ok(Asked::Health);
+        return Ok(Inbound::Health);
     }
     let group = script
         .strip_prefix("/svc/")
@@ -109,7 +109,7 @@
     let tenant = names.tenant(&fields)?;
     let kb = fields.number::<f32>("HTTP_X_MEMORY_KB")?;
     let rank = fields.number::<f32>("HTTP_X_RANK")?;
-    Ok(Asked::Request(IncomingRequest {
+    Ok(Inbound::Request(IncomingRequest {
         try_id: hex(fields.needed("HTTP_X_REQUEST_ID")?, "HTTP_X_REQUEST_ID")?,
         stamp: fields
             .number::<u64>("HTTP_X_REQUEST_START")?
@@ -192,7 +192,7 @@
 /// The one answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer<'a> {
-    Completed(Made<'a>),
+    Completed(RunOutput<'a>),
     Rejected {
         not_elsewhere: bool,
         retry_after: TenthMillis,
--- a/crates/node/src/wire/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -18,11 +18,11 @@
 use slog::{Logger, warn};
 
 use super::bounds::TURN;
-use super::end::End;
-use super::engine::{WorkEvent, begin_to_connect};
-use super::fronts::Block;
+use super::engine::{BackendEvent, begin_to_connect};
 use super::headers::passed_on;
-use super::standing::log_standing;
+use super::listeners::Block;
+use super::server_log::log_standing;
+use super::termination::Termination;
 
 /// Connections to servers have the keys from here on, those of each pool so many.
 pub const SERVER_KEY: usize = 1 << 40;
@@ -55,7 +55,7 @@
     requests: FxHashMap<RunId, Vec<u8>>,
     results: FxHashMap<RunId, Answer>,
     actions: Vec<Action>,
-    work_events: Vec<WorkEvent>,
+    backend_events: Vec<BackendEvent>,
     scratch: Vec<u8>,
     up: bool,
     /// How runs ended.
@@ -74,7 +74,7 @@
         seed: u64,
     ) -> Servers {
         let (at, socks, actions, ends) = Default::default();
-        let (requests, results, work_events) = Default::default();
+        let (requests, results, backend_events) = Default::default();
         let pool = Pool::new(asked.terms(longest), seed);
         let (protocol, keep, most_answer) = (asked.protocol.into(), false, 0);
         let (scratch, up) = (vec![0; TURN], false);
@@ -92,7 +92,7 @@
             requests,
             results,
             actions,
-            work_events,
+            backend_events,
             scratch,
             up,
             ends,
@@ -169,10 +169,10 @@
         &self.pool
     }
 
-    pub fn tend(&mut self, now: TenthMillis) {
+    pub fn maintain(&mut self, now: TenthMillis) {
         if !std::mem::replace(&mut self.up, true) {
             // Nobody tells whether servers are warm; a pool takes one at a time back that is not.
-            self.work_events.push(WorkEvent::Hello {
+            self.backend_events.push(BackendEvent::Hello {
                 cold: false,
                 age: 0,
             });
@@ -185,7 +185,7 @@
 
     pub fn next_due(&self) -> TenthMillis {
         // What is to be told is not waited for.
-        if self.up && self.work_events.is_empty() {
+        if self.up && self.backend_events.is_empty() {
             self.pool.next_due()
         } else {
             0
@@ -261,8 +261,8 @@
     }
 
     /// What came of it all since the last time.
-    pub fn flush(&mut self, work_events: &mut Vec<WorkEvent>) {
-        work_events.append(&mut self.work_events);
+    pub fn flush(&mut self, backend_events: &mut Vec<BackendEvent>) {
+        backend_events.append(&mut self.backend_events);
     }
 
     /// Carries out what the pool decided, until nothing new comes of it. That is done after each event:
@@ -291,16 +291,16 @@
                 self.requests.remove(&run);
                 let answer = self.results.remove(&run).unwrap_or_default();
                 let end = match end {
-                    RunEnd::Completed => End::Run(RunOutcome::Completed),
-                    RunEnd::Failed => End::Run(RunOutcome::Failed),
-                    RunEnd::Stopped => End::Run(RunOutcome::Cancelled),
-                    RunEnd::NeverRan => End::Unreached,
-                    RunEnd::Lost => End::ServerLost,
-                    RunEnd::Late => End::ServerLate,
+                    RunEnd::Completed => Termination::Run(RunOutcome::Completed),
+                    RunEnd::Failed => Termination::Run(RunOutcome::Failed),
+                    RunEnd::Stopped => Termination::Run(RunOutcome::Cancelled),
+                    RunEnd::NeverRan => Termination::Unreached,
+                    RunEnd::Lost => Termination::ServerLost,
+                    RunEnd::Late => Termination::ServerLate,
                 };
                 *self.ends.entry(end.name()).or_default() += 1;
                 let headers = passed_on(&answer);
-                self.work_events.push(WorkEvent::RunEnded {
+                self.backend_events.push(BackendEvent::RunEnded {
                     id: run,
                     end,
                     headers,
--- a/crates/node/src/wire/end.rs
+++ b/crates/node/src/network/termination.rs
@@ -3,7 +3,7 @@
 use doortrack_admission::RunOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Termination {
     /// The dispatcher stopped waiting for one request.
     Aborted,
     /// The dispatcher's side broke the connection.
@@ -53,55 +53,59 @@
     RunEnded(RunOutcome),
 }
 
-impl End {
+impl Termination {
     /// The one place where ends are mapped to what the decisions are told.
     pub fn outcome(self) -> Outcome {
         match self {
-            End::Aborted | End::Reset | End::Unread | End::Left => Outcome::CallerGone,
+            Termination::Aborted | Termination::Reset | Termination::Unread | Termination::Left => {
+                Outcome::CallerGone
+            }
             // A half-closed connection may be read to its end; only a reset proves that nobody listens.
-            End::HalfClosed
-            | End::Closed
-            | End::Idle
-            | End::Evicted
-            | End::Malformed
-            | End::Slow
-            | End::Withdrawn
-            | End::LinkLost => Outcome::StillOwed,
-            End::Run(outcome) => Outcome::RunEnded(outcome),
-            End::RunRefused | End::Unsent | End::Unreached => {
+            Termination::HalfClosed
+            | Termination::Closed
+            | Termination::Idle
+            | Termination::Evicted
+            | Termination::Malformed
+            | Termination::Slow
+            | Termination::Withdrawn
+            | Termination::LinkLost => Outcome::StillOwed,
+            Termination::Run(outcome) => Outcome::RunEnded(outcome),
+            Termination::RunRefused | Termination::Unsent | Termination::Unreached => {
                 Outcome::RunEnded(RunOutcome::NotStarted)
             }
             // It may have run, so a repeat may not.
-            End::ServerLost | End::ServerLate => Outcome::RunEnded(RunOutcome::Failed),
-            End::StopRefused => Outcome::RunEnded(RunOutcome::Cancelled),
+            Termination::ServerLost | Termination::ServerLate => {
+                Outcome::RunEnded(RunOutcome::Failed)
+            }
+            Termination::StopRefused => Outcome::RunEnded(RunOutcome::Cancelled),
         }
     }
 
     /// The word for it in the log.
     pub fn name(self) -> &'static str {
         match self {
-            End::Aborted => "aborted",
-            End::Reset => "reset",
-            End::HalfClosed => "half_closed",
-            End::Closed => "closed",
-            End::Idle => "idle",
-            End::Evicted => "evicted",
-            End::Malformed => "malformed",
-            End::Slow => "slow",
-            End::Unread => "unread",
-            End::Left => "left",
-            End::Withdrawn => "withdrawn",
-            End::Run(RunOutcome::Completed) => "completed",
-            End::Run(RunOutcome::Failed) => "failed",
-            End::Run(RunOutcome::Cancelled) => "stopped",
-            End::Run(RunOutcome::NotStarted) => "moot",
-            End::RunRefused => "run_refused",
-            End::StopRefused => "stop_refused",
-            End::Unsent => "unsent",
-            End::Unreached => "unreached",
-            End::ServerLost => "server_lost",
-            End::ServerLate => "server_late",
-            End::LinkLost => "link_lost",
+            Termination::Aborted => "aborted",
+            Termination::Reset => "reset",
+            Termination::HalfClosed => "half_closed",
+            Termination::Closed => "closed",
+            Termination::Idle => "idle",
+            Termination::Evicted => "evicted",
+            Termination::Malformed => "malformed",
+            Termination::Slow => "slow",
+            Termination::Unread => "unread",
+            Termination::Left => "left",
+            Termination::Withdrawn => "withdrawn",
+            Termination::Run(RunOutcome::Completed) => "completed",
+            Termination::Run(RunOutcome::Failed) => "failed",
+            Termination::Run(RunOutcome::Cancelled) => "stopped",
+            Termination::Run(RunOutcome::NotStarted) => "moot",
+            Termination::RunRefused => "run_refused",
+            Termination::StopRefused => "stop_refused",
+            Termination::Unsent => "unsent",
+            Termination::Unreached => "unreached",
+            Termination::ServerLost => "server_lost",
+            Termination::ServerLate => "server_late",
+            Termination::LinkLost => "link_lost",
         }
     }
 }
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -10,8 +10,8 @@
 use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::{Logger, info, warn};
 
-use super::spoken::{BUDGET_PAGE, BudgetPage, BudgetStatus};
-use crate::parts::{Asked, Permit, Use};
+use super::peer_message::{BUDGET_PAGE, BudgetPage, BudgetStatus};
+use crate::subsystem::{AdmissionRequest, Permit, Use};
 
 /// Between reading the clock and the use that follows lie some hundred ns. A use after a longer pause of the
 /// process is counted as late.
@@ -127,7 +127,7 @@
     /// One of them has none left; how long to wait, in tenths of a ms.
     pub fn admit(
         &mut self,
-        asked: Asked,
+        asked: AdmissionRequest,
         now: impl Fn() -> TenthMillis,
     ) -> Result<Permit, TenthMillis> {
         let by = &self.indices;
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -26,12 +26,12 @@
 pub use self::socket::{Counts, Registration, Tap};
 use self::socket::{Received, SealedSocket};
 use super::budgets::FleetBudgets;
+use super::peer_message::PeerMessage;
 use super::seal::Seal;
-use super::spoken::Spoken;
-use crate::parts::{Asked, PART_KEYS, Part, Permit, Use};
+use crate::subsystem::{AdmissionRequest, Permit, SUBSYSTEM_KEYS, Subsystem, Use};
 
 /// The poller's key of the link in a node's own loop.
-pub const KEY: usize = PART_KEYS.start;
+pub const KEY: usize = SUBSYSTEM_KEYS.start;
 /// Datagrams read in one turn of the loop, so that a flood does not starve other work.
 const MAX_READS: usize = 64;
 /// Turns of the loop for which due timers wait for unread datagrams, so that a flood does not stop them.
@@ -167,9 +167,9 @@
         true
     }
 
-    fn handle(&mut self, from: SocketAddr, spoken: Spoken) {
+    fn handle(&mut self, from: SocketAddr, spoken: PeerMessage) {
         match spoken {
-            Spoken::Fleet(datagram) => {
+            PeerMessage::Fleet(datagram) => {
                 self.fleet.handle(
                     self.now(),
                     Event::Received { from, datagram },
@@ -177,20 +177,22 @@
                 );
                 self.carry_out();
             }
-            Spoken::Ask(ask) => self.answer_status(ask, from),
+            PeerMessage::Ask(ask) => self.answer_status(ask, from),
             // A node that is no member would get no answer, and could fill the leader's ledger.
-            Spoken::Budgets(envelope) if self.is_member(&envelope.from) => {
+            PeerMessage::Budgets(envelope) if self.is_member(&envelope.from) => {
                 self.tell_budgets(Some(doortrack_budgets::Event::Received(envelope)));
             }
-            Spoken::Budgets(_) => *self.socket.counts.refused.entry("no_member").or_default() += 1,
-            Spoken::AskBudgets { nonce, from: index } => {
+            PeerMessage::Budgets(_) => {
+                *self.socket.counts.refused.entry("no_member").or_default() += 1
+            }
+            PeerMessage::AskBudgets { nonce, from: index } => {
                 self.answer_budget_status(nonce, index, from)
             }
-            Spoken::Status(_) | Spoken::BudgetStatus(_) => {}
+            PeerMessage::Status(_) | PeerMessage::BudgetStatus(_) => {}
         }
     }
 
-    fn send(&mut self, to: SocketAddr, spoken: &Spoken) {
+    fn send(&mut self, to: SocketAddr, spoken: &PeerMessage) {
         self.socket.send(to, spoken);
     }
 
@@ -198,7 +200,7 @@
     fn carry_out(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::Send { to, datagram } => self.send(to, &Spoken::Fleet(*datagram)),
+                Action::Send { to, datagram } => self.send(to, &PeerMessage::Fleet(*datagram)),
                 Action::Report(change) => {
                     self.log(&change);
                     if let Some(tap) = &mut self.socket.tap {
@@ -212,7 +214,7 @@
     }
 }
 
-impl Part for Peers {
+impl Subsystem for Peers {
     fn key(&self) -> usize {
         self.socket.key
     }
@@ -244,7 +246,7 @@
         }
     }
 
-    fn admit(&mut self, asked: Asked) -> Result<Permit, TenthMillis> {
+    fn admit(&mut self, asked: AdmissionRequest) -> Result<Permit, TenthMillis> {
         let (zero, drift) = (self.zero, self.file.tests.drift_ppm);
         match &self.budgets {
             Some(budgets) => budgets.borrow_mut().admit(asked, || now(zero, drift)),
--- a/crates/node/src/peers/link/budget_actions.rs
+++ b/crates/node/src/peers/link/budget_actions.rs
@@ -3,7 +3,7 @@
 use doortrack_budgets::{Action, Envelope, Event, NodeId};
 
 use super::Peers;
-use crate::peers::spoken::Spoken;
+use crate::peers::peer_message::PeerMessage;
 
 impl Peers {
     /// Hands an event to the budgets, or the present members if there is none, and carries out what follows.
@@ -43,7 +43,7 @@
         let member = self.fleet.view().members.get(&envelope.to.name).copied();
         let member = member.filter(|member| member.incarnation == envelope.to.incarnation);
         if let Some(member) = member {
-            self.send(member.address, &Spoken::Budgets(envelope));
+            self.send(member.address, &PeerMessage::Budgets(envelope));
         }
     }
 }
--- a/crates/node/src/peers/link/socket.rs
+++ b/crates/node/src/peers/link/socket.rs
@@ -8,9 +8,9 @@
 use doortrack_membership::Change;
 use polling::{Event, PollMode, Poller};
 
-use crate::life::addresses::once_free;
+use crate::peers::peer_message::PeerMessage;
 use crate::peers::seal::{LONGEST, Refused, Seal};
-use crate::peers::spoken::Spoken;
+use crate::system::addresses::once_free;
 
 /// Counts of datagrams and their bytes, without IP and UDP headers.
 #[derive(Clone, Debug, Default)]
@@ -49,7 +49,7 @@
     Nothing,
     Datagram {
         from: SocketAddr,
-        opened: Result<Spoken, Refused>,
+        opened: Result<PeerMessage, Refused>,
     },
 }
 
@@ -112,7 +112,7 @@
     }
 
     /// Seals and sends a message. A failure is counted, as the datagram may be lost on its way as well.
-    pub(super) fn send(&mut self, to: SocketAddr, spoken: &Spoken) {
+    pub(super) fn send(&mut self, to: SocketAddr, spoken: &PeerMessage) {
         if !self.passes(to) {
             return;
         }
--- a/crates/node/src/peers/link/status.rs
+++ b/crates/node/src/peers/link/status.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::Peers;
-use crate::peers::spoken::{Ask, BudgetPage, PAGE, Spoken, Status};
+use crate::peers::peer_message::{Ask, BudgetPage, PAGE, PeerMessage, Status};
 
 impl Peers {
     /// Answers with the node's own state and one page of its members.
@@ -23,7 +23,7 @@
             members,
             more,
         };
-        self.send(to, &Spoken::Status(Box::new(status)));
+        self.send(to, &PeerMessage::Status(Box::new(status)));
     }
 
     /// Answers with one page of budgets from an index on; an empty one where the fleet has no budgets.
@@ -38,6 +38,6 @@
                 more: false,
             },
         };
-        self.send(to, &Spoken::BudgetStatus(Box::new(page)));
+        self.send(to, &PeerMessage::BudgetStatus(Box::new(page)));
     }
 }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod budgets;
 mod link;
+pub mod peer_message;
 pub mod seal;
-pub mod spoken;
 
 pub use link::{Counts, KEY, Peers, Registration, Tap};
--- a/crates/node/src/peers/spoken.rs
+++ b/crates/node/src/peers/peer_message.rs
@@ -6,7 +6,7 @@
 
 /// The message of one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Spoken {
+pub enum PeerMessage {
     Fleet(Datagram),
     Ask(Ask),
     Status(Box<Status>),
--- a/crates/node/src/peers/seal.rs
+++ b/crates/node/src/peers/seal.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::spoken::Spoken;
+use super::peer_message::PeerMessage;
 
 /// The version that this build speaks. Fields are only ever added at the end of a message within one version.
 pub const VERSION: u8 = 1;
@@ -92,7 +92,7 @@
     }
 
     /// Encodes and seals a message; `None` if the datagram would be longer than [`LONGEST`].
-    pub fn close(&self, what: &Spoken) -> Option<Vec<u8>> {
+    pub fn close(&self, what: &PeerMessage) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(&Body {
             fleet: &self.fleet,
             what,
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// Why it is refused. The version is checked first, as other versions may have another layout.
-    pub fn open(&self, datagram: &[u8]) -> Result<Spoken, Refused> {
+    pub fn open(&self, datagram: &[u8]) -> Result<PeerMessage, Refused> {
         let (version, rest) = datagram.split_first().ok_or(Refused::Unreadable)?;
         if *version != VERSION {
             return Err(Refused::Version(*version));
@@ -124,10 +124,13 @@
             return Err(Refused::Hash);
         }
         // Fields that a later build of this version adds at the end are ignored.
-        let (body, _) =
-            postcard::take_from_bytes::<Body<Spoken>>(body).map_err(|_| Refused::Unreadable)?;
+        let (body, _) = postcard::take_from_bytes::<Body<PeerMessage>>(body)
+            .map_err(|_| Refused::Unreadable)?;
         let is_query = body.fleet.is_empty()
-            && matches!(body.what, Spoken::Ask(_) | Spoken::AskBudgets { .. });
+            && matches!(
+                body.what,
+                PeerMessage::Ask(_) | PeerMessage::AskBudgets { .. }
+            );
         let sent_query = self.fleet.is_empty();
         if body.fleet == self.fleet || is_query || sent_query {
             Ok(body.what)
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -3,8 +3,8 @@
 
 mod build;
 mod builds;
+mod drain;
 mod events;
-mod leave;
 mod reload;
 mod report;
 mod start;
@@ -23,19 +23,19 @@
 use slog::{Logger, error, info};
 
 use self::builds::Reloader;
-use self::leave::FLUSH;
+use self::drain::FLUSH;
 use self::report::Slowest;
-use crate::life::clock::Clock;
-use crate::life::signals::{LEAVE_KEY, RELOAD_KEY, Signals};
-use crate::memory::in_flight::{InFlight, InFlightRequest, Stage};
-use crate::memory::results::{Key, Results};
-use crate::parts::{PART_KEYS, Part};
-use crate::wire::end::End;
-use crate::wire::engine::WorkEvent;
-use crate::wire::fronts::{FIRST_KEY, FrontEvent, Fronts, LISTEN_KEY};
-use crate::wire::registry::Registry;
-use crate::wire::request::{Answer, Made};
-use crate::wire::work::Work;
+use crate::network::backend::Backend;
+use crate::network::engine::BackendEvent;
+use crate::network::listeners::{FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
+use crate::network::registry::Registry;
+use crate::network::request::{Answer, RunOutput};
+use crate::network::termination::Termination;
+use crate::state::in_flight::{InFlight, InFlightRequest, Stage};
+use crate::state::results::{Key, Results};
+use crate::subsystem::{SUBSYSTEM_KEYS, Subsystem};
+use crate::system::clock::Clock;
+use crate::system::signals::{LEAVE_KEY, RELOAD_KEY, Signals};
 
 /// What ends the program before its time.
 pub type Fault = String;
@@ -64,8 +64,8 @@
     now: TenthMillis,
     poller: Arc<Poller>,
     signals: Signals,
-    fronts: Fronts,
-    work: Work,
+    listeners: Listeners,
+    work: Backend,
     registry: Registry,
     /// None until the engine has come up.
     door: Option<AdmissionController>,
@@ -93,57 +93,59 @@
     closing: bool,
     slowest: Slowest,
     /// What plugs into the loop beside all this.
-    parts: Vec<Box<dyn Part>>,
+    parts: Vec<Box<dyn Subsystem>>,
 }
 
 impl Node {
     pub fn serve(mut self) -> Result<(), Fault> {
         let mut events = Events::new();
-        let (mut front_events, mut work_events) = (Vec::new(), Vec::new());
+        let (mut listener_events, mut backend_events) = (Vec::new(), Vec::new());
         self.now = self.clock.now();
         self.summary_at = self.now + report::EVERY;
         // Servers are up from the start: what is read first is not to find the door closed.
-        self.work.tend(self.now);
-        self.send(&mut front_events, &mut work_events);
+        self.work.maintain(self.now);
+        self.send(&mut listener_events, &mut backend_events);
         loop {
-            self.work.tend(self.now);
-            self.registry.beat(self.now);
+            self.work.maintain(self.now);
+            self.registry.heartbeat(self.now);
             let due = self.next_due();
-            self.gather(due, &mut events, &mut front_events, &mut work_events)?;
+            self.gather(due, &mut events, &mut listener_events, &mut backend_events)?;
             if self.now > due + STALL {
                 // All stood still for a while. What came meanwhile counts before times that ran out.
-                self.gather(due, &mut events, &mut front_events, &mut work_events)?;
+                self.gather(due, &mut events, &mut listener_events, &mut backend_events)?;
             }
             if self.now >= self.sweep_at {
                 self.sweep_at = self.now + SWEEP;
-                self.fronts.sweep(self.now, &mut front_events);
+                self.listeners.sweep(self.now, &mut listener_events);
                 self.results.tidy(self.now);
             }
             // Ends first: what they free is there for what has come.
-            work_events.drain(..).for_each(|what| self.work_event(what));
-            front_events
+            backend_events
                 .drain(..)
-                .for_each(|what| self.front_event(what));
+                .for_each(|what| self.backend_event(what));
+            listener_events
+                .drain(..)
+                .for_each(|what| self.listener_event(what));
             self.take_reading();
             self.decide();
             if self.closes_now() {
                 // What is answered by now makes room for who still waits.
-                self.send(&mut front_events, &mut work_events);
-                self.fronts.last_reading(self.now, &mut front_events);
-                front_events
+                self.send(&mut listener_events, &mut backend_events);
+                self.listeners.last_reading(self.now, &mut listener_events);
+                listener_events
                     .drain(..)
-                    .for_each(|what| self.front_event(what));
+                    .for_each(|what| self.listener_event(what));
                 self.decide();
             }
             self.parts.iter_mut().for_each(|part| part.turn());
-            self.send(&mut front_events, &mut work_events);
+            self.send(&mut listener_events, &mut backend_events);
             let turn = self.clock.now().saturating_sub(self.now);
             self.slowest.turn = self.slowest.turn.max(turn);
             if self.now >= self.summary_at {
                 self.summary();
             }
             let over = self.stop_at.is_some_and(|stop| self.now >= stop);
-            if over || (self.closing && self.fronts.connections() == 0) {
+            if over || (self.closing && self.listeners.connections() == 0) {
                 self.summary();
                 return Ok(());
             }
@@ -155,8 +157,8 @@
         &mut self,
         due: TenthMillis,
         events: &mut Events,
-        front_events: &mut Vec<FrontEvent>,
-        work_events: &mut Vec<WorkEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
+        backend_events: &mut Vec<BackendEvent>,
     ) -> Result<(), Fault> {
         events.clear();
         let wait = due.saturating_sub(self.now);
@@ -177,19 +179,19 @@
                 LEAVE_KEY => self.leave(self.now.min(due)),
                 // Last, as what else is ready was read off the links that are to be left.
                 RELOAD_KEY => reload = true,
-                key if PART_KEYS.contains(&key) => {
+                key if SUBSYSTEM_KEYS.contains(&key) => {
                     self.parts
                         .iter_mut()
                         .filter(|part| part.key() == key)
                         .for_each(|part| part.ready());
                 }
-                key if self.work.has(key) => self.work.ready(event, self.now, work_events),
+                key if self.work.has(key) => self.work.ready(event, self.now, backend_events),
                 LISTEN_KEY..FIRST_KEY => {
                     _ = self
-                        .fronts
-                        .accept(event.key - LISTEN_KEY, self.now, front_events)
+                        .listeners
+                        .accept(event.key - LISTEN_KEY, self.now, listener_events)
                 }
-                _ => self.fronts.ready(event, self.now, front_events),
+                _ => self.listeners.ready(event, self.now, listener_events),
             }
         }
         if reload {
@@ -197,22 +199,28 @@
             // Which of the two was sent first can't be told where both are learnt of in one turn.
             self.build_names_stop |= !leaves_already && self.stop_at.is_some();
         }
-        self.take_up_built(front_events, work_events);
+        self.take_up_built(listener_events, backend_events);
         Ok(())
     }
 
     /// Writes what there is. What broke meanwhile is told at once, as nothing may come to wake the next turn.
-    fn send(&mut self, front_events: &mut Vec<FrontEvent>, work_events: &mut Vec<WorkEvent>) {
+    fn send(
+        &mut self,
+        listener_events: &mut Vec<ListenerEvent>,
+        backend_events: &mut Vec<BackendEvent>,
+    ) {
         loop {
-            self.fronts.flush(self.now, front_events);
-            self.work.flush(self.now, work_events);
-            if front_events.is_empty() && work_events.is_empty() {
+            self.listeners.flush(self.now, listener_events);
+            self.work.flush(self.now, backend_events);
+            if listener_events.is_empty() && backend_events.is_empty() {
                 return;
             }
-            work_events.drain(..).for_each(|what| self.work_event(what));
-            front_events
+            backend_events
+                .drain(..)
+                .for_each(|what| self.backend_event(what));
+            listener_events
                 .drain(..)
-                .for_each(|what| self.front_event(what));
+                .for_each(|what| self.listener_event(what));
             self.decide();
         }
     }
@@ -231,7 +239,7 @@
         } else {
             stop.saturating_sub(FLUSH)
         };
-        let sweep = if self.fronts.to_sweep() {
+        let sweep = if self.listeners.has_idle() {
             self.sweep_at
         } else {
             TenthMillis::MAX
@@ -286,7 +294,7 @@
                 Some(InFlightRequest {
                     stage: Stage::Running { sent: None },
                     ..
-                }) => self.ended(id, End::Unsent, Made::default()),
+                }) => self.ended(id, Termination::Unsent, RunOutput::default()),
                 // Asked for again, so it was answered some time ago: to a RUN the engine now says that it
                 // runs, or that nothing is begun for a request that is over.
                 Some(InFlightRequest {
@@ -320,14 +328,14 @@
                 root.into_iter().for_each(|root| self.serve_from(id, root));
             }
             Action::Health { healthy: good, .. } => {
-                self.fronts.good = good;
+                self.listeners.good = good;
                 let follows = self.orders.settings.list_follows_health;
                 self.registry
                     .tell(self.stop_at.is_some() || (follows && !good));
                 info!(self.log, "health"; "good" => good);
             }
-            Action::Backpressure { value: level } => self.fronts.level = Some(level),
-            Action::IdleTimeout { timeout: after } => self.fronts.idle_limit = after,
+            Action::Backpressure { value: level } => self.listeners.level = Some(level),
+            Action::IdleTimeout { timeout: after } => self.listeners.idle_limit = after,
             Action::SetTimer { at, token } => self.alarms.push(Reverse((at, token))),
             // Refused at start, as this node can't make calls.
             Action::Call { id, .. } | Action::SkipCall { id } => {
@@ -355,7 +363,7 @@
         let Some(caller) = self.in_flight.get(id).and_then(|ex| ex.caller.take()) else {
             return;
         };
-        self.fronts.answer(caller, answer);
+        self.listeners.answer(caller, answer);
         self.drop_if_queued(id);
     }
 
--- a/crates/node/src/serve/build.rs
+++ b/crates/node/src/serve/build.rs
@@ -10,7 +10,7 @@
 use doortrack_config::{ConfigErrors, Installation, file};
 use doortrack_routes::Table;
 
-use crate::wire::ruled::RuleTable;
+use crate::network::classified::RuleTable;
 
 /// What is in force when a build is begun.
 pub(super) struct Running {
--- a/crates/node/src/serve/leave.rs
+++ b/crates/node/src/serve/drain.rs
@@ -5,7 +5,7 @@
 use slog::info;
 
 use super::Node;
-use crate::life::signals::LEAVE_KEY;
+use crate::system::signals::LEAVE_KEY;
 
 /// The last of the time before the stop is for what is still on its way out.
 pub(super) const FLUSH: TenthMillis = 100 * MILLISECOND;
@@ -23,7 +23,7 @@
         self.registry.tell(true);
         self.parts.iter_mut().for_each(|part| part.leave());
         self.build_names_stop = self.reloader.is_under_way();
-        info!(self.log, "told to leave"; "in_hand" => self.in_flight.in_hand());
+        info!(self.log, "told to leave"; "in_hand" => self.in_flight.in_flight_count());
         if self.door.is_some() {
             self.pass_on_notice();
         }
--- a/crates/node/src/serve/events.rs
+++ b/crates/node/src/serve/events.rs
@@ -7,34 +7,34 @@
 use slog::warn;
 
 use super::{Node, READING, STALE};
-use crate::memory::in_flight::{Hold, InFlightRequest, Stage};
-use crate::memory::results::{Found, Key, NoResult, Repeats};
-use crate::parts::{Asked, Permit, Use};
-use crate::wire::end::{End, Outcome};
-use crate::wire::engine::WorkEvent;
-use crate::wire::fronts::{Block, Caller, FrontEvent};
-use crate::wire::link::Notice;
-use crate::wire::request::{Answer, IncomingRequest, Made, Unreadable};
+use crate::network::engine::BackendEvent;
+use crate::network::engine_protocol::EngineMessage;
+use crate::network::listeners::{Block, Caller, ListenerEvent};
+use crate::network::request::{Answer, IncomingRequest, RunOutput, Unreadable};
+use crate::network::termination::{Outcome, Termination};
+use crate::state::in_flight::{Hold, InFlightRequest, Stage};
+use crate::state::results::{Found, Key, NoResult, Repeats};
+use crate::subsystem::{AdmissionRequest, Permit, Use};
 
 impl Node {
-    pub(super) fn front_event(&mut self, what: FrontEvent) {
+    pub(super) fn listener_event(&mut self, what: ListenerEvent) {
         match what {
-            FrontEvent::Request {
+            ListenerEvent::Request {
                 caller,
                 request,
                 block,
                 body,
             } => self.arrived(caller, request, block, body),
-            FrontEvent::Ended { ex, end } => self.ended(ex, end, Made::default()),
+            ListenerEvent::Ended { ex, end } => self.ended(ex, end, RunOutput::default()),
         }
     }
 
     fn arrived(&mut self, caller: Caller, request: IncomingRequest, block: Block, body: Vec<u8>) {
-        if !self.fronts.waits(caller) {
+        if !self.listeners.waits(caller) {
             return; // Given up in the same turn in which it came.
         }
         if self.door.is_none() {
-            return self.fronts.answer(caller, Answer::NoRoom);
+            return self.listeners.answer(caller, Answer::NoRoom);
         }
         let key = request.idempotency_key.map(|key| (request.group, key));
         // A second try of one batch is decided upon once the first was, so that it sees what became of it.
@@ -47,13 +47,13 @@
             .transpose()
         {
             Ok(first) => first.flatten(),
-            Err(answer) => return self.fronts.answer(caller, answer),
+            Err(answer) => return self.listeners.answer(caller, answer),
         };
         let (try_id, group, stamp) = (request.try_id, request.group, request.stamp);
         let block = Some(block).filter(|_| self.work.wants_variables());
         let pool = request.pool.map_or(0, |place| place + 1);
         // A repeat takes the outcome of the first: it uses nothing more.
-        let asked = Asked {
+        let asked = AdmissionRequest {
             group,
             tenant: request.tenant,
             pool,
@@ -78,9 +78,9 @@
         let Some(id) = self.in_flight.take_in(ex) else {
             self.let_go(pool, hold);
             let doubled = Answer::Unreadable(Unreadable::Field("HTTP_X_REQUEST_ID"));
-            return self.fronts.answer(caller, doubled);
+            return self.listeners.answer(caller, doubled);
         };
-        self.fronts.known_as(caller, id);
+        self.listeners.bind_request(caller, id);
         // Stamps are whole ms, cut off: the age is never too small, so no answer comes late.
         let age = self.now.saturating_sub(request.stamp);
         self.slowest.arrival = self.slowest.arrival.max(age);
@@ -125,7 +125,7 @@
     }
 
     /// What it holds of the fleet's budgets and of its pool's servers, or when it is to come back.
-    fn admit(&mut self, asked: Asked) -> (Hold, Option<TenthMillis>) {
+    fn admit(&mut self, asked: AdmissionRequest) -> (Hold, Option<TenthMillis>) {
         let admission = match self.work.admit(asked.pool, self.now) {
             Ok(admission) => admission,
             Err(wait) => return (Hold::default(), Some(wait)),
@@ -163,7 +163,7 @@
     }
 
     /// Something ended, with all that this means for the request it concerns.
-    pub(super) fn ended(&mut self, id: RequestId, end: End, made: Made) {
+    pub(super) fn ended(&mut self, id: RequestId, end: Termination, made: RunOutput) {
         match end.outcome() {
             Outcome::StillOwed => {}
             Outcome::CallerGone => {
@@ -208,8 +208,8 @@
         self.orders.settings.admission.groups[usize::from(group)].deadline
     }
 
-    fn finish(&mut self, caller: Caller, made: Option<Made>) {
-        self.fronts
+    fn finish(&mut self, caller: Caller, made: Option<RunOutput>) {
+        self.listeners
             .answer(caller, made.map_or(Answer::Failed, Answer::Completed));
     }
 
@@ -225,48 +225,54 @@
         let (headers, body) = match self.results.result(root) {
             Found::Pending => return self.in_flight.attach(id, root),
             Found::Result(made) => (made.headers.to_vec(), made.body.to_vec()),
-            Found::None => return self.ended(id, End::Run(RunOutcome::Failed), Made::default()),
+            Found::None => {
+                return self.ended(
+                    id,
+                    Termination::Run(RunOutcome::Failed),
+                    RunOutput::default(),
+                );
+            }
         };
         self.ended(
             id,
-            End::Run(RunOutcome::Completed),
-            Made {
+            Termination::Run(RunOutcome::Completed),
+            RunOutput {
                 headers: &headers,
                 body: &body,
             },
         );
     }
 
-    pub(super) fn work_event(&mut self, what: WorkEvent) {
+    pub(super) fn backend_event(&mut self, what: BackendEvent) {
         match what {
-            WorkEvent::Hello { cold, age } => self.open_door(cold, age),
-            WorkEvent::CaughtUp { proven } => self.caught_up(proven),
-            WorkEvent::Notice(Notice::Done {
+            BackendEvent::Hello { cold, age } => self.open_door(cold, age),
+            BackendEvent::CaughtUp { proven } => self.caught_up(proven),
+            BackendEvent::EngineMessage(EngineMessage::Done {
                 try_id,
                 outcome,
                 result,
                 ..
             }) => {
                 if let Some(id) = self.in_flight.of_try(&try_id) {
-                    self.ended(id, End::Run(outcome), Made::from(&result[..]));
+                    self.ended(id, Termination::Run(outcome), RunOutput::from(&result[..]));
                 }
             }
-            WorkEvent::Notice(Notice::Not { command, try_id }) => {
+            BackendEvent::EngineMessage(EngineMessage::Not { command, try_id }) => {
                 warn!(self.log, "engine would not"; "command" => &command);
                 let id = try_id.and_then(|try_id| self.in_flight.of_try(&try_id));
                 let end = if command == "RUN" {
-                    End::RunRefused
+                    Termination::RunRefused
                 } else {
-                    End::StopRefused
+                    Termination::StopRefused
                 };
                 id.into_iter()
-                    .for_each(|id| self.ended(id, end, Made::default()));
+                    .for_each(|id| self.ended(id, end, RunOutput::default()));
             }
-            WorkEvent::Notice(Notice::Stats { cookie, values }) => {
+            BackendEvent::EngineMessage(EngineMessage::Stats { cookie, values }) => {
                 self.gauges_read(cookie, &values)
             }
-            WorkEvent::Notice(_) => {}
-            WorkEvent::RunEnded {
+            BackendEvent::EngineMessage(_) => {}
+            BackendEvent::RunEnded {
                 id,
                 end,
                 headers,
@@ -274,16 +280,16 @@
             } => self.ended(
                 id,
                 end,
-                Made {
+                RunOutput {
                     headers: &headers,
                     body: &body,
                 },
             ),
-            WorkEvent::Ended(end) => {
+            BackendEvent::Ended(end) => {
                 let running: Vec<RequestId> = self.in_flight.running().map(|(id, _)| id).collect();
                 running
                     .into_iter()
-                    .for_each(|id| self.ended(id, end, Made::default()));
+                    .for_each(|id| self.ended(id, end, RunOutput::default()));
             }
         }
     }
@@ -307,7 +313,7 @@
             let contract = &self.orders.settings.admission;
             let repeatable = contract.groups[usize::from(ex.group)].effect == Effect::Idempotent;
             if surely_not_run && !waits {
-                self.ended(id, End::Unsent, Made::default());
+                self.ended(id, Termination::Unsent, RunOutput::default());
             } else if surely_not_run
                 || repeatable
                 || contract.cancellation == Cancellation::Unsupported
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -15,11 +15,11 @@
 use super::build::{Candidate, Running};
 use super::builds::Retired;
 use super::start::log_rules;
-use crate::life::signals::RELOAD_KEY;
-use crate::wire::engine::WorkEvent;
-use crate::wire::fronts::FrontEvent;
-use crate::wire::ruled::{RuleTable, Rules};
-use crate::wire::work::Work;
+use crate::network::backend::Backend;
+use crate::network::classified::{RuleTable, Rules};
+use crate::network::engine::BackendEvent;
+use crate::network::listeners::ListenerEvent;
+use crate::system::signals::RELOAD_KEY;
 
 impl Node {
     /// SIGHUP came: both files are to be read again.
@@ -33,7 +33,7 @@
     fn begin_build(&mut self) {
         debug!(self.log, "configuration being read");
         let table = self
-            .fronts
+            .listeners
             .rules
             .as_ref()
             .map(|rules| Arc::clone(rules.table()));
@@ -47,12 +47,12 @@
     /// changes nothing: the node goes on as it was, since ending for it would lose all that is in hand.
     pub(super) fn take_up_built(
         &mut self,
-        front_events: &mut Vec<FrontEvent>,
-        work_events: &mut Vec<WorkEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
+        backend_events: &mut Vec<BackendEvent>,
     ) {
         while let Some((built, begin_next)) = self.reloader.poll() {
             let retired = match built {
-                Ok(candidate) => self.take_up(candidate, front_events, work_events),
+                Ok(candidate) => self.take_up(candidate, listener_events, backend_events),
                 Err(rejected) => {
                     self.log_needs_start(&rejected.needs_start);
                     warn!(self.log, "configuration left out"; "fault" => %rejected.faults);
@@ -75,15 +75,15 @@
     fn take_up(
         &mut self,
         candidate: Candidate,
-        front_events: &mut Vec<FrontEvent>,
-        work_events: &mut Vec<WorkEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
+        backend_events: &mut Vec<BackendEvent>,
     ) -> Retired {
         self.log_needs_start(&candidate.plan.needs_start);
         if let Err(faults) = self.check_keys(&candidate.plan.keys) {
             warn!(self.log, "configuration left out"; "fault" => %faults);
             return Box::new(candidate);
         }
-        self.bring_into_force(candidate, front_events, work_events)
+        self.bring_into_force(candidate, listener_events, backend_events)
     }
 
     fn log_needs_start(&self, parts: &[NeedsStart]) {
@@ -127,12 +127,16 @@
     fn bring_into_force(
         &mut self,
         candidate: Candidate,
-        front_events: &mut Vec<FrontEvent>,
-        work_events: &mut Vec<WorkEvent>,
+        listener_events: &mut Vec<ListenerEvent>,
+        backend_events: &mut Vec<BackendEvent>,
     ) -> Retired {
         let begun = Instant::now();
         let Candidate { plan, rules, took } = candidate;
-        self.change_platform(plan.platform, plan.installation.fronts.len(), work_events);
+        self.change_platform(
+            plan.platform,
+            plan.installation.fronts.len(),
+            backend_events,
+        );
         self.change_servers(&plan.installation);
         let mut fleet = plan.fleet;
         self.parts
@@ -140,7 +144,7 @@
             .for_each(|part| part.take_up(&mut fleet));
         let old_rules = self.change_rules(rules);
         let old_keys = std::mem::replace(&mut self.keys, plan.keys);
-        self.change_fronts(&plan.installation, front_events);
+        self.change_fronts(&plan.installation, listener_events);
         let old_installation = std::mem::replace(&mut self.installation, plan.installation);
         info!(self.log, "configuration in force"; "built_ms" => took.as_millis() as u64,
             "held_us" => begun.elapsed().as_micros() as u64);
@@ -152,14 +156,14 @@
     fn change_platform(
         &mut self,
         read: PlatformRead,
-        fronts: usize,
-        work_events: &mut Vec<WorkEvent>,
+        listeners: usize,
+        backend_events: &mut Vec<BackendEvent>,
     ) {
         let (engine, registry) = (read.platform.engine, read.platform.registry);
         info!(self.log, "configuration read again"; "engine" => %engine, "registry" => %registry,
-            "fronts" => fronts, "rest_needs_a_start" => read.rest_needs_start);
+            "fronts" => listeners, "rest_needs_a_start" => read.rest_needs_start);
         self.platform = read.platform;
-        self.work.move_to(engine, self.now, work_events);
+        self.work.move_to(engine, self.now, backend_events);
         if let Err(e) = self.registry.move_to(registry) {
             warn!(self.log, "registry cannot be reached"; "why" => %e);
         }
@@ -169,7 +173,7 @@
     fn change_servers(&mut self, installation: &Installation) {
         let groups = &self.orders.settings.admission.groups;
         let longest = groups.iter().map(|group| group.deadline).max().unwrap_or(0);
-        if let Work::Servers(pools) = &mut self.work {
+        if let Backend::Servers(pools) = &mut self.work {
             for ((_, pool), (_, servers)) in pools.iter_mut().zip(installation.named_pools()) {
                 pool.take_up(servers, longest, self.now);
             }
@@ -181,7 +185,7 @@
         if let Some(table) = &new {
             log_rules(&self.log, table);
         }
-        match (&mut self.fronts.rules, new) {
+        match (&mut self.listeners.rules, new) {
             (Some(rules), Some(new)) => Box::new(rules.replace(new)),
             (rules, new) => Box::new(std::mem::replace(rules, new.map(Rules::new))),
         }
@@ -189,14 +193,19 @@
 
     /// Opens the fronts that are new and drains those that are gone. While the node leaves, no front is
     /// opened.
-    fn change_fronts(&mut self, installation: &Installation, front_events: &mut Vec<FrontEvent>) {
+    fn change_fronts(
+        &mut self,
+        installation: &Installation,
+        listener_events: &mut Vec<ListenerEvent>,
+    ) {
         let changes = FrontChanges::between(&self.listening, &installation.fronts);
         for front in &changes.withdrawn {
             info!(self.log, "front withdrawn"; "address" => %front.listen);
-            self.fronts.withdraw(front.listen, self.now, front_events);
+            self.listeners
+                .drain_listener(front.listen, self.now, listener_events);
         }
         for front in &changes.kept {
-            self.fronts
+            self.listeners
                 .bound(front.listen, front.connections.map(|most| most as usize));
         }
         self.listening = changes.kept;
@@ -218,7 +227,7 @@
 
     pub(super) fn open_front(&mut self, front: &Front) -> std::io::Result<()> {
         let at: SocketAddr = front.listen;
-        self.fronts.listen(
+        self.listeners.listen(
             at,
             front.protocol.into(),
             front.connections.map(|most| most as usize),
--- a/crates/node/src/serve/report.rs
+++ b/crates/node/src/serve/report.rs
@@ -6,8 +6,8 @@
 use slog::{Serde, info};
 
 use super::Node;
-use crate::life::descriptors;
-use crate::wire::work::Work;
+use crate::network::backend::Backend;
+use crate::system::descriptors;
 
 pub(super) const EVERY: TenthMillis = 10_000 * MILLISECOND;
 
@@ -22,20 +22,20 @@
 impl Node {
     pub(super) fn summary(&mut self) {
         self.summary_at = self.now + EVERY;
-        let counts = self.fronts.counts();
+        let counts = self.listeners.counts();
         info!(self.log, "so far"; "completed" => counts.completed, "rejected" => counts.rejected,
             "failed" => counts.failed,
-            "in_hand" => self.in_flight.in_hand(), "connections" => self.fronts.connections(),
+            "in_hand" => self.in_flight.in_flight_count(), "connections" => self.listeners.connections(),
             "accepted" => counts.accepted, "unreadable" => Serde(counts.unreadable.clone()),
             "no_room" => counts.no_room, "checks" => counts.checks, "ends" => Serde(counts.ends.clone()),
-            "unread_bytes" => self.fronts.unread(),
+            "unread_bytes" => self.listeners.unread(),
             "result_bytes" => self.results.bytes(), "link_losses" => self.work.link_losses(),
             "turn_ms" => self.slowest.turn / MILLISECOND, "reading_ms" => self.slowest.reading / MILLISECOND,
             "read_after_ms" => self.slowest.arrival / MILLISECOND, "memory_kb" => peak_kb(),
             "cpu_ms" => cpu_ms(), "descriptors" => descriptors::open());
         self.slowest = Slowest::default();
         self.parts.iter().for_each(|part| part.summary(&self.log));
-        let pools = if let Work::Servers(pools) = &self.work {
+        let pools = if let Backend::Servers(pools) = &self.work {
             &pools[..]
         } else {
             &[]
@@ -52,9 +52,9 @@
         }
         // With the platform's listener alone the whole is that front's.
         for front in self
-            .fronts
+            .listeners
             .each()
-            .filter(|_| self.fronts.each().count() > 1)
+            .filter(|_| self.listeners.each().count() > 1)
         {
             let counts = &front.counts;
             info!(self.log, "so far of a front"; "protocol" => front.protocol.name(), "address" => %front.at,
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -18,21 +18,21 @@
 use super::builds::Reloader;
 use super::report::Slowest;
 use super::{Fault, Node};
-use crate::life::addresses::once_free;
-use crate::life::clock::Clock;
-use crate::life::descriptors;
-use crate::life::signals::Signals;
-use crate::memory::in_flight::InFlight;
-use crate::memory::results::Results;
-use crate::parts::Part;
+use crate::network::backend::Backend;
+use crate::network::classified::{RuleTable, Rules};
+use crate::network::engine::EngineLink;
+use crate::network::listeners::Listeners;
+use crate::network::registry::Registry;
+use crate::network::request::Names;
+use crate::network::servers::Servers;
 use crate::peers::{KEY, Peers, Registration};
-use crate::wire::engine::Link;
-use crate::wire::fronts::Fronts;
-use crate::wire::registry::Registry;
-use crate::wire::request::Names;
-use crate::wire::ruled::{RuleTable, Rules};
-use crate::wire::servers::Servers;
-use crate::wire::work::Work;
+use crate::state::in_flight::InFlight;
+use crate::state::results::Results;
+use crate::subsystem::Subsystem;
+use crate::system::addresses::once_free;
+use crate::system::clock::Clock;
+use crate::system::descriptors;
+use crate::system::signals::Signals;
 
 /// Rules without effect that are told one by one.
 const MOST_NOTES: usize = 5;
@@ -104,7 +104,7 @@
     longest_deadline: TenthMillis,
     poller: &Arc<Poller>,
     log: &Logger,
-) -> Work {
+) -> Backend {
     let open_pool = |(index, (name, settings)): (usize, (&str, &ServerSettings))| {
         let pool_log = log.new(o!("pool" => name.to_string()));
         let seed = orders.seed.wrapping_add(index as u64);
@@ -124,15 +124,15 @@
         .map(open_pool)
         .collect();
     if pools.is_empty() {
-        let link = Link::new(
+        let link = EngineLink::new(
             orders.engine,
             poller.clone(),
             log.clone(),
             orders.limits.engine_command_bytes,
         );
-        Work::Engine(Box::new(link))
+        Backend::Engine(Box::new(link))
     } else {
-        Work::Servers(pools)
+        Backend::Servers(pools)
     }
 }
 
@@ -144,7 +144,7 @@
     mut clock: Clock,
     poller: &Arc<Poller>,
     log: &Logger,
-) -> Result<Vec<Box<dyn Part>>, Fault> {
+) -> Result<Vec<Box<dyn Subsystem>>, Fault> {
     let Some(fleet) = &installation.fleet else {
         return Ok(Vec::new());
     };
@@ -184,11 +184,11 @@
         let mut room = orders.limits;
         room.connections = connections(&installation, room.connections, &log)?;
         let mut work = open_work(&installation, &orders, longest_deadline, &poller, &log);
-        let mut fronts = Fronts::new(poller.clone(), names(&orders), room, longest_deadline);
-        once_free(|| fronts.listen(orders.listen, Protocol::FastCgi, None))
+        let mut listeners = Listeners::new(poller.clone(), names(&orders), room, longest_deadline);
+        once_free(|| listeners.listen(orders.listen, Protocol::FastCgi, None))
             .map_err(|e| format!("config.listen: {}: {e}", orders.listen))?;
         // Nothing is said before the decisions do, but where the least rank is meant, none is held back.
-        fronts.level = (handed.admission.backpressure == Backpressure::MinRank).then_some(0.0);
+        listeners.level = (handed.admission.backpressure == Backpressure::MinRank).then_some(0.0);
         let registry = Registry::open(orders.listen, orders.registry, orders.name.clone())
             .map_err(|e| format!("config.registry: {}: {e}", orders.registry))?;
         info!(log, "listening"; "address" => %orders.listen, "connections" => room.connections,
@@ -224,7 +224,7 @@
             now: 0,
             poller,
             signals,
-            fronts,
+            listeners,
             work,
             registry,
             door: None,
@@ -250,7 +250,7 @@
             installation: Arc::new(installation),
         };
         node.open_installation_fronts()?;
-        node.fronts.rules = rules.map(Rules::new);
+        node.listeners.rules = rules.map(Rules::new);
         Ok(node)
     }
 
--- a/crates/node/src/memory/in_flight.rs
+++ b/crates/node/src/state/in_flight.rs
@@ -8,9 +8,9 @@
 use rustc_hash::FxHashMap;
 
 use super::results::Key;
-use crate::parts::Permit;
-use crate::wire::fronts::{Block, Caller};
-use crate::wire::request::TryId;
+use crate::network::listeners::{Block, Caller};
+use crate::network::request::TryId;
+use crate::subsystem::Permit;
 
 /// Tries remembered after their end, so that a doubled id is known as one.
 const ENDED: usize = 16_384;
@@ -138,7 +138,7 @@
         Some(ex)
     }
 
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         self.by_id.len()
     }
 
--- a/crates/node/src/memory/results.rs
+++ b/crates/node/src/state/results.rs
@@ -7,7 +7,7 @@
 use doortrack_time::TenthMillis;
 use rustc_hash::FxHashMap;
 
-use crate::wire::request::{IdempotencyKey, Made};
+use crate::network::request::{IdempotencyKey, RunOutput};
 
 /// Stamps are whole ms and every limit on sockets is 50 ms longer; a window is held open for a little more
 /// than both, as a repeat taken for one too long is merely answered from the table.
@@ -35,16 +35,16 @@
 }
 
 impl Kept {
-    fn of(made: Made) -> Kept {
+    fn of(made: RunOutput) -> Kept {
         Kept {
             bytes: [made.headers, made.body].concat().into(),
             body_from: made.headers.len(),
         }
     }
 
-    pub fn made(&self) -> Made<'_> {
+    pub fn made(&self) -> RunOutput<'_> {
         let (headers, body) = self.bytes.split_at(self.body_from);
-        Made { headers, body }
+        RunOutput { headers, body }
     }
 }
 
@@ -67,7 +67,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Found<'a> {
     Pending,
-    Result(Made<'a>),
+    Result(RunOutput<'a>),
     None,
 }
 
@@ -160,12 +160,12 @@
     }
 
     /// A run has ended. Where its result finds no room, repeats are told that there is none.
-    pub fn ended(&mut self, ex: RequestId, result: Result<Made, NoResult>) {
+    pub fn ended(&mut self, ex: RequestId, result: Result<RunOutput, NoResult>) {
         let Some(entry) = self.keys.get(&ex).and_then(|key| self.entries.get_mut(key)) else {
             return;
         };
         let room = self.most_bytes.saturating_sub(self.bytes);
-        let size = |made: &Made| made.headers.len() + made.body.len();
+        let size = |made: &RunOutput| made.headers.len() + made.body.len();
         let kept = result.ok().filter(|made| size(made) <= room);
         self.bytes += kept.as_ref().map_or(0, size);
         entry.end = Some(kept.map(Kept::of).ok_or(NoResult));
--- a/crates/node/src/parts.rs
+++ b/crates/node/src/subsystem.rs
@@ -2,7 +2,7 @@
 //! know what they are.
 //!
 //! A part has a clock of its own and says how long it can wait. It may own some of the poller's keys from
-//! [`PART_KEYS`]. Where an installation asks for none, there is none: no socket, no line in the log.
+//! [`SUBSYSTEM_KEYS`]. Where an installation asks for none, there is none: no socket, no line in the log.
 
 use std::ops::Range;
 
@@ -12,11 +12,11 @@
 use slog::Logger;
 
 /// Keys of the poller that parts have, one each.
-pub const PART_KEYS: Range<usize> = 4..8;
+pub const SUBSYSTEM_KEYS: Range<usize> = 4..8;
 
 /// What a part is told of a request that was read and repeats no other.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct AdmissionRequest {
     pub group: u8,
     pub tenant: u16,
     /// The place of its pool of servers; 0 is the one without a name.
@@ -38,7 +38,7 @@
 }
 
 /// A part of the node. All calls return at once.
-pub trait Part {
+pub trait Subsystem {
     /// The key of the poller under which it is told that something is ready.
     fn key(&self) -> usize;
 
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// Nothing is left for it; how long to wait before it comes back, in tenths of a ms.
-    fn admit(&mut self, _: Asked) -> Result<Permit, TenthMillis> {
+    fn admit(&mut self, _: AdmissionRequest) -> Result<Permit, TenthMillis> {
         Ok(Permit::default())
     }
 
--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -10,7 +10,7 @@
 use doortrack_fault_harness::script::{Fault, Script};
 use doortrack_fault_harness::usage::{concurrency_exceeded, rate_exceeded, used};
 use doortrack_node::commands::fleet::ask_budgets;
-use doortrack_node::peers::spoken::BudgetStatus;
+use doortrack_node::peers::peer_message::BudgetStatus;
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
--- a/crates/node/tests/fleet/encoding.rs
+++ b/crates/node/tests/fleet/encoding.rs
@@ -5,7 +5,7 @@
 use doortrack_membership::{
     Datagram, Head, Incarnation, MemberReport, MemberState, MemberUpdate, Message, ReportedState,
 };
-use doortrack_node::peers::spoken::{Ask, BudgetPage, BudgetStatus, Spoken, Status};
+use doortrack_node::peers::peer_message::{Ask, BudgetPage, BudgetStatus, PeerMessage, Status};
 
 const INCARNATION: Incarnation = Incarnation(300);
 
@@ -21,7 +21,7 @@
     }
 }
 
-fn datagram(message: Message) -> Spoken {
+fn datagram(message: Message) -> PeerMessage {
     let states = [
         MemberState::Alive,
         MemberState::Suspected { by: 9 },
@@ -37,7 +37,7 @@
         digest: 0xfe,
         view: 6,
     };
-    Spoken::Fleet(Datagram {
+    PeerMessage::Fleet(Datagram {
         head,
         message,
         updates,
@@ -51,15 +51,15 @@
     }
 }
 
-fn envelope(message: BudgetMessage) -> Spoken {
-    Spoken::Budgets(Envelope {
+fn envelope(message: BudgetMessage) -> PeerMessage {
+    PeerMessage::Budgets(Envelope {
         from: node("a"),
         to: node("b"),
         message,
     })
 }
 
-fn status() -> Spoken {
+fn status() -> PeerMessage {
     let states = [
         ReportedState::Joining,
         ReportedState::Alive,
@@ -76,7 +76,7 @@
         for_ms: 9,
         slow: true,
     });
-    Spoken::Status(Box::new(Status {
+    PeerMessage::Status(Box::new(Status {
         nonce: 1,
         fleet: "f".into(),
         name: "a".into(),
@@ -91,7 +91,7 @@
     }))
 }
 
-fn budget_status() -> Spoken {
+fn budget_status() -> PeerMessage {
     let budget = BudgetStatus {
         name: "b".into(),
         rate: true,
@@ -105,7 +105,7 @@
         granted: None,
     };
     let (leader, budgets) = (Some("k".into()), vec![budget]);
-    Spoken::BudgetStatus(Box::new(BudgetPage {
+    PeerMessage::BudgetStatus(Box::new(BudgetPage {
         nonce: 1,
         leader,
         budgets,
@@ -113,7 +113,7 @@
     }))
 }
 
-fn hex(spoken: &Spoken) -> String {
+fn hex(spoken: &PeerMessage) -> String {
     postcard::to_allocvec(spoken)
         .unwrap()
         .iter()
@@ -213,13 +213,16 @@
 #[test]
 fn questions_and_answers_keep_their_bytes() {
     assert_eq!(
-        hex(&Spoken::Ask(Ask {
+        hex(&PeerMessage::Ask(Ask {
             nonce: 1,
             after: None
         })),
         "010100"
     );
-    assert_eq!(hex(&Spoken::AskBudgets { nonce: 1, from: 2 }), "040102");
+    assert_eq!(
+        hex(&PeerMessage::AskBudgets { nonce: 1, from: 2 }),
+        "040102"
+    );
     assert_eq!(
         hex(&budget_status()),
         "050101016b0101620101020304050601070000"
--- a/crates/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/link.rs
@@ -13,8 +13,8 @@
     Action, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message,
     Parameters,
 };
+use doortrack_node::peers::peer_message::{PAGE, PeerMessage, Status};
 use doortrack_node::peers::seal::{Refused, Seal};
-use doortrack_node::peers::spoken::{PAGE, Spoken, Status};
 use serde_json::{Value, json};
 
 use crate::program;
@@ -68,7 +68,7 @@
         updates: Vec::new(),
     };
     Seal::new(key, fleet)
-        .close(&Spoken::Fleet(datagram))
+        .close(&PeerMessage::Fleet(datagram))
         .unwrap()
 }
 
@@ -169,7 +169,7 @@
         updates,
     };
     let seal = Seal::new(None, &"x".repeat(64));
-    assert!(seal.close(&Spoken::Fleet(datagram)).is_some());
+    assert!(seal.close(&PeerMessage::Fleet(datagram)).is_some());
     // So do the pages of a table of them, and the answers to those who ask.
     let mut fleet = Fleet::new(update(0), Parameters::default(), 1, 0);
     let mut out = Vec::new();
@@ -216,7 +216,7 @@
     assert!(full(|message| matches!(message, Message::Updates)));
     assert!(
         sent.into_iter()
-            .all(|datagram| seal.close(&Spoken::Fleet(datagram)).is_some())
+            .all(|datagram| seal.close(&PeerMessage::Fleet(datagram)).is_some())
     );
     let (members, more) = fleet.report(None, PAGE, 0);
     let status = Status {
@@ -232,7 +232,7 @@
         members,
         more,
     };
-    assert!(more && seal.close(&Spoken::Status(Box::new(status))).is_some());
+    assert!(more && seal.close(&PeerMessage::Status(Box::new(status))).is_some());
 }
 
 /// Sockets of a process, and its threads.
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -9,9 +9,9 @@
 use doortrack_fakes::LONG;
 use doortrack_fakes::bed::fresh_address;
 use doortrack_fakes::records::{Client, record, request};
-use doortrack_node::wire::bounds::FRESH;
-use doortrack_node::wire::fronts::{Caller, FIRST_KEY, FrontEvent, Fronts, LISTEN_KEY};
-use doortrack_node::wire::request::{Answer, Made, Names};
+use doortrack_node::network::bounds::FRESH;
+use doortrack_node::network::listeners::{Caller, FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
+use doortrack_node::network::request::{Answer, Names, RunOutput};
 use doortrack_protocols::Protocol;
 use polling::{Events, Poller};
 
@@ -21,7 +21,7 @@
 /// The table and its callers, on a clock that stands still unless it is moved.
 struct Table {
     poller: Arc<Poller>,
-    fronts: Fronts,
+    fronts: Listeners,
     at: SocketAddr,
     now: u64,
     /// Requests read so far.
@@ -44,7 +44,7 @@
             keyed: vec![false],
             tenants: Vec::new(),
         };
-        let mut fronts = Fronts::new(poller.clone(), names, room, 10 * S);
+        let mut fronts = Listeners::new(poller.clone(), names, room, 10 * S);
         let at = fresh_address();
         fronts.listen(at, Protocol::FastCgi, None).unwrap();
         // Stamps of requests are of this time, so they are not far off.
@@ -78,8 +78,8 @@
         self.fronts.flush(self.now, &mut front_events);
         self.exchanges
             .extend(front_events.into_iter().filter_map(|came| match came {
-                FrontEvent::Request { caller, .. } => Some(caller),
-                FrontEvent::Ended { .. } => None,
+                ListenerEvent::Request { caller, .. } => Some(caller),
+                ListenerEvent::Ended { .. } => None,
             }));
     }
 
@@ -136,7 +136,7 @@
     }
 
     fn serves(&mut self, exchange: usize, client: &mut Client) {
-        let made = Made {
+        let made = RunOutput {
             headers: b"",
             body: b"made",
         };
@@ -273,7 +273,9 @@
     let mut client = table.connect(front);
     client.look(1, 1);
     table.until(|table| table.exchanges.len() == 1);
-    table.fronts.withdraw(front, table.now, &mut Vec::new());
+    table
+        .fronts
+        .drain_listener(front, table.now, &mut Vec::new());
     table.refuses(&mut client, 2, 2);
     table.serves(0, &mut client);
     assert!(has_ended(&mut client));
@@ -287,7 +289,7 @@
     let mut client = table.busy_caller(1);
     // More than the system takes for a peer that does not read.
     let body = vec![7; 32_000_000];
-    let made = Made {
+    let made = RunOutput {
         headers: b"",
         body: &body,
     };
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -8,13 +8,13 @@
 use doortrack_fakes::LONG;
 use doortrack_fakes::bed::fresh_address;
 use doortrack_fakes::records::{Client, request};
-use doortrack_node::wire::fronts::{Caller, FIRST_KEY, FrontEvent, Fronts, LISTEN_KEY};
-use doortrack_node::wire::request::{Answer, Made, Names};
+use doortrack_node::network::listeners::{Caller, FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
+use doortrack_node::network::request::{Answer, Names, RunOutput};
 use doortrack_protocols::Protocol;
 use polling::{Events, Poller};
 
 /// Reads what is ready and writes nothing, as the loop does between two readings: the requests that came.
-fn reads(poller: &Poller, fronts: &mut Fronts, now: u64) -> Vec<Caller> {
+fn reads(poller: &Poller, fronts: &mut Listeners, now: u64) -> Vec<Caller> {
     let (mut events, mut front_events) = (Events::new(), Vec::new());
     assert!(
         poller.wait(&mut events, Some(LONG)).unwrap() > 0,
@@ -29,8 +29,8 @@
         }
     }
     let exchange = |came| match came {
-        FrontEvent::Request { caller, .. } => Some(caller),
-        FrontEvent::Ended { .. } => None,
+        ListenerEvent::Request { caller, .. } => Some(caller),
+        ListenerEvent::Ended { .. } => None,
     };
     front_events.into_iter().filter_map(exchange).collect()
 }
@@ -51,7 +51,7 @@
         keyed: vec![false],
         tenants: Vec::new(),
     };
-    let mut fronts = Fronts::new(poller.clone(), names, room, 100_000);
+    let mut fronts = Listeners::new(poller.clone(), names, room, 100_000);
     let at: SocketAddr = fresh_address();
     fronts.listen(at, Protocol::FastCgi, None).unwrap();
     let now = doortrack_fakes::unix_ms() * 10;
@@ -72,7 +72,7 @@
     assert!(fronts.waits(caller), "it was taken for one that is gone");
     fronts.answer(
         caller,
-        Answer::Completed(Made {
+        Answer::Completed(RunOutput {
             headers: b"",
             body: b"yours",
         }),
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -9,13 +9,13 @@
 use doortrack_config::node_config::{self, ResourceLimits};
 use doortrack_fakes::bed::config;
 use doortrack_fakes::cut_at;
-use doortrack_node::memory::in_flight::{InFlight, InFlightRequest, Stage};
-use doortrack_node::memory::results::{Found, NoResult, Repeats, Results};
-use doortrack_node::wire::end::{End, Outcome};
-use doortrack_node::wire::fronts::{FIRST_KEY, Fronts};
-use doortrack_node::wire::link::{self, Notice};
-use doortrack_node::wire::registry::{self, Registry};
-use doortrack_node::wire::request::{self, Answer, Asked, Made, Names, Unreadable};
+use doortrack_node::network::engine_protocol::{self, EngineMessage};
+use doortrack_node::network::listeners::{FIRST_KEY, Listeners};
+use doortrack_node::network::registry::{self, Registry};
+use doortrack_node::network::request::{self, Answer, Inbound, Names, RunOutput, Unreadable};
+use doortrack_node::network::termination::{Outcome, Termination};
+use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
+use doortrack_node::state::results::{Found, NoResult, Repeats, Results};
 use doortrack_protocols::fastcgi::{self, Splitter};
 use doortrack_protocols::{Piece, Protocol};
 use doortrack_time::MILLISECOND;
@@ -120,7 +120,7 @@
         pieces(&[&bytes]);
         let names = names();
         prop_assert!(Protocol::ALL.iter().all(|spoken| request::read(*spoken, &bytes, &names).is_err()));
-        prop_assert!(link::read(&bytes).is_err());
+        prop_assert!(engine_protocol::read(&bytes).is_err());
         prop_assert!(node_config::parse(&bytes).is_err());
         let mut sound = vec![1];
         sound.extend(&bytes);
@@ -146,14 +146,14 @@
     #[test]
     fn bodies_pass_the_engine_link_unchanged(body in bytes(2100), serial in any::<u64>()) {
         let mut out = Vec::new();
-        link::run(&mut out, b"00112233445566aa", "\"a \\\" name\"", &body);
+        engine_protocol::run(&mut out, b"00112233445566aa", "\"a \\\" name\"", &body);
         let sent: Value = serde_json::from_slice(&out).unwrap();
         prop_assert_eq!(&sent["service"], "a \" name");
         let (call, blob) = (&sent["call"], &sent["blob"]);
         let line = json!({"msg": "DONE", "serial": serial, "call": call, "how": "OK", "blob": blob});
         let (try_id, outcome) = (*b"00112233445566aa", RunOutcome::Completed);
-        let done = Notice::Done { serial, try_id, outcome, result: body };
-        prop_assert_eq!(link::read(line.to_string().as_bytes()), Ok(done));
+        let done = EngineMessage::Done { serial, try_id, outcome, result: body };
+        prop_assert_eq!(engine_protocol::read(line.to_string().as_bytes()), Ok(done));
     }
 }
 
@@ -221,13 +221,13 @@
     ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
 ];
 
-fn read(fields: &[(&str, &str)]) -> Result<Asked, Unreadable> {
+fn read(fields: &[(&str, &str)]) -> Result<Inbound, Unreadable> {
     request::read(Protocol::FastCgi, &pairs(fields, false), &names())
 }
 
 #[test]
 fn a_request_is_read_with_its_fields() {
-    let Ok(Asked::Request(request)) = read(&FIELDS) else {
+    let Ok(Inbound::Request(request)) = read(&FIELDS) else {
         panic!("not read")
     };
     assert_eq!((request.group, request.tenant, request.caller), (1, 0, 4));
@@ -247,17 +247,20 @@
         ("HTTP_X_OBJECT", "7f3a9c21e0b4d655"),
         ("HTTP_X_NEW", "passed over"),
     ]);
-    let Ok(Asked::Request(request)) = read(&look) else {
+    let Ok(Inbound::Request(request)) = read(&look) else {
         panic!("not read")
     };
     assert_eq!(
         (request.idempotency_key, request.subject, request.retry),
         (None, 0x7f3a_9c21_e0b4_d655, true)
     );
-    assert_eq!(read(&[("SCRIPT_NAME", "/status/live")]), Ok(Asked::Health));
+    assert_eq!(
+        read(&[("SCRIPT_NAME", "/status/live")]),
+        Ok(Inbound::Health)
+    );
     // Found on a long day: numbers of fronts are always new, and past 65,535 all were turned away.
     look[4].1 = "18446744073709551615";
-    assert!(matches!(read(&look), Ok(Asked::Request(request)) if request.caller == u64::MAX));
+    assert!(matches!(read(&look), Ok(Inbound::Request(request)) if request.caller == u64::MAX));
 }
 
 #[test]
@@ -334,7 +337,7 @@
         "OVERLOADED and nothing else"
     );
     let result: Vec<u8> = (0..70_000u32).map(|n| n as u8).collect();
-    let (_, long) = text(Answer::Completed(Made::from(&result[..])), None);
+    let (_, long) = text(Answer::Completed(RunOutput::from(&result[..])), None);
     let first = u16::from_be_bytes([long[4], long[5]]) as usize;
     assert_eq!(
         (first, long[1], long[8 + first + 1]),
@@ -345,14 +348,14 @@
 
 #[test]
 fn lines_of_the_engine_that_cannot_be_read_are_faults_or_ends() {
-    let read = |value: Value| link::read(value.to_string().as_bytes());
+    let read = |value: Value| engine_protocol::read(value.to_string().as_bytes());
     let done = |how: &str, blob: &str| {
         read(
             json!({"msg": "DONE", "serial": 4, "call": "00112233445566aa", "how": how, "blob": blob}),
         )
     };
     let outcome = |notice| match notice {
-        Ok(Notice::Done { outcome, .. }) => outcome,
+        Ok(EngineMessage::Done { outcome, .. }) => outcome,
         other => panic!("{other:?}"),
     };
     assert_eq!(outcome(done("STOPPED", "")), RunOutcome::Cancelled);
@@ -376,7 +379,7 @@
     let hello = read(json!({"msg": "HELLO", "how": "COLD", "duration": 12.5, "more": 1}));
     assert_eq!(
         hello,
-        Ok(Notice::Hello {
+        Ok(EngineMessage::Hello {
             cold: true,
             age: 125
         })
@@ -385,25 +388,30 @@
 
 #[test]
 fn every_end_has_its_outcome() {
-    for end in [End::Aborted, End::Reset, End::Unread, End::Left] {
+    for end in [
+        Termination::Aborted,
+        Termination::Reset,
+        Termination::Unread,
+        Termination::Left,
+    ] {
         assert_eq!(end.outcome(), Outcome::CallerGone);
     }
     for end in [
-        End::HalfClosed,
-        End::Closed,
-        End::Idle,
-        End::Evicted,
-        End::Malformed,
-        End::LinkLost,
+        Termination::HalfClosed,
+        Termination::Closed,
+        Termination::Idle,
+        Termination::Evicted,
+        Termination::Malformed,
+        Termination::LinkLost,
     ] {
         assert_eq!(end.outcome(), Outcome::StillOwed);
     }
     assert_eq!(
-        End::RunRefused.outcome(),
+        Termination::RunRefused.outcome(),
         Outcome::RunEnded(RunOutcome::NotStarted)
     );
     assert_eq!(
-        End::Run(RunOutcome::Failed).outcome(),
+        Termination::Run(RunOutcome::Failed).outcome(),
         Outcome::RunEnded(RunOutcome::Failed)
     );
 }
@@ -422,7 +430,7 @@
     };
     let [.., b, c] = std::process::id().to_be_bytes();
     let at: SocketAddr = format!("127.{nth}.{b}.{c}:9090").parse().unwrap();
-    let mut fronts = Fronts::new(poller.clone(), names(), room, u64::MAX);
+    let mut fronts = Listeners::new(poller.clone(), names(), room, u64::MAX);
     fronts.listen(at, Protocol::FastCgi, None).unwrap();
     let (mut deaf, mut sound) = (
         TcpStream::connect(at).unwrap(),
@@ -494,7 +502,7 @@
     };
     let [.., b, c] = std::process::id().to_be_bytes();
     let at: SocketAddr = format!("127.17.{b}.{c}:9090").parse().unwrap();
-    let mut fronts = Fronts::new(poller.clone(), names(), room, u64::MAX);
+    let mut fronts = Listeners::new(poller.clone(), names(), room, u64::MAX);
     fronts.listen(at, Protocol::FastCgi, None).unwrap();
     let mut bad = TcpStream::connect(at).unwrap();
     let empty = [
@@ -536,7 +544,7 @@
     list.set_nonblocking(true).unwrap();
     let own = "127.0.0.1:9".parse().unwrap();
     let mut registry = Registry::open(own, list.local_addr().unwrap(), "n3".into()).unwrap();
-    (0..3000).for_each(|ms| registry.beat(ms * MILLISECOND));
+    (0..3000).for_each(|ms| registry.heartbeat(ms * MILLISECOND));
     let reports = (0..100)
         .filter(|_| list.recv(&mut [0; 100]).is_ok())
         .count();
@@ -565,7 +573,7 @@
         stamp + 20 * MILLISECOND,
     );
     assert_eq!(results.result(1), Found::Pending);
-    results.ended(1, Ok(Made::from(&b"done"[..])));
+    results.ended(1, Ok(RunOutput::from(&b"done"[..])));
     results.tidy(stamp + window + 4000 * MILLISECOND);
     assert_eq!(
         results.repeats(&KEY, b"", stamp + window),
@@ -590,7 +598,10 @@
         results.repeats(&KEY, b"another body", stamp + window + 200 * MILLISECOND),
         Repeats::Nothing
     );
-    assert_eq!(results.result(1), Found::Result(Made::from(&b"done"[..])));
+    assert_eq!(
+        results.result(1),
+        Found::Result(RunOutput::from(&b"done"[..]))
+    );
     results.tidy(stamp + window + 5000 * MILLISECOND);
     assert_eq!(
         (results.repeats(&KEY, b"", stamp), results.bytes()),
@@ -618,7 +629,7 @@
             Repeats::Nothing
         );
         results.record(ex, (0, [ex as u8; 32]), b"", 0, 1000 * MILLISECOND, 0);
-        results.ended(ex, Ok(Made::from(&b"123456"[..])));
+        results.ended(ex, Ok(RunOutput::from(&b"123456"[..])));
     }
     assert_eq!(
         results.repeats(&(0, [4; 32]), b"", 0),
@@ -630,7 +641,10 @@
         Repeats::Of(1),
         "one that ran is never refused"
     );
-    assert_eq!(results.result(1), Found::Result(Made::from(&b"123456"[..])));
+    assert_eq!(
+        results.result(1),
+        Found::Result(RunOutput::from(&b"123456"[..]))
+    );
     assert_eq!(
         results.result(2),
         Found::None,
@@ -674,7 +688,7 @@
         1000 * MILLISECOND,
         500 * MILLISECOND,
     );
-    results.ended(1, Ok(Made::from(&b"1"[..])));
+    results.ended(1, Ok(RunOutput::from(&b"1"[..])));
     assert_eq!(
         results.repeats(&KEY, b"", 500 * MILLISECOND),
         Repeats::Of(1)
@@ -688,7 +702,7 @@
         Repeats::Nothing
     );
     results.tidy(3500 * MILLISECOND);
-    assert_eq!(results.result(1), Found::Result(Made::from(&b"1"[..])));
+    assert_eq!(results.result(1), Found::Result(RunOutput::from(&b"1"[..])));
     results.tidy(4000 * MILLISECOND);
     assert_eq!((results.result(1), results.bytes()), (Found::None, 0));
     // However far ahead, nothing runs over.
@@ -771,7 +785,10 @@
         let room = node_config::parse(value.to_string().as_bytes())
             .unwrap()
             .limits;
-        let held = room.open_requests * 10_500 + room.dedup_entries * 300 + room.result_bytes + room.engine_command_bytes;
+        let held = room.open_requests * 10_500
+            + room.dedup_entries * 300
+            + room.result_bytes
+            + room.engine_command_bytes;
         let all = held + room.unread_answer_bytes + room.connections * 20_000;
         assert!(
             all + 3_000_000 < memory_mb * 1_000_000,
--- a/crates/node/tests/node/silences.rs
+++ b/crates/node/tests/node/silences.rs
@@ -7,7 +7,7 @@
 use doortrack_fakes::caller::{Ask, Pending, Seen};
 use doortrack_fakes::instant;
 use doortrack_fakes::{LONG, unix_ms};
-use doortrack_node::wire::registry::Registry;
+use doortrack_node::network::registry::Registry;
 use doortrack_protocols::Protocol::{FastCgi, Uwsgi};
 use serde_json::json;
 
@@ -63,11 +63,11 @@
     let (own, at) = ("127.0.0.1:9".parse().unwrap(), list.local_addr().unwrap());
     drop(list);
     let mut registry = Registry::open(own, at, "n1".into()).unwrap();
-    registry.beat(0);
+    registry.heartbeat(0);
     let list = UdpSocket::bind(at).unwrap();
     list.set_read_timeout(Some(LONG)).unwrap();
     registry.tell(true);
-    registry.beat(1);
+    registry.heartbeat(1);
     let mut text = [0; 64];
     let n = list.recv(&mut text).unwrap();
     assert_eq!(&text[..n], b"BEAT n1 draining");
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -169,7 +169,7 @@
         Ok(Request {
             id,
             group,
-            tenant: tenant,
+            tenant,
             session_key: subject,
             deadline: (due > 0).then(|| down(due)),
             work_hint: (bits & 1 != 0).then(|| up(hint.into())),
