--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! What a node is handed at start, read, checked and given its defaults in this one place: the platform's
-//! configuration ([`orders`], named by `GW_CONFIG`) and the operators' own file ([`file`]), which adds what
+//! configuration ([`node_config`], named by `GW_CONFIG`) and the operators' own file ([`mod@file`]), which adds what
 //! the platform knows nothing of.
 //!
-//! Both are read whole before anything is done with them, and every [`Fault`] names the path of its key, as
+//! Both are read whole before anything is done with them, and every [`ConfigError`] names the path of its key, as
 //! in `installation.fronts[1].listen`. Nothing here opens a socket or looks at a clock.
 
 pub mod budgets;
--- a/crates/membership/src/update.rs
+++ b/crates/membership/src/update.rs
@@ -62,7 +62,7 @@
     pub state: MemberState,
     /// Where other nodes reach it (UDP).
     pub address: SocketAddr,
-    /// Its capacity, 1 to [`MAX_WEIGHT`], in any unit that all members share.
+    /// Its capacity, 1 to `MAX_WEIGHT`, in any unit that all members share.
     pub weight: u32,
 }
 
