--- a/crates/bench/benches/expressions.rs
+++ b/crates/bench/benches/expressions.rs
@@ -2,10 +2,10 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use doortrack_bench::typical::TYPICAL;
-use doortrack_expr::{Limits, Scratch, Written, infer};
+use doortrack_expr::{Limits, LiteralRequest, Scratch, infer};
 
 fn expressions(criterion: &mut Criterion) {
-    let asked = Written::example();
+    let asked = LiteralRequest::example();
     let mut group = criterion.benchmark_group("evaluate");
     for (name, source) in TYPICAL {
         let program = infer(source, Limits::default()).expect("a sound source");
--- a/crates/bench/benches/routes.rs
+++ b/crates/bench/benches/routes.rs
@@ -1,7 +1,7 @@
 //! The route table: a match among few and many rules, and loading them.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use doortrack_expr::{Limits, Scratch, Written};
+use doortrack_expr::{Limits, LiteralRequest, Scratch};
 use doortrack_routes::{Names, Rule, Table};
 
 fn rules(count: usize) -> Vec<Rule> {
@@ -36,9 +36,9 @@
         });
         let (table, _) = Table::build(&rules, &names(), Limits::default()).expect("sound rules");
         let last = (count - 1) / 3 * 3;
-        let request = Written {
+        let request = LiteralRequest {
             path: format!("/yard-{last}/book"),
-            ..Written::default()
+            ..LiteralRequest::default()
         }
         .header("host", "booking.example.org")
         .header("x-yard", "none");
--- a/crates/bench/src/bin/expression-tail.rs
+++ b/crates/bench/src/bin/expression-tail.rs
@@ -7,7 +7,7 @@
 
 use clap::Parser;
 use doortrack_bench::typical::TYPICAL;
-use doortrack_expr::{Limits, Scratch, Written, infer};
+use doortrack_expr::{Limits, LiteralRequest, Scratch, infer};
 use hdrhistogram::Histogram;
 
 #[derive(Parser)]
@@ -30,7 +30,7 @@
 }
 
 fn main() {
-    let (words, asked) = (Words::parse(), Written::example());
+    let (words, asked) = (Words::parse(), LiteralRequest::example());
     println!(
         "{:<22} {:>10} {:>10} {:>10}",
         "ns", "median", "p99", "p99.9"
--- a/crates/bench/src/typical.rs
+++ b/crates/bench/src/typical.rs
@@ -1,4 +1,4 @@
-//! Ten typical expressions; `Written::example` is the request that they are meant for.
+//! Ten typical expressions; `LiteralRequest::example` is the request that they are meant for.
 
 pub const TYPICAL: [(&str, &str); 10] = [
     ("prefix", "path.starts_with(\"/book/\")"),
--- a/crates/expr/src/check.rs
+++ b/crates/expr/src/check.rs
@@ -1,31 +1,30 @@
 //! Types, bounds of cost, and the compiled form, in one walk over what was read.
 
 mod functions;
+mod lists;
+mod names;
 mod operators;
+mod patterns;
+mod signatures;
 
 use crate::ast::{Expr, Kind, Span};
-use crate::diagnostic::{Diagnostic, nearest};
-use crate::functions::{FIELDS, field, usage};
-use crate::program::{Cost, Field, Node, Place, Program};
-use crate::{Limits, MOST_NAMES, MOST_STRING, Type};
+use crate::cost::Cost;
+use crate::diagnostic::Diagnostic;
+use crate::limits::{Limits, MAX_STRING};
+use crate::program::{Node, NodeIndex, Program};
+use crate::types::Type;
 
 /// Bytes that all strings of one evaluation may have.
-const MOST_BUILT: u64 = 4 * MOST_STRING;
+const MAX_BUILT_BYTES: u64 = 4 * MAX_STRING;
 /// Items that a split may have.
-const MOST_PARTS: i64 = 64;
+const MAX_SPLIT_ITEMS: i64 = 64;
 /// Items that a list in the source may have.
-const MOST_ITEMS: usize = 1024;
-
-/// Steps that looking a variable up takes, and those of looking through so many bytes.
-pub(crate) const LOOKUP: u64 = 16;
-pub(crate) fn through(bytes: u64) -> u64 {
-    1 + bytes / 16
-}
+const MAX_LIST_ITEMS: usize = 1024;
 
 /// What is known of an expression before it is evaluated.
 #[derive(Clone, Debug)]
-struct Known {
-    place: Place,
+struct Checked {
+    node: NodeIndex,
     /// None where it is wrong, and that was told.
     ty: Option<Type>,
     /// Bounds: of steps, of bytes built, of its length in bytes or items.
@@ -46,7 +45,7 @@
 struct Bound {
     name: String,
     slot: u8,
-    known: Known,
+    checked: Checked,
 }
 
 struct Checker {
@@ -54,9 +53,9 @@
     nodes: Vec<Node>,
     names: Vec<Bound>,
     slots: usize,
-    faults: Vec<Diagnostic>,
+    errors: Vec<Diagnostic>,
     /// The part that takes the most steps by itself.
-    dearest: (u64, Span),
+    costliest: (u64, Span),
 }
 
 pub(crate) fn compile(
@@ -64,14 +63,14 @@
     want: Option<&Type>,
     limits: Limits,
 ) -> Result<Program, Vec<Diagnostic>> {
-    let (nodes, names, faults) = Default::default();
+    let (nodes, names, errors) = Default::default();
     let mut checker = Checker {
         limits,
         nodes,
         names,
         slots: 0,
-        faults,
-        dearest: (0, expr.span),
+        errors,
+        costliest: (0, expr.span),
     };
     let root = checker.check(expr);
     if let (Some(found), Some(want)) = (&root.ty, want)
@@ -80,41 +79,41 @@
     {
         checker.mismatch(expr.span, want, found);
     }
-    if checker.faults.is_empty() && root.steps > limits.max_cost {
-        let (steps, span) = checker.dearest;
+    if checker.errors.is_empty() && root.steps > limits.max_cost {
+        let (steps, span) = checker.costliest;
         let what = format!(
             "this may take {} steps, and at most {} are allowed",
             root.steps, limits.max_cost
         );
         checker
-            .faults
+            .errors
             .push(Diagnostic::new(span, what, format!("{steps} of them here")));
     }
-    if checker.faults.is_empty() && root.built > MOST_BUILT {
+    if checker.errors.is_empty() && root.built > MAX_BUILT_BYTES {
         let what = format!(
-            "this may build {} bytes of text, and at most {MOST_BUILT} are allowed",
+            "this may build {} bytes of text, and at most {MAX_BUILT_BYTES} are allowed",
             root.built
         );
         checker
-            .faults
+            .errors
             .push(Diagnostic::new(expr.span, what, "all of it"));
     }
-    checker.faults.sort_by_key(|fault| fault.span.from);
+    checker.errors.sort_by_key(|error| error.span.from);
     match root.ty {
-        Some(ty) if checker.faults.is_empty() => {
+        Some(ty) if checker.errors.is_empty() => {
             let cost = Cost {
                 steps: root.steps,
                 bytes: root.built,
             };
             Ok(Program {
                 nodes: checker.nodes,
-                root: root.place,
+                root: root.node,
                 ty,
                 cost,
                 limits,
             })
         }
-        _ => Err(checker.faults),
+        _ => Err(checker.errors),
     }
 }
 
@@ -127,20 +126,20 @@
 }
 
 impl Checker {
-    fn node(&mut self, node: Node) -> Place {
+    fn node(&mut self, node: Node) -> NodeIndex {
         self.nodes.push(node);
-        (self.nodes.len() - 1) as Place
+        (self.nodes.len() - 1) as NodeIndex
     }
 
-    fn fault(&mut self, span: Span, what: impl Into<String>, label: &str) -> Known {
-        self.faults.push(Diagnostic::new(span, what, label));
-        self.wrong()
+    fn error(&mut self, span: Span, what: impl Into<String>, label: &str) -> Checked {
+        self.errors.push(Diagnostic::new(span, what, label));
+        self.invalid()
     }
 
-    fn wrong(&mut self) -> Known {
-        let place = self.node(Node::Bool(false));
-        Known {
-            place,
+    fn invalid(&mut self) -> Checked {
+        let node = self.node(Node::Bool(false));
+        Checked {
+            node,
             ty: None,
             steps: 0,
             built: 0,
@@ -149,41 +148,48 @@
         }
     }
 
-    fn mismatch(&mut self, span: Span, want: &Type, found: &Type) -> Known {
-        let mut fault = Diagnostic::new(
+    fn mismatch(&mut self, span: Span, want: &Type, found: &Type) -> Checked {
+        let mut error = Diagnostic::new(
             span,
             format!("{want} is wanted, this is {found}"),
             format!("{found}"),
         );
         if inner(found) == Some(want) {
-            fault =
-                fault.help("it may be absent: say what stands for it then, as in `it ?? other`");
+            error =
+                error.help("it may be absent: say what stands for it then, as in `it ?? other`");
         } else if *want == Type::Str && *found == Type::Bytes {
-            fault = fault.help("`text(it)` is the text of bytes, absent where they are none");
+            error = error.help("`text(it)` is the text of bytes, absent where they are none");
         } else if *want == Type::Bytes && *found == Type::Str {
-            fault = fault.help("`bytes(it)` are the bytes of a text");
+            error = error.help("`bytes(it)` are the bytes of a text");
         }
-        self.faults.push(fault);
-        self.wrong()
+        self.errors.push(error);
+        self.invalid()
     }
 
     /// Puts a node together with what its parts cost; `own` is what it takes by itself.
-    fn known(&mut self, span: Span, node: Node, ty: Type, own: u64, parts: &[&Known]) -> Known {
-        let place = self.node(node);
-        if own > self.dearest.0 {
-            self.dearest = (own, span);
+    fn checked(
+        &mut self,
+        span: Span,
+        node: Node,
+        ty: Type,
+        own_steps: u64,
+        parts: &[&Checked],
+    ) -> Checked {
+        let node = self.node(node);
+        if own_steps > self.costliest.0 {
+            self.costliest = (own_steps, span);
         }
-        let sum = |of: &dyn Fn(&Known) -> u64| {
+        let sum = |of: &dyn Fn(&Checked) -> u64| {
             parts
                 .iter()
                 .fold(0u64, |all, part| all.saturating_add(of(part)))
         };
         let (steps, built) = (
-            sum(&|part| part.steps).saturating_add(own),
+            sum(&|part| part.steps).saturating_add(own_steps),
             sum(&|part| part.built),
         );
-        Known {
-            place,
+        Checked {
+            node,
             ty: Some(ty),
             steps,
             built,
@@ -193,8 +199,8 @@
     }
 
     /// Whether it is of this type; if not, that is told, unless it is wrong anyway.
-    fn is(&mut self, known: &Known, span: Span, want: &Type) -> bool {
-        match &known.ty {
+    fn expect(&mut self, checked: &Checked, span: Span, want: &Type) -> bool {
+        match &checked.ty {
             Some(found) if found == want => true,
             Some(found) => {
                 let found = found.clone();
@@ -205,187 +211,87 @@
         }
     }
 
-    fn check(&mut self, expr: &Expr) -> Known {
+    fn check(&mut self, expr: &Expr) -> Checked {
         let span = expr.span;
         match &expr.kind {
-            Kind::Bool(truth) => self.known(span, Node::Bool(*truth), Type::Bool, 1, &[]),
-            Kind::Int(n) => self.known(span, Node::Int(*n), Type::Int, 1, &[]),
-            Kind::Float(n) => self.known(span, Node::Float(*n), Type::Float, 1, &[]),
-            Kind::Duration(n) => self.known(span, Node::Duration(*n), Type::Duration, 1, &[]),
+            Kind::Bool(truth) => self.checked(span, Node::Bool(*truth), Type::Bool, 1, &[]),
+            Kind::Int(n) => self.checked(span, Node::Int(*n), Type::Int, 1, &[]),
+            Kind::Float(n) => self.checked(span, Node::Float(*n), Type::Float, 1, &[]),
+            Kind::Duration(n) => self.checked(span, Node::Duration(*n), Type::Duration, 1, &[]),
             Kind::Str(text) => self.constant(span, text.as_bytes(), Type::Str),
             Kind::Bytes(bytes) => self.constant(span, bytes, Type::Bytes),
             Kind::Name(name) => self.name(span, name),
             Kind::List(items) => self.list(span, items),
             Kind::Not(operand) => self.not(span, operand),
             Kind::Neg(operand) => self.negate(span, operand),
-            Kind::All(parts) => self.junction(span, parts, Node::All),
-            Kind::Any(parts) => self.junction(span, parts, Node::Any),
+            Kind::All(parts) => self.logical(span, parts, Node::All),
+            Kind::Any(parts) => self.logical(span, parts, Node::Any),
             Kind::Binary(op, left, right) => self.binary(span, *op, left, right),
-            Kind::If(when, then, other) => self.choice(span, when, then, other),
+            Kind::If(when, then, other) => self.conditional(span, when, then, other),
             Kind::Let {
                 name,
                 at,
                 value,
                 body,
-            } => self.binding(span, name, *at, value, body),
+            } => self.let_binding(span, name, *at, value, body),
             Kind::Call { name, at, args } => self.call(span, name, *at, args),
-            Kind::Each { at, .. } => self.fault(
+            Kind::Each { at, .. } => self.error(
                 *at,
                 "'->' can only stand in any, all and first",
                 "no function of a list",
             ),
-            Kind::Wrong => self.wrong(),
+            Kind::Wrong => self.invalid(),
         }
     }
 
-    fn constant(&mut self, span: Span, bytes: &[u8], ty: Type) -> Known {
-        let known = self.known(span, Node::Text(bytes.into()), ty, 1, &[]);
-        Known {
+    fn constant(&mut self, span: Span, bytes: &[u8], ty: Type) -> Checked {
+        let checked = self.checked(span, Node::Text(bytes.into()), ty, 1, &[]);
+        Checked {
             len: bytes.len() as u64,
-            ..known
-        }
-    }
-
-    /// `let name = value; body`: the name is known in the body alone.
-    fn binding(&mut self, span: Span, name: &str, at: Span, value: &Expr, body: &Expr) -> Known {
-        let value = self.check(value);
-        let Some(slot) = self.bind(name, at, value.clone()) else {
-            return self.wrong();
-        };
-        let body = self.check(body);
-        self.names.pop();
-        let Some(ty) = body.ty.clone().filter(|_| value.ty.is_some()) else {
-            return self.wrong();
-        };
-        let node = Node::Let {
-            slot,
-            value: value.place,
-            body: body.place,
-        };
-        let known = self.known(span, node, ty, 1, &[&value, &body]);
-        Known {
-            len: body.len,
-            items: body.items,
-            ..known
-        }
-    }
-
-    fn bind(&mut self, name: &str, at: Span, known: Known) -> Option<u8> {
-        if self.slots >= MOST_NAMES {
-            self.fault(
-                at,
-                format!("at most {MOST_NAMES} names can be bound"),
-                "one too many",
-            );
-            return None;
-        }
-        // A slot is never used twice, so a list that is looked at later finds what was bound then.
-        self.slots += 1;
-        let slot = (self.slots - 1) as u8;
-        self.names.push(Bound {
-            name: name.to_string(),
-            slot,
-            known,
-        });
-        Some(slot)
-    }
-
-    fn name(&mut self, span: Span, name: &str) -> Known {
-        if let Some(bound) = self.names.iter().rfind(|bound| bound.name == name) {
-            let (slot, of) = (bound.slot, bound.known.clone());
-            let Some(ty) = of.ty.clone() else {
-                return self.wrong();
-            };
-            let known = self.known(span, Node::Slot(slot), ty, 1, &[]);
-            return Known {
-                len: of.len,
-                items: of.items,
-                ..known
-            };
-        }
-        if let Some((field, ty)) = field(name) {
-            let known = self.known(span, Node::Field(field), ty, 1, &[]);
-            let variable = self.limits.variable;
-            return match field {
-                Field::Method | Field::Front => Known { len: 64, ..known },
-                Field::Path | Field::Query => Known {
-                    len: variable,
-                    ..known
-                },
-                Field::Body => Known {
-                    len: self.limits.body,
-                    ..known
-                },
-                Field::Segments => {
-                    let most = self.limits.segments;
-                    let items = Items {
-                        steps: most + through(variable),
-                        built: 0,
-                        len: variable,
-                    };
-                    Known {
-                        len: most,
-                        items,
-                        ..known
-                    }
-                }
-                _ => known,
-            };
-        }
-        let mut fault = Diagnostic::new(span, format!("there is no value '{name}'"), "not known");
-        let bound: Vec<String> = self.names.iter().map(|bound| bound.name.clone()).collect();
-        if let Some(usage) = usage(name) {
-            fault = fault.help(format!("it is a function: `{usage}`"));
-        } else if let Some(near) = nearest(
-            name,
-            FIELDS.into_iter().chain(bound.iter().map(String::as_str)),
-        ) {
-            fault = fault.help(format!("perhaps '{near}' is meant"));
+            ..checked
         }
-        self.faults.push(fault);
-        self.wrong()
     }
 
-    fn list(&mut self, span: Span, items: &[Expr]) -> Known {
-        if items.len() > MOST_ITEMS {
-            return self.fault(
+    fn list(&mut self, span: Span, items: &[Expr]) -> Checked {
+        if items.len() > MAX_LIST_ITEMS {
+            return self.error(
                 span,
-                format!("a list has at most {MOST_ITEMS} items"),
+                format!("a list has at most {MAX_LIST_ITEMS} items"),
                 "too long",
             );
         }
-        let known: Vec<Known> = items.iter().map(|item| self.check(item)).collect();
-        let Some(first) = known.first() else {
-            return self.fault(
+        let checked: Vec<Checked> = items.iter().map(|item| self.check(item)).collect();
+        let Some(first) = checked.first() else {
+            return self.error(
                 span,
                 "a list has at least one item, so that it has a type",
                 "empty",
             );
         };
         let Some(ty) = first.ty.clone() else {
-            return self.wrong();
+            return self.invalid();
         };
-        let mut good = true;
-        for (item, known) in items.iter().zip(&known).skip(1) {
-            good &= self.is(known, item.span, &ty);
+        let mut well_typed = true;
+        for (item, checked) in items.iter().zip(&checked).skip(1) {
+            well_typed &= self.expect(checked, item.span, &ty);
         }
-        if !good {
-            return self.wrong();
+        if !well_typed {
+            return self.invalid();
         }
-        let sum = |of: &dyn Fn(&Known) -> u64| {
-            known
+        let sum = |of: &dyn Fn(&Checked) -> u64| {
+            checked
                 .iter()
                 .fold(0u64, |all, item| all.saturating_add(of(item)))
         };
         let items = Items {
-            steps: sum(&|item| item.steps).saturating_add(known.len() as u64),
+            steps: sum(&|item| item.steps).saturating_add(checked.len() as u64),
             built: sum(&|item| item.built),
-            len: known.iter().map(|item| item.len).max().unwrap_or(0),
+            len: checked.iter().map(|item| item.len).max().unwrap_or(0),
         };
-        let places = known.iter().map(|item| item.place).collect();
-        let list = self.known(span, Node::List(places), ty.list(), 1, &[]);
-        Known {
-            len: known.len() as u64,
+        let nodes = checked.iter().map(|item| item.node).collect();
+        let list = self.checked(span, Node::List(nodes), ty.list(), 1, &[]);
+        Checked {
+            len: checked.len() as u64,
             items,
             ..list
         }
--- a/crates/expr/src/check/operators.rs
+++ b/crates/expr/src/check/operators.rs
@@ -2,35 +2,43 @@
 
 use rustc_hash::FxHashSet;
 
-use super::{Checker, Items, Known, through};
+use super::{Checked, Checker, Items};
 use crate::ast::{Expr, Op, Span};
+use crate::cost::scan_steps;
 use crate::diagnostic::Diagnostic;
-use crate::program::{Node, Place};
-use crate::{MOST_STRING, Type};
+use crate::limits::MAX_STRING;
+use crate::program::{Node, NodeIndex};
+use crate::types::Type;
 
 /// One side of an operator: where it stands, what is known of it, and its type.
 struct Operand<'e> {
     span: Span,
-    known: &'e Known,
+    checked: &'e Checked,
     ty: Type,
 }
 
 impl<'e> Operand<'e> {
-    fn new(expr: &Expr, known: &'e Known, ty: Type) -> Operand<'e> {
+    fn new(expr: &Expr, checked: &'e Checked, ty: Type) -> Operand<'e> {
         Operand {
             span: expr.span,
-            known,
+            checked,
             ty,
         }
     }
 }
 
 impl Checker {
-    pub(super) fn choice(&mut self, span: Span, when: &Expr, then: &Expr, other: &Expr) -> Known {
-        let (asked, one, two) = (self.check(when), self.check(then), self.check(other));
-        let good = self.is(&asked, when.span, &Type::Bool);
+    pub(super) fn conditional(
+        &mut self,
+        span: Span,
+        when: &Expr,
+        then: &Expr,
+        other: &Expr,
+    ) -> Checked {
+        let (condition, one, two) = (self.check(when), self.check(then), self.check(other));
+        let well_typed = self.expect(&condition, when.span, &Type::Bool);
         let (Some(first), Some(second)) = (one.ty.clone(), two.ty.clone()) else {
-            return self.wrong();
+            return self.invalid();
         };
         let ty = match (&first, &second) {
             _ if first == second => first,
@@ -39,94 +47,94 @@
             (other, Type::Optional(of)) if **of == *other => second,
             _ => return self.mismatch(other.span, &first, &second),
         };
-        if !good {
-            return self.wrong();
+        if !well_typed {
+            return self.invalid();
         }
         let node = Node::If {
-            when: asked.place,
-            then: one.place,
-            other: two.place,
+            when: condition.node,
+            then: one.node,
+            other: two.node,
         };
-        let known = self.known(span, node, ty, 1, &[&asked]);
+        let checked = self.checked(span, node, ty, 1, &[&condition]);
         let items = Items {
             steps: one.items.steps.max(two.items.steps),
             built: one.items.built.max(two.items.built),
             len: one.items.len.max(two.items.len),
         };
-        Known {
-            steps: known.steps.saturating_add(one.steps.max(two.steps)),
-            built: known.built.saturating_add(one.built.max(two.built)),
+        Checked {
+            steps: checked.steps.saturating_add(one.steps.max(two.steps)),
+            built: checked.built.saturating_add(one.built.max(two.built)),
             len: one.len.max(two.len),
             items,
-            ..known
+            ..checked
         }
     }
 
-    pub(super) fn not(&mut self, span: Span, operand: &Expr) -> Known {
-        let known = self.check(operand);
-        if !self.is(&known, operand.span, &Type::Bool) {
-            return self.wrong();
+    pub(super) fn not(&mut self, span: Span, operand: &Expr) -> Checked {
+        let checked = self.check(operand);
+        if !self.expect(&checked, operand.span, &Type::Bool) {
+            return self.invalid();
         }
-        self.known(span, Node::Not(known.place), Type::Bool, 1, &[&known])
+        self.checked(span, Node::Not(checked.node), Type::Bool, 1, &[&checked])
     }
 
-    pub(super) fn negate(&mut self, span: Span, operand: &Expr) -> Known {
-        let known = self.check(operand);
-        let ty = match known.ty.clone() {
+    pub(super) fn negate(&mut self, span: Span, operand: &Expr) -> Checked {
+        let checked = self.check(operand);
+        let ty = match checked.ty.clone() {
             Some(ty @ (Type::Int | Type::Float | Type::Duration)) => ty,
             Some(ty) => {
                 let what = format!("a number or a duration is wanted, this is {ty}");
-                return self.fault(operand.span, what, "no number");
+                return self.error(operand.span, what, "no number");
             }
-            None => return self.wrong(),
+            None => return self.invalid(),
         };
         // A negated constant is a constant itself.
-        let node = match self.nodes[known.place as usize] {
+        let node = match self.nodes[checked.node as usize] {
             Node::Int(n) => Node::Int(n.saturating_neg()),
             Node::Float(n) => Node::Float(-n),
             Node::Duration(n) => Node::Duration(n.saturating_neg()),
-            _ => Node::Neg(known.place),
+            _ => Node::Neg(checked.node),
         };
-        self.known(span, node, ty, 1, &[&known])
+        self.checked(span, node, ty, 1, &[&checked])
     }
 
     /// A conjunction or disjunction of bools; `node` makes the one or the other of its parts.
-    pub(super) fn junction(
+    pub(super) fn logical(
         &mut self,
         span: Span,
         parts: &[Expr],
-        node: fn(Box<[Place]>) -> Node,
-    ) -> Known {
-        let known: Vec<Known> = parts.iter().map(|part| self.check(part)).collect();
-        let mut good = true;
-        for (part, known) in parts.iter().zip(&known) {
-            good &= self.is(known, part.span, &Type::Bool);
+        node: fn(Box<[NodeIndex]>) -> Node,
+    ) -> Checked {
+        let checked: Vec<Checked> = parts.iter().map(|part| self.check(part)).collect();
+        let mut well_typed = true;
+        for (part, checked) in parts.iter().zip(&checked) {
+            well_typed &= self.expect(checked, part.span, &Type::Bool);
         }
-        if !good {
-            return self.wrong();
+        if !well_typed {
+            return self.invalid();
         }
-        let places = known.iter().map(|known| known.place).collect();
-        self.known(
+        let nodes = checked.iter().map(|checked| checked.node).collect();
+        self.checked(
             span,
-            node(places),
+            node(nodes),
             Type::Bool,
             1,
-            &known.iter().collect::<Vec<_>>(),
+            &checked.iter().collect::<Vec<_>>(),
         )
     }
 
-    pub(super) fn binary(&mut self, span: Span, op: Op, left: &Expr, right: &Expr) -> Known {
+    pub(super) fn binary(&mut self, span: Span, op: Op, left: &Expr, right: &Expr) -> Checked {
         let (one, two) = (self.check(left), self.check(right));
         let (Some(first), Some(second)) = (one.ty.clone(), two.ty.clone()) else {
-            return self.wrong();
+            return self.invalid();
         };
         let (left, right) = (
             Operand::new(left, &one, first),
             Operand::new(right, &two, second),
         );
         match op {
-            Op::Else => self.otherwise(span, &left, &right),
-            Op::In => self.within(span, &left, &right),
+            Op::Else => self.coalesce(span, &left, &right),
+            Op::In => self.contained(span, &left, &right),
             Op::Eq | Op::Ne | Op::Lt | Op::Le | Op::Gt | Op::Ge => {
                 self.comparison(span, op, &left, &right)
             }
@@ -136,10 +144,10 @@
     }
 
     /// `left ?? right`: what stands for an optional value where it is absent.
-    fn otherwise(&mut self, span: Span, left: &Operand, right: &Operand) -> Known {
+    fn coalesce(&mut self, span: Span, left: &Operand, right: &Operand) -> Checked {
         let Type::Optional(inner) = &left.ty else {
             let what = format!("this is {}, and never absent", left.ty);
-            return self.fault(left.span, what, "always there");
+            return self.error(left.span, what, "always there");
         };
         let ty = match &right.ty {
             second if **inner == *second => (**inner).clone(),
@@ -147,17 +155,17 @@
             _ => return self.mismatch(right.span, inner, &right.ty),
         };
         let node = Node::Else {
-            left: left.known.place,
-            right: right.known.place,
+            left: left.checked.node,
+            right: right.checked.node,
         };
-        let known = self.known(span, node, ty, 1, &[left.known, right.known]);
-        Known {
-            len: left.known.len.max(right.known.len),
-            ..known
+        let checked = self.checked(span, node, ty, 1, &[left.checked, right.checked]);
+        Checked {
+            len: left.checked.len.max(right.checked.len),
+            ..checked
         }
     }
 
-    fn comparison(&mut self, span: Span, op: Op, left: &Operand, right: &Operand) -> Known {
+    fn comparison(&mut self, span: Span, op: Op, left: &Operand, right: &Operand) -> Checked {
         let ty = &left.ty;
         if *ty != right.ty {
             return self.mismatch(right.span, ty, &right.ty);
@@ -170,47 +178,59 @@
         };
         if !comparable {
             let what = format!("'{}' does not compare {ty}", op.sign());
-            let mut fault = Diagnostic::new(span, what, "not comparable");
+            let mut error = Diagnostic::new(span, what, "not comparable");
             if matches!(ty, Type::Optional(_)) {
-                fault = fault.help("say what stands for it where it is absent: `it ?? other`");
+                error = error.help("say what stands for it where it is absent: `it ?? other`");
             }
-            self.faults.push(fault);
-            return self.wrong();
+            self.errors.push(error);
+            return self.invalid();
         }
-        let own = 1 + through(left.known.len.min(right.known.len));
+        let own_steps = 1 + scan_steps(left.checked.len.min(right.checked.len));
         let node = Node::Compare {
             op,
-            left: left.known.place,
-            right: right.known.place,
+            left: left.checked.node,
+            right: right.checked.node,
         };
-        self.known(span, node, Type::Bool, own, &[left.known, right.known])
+        self.checked(
+            span,
+            node,
+            Type::Bool,
+            own_steps,
+            &[left.checked, right.checked],
+        )
     }
 
     /// Two texts, or the bytes of two, one behind the other.
-    fn join(&mut self, span: Span, left: &Operand, right: &Operand) -> Known {
+    fn join(&mut self, span: Span, left: &Operand, right: &Operand) -> Checked {
         if left.ty != right.ty {
             return self.mismatch(right.span, &left.ty, &right.ty);
         }
-        let len = left.known.len.saturating_add(right.known.len);
-        if len > MOST_STRING {
+        let len = left.checked.len.saturating_add(right.checked.len);
+        if len > MAX_STRING {
             let what =
-                format!("this may be {len} bytes long, and at most {MOST_STRING} are allowed");
-            return self.fault(span, what, "too long");
+                format!("this may be {len} bytes long, and at most {MAX_STRING} are allowed");
+            return self.error(span, what, "too long");
         }
         let node = Node::Join {
-            left: left.known.place,
-            right: right.known.place,
+            left: left.checked.node,
+            right: right.checked.node,
         };
-        let own = 1 + through(len);
-        let known = self.known(span, node, left.ty.clone(), own, &[left.known, right.known]);
-        Known {
+        let own_steps = 1 + scan_steps(len);
+        let checked = self.checked(
+            span,
+            node,
+            left.ty.clone(),
+            own_steps,
+            &[left.checked, right.checked],
+        );
+        Checked {
             len,
-            built: known.built.saturating_add(len),
-            ..known
+            built: checked.built.saturating_add(len),
+            ..checked
         }
     }
 
-    fn arithmetic(&mut self, span: Span, op: Op, left: &Operand, right: &Operand) -> Known {
+    fn arithmetic(&mut self, span: Span, op: Op, left: &Operand, right: &Operand) -> Checked {
         let ty = match (op, &left.ty, &right.ty) {
             (_, Type::Int, Type::Int) => Type::Int,
             (Op::Add | Op::Sub | Op::Mul | Op::Div, Type::Float, Type::Float) => Type::Float,
@@ -225,13 +245,13 @@
                     op.sign(),
                     left.ty
                 );
-                return self.fault(left.span, what, "no number");
+                return self.error(left.span, what, "no number");
             }
         };
-        let (a, b) = (left.known.place, right.known.place);
-        let parts = [left.known, right.known];
+        let (a, b) = (left.checked.node, right.checked.node);
+        let parts = [left.checked, right.checked];
         if !matches!(op, Op::Div | Op::Rem) {
-            return self.known(
+            return self.checked(
                 span,
                 Node::Arith {
                     op,
@@ -249,7 +269,7 @@
             _ => false,
         };
         let ty = if sure { ty } else { ty.optional() };
-        self.known(
+        self.checked(
             span,
             Node::Divide {
                 op,
@@ -262,69 +282,65 @@
         )
     }
 
-    fn within(&mut self, span: Span, left: &Operand, right: &Operand) -> Known {
+    /// `left in right`.
+    fn contained(&mut self, span: Span, left: &Operand, right: &Operand) -> Checked {
         let Type::List(item) = &right.ty else {
             let what = format!("a list is wanted behind 'in', this is {}", right.ty);
-            return self.fault(right.span, what, "no list");
+            return self.error(right.span, what, "no list");
         };
         if left.ty != **item {
             return self.mismatch(left.span, item, &left.ty);
         }
         if !left.ty.has_equality() {
-            return self.fault(
-                span,
-                format!("'in' does not compare {}", left.ty),
-                "not comparable",
-            );
+            let what = format!("'in' does not compare {}", left.ty);
+            return self.error(span, what, "not comparable");
         }
-        let (one, two) = (left.known, right.known);
-        // A list that is known beforehand is looked up and not gone through.
-        if let Node::List(items) = &self.nodes[two.place as usize] {
-            let texts = items.iter().map(|item| match &self.nodes[*item as usize] {
-                Node::Text(bytes) => Some(bytes.clone()),
-                _ => None,
-            });
-            if let Some(set) = texts.collect::<Option<FxHashSet<Box<[u8]>>>>() {
-                let own = 2 + through(one.len);
-                return self.known(
-                    span,
-                    Node::InTexts { of: one.place, set },
-                    Type::Bool,
-                    own,
-                    &[one],
-                );
-            }
-            let numbers = items.iter().map(|item| match &self.nodes[*item as usize] {
-                Node::Int(n) => Some(*n),
-                _ => None,
-            });
-            if let Some(set) = numbers.collect::<Option<FxHashSet<i64>>>() {
-                return self.known(
-                    span,
-                    Node::InInts { of: one.place, set },
-                    Type::Bool,
-                    2,
-                    &[one],
-                );
+        match self.constant_set(left.checked.node, right.checked.node) {
+            Some(node @ Node::InTexts { .. }) => {
+                let own_steps = 2 + scan_steps(left.checked.len);
+                self.checked(span, node, Type::Bool, own_steps, &[left.checked])
             }
+            Some(node) => self.checked(span, node, Type::Bool, 2, &[left.checked]),
+            None => self.contained_in_list(span, left.checked, right.checked),
         }
-        let compare = two
+    }
+
+    /// A list of constants becomes a set, which is looked up and not gone through.
+    fn constant_set(&self, of: NodeIndex, list: NodeIndex) -> Option<Node> {
+        let Node::List(items) = &self.nodes[list as usize] else {
+            return None;
+        };
+        let items = || items.iter().map(|item| &self.nodes[*item as usize]);
+        let texts = items().map(|item| match item {
+            Node::Text(bytes) => Some(bytes.clone()),
+            _ => None,
+        });
+        if let Some(set) = texts.collect::<Option<FxHashSet<Box<[u8]>>>>() {
+            return Some(Node::InTexts { of, set });
+        }
+        let numbers = items().map(|item| match item {
+            Node::Int(n) => Some(*n),
+            _ => None,
+        });
+        let set = numbers.collect::<Option<FxHashSet<i64>>>()?;
+        Some(Node::InInts { of, set })
+    }
+
+    fn contained_in_list(&mut self, span: Span, value: &Checked, list: &Checked) -> Checked {
+        let comparisons = list
             .len
-            .saturating_mul(1 + through(one.len.min(two.items.len)));
-        let own = compare.saturating_add(two.items.steps).saturating_add(1);
-        let known = self.known(
-            span,
-            Node::InList {
-                of: one.place,
-                list: two.place,
-            },
-            Type::Bool,
-            own,
-            &[one, two],
-        );
-        Known {
-            built: known.built.saturating_add(two.items.built),
-            ..known
+            .saturating_mul(1 + scan_steps(value.len.min(list.items.len)));
+        let own_steps = comparisons
+            .saturating_add(list.items.steps)
+            .saturating_add(1);
+        let node = Node::InList {
+            of: value.node,
+            list: list.node,
+        };
+        let checked = self.checked(span, node, Type::Bool, own_steps, &[value, list]);
+        Checked {
+            built: checked.built.saturating_add(list.items.built),
+            ..checked
         }
     }
 }
--- a/crates/expr/src/diagnostic.rs
+++ b/crates/expr/src/diagnostic.rs
@@ -2,15 +2,19 @@
 
 use miette::{GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource};
 
-use crate::Span;
+use crate::ast::Span;
 
+/// An error in a source, with its place.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct Diagnostic {
+    /// What is wrong.
     pub message: String,
+    /// Where.
     pub span: Span,
     /// What stands there, in a word or two.
     pub label: String,
+    /// What may have been meant.
     pub help: Option<String>,
 }
 
@@ -73,12 +77,12 @@
 }
 
 /// All of them as a person reads them, with the lines that they speak of.
-pub fn render(name: &str, source: &str, faults: &[Diagnostic]) -> String {
+pub fn render(name: &str, source: &str, errors: &[Diagnostic]) -> String {
     let handler =
         GraphicalReportHandler::new_themed(GraphicalTheme::unicode_nocolor()).with_width(100);
     let mut out = String::new();
-    for fault in faults {
-        let report = miette::Report::new(fault.clone())
+    for error in errors {
+        let report = miette::Report::new(error.clone())
             .with_source_code(NamedSource::new(name, source.to_string()));
         // Writing to memory can't fail.
         _ = handler.render_report(&mut out, report.as_ref());
--- a/crates/expr/src/eval.rs
+++ b/crates/expr/src/eval.rs
@@ -9,16 +9,26 @@
 use std::net::IpAddr;
 
 use self::numbers::{arithmetic, divide};
-use crate::check::{LOOKUP, through};
-use crate::program::{Field, Node, Place, Program};
+use crate::cost::{LOOKUP_STEPS, scan_steps};
+use crate::limits::MAX_NAMES;
+use crate::program::{Field, Node, NodeIndex, Program};
+use crate::request::Request;
 use crate::value::{List, Scratch, Text, Value};
-use crate::{MOST_NAMES, Request};
 
-pub(crate) fn run<'v, R: Request>(
-    program: &'v Program,
-    request: &'v R,
-    scratch: &mut Scratch,
-) -> Value<'v> {
+impl Program {
+    /// The value for one request. Texts that had to be built stand in `scratch` until the next evaluation
+    /// with it.
+    pub fn eval<'v, R: Request>(&'v self, request: &'v R, scratch: &mut Scratch) -> Value<'v> {
+        run(self, request, scratch)
+    }
+
+    /// The value where it is the truth or not.
+    pub fn is_true<R: Request>(&self, request: &R, scratch: &mut Scratch) -> bool {
+        self.eval(request, scratch).is_true()
+    }
+}
+
+fn run<'v, R: Request>(program: &'v Program, request: &'v R, scratch: &mut Scratch) -> Value<'v> {
     scratch.built.clear();
     // Had once; from then on a bound below it costs nothing.
     scratch.built.reserve(program.cost.bytes as usize);
@@ -27,7 +37,7 @@
         program,
         request,
         scratch,
-        slots: [Value::Absent; MOST_NAMES],
+        slots: [Value::Absent; MAX_NAMES],
     }
     .eval(program.root)
 }
@@ -36,7 +46,7 @@
     program: &'v Program,
     request: &'v R,
     scratch: &'s mut Scratch,
-    slots: [Value<'v>; MOST_NAMES],
+    slots: [Value<'v>; MAX_NAMES],
 }
 
 /// FNV-1a, so that a hash is the same on every node and after every start; without its sign, so that `%` of
@@ -91,7 +101,7 @@
         }
     }
 
-    fn int(&mut self, place: Place) -> i64 {
+    fn int(&mut self, place: NodeIndex) -> i64 {
         if let Value::Int(n) = self.eval(place) {
             n
         } else {
@@ -99,7 +109,7 @@
         }
     }
 
-    fn eval(&mut self, place: Place) -> Value<'v> {
+    fn eval(&mut self, place: NodeIndex) -> Value<'v> {
         match &self.program.nodes[place as usize] {
             Node::Compare { op, left, right } => self.compare(*op, *left, *right),
             Node::Call { fun, of, with } => self.call(*fun, *of, *with),
@@ -156,7 +166,7 @@
         match node {
             Node::InTexts { of, set } => {
                 let value = self.eval(*of);
-                self.step(1 + through(self.len(value)));
+                self.step(1 + scan_steps(self.len(value)));
                 Value::Bool(set.contains(self.bytes(value)))
             }
             Node::InInts { of, set } => {
@@ -182,7 +192,7 @@
             },
             Node::Substring { of, from, count } => {
                 let (value, from, count) = (self.eval(*of), self.int(*from), self.int(*count));
-                self.step(through(self.len(value)));
+                self.step(scan_steps(self.len(value)));
                 self.substring(value, from, count)
             }
             Node::Each {
@@ -206,7 +216,7 @@
     }
 
     fn concatenate(&mut self, left: Value<'v>, right: Value<'v>) -> Value<'v> {
-        self.step(through(self.len(left) + self.len(right)));
+        self.step(scan_steps(self.len(left) + self.len(right)));
         match (left, right) {
             (Value::Text(left), Value::Text(right)) => Value::Text(self.join(left, right)),
             _ => Value::Absent,
@@ -216,7 +226,7 @@
     fn list_contains(&mut self, list: List<'v>, value: Value<'v>) -> bool {
         let mut found = false;
         self.items(list, &mut |eval, item| {
-            eval.step(1 + through(eval.len(value).min(eval.len(item))));
+            eval.step(1 + scan_steps(eval.len(value).min(eval.len(item))));
             found = eval.order(value, item) == Some(Ordering::Equal);
             !found
         });
@@ -267,14 +277,14 @@
     }
 
     fn variable(&mut self, name: &str, raw: bool) -> Value<'v> {
-        self.step(LOOKUP - 1);
+        self.step(LOOKUP_STEPS - 1);
         let found = self.request.variable(name);
         let Some(bytes) = found.filter(|bytes| bytes.len() as u64 <= self.program.limits.variable)
         else {
             return Value::Absent;
         };
         if !raw {
-            self.step(through(bytes.len() as u64));
+            self.step(scan_steps(bytes.len() as u64));
             if std::str::from_utf8(bytes).is_err() {
                 return Value::Absent;
             }
@@ -288,7 +298,7 @@
         if query.len() as u64 > self.program.limits.variable {
             return Value::Absent;
         }
-        self.step(through(query.len() as u64));
+        self.step(scan_steps(query.len() as u64));
         let mut found = query.split('&').filter_map(|pair| {
             let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
             (key == name).then_some(value)
--- a/crates/expr/src/eval/functions.rs
+++ b/crates/expr/src/eval/functions.rs
@@ -3,10 +3,10 @@
 use std::cmp::Ordering;
 
 use super::{Eval, find, hash, part, utf8};
-use crate::Request;
 use crate::ast::Op;
-use crate::check::through;
-use crate::program::{Field, Fun, Place};
+use crate::cost::scan_steps;
+use crate::program::{Field, Function, NodeIndex};
+use crate::request::Request;
 use crate::value::{List, Text, Value};
 
 impl<'v, R: Request> Eval<'v, '_, R> {
@@ -73,9 +73,9 @@
         }
     }
 
-    pub(super) fn compare(&mut self, op: Op, left: Place, right: Place) -> Value<'v> {
+    pub(super) fn compare(&mut self, op: Op, left: NodeIndex, right: NodeIndex) -> Value<'v> {
         let (left, right) = (self.eval(left), self.eval(right));
-        self.step(1 + through(self.len(left).min(self.len(right))));
+        self.step(1 + scan_steps(self.len(left).min(self.len(right))));
         let order = self.order(left, right);
         Value::Bool(match op {
             Op::Eq => order == Some(Ordering::Equal),
@@ -87,47 +87,56 @@
         })
     }
 
-    pub(super) fn call(&mut self, fun: Fun, of: Place, with: Option<Place>) -> Value<'v> {
+    pub(super) fn call(
+        &mut self,
+        fun: Function,
+        of: NodeIndex,
+        with: Option<NodeIndex>,
+    ) -> Value<'v> {
         let value = self.eval(of);
         let other = with.map_or(Value::Absent, |with| self.eval(with));
         let len = self.len(value);
         self.step(own_steps(fun, len, self.len(other)));
         match fun {
-            Fun::Lower => self.recase(value, u8::is_ascii_uppercase, <[u8]>::make_ascii_lowercase),
-            Fun::Upper => self.recase(value, u8::is_ascii_lowercase, <[u8]>::make_ascii_uppercase),
-            Fun::Trim => self.trim(value),
-            Fun::Length => Value::Int(len as i64),
-            Fun::Count => self.count(value),
-            Fun::Hash => Value::Int(hash(self.bytes(value))),
-            Fun::Hex => self.hex(value),
-            Fun::ParseInt => utf8(self.bytes(value))
+            Function::Lower => {
+                self.recase(value, u8::is_ascii_uppercase, <[u8]>::make_ascii_lowercase)
+            }
+            Function::Upper => {
+                self.recase(value, u8::is_ascii_lowercase, <[u8]>::make_ascii_uppercase)
+            }
+            Function::Trim => self.trim(value),
+            Function::Length => Value::Int(len as i64),
+            Function::Count => self.count(value),
+            Function::Hash => Value::Int(hash(self.bytes(value))),
+            Function::Hex => self.hex(value),
+            Function::ParseInt => utf8(self.bytes(value))
                 .parse()
                 .map_or(Value::Absent, Value::Int),
-            Fun::ParseFloat => match utf8(self.bytes(value)).parse::<f64>() {
+            Function::ParseFloat => match utf8(self.bytes(value)).parse::<f64>() {
                 Ok(number) if number.is_finite() => Value::Float(number),
                 _ => Value::Absent,
             },
-            Fun::FloatToInt | Fun::IntToFloat => convert(value),
-            Fun::BytesToText if std::str::from_utf8(self.bytes(value)).is_ok() => value,
-            Fun::BytesToText => Value::Absent,
-            Fun::Present => Value::Bool(value != Value::Absent),
-            Fun::Segment => {
+            Function::FloatToInt | Function::IntToFloat => convert(value),
+            Function::BytesToText if std::str::from_utf8(self.bytes(value)).is_ok() => value,
+            Function::BytesToText => Value::Absent,
+            Function::Present => Value::Bool(value != Value::Absent),
+            Function::Segment => {
                 let Value::Int(place) = value else {
                     return value;
                 };
                 let segments = self.field(Field::Segments);
                 self.get(segments, place)
             }
-            Fun::StartsWith => Value::Bool(self.bytes(value).starts_with(self.bytes(other))),
-            Fun::EndsWith => Value::Bool(self.bytes(value).ends_with(self.bytes(other))),
-            Fun::Contains => Value::Bool(find(self.bytes(value), self.bytes(other)).is_some()),
-            Fun::Get => match other {
+            Function::StartsWith => Value::Bool(self.bytes(value).starts_with(self.bytes(other))),
+            Function::EndsWith => Value::Bool(self.bytes(value).ends_with(self.bytes(other))),
+            Function::Contains => Value::Bool(find(self.bytes(value), self.bytes(other)).is_some()),
+            Function::Get => match other {
                 Value::Int(place) => self.get(value, place),
                 _ => Value::Absent,
             },
-            Fun::Min if self.order(other, value) == Some(Ordering::Less) => other,
-            Fun::Max if self.order(other, value) == Some(Ordering::Greater) => other,
-            Fun::Min | Fun::Max => value,
+            Function::Min if self.order(other, value) == Some(Ordering::Less) => other,
+            Function::Max if self.order(other, value) == Some(Ordering::Greater) => other,
+            Function::Min | Function::Max => value,
         }
     }
 
@@ -167,18 +176,18 @@
 
 /// Steps that a function takes by itself over a value and another of these lengths in bytes, as the check
 /// bounds them.
-fn own_steps(fun: Fun, len: u64, other_len: u64) -> u64 {
+fn own_steps(fun: Function, len: u64, other_len: u64) -> u64 {
     match fun {
-        Fun::Lower
-        | Fun::Upper
-        | Fun::Trim
-        | Fun::ParseInt
-        | Fun::ParseFloat
-        | Fun::BytesToText => 1 + through(len),
-        Fun::Hash => 1 + len,
-        Fun::Hex => 2,
-        Fun::StartsWith | Fun::EndsWith => 1 + through(len.min(other_len)),
-        Fun::Contains => (1 + through(len)).saturating_mul(1 + through(other_len)),
+        Function::Lower
+        | Function::Upper
+        | Function::Trim
+        | Function::ParseInt
+        | Function::ParseFloat
+        | Function::BytesToText => 1 + scan_steps(len),
+        Function::Hash => 1 + len,
+        Function::Hex => 2,
+        Function::StartsWith | Function::EndsWith => 1 + scan_steps(len.min(other_len)),
+        Function::Contains => (1 + scan_steps(len)).saturating_mul(1 + scan_steps(other_len)),
         _ => 1,
     }
 }
--- a/crates/expr/src/eval/lists.rs
+++ b/crates/expr/src/eval/lists.rs
@@ -1,9 +1,9 @@
 //! Lists, whose items are made as they are looked at.
 
 use super::{Eval, find, part};
-use crate::Request;
-use crate::check::through;
-use crate::program::{Loop, Place};
+use crate::cost::scan_steps;
+use crate::program::{Loop, NodeIndex};
+use crate::request::Request;
 use crate::value::{List, Text, Value};
 
 impl<'v, R: Request> Eval<'v, '_, R> {
@@ -24,7 +24,7 @@
                 }
             }
             List::Split { text, by, most } => {
-                self.step(through(self.scratch.text(text).len() as u64));
+                self.step(scan_steps(self.scratch.text(text).len() as u64));
                 let mut from = 0;
                 for nth in 1..=most {
                     self.step(1);
@@ -43,7 +43,7 @@
                 }
             }
             List::Segments { path, most } => {
-                self.step(through(path.len() as u64));
+                self.step(scan_steps(path.len() as u64));
                 if path.is_empty() {
                     return;
                 }
@@ -57,7 +57,13 @@
         }
     }
 
-    pub(super) fn each(&mut self, kind: Loop, list: Place, slot: u8, body: Place) -> Value<'v> {
+    pub(super) fn each(
+        &mut self,
+        kind: Loop,
+        list: NodeIndex,
+        slot: u8,
+        body: NodeIndex,
+    ) -> Value<'v> {
         let Value::List(list) = self.eval(list) else {
             return Value::Absent;
         };
--- a/crates/expr/src/functions.rs
+++ b/crates/expr/src/functions.rs
@@ -1,7 +1,7 @@
 //! The names that an expression may use: values of the request, and functions.
 
-use crate::Type;
 use crate::program::Field;
+use crate::types::Type;
 
 /// Values of the request: name, place, type.
 pub(crate) fn field(name: &str) -> Option<(Field, Type)> {
--- a/crates/expr/src/lex.rs
+++ b/crates/expr/src/lex.rs
@@ -1,5 +1,4 @@
-//! Source to words, on winnow. What can't be a word is told and passed over, so that the rest is read as
-//! well.
+//! Source to tokens, with winnow. What is no token is reported and skipped, so that the rest is read as well.
 
 use winnow::Parser;
 use winnow::ascii::{digit1, multispace1};
@@ -7,10 +6,11 @@
 use winnow::error::EmptyError;
 use winnow::token::{one_of, take_till, take_while};
 
-use crate::{Diagnostic, Span};
+use crate::ast::Span;
+use crate::diagnostic::Diagnostic;
 
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Word {
+pub(crate) enum Token {
     Int(i64),
     Float(f64),
     Duration(i64),
@@ -35,6 +35,37 @@
     ("h", 3.6e9),
 ];
 
+/// Why a piece of the source is no token.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum LexError {
+    #[error("an escape \\x wants two hex digits")]
+    HexEscape,
+    #[error("an escape is one of \\n \\r \\t \\0 \\\" \\\\ \\xHH")]
+    UnknownEscape,
+    #[error("a string without its end")]
+    UnterminatedString,
+    #[error("a number that can't be read")]
+    InvalidNumber,
+    #[error("a unit of time is us, ms, s, m or h")]
+    UnknownUnit,
+    #[error("a whole number is at most 9223372036854775807")]
+    IntTooLarge,
+    #[error("this is no text; write b\"...\" for bytes")]
+    NotUtf8,
+    #[error("this sign means nothing here")]
+    UnknownSign,
+}
+
+impl LexError {
+    /// Whether the end of the token is unknown, so that nothing after it can be read.
+    fn hides_the_rest(self) -> bool {
+        matches!(
+            self,
+            LexError::HexEscape | LexError::UnknownEscape | LexError::UnterminatedString
+        )
+    }
+}
+
 type Lexed<T> = Result<T, EmptyError>;
 
 fn blank(input: &mut &str) -> Lexed<()> {
@@ -68,7 +99,7 @@
 }
 
 /// What stands between two quotes, with its escapes; none where there is no second one.
-fn quoted(input: &mut &str) -> Result<Vec<u8>, &'static str> {
+fn quoted(input: &mut &str) -> Result<Vec<u8>, LexError> {
     let mut out = Vec::new();
     let mut chars = input.char_indices();
     chars.next();
@@ -89,95 +120,94 @@
                     let digit = |c: Option<(usize, char)>| c.and_then(|(_, c)| c.to_digit(16));
                     match (digit(digits.0), digit(digits.1)) {
                         (Some(high), Some(low)) => out.push((high * 16 + low) as u8),
-                        _ => return Err("an escape \\x wants two hex digits"),
+                        _ => return Err(LexError::HexEscape),
                     }
                 }
-                _ => return Err("an escape is one of \\n \\r \\t \\0 \\\" \\\\ \\xHH"),
+                _ => return Err(LexError::UnknownEscape),
             },
             c => out.extend(c.encode_utf8(&mut [0; 4]).bytes()),
         }
     }
-    Err("a string without its end")
+    Err(LexError::UnterminatedString)
 }
 
-pub(crate) fn lex(source: &str) -> (Vec<(Word, Span)>, Vec<Diagnostic>) {
-    let (mut words, mut faults) = (Vec::new(), Vec::new());
+pub(crate) fn lex(source: &str) -> (Vec<(Token, Span)>, Vec<Diagnostic>) {
+    let (mut tokens, mut errors) = (Vec::new(), Vec::new());
     let mut input = source;
     loop {
         _ = blank(&mut input);
         let from = source.len() - input.len();
         let Some(first) = input.chars().next() else {
-            words.push((Word::End, Span { from, to: from }));
-            return (words, faults);
+            tokens.push((Token::End, Span { from, to: from }));
+            return (tokens, errors);
         };
-        let word = word(&mut input, first);
+        let token = token(&mut input, first);
         let span = Span {
             from,
             to: source.len() - input.len(),
         };
-        match word {
-            Ok(word) => words.push((word, span)),
-            Err(what) => {
-                if what.contains("string") || what.contains("escape") {
-                    // Where it ends is not known, so nothing after it is read.
+        match token {
+            Ok(token) => tokens.push((token, span)),
+            Err(error) => {
+                if error.hides_the_rest() {
                     let span = Span {
                         from,
                         to: source.len(),
                     };
-                    faults.push(Diagnostic::new(span, what, "from here"));
-                    words.push((Word::End, span));
-                    return (words, faults);
+                    errors.push(Diagnostic::new(span, error.to_string(), "from here"));
+                    tokens.push((Token::End, span));
+                    return (tokens, errors);
                 }
-                faults.push(Diagnostic::new(span, what, "here"));
+                errors.push(Diagnostic::new(span, error.to_string(), "here"));
             }
         }
     }
 }
 
-fn word(input: &mut &str, first: char) -> Result<Word, &'static str> {
+fn token(input: &mut &str, first: char) -> Result<Token, LexError> {
     if first.is_ascii_digit() {
-        let (digits, is_float) = number(input).map_err(|_| "a number that can't be read")?;
+        let (digits, is_float) = number(input).map_err(|_| LexError::InvalidNumber)?;
         let before = *input;
         if let Ok(unit) = name(input) {
             let Some((_, micros)) = UNITS.iter().find(|(known, _)| *known == unit) else {
-                return Err("a unit of time is us, ms, s, m or h");
+                return Err(LexError::UnknownUnit);
             };
-            let number: f64 = digits.parse().map_err(|_| "a number that can't be read")?;
-            return Ok(Word::Duration((number * micros) as i64));
+            let number: f64 = digits.parse().map_err(|_| LexError::InvalidNumber)?;
+            return Ok(Token::Duration((number * micros) as i64));
         }
         *input = before;
         return match is_float {
             true => digits
                 .parse()
-                .map(Word::Float)
-                .map_err(|_| "a number that can't be read"),
+                .map(Token::Float)
+                .map_err(|_| LexError::InvalidNumber),
             false => digits
                 .parse()
-                .map(Word::Int)
-                .map_err(|_| "a whole number is at most 9223372036854775807"),
+                .map(Token::Int)
+                .map_err(|_| LexError::IntTooLarge),
         };
     }
     if input.starts_with("b\"") {
         *input = &input[1..];
-        return quoted(input).map(Word::Bytes);
+        return quoted(input).map(Token::Bytes);
     }
     if first == '"' {
         let bytes = quoted(input)?;
         return String::from_utf8(bytes)
-            .map(Word::Str)
-            .map_err(|_| "this is no text; write b\"...\" for bytes");
+            .map(Token::Str)
+            .map_err(|_| LexError::NotUtf8);
     }
     if let Ok(name) = name(input) {
-        return Ok(Word::Name(name.to_string()));
+        return Ok(Token::Name(name.to_string()));
     }
     match SIGNS.iter().find(|sign| input.starts_with(**sign)) {
         Some(sign) => {
             *input = &input[sign.len()..];
-            Ok(Word::Sign(sign))
+            Ok(Token::Sign(sign))
         }
         None => {
             *input = &input[first.len_utf8()..];
-            Err("this sign means nothing here")
+            Err(LexError::UnknownSign)
         }
     }
 }
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -19,12 +19,16 @@
 //!
 //! The language itself is described in `docs/expressions.md`.
 
+#![warn(missing_docs)]
+
 mod ast;
 mod check;
+mod cost;
 mod diagnostic;
 mod eval;
 mod functions;
 mod lex;
+mod limits;
 mod parse;
 mod program;
 mod request;
@@ -32,51 +36,18 @@
 mod value;
 
 pub use ast::{Expr, Kind, Op, Span};
+pub use cost::Cost;
 pub use diagnostic::{Diagnostic, render};
-pub use program::{Cost, Program};
-pub use request::{Request, Written, cgi_name};
+pub use limits::{Limits, MAX_DEPTH, MAX_NAMES, MAX_REGEX, MAX_SOURCE, MAX_STRING};
+pub use program::Program;
+pub use request::{LiteralRequest, Request, cgi_name};
 pub use types::Type;
 pub use value::{List, Scratch, Text, Value};
 
-/// Bytes of source that one expression may have.
-pub const MOST_SOURCE: usize = 8 * 1024;
-/// How deep expressions may stand within each other.
-pub const MOST_DEPTH: usize = 48;
-/// Names that one expression may bind.
-pub const MOST_NAMES: usize = 16;
-/// Bytes that any one string may have.
-pub const MOST_STRING: u64 = 64 * 1024;
-/// Bytes that a compiled regular expression may take.
-pub const MOST_REGEX: usize = 256 * 1024;
-
-/// What requests hold at the most, and what an expression over them may cost.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
-    /// Steps that one evaluation may take.
-    pub max_cost: u64,
-    /// Bytes of any one variable, of the path and of the query.
-    pub variable: u64,
-    /// Bytes of the body that an expression sees.
-    pub body: u64,
-    /// Segments of the path that an expression sees.
-    pub segments: u64,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Limits {
-            max_cost: 20_000,
-            variable: 4096,
-            body: 256,
-            segments: 32,
-        }
-    }
-}
-
 /// Reads, checks and compiles an expression whose value is to be of type `want`.
 ///
 /// # Errors
-/// Every fault that could be told apart, in the order of their places.
+/// Every error that could be told apart, in the order of their places.
 pub fn compile(source: &str, want: &Type, limits: Limits) -> Result<Program, Vec<Diagnostic>> {
     check::compile(&parse(source)?, Some(want), limits)
 }
@@ -89,7 +60,7 @@
 /// As [`infer`], of an expression that was read before.
 ///
 /// # Errors
-/// Every fault that could be told apart, in the order of their places.
+/// Every error that could be told apart, in the order of their places.
 pub fn infer_parsed(expr: &Expr, limits: Limits) -> Result<Program, Vec<Diagnostic>> {
     check::compile(expr, None, limits)
 }
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -8,17 +8,11 @@
 use rustc_hash::FxHashSet;
 
 use crate::ast::Op;
-use crate::{Request, Scratch, Type, Value};
+use crate::cost::Cost;
+use crate::limits::Limits;
+use crate::types::Type;
 
-/// What one evaluation costs at the most.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cost {
-    pub steps: u64,
-    /// Bytes of strings that have to be built.
-    pub bytes: u64,
-}
-
-pub(crate) type Place = u32;
+pub(crate) type NodeIndex = u32;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Field {
@@ -42,7 +36,7 @@
 
 /// Functions of one or two values that need nothing else.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Fun {
+pub(crate) enum Function {
     Lower,
     Upper,
     Trim,
@@ -82,82 +76,82 @@
     Slot(u8),
     Let {
         slot: u8,
-        value: Place,
-        body: Place,
+        value: NodeIndex,
+        body: NodeIndex,
     },
     If {
-        when: Place,
-        then: Place,
-        other: Place,
-    },
-    All(Box<[Place]>),
-    Any(Box<[Place]>),
-    Not(Place),
-    Neg(Place),
+        when: NodeIndex,
+        then: NodeIndex,
+        other: NodeIndex,
+    },
+    All(Box<[NodeIndex]>),
+    Any(Box<[NodeIndex]>),
+    Not(NodeIndex),
+    Neg(NodeIndex),
     Arith {
         op: Op,
-        left: Place,
-        right: Place,
+        left: NodeIndex,
+        right: NodeIndex,
     },
     /// Division whose divisor may be nothing: absent then.
     Divide {
         op: Op,
-        left: Place,
-        right: Place,
+        left: NodeIndex,
+        right: NodeIndex,
     },
     Join {
-        left: Place,
-        right: Place,
+        left: NodeIndex,
+        right: NodeIndex,
     },
     Compare {
         op: Op,
-        left: Place,
-        right: Place,
+        left: NodeIndex,
+        right: NodeIndex,
     },
     Else {
-        left: Place,
-        right: Place,
+        left: NodeIndex,
+        right: NodeIndex,
     },
     InTexts {
-        of: Place,
+        of: NodeIndex,
         set: FxHashSet<Box<[u8]>>,
     },
     InInts {
-        of: Place,
+        of: NodeIndex,
         set: FxHashSet<i64>,
     },
     InList {
-        of: Place,
-        list: Place,
+        of: NodeIndex,
+        list: NodeIndex,
     },
-    List(Box<[Place]>),
+    List(Box<[NodeIndex]>),
     Split {
-        of: Place,
+        of: NodeIndex,
         by: Box<[u8]>,
         most: u32,
     },
     Substring {
-        of: Place,
-        from: Place,
-        count: Place,
+        of: NodeIndex,
+        from: NodeIndex,
+        count: NodeIndex,
     },
     Call {
-        fun: Fun,
-        of: Place,
-        with: Option<Place>,
+        fun: Function,
+        of: NodeIndex,
+        with: Option<NodeIndex>,
     },
     Each {
         kind: Loop,
-        list: Place,
+        list: NodeIndex,
         slot: u8,
-        body: Place,
+        body: NodeIndex,
     },
     Matches {
-        of: Place,
+        of: NodeIndex,
         regex: Box<Regex>,
     },
     Networks {
-        of: Place,
+        of: NodeIndex,
         nets: Box<[(IpAddr, u8)]>,
     },
 }
@@ -166,13 +160,14 @@
 #[derive(Clone, Debug)]
 pub struct Program {
     pub(crate) nodes: Vec<Node>,
-    pub(crate) root: Place,
+    pub(crate) root: NodeIndex,
     pub(crate) ty: Type,
     pub(crate) cost: Cost,
-    pub(crate) limits: crate::Limits,
+    pub(crate) limits: Limits,
 }
 
 impl Program {
+    /// The type of its value.
     pub fn ty(&self) -> &Type {
         &self.ty
     }
@@ -182,17 +177,6 @@
         self.cost
     }
 
-    /// The value for one request. Texts that had to be built stand in `scratch` until the next evaluation
-    /// with it.
-    pub fn eval<'v, R: Request>(&'v self, request: &'v R, scratch: &mut Scratch) -> Value<'v> {
-        crate::eval::run(self, request, scratch)
-    }
-
-    /// The value where it is the truth or not.
-    pub fn is_true<R: Request>(&self, request: &R, scratch: &mut Scratch) -> bool {
-        self.eval(request, scratch).is_true()
-    }
-
     /// Type, bounds and compiled form, for people.
     pub fn explain(&self) -> String {
         let mut out = format!(
@@ -200,7 +184,7 @@
             self.ty, self.cost.steps, self.cost.bytes
         );
         for (place, node) in self.nodes.iter().enumerate() {
-            let mark = if place as Place == self.root {
+            let mark = if place as NodeIndex == self.root {
                 "=>"
             } else {
                 "  "
--- a/crates/expr/src/request.rs
+++ b/crates/expr/src/request.rs
@@ -4,6 +4,7 @@
 
 /// A request as its front read it. Texts are what came, undecoded.
 pub trait Request {
+    /// The method, such as `POST`.
     fn method(&self) -> &str;
     /// Without the query.
     fn path(&self) -> &str;
@@ -14,9 +15,11 @@
     fn variable(&self, name: &str) -> Option<&[u8]>;
     /// The first bytes of the body.
     fn body(&self) -> &[u8];
+    /// Length of the whole body, in bytes.
     fn body_length(&self) -> u64;
     /// The word for the front on which it came.
     fn front(&self) -> &str;
+    /// The address that it came from.
     fn peer(&self) -> IpAddr;
     /// Microseconds since midnight, UTC.
     fn time_of_day(&self) -> i64;
@@ -24,7 +27,7 @@
 
 /// The name that CGI gives to a header: `x-yard` is `HTTP_X_YARD`.
 pub fn cgi_name(header: &str) -> String {
-    let word: String = header
+    let variable: String = header
         .chars()
         .map(|c| {
             if c == '-' {
@@ -34,30 +37,36 @@
             }
         })
         .collect();
-    match word.as_str() {
-        "CONTENT_TYPE" | "CONTENT_LENGTH" => word,
-        _ => format!("HTTP_{word}"),
+    match variable.as_str() {
+        "CONTENT_TYPE" | "CONTENT_LENGTH" => variable,
+        _ => format!("HTTP_{variable}"),
     }
 }
 
 /// A request that was written down and not received: for trying expressions, and for tests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Written {
+pub struct LiteralRequest {
+    /// The method.
     pub method: String,
+    /// The path, without the query.
     pub path: String,
+    /// What follows the question mark.
     pub query: String,
     /// By their CGI names, in order; one may be there twice.
     pub variables: Vec<(String, Vec<u8>)>,
+    /// The body.
     pub body: Vec<u8>,
+    /// The name of the listener.
     pub front: String,
+    /// The caller's address.
     pub peer: IpAddr,
     /// Microseconds since midnight, UTC.
     pub time_of_day: i64,
 }
 
-impl Default for Written {
+impl Default for LiteralRequest {
     fn default() -> Self {
-        Written {
+        LiteralRequest {
             method: "POST".into(),
             path: "/".into(),
             query: String::new(),
@@ -70,15 +79,15 @@
     }
 }
 
-impl Written {
+impl LiteralRequest {
     /// A booking, for benches and tests.
-    pub fn example() -> Written {
-        Written {
+    pub fn example() -> LiteralRequest {
+        LiteralRequest {
             path: "/book/north/berth-4".into(),
             query: "day=sat&boat=12".into(),
             body: b"berth=4;nights=2".to_vec(),
             peer: Ipv4Addr::new(10, 1, 2, 3).into(),
-            ..Written::default()
+            ..LiteralRequest::default()
         }
         .header("host", "x")
         .header("accept", "*")
@@ -86,13 +95,13 @@
     }
 
     /// A header that it has, named as in HTTP.
-    pub fn header(mut self, name: &str, value: impl Into<Vec<u8>>) -> Written {
+    pub fn header(mut self, name: &str, value: impl Into<Vec<u8>>) -> LiteralRequest {
         self.variables.push((cgi_name(name), value.into()));
         self
     }
 }
 
-impl Request for Written {
+impl Request for LiteralRequest {
     fn method(&self) -> &str {
         &self.method
     }
--- a/crates/expr/src/types.rs
+++ b/crates/expr/src/types.rs
@@ -2,27 +2,36 @@
 
 use std::fmt;
 
+/// The type of an expression.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Type {
+    /// `true` or `false`.
     Bool,
+    /// A signed number of 64 bits; arithmetic saturates.
     Int,
+    /// A finite number of 64 bits.
     Float,
     /// Text in UTF-8.
     Str,
+    /// Any bytes.
     Bytes,
+    /// A duration in microseconds.
     Duration,
     /// An IP address.
     Addr,
+    /// A list of values of one type.
     List(Box<Type>),
     /// A value that may be absent.
     Optional(Box<Type>),
 }
 
 impl Type {
+    /// This type, where the value may be absent.
     pub fn optional(self) -> Type {
         Type::Optional(Box::new(self))
     }
 
+    /// A list of this type.
     pub fn list(self) -> Type {
         Type::List(Box::new(self))
     }
--- a/crates/expr/tests/allocation.rs
+++ b/crates/expr/tests/allocation.rs
@@ -3,7 +3,7 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
-use doortrack_expr::{Limits, Scratch, Written, infer};
+use doortrack_expr::{Limits, LiteralRequest, Scratch, infer};
 
 struct Counting;
 
@@ -28,7 +28,7 @@
 
 #[test]
 fn typical_expressions_allocate_nothing() {
-    let asked = Written::example();
+    let asked = LiteralRequest::example();
     for source in [
         "path.starts_with(\"/book/\")",
         "(segment(1) ?? \"\") in [\"north\", \"south\", \"east\", \"west\"]",
--- a/crates/expr/tests/expr/language.rs
+++ b/crates/expr/tests/expr/language.rs
@@ -1,6 +1,6 @@
 //! Known sources: their values, or what is told of them and where.
 
-use doortrack_expr::{Limits, MOST_SOURCE, Scratch, Type, Written, compile, infer, render};
+use doortrack_expr::{Limits, LiteralRequest, MAX_SOURCE, Scratch, Type, compile, infer, render};
 
 use crate::asked;
 use crate::reference::{Plain, plain};
@@ -280,7 +280,7 @@
     ] {
         for count in [100, 2000] {
             let source = open.repeat(count) + "1" + &close.repeat(count);
-            if source.len() > MOST_SOURCE {
+            if source.len() > MAX_SOURCE {
                 continue;
             }
             let faults = infer(&source, Limits::default()).unwrap_err();
@@ -322,7 +322,7 @@
         segments: 2,
         ..Limits::default()
     };
-    let asked = Written {
+    let asked = LiteralRequest {
         path: format!("/{}", "a".repeat(5000)),
         ..asked()
     };
--- a/crates/expr/tests/expr/main.rs
+++ b/crates/expr/tests/expr/main.rs
@@ -6,18 +6,18 @@
 mod random;
 mod reference;
 
-use doortrack_expr::Written;
+use doortrack_expr::LiteralRequest;
 
 /// A request with something of each kind.
-pub fn asked() -> Written {
-    let mut asked = Written {
+pub fn asked() -> LiteralRequest {
+    let mut asked = LiteralRequest {
         path: "/book/north/berth-4".into(),
         query: "day=sat&boat=12&boat=13".into(),
         body: b"berth=4;nights=2;name=Ana".to_vec(),
         front: "uwsgi".into(),
         peer: "10.1.2.3".parse().unwrap(),
         time_of_day: 9 * 3_600_000_000,
-        ..Written::default()
+        ..LiteralRequest::default()
     }
     .header("x-yard", "North")
     .header("x-length", "12")
--- a/crates/expr/tests/expr/random.rs
+++ b/crates/expr/tests/expr/random.rs
@@ -1,6 +1,6 @@
 //! Random expressions of a wanted type, compiled and read plainly: the same value, within the bound of cost.
 
-use doortrack_expr::{Limits, Scratch, Type, Written, compile, infer, parse};
+use doortrack_expr::{Limits, LiteralRequest, Scratch, Type, compile, infer, parse};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -242,9 +242,9 @@
 }
 
 /// Requests small and as large as the limits allow.
-fn request() -> impl Strategy<Value = Written> {
+fn request() -> impl Strategy<Value = LiteralRequest> {
     (0..4u8, "[a-z/]{0,40}", any::<[u8; 4]>()).prop_map(|(kind, path, addr)| {
-        let mut asked = Written {
+        let mut asked = LiteralRequest {
             path: format!("/{path}"),
             peer: addr.into(),
             ..asked()
--- a/crates/expr/tests/expr/reference.rs
+++ b/crates/expr/tests/expr/reference.rs
@@ -3,7 +3,9 @@
 
 use std::net::IpAddr;
 
-use doortrack_expr::{Expr, Kind, List, Op, Request, Scratch, Text, Value, Written, cgi_name};
+use doortrack_expr::{
+    Expr, Kind, List, LiteralRequest, Op, Request, Scratch, Text, Value, cgi_name,
+};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Plain {
@@ -42,7 +44,7 @@
 }
 
 pub struct Reference<'r> {
-    pub request: &'r Written,
+    pub request: &'r LiteralRequest,
     pub names: Vec<(String, Plain)>,
 }
 
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use doortrack_config::{Installation, NodeConfig, file, node_config};
-use doortrack_expr::{Scratch, Written};
+use doortrack_expr::{LiteralRequest, Scratch};
 use doortrack_fault_harness::scale::fit::fit;
 use doortrack_fault_harness::scale::node_cost::caller::{Outcome, Outcomes, paced};
 use doortrack_fault_harness::scale::node_cost::process::Log;
@@ -118,10 +118,10 @@
 }
 
 fn group_of(table: &Table, path: &str) -> Option<u8> {
-    let request = Written {
+    let request = LiteralRequest {
         path: path.into(),
         method: "POST".into(),
-        ..Written::default()
+        ..LiteralRequest::default()
     };
     match table.classify(&request, &mut Scratch::default()) {
         Classed::As(class) => Some(class.group),
--- a/crates/node/src/commands/expr.rs
+++ b/crates/node/src/commands/expr.rs
@@ -3,7 +3,9 @@
 use std::path::{Path, PathBuf};
 
 use clap::Subcommand;
-use doortrack_expr::{Limits, List, Program, Request, Scratch, Value, Written, infer, render};
+use doortrack_expr::{
+    Limits, List, LiteralRequest, Program, Request, Scratch, Value, infer, render,
+};
 
 use super::input;
 
@@ -44,7 +46,7 @@
             let program = program("expression", expression)?;
             let request = request
                 .as_deref()
-                .map_or_else(|| Ok(Written::default()), read)?;
+                .map_or_else(|| Ok(LiteralRequest::default()), read)?;
             let mut scratch = Scratch::default();
             let value = program.eval(&request, &mut scratch);
             let shown = show(&value, &scratch, &request);
@@ -62,7 +64,7 @@
     }
 }
 
-fn read(path: &Path) -> Result<Written, String> {
+fn read(path: &Path) -> Result<LiteralRequest, String> {
     input::read(path).map_err(|faults| faults.to_string())
 }
 
@@ -71,7 +73,7 @@
         .map_err(|faults| render(name, source, &faults).trim_end().to_string())
 }
 
-fn show(value: &Value, scratch: &Scratch, request: &Written) -> String {
+fn show(value: &Value, scratch: &Scratch, request: &LiteralRequest) -> String {
     match value {
         Value::Absent => "absent".into(),
         Value::Bool(truth) => truth.to_string(),
--- a/crates/node/src/commands/input.rs
+++ b/crates/node/src/commands/input.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use doortrack_config::{ConfigErrors, gather};
-use doortrack_expr::Written;
+use doortrack_expr::LiteralRequest;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -49,7 +49,7 @@
 }
 
 impl RequestFile {
-    pub fn request(&self, at: &str) -> Result<Written, ConfigErrors> {
+    pub fn request(&self, at: &str) -> Result<LiteralRequest, ConfigErrors> {
         let parts: Vec<Option<i64>> = self
             .time_of_day
             .split(':')
@@ -64,7 +64,7 @@
             ));
         };
         let seconds = seconds.copied().flatten().unwrap_or(0);
-        let request = Written {
+        let request = LiteralRequest {
             method: self.method.clone(),
             path: self.path.clone(),
             query: self.query.clone(),
@@ -91,7 +91,7 @@
     serde_json::from_slice(&text).map_err(|e| ConfigErrors::one(name, format!("not JSON: {e}")))
 }
 
-pub fn read(path: &Path) -> Result<Written, ConfigErrors> {
+pub fn read(path: &Path) -> Result<LiteralRequest, ConfigErrors> {
     let file: RequestFile = gather::read(&json(path, "request")?, "request")?;
     file.request("request")
 }
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -6,7 +6,7 @@
 use clap::{Args, Subcommand};
 use doortrack_config::rules::RuleFile;
 use doortrack_config::{ConfigErrors, Installation, file, gather, node_config};
-use doortrack_expr::{Kind, Limits, Scratch, Span, Written, infer, parse};
+use doortrack_expr::{Kind, Limits, LiteralRequest, Scratch, Span, infer, parse};
 use doortrack_routes::{Classed, Refusal, Table};
 use serde::Deserialize;
 
@@ -197,7 +197,7 @@
     Ok(if failed == 0 { Ok(out) } else { Err(out) })
 }
 
-fn explain(read: &Read, request: &Written) -> String {
+fn explain(read: &Read, request: &LiteralRequest) -> String {
     let mut scratch = Scratch::default();
     let classed = read.table.classify(request, &mut scratch);
     let taken = match classed {
@@ -236,7 +236,7 @@
 }
 
 /// The first part of a condition that does not hold, as it stands there.
-fn why_not(rule: &RuleFile, request: &Written, limits: Limits) -> String {
+fn why_not(rule: &RuleFile, request: &LiteralRequest, limits: Limits) -> String {
     let Ok(when) = parse(&rule.when) else {
         return String::new();
     };
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,7 +1,7 @@
 //! The table: the index against trying all in order, what each rule makes of a request, what is told at
 //! load.
 
-use doortrack_expr::{Limits, Scratch, Written};
+use doortrack_expr::{Limits, LiteralRequest, Scratch};
 use doortrack_routes::{Classed, Names, Refusal, Rule, Table};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -33,14 +33,14 @@
     faults.iter().map(ToString::to_string).collect()
 }
 
-fn path(path: &str) -> Written {
-    Written {
+fn path(path: &str) -> LiteralRequest {
+    LiteralRequest {
         path: path.into(),
-        ..Written::default()
+        ..LiteralRequest::default()
     }
 }
 
-fn which(table: &Table, request: &Written) -> Option<u32> {
+fn which(table: &Table, request: &LiteralRequest) -> Option<u32> {
     let mut scratch = Scratch::default();
     let found = table.classify(request, &mut scratch);
     assert_eq!(
@@ -80,7 +80,7 @@
             Some(3),
         ),
         (
-            Written {
+            LiteralRequest {
                 body: vec![0; 200],
                 ..path("/book/x")
             },
@@ -89,7 +89,7 @@
         (path("/other/b"), Some(4)),
         (path("/other/c"), None),
         (
-            Written {
+            LiteralRequest {
                 method: "GET".into(),
                 ..path("/other/c")
             },
@@ -126,7 +126,7 @@
         ..rule("true", "look")
     };
     let table = table(&[full, due]);
-    let class = |request: &Written| table.classify(request, &mut Scratch::default());
+    let class = |request: &LiteralRequest| table.classify(request, &mut Scratch::default());
     let asked = path("/pay/berth-4")
         .header("x-yard", "South")
         .header("x-order", "77");
@@ -144,7 +144,7 @@
     let other = path("/pay/berth-5")
         .header("x-yard", "South")
         .header("x-order", "78");
-    let Classed::As(other) = class(&Written {
+    let Classed::As(other) = class(&LiteralRequest {
         body: vec![0; 20],
         ..other
     }) else {
@@ -185,7 +185,7 @@
         panic!()
     };
     assert_eq!(none.subject, None);
-    let due_of = |request: &Written| {
+    let due_of = |request: &LiteralRequest| {
         if let Classed::As(class) = class(request) {
             class.due
         } else {
@@ -315,7 +315,7 @@
     })
 }
 
-fn request() -> impl Strategy<Value = Written> {
+fn request() -> impl Strategy<Value = LiteralRequest> {
     let word = || prop::sample::select(WORDS.to_vec());
     (
         prop::collection::vec(word(), 0..4),
