--- a/crates/bench/benches/routes.rs
+++ b/crates/bench/benches/routes.rs
@@ -2,7 +2,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use doortrack_expr::{Limits, LiteralRequest, Scratch};
-use doortrack_routes::{Names, Rule, Table};
+use doortrack_routes::{GroupName, Names, Rule, Table};
 
 fn rules(count: usize) -> Vec<Rule> {
     let when = |n: usize| match n % 3 {
@@ -21,7 +21,7 @@
 
 fn names() -> Names {
     Names {
-        groups: vec![("look".into(), false)],
+        groups: vec![GroupName::new("look", false)],
         ..Names::default()
     }
 }
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -2,7 +2,7 @@
 
 use doortrack_admission::Effect;
 use doortrack_expr::Limits;
-use doortrack_routes::{Built, Names, Note, Rule, Table};
+use doortrack_routes::{Built, GroupName, Names, Rule, Shadowed, Table};
 use doortrack_settings::DeploymentSettings;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -95,10 +95,10 @@
 }
 
 /// Rules as a table, and what to be told of them.
-pub type Ruled = (Table, Vec<Note>);
+pub type Ruled = (Table, Vec<Shadowed>);
 
 fn ruled(built: Built) -> Ruled {
-    (built.table, built.notes)
+    (built.table, built.shadowed)
 }
 
 impl Installation {
@@ -124,7 +124,12 @@
             .groups
             .iter()
             .map(|group| group.effect == Effect::Deduplicated);
-        let groups = handed.group_names.iter().cloned().zip(keyed).collect();
+        let groups = handed
+            .group_names
+            .iter()
+            .zip(keyed)
+            .map(|(name, deduplicated)| GroupName::new(name, deduplicated))
+            .collect();
         let tenants = handed.tenant_names.clone();
         let pools = self.pools.keys().cloned().collect();
         let table = self.build(
@@ -154,7 +159,7 @@
         let groups = self
             .groups_named()
             .into_iter()
-            .map(|name| (name, true))
+            .map(|name| GroupName::new(name, true))
             .collect();
         let pools = self.pools.keys().cloned().collect();
         let built = self.build(
@@ -188,20 +193,20 @@
             when: rule.when.clone(),
             group: rule.group.clone(),
             tenant: rule.tenant.clone(),
-            subject: rule.subject.clone(),
+            session_key: rule.subject.clone(),
             idempotency_key: rule.idempotency_key.clone(),
             rank: rule.rank.clone(),
-            due: rule.due.clone(),
-            servers: rule.servers.clone(),
+            timeout: rule.due.clone(),
+            pool: rule.servers.clone(),
         };
         let rules: Vec<Rule> = self.rules.iter().map(rule).collect();
         let path = |path: String| format!("installation.{path}");
         let built = Table::build_from(previous, &rules, names, self.expressions.limits());
-        let faults = |faults: Vec<doortrack_routes::Fault>| {
+        let faults = |faults: Vec<doortrack_routes::RuleError>| {
             ConfigErrors(
                 faults
                     .into_iter()
-                    .map(|fault| ConfigError::new(path(fault.path), fault.what))
+                    .map(|fault| ConfigError::new(path(fault.path), fault.message))
                     .collect(),
             )
         };
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -14,7 +14,7 @@
     request_path, tenant, unchanged_path,
 };
 use doortrack_fault_harness::scale::series::{Dimension, Point};
-use doortrack_routes::{Classed, Table};
+use doortrack_routes::{Classification, Table};
 
 fn addresses() -> Addresses {
     let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
@@ -124,8 +124,8 @@
         ..LiteralRequest::default()
     };
     match table.classify(&request, &mut Scratch::default()) {
-        Classed::As(class) => Some(class.group),
-        Classed::Refused { .. } | Classed::NoRule => None,
+        Classification::As(class) => Some(class.group),
+        Classification::Rejected { .. } | Classification::NoRule => None,
     }
 }
 
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -20,7 +20,7 @@
 use doortrack_node::network::request::RunOutput;
 use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
 use doortrack_node::state::results::Results;
-use doortrack_routes::{Names, Rule, Table};
+use doortrack_routes::{GroupName, Names, Rule, Table};
 
 /// Counts the bytes that a thread has taken and not given back.
 struct Counting;
@@ -175,7 +175,7 @@
         .map(|rule| Rule {
             when: text(rule, "when").unwrap(),
             group: text(rule, "group").unwrap(),
-            servers: text(rule, "servers"),
+            pool: text(rule, "servers"),
             ..Rule::default()
         })
         .collect();
@@ -186,7 +186,7 @@
         .cloned()
         .collect();
     let names = |tenants: usize| Names {
-        groups: vec![("look".into(), false), ("pay".into(), true)],
+        groups: vec![GroupName::new("look", false), GroupName::new("pay", true)],
         tenants: (0..tenants).map(|nth| format!("tenant-{nth}")).collect(),
         pools: pools.clone(),
     };
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -7,7 +7,7 @@
 use doortrack_config::rules::RuleFile;
 use doortrack_config::{ConfigErrors, Installation, file, gather, node_config};
 use doortrack_expr::{Kind, Limits, LiteralRequest, Scratch, Span, infer, parse};
-use doortrack_routes::{Classed, Refusal, Table};
+use doortrack_routes::{Classification, Rejection, Table};
 use serde::Deserialize;
 
 use super::input::{self, RequestFile};
@@ -112,28 +112,28 @@
 }
 
 /// What a request came to, in words.
-fn words(read: &Read, classed: &Classed) -> String {
+fn words(read: &Read, classed: &Classification) -> String {
     match classed {
-        Classed::As(class) => {
+        Classification::As(class) => {
             format!(
                 "rules[{}], group {}",
                 class.rule,
                 read.groups[usize::from(class.group)]
             )
         }
-        Classed::Refused {
+        Classification::Rejected {
             rule,
-            why: Refusal::Tenant,
+            why: Rejection::Tenant,
         } => {
             format!("rules[{rule}], refused: no known customer")
         }
-        Classed::Refused {
+        Classification::Rejected {
             rule,
-            why: Refusal::IdempotencyKey,
+            why: Rejection::IdempotencyKey,
         } => {
             format!("rules[{rule}], refused: no idempotency key")
         }
-        Classed::NoRule => match &read.installation.otherwise {
+        Classification::NoRule => match &read.installation.otherwise {
             Some(group) => format!("no rule, group {group}"),
             None => "no rule, 404".into(),
         },
@@ -149,12 +149,12 @@
         let request = case.request.request(&format!("cases[{nth}].request"))?;
         let classed = read.table.classify(&request, &mut scratch);
         let (rule, group) = match &classed {
-            Classed::As(class) => (
+            Classification::As(class) => (
                 Some(class.rule),
                 Some(read.groups[usize::from(class.group)].clone()),
             ),
-            Classed::Refused { rule, .. } => (Some(*rule), None),
-            Classed::NoRule => (None, read.installation.otherwise.clone()),
+            Classification::Rejected { rule, .. } => (Some(*rule), None),
+            Classification::NoRule => (None, read.installation.otherwise.clone()),
         };
         let mut differs = Vec::new();
         if let Some(wanted) = case.rule.filter(|wanted| *wanted != rule) {
@@ -169,7 +169,7 @@
         {
             differs.push(format!("  - group {wanted}\n  + {}", words(read, &classed)));
         }
-        let refused = matches!(classed, Classed::Refused { .. });
+        let refused = matches!(classed, Classification::Rejected { .. });
         if refused != case.refused {
             differs.push(format!(
                 "  - {}\n  + {}",
@@ -201,21 +201,21 @@
     let mut scratch = Scratch::default();
     let classed = read.table.classify(request, &mut scratch);
     let taken = match classed {
-        Classed::As(class) => Some(class.rule as usize),
-        Classed::Refused { rule, .. } => Some(rule as usize),
-        Classed::NoRule => None,
+        Classification::As(class) => Some(class.rule as usize),
+        Classification::Rejected { rule, .. } => Some(rule as usize),
+        Classification::NoRule => None,
     };
     let mut out = format!("{}\n", words(read, &classed));
-    if let Classed::As(class) = &classed {
+    if let Classification::As(class) = &classed {
         let of = |name: &str, value: String| format!("  {name}: {value}\n");
-        out += &class.subject.map_or_else(String::new, |subject| {
+        out += &class.session_key.map_or_else(String::new, |subject| {
             of("subject", format!("{subject:016x}"))
         });
         out += &class
             .rank
             .map_or_else(String::new, |rank| of("rank", rank.to_string()));
         out += &class
-            .due
+            .timeout
             .map_or_else(String::new, |due| of("due", format!("{} ms", due / 10)));
         out += &class.idempotency_key.map_or_else(String::new, |key| {
             of(
--- a/crates/node/src/network/classified.rs
+++ b/crates/node/src/network/classified.rs
@@ -8,7 +8,7 @@
 use doortrack_config::Installation;
 use doortrack_expr::{Request as Seen, Scratch};
 use doortrack_protocols::{Pair, Protocol};
-use doortrack_routes::{Built, Class, Classed, Note, Refusal, Table};
+use doortrack_routes::{Built, Class, Classification, Rejection, Shadowed, Table};
 use doortrack_settings::DeploymentSettings;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
@@ -28,7 +28,7 @@
     /// The group of what no rule takes.
     otherwise: Option<u8>,
     /// Rules that can never win.
-    pub notes: Vec<Note>,
+    pub notes: Vec<Shadowed>,
     /// Rules that the table shares with the one before it.
     pub reused: usize,
 }
@@ -47,7 +47,7 @@
             .map(|place| place as u8);
         let Built {
             table,
-            notes,
+            shadowed: notes,
             reused,
         } = built;
         RuleTable {
@@ -150,9 +150,9 @@
             )?,
             subject: class
                 .as_ref()
-                .and_then(|class| class.subject)
+                .and_then(|class| class.session_key)
                 .map_or_else(|| fields.subject(), Ok)?,
-            wait: class.as_ref().and_then(|class| class.due),
+            wait: class.as_ref().and_then(|class| class.timeout),
             pool: class.as_ref().and_then(|class| class.pool),
         }))
     }
@@ -160,14 +160,14 @@
     /// What the first rule that holds makes of a request; none where no rule holds.
     fn classify(&mut self, view: &View) -> Result<Option<Class>, Unreadable> {
         match self.rules.table.classify(view, &mut self.scratch) {
-            Classed::As(class) => Ok(Some(class)),
-            Classed::NoRule => Ok(None),
-            Classed::Refused {
-                why: Refusal::Tenant,
+            Classification::As(class) => Ok(Some(class)),
+            Classification::NoRule => Ok(None),
+            Classification::Rejected {
+                why: Rejection::Tenant,
                 ..
             } => Err(Unreadable::Field("customer")),
-            Classed::Refused {
-                why: Refusal::IdempotencyKey,
+            Classification::Rejected {
+                why: Rejection::IdempotencyKey,
                 ..
             } => Err(Unreadable::Field("idempotency_key")),
         }
--- a/crates/routes/src/compile.rs
+++ b/crates/routes/src/compile.rs
@@ -4,9 +4,9 @@
 use rustc_hash::FxHashMap;
 use sha2::{Digest as _, Sha256};
 
-use crate::build::{Environment, Fault, Rule};
-use crate::lift::{self, Part};
-use crate::shadows::{Condition, Digest};
+use crate::predicates::{self, Predicate};
+use crate::rule::{Environment, Rule, RuleError};
+use crate::shadowing::{Condition, Digest};
 
 /// One rule, checked and compiled. Tables that have the same rule in the same environment share it.
 #[derive(Debug)]
@@ -16,13 +16,13 @@
     pub(crate) when: Program,
     pub(crate) group: u8,
     pub(crate) tenant: Option<Program>,
-    pub(crate) subject: Option<Program>,
+    pub(crate) session_key: Option<Program>,
     pub(crate) idempotency_key: Option<Program>,
     pub(crate) rank: Option<Program>,
-    pub(crate) due: Option<Program>,
+    pub(crate) timeout: Option<Program>,
     pub(crate) pool: Option<u16>,
     /// What of its condition can be looked up.
-    pub(crate) lifted: Box<[Part]>,
+    pub(crate) predicates: Box<[Predicate]>,
     pub(crate) condition: Condition,
 }
 
@@ -32,16 +32,16 @@
         when,
         group,
         tenant,
-        subject,
+        session_key,
         idempotency_key,
         rank,
-        due,
-        servers,
+        timeout,
+        pool,
     } = rule;
     let mut digest = Sha256::new();
     for text in [Some(when), Some(group)]
         .into_iter()
-        .chain([tenant, subject, idempotency_key, rank, due, servers].map(Option::as_ref))
+        .chain([tenant, session_key, idempotency_key, rank, timeout, pool].map(Option::as_ref))
     {
         // Lengths keep texts apart, and an absent one from an empty one.
         digest.update(
@@ -57,7 +57,7 @@
 pub(crate) struct Compiler<'e> {
     environment: &'e Environment,
     groups: FxHashMap<&'e str, usize>,
-    pub(crate) faults: Vec<Fault>,
+    pub(crate) errors: Vec<RuleError>,
 }
 
 impl<'e> Compiler<'e> {
@@ -66,31 +66,31 @@
             .groups
             .iter()
             .enumerate()
-            .map(|(place, (name, _))| (name.as_str(), place))
+            .map(|(index, group)| (group.name.as_str(), index))
             .collect();
         Compiler {
             environment,
             groups,
-            faults: Vec::new(),
+            errors: Vec::new(),
         }
     }
 
-    /// The rule at this place, or nothing where it has faults.
-    pub(crate) fn rule(&mut self, place: usize, rule: &Rule, source: Digest) -> Option<Compiled> {
-        let parsed = self.parsed(place, &rule.when);
+    /// The rule at this index, or nothing where it has errors.
+    pub(crate) fn rule(&mut self, index: usize, rule: &Rule, source: Digest) -> Option<Compiled> {
+        let parsed = self.parsed(index, &rule.when);
         let when = parsed
             .as_ref()
-            .and_then(|expr| self.condition(place, &rule.when, expr));
-        let group = self.group(place, &rule.group);
+            .and_then(|expr| self.condition(index, &rule.when, expr));
+        let group = self.group(index, &rule.group);
         let mut optional = |key: &str, source: &Option<String>, types: &[Type]| {
             source
                 .as_ref()
-                .map(|source| self.program(place, key, source, types))
+                .map(|source| self.program(index, key, source, types))
         };
         let tenant = optional("customer", &rule.tenant, &[Type::Str]);
-        let subject = optional(
+        let session_key = optional(
             "subject",
-            &rule.subject,
+            &rule.session_key,
             &[Type::Str, Type::Bytes, Type::Int],
         );
         let key = optional(
@@ -99,74 +99,75 @@
             &[Type::Str, Type::Bytes],
         );
         let rank = optional("rank", &rule.rank, &[Type::Float]);
-        let due = optional("due", &rule.due, &[Type::Duration]);
-        let pool = rule.servers.as_ref().map(|name| self.pool(place, name));
-        if key.is_some() && group.is_some_and(|group| !self.environment.groups[group].1) {
+        let timeout = optional("due", &rule.timeout, &[Type::Duration]);
+        let pool = rule.pool.as_ref().map(|name| self.pool(index, name));
+        if key.is_some() && group.is_some_and(|group| !self.environment.groups[group].deduplicated)
+        {
             let what = format!(
                 "exchanges of '{}' are not deduplicated and carry none",
                 rule.group
             );
-            self.fault(place, "idempotency_key", what);
+            self.error(index, "idempotency_key", what);
         }
         if tenant.is_some() && !self.environment.has_tenants {
-            self.fault(place, "customer", "the deployment has no customers");
+            self.error(index, "customer", "the deployment has no customers");
         }
         let expr = parsed?;
-        // A part that is there and wrong was told, and takes the whole with it.
+        // An expression with an error was reported, and fails the rule.
         Some(Compiled {
             source,
             when: when?,
             group: group? as u8,
-            tenant: sound(tenant)?,
-            subject: sound(subject)?,
-            idempotency_key: sound(key)?,
-            rank: sound(rank)?,
-            due: sound(due)?,
-            pool: sound(pool)?,
-            lifted: lift::parts(&expr).into(),
+            tenant: compiled(tenant)?,
+            session_key: compiled(session_key)?,
+            idempotency_key: compiled(key)?,
+            rank: compiled(rank)?,
+            timeout: compiled(timeout)?,
+            pool: compiled(pool)?,
+            predicates: predicates::predicates(&expr).into(),
             condition: Condition::new(&expr),
         })
     }
 
-    fn fault(&mut self, place: usize, key: &str, what: impl Into<String>) {
-        self.faults.push(Fault {
-            path: format!("rules[{place}].{key}"),
-            what: what.into(),
+    fn error(&mut self, index: usize, key: &str, message: impl Into<String>) {
+        self.errors.push(RuleError {
+            path: format!("rules[{index}].{key}"),
+            message: message.into(),
         });
     }
 
-    fn parsed(&mut self, place: usize, when: &str) -> Option<Expr> {
-        let told = |faults: Vec<_>| {
-            faults
+    fn parsed(&mut self, index: usize, when: &str) -> Option<Expr> {
+        let report = |errors: Vec<_>| {
+            errors
                 .iter()
-                .for_each(|fault: &doortrack_expr::Diagnostic| {
-                    self.fault(place, "when", fault.line(when))
+                .for_each(|error: &doortrack_expr::Diagnostic| {
+                    self.error(index, "when", error.line(when))
                 });
         };
-        parse(when).map_err(told).ok()
+        parse(when).map_err(report).ok()
     }
 
-    fn condition(&mut self, place: usize, source: &str, when: &Expr) -> Option<Program> {
+    fn condition(&mut self, index: usize, source: &str, when: &Expr) -> Option<Program> {
         let found = infer_parsed(when, self.environment.limits);
-        self.of_type(place, "when", source, found, &[Type::Bool])
+        self.of_type(index, "when", source, found, &[Type::Bool])
     }
 
     fn program(
         &mut self,
-        place: usize,
+        index: usize,
         key: &str,
         source: &str,
         types: &[Type],
     ) -> Option<Program> {
         let found = infer(source, self.environment.limits);
-        self.of_type(place, key, source, found, types)
+        self.of_type(index, key, source, found, types)
     }
 
     /// What was compiled, if its value is of one of these types; of a condition the type itself, of anything
     /// else also an optional one.
     fn of_type(
         &mut self,
-        place: usize,
+        index: usize,
         key: &str,
         source: &str,
         found: Result<Program, Vec<doortrack_expr::Diagnostic>>,
@@ -188,39 +189,39 @@
                     wanted.join(" or "),
                     program.ty()
                 );
-                self.fault(place, key, what);
+                self.error(index, key, what);
             }
-            Err(faults) => faults
+            Err(errors) => errors
                 .iter()
-                .for_each(|fault| self.fault(place, key, fault.line(source))),
+                .for_each(|error| self.error(index, key, error.line(source))),
         }
         None
     }
 
-    fn group(&mut self, place: usize, name: &str) -> Option<usize> {
+    fn group(&mut self, index: usize, name: &str) -> Option<usize> {
         let group = self.groups.get(name).copied();
         if group.is_none() {
             let known: Vec<&str> = self
                 .environment
                 .groups
                 .iter()
-                .map(|(name, _)| name.as_str())
+                .map(|group| group.name.as_str())
                 .collect();
             let what = format!(
                 "'{name}' is none of the endpoint groups {}",
                 known.join(", ")
             );
-            self.fault(place, "group", what);
+            self.error(index, "group", what);
         }
         group
     }
 
-    fn pool(&mut self, place: usize, name: &str) -> Option<u16> {
+    fn pool(&mut self, index: usize, name: &str) -> Option<u16> {
         let pool = self.environment.pools.iter().position(|pool| pool == name);
         if pool.is_none() {
             let known = self.environment.pools.join(", ");
-            self.fault(
-                place,
+            self.error(
+                index,
                 "servers",
                 format!("'{name}' is none of the pools {known}"),
             );
@@ -229,12 +230,12 @@
     }
 }
 
-/// Nothing where there was nothing; nothing at all where it was wrong.
+/// `Some(None)` where the rule has no such key, `None` where its expression has an error.
 #[expect(
     clippy::option_option,
     reason = "three cases that each mean something else"
 )]
-fn sound<T>(part: Option<Option<T>>) -> Option<Option<T>> {
+fn compiled<T>(part: Option<Option<T>>) -> Option<Option<T>> {
     match part {
         None => Some(None),
         Some(found) => found.map(Some),
--- a/crates/routes/src/index.rs
+++ b/crates/routes/src/index.rs
@@ -1,189 +1,209 @@
-//! From what a request has to the rules whose conditions may hold: a superset, in order. Texts are kept by
-//! their hashes alone, as a rule that comes up by chance is asked its whole condition like any other.
+//! From a request to the rules whose conditions may hold: a superset, in order. Texts are kept by their hashes
+//! alone, since a rule found by a collision is evaluated like any other.
 
 use std::collections::BTreeMap;
 
 use doortrack_expr::Request;
 use rustc_hash::FxHashMap;
 
-use crate::lift::{Part, Place};
+use crate::fnv1a;
+use crate::predicates::{Attribute, Predicate};
 
-/// Places that are looked up for each request; rules over more of them are asked in order.
-const MOST_PLACES: usize = 32;
-/// Lists of rules that are gone through side by side without taking memory for it.
-const LISTS: usize = 48;
+/// Attributes that are looked up for each request; rules over further ones are evaluated in order.
+const MAX_ATTRIBUTES: usize = 32;
+/// Lists of rules that are merged without an allocation.
+const INLINE_LISTS: usize = 48;
 
-const EMPTY: u64 = 0xcbf2_9ce4_8422_2325;
-
-fn add(hash: u64, byte: u8) -> u64 {
-    (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-}
-
-fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(EMPTY, |hash, byte| add(hash, *byte))
-}
-
-/// Where a rule is found: by the start of the path, or by the text at a place.
+/// Where a rule is found: the index of an attribute, or [`PREFIX`], and the hash of its text.
 type Key = (u16, u64);
+/// Stands for a prefix of the path in a [`Key`].
 const PREFIX: u16 = u16::MAX;
 
 #[derive(Debug, Default)]
 pub(crate) struct Index {
-    places: Vec<Place>,
-    lists: FxHashMap<Key, Vec<u32>>,
-    /// Lengths that starts of the path have.
-    lengths: Vec<usize>,
-    rest: Vec<u32>,
+    /// Attributes that are looked up for each request.
+    attributes: Vec<Attribute>,
+    /// Rules by key, in order.
+    postings: FxHashMap<Key, Vec<u32>>,
+    /// Lengths of path prefixes, ascending.
+    prefix_lengths: Vec<usize>,
+    /// Rules that are under no key, in order.
+    unindexed: Vec<u32>,
 }
 
 impl Index {
-    /// Files each rule under the part of its condition that it shares with the fewest.
-    pub(crate) fn new<'p>(parts: impl Iterator<Item = &'p [Part]> + Clone) -> Index {
-        let mut index = Index::default();
-        let mut places: BTreeMap<&Place, usize> = BTreeMap::new();
-        for part in parts.clone().flatten() {
-            if let Part::OneOf(place, _) = part {
-                *places.entry(place).or_default() += 1;
-            }
-        }
-        let mut by_use: Vec<(&Place, usize)> = places.into_iter().collect();
-        by_use.sort_by_key(|(place, uses)| (std::cmp::Reverse(*uses), (*place).clone()));
-        index.places = by_use
-            .into_iter()
-            .take(MOST_PLACES)
-            .map(|(place, _)| place.clone())
-            .collect();
-        let place_of: BTreeMap<Place, u16> = index
-            .places
+    /// Files each rule under the predicate of its condition that it shares with the fewest rules.
+    pub(crate) fn new<'p>(rules: impl Iterator<Item = &'p [Predicate]> + Clone) -> Index {
+        let mut index = Index {
+            attributes: most_used_attributes(rules.clone().flatten()),
+            ..Index::default()
+        };
+        let indices: BTreeMap<Attribute, u16> = index
+            .attributes
             .iter()
             .enumerate()
-            .map(|(nth, place)| (place.clone(), nth as u16))
+            .map(|(nth, attribute)| (attribute.clone(), nth as u16))
             .collect();
-        let keys = |part: &Part| -> Option<Vec<Key>> {
-            match part {
-                Part::Prefix(start) => Some(vec![(PREFIX, hash(start.as_bytes()))]),
-                Part::OneOf(place, texts) => {
-                    let place = *place_of.get(place)?;
-                    Some(
-                        texts
-                            .iter()
-                            .map(|text| (place, hash(text.as_bytes())))
-                            .collect(),
-                    )
-                }
-            }
-        };
-        let mut shared: FxHashMap<Key, usize> = FxHashMap::default();
-        for key in parts.clone().flatten().filter_map(keys).flatten() {
-            *shared.entry(key).or_default() += 1;
+        let keys = |predicate: &Predicate| keys_of(predicate, &indices);
+        let mut uses: FxHashMap<Key, usize> = FxHashMap::default();
+        for key in rules.clone().flatten().filter_map(keys).flatten() {
+            *uses.entry(key).or_default() += 1;
         }
-        for (rule, parts) in parts.enumerate() {
-            let cost = |keys: &Vec<Key>| keys.iter().map(|key| shared[key]).sum::<usize>();
-            let best = parts
+        for (rule, predicates) in rules.enumerate() {
+            let cost = |keys: &Vec<Key>| keys.iter().map(|key| uses[key]).sum::<usize>();
+            let candidates = predicates
                 .iter()
-                .filter_map(|part| keys(part).map(|keys| (cost(&keys), part, keys)));
-            let Some((_, part, keys)) = best.min_by_key(|(cost, ..)| *cost) else {
-                index.rest.push(rule as u32);
-                continue;
-            };
-            if let Part::Prefix(start) = part {
-                index.lengths.push(start.len());
-            }
-            for key in keys {
-                let list = index.lists.entry(key).or_default();
-                // A text may stand twice in one list of texts.
-                if list.last() != Some(&(rule as u32)) {
-                    list.push(rule as u32);
-                }
+                .filter_map(|predicate| keys(predicate).map(|keys| (cost(&keys), predicate, keys)));
+            match candidates.min_by_key(|(cost, ..)| *cost) {
+                Some((_, predicate, keys)) => index.file(rule as u32, predicate, keys),
+                None => index.unindexed.push(rule as u32),
             }
         }
-        index.lengths.sort_unstable();
-        index.lengths.dedup();
-        // Places that no rule was filed under in the end are not looked up.
+        index.prefix_lengths.sort_unstable();
+        index.prefix_lengths.dedup();
         index
     }
 
-    pub(crate) fn rest(&self) -> usize {
-        self.rest.len()
+    fn file(&mut self, rule: u32, predicate: &Predicate, keys: Vec<Key>) {
+        if let Predicate::Prefix(start) = predicate {
+            self.prefix_lengths.push(start.len());
+        }
+        for key in keys {
+            let postings = self.postings.entry(key).or_default();
+            // A text may stand twice in one list of texts.
+            if postings.last() != Some(&rule) {
+                postings.push(rule);
+            }
+        }
+    }
+
+    /// Rules that are under no key, and so are evaluated for every request.
+    pub(crate) fn unindexed(&self) -> usize {
+        self.unindexed.len()
     }
 
-    /// Rules that may match, in order, until one does: the first for which `holds` says so.
+    /// The first rule, of those that may match, for which `holds` is true.
     pub(crate) fn first<R: Request>(
         &self,
         request: &R,
         mut holds: impl FnMut(u32) -> bool,
     ) -> Option<u32> {
-        let mut lists = Lists {
-            few: [&[]; LISTS],
+        let mut candidates = self.candidates(request);
+        while let Some(rule) = candidates.next() {
+            if holds(rule) {
+                return Some(rule);
+            }
+        }
+        None
+    }
+
+    fn candidates<R: Request>(&self, request: &R) -> Candidates<'_> {
+        let mut candidates = Candidates {
+            inline: [&[]; INLINE_LISTS],
             count: 0,
-            more: Vec::new(),
+            overflow: Vec::new(),
         };
-        lists.push(&self.rest);
-        let path = request.path().as_bytes();
-        let (mut so_far, mut lengths) = (EMPTY, self.lengths.iter().peekable());
+        candidates.push(&self.unindexed);
+        self.find_prefixes(request.path().as_bytes(), &mut candidates);
+        for (nth, attribute) in self.attributes.iter().enumerate() {
+            if let Some(text) = attribute_text(request, attribute) {
+                candidates.find(self, (nth as u16, fnv1a::hash(text)));
+            }
+        }
+        candidates
+    }
+
+    fn find_prefixes<'i>(&'i self, path: &[u8], candidates: &mut Candidates<'i>) {
+        let mut prefix_hash = fnv1a::EMPTY;
+        let mut lengths = self.prefix_lengths.iter().peekable();
         for (nth, byte) in path.iter().enumerate() {
             if lengths.peek().is_none() {
-                break;
+                return;
             }
-            so_far = add(so_far, *byte);
+            prefix_hash = fnv1a::add(prefix_hash, *byte);
             if lengths.next_if(|length| **length == nth + 1).is_some() {
-                lists.find(self, (PREFIX, so_far));
+                candidates.find(self, (PREFIX, prefix_hash));
             }
         }
-        for (nth, place) in self.places.iter().enumerate() {
-            let text = match place {
-                Place::Path => Some(path),
-                Place::Method => Some(request.method().as_bytes()),
-                Place::Front => Some(request.front().as_bytes()),
-                Place::Variable(name) => request.variable(name),
-                Place::Segment(nth) => {
-                    let path = path.strip_prefix(b"/").unwrap_or(path);
-                    path.split(|byte| *byte == b'/').nth(*nth)
-                }
-            };
-            if let Some(text) = text {
-                lists.find(self, (nth as u16, hash(text)));
-            }
+    }
+}
+
+/// The attributes that the most predicates compare, up to [`MAX_ATTRIBUTES`].
+fn most_used_attributes<'p>(predicates: impl Iterator<Item = &'p Predicate>) -> Vec<Attribute> {
+    let mut uses: BTreeMap<&Attribute, usize> = BTreeMap::new();
+    for predicate in predicates {
+        if let Predicate::OneOf(attribute, _) = predicate {
+            *uses.entry(attribute).or_default() += 1;
         }
-        while let Some(rule) = lists.next() {
-            if holds(rule) {
-                return Some(rule);
-            }
+    }
+    let mut by_use: Vec<(&Attribute, usize)> = uses.into_iter().collect();
+    by_use.sort_by_key(|(attribute, uses)| (std::cmp::Reverse(*uses), (*attribute).clone()));
+    by_use
+        .into_iter()
+        .take(MAX_ATTRIBUTES)
+        .map(|(attribute, _)| attribute.clone())
+        .collect()
+}
+
+/// The keys under which a rule with this predicate can be found; none where its attribute is not looked up.
+fn keys_of(predicate: &Predicate, indices: &BTreeMap<Attribute, u16>) -> Option<Vec<Key>> {
+    match predicate {
+        Predicate::Prefix(start) => Some(vec![(PREFIX, fnv1a::hash(start.as_bytes()))]),
+        Predicate::OneOf(attribute, texts) => {
+            let index = *indices.get(attribute)?;
+            let key = |text: &String| (index, fnv1a::hash(text.as_bytes()));
+            Some(texts.iter().map(key).collect())
+        }
+    }
+}
+
+fn attribute_text<'r, R: Request>(request: &'r R, attribute: &Attribute) -> Option<&'r [u8]> {
+    match attribute {
+        Attribute::Path => Some(request.path().as_bytes()),
+        Attribute::Method => Some(request.method().as_bytes()),
+        Attribute::Front => Some(request.front().as_bytes()),
+        Attribute::Variable(name) => request.variable(name),
+        Attribute::Segment(nth) => {
+            let path = request.path().as_bytes();
+            let path = path.strip_prefix(b"/").unwrap_or(path);
+            path.split(|byte| *byte == b'/').nth(*nth)
         }
-        None
     }
 }
 
-/// Lists in ascending order, gone through as one.
-struct Lists<'i> {
-    few: [&'i [u32]; LISTS],
+/// Ascending lists of rules, merged as they are read.
+struct Candidates<'i> {
+    inline: [&'i [u32]; INLINE_LISTS],
+    /// Lists in `inline`.
     count: usize,
-    more: Vec<&'i [u32]>,
+    overflow: Vec<&'i [u32]>,
 }
 
-impl<'i> Lists<'i> {
+impl<'i> Candidates<'i> {
     fn push(&mut self, list: &'i [u32]) {
         if list.is_empty() {
             return;
         }
-        match self.few.get_mut(self.count) {
-            Some(place) => {
-                *place = list;
+        match self.inline.get_mut(self.count) {
+            Some(slot) => {
+                *slot = list;
                 self.count += 1;
             }
-            None => self.more.push(list),
+            None => self.overflow.push(list),
         }
     }
 
     fn find(&mut self, index: &'i Index, key: Key) {
-        if let Some(list) = index.lists.get(&key) {
+        if let Some(list) = index.postings.get(&key) {
             self.push(list);
         }
     }
 
     /// The next rule in order. One is in two lists only by a clash of hashes, and asked twice then.
     fn next(&mut self) -> Option<u32> {
-        let all = self.few[..self.count].iter_mut().chain(&mut self.more);
+        let all = self.inline[..self.count]
+            .iter_mut()
+            .chain(&mut self.overflow);
         let list = all
             .filter(|list| !list.is_empty())
             .min_by_key(|list| list[0])?;
--- a/crates/routes/src/lift.rs
+++ b/crates/routes/src/predicates.rs
@@ -1,11 +1,11 @@
-//! What of a condition can be looked up instead of asked: comparisons of something of the request with
-//! known texts, where they are the whole condition or one part of several that all must hold.
+//! The parts of a condition that an index can look up: comparisons of an attribute of the request with literal
+//! texts, where they are the whole condition or one of several parts that must all hold.
 
 use doortrack_expr::{Expr, Kind, Op, cgi_name};
 
-/// Something of a request that has one text.
+/// A value of a request that is one text.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) enum Place {
+pub(crate) enum Attribute {
     Path,
     Method,
     Front,
@@ -14,22 +14,22 @@
     Segment(usize),
 }
 
-/// One part of a condition.
+/// One part of a condition that can be looked up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Part {
+pub(crate) enum Predicate {
     /// The path begins so.
     Prefix(String),
-    /// This place has one of these texts.
-    OneOf(Place, Vec<String>),
+    /// This attribute is one of these texts.
+    OneOf(Attribute, Vec<String>),
 }
 
 /// Texts beyond which a list is not lifted: each is an entry of the index.
-const MOST_TEXTS: usize = 256;
+const MAX_TEXTS: usize = 256;
 
-pub(crate) fn parts(when: &Expr) -> Vec<Part> {
+pub(crate) fn predicates(when: &Expr) -> Vec<Predicate> {
     match &when.kind {
-        Kind::All(parts) => parts.iter().filter_map(part).collect(),
-        _ => part(when).into_iter().collect(),
+        Kind::All(parts) => parts.iter().filter_map(predicate).collect(),
+        _ => predicate(when).into_iter().collect(),
     }
 }
 
@@ -42,14 +42,14 @@
     }
 }
 
-fn part(expr: &Expr) -> Option<Part> {
+fn predicate(expr: &Expr) -> Option<Predicate> {
     match &expr.kind {
         Kind::Call { name, args, .. } if name == "starts_with" => {
             match (&args[..], &args.get(1)?.kind) {
                 ([of, _], Kind::Str(start))
-                    if place(of, &[]) == Some(Place::Path) && !start.is_empty() =>
+                    if attribute(of, &[]) == Some(Attribute::Path) && !start.is_empty() =>
                 {
-                    Some(Part::Prefix(start.clone()))
+                    Some(Predicate::Prefix(start.clone()))
                 }
                 _ => None,
             }
@@ -76,22 +76,22 @@
     }
 }
 
-fn one_of(of: &Expr, texts: Vec<String>) -> Option<Part> {
+fn one_of(of: &Expr, texts: Vec<String>) -> Option<Predicate> {
     // What is too long or absent reads as an empty text here and there, so those are asked.
-    if texts.len() > MOST_TEXTS || texts.iter().any(String::is_empty) {
+    if texts.len() > MAX_TEXTS || texts.iter().any(String::is_empty) {
         return None;
     }
-    Some(Part::OneOf(place(of, &texts)?, texts))
+    Some(Predicate::OneOf(attribute(of, &texts)?, texts))
 }
 
 /// What of the request this is the text of. Where it may be absent, what stands for it must be none of the
 /// texts.
-fn place(expr: &Expr, texts: &[String]) -> Option<Place> {
+fn attribute(expr: &Expr, texts: &[String]) -> Option<Attribute> {
     match &expr.kind {
         Kind::Name(name) => match name.as_str() {
-            "path" => Some(Place::Path),
-            "method" => Some(Place::Method),
-            "front" => Some(Place::Front),
+            "path" => Some(Attribute::Path),
+            "method" => Some(Attribute::Method),
+            "front" => Some(Attribute::Front),
             _ => None,
         },
         Kind::Binary(Op::Else, of, other) => {
@@ -105,9 +105,11 @@
                 return None;
             };
             match (name.as_str(), args.first().map(|arg| &arg.kind)) {
-                ("header", Some(Kind::Str(name))) => Some(Place::Variable(cgi_name(name))),
-                ("variable", Some(Kind::Str(name))) => Some(Place::Variable(name.clone())),
-                ("segment", Some(Kind::Int(nth))) => usize::try_from(*nth).ok().map(Place::Segment),
+                ("header", Some(Kind::Str(name))) => Some(Attribute::Variable(cgi_name(name))),
+                ("variable", Some(Kind::Str(name))) => Some(Attribute::Variable(name.clone())),
+                ("segment", Some(Kind::Int(nth))) => {
+                    usize::try_from(*nth).ok().map(Attribute::Segment)
+                }
                 _ => None,
             }
         }
--- a/crates/routes/tests/in_part.rs
+++ b/crates/routes/tests/in_part.rs
@@ -1,7 +1,7 @@
 //! A table built in part, over rules of which some stood in the table before, is the table built whole.
 
 use doortrack_expr::Limits;
-use doortrack_routes::{Names, Rule, Table};
+use doortrack_routes::{GroupName, Names, Rule, Table};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -49,16 +49,16 @@
         when: when.into(),
         group: group.into(),
         idempotency_key: (has_key && group == "pay").then(|| "header(\"x-order\")".into()),
-        servers: servers.map(String::from),
+        pool: servers.map(String::from),
         ..Rule::default()
     })
 }
 
 fn names() -> impl Strategy<Value = Names> {
     let groups = prop::sample::select(vec![
-        vec![("look".to_string(), false), ("pay".to_string(), true)],
-        vec![("pay".to_string(), true), ("look".to_string(), false)],
-        vec![("look".to_string(), true), ("pay".to_string(), true)],
+        vec![GroupName::new("look", false), GroupName::new("pay", true)],
+        vec![GroupName::new("pay", true), GroupName::new("look", false)],
+        vec![GroupName::new("look", true), GroupName::new("pay", true)],
     ]);
     let tenants = prop::sample::select(vec![vec![], vec!["north"], vec!["south", "north"]]);
     let pools = prop::sample::select(vec![
@@ -111,7 +111,7 @@
             Edit::Swap(one, other) => rules.swap(one % len, other % len),
             Edit::When(place, when) => rules[place % len].when = when.into(),
             Edit::Key(place, key) => rules[place % len].idempotency_key = key.map(String::from),
-            Edit::Servers(place, pool) => rules[place % len].servers = pool.map(String::from),
+            Edit::Servers(place, pool) => rules[place % len].pool = pool.map(String::from),
         }
     }
 }
@@ -143,7 +143,7 @@
             match (in_part, at_once) {
                 (Ok(built), Ok((table, notes))) => {
                     prop_assert_eq!(whole(&built.table), whole(&table));
-                    prop_assert_eq!(built.notes, notes);
+                    prop_assert_eq!(built.shadowed, notes);
                     previous = Some(built.table);
                 }
                 (Err(faults), Err(wanted)) => prop_assert_eq!(faults, wanted),
@@ -162,7 +162,7 @@
         ..Rule::default()
     };
     let names = Names {
-        groups: vec![("look".into(), false)],
+        groups: vec![GroupName::new("look", false)],
         tenants: (0..100).map(|nth| format!("customer-{nth}")).collect(),
         pools: Vec::new(),
     };
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -2,13 +2,13 @@
 //! load.
 
 use doortrack_expr::{Limits, LiteralRequest, Scratch};
-use doortrack_routes::{Classed, Names, Refusal, Rule, Table};
+use doortrack_routes::{Classification, GroupName, Names, Rejection, Rule, Table};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 fn names() -> Names {
     Names {
-        groups: vec![("look".into(), false), ("pay".into(), true)],
+        groups: vec![GroupName::new("look", false), GroupName::new("pay", true)],
         tenants: vec!["north".into(), "south".into()],
         pools: vec!["main".into(), "slow".into()],
     }
@@ -49,9 +49,9 @@
         "{request:?}"
     );
     match found {
-        Classed::As(class) => Some(class.rule),
-        Classed::Refused { rule, .. } => Some(rule),
-        Classed::NoRule => None,
+        Classification::As(class) => Some(class.rule),
+        Classification::Rejected { rule, .. } => Some(rule),
+        Classification::NoRule => None,
     }
 }
 
@@ -105,15 +105,15 @@
 fn a_rule_says_what_an_exchange_is() {
     let full = Rule {
         tenant: Some("lower(header(\"x-yard\") ?? \"\")".into()),
-        subject: Some("segment(1)".into()),
+        session_key: Some("segment(1)".into()),
         idempotency_key: Some("header(\"x-order\")".into()),
         rank: Some("if body_length > 10 { 7.5 } else { 0.25 }".into()),
-        due: None,
-        servers: Some("slow".into()),
+        timeout: None,
+        pool: Some("slow".into()),
         ..rule("path.starts_with(\"/pay/\")", "pay")
     };
     let due = Rule {
-        due: Some("int(header(\"x-wait-ms\") ?? \"\") ?? 0".into()),
+        timeout: Some("int(header(\"x-wait-ms\") ?? \"\") ?? 0".into()),
         ..rule("true", "look")
     };
     assert!(
@@ -122,7 +122,7 @@
             .any(|fault| fault.contains("rules[0].due: duration is wanted"))
     );
     let due = Rule {
-        due: Some("1ms * (int(header(\"x-wait-ms\") ?? \"\") ?? -5)".into()),
+        timeout: Some("1ms * (int(header(\"x-wait-ms\") ?? \"\") ?? -5)".into()),
         ..rule("true", "look")
     };
     let table = table(&[full, due]);
@@ -130,27 +130,27 @@
     let asked = path("/pay/berth-4")
         .header("x-yard", "South")
         .header("x-order", "77");
-    let Classed::As(one) = class(&asked) else {
+    let Classification::As(one) = class(&asked) else {
         panic!()
     };
     assert_eq!(
         (one.rule, one.group, one.tenant, one.pool, one.rank),
         (0, 1, Some(1), Some(1), Some(0.25))
     );
-    let Classed::As(again) = class(&asked) else {
+    let Classification::As(again) = class(&asked) else {
         panic!()
     };
     assert_eq!(one, again);
     let other = path("/pay/berth-5")
         .header("x-yard", "South")
         .header("x-order", "78");
-    let Classed::As(other) = class(&LiteralRequest {
+    let Classification::As(other) = class(&LiteralRequest {
         body: vec![0; 20],
         ..other
     }) else {
         panic!()
     };
-    assert!(other.subject != one.subject && other.idempotency_key != one.idempotency_key);
+    assert!(other.session_key != one.session_key && other.idempotency_key != one.idempotency_key);
     assert!(
         other.rank.is_some_and(|rank| rank < 1.0 && rank > 0.999),
         "kept under 1"
@@ -159,35 +159,35 @@
     for (request, why) in [
         (
             path("/pay/x").header("x-yard", "south"),
-            Refusal::IdempotencyKey,
+            Rejection::IdempotencyKey,
         ),
         (
             path("/pay/x")
                 .header("x-yard", "south")
                 .header("x-order", ""),
-            Refusal::IdempotencyKey,
+            Rejection::IdempotencyKey,
         ),
-        (path("/pay/x").header("x-order", "1"), Refusal::Tenant),
+        (path("/pay/x").header("x-order", "1"), Rejection::Tenant),
         (
             path("/pay/x")
                 .header("x-order", "1")
                 .header("x-yard", "\u{fffd}"),
-            Refusal::Tenant,
+            Rejection::Tenant,
         ),
     ] {
-        assert_eq!(class(&request), Classed::Refused { rule: 0, why });
+        assert_eq!(class(&request), Classification::Rejected { rule: 0, why });
     }
-    let Classed::As(none) = class(
+    let Classification::As(none) = class(
         &path("/pay/")
             .header("x-order", "1")
             .header("x-yard", "north"),
     ) else {
         panic!()
     };
-    assert_eq!(none.subject, None);
+    assert_eq!(none.session_key, None);
     let due_of = |request: &LiteralRequest| {
-        if let Classed::As(class) = class(request) {
-            class.due
+        if let Classification::As(class) = class(request) {
+            class.timeout
         } else {
             None
         }
@@ -206,12 +206,12 @@
             ..rule("true", "look")
         },
         Rule {
-            servers: Some("fast".into()),
+            pool: Some("fast".into()),
             ..rule("header(\"x\")", "pays")
         },
         Rule {
             rank: Some("path".into()),
-            subject: Some("(".into()),
+            session_key: Some("(".into()),
             ..rule("true", "pay")
         },
     ]);
@@ -247,7 +247,7 @@
         rule("path == \"/c\"", "look"),
     ];
     let (_, notes) = Table::build(&rules, &names(), Limits::default()).unwrap();
-    let found: Vec<(usize, usize)> = notes.iter().map(|note| (note.rule, note.behind)).collect();
+    let found: Vec<(usize, usize)> = notes.iter().map(|note| (note.rule, note.by)).collect();
     assert_eq!(found, [(1, 0), (2, 0), (4, 3), (6, 5), (9, 8)]);
 }
 
