--- /dev/null
+++ b/crates/admission/src/controller.rs
@@ -0,0 +1,178 @@
+//! The entry point of the decisions and the order of a turn.
+//!
+//! Each concern keeps its own state in a type of its own. What concerns several of them is in the modules below:
+//! `arrival` (admission), `dispatch` (runs), `calls` (downstream calls), `review` (requests that are due for a
+//! decision) and `answer` (how requests are answered and leave).
+
+mod answer;
+mod arrival;
+mod calls;
+mod dispatch;
+mod review;
+
+use doortrack_time::{MILLISECOND, TenthMillis};
+
+use crate::backpressure::BackpressureSignal;
+use crate::callers::RecentCallers;
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::downstream_calls::DownstreamCalls;
+use crate::drain::Drain;
+use crate::health::Health;
+use crate::idempotency::IdempotencyRecords;
+use crate::idle_connections::IdleConnections;
+use crate::in_flight::{InFlightTable, Slot, Stage};
+use crate::memory::MemoryAccount;
+use crate::queue::RunQueues;
+use crate::quota::TenantQuotas;
+use crate::review::{ReviewSchedule, Timer};
+use crate::run_slots::RunSlots;
+use crate::run_time::RunTimes;
+use crate::sessions::EstablishedSessions;
+use crate::{Action, AdmissionConfig, EndpointGroup, Event, Gauges};
+
+/// Interval of the ticks, in which the gauges are read and callers are told of the load.
+const TICK_INTERVAL: TenthMillis = 50 * MILLISECOND;
+
+/// Decides for one node. It lives as long as the node's process.
+#[derive(Debug)]
+pub struct AdmissionController {
+    config: AdmissionConfig,
+    rng: fastrand::Rng,
+    now: TenthMillis,
+    tick_at: TenthMillis,
+    timer: Timer,
+    in_flight: InFlightTable,
+    reviews: ReviewSchedule,
+    queues: RunQueues,
+    run_slots: RunSlots,
+    run_times: RunTimes,
+    concurrency_limit: ConcurrencyLimit,
+    memory: MemoryAccount,
+    quotas: TenantQuotas,
+    sessions: EstablishedSessions,
+    callers: RecentCallers,
+    records: IdempotencyRecords,
+    downstream: DownstreamCalls,
+    backpressure: BackpressureSignal,
+    idle_connections: IdleConnections,
+    health: Health,
+    drain: Drain,
+}
+
+impl AdmissionController {
+    /// The decisions of a fresh process. Draws of chance follow from `seed` alone.
+    pub fn new(config: AdmissionConfig, seed: u64) -> Self {
+        Self {
+            rng: fastrand::Rng::with_seed(seed),
+            now: 0,
+            tick_at: 0,
+            timer: Timer::default(),
+            in_flight: InFlightTable::default(),
+            reviews: ReviewSchedule::default(),
+            queues: RunQueues::default(),
+            run_slots: RunSlots::new(&config),
+            run_times: RunTimes::new(&config),
+            concurrency_limit: ConcurrencyLimit::new(&config),
+            memory: MemoryAccount::new(&config),
+            quotas: TenantQuotas::new(&config),
+            sessions: EstablishedSessions::new(),
+            callers: RecentCallers::new(),
+            records: IdempotencyRecords::default(),
+            downstream: DownstreamCalls::new(&config),
+            backpressure: BackpressureSignal::new(&config),
+            idle_connections: IdleConnections::new(&config),
+            health: Health::new(&config),
+            drain: Drain::new(&config),
+            config,
+        }
+    }
+
+    /// Takes one turn: takes in a batch of events in order and appends what is to be done to `actions`, which is
+    /// to be executed in order. `now` never goes back.
+    pub fn handle(&mut self, now: TenthMillis, batch: &[Event], actions: &mut Vec<Action>) {
+        self.now = now;
+        for event in batch {
+            self.on_event(event, actions);
+        }
+        self.maintain(actions);
+        self.review_due(actions);
+        self.make_calls(actions);
+        self.start_queued(actions);
+        self.set_timer(actions);
+    }
+
+    fn on_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::Started => self.run_slots.start(self.now),
+            Event::Arrived(request) => self.on_arrived(request, actions),
+            Event::RunEnded { id, outcome } => self.on_run_ended(*id, *outcome),
+            Event::CallRequired { id } => self.on_call_required(*id),
+            Event::CallEnded {
+                id,
+                outcome,
+                duration,
+            } => self.on_call_ended(*id, *outcome, *duration, actions),
+            Event::CallerGone { id } => self.on_caller_gone(*id, actions),
+            Event::Drain { age, stop_at } => self.on_drain(*age, *stop_at, actions),
+            Event::Timer { gauges, .. } => self.on_gauges(gauges),
+        }
+    }
+
+    fn on_gauges(&mut self, gauges: &Gauges) {
+        self.run_slots.record_busy_cores(gauges.busy_cores);
+        self.idle_connections.record_open(gauges.connections);
+    }
+
+    /// Removes what has expired, and in each tick tells callers of the load.
+    fn maintain(&mut self, actions: &mut Vec<Action>) {
+        while let Some(id) = self.records.pop_expired(self.now) {
+            self.remove_record(id);
+        }
+        self.sessions.maintain(self.now);
+        if self.now >= self.tick_at {
+            self.tick_at = self.now + TICK_INTERVAL;
+            self.report_backpressure(actions);
+            self.report_health(actions);
+            self.report_idle_timeout(actions);
+        }
+    }
+
+    fn report_backpressure(&mut self, actions: &mut Vec<Action>) {
+        let limit = self.concurrency_limit.get();
+        if let Some(value) = self.backpressure.tick(limit, self.callers.count()) {
+            actions.push(Action::Backpressure { value });
+        }
+    }
+
+    fn report_health(&mut self, actions: &mut Vec<Action>) {
+        let healthy = !self.drain.has_begun() && !self.is_stalled();
+        self.health.report(healthy, actions);
+    }
+
+    fn report_idle_timeout(&mut self, actions: &mut Vec<Action>) {
+        let callers_return = self.callers.are_returning();
+        if let Some(timeout) = self.idle_connections.tick(callers_return) {
+            actions.push(Action::IdleTimeout { timeout });
+        }
+    }
+
+    /// Sets the one timer for the earliest review and the next tick.
+    fn set_timer(&mut self, actions: &mut Vec<Action>) {
+        let next_at = self.reviews.next_at().min(self.tick_at);
+        if let Some(at) = self.timer.set(self.now, next_at) {
+            actions.push(Action::SetTimer { at, token: 0 });
+        }
+    }
+
+    /// Whether every run slot is taken and none of the runs comes to its end.
+    fn is_stalled(&self) -> bool {
+        let slots_full = self.in_flight.count(Stage::Running) >= self.run_slots.count(self.now);
+        let mean_run_time = self.run_times.mean();
+        slots_full && self.health.without_progress(self.now, mean_run_time)
+    }
+
+    /// The endpoint group of a request in flight.
+    fn group_of(&self, slot: Slot) -> &EndpointGroup {
+        &self.config.groups[self.in_flight[slot].group]
+    }
+}
--- /dev/null
+++ b/crates/admission/src/controller/answer.rs
@@ -0,0 +1,106 @@
+//! How requests are answered, and how they leave the table.
+
+use doortrack_time::{MILLISECOND, TenthMillis};
+
+use super::AdmissionController;
+use crate::in_flight::{Slot, Stage};
+use crate::thresholds::LOWER_THRESHOLD;
+use crate::{Action, RequestId};
+
+/// A cancellation has no effect while the cores stand still, so it is repeated until the end of the run is
+/// reported.
+const CANCEL_REPEAT_INTERVAL: TenthMillis = 250 * MILLISECOND;
+
+impl AdmissionController {
+    /// The rejection of a request. It tells the caller to retry once the load should be down at the lower
+    /// threshold, and not before `retry_after`.
+    pub(super) fn rejection(
+        &self,
+        id: RequestId,
+        no_retry_elsewhere: bool,
+        retry_after: TenthMillis,
+    ) -> Action {
+        let stalled = self.is_stalled();
+        let retry_after = if self.drain.has_begun() || stalled {
+            TenthMillis::MAX
+        } else {
+            retry_after.max(self.overload_time())
+        };
+        Action::Reject {
+            id,
+            no_retry_elsewhere: no_retry_elsewhere && !stalled,
+            retry_after: retry_after.min(self.config.max_retry_after),
+        }
+    }
+
+    /// How long the runs take until the load is down at the lower threshold.
+    fn overload_time(&self) -> TenthMillis {
+        let wanted_load = LOWER_THRESHOLD * self.concurrency_limit.get();
+        let excess = (self.in_flight.load() - wanted_load).max(0.0);
+        let run_slots = self.run_slots.count(self.now) as f32;
+        (excess * self.run_times.mean() / run_slots) as TenthMillis
+    }
+
+    /// Answers a request whose run has begun, and cancels the run; its end is still to come.
+    pub(super) fn fail_running(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        let id = self.in_flight[slot].id;
+        actions.push(Action::Fail { id });
+        self.cancel(slot, actions);
+    }
+
+    /// Cancels a run whose result nobody waits for any more, where that is possible.
+    pub(super) fn cancel(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        let request = &mut self.in_flight[slot];
+        request.answered = true;
+        if !self.config.can_cancel() {
+            self.schedule_review(slot, TenthMillis::MAX);
+            return;
+        }
+        if request.stage == Stage::Running {
+            actions.push(Action::Cancel { id: request.id });
+        }
+        self.schedule_review(slot, self.now + CANCEL_REPEAT_INTERVAL);
+    }
+
+    pub(super) fn on_caller_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(slot) = self.in_flight.slot_of(id) else {
+            return;
+        };
+        if self.in_flight[slot].has_started() {
+            self.cancel(slot, actions);
+        } else {
+            self.give_up(slot, actions);
+        }
+    }
+
+    /// Removes a request that never ran together with its record, so that a retry may run.
+    pub(super) fn give_up(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        let id = self.in_flight[slot].id;
+        if self.remove_record(id) {
+            actions.push(Action::Forget { id });
+        }
+        self.release(slot);
+    }
+
+    /// Removes the record of a request; whether there was one.
+    pub(super) fn remove_record(&mut self, id: RequestId) -> bool {
+        let removed = self.records.remove(id);
+        if removed {
+            self.memory.release(self.config.record_kb);
+        }
+        removed
+    }
+
+    /// Removes a request from the table and returns its memory.
+    pub(super) fn release(&mut self, slot: Slot) {
+        if self.in_flight[slot].stage == Stage::Calling {
+            self.settle_call(slot, true);
+        }
+        let request = self.in_flight.remove(slot);
+        self.memory.release(request.memory_kb);
+        if request.has_started() {
+            let extra_kb = self.memory.extra_to_run(request.memory_kb);
+            self.memory.release(extra_kb);
+        }
+    }
+}
--- /dev/null
+++ b/crates/admission/src/controller/calls.rs
@@ -0,0 +1,140 @@
+//! Calls of running requests to downstream services.
+
+use doortrack_time::TenthMillis;
+
+use super::AdmissionController;
+use crate::in_flight::{Slot, Stage};
+use crate::queue::{MAX_WAIT_SHARE, PRIORITY_UNITS, QueueEntry};
+use crate::{Action, CallOutcome, Effect, RequestId};
+
+/// A failed call is retried so many times at most.
+const MAX_CALL_RETRIES: u8 = 2;
+
+impl AdmissionController {
+    pub(super) fn on_call_required(&mut self, id: RequestId) {
+        let Some(slot) = self.in_flight.slot_of(id) else {
+            return;
+        };
+        if self.in_flight[slot].stage == Stage::Running {
+            self.in_flight.set_stage(slot, Stage::AwaitingCall);
+            self.enqueue_call(slot);
+        }
+    }
+
+    /// Has a request wait for its call. Those that lose most without it go first.
+    fn enqueue_call(&mut self, slot: Slot) {
+        let request = &self.in_flight[slot];
+        let group = self.group_of(slot);
+        let priority = PRIORITY_UNITS * group.priority_weight * (1.0 - group.degraded_weight);
+        let entry = QueueEntry::new(request, slot, priority);
+        if group.can_skip_call() {
+            let max_wait = (MAX_WAIT_SHARE * group.latency_objective as f32) as TenthMillis;
+            let review_at = request.review_at.min(self.now + max_wait);
+            self.schedule_review(slot, review_at);
+        }
+        self.downstream.push(entry);
+    }
+
+    /// Makes the calls that the budget allows.
+    pub(super) fn make_calls(&mut self, actions: &mut Vec<Action>) {
+        self.downstream.refill(self.now);
+        while let Some(entry) = self.downstream.peek(&self.in_flight) {
+            let slot = entry.slot();
+            let skippable = self.group_of(slot).can_skip_call();
+            let time_left = self.time_left_for_call(slot, skippable);
+            let Some(timeout) = self.downstream.timeout(time_left, skippable) else {
+                break;
+            };
+            self.downstream.pop();
+            self.make_call(slot, timeout, actions);
+        }
+    }
+
+    /// How long a call that is made now is useful. One that may be skipped is given up while the rest of the
+    /// run can still be done in time.
+    fn time_left_for_call(&self, slot: Slot, skippable: bool) -> TenthMillis {
+        let request = &self.in_flight[slot];
+        if skippable {
+            request.objective_deadline.saturating_sub(self.now) / 2
+        } else {
+            request.answer_by.saturating_sub(self.now)
+        }
+    }
+
+    fn make_call(&mut self, slot: Slot, timeout: TenthMillis, actions: &mut Vec<Action>) {
+        self.in_flight.set_stage(slot, Stage::Calling);
+        let request = &mut self.in_flight[slot];
+        request.call_attempts += 1;
+        request.call_started_at = self.now;
+        request.call_charge = self.downstream.charge(timeout);
+        let id = request.id;
+        actions.push(Action::Call { id, timeout });
+    }
+
+    pub(super) fn on_call_ended(
+        &mut self,
+        id: RequestId,
+        outcome: CallOutcome,
+        duration: TenthMillis,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(slot) = self.in_flight.slot_of(id) else {
+            return;
+        };
+        if self.in_flight[slot].stage != Stage::Calling {
+            return;
+        }
+        self.in_flight.set_stage(slot, Stage::AwaitingCall);
+        self.settle_call(slot, outcome == CallOutcome::TimedOut);
+        if outcome == CallOutcome::Completed {
+            self.downstream.record_completed(duration);
+            self.resume(slot);
+        } else {
+            self.on_call_failed(slot, outcome, actions);
+        }
+    }
+
+    /// Goes on without the call, retries it, or fails the request.
+    fn on_call_failed(&mut self, slot: Slot, outcome: CallOutcome, actions: &mut Vec<Action>) {
+        let request = &self.in_flight[slot];
+        if request.answered {
+            return; // The end of its run is still to come.
+        }
+        let group = self.group_of(slot);
+        let may_retry = group.effect == Effect::Idempotent || outcome.proves_not_run();
+        if group.can_skip_call() {
+            self.skip_call(slot, actions);
+        } else if may_retry && request.call_attempts <= MAX_CALL_RETRIES {
+            self.enqueue_call(slot);
+        } else {
+            self.fail_running(slot, actions);
+        }
+    }
+
+    /// Continues a run without its call.
+    pub(super) fn skip_call(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        let id = self.in_flight[slot].id;
+        actions.push(Action::SkipCall { id });
+        self.resume(slot);
+    }
+
+    /// Puts a request back on the cores after its call.
+    fn resume(&mut self, slot: Slot) {
+        self.in_flight.set_stage(slot, Stage::Running);
+        let request = &self.in_flight[slot];
+        let review_at = if self.now < request.objective_deadline {
+            request.objective_deadline
+        } else {
+            request.answer_by
+        };
+        self.schedule_review(slot, review_at);
+    }
+
+    /// Returns to the budget what the call of a request did not use.
+    pub(super) fn settle_call(&mut self, slot: Slot, abandoned: bool) {
+        let request = &self.in_flight[slot];
+        let duration = self.now - request.call_started_at;
+        self.downstream
+            .settle(request.call_charge, duration, abandoned);
+    }
+}
--- /dev/null
+++ b/crates/admission/src/controller/review.rs
@@ -0,0 +1,89 @@
+//! Reviews of requests that are due for a decision.
+
+use doortrack_time::{MILLISECOND, TenthMillis};
+
+use super::AdmissionController;
+use crate::Action;
+use crate::in_flight::{Slot, Stage};
+
+/// A late run that keeps nobody waiting is reviewed again after this.
+const LATE_RUN_REVIEW_INTERVAL: TenthMillis = 50 * MILLISECOND;
+
+impl AdmissionController {
+    /// Reviews all requests that are due.
+    pub(super) fn review_due(&mut self, actions: &mut Vec<Action>) {
+        while let Some(slot) = self.reviews.pop_due(&self.in_flight, self.now) {
+            self.review(slot, actions);
+        }
+    }
+
+    /// Schedules the next review of a request, in place of any earlier one.
+    pub(super) fn schedule_review(&mut self, slot: Slot, at: TenthMillis) {
+        let request = &mut self.in_flight[slot];
+        request.review_at = at;
+        self.reviews.push(at, request.id, slot);
+    }
+
+    fn review(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        let request = &self.in_flight[slot];
+        let id = request.id;
+        match request.stage {
+            Stage::Queued => {
+                actions.push(self.rejection(id, true, 0));
+                self.give_up(slot, actions);
+            }
+            Stage::Attached => {
+                actions.push(Action::Fail { id });
+                self.give_up(slot, actions);
+            }
+            Stage::Running | Stage::AwaitingCall | Stage::Calling if request.answered => {
+                self.cancel(slot, actions);
+            }
+            Stage::AwaitingCall if self.may_skip_call(slot) => self.skip_call(slot, actions),
+            Stage::Running | Stage::AwaitingCall | Stage::Calling => {
+                self.review_late_run(slot, actions);
+            }
+        }
+    }
+
+    /// Whether a request that waits for its call goes on without it.
+    fn may_skip_call(&self, slot: Slot) -> bool {
+        self.now < self.in_flight[slot].answer_by && self.group_of(slot).can_skip_call()
+    }
+
+    /// Fails a run that is out of time, or that is worth nothing any more and keeps others waiting.
+    fn review_late_run(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        let answer_by = self.in_flight[slot].answer_by;
+        let others_wait = self.in_flight.count(Stage::Queued) > 0;
+        let worthless = self.group_of(slot).late_is_worthless();
+        let out_of_time = self.now >= answer_by;
+        if out_of_time || (worthless && others_wait && self.config.can_cancel()) {
+            self.adjust_concurrency_limit(false);
+            self.fail_running(slot, actions);
+        } else if others_wait {
+            self.schedule_review(slot, answer_by);
+        } else {
+            let review_at = answer_by.min(self.now + LATE_RUN_REVIEW_INTERVAL);
+            self.schedule_review(slot, review_at);
+        }
+    }
+
+    /// Begins a graceful shutdown: all answers are due before the stop.
+    pub(super) fn on_drain(
+        &mut self,
+        age: TenthMillis,
+        stop_at: TenthMillis,
+        actions: &mut Vec<Action>,
+    ) {
+        self.drain.begin(self.now.saturating_sub(age), stop_at);
+        self.report_health(actions);
+        let slots: Vec<Slot> = self.in_flight.slots().collect();
+        for slot in slots {
+            let request = &mut self.in_flight[slot];
+            request.answer_by = self.drain.answer_by(request.answer_by);
+            request.objective_deadline = request.objective_deadline.min(request.answer_by);
+            let review_at = request.review_at.min(request.answer_by);
+            self.schedule_review(slot, review_at);
+        }
+    }
+}
--- /dev/null
+++ b/crates/admission/src/idempotency.rs
@@ -0,0 +1,56 @@
+//! Requests recorded under their idempotency keys, so that a retry is not run again.
+
+use std::collections::VecDeque;
+
+use doortrack_time::TenthMillis;
+use rustc_hash::FxHashSet;
+
+use crate::RequestId;
+use crate::in_flight::{InFlightTable, Stage};
+
+/// The live entries of the node's table of deduplicated requests.
+#[derive(Debug, Default)]
+pub(crate) struct IdempotencyRecords {
+    live: FxHashSet<RequestId>,
+    /// In order of entry; entries that were removed since are passed over.
+    expirations: VecDeque<(TenthMillis, RequestId)>,
+}
+
+impl IdempotencyRecords {
+    /// Enters a request.
+    pub(crate) fn insert(&mut self, id: RequestId, expires_at: TenthMillis) {
+        self.live.insert(id);
+        self.expirations.push_back((expires_at, id));
+    }
+
+    /// Removes a request; whether it had an entry.
+    pub(crate) fn remove(&mut self, id: RequestId) -> bool {
+        self.live.remove(&id)
+    }
+
+    /// The next request whose time has passed; its entry is to be removed.
+    pub(crate) fn pop_expired(&mut self, now: TenthMillis) -> Option<RequestId> {
+        let (_, id) = self
+            .expirations
+            .pop_front_if(|(expires_at, _)| *expires_at < now)?;
+        Some(id)
+    }
+}
+
+/// The request whose result answers `id`, if it is a duplicate. Requests of one batch may name each other: the
+/// one whose chain leads back to itself is the original.
+pub(crate) fn original_of(
+    in_flight: &InFlightTable,
+    id: RequestId,
+    duplicate_of: Option<RequestId>,
+) -> Option<RequestId> {
+    let original = duplicate_of?;
+    let attached_to = |at: &RequestId| {
+        let request = &in_flight[in_flight.slot_of(*at)?];
+        (request.stage == Stage::Attached).then_some(request.attached_to)
+    };
+    let leads_back = std::iter::successors(Some(original), attached_to)
+        .take(in_flight.len() + 1)
+        .any(|at| at == id);
+    (!leads_back).then_some(original)
+}
--- /dev/null
+++ b/crates/admission/src/moving_mean.rs
@@ -0,0 +1,24 @@
+//! An exponentially weighted mean.
+
+/// Weight of the newest value.
+const NEWEST_WEIGHT: f32 = 0.1;
+
+/// A mean that starts at the first value and then follows the newest ones; 0 before the first.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct MovingMean(f32);
+
+impl MovingMean {
+    /// The mean, in the unit of its values.
+    pub(crate) fn get(self) -> f32 {
+        self.0
+    }
+
+    /// Takes in a value.
+    pub(crate) fn record(&mut self, newest: f32) {
+        if self.0 > 0.0 {
+            self.0 += NEWEST_WEIGHT * (newest - self.0);
+        } else {
+            self.0 = newest;
+        }
+    }
+}
--- /dev/null
+++ b/crates/admission/src/run_slots.rs
@@ -0,0 +1,81 @@
+//! How many requests run at once on this node's cores.
+
+use doortrack_time::TenthMillis;
+
+use crate::AdmissionConfig;
+
+/// Share of what is survived that is used, of the concurrency on the cores and of downstream calls.
+pub(crate) const SAFE_SHARE: f32 = 0.9;
+/// Runs per core while not all cores are busy: some runs wait for what no gauge shows, such as a disk.
+const RUNS_PER_CORE: f32 = 1.5;
+/// Runs per core while all cores are busy: more would only make each take longer.
+const RUNS_PER_BUSY_CORE: f32 = 1.0;
+/// The gauge of busy cores from which on all count as busy.
+const ALL_BUSY: f32 = 0.95;
+
+/// The concurrency that the cores allow.
+#[derive(Debug)]
+pub(crate) struct RunSlots {
+    cores: f32,
+    cold: bool,
+    initial_speed: f32,
+    warm_up_time: TenthMillis,
+    /// Concurrency per core beyond the first that a warm node survives.
+    extra_concurrency: f32,
+    started_at: TenthMillis,
+    /// Latest gauge; absent where there is none or it is not a number.
+    busy_cores: Option<f32>,
+}
+
+impl RunSlots {
+    /// The slots of a node that has not started yet.
+    pub(crate) fn new(config: &AdmissionConfig) -> Self {
+        Self {
+            cores: config.cores as f32,
+            cold: config.cold,
+            initial_speed: config.initial_speed,
+            warm_up_time: config.warm_up_time.max(1),
+            extra_concurrency: (config.overload_multiple - 1.0).max(0.0),
+            started_at: 0,
+            busy_cores: None,
+        }
+    }
+
+    /// The process has started; a cold node warms up from here on.
+    pub(crate) fn start(&mut self, now: TenthMillis) {
+        self.started_at = now;
+    }
+
+    /// Takes in the share of the cores that is busy.
+    pub(crate) fn record_busy_cores(&mut self, busy_cores: Option<f32>) {
+        self.busy_cores = busy_cores.filter(|share| share.is_finite());
+    }
+
+    /// Whether all cores are busy, where a gauge tells.
+    pub(crate) fn all_cores_busy(&self) -> Option<bool> {
+        self.busy_cores.map(|share| share >= ALL_BUSY)
+    }
+
+    /// Requests that may run at once now.
+    pub(crate) fn count(&self, now: TenthMillis) -> usize {
+        let per_core = if self.all_cores_busy().unwrap_or(false) {
+            RUNS_PER_BUSY_CORE
+        } else {
+            RUNS_PER_CORE
+        };
+        (per_core * self.cores)
+            .min(self.max_concurrency(now))
+            .max(1.0) as usize
+    }
+
+    /// Running requests that the node survives at this age, less a margin; fewer while it is cold.
+    pub(crate) fn max_concurrency(&self, now: TenthMillis) -> f32 {
+        let warmth = if self.cold {
+            ((now - self.started_at) as f32 / self.warm_up_time as f32).min(1.0)
+        } else {
+            1.0
+        };
+        let speed = self.initial_speed + (1.0 - self.initial_speed) * warmth;
+        SAFE_SHARE * (1.0 + self.extra_concurrency * speed) * self.cores
+    }
+}
--- /dev/null
+++ b/crates/admission/src/run_time.rs
@@ -0,0 +1,115 @@
+//! How long runs take: learned from those that ended, and expected of those to come.
+
+use doortrack_time::TenthMillis;
+
+use crate::moving_mean::MovingMean;
+use crate::{AdmissionConfig, EndpointGroup};
+
+/// Weight of the newest run in the line from work to run time.
+const LINE_NEWEST_WEIGHT: f32 = 0.03;
+/// Variance of the work that the flat line starts with, as a share of the square of the first work: two runs
+/// alone could give any line.
+const INITIAL_VARIANCE: f32 = 0.1;
+
+/// Mean run times and the work that they follow from. Times are in the unit of [`doortrack_time`].
+#[derive(Debug)]
+pub(crate) struct RunTimes {
+    by_group: Vec<MovingMean>,
+    run_time: MovingMean,
+    work: MovingMean,
+    estimator: RunTimeEstimator,
+}
+
+impl RunTimes {
+    /// Nothing is known before the first run.
+    pub(crate) fn new(config: &AdmissionConfig) -> Self {
+        Self {
+            by_group: vec![MovingMean::default(); config.groups.len()],
+            run_time: MovingMean::default(),
+            work: MovingMean::default(),
+            estimator: RunTimeEstimator::default(),
+        }
+    }
+
+    /// A run was completed; `work` is 0 where it is not known.
+    pub(crate) fn record(&mut self, group: usize, work: f32, run_time: f32) {
+        if work > 0.0 {
+            self.estimator.record(work, run_time);
+        }
+        self.by_group[group].record(run_time);
+        self.run_time.record(run_time);
+        self.work.record(if work > 0.0 { work } else { run_time });
+    }
+
+    /// Mean run time of all groups; 0 before the first run.
+    pub(crate) fn mean(&self) -> f32 {
+        self.run_time.get()
+    }
+
+    /// How long a run should take. Where the work is not known it is the group's mean, and then at most half
+    /// the latency objective, so that a node which has come to expect too much of a run still starts new
+    /// ones and learns better.
+    pub(crate) fn expected(
+        &self,
+        group_index: usize,
+        group: &EndpointGroup,
+        work: f32,
+    ) -> TenthMillis {
+        if work > 0.0
+            && let Some(run_time) = self.estimator.estimate(work)
+        {
+            return run_time as TenthMillis;
+        }
+        let group_mean = self.by_group[group_index].get() as TenthMillis;
+        group_mean.min(group.latency_objective / 2)
+    }
+
+    /// Work as a multiple of the mean, or 1 where nothing is known of either.
+    pub(crate) fn relative_work(&self, group: usize, work: f32) -> f32 {
+        let work = if work > 0.0 {
+            work
+        } else {
+            self.by_group[group].get()
+        };
+        let mean_work = self.work.get();
+        if work > 0.0 && mean_work > 0.0 {
+            work / mean_work
+        } else {
+            1.0
+        }
+    }
+}
+
+/// A line from the work of a request to its run time, by exponentially weighted least squares. Work that tells
+/// little, and costs that are the same for all, make it flat.
+#[derive(Debug, Default)]
+struct RunTimeEstimator {
+    mean_work: f32,
+    mean_run_time: f32,
+    variance: f32,
+    covariance: f32,
+}
+
+impl RunTimeEstimator {
+    fn record(&mut self, work: f32, run_time: f32) {
+        if self.mean_work <= 0.0 {
+            self.mean_work = work;
+            self.mean_run_time = run_time;
+            self.variance = INITIAL_VARIANCE * work * work;
+        }
+        let work_delta = work - self.mean_work;
+        let time_delta = run_time - self.mean_run_time;
+        let newest = LINE_NEWEST_WEIGHT;
+        self.mean_work += newest * work_delta;
+        self.mean_run_time += newest * time_delta;
+        self.variance = (1.0 - newest) * (self.variance + newest * work_delta * work_delta);
+        self.covariance = (1.0 - newest) * (self.covariance + newest * work_delta * time_delta);
+    }
+
+    /// The run time of this work; `None` before the first run.
+    fn estimate(&self, work: f32) -> Option<f32> {
+        let known = self.variance > 0.0;
+        known
+            .then(|| self.mean_run_time + self.covariance / self.variance * (work - self.mean_work))
+    }
+}
