--- /dev/null
+++ b/crates/admission/tests/common/simulated_node.rs
@@ -0,0 +1,353 @@
+//! The node: requests and what becomes of them, time, and one turn after another.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use doortrack_admission::*;
+use doortrack_time::{MILLISECOND, TenthMillis};
+
+use super::request;
+
+/// How far a request has come, by what the node was told to do with it.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub enum Stage {
+    #[default]
+    Queued,
+    /// Attached to this request.
+    Attached(RequestId),
+    Running,
+    AwaitingCall,
+    Calling,
+    Ended,
+}
+
+/// A request and what has become of it.
+#[derive(Default)]
+pub struct TrackedRequest {
+    pub group: usize,
+    pub stage: Stage,
+    pub idempotency_key: u64,
+    pub arrived_at: TenthMillis,
+    pub deadline: TenthMillis,
+    pub memory_kb: f32,
+    pub ran: bool,
+    pub completed: bool,
+    /// Its caller still waits for an answer.
+    pub answer_owed: bool,
+    pub answered: bool,
+    pub call_started_at: Option<TenthMillis>,
+    /// When its call is abandoned.
+    pub call_abandoned_at: TenthMillis,
+    pub may_call: bool,
+    /// The request that it was said to duplicate.
+    pub duplicate_of: Option<RequestId>,
+}
+
+/// An entry of the table of deduplicated requests.
+pub struct RecordedRequest {
+    pub idempotency_key: u64,
+    pub id: RequestId,
+    pub expires_at: TenthMillis,
+}
+
+/// A graceful shutdown.
+#[derive(Clone, Copy)]
+pub struct Shutdown {
+    /// Requests that arrive after this are not run.
+    pub last_arrival_at: TenthMillis,
+    pub stop_at: TenthMillis,
+}
+
+pub struct SimulatedNode {
+    pub controller: AdmissionController,
+    pub config: AdmissionConfig,
+    pub now: TenthMillis,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
+    /// What the next turn is told.
+    pub events: Vec<Event>,
+    pub timers: BTreeSet<TenthMillis>,
+    /// Gauge of busy cores.
+    pub busy_cores: f32,
+    /// Gauge of open connections.
+    pub connections: f32,
+    /// Who sends what arrives.
+    pub caller: u64,
+    pub records: Vec<RecordedRequest>,
+    /// Time spent downstream by calls that have ended: from, to.
+    pub ended_calls: Vec<(TenthMillis, TenthMillis)>,
+    pub shutdown: Option<Shutdown>,
+    pub started_at: TenthMillis,
+    next_id: RequestId,
+    /// All that was decided so far.
+    pub actions: Vec<Action>,
+}
+
+impl SimulatedNode {
+    /// A node that has just started.
+    pub fn new(config: AdmissionConfig, seed: u64) -> SimulatedNode {
+        let started_at = 60_000 * MILLISECOND;
+        let mut node = SimulatedNode {
+            controller: AdmissionController::new(config.clone(), seed),
+            config,
+            now: started_at,
+            requests: BTreeMap::new(),
+            events: vec![Event::Started],
+            timers: BTreeSet::new(),
+            busy_cores: 1.0,
+            connections: 1.0,
+            caller: 0,
+            records: Vec::new(),
+            ended_calls: Vec::new(),
+            shutdown: None,
+            started_at,
+            next_id: 1,
+            actions: Vec::new(),
+        };
+        node.turn();
+        node
+    }
+
+    /// Reads one request into the node. `key` is its idempotency key in a deduplicated group, else the key of its
+    /// session; a duplicate is linked as the node's table says. `time_left` is a deadline that the protocol passes.
+    pub fn arrive(
+        &mut self,
+        group: u8,
+        key: u64,
+        age: TenthMillis,
+        time_left: Option<TenthMillis>,
+        memory_kb: f32,
+    ) -> RequestId {
+        let id = self.next_id;
+        self.next_id += 1;
+        let arrived_at = self.now - age;
+        let deadline = time_left.map(|left| self.now + left);
+        let group_config = &self.config.groups[usize::from(group)];
+        let deduplicated = group_config.effect == Effect::Deduplicated;
+        let group_deadline = arrived_at + group_config.deadline;
+        let duplicate_of = self
+            .recorded(key, arrived_at)
+            .or_else(|| self.in_this_batch(group, key))
+            .filter(|_| deduplicated);
+        self.events.push(Event::Arrived(Request {
+            session_key: if deduplicated { 0 } else { key },
+            deadline,
+            tenant: (key % 3) as u16,
+            caller: self.caller,
+            memory_kb,
+            age,
+            duplicate_of,
+            ..request(id, group)
+        }));
+        let tracked = TrackedRequest {
+            group: usize::from(group),
+            idempotency_key: key,
+            arrived_at,
+            deadline: deadline.unwrap_or(group_deadline),
+            memory_kb,
+            answer_owed: true,
+            may_call: true,
+            duplicate_of,
+            ..TrackedRequest::default()
+        };
+        self.requests.insert(id, tracked);
+        id
+    }
+
+    /// The latest recorded request with this idempotency key that ran or may still run.
+    fn recorded(&self, idempotency_key: u64, arrived_at: TenthMillis) -> Option<RequestId> {
+        let counts = |record: &&RecordedRequest| {
+            let recorded = &self.requests[&record.id];
+            record.idempotency_key == idempotency_key
+                && record.expires_at >= arrived_at
+                && (recorded.ran || recorded.stage == Stage::Queued)
+        };
+        let latest = self.records.iter().rev().find(counts)?;
+        Some(latest.id)
+    }
+
+    /// A request with the same idempotency key that is read in the same batch.
+    fn in_this_batch(&self, group: u8, idempotency_key: u64) -> Option<RequestId> {
+        self.events.iter().rev().find_map(|event| match event {
+            Event::Arrived(read)
+                if read.group == group
+                    && self.requests[&read.id].idempotency_key == idempotency_key =>
+            {
+                Some(read.id)
+            }
+            _ => None,
+        })
+    }
+
+    /// Two requests with one idempotency key in one batch, each naming the other.
+    pub fn arrive_together(&mut self, group: u8, idempotency_key: u64) -> (RequestId, RequestId) {
+        let first = self.arrive(group, idempotency_key, 0, None, 30.0);
+        let second = self.arrive(group, idempotency_key, 0, None, 30.0);
+        for event in &mut self.events {
+            if let Event::Arrived(read) = event
+                && read.duplicate_of.is_none()
+                && [first, second].contains(&read.id)
+            {
+                let other = if read.id == first { second } else { first };
+                read.duplicate_of = Some(other);
+                self.requests.get_mut(&read.id).unwrap().duplicate_of = Some(other);
+            }
+        }
+        (first, second)
+    }
+
+    /// One of the requests at this stage, chosen by `n`.
+    pub fn pick(&self, stage: Stage, n: u32) -> Option<RequestId> {
+        let at_stage: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| request.stage == stage)
+            .map(|(id, _)| *id)
+            .collect();
+        (!at_stage.is_empty()).then(|| at_stage[n as usize % at_stage.len()])
+    }
+
+    /// The run of a request ends, and with it any call.
+    pub fn end_run(&mut self, id: RequestId, outcome: RunOutcome) {
+        let request = self.requests.get_mut(&id).unwrap();
+        request.stage = Stage::Ended;
+        request.answer_owed = false;
+        request.completed = outcome == RunOutcome::Completed;
+        if let Some(from) = request.call_started_at.take() {
+            self.ended_calls
+                .push((from, self.now + self.config.abandoned_call_time));
+        }
+        self.events.push(Event::RunEnded { id, outcome });
+    }
+
+    /// A running request comes to its call; its run ends there if nobody waits for it any more.
+    pub fn require_call(&mut self, id: RequestId) {
+        let request = self.requests.get_mut(&id).unwrap();
+        if !request.answer_owed {
+            return self.end_run(id, RunOutcome::Cancelled);
+        }
+        request.stage = Stage::AwaitingCall;
+        self.events.push(Event::CallRequired { id });
+    }
+
+    pub fn end_call(&mut self, id: RequestId, outcome: CallOutcome) {
+        let request = self.requests.get_mut(&id).unwrap();
+        let started_at = request.call_started_at.take().unwrap();
+        let goes_on = if outcome == CallOutcome::TimedOut {
+            self.config.abandoned_call_time
+        } else {
+            0
+        };
+        self.ended_calls.push((started_at, self.now + goes_on));
+        let effect = self.config.groups[request.group].effect;
+        let completed = outcome == CallOutcome::Completed;
+        request.may_call = completed || effect == Effect::Idempotent || outcome.proves_not_run();
+        request.stage = if completed {
+            Stage::Running
+        } else {
+            Stage::AwaitingCall
+        };
+        self.events.push(Event::CallEnded {
+            id,
+            outcome,
+            duration: self.now - started_at,
+        });
+    }
+
+    pub fn caller_gone(&mut self, id: RequestId) {
+        let request = self.requests.get_mut(&id).unwrap();
+        request.answer_owed = false;
+        match request.stage {
+            Stage::Queued | Stage::Attached(_) => request.stage = Stage::Ended,
+            Stage::AwaitingCall | Stage::Calling => self.end_run(id, RunOutcome::Cancelled),
+            Stage::Running | Stage::Ended => {}
+        }
+        self.events.push(Event::CallerGone { id });
+    }
+
+    /// Requests a graceful shutdown, with the stop after so much time.
+    pub fn drain_in(&mut self, time_left: TenthMillis) {
+        if self.shutdown.is_some() {
+            return;
+        }
+        let stop_at = self.now + time_left;
+        self.shutdown = Some(Shutdown {
+            last_arrival_at: self.now + self.config.drain_grace,
+            stop_at,
+        });
+        self.events.push(Event::Drain { age: 0, stop_at });
+    }
+
+    /// Whether so much time leads up to the stop or past it.
+    pub fn stops_within(&self, span: TenthMillis) -> bool {
+        self.shutdown
+            .is_some_and(|shutdown| self.now + span >= shutdown.stop_at)
+    }
+
+    /// Lets time pass, with every timer at its moment.
+    pub fn advance(&mut self, span: TenthMillis) {
+        let end = self.now + span;
+        self.turn();
+        while let Some(at) = self.timers.first().copied().filter(|at| *at <= end) {
+            self.timers.remove(&at);
+            self.now = self.now.max(at.next_multiple_of(self.config.tick));
+            let gauges = Gauges {
+                busy_cores: Some(self.busy_cores),
+                connections: Some(self.connections),
+                ..Gauges::default()
+            };
+            self.events.push(Event::Timer { token: 0, gauges });
+            self.turn();
+        }
+        self.now = self.now.max(end.next_multiple_of(self.config.tick));
+    }
+
+    /// Hands over what happened, executes what comes back, and checks the rules.
+    pub fn turn(&mut self) {
+        self.abandon_late_calls();
+        let batch = std::mem::take(&mut self.events);
+        let mut actions = Vec::new();
+        self.controller.handle(self.now, &batch, &mut actions);
+        for action in &actions {
+            self.execute(action);
+        }
+        self.actions.extend(actions);
+        self.answer_attached();
+        self.check_invariants();
+    }
+
+    fn abandon_late_calls(&mut self) {
+        let late: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| {
+                request.stage == Stage::Calling && request.call_abandoned_at <= self.now
+            })
+            .map(|(id, _)| *id)
+            .collect();
+        for id in late {
+            self.end_call(id, CallOutcome::TimedOut);
+        }
+    }
+
+    /// Ends the wait of requests that are attached to one that has ended.
+    fn answer_attached(&mut self) {
+        let attached = self
+            .requests
+            .iter()
+            .filter_map(|(id, request)| match request.stage {
+                Stage::Attached(original) => Some((*id, &self.requests[&original])),
+                _ => None,
+            });
+        let ended: Vec<(RequestId, bool)> = attached
+            .filter(|(_, original)| original.stage == Stage::Ended)
+            .map(|(id, original)| (id, original.completed))
+            .collect();
+        for (id, completed) in ended {
+            let outcome = if completed {
+                RunOutcome::Completed
+            } else {
+                RunOutcome::Failed
+            };
+            self.end_run(id, outcome);
+        }
+    }
+}
--- a/crates/admission/tests/pinned.rs
+++ b/crates/admission/tests/pinned.rs
@@ -8,7 +8,7 @@
 
 use std::fmt::Write;
 
-use common::{At, World, contract};
+use common::{SimulatedNode, Stage, config};
 use doortrack_admission::*;
 use doortrack_time::MILLISECOND;
 use fastrand::Rng;
@@ -17,10 +17,10 @@
 const STEPS: usize = 500;
 const PINNED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/pinned.txt");
 
-/// Settings drawn from the seed: every kind of stop and of the free value, with and without each limit.
-fn settings(rng: &mut Rng) -> AdmissionConfig {
-    let base = contract();
-    let mut terms = AdmissionConfig {
+/// Settings drawn from the seed: every kind of cancellation and of backpressure, with and without each limit.
+fn draw_config(rng: &mut Rng) -> AdmissionConfig {
+    let base = config();
+    let mut config = AdmissionConfig {
         cores: rng.u32(1..9),
         memory_kb: rng.choice([3_000.0, 20_000.0, 200_000.0]).unwrap(),
         tenant_quotas: vec![rng.choice([0.5, 8.0, 50.0]).unwrap(), 20.0],
@@ -50,32 +50,32 @@
         max_retry_after: rng.choice([0, 1000 * MILLISECOND]).unwrap(),
         ..base
     };
-    for group in &mut terms.groups {
+    for group in &mut config.groups {
         group.latency_objective = rng.choice([400 * MILLISECOND, 1500 * MILLISECOND]).unwrap();
         group.objective_per_work = rng.choice([0.0, 2.0]).unwrap();
         group.priority_weight = rng.choice([0.2, 1.0, 4.0]).unwrap();
         group.late_weight = rng.choice([0.0, 0.5]).unwrap();
     }
-    // A call may be left out of repeatable requests alone: the world takes a later one for the same call.
-    terms.groups[0].degraded_weight = rng.choice([0.0, 0.4]).unwrap();
-    terms
+    // A call may be skipped by idempotent requests alone: the node takes a later one for the same call.
+    config.groups[0].degraded_weight = rng.choice([0.0, 0.4]).unwrap();
+    config
 }
 
-/// Reads one request with what a front end may pass on of it.
-fn arrive(world: &mut World, rng: &mut Rng) {
-    world.caller = rng.u64(1..40);
-    let due = rng.bool().then(|| rng.u64(0..5_000) * MILLISECOND);
+/// Reads one request with what a protocol may pass on of it.
+fn arrive(node: &mut SimulatedNode, rng: &mut Rng) {
+    node.caller = rng.u64(1..40);
+    let time_left = rng.bool().then(|| rng.u64(0..5_000) * MILLISECOND);
     let age = rng
         .choice([0, 0, 0, 40 * MILLISECOND, 700 * MILLISECOND])
         .unwrap();
-    world.arrive(
+    node.arrive(
         rng.u8(0..3),
         rng.u64(0..14),
         age,
-        due,
+        time_left,
         rng.u32(1..70) as f32,
     );
-    if let Some(Event::Arrived(read)) = world.events.last_mut() {
+    if let Some(Event::Arrived(read)) = node.events.last_mut() {
         read.work_hint = rng.bool().then(|| rng.u64(1..900) * MILLISECOND);
         read.rank = rng.f32();
         read.retry = rng.u8(0..5) == 0;
@@ -83,7 +83,7 @@
     }
 }
 
-fn end_call(world: &mut World, rng: &mut Rng) {
+fn end_call(node: &mut SimulatedNode, rng: &mut Rng) {
     use CallOutcome::{Completed, ConnectionLost, Failed, Rejected, TimedOut, Unreachable};
     let outcome = rng
         .choice([
@@ -97,45 +97,46 @@
             ConnectionLost,
         ])
         .unwrap();
-    if let Some(id) = world.pick(At::Calling, rng.u32(..)) {
-        world.end_call(id, outcome);
+    if let Some(id) = node.pick(Stage::Calling, rng.u32(..)) {
+        node.end_call(id, outcome);
     }
 }
 
 /// One thing that may happen at a node, and time that passes now and then.
-fn play(world: &mut World, rng: &mut Rng) {
+fn play(node: &mut SimulatedNode, rng: &mut Rng) {
     match rng.u8(0..24) {
-        0..=8 => arrive(world, rng),
-        9 => _ = world.arrive_together(1, rng.u64(1..14)),
+        0..=8 => arrive(node, rng),
+        9 => _ = node.arrive_together(1, rng.u64(1..14)),
         10..=14 => {
             let outcome = if rng.u8(0..9) == 0 {
                 RunOutcome::Failed
             } else {
                 RunOutcome::Completed
             };
-            if let Some(id) = world.pick(At::Running, rng.u32(..)) {
-                world.finish(id, outcome);
+            if let Some(id) = node.pick(Stage::Running, rng.u32(..)) {
+                node.end_run(id, outcome);
             }
         }
-        15..=16 => world
-            .pick(At::Running, rng.u32(..))
+        15..=16 => node
+            .pick(Stage::Running, rng.u32(..))
             .into_iter()
-            .for_each(|id| world.need_call(id)),
-        17..=18 => end_call(world, rng),
+            .for_each(|id| node.require_call(id)),
+        17..=18 => end_call(node, rng),
         19 => {
-            let at = rng.choice([At::Queued, At::Running, At::Calling]).unwrap();
-            world
-                .pick(at, rng.u32(..))
+            let at = rng
+                .choice([Stage::Queued, Stage::Running, Stage::Calling])
+                .unwrap();
+            node.pick(at, rng.u32(..))
                 .into_iter()
-                .for_each(|id| world.caller_gone(id));
+                .for_each(|id| node.caller_gone(id));
         }
-        20 => world.busy = rng.choice([0.3, 0.94, 0.95, 1.0]).unwrap(),
-        21 => world.links = rng.u32(0..300) as f32,
-        22 if rng.u8(0..60) == 0 => world.leave_in(rng.u64(800..3_800) * MILLISECOND),
+        20 => node.busy_cores = rng.choice([0.3, 0.94, 0.95, 1.0]).unwrap(),
+        21 => node.connections = rng.u32(0..300) as f32,
+        22 if rng.u8(0..60) == 0 => node.drain_in(rng.u64(800..3_800) * MILLISECOND),
         _ => {}
     }
     if rng.u8(0..3) == 0 {
-        world.pass(rng.u64(1..120) * MILLISECOND);
+        node.advance(rng.u64(1..120) * MILLISECOND);
     }
 }
 
@@ -145,24 +146,21 @@
         Action::Run { id } => format!("run {id}"),
         Action::Reject {
             id,
-            no_retry_elsewhere: not_elsewhere,
+            no_retry_elsewhere,
             retry_after,
         } => {
-            format!("reject {id} {not_elsewhere} {retry_after}")
+            format!("reject {id} {no_retry_elsewhere} {retry_after}")
         }
         Action::Fail { id } => format!("fail {id}"),
         Action::Cancel { id } => format!("stop {id}"),
-        Action::Call { id, timeout: limit } => format!("call {id} {limit}"),
+        Action::Call { id, timeout } => format!("call {id} {timeout}"),
         Action::SkipCall { id } => format!("skip {id}"),
-        Action::Record { id, ttl: lasting } => format!("record {id} {lasting}"),
+        Action::Record { id, ttl } => format!("record {id} {ttl}"),
         Action::Forget { id } => format!("forget {id}"),
         Action::Attach { id } => format!("attach {id}"),
-        Action::Health {
-            cached: from_store,
-            healthy: good,
-        } => format!("health {from_store} {good}"),
-        Action::Backpressure { value: level } => format!("level {:08x}", level.to_bits()),
-        Action::IdleTimeout { timeout: after } => format!("idle {after}"),
+        Action::Health { cached, healthy } => format!("health {cached} {healthy}"),
+        Action::Backpressure { value } => format!("level {:08x}", value.to_bits()),
+        Action::IdleTimeout { timeout } => format!("idle {timeout}"),
         Action::SetTimer { at, token } => format!("alarm {at} {token}"),
     }
 }
@@ -180,18 +178,15 @@
 /// The actions of one seed's history, which ends early at a stop.
 fn history(seed: u64) -> Vec<Action> {
     let mut rng = Rng::with_seed(seed);
-    let mut world = World::new(settings(&mut rng), seed);
+    let mut node = SimulatedNode::new(draw_config(&mut rng), seed);
     for _ in 0..STEPS {
-        if world
-            .leave
-            .is_some_and(|(_, stop)| world.now + 120 * MILLISECOND >= stop)
-        {
+        if node.stops_within(120 * MILLISECOND) {
             break;
         }
-        play(&mut world, &mut rng);
+        play(&mut node, &mut rng);
     }
-    world.pass(9_000 * MILLISECOND);
-    world.done
+    node.advance(9_000 * MILLISECOND);
+    node.actions
 }
 
 /// How often each kind of action came, so that the text shows what the histories reach.
