--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -67,7 +67,8 @@
         /// Whether the node is healthy.
         healthy: bool,
     },
-    /// The backpressure value that goes out with each answer; see [`Backpressure`].
+    /// The backpressure value that goes out with each answer; see
+    /// [`Backpressure`](crate::Backpressure).
     Backpressure {
         /// The value.
         value: f32,
@@ -77,7 +78,7 @@
         /// The timeout.
         timeout: TenthMillis,
     },
-    /// Fire [`Event::Timer`] at this time.
+    /// Fire [`Event::Timer`](crate::Event::Timer) at this time.
     SetTimer {
         /// When it fires.
         at: TenthMillis,
--- a/crates/admission/src/backpressure.rs
+++ b/crates/admission/src/backpressure.rs
@@ -1,5 +1,5 @@
-//! The rejection rate, and the backpressure value that follows from it. Reading a request costs work also
-//! where it is rejected, so callers are asked to hold back while many are.
+//! The rejection rate, and the backpressure value that follows from it. Reading a request costs
+//! work also where it is rejected, so callers are asked to hold back while many are.
 
 use crate::thresholds::LOWER_THRESHOLD;
 use crate::{AdmissionConfig, Backpressure};
@@ -18,8 +18,8 @@
 const MIN_RANK_DECREASE: f32 = 0.02;
 /// Highest least rank.
 const MAX_MIN_RANK: f32 = 0.6;
-/// Rejection rate from which on callers are given credits. Less is borne without: credits hold back a caller
-/// that sends more than others also where nothing is short.
+/// Rejection rate from which on callers are given credits. Less is borne without: credits hold back
+/// a caller that sends more than others also where nothing is short.
 const CREDITS_FROM_RATE: f32 = 0.2;
 
 /// What callers are told to hold back.
@@ -77,8 +77,8 @@
         Some(changed)
     }
 
-    /// The credits of each caller: its part of the load that is wanted here, in requests. Nothing is sent
-    /// until the first need, and ample credits once that is over.
+    /// The credits of each caller: its part of the load that is wanted here, in requests. Nothing
+    /// is sent until the first need, and ample credits once that is over.
     fn credits(&self, concurrency_limit: f32, callers: usize) -> Option<f32> {
         if self.rejection_rate > CREDITS_FROM_RATE {
             Some(LOWER_THRESHOLD * concurrency_limit / callers as f32)
--- a/crates/admission/src/concurrency_limit.rs
+++ b/crates/admission/src/concurrency_limit.rs
@@ -1,5 +1,5 @@
-//! The concurrency limit, which the paper calls the capacity `C` and takes as known. Here it is learned from
-//! whether runs meet their latency objectives.
+//! The concurrency limit, which the paper calls the capacity `C` and takes as known. Here it is
+//! learned from whether runs meet their latency objectives.
 
 use crate::AdmissionConfig;
 use crate::queue::MAX_WAIT_SHARE;
@@ -47,15 +47,15 @@
         self.clamp(run_slots, mean_run_time);
     }
 
-    /// A run missed its latency objective. A request given up while queued is no run: on few cores it is so
-    /// common that it would hold the limit down.
+    /// A run missed its latency objective. A request given up while queued is no run: on few cores
+    /// it is so common that it would hold the limit down.
     pub(crate) fn record_missed(&mut self, run_slots: usize, mean_run_time: f32) {
         self.limit *= LIMIT_DECREASE;
         self.clamp(run_slots, mean_run_time);
     }
 
-    /// Bounds the limit by the runs that begin within the time that a request may wait: more would be
-    /// admitted only to be given up.
+    /// Bounds the limit by the runs that begin within the time that a request may wait: more would
+    /// be admitted only to be given up.
     fn clamp(&mut self, run_slots: usize, mean_run_time: f32) {
         let runs_per_slot = 1.0 + self.max_wait / mean_run_time.max(1.0);
         let max = (run_slots as f32 * runs_per_slot).min(self.max);
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -89,8 +89,8 @@
     pub backpressure_ttl: TenthMillis,
     /// How long the answer to a read may serve others.
     pub max_staleness: TenthMillis,
-    /// This node's share of the concurrent calls that the downstream service survives, as a mean over
-    /// `downstream_window`. Absent where no downstream service is shared.
+    /// This node's share of the concurrent calls that the downstream service survives, as a mean
+    /// over `downstream_window`. Absent where no downstream service is shared.
     pub downstream_concurrency: Option<f32>,
     /// Window over which concurrent downstream calls are averaged.
     pub downstream_window: TenthMillis,
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,8 +1,8 @@
 //! The entry point of the decisions and the order of a turn.
 //!
-//! Each concern keeps its own state in a type of its own. What concerns several of them is in the modules below:
-//! `arrival` (admission), `dispatch` (runs), `calls` (downstream calls), `review` (requests that are due for a
-//! decision) and `answer` (how requests are answered and leave).
+//! Each concern keeps its own state in a type of its own. What concerns several of them is in the
+//! modules below: `arrival` (admission), `dispatch` (runs), `calls` (downstream calls), `review`
+//! (requests that are due for a decision) and `answer` (how requests are answered and leave).
 
 mod answer;
 mod arrival;
@@ -38,7 +38,9 @@
 pub struct AdmissionController {
     config: AdmissionConfig,
     rng: fastrand::Rng,
+    /// The time of this turn.
     now: TenthMillis,
+    /// When the next tick is due.
     tick_at: TenthMillis,
     timer: Timer,
     in_flight: InFlightTable,
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Takes one turn: takes in a batch of events in order and appends what is to be done to `actions`, which is
-    /// to be executed in order. `now` never goes back.
+    /// Takes one turn: takes in a batch of events in order and appends what is to be done to
+    /// `actions`, which is to be executed in order. `now` never goes back.
     pub fn handle(&mut self, now: TenthMillis, batch: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in batch {
@@ -101,6 +103,7 @@
         self.set_timer(actions);
     }
 
+    /// Takes in one event.
     fn on_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::Started => self.run_slots.start(self.now),
@@ -118,6 +121,7 @@
         }
     }
 
+    /// Takes in the node's gauges.
     fn on_gauges(&mut self, gauges: &Gauges) {
         self.run_slots.record_busy_cores(gauges.busy_cores);
         self.idle_connections.record_open(gauges.connections);
@@ -137,6 +141,7 @@
         }
     }
 
+    /// Sends a backpressure value that has changed.
     fn report_backpressure(&mut self, actions: &mut Vec<Action>) {
         let limit = self.concurrency_limit.get();
         if let Some(value) = self.backpressure.tick(limit, self.callers.count()) {
@@ -144,11 +149,13 @@
         }
     }
 
+    /// Reports a change of health: unhealthy during a shutdown and while stalled.
     fn report_health(&mut self, actions: &mut Vec<Action>) {
         let healthy = !self.drain.has_begun() && !self.is_stalled();
         self.health.report(healthy, actions);
     }
 
+    /// Gives an idle timeout that has changed.
     fn report_idle_timeout(&mut self, actions: &mut Vec<Action>) {
         let callers_return = self.callers.are_returning();
         if let Some(timeout) = self.idle_connections.tick(callers_return) {
--- a/crates/admission/src/controller/answer.rs
+++ b/crates/admission/src/controller/answer.rs
@@ -7,13 +7,13 @@
 use crate::thresholds::LOWER_THRESHOLD;
 use crate::{Action, RequestId};
 
-/// A cancellation has no effect while the cores stand still, so it is repeated until the end of the run is
-/// reported.
+/// A cancellation has no effect while the cores stand still, so it is repeated until the end of the
+/// run is reported.
 const CANCEL_REPEAT_INTERVAL: TenthMillis = 250 * MILLISECOND;
 
 impl AdmissionController {
-    /// The rejection of a request. It tells the caller to retry once the load should be down at the lower
-    /// threshold, and not before `retry_after`.
+    /// The rejection of a request. It tells the caller to retry once the load should be down at the
+    /// lower threshold, and not before `retry_after`.
     pub(super) fn rejection(
         &self,
         id: RequestId,
@@ -62,6 +62,7 @@
         self.schedule_review(slot, self.now + CANCEL_REPEAT_INTERVAL);
     }
 
+    /// Nobody waits for the answer of a request any more.
     pub(super) fn on_caller_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(slot) = self.in_flight.slot_of(id) else {
             return;
--- a/crates/admission/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -13,44 +13,22 @@
 const MIN_RELATIVE_WORK: f32 = 0.01;
 
 impl AdmissionController {
+    /// Attaches, rejects or accepts a request that was read.
     pub(super) fn on_arrived(&mut self, request: &Request, actions: &mut Vec<Action>) {
         self.callers.record(request.caller, self.now);
         let Some(&group) = self.config.groups.get(usize::from(request.group)) else {
             actions.push(Action::Fail { id: request.id });
             return;
         };
-        let mut arrival = self.new_request(request, &group);
-        if let Some(original) =
-            idempotency::original_of(&self.in_flight, request.id, request.duplicate_of)
-        {
-            arrival.stage = Stage::Attached;
-            arrival.attached_to = original;
-            self.attach(arrival, actions);
-            return;
-        }
-        let unread_share = request.age as f32 / group.latency_objective.max(1) as f32;
-        let rejected = self.should_reject(&arrival, &group, unread_share);
-        self.backpressure.record_read(rejected, unread_share);
-        self.idle_connections.record_read(unread_share);
-        let over_budget = request.budget_retry_after.is_some();
-        if rejected || over_budget || self.would_be_late(&arrival, &group) {
-            // A request that would only be late here may still be done in time by a faster node, and says
-            // nothing of the load.
-            let overloaded = (rejected || over_budget) && self.backpressure.is_overloaded();
-            let retry_after = request.budget_retry_after.unwrap_or(0);
-            let rejection = self.rejection(request.id, request.retry || overloaded, retry_after);
+        let arrival = self.new_request(request, &group);
+        let original = idempotency::original_of(&self.in_flight, request.id, request.duplicate_of);
+        if let Some(original) = original {
+            self.attach(arrival, original, actions);
+        } else if let Some(rejection) = self.reject_on_reading(request, &arrival, &group) {
             actions.push(rejection);
-            return;
-        }
-        if group.effect == Effect::Deduplicated {
-            let ttl = group.dedup_window.saturating_sub(request.age);
-            self.record(request.id, ttl, actions);
-        }
-        if !arrival.over_quota {
-            self.quotas.take(usize::from(request.tenant));
+        } else {
+            self.accept(request, arrival, &group, actions);
         }
-        let slot = self.admit(arrival);
-        self.enqueue(slot);
     }
 
     /// The entry of a request that was read, as yet queued.
@@ -78,45 +56,76 @@
         }
     }
 
-    /// Answers a duplicate with the result of its original, whatever that was: it is neither run nor rejected.
-    fn attach(&mut self, duplicate: InFlightRequest, actions: &mut Vec<Action>) {
+    /// Answers a duplicate with the result of its original, whatever that was: it is neither run
+    /// nor rejected.
+    fn attach(
+        &mut self,
+        mut duplicate: InFlightRequest,
+        original: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
         let (id, answer_by) = (duplicate.id, duplicate.answer_by);
-        if self.memory.fits(duplicate.memory_kb) {
-            actions.push(Action::Attach { id });
-            let slot = self.admit(duplicate);
-            self.schedule_review(slot, answer_by);
-        } else {
+        if !self.memory.fits(duplicate.memory_kb) {
             actions.push(Action::Fail { id });
+            return;
         }
+        actions.push(Action::Attach { id });
+        duplicate.stage = Stage::Attached;
+        duplicate.attached_to = original;
+        let slot = self.admit(duplicate);
+        self.schedule_review(slot, answer_by);
     }
 
-    /// Whether a request is rejected on reading.
-    fn should_reject(
+    /// The rejection of a request that is not accepted, if it is not. Counts it in the rejection
+    /// rate.
+    fn reject_on_reading(
         &mut self,
-        request: &InFlightRequest,
+        request: &Request,
+        arrival: &InFlightRequest,
         group: &EndpointGroup,
-        unread_share: f32,
-    ) -> bool {
-        let record_kb = if group.effect == Effect::Deduplicated {
-            self.config.record_kb
-        } else {
-            0.0
+    ) -> Option<Action> {
+        let unread_share = request.age as f32 / group.latency_objective.max(1) as f32;
+        let rejected = self.is_out_of_time(arrival)
+            || !self.fits_in_memory(arrival, group)
+            || self.should_reject(arrival, unread_share);
+        self.backpressure.record_read(rejected, unread_share);
+        self.idle_connections.record_read(unread_share);
+        let over_budget = request.budget_retry_after.is_some();
+        if !rejected && !over_budget && !self.would_be_late(arrival, group) {
+            return None;
+        }
+        // A request that would only be late here says nothing of the load, and a faster node may
+        // still do it in time.
+        let overloaded = (rejected || over_budget) && self.backpressure.is_overloaded();
+        let no_retry_elsewhere = request.retry || overloaded;
+        let retry_after = request.budget_retry_after.unwrap_or(0);
+        Some(self.rejection(request.id, no_retry_elsewhere, retry_after))
+    }
+
+    /// Whether it is too late for any answer, or for a run before the node shuts down.
+    fn is_out_of_time(&self, arrival: &InFlightRequest) -> bool {
+        self.now >= arrival.answer_by || self.drain.rejects(arrival.arrived_at)
+    }
+
+    /// Whether there is memory for a request while it is queued, and for its record.
+    fn fits_in_memory(&self, arrival: &InFlightRequest, group: &EndpointGroup) -> bool {
+        let record_kb = match group.effect {
+            Effect::Deduplicated => self.config.record_kb,
+            Effect::Idempotent | Effect::Mutating => 0.0,
         };
-        let too_late = self.now >= request.answer_by || self.drain.rejects(request.arrived_at);
-        too_late
-            || !self.memory.fits(request.memory_kb + record_kb)
-            || self.is_shed(request, unread_share)
+        self.memory.fits(arrival.memory_kb + record_kb)
     }
 
-    /// Whether a request is rejected because of the load, by the rule in [`thresholds`] and its exceptions.
-    fn is_shed(&mut self, request: &InFlightRequest, unread_share: f32) -> bool {
+    /// Whether a request is rejected because of the load: by the rule in [`thresholds`], or beside
+    /// it while nothing comes to its end or much stands unread.
+    fn should_reject(&mut self, request: &InFlightRequest, unread_share: f32) -> bool {
         if self.is_stalled() {
             return true;
         }
         if !self.is_busy() {
             return false;
         }
-        // Little may be queued while much stands unread.
+        // The load counts what was read; a node can be overloaded with what was not.
         if unread_share > MAX_WAIT_SHARE {
             return true;
         }
@@ -135,9 +144,9 @@
         }
     }
 
-    /// Whether the admission rule applies: all cores are busy, or without a gauge all run slots are taken. What
-    /// this batch has queued counts there, so that a burst is treated alike whether it is read in one turn or
-    /// in many.
+    /// Whether the admission rule applies: all cores are busy, or without a gauge all run slots are
+    /// taken. What this batch has queued counts there, so that a burst is treated alike whether it
+    /// is read in one turn or in many.
     fn is_busy(&self) -> bool {
         let taken = self.in_flight.count(Stage::Running) + self.in_flight.count(Stage::Queued);
         self.run_slots
@@ -152,8 +161,27 @@
         group.late_is_worthless() && ends_at > request.objective_deadline
     }
 
-    /// Records a deduplicated request. This is done on reading: a retry of a request that is queued without an
-    /// entry would not be known as one.
+    /// Takes in a request to be run.
+    fn accept(
+        &mut self,
+        request: &Request,
+        arrival: InFlightRequest,
+        group: &EndpointGroup,
+        actions: &mut Vec<Action>,
+    ) {
+        if group.effect == Effect::Deduplicated {
+            let ttl = group.dedup_window.saturating_sub(request.age);
+            self.record(request.id, ttl, actions);
+        }
+        if !arrival.over_quota {
+            self.quotas.take(usize::from(request.tenant));
+        }
+        let slot = self.admit(arrival);
+        self.enqueue(slot);
+    }
+
+    /// Records a deduplicated request. This is done on reading: a retry of a request that is queued
+    /// without an entry would not be known as one.
     fn record(&mut self, id: RequestId, ttl: TenthMillis, actions: &mut Vec<Action>) {
         actions.push(Action::Record { id, ttl });
         self.records.insert(id, self.now + ttl);
@@ -166,28 +194,31 @@
         self.in_flight.insert(request)
     }
 
-    /// Puts a request in its run queue, by the value that it still has for the work that it takes. It is given
-    /// up there once it has waited too long or can no longer meet its latency objective.
+    /// Puts a request in its run queue. It is given up there at its latest start.
     fn enqueue(&mut self, slot: Slot) {
         let request = &self.in_flight[slot];
         let group = self.group_of(slot);
-        let objective = request
-            .objective_deadline
-            .saturating_sub(request.arrived_at);
-        let max_wait = (MAX_WAIT_SHARE * objective as f32) as TenthMillis;
-        let run_time = self.run_times.expected(request.group, group, request.work);
-        let latest_start = request.objective_deadline.saturating_sub(run_time);
-        let start_by = latest_start.min(request.arrived_at + max_wait);
+        let latest_start = self.latest_start(request, group);
         let relative_work = self.run_times.relative_work(request.group, request.work);
         let priority = self.run_priority(request, group, relative_work);
         let entry = QueueEntry::new(request, slot, priority);
         let long_work = relative_work > LONG_WORK;
         self.in_flight[slot].long_work = long_work;
         self.queues.push(entry, long_work);
-        self.schedule_review(slot, start_by.max(self.now) + 1);
+        self.schedule_review(slot, latest_start.max(self.now) + 1);
+    }
+
+    /// When a queued request has waited too long, or can no longer meet its latency objective.
+    fn latest_start(&self, request: &InFlightRequest, group: &EndpointGroup) -> TenthMillis {
+        let deadline = request.objective_deadline;
+        let objective = deadline.saturating_sub(request.arrived_at);
+        let max_wait = (MAX_WAIT_SHARE * objective as f32) as TenthMillis;
+        let run_time = self.run_times.expected(request.group, group, request.work);
+        (request.arrived_at + max_wait).min(deadline.saturating_sub(run_time))
     }
 
-    /// Priority in the run queues: value per unit of work, or value alone where that is already counted by work.
+    /// Priority in the run queues: value per unit of work, or value alone where that is already
+    /// counted by work.
     fn run_priority(
         &self,
         request: &InFlightRequest,
--- a/crates/admission/src/controller/calls.rs
+++ b/crates/admission/src/controller/calls.rs
@@ -11,6 +11,7 @@
 const MAX_CALL_RETRIES: u8 = 2;
 
 impl AdmissionController {
+    /// A running request has come to a call that it cannot go on without.
     pub(super) fn on_call_required(&mut self, id: RequestId) {
         let Some(slot) = self.in_flight.slot_of(id) else {
             return;
@@ -50,8 +51,8 @@
         }
     }
 
-    /// How long a call that is made now is useful. One that may be skipped is given up while the rest of the
-    /// run can still be done in time.
+    /// How long a call that is made now is useful. One that may be skipped is given up while the
+    /// rest of the run can still be done in time.
     fn time_left_for_call(&self, slot: Slot, skippable: bool) -> TenthMillis {
         let request = &self.in_flight[slot];
         if skippable {
@@ -61,6 +62,7 @@
         }
     }
 
+    /// Makes the call of a request.
     fn make_call(&mut self, slot: Slot, timeout: TenthMillis, actions: &mut Vec<Action>) {
         self.in_flight.set_stage(slot, Stage::Calling);
         let request = &mut self.in_flight[slot];
@@ -71,6 +73,7 @@
         actions.push(Action::Call { id, timeout });
     }
 
+    /// A call has ended. Reports of calls that the request does not wait for are ignored.
     pub(super) fn on_call_ended(
         &mut self,
         id: RequestId,
--- a/crates/admission/src/controller/dispatch.rs
+++ b/crates/admission/src/controller/dispatch.rs
@@ -38,6 +38,7 @@
         actions.push(Action::Run { id });
     }
 
+    /// A run, or the wait of an attached request, has ended.
     pub(super) fn on_run_ended(&mut self, id: RequestId, outcome: RunOutcome) {
         let Some(slot) = self.in_flight.slot_of(id) else {
             return;
@@ -63,7 +64,7 @@
         self.adjust_concurrency_limit(met_objective);
     }
 
-    /// Adjusts the concurrency limit to a run that met its latency objective or missed it.
+    /// Adjusts the concurrency limit to a run that met its latency objective, or missed it.
     pub(super) fn adjust_concurrency_limit(&mut self, met_objective: bool) {
         let run_slots = self.run_slots.count(self.now);
         let mean_run_time = self.run_times.mean();
--- a/crates/admission/src/controller/review.rs
+++ b/crates/admission/src/controller/review.rs
@@ -24,6 +24,7 @@
         self.reviews.push(at, request.id, slot);
     }
 
+    /// Decides on a request that is due.
     fn review(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let request = &self.in_flight[slot];
         let id = request.id;
--- a/crates/admission/src/downstream_calls.rs
+++ b/crates/admission/src/downstream_calls.rs
@@ -1,8 +1,8 @@
 //! Bounds the concurrent calls to a downstream service that all nodes share.
 //!
-//! A budget of time keeps this node within its share over any window: a part of the share flows in, the rest of
-//! the window may be saved up, and a call is charged beforehand with all the time that it may take. So a share
-//! of less than one call still makes calls.
+//! A budget of time keeps this node within its share over any window: a part of the share flows in,
+//! the rest of the window may be saved up, and a call is charged beforehand with all the time that
+//! it may take. So a share of less than one call still makes calls.
 
 use std::collections::BinaryHeap;
 
@@ -14,11 +14,11 @@
 use crate::queue::QueueEntry;
 use crate::run_slots::SAFE_SHARE;
 
-/// Calls that flow in, as a share of those that the service survives. It slows down well before that, and what
-/// waits here instead goes by priority or is skipped.
+/// Calls that flow in, as a share of those that the service survives. It slows down well before
+/// that, and what waits here instead goes by priority or is skipped.
 const INFLOW_SHARE: f32 = 0.3;
-/// A call waits until this many times the mean duration is left for it: one cut short has occupied the service
-/// for nothing.
+/// A call waits until this many times the mean duration is left for it: one cut short has occupied
+/// the service for nothing.
 const MIN_TIMEOUT_DURATIONS: f32 = 3.0;
 /// Share of the largest budget that is kept for calls that cannot be skipped.
 const RESERVED_SHARE: f32 = 0.5;
@@ -90,7 +90,8 @@
         self.refilled_at = now;
     }
 
-    /// The timeout of a call that is useful for `time_left`, or `None` where the budget has too little left.
+    /// The timeout of a call that is useful for `time_left`, or `None` where the budget has too
+    /// little left.
     pub(crate) fn timeout(&self, time_left: TenthMillis, skippable: bool) -> Option<TenthMillis> {
         let time_left = time_left.max(MIN_PLANNED_TIME);
         let reserved = if skippable {
@@ -106,7 +107,8 @@
         (timeout >= min_timeout).then_some(timeout)
     }
 
-    /// Charges the budget with all the time that a call with this timeout may take; returns the charge.
+    /// Charges the budget with all the time that a call with this timeout may take; returns the
+    /// charge.
     pub(crate) fn charge(&mut self, timeout: TenthMillis) -> TenthMillis {
         let charge = timeout + self.abandoned_call_time;
         self.budget -= charge as f32;
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -12,7 +12,7 @@
     Started,
     /// A request was read and is queued; one final answer is owed from here on.
     Arrived(Request),
-    /// A run, or a wait begun with [`Action::Attach`], has ended.
+    /// A run, or a wait begun with [`Action::Attach`](crate::Action::Attach), has ended.
     RunEnded {
         /// The request that ran or waited.
         id: RequestId,
@@ -24,7 +24,7 @@
         /// The running request.
         id: RequestId,
     },
-    /// A call made with [`Action::Call`] has ended.
+    /// A call made with [`Action::Call`](crate::Action::Call) has ended.
     CallEnded {
         /// The request that made the call.
         id: RequestId,
@@ -45,7 +45,7 @@
         /// When the process is stopped.
         stop_at: TenthMillis,
     },
-    /// A timer set with [`Action::SetTimer`] fired.
+    /// A timer set with [`Action::SetTimer`](crate::Action::SetTimer) fired.
     Timer {
         /// The token it was set with.
         token: u64,
@@ -59,9 +59,10 @@
 pub struct Request {
     /// Its id at this node.
     pub id: RequestId,
-    /// Index of its endpoint group in [`AdmissionConfig::groups`].
+    /// Index of its endpoint group in [`AdmissionConfig::groups`](crate::AdmissionConfig::groups).
     pub group: u8,
-    /// Index of its tenant in [`AdmissionConfig::tenant_quotas`].
+    /// Index of its tenant in
+    /// [`AdmissionConfig::tenant_quotas`](crate::AdmissionConfig::tenant_quotas).
     pub tenant: u16,
     /// Identifies the session that it belongs to; 0 if none is known.
     pub session_key: u64,
@@ -92,7 +93,7 @@
     Completed,
     /// It failed, or its result was lost.
     Failed,
-    /// It was cancelled with [`Action::Cancel`].
+    /// It was cancelled with [`Action::Cancel`](crate::Action::Cancel).
     Cancelled,
     /// Nothing was begun: the request had ended before.
     NotStarted,
--- a/crates/admission/src/health.rs
+++ b/crates/admission/src/health.rs
@@ -32,15 +32,15 @@
         self.progress_at = now;
     }
 
-    /// Whether nothing began or ended for far longer than a run takes, whatever the gauges say: hung work,
-    /// a frozen disk, a machine far slower than it was.
+    /// Whether nothing began or ended for far longer than a run takes, whatever the gauges say:
+    /// hung work, a frozen disk, a machine far slower than it was.
     pub(crate) fn without_progress(&self, now: TenthMillis, mean_run_time: f32) -> bool {
         let quiet = (now - self.progress_at) as f32;
         quiet > self.min_stall.max(STALLED_RUN_TIMES * mean_run_time)
     }
 
-    /// Reports a change of the node's health. Health checks are answered from the stored state: checks that
-    /// do real work would add to the overload that they are to report.
+    /// Reports a change of the node's health. Health checks are answered from the stored state:
+    /// checks that do real work would add to the overload that they are to report.
     pub(crate) fn report(&mut self, healthy: bool, actions: &mut Vec<Action>) {
         if healthy != self.reported_healthy {
             self.reported_healthy = healthy;
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// The request whose result answers `id`, if it is a duplicate. Requests of one batch may name each other: the
-/// one whose chain leads back to itself is the original.
+/// The request whose result answers `id`, if it is a duplicate. Requests of one batch may name each
+/// other: the one whose chain leads back to itself is the original.
 pub(crate) fn original_of(
     in_flight: &InFlightTable,
     id: RequestId,
--- a/crates/admission/src/idle_connections.rs
+++ b/crates/admission/src/idle_connections.rs
@@ -1,22 +1,24 @@
 //! How long idle connections stay open.
 //!
-//! With many callers most idle connections are never used again and fill the connection table, so they are
-//! closed early. A node that is overloaded with unread work lets the table fill: callers that find no room cost
-//! nothing, while each request that it rejects costs a read and perhaps a new connection.
+//! With many callers most idle connections are never used again and fill the connection table, so
+//! they are closed early. A node that is overloaded with unread work lets the table fill: callers
+//! that find no room cost nothing, while each request that it rejects costs a read and perhaps a
+//! new connection.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 
 use crate::AdmissionConfig;
 use crate::queue::MAX_WAIT_SHARE;
 
-/// Connections per core up to which idle ones may stay: a fuller table costs cores and shuts callers out.
+/// Connections per core up to which idle ones may stay: a fuller table costs cores and shuts
+/// callers out.
 const CONNECTIONS_PER_CORE: f32 = 7.0;
 /// The same where callers return: more of them spare a new connection than they cost.
 const RETURNING_CONNECTIONS_PER_CORE: f32 = 24.0;
 /// Shortest idle timeout; the first one too.
 const MIN_TIMEOUT: f32 = 100.0 * MILLISECOND as f32;
-/// Factor of the timeout in each tick with few connections. It is small because a connection keeps the timeout
-/// that it went idle under.
+/// Factor of the timeout in each tick with few connections. It is small because a connection keeps
+/// the timeout that it went idle under.
 const TIMEOUT_INCREASE: f32 = 1.05;
 /// Factor of the timeout in each tick with many connections.
 const TIMEOUT_DECREASE: f32 = 0.7;
--- a/crates/admission/src/in_flight.rs
+++ b/crates/admission/src/in_flight.rs
@@ -153,18 +153,20 @@
         self.long_running
     }
 
-    /// Requests that have started. Those at downstream calls count, as the end of a call puts their work back
-    /// on the cores unasked.
+    /// Requests that have started. Those at downstream calls count, as the end of a call puts their
+    /// work back on the cores unasked.
     pub(crate) fn started(&self) -> usize {
         self.count(Stage::Running) + self.count(Stage::AwaitingCall) + self.count(Stage::Calling)
     }
 
-    /// The paper's load `l`: requests queued and running. Those at downstream calls are bounded apart.
+    /// The paper's load `l`: requests queued and running. Those at downstream calls are bounded
+    /// apart.
     pub(crate) fn load(&self) -> f32 {
         (self.count(Stage::Queued) + self.count(Stage::Running)) as f32
     }
 
-    /// The load that goes before a request: what is queued beyond a quota waits for all that is within one.
+    /// The load that goes before a request: what is queued beyond a quota waits for all that is
+    /// within one.
     pub(crate) fn load_ahead(&self, over_quota: bool) -> f32 {
         if over_quota {
             self.load()
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,15 +1,15 @@
-//! The admission decisions of one node: which requests are admitted, run and rejected, which downstream calls
-//! are made, and what callers are told about the load.
+//! The admission decisions of one node: which requests are admitted, run and rejected, which
+//! downstream calls are made, and what callers are told about the load.
 //!
-//! The node reports each [`Event`] to [`AdmissionController::handle`] and executes the [`Action`]s that come
-//! back. The package does no I/O and reads no clock: the same events with the same seed and
-//! [`AdmissionConfig`] give the same actions.
+//! The node reports each [`Event`] to [`AdmissionController::handle`] and executes the [`Action`]s
+//! that come back. The package does no I/O and reads no clock: the same events with the same seed
+//! and [`AdmissionConfig`] give the same actions.
 //!
-//! Times are in the unit of [`doortrack_time`]. The caller rounds a deadline and an age down, a window and a
-//! wait up, so that no promise is broken by rounding.
+//! Times are in the unit of [`doortrack_time`]. The caller rounds a deadline and an age down, a
+//! window and a wait up, so that no promise is broken by rounding.
 //!
-//! [`AdmissionController`] holds one type for each concern, in a module of the same name, and calls them in a
-//! fixed order on each turn. `docs/design.md` gives the sources and the reasons.
+//! [`AdmissionController`] holds one type for each concern, in a module of the same name, and calls
+//! them in a fixed order on each turn. `docs/design.md` gives the sources and the reasons.
 
 #![warn(missing_docs)]
 
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -8,14 +8,16 @@
 use crate::RequestId;
 use crate::in_flight::{InFlightRequest, InFlightTable, Slot, Stage};
 
-/// Share of its latency objective that a request may wait unread and queued; one that is rejected later has no
-/// time left elsewhere. The wait for a downstream call that may be skipped has the same bound.
+/// Share of its latency objective that a request may wait unread and queued; one that is rejected
+/// later has no time left elsewhere. The wait for a downstream call that may be skipped has the
+/// same bound.
 pub(crate) const MAX_WAIT_SHARE: f32 = 0.33;
 /// Work is long from this multiple of the mean work on.
 pub(crate) const LONG_WORK: f32 = 2.0;
 /// Share of the run slots that long work may take while short work waits.
 const MAX_LONG_WORK_SHARE: f32 = 0.5;
-/// Units of priority per unit of weight, so that small differences of weight survive as whole numbers.
+/// Units of priority per unit of weight, so that small differences of weight survive as whole
+/// numbers.
 pub(crate) const PRIORITY_UNITS: f32 = 1000.0;
 
 /// One waiting request. The greatest goes first: by priority, then the oldest, then by id.
--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -8,8 +8,8 @@
 const UNEVEN_SPREAD_FACTOR: f32 = 1.3;
 /// A bucket holds what flows in over this time.
 const BURST_TIME: f32 = 2.0 * SECOND as f32;
-/// A bucket holds at least so many requests: a tenant whose share at a node is below one in the burst time
-/// would otherwise be over its quota whatever it sends.
+/// A bucket holds at least so many requests: a tenant whose share at a node is below one in the
+/// burst time would otherwise be over its quota whatever it sends.
 const MIN_BURST: f32 = 3.0;
 
 /// The token buckets of all tenants, by index.
--- a/crates/admission/src/recent_set.rs
+++ b/crates/admission/src/recent_set.rs
@@ -3,14 +3,15 @@
 use doortrack_time::TenthMillis;
 use rustc_hash::FxHashSet;
 
-/// Keys of two generations. A key stays for one to two windows after it was last inserted, or less where a
-/// generation reaches its bound.
+/// Keys of two generations. A key stays for one to two windows after it was last inserted, or less
+/// where a generation reaches its bound.
 #[derive(Debug)]
 pub(crate) struct RecentSet {
     current: FxHashSet<u64>,
     previous: FxHashSet<u64>,
     window: TenthMillis,
-    /// A generation of this many keys is the last one's successor at the next rotation, however young.
+    /// A generation of this many keys is the last one's successor at the next rotation, however
+    /// young.
     max_generation_len: usize,
     rotate_at: TenthMillis,
 }
--- a/crates/admission/src/review.rs
+++ b/crates/admission/src/review.rs
@@ -16,7 +16,8 @@
     slot: Slot,
 }
 
-/// All scheduled reviews. Those of requests that have ended, or are now due at another time, are passed over.
+/// All scheduled reviews. Those of requests that have ended, or are now due at another time, are
+/// passed over.
 #[derive(Debug, Default)]
 pub(crate) struct ReviewSchedule {
     reviews: BinaryHeap<Reverse<Review>>,
--- a/crates/admission/src/run_slots.rs
+++ b/crates/admission/src/run_slots.rs
@@ -6,7 +6,8 @@
 
 /// Share of what is survived that is used, of the concurrency on the cores and of downstream calls.
 pub(crate) const SAFE_SHARE: f32 = 0.9;
-/// Runs per core while not all cores are busy: some runs wait for what no gauge shows, such as a disk.
+/// Runs per core while not all cores are busy: some runs wait for what no gauge shows, such as a
+/// disk.
 const RUNS_PER_CORE: f32 = 1.5;
 /// Runs per core while all cores are busy: more would only make each take longer.
 const RUNS_PER_BUSY_CORE: f32 = 1.0;
--- a/crates/admission/src/run_time.rs
+++ b/crates/admission/src/run_time.rs
@@ -7,8 +7,8 @@
 
 /// Weight of the newest run in the line from work to run time.
 const LINE_NEWEST_WEIGHT: f32 = 0.03;
-/// Variance of the work that the flat line starts with, as a share of the square of the first work: two runs
-/// alone could give any line.
+/// Variance of the work that the flat line starts with, as a share of the square of the first work:
+/// two runs alone could give any line.
 const INITIAL_VARIANCE: f32 = 0.1;
 
 /// Mean run times and the work that they follow from. Times are in the unit of [`doortrack_time`].
@@ -46,9 +46,9 @@
         self.run_time.get()
     }
 
-    /// How long a run should take. Where the work is not known it is the group's mean, and then at most half
-    /// the latency objective, so that a node which has come to expect too much of a run still starts new
-    /// ones and learns better.
+    /// How long a run should take. Where the work is not known it is the group's mean, and then at
+    /// most half the latency objective, so that a node which has come to expect too much of a run
+    /// still starts new ones and learns better.
     pub(crate) fn expected(
         &self,
         group_index: usize,
@@ -80,8 +80,8 @@
     }
 }
 
-/// A line from the work of a request to its run time, by exponentially weighted least squares. Work that tells
-/// little, and costs that are the same for all, make it flat.
+/// A line from the work of a request to its run time, by exponentially weighted least squares. Work
+/// that tells little, and costs that are the same for all, make it flat.
 #[derive(Debug, Default)]
 struct RunTimeEstimator {
     mean_work: f32,
--- a/crates/admission/src/thresholds.rs
+++ b/crates/admission/src/thresholds.rs
@@ -1,5 +1,6 @@
-//! The admission rule: the double-threshold strategy of Ayari, Barbaron and Lefèvre, "Evaluating Session-Aware
-//! Admission-Control Strategies to Improve the Profitability of Service Providers" (2009), equation 2.
+//! The admission rule: the double-threshold strategy of Ayari, Barbaron and Lefèvre, "Evaluating
+//! Session-Aware Admission-Control Strategies to Improve the Profitability of Service Providers"
+//! (2009), equation 2.
 //!
 //! With the load `l` and the paper's capacity `C`, here the concurrency limit:
 //!
@@ -10,11 +11,26 @@
 //! | `T2` to `C` | rejected | admitted |
 //! | above `C` | rejected | rejected |
 //!
-//! The paper leaves the probability between the thresholds open; this is the ramp of its single-threshold
-//! variant (equation 5). One class is added to the paper's two: a request beyond its tenant's quota is
-//! rejected from `T1` on, whatever its session, because it earns only a small part of the usual value.
-//! The conditions under which the rule applies at all are in `controller/arrival.rs`; `docs/design.md` gives
-//! the reasons.
+//! The paper leaves the probability between the thresholds open; this is the ramp of its
+//! single-threshold variant (equation 5). `T1` is 75% and `T2` 90% of `C`.
+//!
+//! The paper assumes a known capacity, a load figure that tracks the strain on the server, and many
+//! requests of a session at one server. None of these holds here, so there are departures
+//! (`docs/design.md` lists them with their reasons):
+//!
+//! - `C` is learned ([`concurrency_limit`](crate::concurrency_limit)).
+//! - `l` counts requests queued and running. Those at downstream calls are bounded apart, and a
+//!   request within its tenant's quota does not count those that are queued beyond one, as they go
+//!   after it.
+//! - The rule applies only while all cores are busy.
+//! - A request beyond its tenant's quota is rejected from `T1` on, whatever its session, because it
+//!   earns only a small part of the usual value.
+//! - A session is known by its key, and established for a while once a request of it was completed
+//!   here
+//!   ([`sessions`](crate::sessions)).
+//! - Some requests are rejected beside the rule: too late, without memory, or while the node is
+//!   stalled
+//!   or drowns in unread requests (`controller/arrival.rs`).
 
 /// `T1`, as a share of the concurrency limit.
 pub(crate) const LOWER_THRESHOLD: f32 = 0.75;
--- a/crates/admission/tests/cases/backpressure.rs
+++ b/crates/admission/tests/cases/backpressure.rs
@@ -14,7 +14,8 @@
 
 #[test]
 fn callers_are_given_their_part_of_the_wanted_load_once_much_is_rejected() {
-    // Found on quito-central: where callers heed credits and no least rank, nothing was sent to them.
+    // Found on quito-central: where callers heed credits and no least rank, nothing was sent to
+    // them.
     let config = AdmissionConfig {
         backpressure: Backpressure::Credits,
         ..config_without_tenants()
--- a/crates/admission/tests/cases/concurrency.rs
+++ b/crates/admission/tests/cases/concurrency.rs
@@ -23,13 +23,15 @@
 
 #[test]
 fn one_runs_per_core_while_all_are_busy_and_more_where_some_are_idle() {
-    // Found on apsa-lahore: requests wait for a disk unseen; elsewhere more than one per core slow each other.
+    // Found on apsa-lahore: requests wait for a disk unseen; elsewhere more than one per core slow
+    // each other.
     assert_eq!((running_at(1.0), running_at(0.9)), (4, 6));
 }
 
 #[test]
 fn a_small_node_admits_no_more_than_begins_in_the_time_that_may_be_waited() {
-    // Found on small nodes: C rose on runs that met their objective, and most of what was admitted was given up.
+    // Found on small nodes: C rose on runs that met their objective, and most of what was admitted
+    // was given up.
     let mut node = busy_node(2, 1);
     node.busy_cores = 0.0;
     for _ in 0..20 {
--- a/crates/admission/tests/cases/downstream_calls.rs
+++ b/crates/admission/tests/cases/downstream_calls.rs
@@ -5,7 +5,8 @@
 
 #[test]
 fn calls_that_take_long_are_skipped_and_capacity_is_kept_for_those_that_cannot_be() {
-    // Found on apsa-lahore: all waited for a slowed ledger, or calls that may be skipped used up a small share.
+    // Found on apsa-lahore: all waited for a slowed ledger, or calls that may be skipped used up a
+    // small share.
     let mut config = AdmissionConfig {
         downstream_concurrency: Some(1.0),
         ..config()
@@ -38,7 +39,8 @@
 
 #[test]
 fn a_share_of_less_than_one_call_still_calls() {
-    // Found on apsa-lahore grown: one call in five seconds, or a wait for more time than there can ever be.
+    // Found on apsa-lahore grown: one call in five seconds, or a wait for more time than there can
+    // ever be.
     let config = AdmissionConfig {
         downstream_concurrency: Some(0.4),
         ..config()
--- a/crates/admission/tests/cases/idle_connections.rs
+++ b/crates/admission/tests/cases/idle_connections.rs
@@ -33,7 +33,8 @@
 
 #[test]
 fn a_table_full_of_idle_connections_is_emptied_unless_much_is_read_too_late() {
-    // Found on tigre-principal-later: a thousand callers each kept a connection that they never used again.
+    // Found on tigre-principal-later: a thousand callers each kept a connection that they never
+    // used again.
     let mut node = node_of_cores(2);
     node.advance(20_000 * MILLISECOND);
     assert_eq!(
@@ -58,8 +59,8 @@
 
 #[test]
 fn idle_connections_stay_where_callers_return() {
-    // Found on the days at full size: 200 nodes closed what 150 callers used again within seconds, and spent
-    // a fifth of their cores on new connections.
+    // Found on the days at full size: 200 nodes closed what 150 callers used again within seconds,
+    // and spent a fifth of their cores on new connections.
     let mut node = node_of_cores(6);
     node.connections = 90.0;
     read_from(&mut node, 0..1_000);
--- a/crates/admission/tests/cases/quota.rs
+++ b/crates/admission/tests/cases/quota.rs
@@ -64,7 +64,8 @@
 
 #[test]
 fn what_is_queued_over_a_quota_keeps_nobody_out_that_is_within_one() {
-    // Found on qld-da-portal: one tenant at three times its quota filled all queues, and all were rejected.
+    // Found on qld-da-portal: one tenant at three times its quota filled all queues, and all were
+    // rejected.
     let config = AdmissionConfig {
         cores: 2,
         tenant_quotas: vec![1000.0, 0.1],
--- a/crates/admission/tests/cases/run_time.rs
+++ b/crates/admission/tests/cases/run_time.rs
@@ -53,7 +53,8 @@
 
 #[test]
 fn work_that_cannot_be_done_in_time_is_rejected_at_once_if_hints_predict_it() {
-    // Found on tunis-intake: long work was run on slow nodes, always late, with half of all value in it.
+    // Found on tunis-intake: long work was run on slow nodes, always late, with half of all value
+    // in it.
     let slow = || runs(|n| 2 * work_of(n));
     assert!(
         rejects_after(slow(), 800 * MILLISECOND),
--- a/crates/admission/tests/cold_start.rs
+++ b/crates/admission/tests/cold_start.rs
@@ -1,5 +1,6 @@
-//! A cold node that all its callers discover at once: what it runs stays within what a cold one survives, and
-//! what is beyond that is rejected within the four rules, which are checked after every turn.
+//! A cold node that all its callers discover at once: what it runs stays within what a cold one
+//! survives, and what is beyond that is rejected within the four rules, which are checked after
+//! every turn.
 
 mod common;
 
@@ -14,7 +15,8 @@
 /// Time until the first gauges are in.
 const FIRST_GAUGES: TenthMillis = 60 * MILLISECOND;
 
-/// A node of four cores that survives few runs while it is cold: 3 at first, by its margin of a tenth.
+/// A node of four cores that survives few runs while it is cold: 3 at first, by its margin of a
+/// tenth.
 fn cold_config() -> AdmissionConfig {
     AdmissionConfig {
         cold: true,
@@ -39,7 +41,8 @@
         .count()
 }
 
-/// Every caller sends what it has; all of it is read in one turn, or each caller's in a turn of its own.
+/// Every caller sends what it has; all of it is read in one turn, or each caller's in a turn of its
+/// own.
 fn flood(node: &mut SimulatedNode, in_one_turn: bool) {
     for caller in 1..=CALLERS {
         node.caller = caller;
@@ -100,8 +103,8 @@
     }
 }
 
-/// Before the first gauges, and where there are none, what runs and is queued shows that the cores are busy, so
-/// that a flood is rejected in the turn in which it is read.
+/// Before the first gauges, and where there are none, what runs and is queued shows that the cores
+/// are busy, so that a flood is rejected in the turn in which it is read.
 #[test]
 fn a_flood_before_the_first_gauges_is_rejected_at_once_beyond_the_limit() {
     for in_one_turn in [true, false] {
--- a/crates/admission/tests/common/invariants.rs
+++ b/crates/admission/tests/common/invariants.rs
@@ -1,4 +1,5 @@
-//! What holds after every turn: the node survives, every answer is in time, and a shutdown leaves none owed.
+//! What holds after every turn: the node survives, every answer is in time, and a shutdown leaves
+//! none owed.
 
 use doortrack_time::TenthMillis;
 
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A node around the decisions, for the tests: it plays legal histories, executes what is decided, keeps counts of
-//! its own and checks the operators' four rules after every turn.
+//! A node around the decisions, for the tests: it plays legal histories, executes what is decided,
+//! keeps counts of its own and checks the operators' four rules after every turn.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod execute;
--- a/crates/admission/tests/common/simulated_node.rs
+++ b/crates/admission/tests/common/simulated_node.rs
@@ -106,8 +106,9 @@
         node
     }
 
-    /// Reads one request into the node. `key` is its idempotency key in a deduplicated group, else the key of its
-    /// session; a duplicate is linked as the node's table says. `time_left` is a deadline that the protocol passes.
+    /// Reads one request into the node. `key` is its idempotency key in a deduplicated group, else
+    /// the key of its session; a duplicate is linked as the node's table says. `time_left` is a
+    /// deadline that the protocol passes.
     pub fn arrive(
         &mut self,
         group: u8,
--- a/crates/admission/tests/pinned.rs
+++ b/crates/admission/tests/pinned.rs
@@ -1,8 +1,10 @@
-//! The decisions, pinned: seeded histories over settings of all kinds give the actions that they gave when
-//! `pinned.txt` was written. A change that means to leave the decisions alone leaves every digest as it is.
+//! The decisions, pinned: seeded histories over settings of all kinds give the actions that they
+//! gave when `pinned.txt` was written. A change that means to leave the decisions alone leaves
+//! every digest as it is.
 //!
-//! Actions are written in a text of this file's own, so that renames in the code don't touch it. To write the
-//! digests of a change that is meant: `PINNED_WRITE=1 cargo test --package doortrack-admission --test pinned`.
+//! Actions are written in a text of this file's own, so that renames in the code don't touch it. To
+//! write the digests of a change that is meant: `PINNED_WRITE=1 cargo test --package
+//! doortrack-admission --test pinned`.
 
 mod common;
 
@@ -17,7 +19,8 @@
 const STEPS: usize = 500;
 const PINNED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/pinned.txt");
 
-/// Settings drawn from the seed: every kind of cancellation and of backpressure, with and without each limit.
+/// Settings drawn from the seed: every kind of cancellation and of backpressure, with and without
+/// each limit.
 fn draw_config(rng: &mut Rng) -> AdmissionConfig {
     let base = config();
     let mut config = AdmissionConfig {
@@ -56,7 +59,8 @@
         group.priority_weight = rng.choice([0.2, 1.0, 4.0]).unwrap();
         group.late_weight = rng.choice([0.0, 0.5]).unwrap();
     }
-    // A call may be skipped by idempotent requests alone: the node takes a later one for the same call.
+    // A call may be skipped by idempotent requests alone: the node takes a later one for the same
+    // call.
     config.groups[0].degraded_weight = rng.choice([0.0, 0.4]).unwrap();
     config
 }
