--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -1,10 +1,10 @@
-//! What is to be done about it.
+//! What the node is to do.
 
 use doortrack_time::TenthMillis;
 
 use crate::RequestId;
 
-/// One thing to be done.
+/// One thing that the node is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start a queued request.
@@ -35,7 +35,7 @@
     Call {
         /// The request.
         id: RequestId,
-        /// When the call is abandoned.
+        /// The call is abandoned after this time.
         timeout: TenthMillis,
     },
     /// Continue the run without the call: a degraded answer.
--- a/crates/admission/src/callers.rs
+++ b/crates/admission/src/callers.rs
@@ -1,28 +1,28 @@
-//! Who sends requests to this node, and whether the same callers come again.
+//! Which callers send requests to this node, and whether they return.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 
 use crate::recent_set::RecentSet;
 
-/// A caller counts as recent for one to two of these after its last request.
+/// A caller counts as recent for one to two windows after its last request.
 const RECENT_WINDOW: TenthMillis = 10_000 * MILLISECOND;
-/// Bound on the callers of one window.
+/// Most callers that are kept for one window.
 const MAX_CALLERS: usize = 4096;
-/// Weight of the newest request in the share of unknown callers: a mean of about fifty requests.
+/// Weight of the newest request in the rate of unknown callers: a mean over about 50 requests.
 const UNKNOWN_NEWEST_WEIGHT: f32 = 0.02;
-/// Callers return where fewer than this share of the requests are from unknown ones.
-const MAX_UNKNOWN_OF_RETURNING: f32 = 0.6;
+/// Callers count as returning below this rate of unknown callers.
+const RETURNING_UNKNOWN_RATE: f32 = 0.6;
 
-/// The callers that sent requests of late.
+/// The callers that sent requests recently.
 #[derive(Debug)]
 pub(crate) struct RecentCallers {
     seen: RecentSet,
-    /// Share of the requests that came from callers not seen of late.
+    /// Share of the requests that came from callers not seen recently.
     unknown_rate: f32,
 }
 
 impl RecentCallers {
-    /// In a fresh process each caller is unknown.
+    /// Creates an empty set: at the start every caller is unknown.
     pub(crate) fn new() -> Self {
         Self {
             seen: RecentSet::new(RECENT_WINDOW, MAX_CALLERS),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A request of this caller was read.
+    /// Counts a request of this caller.
     pub(crate) fn record(&mut self, caller: u64, now: TenthMillis) {
         let unknown = !self.seen.contains(caller);
         self.unknown_rate += UNKNOWN_NEWEST_WEIGHT * (f32::from(unknown) - self.unknown_rate);
@@ -38,12 +38,12 @@
         self.seen.insert(caller);
     }
 
-    /// Whether most requests come from callers that have been here of late.
+    /// Whether many of the requests come from recent callers.
     pub(crate) fn are_returning(&self) -> bool {
-        self.unknown_rate < MAX_UNKNOWN_OF_RETURNING
+        self.unknown_rate < RETURNING_UNKNOWN_RATE
     }
 
-    /// Number of callers in a window, at least 1.
+    /// Number of recent callers, at least 1.
     pub(crate) fn count(&self) -> usize {
         self.seen.len_of_larger_generation().max(1)
     }
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -37,7 +37,7 @@
     Weight,
 }
 
-/// The terms of one endpoint group.
+/// The settings of one endpoint group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointGroup {
     /// What running a request again would mean.
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,8 +1,9 @@
 //! The entry point of the decisions and the order of a turn.
 //!
-//! Each concern keeps its own state in a type of its own. What concerns several of them is in the
-//! modules below: `arrival` (admission), `dispatch` (runs), `calls` (downstream calls), `review`
-//! (requests that are due for a decision) and `answer` (how requests are answered and leave).
+//! Each concern keeps its state in a type of its own. Steps that involve several concerns are
+//! methods of the controller, in its submodules: `arrival` (admission), `dispatch` (runs), `calls`
+//! (downstream calls), `review` (requests that are due for a decision) and `answer` (answers, and
+//! how requests leave the table).
 
 mod answer;
 mod arrival;
@@ -30,13 +31,14 @@
 use crate::sessions::EstablishedSessions;
 use crate::{Action, AdmissionConfig, EndpointGroup, Event, Gauges};
 
-/// Interval of the ticks, in which the gauges are read and callers are told of the load.
+/// Interval between ticks. In each, the gauges are read and callers are informed of the load.
 const TICK_INTERVAL: TenthMillis = 50 * MILLISECOND;
 
-/// Decides for one node. It lives as long as the node's process.
+/// The decisions of one node, for the lifetime of its process.
 #[derive(Debug)]
 pub struct AdmissionController {
     config: AdmissionConfig,
+    /// Draws for rejections by probability.
     rng: fastrand::Rng,
     /// The time of this turn.
     now: TenthMillis,
@@ -62,7 +64,8 @@
 }
 
 impl AdmissionController {
-    /// The decisions of a fresh process. Draws of chance follow from `seed` alone.
+    /// Creates the controller of a process that has just started. Its random draws depend on `seed`
+    /// alone.
     pub fn new(config: AdmissionConfig, seed: u64) -> Self {
         Self {
             rng: fastrand::Rng::with_seed(seed),
@@ -89,8 +92,8 @@
         }
     }
 
-    /// Takes one turn: takes in a batch of events in order and appends what is to be done to
-    /// `actions`, which is to be executed in order. `now` never goes back.
+    /// Processes one turn: applies a batch of events in order and appends the resulting actions,
+    /// which are to be executed in order. `now` must not go back.
     pub fn handle(&mut self, now: TenthMillis, batch: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in batch {
@@ -103,7 +106,7 @@
         self.set_timer(actions);
     }
 
-    /// Takes in one event.
+    /// Applies one event.
     fn on_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::Started => self.run_slots.start(self.now),
@@ -121,13 +124,13 @@
         }
     }
 
-    /// Takes in the node's gauges.
+    /// Applies a reading of the node's gauges.
     fn on_gauges(&mut self, gauges: &Gauges) {
         self.run_slots.record_busy_cores(gauges.busy_cores);
         self.idle_connections.record_open(gauges.connections);
     }
 
-    /// Removes what has expired, and in each tick tells callers of the load.
+    /// Removes expired records and sessions, and in each tick informs callers of the load.
     fn maintain(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.records.pop_expired(self.now) {
             self.remove_record(id);
@@ -155,7 +158,7 @@
         self.health.report(healthy, actions);
     }
 
-    /// Gives an idle timeout that has changed.
+    /// Sets an idle timeout that has changed.
     fn report_idle_timeout(&mut self, actions: &mut Vec<Action>) {
         let callers_return = self.callers.are_returning();
         if let Some(timeout) = self.idle_connections.tick(callers_return) {
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Whether every run slot is taken and none of the runs comes to its end.
+    /// Whether every run slot is taken and no run makes progress.
     fn is_stalled(&self) -> bool {
         let slots_full = self.in_flight.count(Stage::Running) >= self.run_slots.count(self.now);
         let mean_run_time = self.run_times.mean();
--- a/crates/admission/src/controller/answer.rs
+++ b/crates/admission/src/controller/answer.rs
@@ -1,4 +1,4 @@
-//! How requests are answered, and how they leave the table.
+//! Answers other than results, and how requests leave the table.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 
@@ -7,13 +7,13 @@
 use crate::thresholds::LOWER_THRESHOLD;
 use crate::{Action, RequestId};
 
-/// A cancellation has no effect while the cores stand still, so it is repeated until the end of the
-/// run is reported.
+/// A cancellation has no effect while the node is stalled, so it is repeated at this interval until
+/// the end of the run is reported.
 const CANCEL_REPEAT_INTERVAL: TenthMillis = 250 * MILLISECOND;
 
 impl AdmissionController {
-    /// The rejection of a request. It tells the caller to retry once the load should be down at the
-    /// lower threshold, and not before `retry_after`.
+    /// Builds the rejection of a request. The caller is asked to retry once the load should be back
+    /// at the lower threshold, and not before `retry_after`.
     pub(super) fn rejection(
         &self,
         id: RequestId,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// How long the runs take until the load is down at the lower threshold.
+    /// Expected time until the load is back at the lower threshold.
     fn overload_time(&self) -> TenthMillis {
         let wanted_load = LOWER_THRESHOLD * self.concurrency_limit.get();
         let excess = (self.in_flight.load() - wanted_load).max(0.0);
@@ -41,14 +41,15 @@
         (excess * self.run_times.mean() / run_slots) as TenthMillis
     }
 
-    /// Answers a request whose run has begun, and cancels the run; its end is still to come.
+    /// Answers a request that has started with a failure, and cancels its run. It stays in the
+    /// table until the end of the run is reported.
     pub(super) fn fail_running(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let id = self.in_flight[slot].id;
         actions.push(Action::Fail { id });
         self.cancel(slot, actions);
     }
 
-    /// Cancels a run whose result nobody waits for any more, where that is possible.
+    /// Cancels a run whose result is no longer needed, where the platform supports that.
     pub(super) fn cancel(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let request = &mut self.in_flight[slot];
         request.answered = true;
@@ -62,7 +63,7 @@
         self.schedule_review(slot, self.now + CANCEL_REPEAT_INTERVAL);
     }
 
-    /// Nobody waits for the answer of a request any more.
+    /// The caller of a request no longer waits: cancels it if it has started, else removes it.
     pub(super) fn on_caller_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(slot) = self.in_flight.slot_of(id) else {
             return;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Removes a request that never ran together with its record, so that a retry may run.
+    /// Removes a request that never started, and its record, so that a retry may run.
     pub(super) fn give_up(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let id = self.in_flight[slot].id;
         if self.remove_record(id) {
@@ -83,7 +84,7 @@
         self.release(slot);
     }
 
-    /// Removes the record of a request; whether there was one.
+    /// Removes the record of a request. Returns whether there was one.
     pub(super) fn remove_record(&mut self, id: RequestId) -> bool {
         let removed = self.records.remove(id);
         if removed {
--- a/crates/admission/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -1,4 +1,4 @@
-//! Admission: what becomes of a request that was read.
+//! Admission: whether a request that was read is attached to another, rejected or queued.
 
 use doortrack_time::TenthMillis;
 
@@ -9,7 +9,7 @@
 use crate::thresholds::{self, Applicant, Verdict};
 use crate::{Action, Effect, EndpointGroup, Request, RequestId};
 
-/// Least work in the priority of a request, as a multiple of the mean work.
+/// Lower bound of the work in a request's priority, as a multiple of the mean work.
 const MIN_RELATIVE_WORK: f32 = 0.01;
 
 impl AdmissionController {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The entry of a request that was read, as yet queued.
+    /// Builds the entry of a request that was read.
     fn new_request(&mut self, request: &Request, group: &EndpointGroup) -> InFlightRequest {
         let arrived_at = self.now.saturating_sub(request.age);
         let deadline = request
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Answers a duplicate with the result of its original, whatever that was: it is neither run
-    /// nor rejected.
+    /// Has a duplicate wait for the result of its original. It is neither run nor rejected, as the
+    /// original may have run.
     fn attach(
         &mut self,
         mut duplicate: InFlightRequest,
@@ -76,8 +76,8 @@
         self.schedule_review(slot, answer_by);
     }
 
-    /// The rejection of a request that is not accepted, if it is not. Counts it in the rejection
-    /// rate.
+    /// Decides whether a request is rejected, counts that in the rejection rate, and returns the
+    /// rejection.
     fn reject_on_reading(
         &mut self,
         request: &Request,
@@ -94,20 +94,20 @@
         if !rejected && !over_budget && !self.would_be_late(arrival, group) {
             return None;
         }
-        // A request that would only be late here says nothing of the load, and a faster node may
-        // still do it in time.
+        // A request that would only be late does not show that the node is overloaded, and a faster
+        // node may still complete it in time.
         let overloaded = (rejected || over_budget) && self.backpressure.is_overloaded();
         let no_retry_elsewhere = request.retry || overloaded;
         let retry_after = request.budget_retry_after.unwrap_or(0);
         Some(self.rejection(request.id, no_retry_elsewhere, retry_after))
     }
 
-    /// Whether it is too late for any answer, or for a run before the node shuts down.
+    /// Whether a request came too late to be answered, or to be run before the node shuts down.
     fn is_out_of_time(&self, arrival: &InFlightRequest) -> bool {
         self.now >= arrival.answer_by || self.drain.rejects(arrival.arrived_at)
     }
 
-    /// Whether there is memory for a request while it is queued, and for its record.
+    /// Whether there is memory for a request, while it is queued, and for its record.
     fn fits_in_memory(&self, arrival: &InFlightRequest, group: &EndpointGroup) -> bool {
         let record_kb = match group.effect {
             Effect::Deduplicated => self.config.record_kb,
@@ -116,8 +116,8 @@
         self.memory.fits(arrival.memory_kb + record_kb)
     }
 
-    /// Whether a request is rejected because of the load: by the rule in [`thresholds`], or beside
-    /// it while nothing comes to its end or much stands unread.
+    /// Whether a request is rejected because of the load: by the rule in [`thresholds`], or because
+    /// the node is stalled or is too slow in reading requests.
     fn should_reject(&mut self, request: &InFlightRequest, unread_share: f32) -> bool {
         if self.is_stalled() {
             return true;
@@ -125,7 +125,7 @@
         if !self.is_busy() {
             return false;
         }
-        // The load counts what was read; a node can be overloaded with what was not.
+        // The load counts requests that were read; a node can be overloaded with unread ones.
         if unread_share > MAX_WAIT_SHARE {
             return true;
         }
@@ -144,9 +144,9 @@
         }
     }
 
-    /// Whether the admission rule applies: all cores are busy, or without a gauge all run slots are
-    /// taken. What this batch has queued counts there, so that a burst is treated alike whether it
-    /// is read in one turn or in many.
+    /// Whether the admission rule applies: all cores are busy or, without a gauge, all run slots
+    /// are taken. Requests queued in this turn count as taking a slot, so that a burst is treated
+    /// the same whether it is read in one turn or in many.
     fn is_busy(&self) -> bool {
         let taken = self.in_flight.count(Stage::Running) + self.in_flight.count(Stage::Queued);
         self.run_slots
@@ -154,14 +154,15 @@
             .unwrap_or_else(|| taken >= self.run_slots.count(self.now))
     }
 
-    /// Whether the result of a run that began now would be worthless.
+    /// Whether a run that began now would miss the latency objective of a group whose late answers
+    /// have no value.
     fn would_be_late(&self, request: &InFlightRequest, group: &EndpointGroup) -> bool {
         let run_time = self.run_times.expected(request.group, group, request.work);
         let ends_at = self.now.saturating_add(run_time);
         group.late_is_worthless() && ends_at > request.objective_deadline
     }
 
-    /// Takes in a request to be run.
+    /// Admits a request, records it if it is deduplicated, and queues it to be run.
     fn accept(
         &mut self,
         request: &Request,
@@ -180,21 +181,21 @@
         self.enqueue(slot);
     }
 
-    /// Records a deduplicated request. This is done on reading: a retry of a request that is queued
-    /// without an entry would not be known as one.
+    /// Records a deduplicated request. This happens on reading, so that a retry is recognized while
+    /// the request is still queued.
     fn record(&mut self, id: RequestId, ttl: TenthMillis, actions: &mut Vec<Action>) {
         actions.push(Action::Record { id, ttl });
         self.records.insert(id, self.now + ttl);
         self.memory.reserve(self.config.record_kb);
     }
 
-    /// Enters a request into the table, and its memory into the account.
+    /// Enters a request into the table and reserves its memory.
     fn admit(&mut self, request: InFlightRequest) -> Slot {
         self.memory.reserve(request.memory_kb);
         self.in_flight.insert(request)
     }
 
-    /// Puts a request in its run queue. It is given up there at its latest start.
+    /// Puts a request in its run queue, with a review at its latest start.
     fn enqueue(&mut self, slot: Slot) {
         let request = &self.in_flight[slot];
         let group = self.group_of(slot);
@@ -208,7 +209,8 @@
         self.schedule_review(slot, latest_start.max(self.now) + 1);
     }
 
-    /// When a queued request has waited too long, or can no longer meet its latency objective.
+    /// When a queued request is given up: once it has waited too long, or can no longer meet its
+    /// latency objective.
     fn latest_start(&self, request: &InFlightRequest, group: &EndpointGroup) -> TenthMillis {
         let deadline = request.objective_deadline;
         let objective = deadline.saturating_sub(request.arrived_at);
@@ -217,8 +219,8 @@
         (request.arrived_at + max_wait).min(deadline.saturating_sub(run_time))
     }
 
-    /// Priority in the run queues: value per unit of work, or value alone where that is already
-    /// counted by work.
+    /// Priority in the run queues: weight per unit of work, or the weight alone where the
+    /// deployment counts value by work.
     fn run_priority(
         &self,
         request: &InFlightRequest,
--- a/crates/admission/src/controller/calls.rs
+++ b/crates/admission/src/controller/calls.rs
@@ -7,11 +7,11 @@
 use crate::queue::{MAX_WAIT_SHARE, PRIORITY_UNITS, QueueEntry};
 use crate::{Action, CallOutcome, Effect, RequestId};
 
-/// A failed call is retried so many times at most.
+/// Most retries of a failed call.
 const MAX_CALL_RETRIES: u8 = 2;
 
 impl AdmissionController {
-    /// A running request has come to a call that it cannot go on without.
+    /// A running request needs its downstream call to continue.
     pub(super) fn on_call_required(&mut self, id: RequestId) {
         let Some(slot) = self.in_flight.slot_of(id) else {
             return;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Has a request wait for its call. Those that lose most without it go first.
+    /// Queues a request for its call, by the value that it would lose without it.
     fn enqueue_call(&mut self, slot: Slot) {
         let request = &self.in_flight[slot];
         let group = self.group_of(slot);
@@ -51,8 +51,8 @@
         }
     }
 
-    /// How long a call that is made now is useful. One that may be skipped is given up while the
-    /// rest of the run can still be done in time.
+    /// How long a call that is made now may take. A call that may be skipped gets half of the time
+    /// to the latency objective, which leaves the other half for the rest of the run.
     fn time_left_for_call(&self, slot: Slot, skippable: bool) -> TenthMillis {
         let request = &self.in_flight[slot];
         if skippable {
@@ -73,7 +73,7 @@
         actions.push(Action::Call { id, timeout });
     }
 
-    /// A call has ended. Reports of calls that the request does not wait for are ignored.
+    /// A call has ended. Reports on a request that is not at a call are ignored.
     pub(super) fn on_call_ended(
         &mut self,
         id: RequestId,
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Goes on without the call, retries it, or fails the request.
+    /// Continues a run without its failed call, retries the call, or fails the request.
     fn on_call_failed(&mut self, slot: Slot, outcome: CallOutcome, actions: &mut Vec<Action>) {
         let request = &self.in_flight[slot];
         if request.answered {
-            return; // The end of its run is still to come.
+            return; // Only the end of its run is still to be reported.
         }
         let group = self.group_of(slot);
         let may_retry = group.effect == Effect::Idempotent || outcome.proves_not_run();
@@ -121,7 +121,7 @@
         self.resume(slot);
     }
 
-    /// Puts a request back on the cores after its call.
+    /// Continues a run after its call.
     fn resume(&mut self, slot: Slot) {
         self.in_flight.set_stage(slot, Stage::Running);
         let request = &self.in_flight[slot];
@@ -133,7 +133,7 @@
         self.schedule_review(slot, review_at);
     }
 
-    /// Returns to the budget what the call of a request did not use.
+    /// Returns the unused part of a call's charge to the budget.
     pub(super) fn settle_call(&mut self, slot: Slot, abandoned: bool) {
         let request = &self.in_flight[slot];
         let duration = self.now - request.call_started_at;
--- a/crates/admission/src/controller/review.rs
+++ b/crates/admission/src/controller/review.rs
@@ -6,11 +6,11 @@
 use crate::Action;
 use crate::in_flight::{Slot, Stage};
 
-/// A late run that keeps nobody waiting is reviewed again after this.
+/// Interval between reviews of a late run while no other request is queued.
 const LATE_RUN_REVIEW_INTERVAL: TenthMillis = 50 * MILLISECOND;
 
 impl AdmissionController {
-    /// Reviews all requests that are due.
+    /// Decides on all requests that are due.
     pub(super) fn review_due(&mut self, actions: &mut Vec<Action>) {
         while let Some(slot) = self.reviews.pop_due(&self.in_flight, self.now) {
             self.review(slot, actions);
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Whether a request that waits for its call goes on without it.
+    /// Whether a request that waits for its call may continue without it.
     fn may_skip_call(&self, slot: Slot) -> bool {
         self.now < self.in_flight[slot].answer_by && self.group_of(slot).can_skip_call()
     }
 
-    /// Fails a run that is out of time, or that is worth nothing any more and keeps others waiting.
+    /// Fails a run that is out of time, or whose late result has no value while others wait.
     fn review_late_run(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let answer_by = self.in_flight[slot].answer_by;
         let others_wait = self.in_flight.count(Stage::Queued) > 0;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Begins a graceful shutdown: all answers are due before the stop.
+    /// Begins a graceful shutdown: every answer is due before the stop.
     pub(super) fn on_drain(
         &mut self,
         age: TenthMillis,
--- a/crates/admission/src/downstream_calls.rs
+++ b/crates/admission/src/downstream_calls.rs
@@ -1,8 +1,9 @@
 //! Bounds the concurrent calls to a downstream service that all nodes share.
 //!
-//! A budget of time keeps this node within its share over any window: a part of the share flows in,
-//! the rest of the window may be saved up, and a call is charged beforehand with all the time that
-//! it may take. So a share of less than one call still makes calls.
+//! A token bucket of call time keeps this node within its share over any window: a part of the
+//! share flows in steadily, the rest is the size of the bucket, and each call is charged in advance
+//! with the longest time that it may take. Even a share of less than one call allows calls this
+//! way.
 
 use std::collections::BinaryHeap;
 
@@ -14,25 +15,26 @@
 use crate::queue::QueueEntry;
 use crate::run_slots::SAFE_SHARE;
 
-/// Calls that flow in, as a share of those that the service survives. It slows down well before
-/// that, and what waits here instead goes by priority or is skipped.
+/// Part of this node's share that flows in steadily. It is well below the whole, as the service
+/// slows down before its limit; calls that wait here instead go by priority or are skipped.
 const INFLOW_SHARE: f32 = 0.3;
-/// A call waits until this many times the mean duration is left for it: one cut short has occupied
-/// the service for nothing.
-const MIN_TIMEOUT_DURATIONS: f32 = 3.0;
-/// Share of the largest budget that is kept for calls that cannot be skipped.
+/// A call is made only with a timeout of at least this multiple of the mean duration, as an
+/// abandoned call has used the service for nothing.
+const MIN_TIMEOUT_MULTIPLE: f32 = 3.0;
+/// Part of the largest budget that is reserved for calls that cannot be skipped.
 const RESERVED_SHARE: f32 = 0.5;
-/// A call is planned with at least so much time, however little is left.
+/// A call may take at least this long, however little time its request has left.
 const MIN_PLANNED_TIME: TenthMillis = 50 * MILLISECOND;
 
-/// The calls that wait, and the time that calls may still spend downstream.
+/// Requests that wait for their calls, and the budget of call time, in the unit of
+/// [`doortrack_time`].
 #[derive(Debug)]
 pub(crate) struct DownstreamCalls {
-    /// Best first. Entries that no longer wait for their calls are passed over.
+    /// Highest priority first. Entries of requests that no longer wait are skipped.
     waiting: BinaryHeap<QueueEntry>,
-    /// This node's share of the concurrent calls; absent where none is shared.
+    /// This node's share of the concurrent calls; absent where no service is shared.
     share: Option<f32>,
-    /// The largest budget.
+    /// Size of the bucket.
     max_budget: f32,
     budget: f32,
     refilled_at: TenthMillis,
@@ -42,7 +44,7 @@
 }
 
 impl DownstreamCalls {
-    /// An empty budget, which first flows in from time 0 on.
+    /// Creates an empty budget, into which time flows from time 0 on.
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         let window = config.downstream_window as f32;
         Self {
@@ -80,7 +82,7 @@
         self.waiting.pop();
     }
 
-    /// Adds what has flowed in since the last time.
+    /// Adds the time that has flowed in since the last call.
     pub(crate) fn refill(&mut self, now: TenthMillis) {
         let elapsed = (now - self.refilled_at) as f32;
         let inflow = self
@@ -90,8 +92,7 @@
         self.refilled_at = now;
     }
 
-    /// The timeout of a call that is useful for `time_left`, or `None` where the budget has too
-    /// little left.
+    /// The timeout of a call that is useful for `time_left`; `None` while the budget is too small.
     pub(crate) fn timeout(&self, time_left: TenthMillis, skippable: bool) -> Option<TenthMillis> {
         let time_left = time_left.max(MIN_PLANNED_TIME);
         let reserved = if skippable {
@@ -101,13 +102,13 @@
         };
         let kept = self.abandoned_call_time as f32 + reserved;
         let timeout = time_left.min((self.budget - kept) as TenthMillis);
-        let wanted = (MIN_TIMEOUT_DURATIONS * self.duration.get())
+        let wanted = (MIN_TIMEOUT_MULTIPLE * self.duration.get())
             .min((self.max_budget - kept) / 2.0) as TenthMillis;
         let min_timeout = time_left.min(wanted).max(1);
         (timeout >= min_timeout).then_some(timeout)
     }
 
-    /// Charges the budget with all the time that a call with this timeout may take; returns the
+    /// Charges the budget with the longest time that a call with this timeout may take. Returns the
     /// charge.
     pub(crate) fn charge(&mut self, timeout: TenthMillis) -> TenthMillis {
         let charge = timeout + self.abandoned_call_time;
@@ -115,17 +116,18 @@
         charge
     }
 
-    /// Returns what a call was charged with and did not use. An abandoned call goes on for a while.
+    /// Returns the unused part of a charge to the budget. An abandoned call uses the service for a
+    /// while after its end.
     pub(crate) fn settle(&mut self, charge: TenthMillis, duration: TenthMillis, abandoned: bool) {
-        let goes_on = if abandoned {
+        let continues = if abandoned {
             self.abandoned_call_time
         } else {
             0
         };
-        self.budget += charge as f32 - (duration + goes_on) as f32;
+        self.budget += charge as f32 - (duration + continues) as f32;
     }
 
-    /// A call produced a result after this time.
+    /// A call produced a result after this duration.
     pub(crate) fn record_completed(&mut self, duration: TenthMillis) {
         self.duration.record(duration as f32);
     }
--- a/crates/admission/src/drain.rs
+++ b/crates/admission/src/drain.rs
@@ -4,10 +4,10 @@
 
 use crate::AdmissionConfig;
 
-/// An answer leaves so many ticks of the node's clock before it is due.
+/// An answer is sent this many ticks of the node's clock before it is due.
 const ANSWER_MARGIN_TICKS: TenthMillis = 2;
 
-/// A graceful shutdown, from the request on.
+/// The graceful shutdown of this node, once it was requested.
 #[derive(Debug)]
 pub(crate) struct Drain {
     answer_margin: TenthMillis,
@@ -24,7 +24,7 @@
 }
 
 impl Drain {
-    /// No shutdown was requested yet.
+    /// Creates the state of a node without a shutdown.
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         Self {
             answer_margin: ANSWER_MARGIN_TICKS * config.tick,
@@ -52,7 +52,7 @@
             .is_some_and(|deadlines| arrived_at >= deadlines.arrivals_end)
     }
 
-    /// The last moment for an answer that is due at `deadline`: in time for it and for the stop.
+    /// The last moment for an answer that is due at `deadline`, and before the process is stopped.
     pub(crate) fn answer_by(&self, deadline: TenthMillis) -> TenthMillis {
         self.deadlines
             .map_or(deadline, |deadlines| deadline.min(deadlines.stop_at))
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -1,4 +1,4 @@
-//! What happened at this node, as the decisions are told of it.
+//! What happened at the node, as it reports it to the decisions.
 
 use doortrack_time::TenthMillis;
 
--- a/crates/admission/src/health.rs
+++ b/crates/admission/src/health.rs
@@ -1,24 +1,24 @@
-//! Whether the node makes progress, and what health checks are told.
+//! Whether the node makes progress, and what it reports to health checks.
 
 use doortrack_time::TenthMillis;
 
 use crate::{Action, AdmissionConfig};
 
-/// Stalled once nothing ended for this multiple of the mean run time.
+/// The node is stalled after this multiple of the mean run time without progress.
 const STALLED_RUN_TIMES: f32 = 6.0;
 
-/// Progress of the runs and the health last reported.
+/// The progress of the runs, and the health last reported.
 #[derive(Debug)]
 pub(crate) struct Health {
     /// When a run last began or ended.
     progress_at: TenthMillis,
-    /// Least time without progress that counts as stalled.
+    /// Shortest time without progress that counts as stalled.
     min_stall: f32,
     reported_healthy: bool,
 }
 
 impl Health {
-    /// A node that has not reported itself healthy yet.
+    /// Creates the state of a node that has reported nothing yet.
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         Self {
             progress_at: 0,
@@ -32,15 +32,15 @@
         self.progress_at = now;
     }
 
-    /// Whether nothing began or ended for far longer than a run takes, whatever the gauges say:
-    /// hung work, a frozen disk, a machine far slower than it was.
+    /// Whether no run began or ended for far longer than a run takes: hung work, a frozen disk, or
+    /// a machine that has become far slower. The gauges may read idle then.
     pub(crate) fn without_progress(&self, now: TenthMillis, mean_run_time: f32) -> bool {
         let quiet = (now - self.progress_at) as f32;
         quiet > self.min_stall.max(STALLED_RUN_TIMES * mean_run_time)
     }
 
-    /// Reports a change of the node's health. Health checks are answered from the stored state:
-    /// checks that do real work would add to the overload that they are to report.
+    /// Reports a change of the node's health. Health checks are answered from the stored state, as
+    /// checks that do real work would add to an overload.
     pub(crate) fn report(&mut self, healthy: bool, actions: &mut Vec<Action>) {
         if healthy != self.reported_healthy {
             self.reported_healthy = healthy;
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -12,23 +12,23 @@
 #[derive(Debug, Default)]
 pub(crate) struct IdempotencyRecords {
     live: FxHashSet<RequestId>,
-    /// In order of entry; entries that were removed since are passed over.
+    /// In order of entry; entries of requests that were removed since are skipped.
     expirations: VecDeque<(TenthMillis, RequestId)>,
 }
 
 impl IdempotencyRecords {
-    /// Enters a request.
+    /// Records a request.
     pub(crate) fn insert(&mut self, id: RequestId, expires_at: TenthMillis) {
         self.live.insert(id);
         self.expirations.push_back((expires_at, id));
     }
 
-    /// Removes a request; whether it had an entry.
+    /// Removes the record of a request. Returns whether there was one.
     pub(crate) fn remove(&mut self, id: RequestId) -> bool {
         self.live.remove(&id)
     }
 
-    /// The next request whose time has passed; its entry is to be removed.
+    /// The next request whose record has expired and is to be removed.
     pub(crate) fn pop_expired(&mut self, now: TenthMillis) -> Option<RequestId> {
         let (_, id) = self
             .expirations
@@ -37,8 +37,8 @@
     }
 }
 
-/// The request whose result answers `id`, if it is a duplicate. Requests of one batch may name each
-/// other: the one whose chain leads back to itself is the original.
+/// The request whose result answers `id`, if that is a duplicate. Requests of one batch may name
+/// each other as the original: the one whose chain of attachments leads back to itself is run.
 pub(crate) fn original_of(
     in_flight: &InFlightTable,
     id: RequestId,
--- a/crates/admission/src/in_flight.rs
+++ b/crates/admission/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! The table of requests in flight: each owes its caller an answer, or its node the end of its run.
+//! The table of requests in flight: those that are not answered yet, or whose runs have not ended.
 
 use std::ops::{Index, IndexMut};
 
@@ -8,25 +8,26 @@
 
 use crate::RequestId;
 
-/// Position of a request in the table; used again once the request has ended.
+/// Position of a request in the table. It is reused once the request has ended.
 pub(crate) type Slot = usize;
 
-/// How far a request has come.
+/// The stage of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Waits to be run.
+    /// Waiting to be run.
     #[default]
     Queued,
-    /// Waits for the result of the request that it duplicates.
+    /// Waiting for the result of the request that it duplicates.
     Attached,
-    /// Runs on a core.
+    /// Running on a core.
     Running,
-    /// Has run up to its downstream call, which is not made yet.
+    /// Waiting for its downstream call to be made.
     AwaitingCall,
-    /// Waits for its downstream call to end.
+    /// Waiting for its downstream call to end.
     Calling,
 }
 
+/// Number of stages.
 const STAGES: usize = 5;
 
 /// One request in flight.
@@ -38,17 +39,17 @@
     pub(crate) group: usize,
     /// Identifies its session; 0 if none is known.
     pub(crate) session_key: u64,
-    /// How far it has come. Changed by [`InFlightTable::set_stage`] alone.
+    /// Its stage, which only [`InFlightTable::set_stage`] changes.
     pub(crate) stage: Stage,
     /// The request that it duplicates, while attached.
     pub(crate) attached_to: RequestId,
     /// When it reached this machine.
     pub(crate) arrived_at: TenthMillis,
-    /// An answer after this has missed the latency objective.
+    /// End of its latency objective.
     pub(crate) objective_deadline: TenthMillis,
     /// The last moment for an answer.
     pub(crate) answer_by: TenthMillis,
-    /// When it is next due for a decision.
+    /// When it is next reviewed.
     pub(crate) review_at: TenthMillis,
     /// When its run began.
     pub(crate) run_started_at: TenthMillis,
@@ -56,21 +57,21 @@
     pub(crate) work: f32,
     /// Memory that it takes while queued, in kB.
     pub(crate) memory_kb: f32,
-    /// Beyond its tenant's quota.
+    /// It exceeds its tenant's quota.
     pub(crate) over_quota: bool,
-    /// Takes much longer than the mean.
+    /// It takes much more work than the mean.
     pub(crate) long_work: bool,
-    /// Nothing is owed to its caller any more; only the end of its run is still to come.
+    /// It needs no answer any more; only the end of its run is still to be reported.
     pub(crate) answered: bool,
-    /// Downstream calls made for it.
+    /// Number of downstream calls made for it.
     pub(crate) call_attempts: u8,
     /// When its downstream call was made.
     pub(crate) call_started_at: TenthMillis,
-    /// Time downstream that its call was charged with.
+    /// Call time that was charged to the budget for it.
     pub(crate) call_charge: TenthMillis,
 }
 
-/// All requests in flight, and how many there are at each stage.
+/// All requests in flight, and their number at each stage.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightTable {
     slots: Slab<InFlightRequest>,
@@ -81,7 +82,7 @@
 }
 
 impl InFlightTable {
-    /// Enters a request at its stage.
+    /// Inserts a request at its stage.
     pub(crate) fn insert(&mut self, request: InFlightRequest) -> Slot {
         self.enter_stage(request.stage, request.over_quota);
         let id = request.id;
@@ -123,12 +124,12 @@
         self.queued_over_quota -= usize::from(stage == Stage::Queued && over_quota);
     }
 
-    /// Where the request is, if it is in flight.
+    /// The slot of a request, if it is in flight.
     pub(crate) fn slot_of(&self, id: RequestId) -> Option<Slot> {
         self.by_id.get(&id).copied()
     }
 
-    /// The request in this slot, if it is still the one with this id.
+    /// The request in this slot, if that still holds the one with this id.
     pub(crate) fn get(&self, slot: Slot, id: RequestId) -> Option<&InFlightRequest> {
         self.slots.get(slot).filter(|request| request.id == id)
     }
@@ -138,7 +139,7 @@
         self.slots.len()
     }
 
-    /// Slots of all requests, in order.
+    /// The slots of all requests, in ascending order.
     pub(crate) fn slots(&self) -> impl Iterator<Item = Slot> {
         self.slots.iter().map(|(slot, _)| slot)
     }
@@ -148,13 +149,13 @@
         self.at_stage[stage as usize]
     }
 
-    /// Requests of long work that have started.
+    /// Number of started requests with long work.
     pub(crate) fn long_running(&self) -> usize {
         self.long_running
     }
 
-    /// Requests that have started. Those at downstream calls count, as the end of a call puts their
-    /// work back on the cores unasked.
+    /// Number of started requests. Those at downstream calls are included, as they return to the
+    /// cores without a decision when their calls end.
     pub(crate) fn started(&self) -> usize {
         self.count(Stage::Running) + self.count(Stage::AwaitingCall) + self.count(Stage::Calling)
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -6,10 +6,11 @@
 //! and [`AdmissionConfig`] give the same actions.
 //!
 //! Times are in the unit of [`doortrack_time`]. The caller rounds a deadline and an age down, a
-//! window and a wait up, so that no promise is broken by rounding.
+//! window and a retry delay up, so that rounding makes no answer late and no record expire early.
 //!
-//! [`AdmissionController`] holds one type for each concern, in a module of the same name, and calls
-//! them in a fixed order on each turn. `docs/design.md` gives the sources and the reasons.
+//! [`AdmissionController`] holds the state of each concern in a type of its own, in the module
+//! named after it, and goes through them in a fixed order on each turn. `docs/design.md` gives the
+//! sources and the reasons.
 
 #![warn(missing_docs)]
 
--- a/crates/admission/src/memory.rs
+++ b/crates/admission/src/memory.rs
@@ -2,21 +2,21 @@
 
 use crate::AdmissionConfig;
 
-/// Share of the node's memory that may be used. The account is exact, so the margin is small.
+/// Part of the node's memory that may be used. The margin is small because the account is exact.
 const USABLE_SHARE: f32 = 0.95;
 
 /// Memory in use, in kB.
 #[derive(Debug)]
 pub(crate) struct MemoryAccount {
-    /// Summed in `f64`, so that rounding errors stay far below the margin.
+    /// A sum in `f64`, so that rounding errors stay far below the margin.
     used_kb: f64,
     usable_kb: f64,
-    /// What a run takes beyond the queued request, as a multiple of that.
+    /// Additional memory of a running request, as a multiple of its memory while queued.
     extra_run_factor: f32,
 }
 
 impl MemoryAccount {
-    /// An account of which nothing is used.
+    /// Creates an account with no memory in use.
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         Self {
             used_kb: 0.0,
@@ -25,22 +25,22 @@
         }
     }
 
-    /// Whether so much more may be reserved.
+    /// Whether this much more memory is available.
     pub(crate) fn fits(&self, kb: f32) -> bool {
         self.used_kb + f64::from(kb) <= self.usable_kb
     }
 
-    /// Reserves memory, whether it fits or not.
+    /// Reserves memory. Callers check [`Self::fits`] first.
     pub(crate) fn reserve(&mut self, kb: f32) {
         self.used_kb += f64::from(kb);
     }
 
-    /// Returns what was reserved.
+    /// Releases reserved memory.
     pub(crate) fn release(&mut self, kb: f32) {
         self.used_kb -= f64::from(kb);
     }
 
-    /// What a request that takes `kb` while queued takes in addition while it runs, in kB.
+    /// Additional memory, in kB, of a request that takes `kb` while queued, once it runs.
     pub(crate) fn extra_to_run(&self, kb: f32) -> f32 {
         kb * self.extra_run_factor
     }
--- a/crates/admission/src/moving_mean.rs
+++ b/crates/admission/src/moving_mean.rs
@@ -13,7 +13,7 @@
         self.0
     }
 
-    /// Takes in a value.
+    /// Adds a value.
     pub(crate) fn record(&mut self, newest: f32) {
         if self.0 > 0.0 {
             self.0 += NEWEST_WEIGHT * (newest - self.0);
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queues of requests that wait to be run, short work and long work apart.
+//! The queues of requests that wait to be run, one for short work and one for long work.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,19 +8,19 @@
 use crate::RequestId;
 use crate::in_flight::{InFlightRequest, InFlightTable, Slot, Stage};
 
-/// Share of its latency objective that a request may wait unread and queued; one that is rejected
-/// later has no time left elsewhere. The wait for a downstream call that may be skipped has the
-/// same bound.
+/// Longest wait of a request, unread and queued, as a share of its latency objective. A request
+/// that is rejected later has no time left for a retry on another node. The same share bounds the
+/// wait for a downstream call that may be skipped.
 pub(crate) const MAX_WAIT_SHARE: f32 = 0.33;
-/// Work is long from this multiple of the mean work on.
+/// Work is long above this multiple of the mean work.
 pub(crate) const LONG_WORK: f32 = 2.0;
 /// Share of the run slots that long work may take while short work waits.
 const MAX_LONG_WORK_SHARE: f32 = 0.5;
-/// Units of priority per unit of weight, so that small differences of weight survive as whole
-/// numbers.
+/// Priority per unit of weight, which keeps small differences of weight in whole numbers.
 pub(crate) const PRIORITY_UNITS: f32 = 1000.0;
 
-/// One waiting request. The greatest goes first: by priority, then the oldest, then by id.
+/// A waiting request. The derived order puts the greatest first: the highest priority, then the
+/// earliest arrival, then the lowest id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
     priority: u32,
@@ -30,7 +30,7 @@
 }
 
 impl QueueEntry {
-    /// The entry of a request, with a priority in [`PRIORITY_UNITS`].
+    /// Creates the entry of a request; [`PRIORITY_UNITS`] is the scale of `priority`.
     pub(crate) fn new(request: &InFlightRequest, slot: Slot, priority: f32) -> Self {
         Self {
             priority: priority as u32,
@@ -45,13 +45,13 @@
         self.slot
     }
 
-    /// Its request, unless that has ended.
+    /// The request, unless it has ended.
     pub(crate) fn request<'a>(&self, in_flight: &'a InFlightTable) -> Option<&'a InFlightRequest> {
         in_flight.get(self.slot, self.id.0)
     }
 }
 
-/// The two queues. Entries of requests that no longer wait are passed over.
+/// The two queues. Entries of requests that no longer wait are skipped.
 #[derive(Debug, Default)]
 pub(crate) struct RunQueues {
     short: BinaryHeap<QueueEntry>,
@@ -69,7 +69,7 @@
         self.queue_mut(long_work).pop();
     }
 
-    /// The better head of the two queues. Long work leaves slots to short work that waits.
+    /// The head with the higher priority. Long work leaves some slots to waiting short work.
     pub(crate) fn next(&mut self, in_flight: &InFlightTable, run_slots: usize) -> Option<Slot> {
         discard_stale(&mut self.short, in_flight);
         discard_stale(&mut self.long, in_flight);
@@ -92,7 +92,7 @@
     }
 }
 
-/// Removes heads whose requests are no longer queued.
+/// Removes entries at the head whose requests are no longer queued.
 fn discard_stale(queue: &mut BinaryHeap<QueueEntry>, in_flight: &InFlightTable) {
     while let Some(head) = queue.peek() {
         let request = head.request(in_flight);
--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -4,12 +4,13 @@
 
 use crate::AdmissionConfig;
 
-/// A tenant may send this multiple of its even share at one node, as callers don't spread evenly.
+/// A tenant may send this multiple of its even share to one node, as callers do not spread their
+/// requests evenly.
 const UNEVEN_SPREAD_FACTOR: f32 = 1.3;
-/// A bucket holds what flows in over this time.
+/// A bucket holds the tokens of this time, in the unit of [`doortrack_time`].
 const BURST_TIME: f32 = 2.0 * SECOND as f32;
-/// A bucket holds at least so many requests: a tenant whose share at a node is below one in the
-/// burst time would otherwise be over its quota whatever it sends.
+/// A bucket holds at least this many tokens: a tenant whose share at a node is less than one
+/// request in the burst time would otherwise always exceed its quota.
 const MIN_BURST: f32 = 3.0;
 
 /// The token buckets of all tenants, by index.
@@ -29,7 +30,7 @@
 }
 
 impl TenantQuotas {
-    /// Divides the quotas of the fleet among its nodes. Buckets start empty at time 0.
+    /// Divides the quotas of the fleet among its nodes. Buckets are empty at time 0.
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         let nodes = config.nodes.max(1) as f32;
         let bucket = |quota: &f32| {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Whether a request of this tenant is beyond its quota now. Unknown tenants have none.
+    /// Whether a request of this tenant exceeds its quota now. An unknown tenant has no quota.
     pub(crate) fn is_over(&mut self, tenant: usize, now: TenthMillis) -> bool {
         let Some(bucket) = self.buckets.get_mut(tenant) else {
             return false;
@@ -55,7 +56,7 @@
         bucket.tokens < 1.0
     }
 
-    /// Takes a token for an admitted request. A rejected one takes none, as it may come again.
+    /// Takes a token for an admitted request. A rejected one takes none, as it may be retried.
     pub(crate) fn take(&mut self, tenant: usize) {
         if let Some(bucket) = self.buckets.get_mut(tenant) {
             bucket.tokens -= 1.0;
@@ -64,6 +65,7 @@
 }
 
 impl TokenBucket {
+    /// Adds the tokens since the last refill.
     fn refill(&mut self, now: TenthMillis) {
         let elapsed = (now - self.refilled_at) as f32;
         self.tokens = (self.tokens + self.rate * elapsed).min(self.max_tokens);
--- a/crates/admission/src/recent_set.rs
+++ b/crates/admission/src/recent_set.rs
@@ -1,23 +1,22 @@
-//! A bounded set of keys that forgets those not seen of late.
+//! A bounded set of keys that forgets those not seen recently.
 
 use doortrack_time::TenthMillis;
 use rustc_hash::FxHashSet;
 
-/// Keys of two generations. A key stays for one to two windows after it was last inserted, or less
-/// where a generation reaches its bound.
+/// A set of two generations. A key stays for one to two windows after it was last inserted, or less
+/// if a generation reaches its maximum size.
 #[derive(Debug)]
 pub(crate) struct RecentSet {
     current: FxHashSet<u64>,
     previous: FxHashSet<u64>,
     window: TenthMillis,
-    /// A generation of this many keys is the last one's successor at the next rotation, however
-    /// young.
+    /// A generation of this size is rotated before its window has passed.
     max_generation_len: usize,
     rotate_at: TenthMillis,
 }
 
 impl RecentSet {
-    /// An empty set; the first call of [`Self::rotate_if_due`] starts its first window.
+    /// Creates an empty set. The first call of [`Self::rotate_if_due`] starts its first window.
     pub(crate) fn new(window: TenthMillis, max_generation_len: usize) -> Self {
         Self {
             current: FxHashSet::default(),
@@ -28,7 +27,7 @@
         }
     }
 
-    /// Whether the key was inserted of late.
+    /// Whether the key was inserted recently.
     pub(crate) fn contains(&self, key: u64) -> bool {
         self.current.contains(&key) || self.previous.contains(&key)
     }
@@ -38,7 +37,7 @@
         self.current.insert(key);
     }
 
-    /// Starts a new generation where the window has passed or the current one is full.
+    /// Starts a new generation if the window has passed or the current one is full.
     pub(crate) fn rotate_if_due(&mut self, now: TenthMillis) {
         if now < self.rotate_at && self.current.len() < self.max_generation_len {
             return;
@@ -48,7 +47,7 @@
         self.rotate_at = now + self.window;
     }
 
-    /// Keys in the larger generation.
+    /// Number of keys in the larger generation.
     pub(crate) fn len_of_larger_generation(&self) -> usize {
         self.current.len().max(self.previous.len())
     }
--- a/crates/admission/src/review.rs
+++ b/crates/admission/src/review.rs
@@ -8,7 +8,7 @@
 use crate::RequestId;
 use crate::in_flight::{InFlightTable, Slot};
 
-/// One review. The earliest goes first, and of one time the lowest id.
+/// A scheduled review, ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Review {
     at: TenthMillis,
@@ -16,8 +16,7 @@
     slot: Slot,
 }
 
-/// All scheduled reviews. Those of requests that have ended, or are now due at another time, are
-/// passed over.
+/// All scheduled reviews. Those of requests that have ended or were rescheduled are skipped.
 #[derive(Debug, Default)]
 pub(crate) struct ReviewSchedule {
     reviews: BinaryHeap<Reverse<Review>>,
@@ -29,7 +28,7 @@
         self.reviews.push(Reverse(Review { at, id, slot }));
     }
 
-    /// Removes the next review that is due; the slot of its request.
+    /// Removes the next review that is due. Returns the slot of its request.
     pub(crate) fn pop_due(&mut self, in_flight: &InFlightTable, now: TenthMillis) -> Option<Slot> {
         while let Some(&Reverse(review)) = self.reviews.peek() {
             let request = in_flight.get(review.slot, review.id);
@@ -45,14 +44,14 @@
         None
     }
 
-    /// The time of the earliest review; [`TenthMillis::MAX`] if there is none.
+    /// The time of the earliest review, or [`TenthMillis::MAX`] if there is none.
     pub(crate) fn next_at(&self) -> TenthMillis {
         let earliest = self.reviews.peek();
         earliest.map_or(TenthMillis::MAX, |Reverse(review)| review.at)
     }
 }
 
-/// The one timer of a node.
+/// The timer of a node, which serves all reviews and ticks.
 #[derive(Debug, Default)]
 pub(crate) struct Timer {
     /// When it fires next; in the past if it is not set.
@@ -60,7 +59,7 @@
 }
 
 impl Timer {
-    /// Sets the timer where it does not fire in time for `at`; when it is to fire.
+    /// Sets the timer if it would not fire by `at`. Returns when it is to fire.
     pub(crate) fn set(&mut self, now: TenthMillis, at: TenthMillis) -> Option<TenthMillis> {
         let at = at.max(now + 1);
         if self.fires_at > now && self.fires_at <= at {
--- a/crates/admission/src/run_slots.rs
+++ b/crates/admission/src/run_slots.rs
@@ -4,14 +4,14 @@
 
 use crate::AdmissionConfig;
 
-/// Share of what is survived that is used, of the concurrency on the cores and of downstream calls.
+/// Part of the concurrency that is survived, on the cores and downstream, that may be used.
 pub(crate) const SAFE_SHARE: f32 = 0.9;
-/// Runs per core while not all cores are busy: some runs wait for what no gauge shows, such as a
+/// Runs per core while some cores are idle: runs may wait for resources without a gauge, such as a
 /// disk.
 const RUNS_PER_CORE: f32 = 1.5;
-/// Runs per core while all cores are busy: more would only make each take longer.
+/// Runs per core while all cores are busy: more would only slow each other down.
 const RUNS_PER_BUSY_CORE: f32 = 1.0;
-/// The gauge of busy cores from which on all count as busy.
+/// All cores count as busy from this share of busy cores on.
 const ALL_BUSY: f32 = 0.95;
 
 /// The concurrency that the cores allow.
@@ -29,7 +29,7 @@
 }
 
 impl RunSlots {
-    /// The slots of a node that has not started yet.
+    /// Creates the slots of a node that has not started yet.
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         Self {
             cores: config.cores as f32,
@@ -42,22 +42,22 @@
         }
     }
 
-    /// The process has started; a cold node warms up from here on.
+    /// The process has started. A cold node warms up from now on.
     pub(crate) fn start(&mut self, now: TenthMillis) {
         self.started_at = now;
     }
 
-    /// Takes in the share of the cores that is busy.
+    /// Records the gauge of busy cores.
     pub(crate) fn record_busy_cores(&mut self, busy_cores: Option<f32>) {
         self.busy_cores = busy_cores.filter(|share| share.is_finite());
     }
 
-    /// Whether all cores are busy, where a gauge tells.
+    /// Whether all cores are busy; `None` without a gauge.
     pub(crate) fn all_cores_busy(&self) -> Option<bool> {
         self.busy_cores.map(|share| share >= ALL_BUSY)
     }
 
-    /// Requests that may run at once now.
+    /// Number of requests that may run at once now.
     pub(crate) fn count(&self, now: TenthMillis) -> usize {
         let per_core = if self.all_cores_busy().unwrap_or(false) {
             RUNS_PER_BUSY_CORE
@@ -69,7 +69,8 @@
             .max(1.0) as usize
     }
 
-    /// Running requests that the node survives at this age, less a margin; fewer while it is cold.
+    /// Number of running requests that the node survives now, less a margin. It is lower while the
+    /// node is cold.
     pub(crate) fn max_concurrency(&self, now: TenthMillis) -> f32 {
         let warmth = if self.cold {
             ((now - self.started_at) as f32 / self.warm_up_time as f32).min(1.0)
--- a/crates/admission/src/run_time.rs
+++ b/crates/admission/src/run_time.rs
@@ -1,19 +1,20 @@
-//! How long runs take: learned from those that ended, and expected of those to come.
+//! How long runs take, estimated from the runs that were completed.
 
 use doortrack_time::TenthMillis;
 
 use crate::moving_mean::MovingMean;
 use crate::{AdmissionConfig, EndpointGroup};
 
-/// Weight of the newest run in the line from work to run time.
+/// Weight of the newest run in the regression of run time on work.
 const LINE_NEWEST_WEIGHT: f32 = 0.03;
-/// Variance of the work that the flat line starts with, as a share of the square of the first work:
-/// two runs alone could give any line.
+/// Initial variance of the work, as a multiple of the square of the first work. It keeps the
+/// regression line flat at first, as two runs alone could give any slope.
 const INITIAL_VARIANCE: f32 = 0.1;
 
-/// Mean run times and the work that they follow from. Times are in the unit of [`doortrack_time`].
+/// Mean run times and mean work, in the unit of [`doortrack_time`].
 #[derive(Debug)]
 pub(crate) struct RunTimes {
+    /// Mean run time by endpoint group.
     by_group: Vec<MovingMean>,
     run_time: MovingMean,
     work: MovingMean,
@@ -21,7 +22,7 @@
 }
 
 impl RunTimes {
-    /// Nothing is known before the first run.
+    /// Creates the state before the first run.
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         Self {
             by_group: vec![MovingMean::default(); config.groups.len()],
@@ -31,7 +32,7 @@
         }
     }
 
-    /// A run was completed; `work` is 0 where it is not known.
+    /// A run was completed; `work` is 0 if it is not known.
     pub(crate) fn record(&mut self, group: usize, work: f32, run_time: f32) {
         if work > 0.0 {
             self.estimator.record(work, run_time);
@@ -46,9 +47,9 @@
         self.run_time.get()
     }
 
-    /// How long a run should take. Where the work is not known it is the group's mean, and then at
-    /// most half the latency objective, so that a node which has come to expect too much of a run
-    /// still starts new ones and learns better.
+    /// Expected run time of this work. If the work is not known, it is the group's mean, but at
+    /// most half of the latency objective, so that a node whose mean is too high still starts runs
+    /// and corrects it.
     pub(crate) fn expected(
         &self,
         group_index: usize,
@@ -64,7 +65,8 @@
         group_mean.min(group.latency_objective / 2)
     }
 
-    /// Work as a multiple of the mean, or 1 where nothing is known of either.
+    /// This work, or the group's mean run time if it is not known, as a multiple of the mean work;
+    /// 1 before the first run.
     pub(crate) fn relative_work(&self, group: usize, work: f32) -> f32 {
         let work = if work > 0.0 {
             work
@@ -80,8 +82,8 @@
     }
 }
 
-/// A line from the work of a request to its run time, by exponentially weighted least squares. Work
-/// that tells little, and costs that are the same for all, make it flat.
+/// Linear regression of run time on work, with exponentially decaying weights. The line is flat
+/// where the work predicts little or all runs cost the same.
 #[derive(Debug, Default)]
 struct RunTimeEstimator {
     mean_work: f32,
@@ -91,6 +93,7 @@
 }
 
 impl RunTimeEstimator {
+    /// Adds a run.
     fn record(&mut self, work: f32, run_time: f32) {
         if self.mean_work <= 0.0 {
             self.mean_work = work;
@@ -106,10 +109,12 @@
         self.covariance = (1.0 - newest) * (self.covariance + newest * work_delta * time_delta);
     }
 
-    /// The run time of this work; `None` before the first run.
+    /// Estimated run time of this work; `None` before the first run.
     fn estimate(&self, work: f32) -> Option<f32> {
-        let known = self.variance > 0.0;
-        known
-            .then(|| self.mean_run_time + self.covariance / self.variance * (work - self.mean_work))
+        if self.variance <= 0.0 {
+            return None;
+        }
+        let slope = self.covariance / self.variance;
+        Some(self.mean_run_time + slope * (work - self.mean_work))
     }
 }
--- a/crates/admission/src/thresholds.rs
+++ b/crates/admission/src/thresholds.rs
@@ -15,22 +15,21 @@
 //! single-threshold variant (equation 5). `T1` is 75% and `T2` 90% of `C`.
 //!
 //! The paper assumes a known capacity, a load figure that tracks the strain on the server, and many
-//! requests of a session at one server. None of these holds here, so there are departures
-//! (`docs/design.md` lists them with their reasons):
+//! requests of a session at one server. None of these holds here, hence these departures
+//! (`docs/design.md` gives all of them, with the reasons):
 //!
 //! - `C` is learned ([`concurrency_limit`](crate::concurrency_limit)).
 //! - `l` counts requests queued and running. Those at downstream calls are bounded apart, and a
-//!   request within its tenant's quota does not count those that are queued beyond one, as they go
-//!   after it.
+//!   request within its tenant's quota does not count queued requests that exceed one, as they are
+//!   run after it.
 //! - The rule applies only while all cores are busy.
-//! - A request beyond its tenant's quota is rejected from `T1` on, whatever its session, because it
-//!   earns only a small part of the usual value.
-//! - A session is known by its key, and established for a while once a request of it was completed
-//!   here
+//! - A request that exceeds its tenant's quota is rejected above `T1`, whatever its session, as its
+//!   value is only a small part of the usual one.
+//! - A session is known by its key, and established for some time after a completed request
 //!   ([`sessions`](crate::sessions)).
-//! - Some requests are rejected beside the rule: too late, without memory, or while the node is
-//!   stalled
-//!   or drowns in unread requests (`controller/arrival.rs`).
+//! - Some requests are rejected whatever the rule says: those that are too late, for which there is
+//!   no memory, or that arrive while the node is stalled or too slow in reading
+//!   (`controller/arrival.rs`).
 
 /// `T1`, as a share of the concurrency limit.
 pub(crate) const LOWER_THRESHOLD: f32 = 0.75;
@@ -40,15 +39,15 @@
 /// Who asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Applicant {
-    /// A request of a session that has been served here.
+    /// A request of a session that was served here recently.
     EstablishedSession,
-    /// A request of a new session, or of none.
+    /// A request of a new session, or without one.
     NewSession,
-    /// A request beyond its tenant's quota.
+    /// A request that exceeds its tenant's quota.
     OverQuota,
 }
 
-/// What the rule says of a request.
+/// The result of the rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Verdict {
     /// It is admitted.
@@ -59,7 +58,7 @@
     Reject,
 }
 
-/// Applies the rule at this load, in requests queued and running, under this concurrency limit.
+/// Applies the rule. `load` and `concurrency_limit` are in requests.
 pub(crate) fn apply(load: f32, concurrency_limit: f32, applicant: Applicant) -> Verdict {
     let lower = LOWER_THRESHOLD * concurrency_limit;
     let upper = UPPER_THRESHOLD * concurrency_limit;
