--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -16,9 +16,9 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// The caller is told not to retry on another node either.
+        /// The caller is asked not to retry on another node either.
         no_retry_elsewhere: bool,
-        /// How long the caller is told to wait before a retry.
+        /// How long the caller is asked to wait before a retry.
         retry_after: TenthMillis,
     },
     /// Final answer: failed, without a promise about its effect.
--- a/crates/admission/src/concurrency_limit.rs
+++ b/crates/admission/src/concurrency_limit.rs
@@ -16,7 +16,7 @@
     limit: f32,
     /// The number of cores.
     min: f32,
-    /// Concurrency that a warm node survives.
+    /// Concurrency that a warm node can sustain.
     max: f32,
     /// How long a request with the shortest latency objective may wait in the queue.
     max_wait: f32,
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -65,7 +65,7 @@
 pub struct AdmissionConfig {
     /// Cores that run requests.
     pub cores: u32,
-    /// Memory that the node survives, in kB.
+    /// Memory of the node, in kB.
     pub memory_kb: f32,
     /// Memory of a running request as a multiple of that of a queued one.
     pub run_memory_factor: f32,
@@ -89,7 +89,7 @@
     pub backpressure_ttl: TenthMillis,
     /// How long the answer to a read may serve others.
     pub max_staleness: TenthMillis,
-    /// This node's share of the concurrent calls that the downstream service survives, as a mean
+    /// This node's share of the concurrent calls that the downstream service can sustain, as a mean
     /// over `downstream_window`. Absent where no downstream service is shared.
     pub downstream_concurrency: Option<f32>,
     /// Window over which concurrent downstream calls are averaged.
@@ -102,7 +102,7 @@
     pub initial_speed: f32,
     /// A cold node is warm after this at the latest.
     pub warm_up_time: TenthMillis,
-    /// Running requests per core that a warm node survives, as a mean over `overload_window`.
+    /// Running requests per core that a warm node can sustain, as a mean over `overload_window`.
     pub overload_multiple: f32,
     /// Window over which running requests are averaged.
     pub overload_window: TenthMillis,
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -45,12 +45,18 @@
     duplicate_of: Option<RequestId>,
 ) -> Option<RequestId> {
     let original = duplicate_of?;
-    let attached_to = |at: &RequestId| {
-        let request = &in_flight[in_flight.slot_of(*at)?];
-        (request.stage == Stage::Attached).then_some(request.attached_to)
-    };
-    let leads_back = std::iter::successors(Some(original), attached_to)
-        .take(in_flight.len() + 1)
-        .any(|at| at == id);
-    (!leads_back).then_some(original)
+    let mut ancestor = original;
+    for _ in 0..=in_flight.len() {
+        if ancestor == id {
+            return None;
+        }
+        let Some(slot) = in_flight.slot_of(ancestor) else {
+            break;
+        };
+        if in_flight[slot].stage != Stage::Attached {
+            break;
+        }
+        ancestor = in_flight[slot].attached_to;
+    }
+    Some(original)
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,5 +1,5 @@
 //! The admission decisions of one node: which requests are admitted, run and rejected, which
-//! downstream calls are made, and what callers are told about the load.
+//! downstream calls are made, and how callers are informed of the load.
 //!
 //! The node reports each [`Event`] to [`AdmissionController::handle`] and executes the [`Action`]s
 //! that come back. The package does no I/O and reads no clock: the same events with the same seed
--- a/crates/admission/src/run_slots.rs
+++ b/crates/admission/src/run_slots.rs
@@ -4,7 +4,7 @@
 
 use crate::AdmissionConfig;
 
-/// Part of the concurrency that is survived, on the cores and downstream, that may be used.
+/// Part of the sustainable concurrency, on the cores and downstream, that may be used.
 pub(crate) const SAFE_SHARE: f32 = 0.9;
 /// Runs per core while some cores are idle: runs may wait for resources without a gauge, such as a
 /// disk.
@@ -21,7 +21,7 @@
     cold: bool,
     initial_speed: f32,
     warm_up_time: TenthMillis,
-    /// Concurrency per core beyond the first that a warm node survives.
+    /// Concurrency per core beyond the first that a warm node can sustain.
     extra_concurrency: f32,
     started_at: TenthMillis,
     /// Latest gauge; absent where there is none or it is not a number.
@@ -69,8 +69,8 @@
             .max(1.0) as usize
     }
 
-    /// Number of running requests that the node survives now, less a margin. It is lower while the
-    /// node is cold.
+    /// Number of running requests that the node can sustain now, less a margin. It is lower while
+    /// the node is cold.
     pub(crate) fn max_concurrency(&self, now: TenthMillis) -> f32 {
         let warmth = if self.cold {
             ((now - self.started_at) as f32 / self.warm_up_time as f32).min(1.0)
--- a/crates/admission/src/thresholds.rs
+++ b/crates/admission/src/thresholds.rs
@@ -63,14 +63,14 @@
     let lower = LOWER_THRESHOLD * concurrency_limit;
     let upper = UPPER_THRESHOLD * concurrency_limit;
     if load > concurrency_limit {
-        Verdict::Reject
-    } else if load > lower && applicant != Applicant::EstablishedSession {
-        if load > upper || applicant == Applicant::OverQuota {
-            Verdict::RejectWithProbability(1.0)
-        } else {
-            Verdict::RejectWithProbability((load - lower) / (concurrency_limit - lower))
-        }
-    } else {
-        Verdict::Admit
+        return Verdict::Reject;
     }
+    if load <= lower || applicant == Applicant::EstablishedSession {
+        return Verdict::Admit;
+    }
+    if load > upper || applicant == Applicant::OverQuota {
+        // Certain, yet with a draw: the sequence of draws is part of the decisions.
+        return Verdict::RejectWithProbability(1.0);
+    }
+    Verdict::RejectWithProbability((load - lower) / (concurrency_limit - lower))
 }
--- a/crates/admission/tests/cold_start.rs
+++ b/crates/admission/tests/cold_start.rs
@@ -1,5 +1,5 @@
 //! A cold node that all its callers discover at once: what it runs stays within what a cold one
-//! survives, and what is beyond that is rejected within the four rules, which are checked after
+//! can sustain, and what is beyond that is rejected within the four rules, which are checked after
 //! every turn.
 
 mod common;
@@ -15,7 +15,7 @@
 /// Time until the first gauges are in.
 const FIRST_GAUGES: TenthMillis = 60 * MILLISECOND;
 
-/// A node of four cores that survives few runs while it is cold: 3 at first, by its margin of a
+/// A node of four cores that sustains few runs while it is cold: 3 at first, by its margin of a
 /// tenth.
 fn cold_config() -> AdmissionConfig {
     AdmissionConfig {
--- a/crates/admission/tests/common/invariants.rs
+++ b/crates/admission/tests/common/invariants.rs
@@ -1,5 +1,5 @@
-//! What holds after every turn: the node survives, every answer is in time, and a shutdown leaves
-//! none owed.
+//! What holds after every turn: the node is not overloaded, every answer is in time, and a shutdown
+//! leaves none owed.
 
 use doortrack_time::TenthMillis;
 
@@ -29,10 +29,10 @@
         let initial = self.config.initial_speed;
         let speed = initial + (1.0 - initial) * warmth;
         let per_core = 1.0 + (self.config.overload_multiple - 1.0) * speed;
-        let survived = per_core * self.config.cores as f32;
+        let sustained = per_core * self.config.cores as f32;
         assert!(
-            on_cores <= survived,
-            "overload: {on_cores} on the cores, {survived} survived"
+            on_cores <= sustained,
+            "overload: {on_cores} on the cores, {sustained} can be sustained"
         );
     }
 
--- a/crates/admission/tests/common/simulated_node.rs
+++ b/crates/admission/tests/common/simulated_node.rs
@@ -7,7 +7,7 @@
 
 use super::request;
 
-/// How far a request has come, by what the node was told to do with it.
+/// How far a request has come, by the actions on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Stage {
     #[default]
@@ -38,7 +38,7 @@
     /// When its call is abandoned.
     pub call_abandoned_at: TenthMillis,
     pub may_call: bool,
-    /// The request that it was said to duplicate.
+    /// The request that it duplicates, by the node's table.
     pub duplicate_of: Option<RequestId>,
 }
 
@@ -62,7 +62,7 @@
     pub config: AdmissionConfig,
     pub now: TenthMillis,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
-    /// What the next turn is told.
+    /// Events of the next turn.
     pub events: Vec<Event>,
     pub timers: BTreeSet<TenthMillis>,
     /// Gauge of busy cores.
