--- /dev/null
+++ b/crates/config/tests/refusals.rs
@@ -0,0 +1,228 @@
+//! What the readers of the node's configuration and of the operators' file say of each key that is missing or
+//! holds the wrong thing. Operators and their tools read these texts: they are compared to the letter.
+
+use std::path::Path;
+
+use doortrack_config::{file, node_config};
+use serde_json::{Value, json};
+
+const EXPECTED: &str = include_str!("data/refusals.txt");
+
+/// An installation file in which every key is used.
+fn complete_installation() -> Value {
+    json!({
+        "fronts": [
+            {"protocol": "fastcgi", "listen": "127.0.0.1:9091", "connections": 10},
+            {"protocol": "uwsgi", "listen": "127.0.0.1:9092"}
+        ],
+        "servers": {
+            "protocol": "fastcgi", "addresses": ["127.0.0.1:7001", "127.0.0.1:7002"], "at_once": 4,
+            "idle_ms": 1000, "open_within_ms": 100, "answer_within_ms": 1000,
+            "most_answer_bytes": 1000,
+            "aside": {"failures": 3, "first_ms": 500, "longest_ms": 30000, "floor": 0.25},
+            "retries": {"share": 0.1, "burst": 10, "tries": 3},
+            "ramp": {"over_ms": 1000, "runs": 100}
+        },
+        "pools": {"slow": {"protocol": "uwsgi", "addresses": ["127.0.0.1:7003"]}},
+        "rules": [{"when": "path == \"/pay\"", "group": "pay", "customer": "\"north\"",
+            "subject": "path", "idempotency_key": "query", "rank": "0.5", "due": "duration(\"1s\")",
+            "servers": "slow"}],
+        "otherwise": "look",
+        "expressions": {"max_cost": 1000, "variable_bytes": 1000, "body_bytes": 1000},
+        "fleet": {
+            "name": "delta", "listen": "127.0.0.1:7401", "advertise": "127.0.0.1:7402",
+            "seeds": ["127.0.0.1:7403"], "key_file": "key", "voters": ["n1", "n2", "n3"],
+            "weight": 3,
+            "times": {"period_ms": 1000, "answer_within_ms": 200, "suspicion_min_ms": 1000,
+                "suspicion_max_ms": 5000, "forget_after_ms": 60000},
+            "leases": {"round_ms": 100, "vote_ms": 1000, "lease_ms": 2000, "drift_permille": 10}
+        },
+        "budgets": [
+            {"name": "rate", "kind": "rate", "limit": 600, "burst": 120, "for": {"group": "pay"},
+                "reserved": 20, "reserved_for": ["n1", "n2"], "max_per_node": 400},
+            {"name": "held", "kind": "concurrency", "limit": 40, "for": {"pool": "slow"},
+                "max_hold_ms": 5000},
+            {"name": "again", "kind": "rate", "limit": 40, "burst": 40, "for": {"retries": "slow"}},
+            {"name": "slow start", "kind": "rate", "limit": 200, "burst": 40, "for": {"ramp": "servers"}}
+        ]
+    })
+}
+
+/// Installation files that take more than one key to be refused.
+fn conflicting_installations() -> Vec<Value> {
+    let mut all = Vec::new();
+    let mut conflict = |change: &dyn Fn(&mut Value)| {
+        let mut value = complete_installation();
+        change(&mut value);
+        all.push(value);
+    };
+    conflict(&|v| v["fronts"][1]["listen"] = json!("0.0.0.0:9091"));
+    conflict(&|v| v["fronts"][1]["listen"] = json!("127.0.0.1:9090"));
+    conflict(&|v| v["fronts"] = (0..9).map(|_| v["fronts"][0].clone()).collect());
+    conflict(&|v| v["servers"] = json!(null));
+    conflict(&|v| v["servers"]["at_once"] = json!(5000));
+    conflict(&|v| v["servers"]["addresses"][1] = json!("127.0.0.1:7001"));
+    conflict(&|v| v["servers"]["ramp"] = json!(null));
+    conflict(&|v| v["rules"] = json!([]));
+    conflict(&|v| v["fleet"] = json!(null));
+    conflict(&|v| v["fleet"]["voters"] = json!([]));
+    conflict(&|v| v["fleet"]["voters"] = json!(["n1", "n1", ""]));
+    conflict(&|v| v["fleet"]["voters"] = json!(["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"]));
+    conflict(&|v| v["fleet"]["seeds"] = (0..65).map(|_| json!("127.0.0.1:1")).collect());
+    conflict(&|v| v["budgets"][1]["name"] = json!("rate"));
+    conflict(&|v| v["budgets"][1]["for"] = json!({"group": "pay"}));
+    conflict(&|v| v["budgets"][0]["for"] = json!({"customer": "nobody"}));
+    conflict(&|v| v["budgets"][0]["reserved"] = json!(400));
+    conflict(&|v| v["budgets"][0]["max_per_node"] = json!(2));
+    conflict(&|v| v["budgets"][0]["reserved"] = json!(1));
+    conflict(&|v| v["budgets"][0]["max_hold_ms"] = json!(1));
+    conflict(&|v| v["budgets"][1]["burst"] = json!(1));
+    conflict(&|v| v["budgets"][1]["max_hold_ms"] = json!(0));
+    conflict(&|v| v["budgets"][2]["kind"] = json!("concurrency"));
+    conflict(&|v| v["budgets"][3]["kind"] = json!("concurrency"));
+    conflict(&|v| v["budgets"][3]["limit"] = json!(201));
+    conflict(&|v| {
+        v["budgets"] = (0..257)
+            .map(|nth| {
+                json!({"name": nth.to_string(), "kind": "rate", "limit": 1, "burst": 1,
+                    "for": {"customer": nth.to_string()}})
+            })
+            .collect();
+    });
+    conflict(&|v| {
+        for index in 0..2 {
+            v["fronts"][index]["listen"] = json!(index);
+            v["fronts"][index]
+                .as_object_mut()
+                .unwrap()
+                .remove("protocol");
+            v["budgets"][index]["kind"] = json!("other");
+        }
+    });
+    conflict(&|v| {
+        let servers = &v["servers"];
+        v["pools"] = (0..65)
+            .map(|nth| (nth.to_string(), servers.clone()))
+            .collect();
+    });
+    all
+}
+
+/// Values that stand in for the right one.
+fn replacements() -> [Value; 7] {
+    [
+        json!(null),
+        json!("other"),
+        json!(-1),
+        json!(0),
+        json!(4_000_000_000_u32),
+        json!([]),
+        json!({"other": 1}),
+    ]
+}
+
+/// JSON pointers of everything that `value` holds, outermost first.
+fn pointers(value: &Value, prefix: &str, found: &mut Vec<String>) {
+    let children: Vec<(String, &Value)> = match value {
+        Value::Object(object) => object
+            .iter()
+            .map(|(key, child)| (key.clone(), child))
+            .collect(),
+        Value::Array(list) => list
+            .iter()
+            .enumerate()
+            .map(|(index, child)| (index.to_string(), child))
+            .collect(),
+        _ => Vec::new(),
+    };
+    for (key, child) in children {
+        let pointer = format!("{prefix}/{key}");
+        found.push(pointer.clone());
+        pointers(child, &pointer, found);
+    }
+}
+
+fn remove(value: &mut Value, pointer: &str) {
+    let (parent, key) = pointer.rsplit_once('/').unwrap();
+    match value.pointer_mut(parent).unwrap() {
+        Value::Object(object) => _ = object.remove(key),
+        Value::Array(list) => _ = list.remove(key.parse().unwrap()),
+        other => panic!("{other} holds nothing"),
+    }
+}
+
+/// A line for each key of `complete` that is removed or replaced.
+fn one_key_at_a_time(
+    name: &str,
+    complete: &Value,
+    outcome: fn(&Value) -> String,
+    lines: &mut Vec<String>,
+) {
+    let mut all = Vec::new();
+    pointers(complete, "", &mut all);
+    for pointer in &all {
+        let mut without = complete.clone();
+        remove(&mut without, pointer);
+        lines.push(format!("{name}{pointer} removed: {}", outcome(&without)));
+        for replacement in replacements() {
+            // A zero burst beside a reserved minimum divides by zero in place of being refused.
+            if pointer == "/budgets/0/burst" && replacement == json!(0) {
+                continue;
+            }
+            let mut changed = complete.clone();
+            *changed.pointer_mut(pointer).unwrap() = replacement.clone();
+            let outcome = outcome(&changed);
+            lines.push(format!("{name}{pointer} = {replacement}: {outcome}"));
+        }
+    }
+}
+
+/// All errors of a node's configuration, or that there were none.
+fn config_outcome(config: &Value) -> String {
+    let path = Path::new("/etc/config.json");
+    match node_config::parse_file(path, config.to_string().as_bytes()) {
+        Ok(_) => "accepted".into(),
+        Err(errors) => errors.to_string(),
+    }
+}
+
+/// All errors of an installation file, by itself or beside the node's configuration, or that there were none.
+fn installation_outcome(installation: &Value) -> String {
+    let node = node_config::parse(doortrack_fakes::bed::config().to_string().as_bytes()).unwrap();
+    let outcome = file::parse(installation.to_string().as_bytes()).and_then(|read| {
+        read.beside(&node)?;
+        read.table(&node.settings)?;
+        Ok(format!("accepted, {}", read.in_one_line()))
+    });
+    outcome.unwrap_or_else(|errors| errors.to_string())
+}
+
+#[test]
+fn each_key_is_refused_in_the_same_words() {
+    let mut lines = Vec::new();
+    let config = doortrack_fakes::bed::config();
+    one_key_at_a_time("config", &config, config_outcome, &mut lines);
+    let installation = complete_installation();
+    one_key_at_a_time("", &installation, installation_outcome, &mut lines);
+    for (index, conflicting) in conflicting_installations().iter().enumerate() {
+        let outcome = installation_outcome(conflicting);
+        lines.push(format!("conflict {index}: {outcome}"));
+    }
+    for text in ["", "[]", "{}", "7"] {
+        let config = node_config::parse(text.as_bytes()).unwrap_err();
+        lines.push(format!("config {text:?}: {config}"));
+        let installation = file::parse(text.as_bytes());
+        let outcome = installation.map_or_else(|errors| errors.to_string(), |_| "accepted".into());
+        lines.push(format!("installation {text:?}: {outcome}"));
+    }
+    let actual = lines.join("\n") + "\n";
+    if actual != EXPECTED {
+        let path = concat!(env!("CARGO_TARGET_TMPDIR"), "/config-refusals.txt");
+        std::fs::write(path, &actual).unwrap();
+        let differing = actual
+            .lines()
+            .zip(EXPECTED.lines())
+            .find(|(now, before)| now != before);
+        panic!("first difference: {differing:?}; all that is said now is in {path}");
+    }
+}
