--- a/crates/config/src/gather.rs
+++ b/crates/config/src/gather.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use serde_path_to_error::{Path, Segment};
 
-use crate::{ConfigError, ConfigErrors};
+use crate::{ConfigError, ConfigErrorKind, ConfigErrors};
 
 /// ConfigErrors told of one value; a text that is wrong throughout is not read over and over.
 const MOST: usize = 50;
@@ -40,10 +40,7 @@
                 if faults
                     .iter()
                     .any(|fault| fault.path == format!("{place}.{key}")) => {}
-            Some(key) => faults.push(ConfigError::new(
-                place,
-                format!("needed key '{key}' is missing"),
-            )),
+            Some(key) => faults.push(ConfigError::new(place, ConfigErrorKind::missing_key(key))),
             None => faults.push(ConfigError::new(place, what)),
         }
         if !take_out(&mut rest, at, &path, &mut taken_out) {
--- /dev/null
+++ b/crates/config/src/limits.rs
@@ -0,0 +1,84 @@
+//! Bounds on everything that a node keeps, worked out from the memory and the descriptors that it may use.
+
+use doortrack_settings::JsonNode;
+
+use crate::{ConfigErrorKind, ConfigErrors, ErrorCollector};
+
+const DEFAULT_CORES: f64 = 1.0;
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+const DEFAULT_SOCKETS: f64 = 1024.0;
+const MIN_MEMORY_MB: f64 = 16.0;
+/// Connections of callers without which a node is of no use.
+const MIN_CONNECTIONS: usize = 8;
+/// Descriptors of the node itself: those of the poller, the listener, its own connections and the signals.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Bytes of an idle connection, an open request, and an entry in the table of deduplicated requests.
+const CONNECTION_BYTES: usize = 20_000;
+const REQUEST_BYTES: usize = 10_500;
+const DEDUP_ENTRY_BYTES: usize = 300;
+
+/// How much of everything there may be at once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ResourceLimits {
+    /// Connections of callers.
+    pub connections: usize,
+    /// Open requests, each with its parameters and body.
+    pub open_requests: usize,
+    /// Entries of the table of deduplicated requests.
+    pub dedup_entries: usize,
+    /// Bytes of the results in that table.
+    pub result_bytes: usize,
+    /// Bytes of answers that callers have not read.
+    pub unread_answer_bytes: usize,
+    /// Bytes of commands that the engine has not read. Beyond this it counts as hung and is connected anew.
+    pub engine_command_bytes: usize,
+}
+
+impl ResourceLimits {
+    /// Shares of the memory that come to five sixths of it if all are used up at once; the rest is for the
+    /// decisions and the program itself.
+    fn within(memory_mb: f64, sockets: usize) -> ResourceLimits {
+        let bytes = (memory_mb * 1e6) as usize;
+        ResourceLimits {
+            connections: sockets
+                .saturating_sub(RESERVED_DESCRIPTORS)
+                .min(bytes / 4 / CONNECTION_BYTES),
+            open_requests: bytes / 5 / REQUEST_BYTES,
+            dedup_entries: bytes / 16 / DEDUP_ENTRY_BYTES,
+            result_bytes: bytes / 6,
+            unread_answer_bytes: bytes / 8,
+            engine_command_bytes: bytes / 32,
+        }
+    }
+
+    /// Reads the section `limits`; what it does not name has its default.
+    ///
+    /// # Errors
+    /// Every limit that is no number or too small.
+    pub(crate) fn read(root: &JsonNode) -> Result<ResourceLimits, ConfigErrors> {
+        let section = root.get("limits");
+        let mut errors = ErrorCollector::default();
+        let mut limit = |key: &str, default: f64| {
+            let value = section.as_ref().and_then(|section| section.get(key));
+            value
+                .and_then(|value| errors.collect(value.number()))
+                .unwrap_or(default)
+        };
+        let cores = limit("cores", DEFAULT_CORES);
+        let memory_mb = limit("memory_mb", DEFAULT_MEMORY_MB);
+        let sockets = limit("sockets", DEFAULT_SOCKETS) as usize;
+        let limits = ResourceLimits::within(memory_mb, sockets);
+        if cores <= 0.0 {
+            errors.push("config.limits.cores", "more than 0 is wanted");
+        }
+        if memory_mb < MIN_MEMORY_MB {
+            let kind = ConfigErrorKind::unexpected(format!("at least {MIN_MEMORY_MB}"), memory_mb);
+            errors.push("config.limits.memory_mb", kind);
+        } else if limits.connections < MIN_CONNECTIONS {
+            let min = MIN_CONNECTIONS + RESERVED_DESCRIPTORS;
+            let kind = ConfigErrorKind::unexpected(format!("at least {min}"), sockets);
+            errors.push("config.limits.sockets", kind);
+        }
+        errors.finish(limits)
+    }
+}
--- a/crates/node/src/serve/builds.rs
+++ b/crates/node/src/serve/builds.rs
@@ -121,7 +121,7 @@
 }
 
 fn no_thread(why: &str) -> Rejected {
-    ConfigErrors::one("thread that builds configurations", why).into()
+    ConfigErrors::one("thread that builds configurations", why.to_string()).into()
 }
 
 impl Worker {
--- a/crates/node/src/serve/events.rs
+++ b/crates/node/src/serve/events.rs
@@ -334,7 +334,7 @@
         let read = |place: Option<usize>| place.and_then(|p| values.get(p).copied());
         self.gauges = Gauges {
             busy_cores: read(places.busy_cores),
-            runnable_tasks: read(places.on_cores),
+            runnable_tasks: read(places.runnable_tasks),
             memory: read(places.memory),
             connections: read(places.connections),
         };
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_config::node_config::ResourceLimits;
+use doortrack_config::ResourceLimits;
 use doortrack_fakes::LONG;
 use doortrack_fakes::bed::fresh_address;
 use doortrack_fakes::records::{Client, record, request};
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_config::node_config::ResourceLimits;
+use doortrack_config::ResourceLimits;
 use doortrack_fakes::LONG;
 use doortrack_fakes::bed::fresh_address;
 use doortrack_fakes::records::{Client, request};
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use doortrack_admission::RunOutcome;
-use doortrack_config::node_config::{self, ResourceLimits};
+use doortrack_config::{ResourceLimits, node_config};
 use doortrack_fakes::bed::config;
 use doortrack_fakes::cut_at;
 use doortrack_node::network::engine_protocol::{self, EngineMessage};
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use doortrack_settings::{Part, read};
+use doortrack_settings::{JsonNode, read};
 use serde_json::{Value, json};
 
 fn settings(tenants: usize) -> Value {
@@ -26,17 +26,14 @@
     })
 }
 
-/// The shortest of three readings, as anything else on the machine only makes one longer.
+/// The shortest of three runs, as anything else on the machine only makes one longer.
 fn time_to_read(tenants: usize) -> Duration {
     let settings = settings(tenants);
-    let top = Part {
-        value: &settings,
-        path: "settings".into(),
-    };
+    let root = JsonNode::root("settings", &settings);
     let once = || {
-        let since = Instant::now();
-        assert_eq!(read(&top).unwrap().tenant_names.len(), tenants);
-        since.elapsed()
+        let started_at = Instant::now();
+        assert_eq!(read(&root).unwrap().tenant_names.len(), tenants);
+        started_at.elapsed()
     };
     (0..3).map(|_| once()).min().unwrap()
 }
@@ -54,16 +51,12 @@
 }
 
 #[test]
-fn a_name_that_stands_twice_is_told_with_its_path() {
+fn a_duplicate_name_is_refused_with_its_path() {
     let mut settings = settings(3);
     settings["parties"][2]["name"] = json!("customer-000000");
-    let fault = read(&Part {
-        value: &settings,
-        path: "settings".into(),
-    })
-    .unwrap_err();
-    assert!(
-        fault.starts_with("settings.parties[2].name: a name that none before it has"),
-        "{fault}"
+    let error = read(&JsonNode::root("settings", &settings)).unwrap_err();
+    assert_eq!(
+        error.to_string(),
+        "settings.parties[2].name: a name that none before it has is wanted, found \"customer-000000\""
     );
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -8,12 +8,13 @@
 
 use doortrack_admission::AdmissionController;
 use doortrack_admission::{Action, Event};
-use doortrack_settings::{DeploymentSettings, GaugePlaces, Part, SettingsError};
+use doortrack_settings::{DeploymentSettings, GaugeIndices, JsonNode};
+use doortrack_time::from_micros_floor;
 use wire::{Reader, Record};
 
 struct Node {
     door: AdmissionController,
-    gauges: GaugePlaces,
+    gauges: GaugeIndices,
     batch: Vec<Event>,
 }
 
@@ -27,7 +28,7 @@
     }
 }
 
-fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), SettingsError> {
+fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
     let mut nodes: BTreeMap<u32, Node> = BTreeMap::new();
     let mut order: Vec<u32> = Vec::new();
     let (mut body, mut reply, mut actions) = (Vec::new(), Vec::new(), Vec::new());
@@ -46,7 +47,7 @@
         place += 12;
         let [a, b, c, d, clock @ ..] = head;
         let len = u32::from_le_bytes([a, b, c, d]) as usize;
-        let now = doortrack_settings::down(u64::from_le_bytes(clock));
+        let now = from_micros_floor(u64::from_le_bytes(clock));
         body.clear();
         let got = (&mut input).take(len as u64).read_to_end(&mut body);
         let got = got.map_err(|e| format!("byte {place}: {e}"))?;
@@ -87,7 +88,7 @@
     record: Record,
     nodes: &mut BTreeMap<u32, Node>,
     order: &mut Vec<u32>,
-) -> Result<(), SettingsError> {
+) -> Result<(), String> {
     match record {
         Record::Provision { node, seed, text } => {
             let DeploymentSettings {
@@ -120,12 +121,9 @@
     Ok(())
 }
 
-fn read(text: &[u8]) -> Result<DeploymentSettings, SettingsError> {
+fn read(text: &[u8]) -> Result<DeploymentSettings, String> {
     let value = serde_json::from_slice(text).map_err(|e| format!("env is not JSON: {e}"))?;
-    doortrack_settings::read(&Part {
-        value: &value,
-        path: "env".into(),
-    })
+    doortrack_settings::read(&JsonNode::root("env", &value)).map_err(|e| e.to_string())
 }
 
 /// Reads until `buf` is full or the input ends; the number of bytes read.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! The bench's frames: little-endian records without padding, one reply for each batch.
 
 use doortrack_admission::{Action, CallOutcome, Event, Gauges, Request, RunOutcome};
-use doortrack_settings::{GaugePlaces, SettingsError, TENTH, down, up};
-use doortrack_time::TenthMillis;
+use doortrack_settings::GaugeIndices;
+use doortrack_time::{TenthMillis, from_micros_ceil, from_micros_floor, to_micros};
 
 pub enum Record<'a> {
     Provision {
@@ -43,7 +43,7 @@
         self.base + self.pos as u64
     }
 
-    fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], SettingsError> {
+    fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], String> {
         let rest = &self.bytes[self.pos..];
         if rest.len() < n {
             let left = rest.len();
@@ -56,37 +56,37 @@
         Ok(&rest[..n])
     }
 
-    fn array<const N: usize>(&mut self, what: &str) -> Result<[u8; N], SettingsError> {
+    fn array<const N: usize>(&mut self, what: &str) -> Result<[u8; N], String> {
         let mut raw = [0; N];
         raw.copy_from_slice(self.take(N, what)?);
         Ok(raw)
     }
 
-    fn u8(&mut self, what: &str) -> Result<u8, SettingsError> {
+    fn u8(&mut self, what: &str) -> Result<u8, String> {
         Ok(self.array::<1>(what)?[0])
     }
 
-    fn u16(&mut self, what: &str) -> Result<u16, SettingsError> {
+    fn u16(&mut self, what: &str) -> Result<u16, String> {
         Ok(u16::from_le_bytes(self.array(what)?))
     }
 
-    fn u32(&mut self, what: &str) -> Result<u32, SettingsError> {
+    fn u32(&mut self, what: &str) -> Result<u32, String> {
         Ok(u32::from_le_bytes(self.array(what)?))
     }
 
-    fn u64(&mut self, what: &str) -> Result<u64, SettingsError> {
+    fn u64(&mut self, what: &str) -> Result<u64, String> {
         Ok(u64::from_le_bytes(self.array(what)?))
     }
 
-    fn f32(&mut self, what: &str) -> Result<f32, SettingsError> {
+    fn f32(&mut self, what: &str) -> Result<f32, String> {
         Ok(f32::from_le_bytes(self.array(what)?))
     }
 
     /// The next record. `places` tells where a node's gauges stand.
     pub fn record<'p>(
         &mut self,
-        places: impl Fn(u32) -> Option<&'p GaugePlaces>,
-    ) -> Result<Record<'a>, SettingsError> {
+        places: impl Fn(u32) -> Option<&'p GaugeIndices>,
+    ) -> Result<Record<'a>, String> {
         let start = self.place();
         let code = self.u8("a record's code")?;
         if !(1..=9).contains(&code) {
@@ -121,7 +121,7 @@
                 let gauges = match places(node) {
                     Some(p) => Gauges {
                         busy_cores: read(p.busy_cores),
-                        runnable_tasks: read(p.on_cores),
+                        runnable_tasks: read(p.runnable_tasks),
                         memory: read(p.memory),
                         connections: read(p.connections),
                     },
@@ -136,7 +136,7 @@
                 Event::CallEnded {
                     id,
                     outcome,
-                    duration: up(self.u32("time_taken")?.into()),
+                    duration: from_micros_ceil(self.u32("time_taken")?.into()),
                 }
             }
             8 => {
@@ -147,13 +147,13 @@
             }
             _ => Event::Drain {
                 age: 0,
-                stop_at: down(self.u64("valid_until")?),
+                stop_at: from_micros_floor(self.u64("valid_until")?),
             },
         };
         Ok(Record::Event { node, what })
     }
 
-    fn exchange(&mut self) -> Result<Request, SettingsError> {
+    fn exchange(&mut self) -> Result<Request, String> {
         let id = self.u32("req")?;
         let group = self.u8("band")?;
         let tenant = self.u16("billing")?;
@@ -171,19 +171,19 @@
             group,
             tenant,
             session_key: subject,
-            deadline: (due > 0).then(|| down(due)),
-            work_hint: (bits & 1 != 0).then(|| up(hint.into())),
+            deadline: (due > 0).then(|| from_micros_floor(due)),
+            work_hint: (bits & 1 != 0).then(|| from_micros_ceil(hint.into())),
             memory_kb: kb,
             rank,
             retry: bits & 2 != 0,
             caller,
-            age: down(age.into()),
+            age: from_micros_floor(age.into()),
             duplicate_of: (repeats > 0).then_some(repeats),
             budget_retry_after: None,
         })
     }
 
-    fn call_outcome(&mut self) -> Result<CallOutcome, SettingsError> {
+    fn call_outcome(&mut self) -> Result<CallOutcome, String> {
         let start = self.place();
         Ok(match self.u16("reason")? {
             0 => CallOutcome::Completed,
@@ -198,7 +198,7 @@
         })
     }
 
-    fn run_outcome(&mut self) -> Result<RunOutcome, SettingsError> {
+    fn run_outcome(&mut self) -> Result<RunOutcome, String> {
         let start = self.place();
         Ok(match self.u16("reason")? {
             0 => RunOutcome::Completed,
@@ -211,7 +211,7 @@
 }
 
 fn us32(time: TenthMillis) -> [u8; 4] {
-    u32::try_from(time.saturating_mul(TENTH))
+    u32::try_from(to_micros(time))
         .unwrap_or(u32::MAX)
         .to_le_bytes()
 }
@@ -266,7 +266,7 @@
         }
         Action::SetTimer { at, token } => {
             head(77, None);
-            out.extend(at.saturating_mul(TENTH).to_le_bytes());
+            out.extend(to_micros(at).to_le_bytes());
             out.extend(token.to_le_bytes());
         }
     }
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -15,3 +15,18 @@
 
 /// One second.
 pub const SECOND: TenthMillis = 1_000 * MILLISECOND;
+
+/// The time that `micros` microseconds contain in whole units.
+pub fn from_micros_floor(micros: u64) -> TenthMillis {
+    micros / MICROSECONDS_PER_UNIT
+}
+
+/// The least time that contains `micros` microseconds.
+pub fn from_micros_ceil(micros: u64) -> TenthMillis {
+    micros.div_ceil(MICROSECONDS_PER_UNIT)
+}
+
+/// A time in microseconds; the largest number where it does not fit.
+pub fn to_micros(time: TenthMillis) -> u64 {
+    time.saturating_mul(MICROSECONDS_PER_UNIT)
+}
