--- /dev/null
+++ b/crates/config/src/budgets/validate.rs
@@ -0,0 +1,215 @@
+//! Checks of budgets that their types do not make.
+
+use std::collections::{BTreeMap, HashSet};
+
+use doortrack_budgets::MAX_BUDGETS;
+
+use super::{BudgetFile, BudgetFor, BudgetKind, LeaseTimes};
+use crate::fleet::NAME_RULE;
+use crate::range::check_range;
+use crate::{ConfigErrorKind, ErrorCollector, Installation, NodeConfig};
+
+/// Where the budgets are found in the operators' file.
+const BUDGETS: &str = "installation.budgets";
+/// Upper bound of a limit, reserved minimum, maximum per node, and burst.
+const MAX_UNITS: u32 = 10_000_000;
+const MAX_HOLD_MS: u32 = 3_600_000;
+const MAX_ROUND_MS: u32 = 10_000;
+const MAX_VOTE_MS: u32 = 60_000;
+const MAX_LEASE_MS: u32 = 600_000;
+const MAX_DRIFT_PERMILLE: u32 = 200;
+/// Rounds that a vote lasts at least.
+const MIN_ROUNDS_PER_VOTE: u32 = 3;
+
+impl LeaseTimes {
+    /// Adds an error for every time that is out of its range.
+    pub(crate) fn validate(&self, errors: &mut ErrorCollector) {
+        let mut check = |key: &str, value: u32, min: u32, max: u32| {
+            let path = format!("installation.fleet.leases.{key}");
+            check_range(errors, path, value, min..=max);
+        };
+        let min_vote = self.round_ms.min(MAX_ROUND_MS) * MIN_ROUNDS_PER_VOTE;
+        let min_lease = self.vote_ms.min(MAX_VOTE_MS);
+        check("round_ms", self.round_ms, 20, MAX_ROUND_MS);
+        check("vote_ms", self.vote_ms, min_vote, MAX_VOTE_MS);
+        check("lease_ms", self.lease_ms, min_lease, MAX_LEASE_MS);
+        check("drift_permille", self.drift_permille, 0, MAX_DRIFT_PERMILLE);
+    }
+}
+
+impl BudgetFile {
+    /// Adds every error of the budget, which is found at `path`.
+    fn validate(&self, path: &str, voters: &[String], errors: &mut ErrorCollector) {
+        if !doortrack_membership::is_name(&self.name) {
+            errors.push(format!("{path}.name"), NAME_RULE);
+        }
+        self.validate_ranges(path, errors);
+        self.validate_kind(path, errors);
+        if self
+            .max_hold_ms
+            .is_some_and(|millis| !(1..=MAX_HOLD_MS).contains(&millis))
+        {
+            let rule = format!("1 to {MAX_HOLD_MS} is wanted");
+            errors.push(format!("{path}.max_hold_ms"), rule);
+        }
+        self.validate_reserved(path, voters, errors);
+    }
+
+    fn validate_ranges(&self, path: &str, errors: &mut ErrorCollector) {
+        let ranges = [
+            ("limit", Some(self.limit), 1),
+            ("burst", self.burst, 1),
+            ("max_per_node", self.max_per_node, 1),
+            ("reserved", Some(self.reserved), 0),
+        ];
+        for (key, value, min) in ranges {
+            if let Some(value) = value {
+                check_range(errors, format!("{path}.{key}"), value, min..=MAX_UNITS);
+            }
+        }
+    }
+
+    /// Keys that only one kind of budget has, and what only a rate can be for.
+    fn validate_kind(&self, path: &str, errors: &mut ErrorCollector) {
+        match (self.kind, self.burst) {
+            (BudgetKind::Rate, None) => {
+                errors.push(path, "needed key 'burst' is missing: a rate has one");
+            }
+            (BudgetKind::Concurrency, Some(_)) => {
+                errors.push(format!("{path}.burst"), "only a rate has one");
+            }
+            (BudgetKind::Rate, Some(_)) | (BudgetKind::Concurrency, None) => {}
+        }
+        if self.kind == BudgetKind::Rate && self.max_hold_ms.is_some() {
+            errors.push(format!("{path}.max_hold_ms"), "only a concurrency is held");
+        }
+        if self.kind == BudgetKind::Concurrency {
+            match self.applies_to {
+                BudgetFor::Retries(_) => {
+                    errors.push(format!("{path}.kind"), "retries are a rate");
+                }
+                BudgetFor::Ramp(_) => errors.push(format!("{path}.kind"), "a ramp is a rate"),
+                BudgetFor::Tenant(_) | BudgetFor::Group(_) | BudgetFor::Pool(_) => {}
+            }
+        }
+    }
+
+    /// What is reserved against the limit, the maximum per node and the burst.
+    fn validate_reserved(&self, path: &str, voters: &[String], errors: &mut ErrorCollector) {
+        let (limit, reserved) = (u64::from(self.limit), u64::from(self.reserved));
+        let nodes = self.nodes_with_reserve(voters).len() as u64;
+        if reserved * nodes > limit {
+            let rule = format!("{reserved} for each of {nodes} nodes are more than the limit");
+            errors.push(format!("{path}.reserved"), rule);
+        }
+        if self.max_per_node.is_some_and(|max| max < self.reserved) {
+            errors.push(format!("{path}.max_per_node"), "less than what is reserved");
+        }
+        let burst = u64::from(self.burst.unwrap_or(1));
+        let holds_a_request = reserved == 0 || reserved * burst >= limit;
+        if self.kind == BudgetKind::Rate && !holds_a_request {
+            let min = limit.div_ceil(burst);
+            let rule =
+                format!("at least {min} (limit / burst) is wanted, or it holds no whole one");
+            errors.push(format!("{path}.reserved"), rule);
+        }
+    }
+}
+
+impl Installation {
+    /// Adds every error of the section on budgets, as far as the file alone shows it.
+    pub(crate) fn validate_budgets(&self, errors: &mut ErrorCollector) {
+        if self.budgets.is_empty() {
+            return;
+        }
+        if self.budgets.len() > MAX_BUDGETS {
+            let (max, found) = (MAX_BUDGETS, self.budgets.len());
+            errors.push(BUDGETS, ConfigErrorKind::TooMany { max, found });
+        }
+        match &self.fleet {
+            None => errors.push(
+                BUDGETS,
+                "without 'fleet' there is nobody to divide them with",
+            ),
+            Some(fleet) if fleet.voters.is_empty() => {
+                errors.push("installation.fleet.voters", "budgets need at least one");
+            }
+            Some(_) => {}
+        }
+        let voters = self.voters();
+        let (mut names, mut ids, mut scopes) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        for (index, budget) in self.budgets.iter().enumerate() {
+            let path = format!("{BUDGETS}[{index}]");
+            budget.validate(&path, voters, errors);
+            if let Some(other) = names.insert(&budget.name, index) {
+                let rule = format!("the name of {BUDGETS}[{other}]");
+                errors.push(format!("{path}.name"), rule);
+            } else if let Some(other) = ids.insert(budget.budget(voters, 0).id(), index) {
+                let rule = format!(
+                    "nodes could not tell it from that of {BUDGETS}[{other}]: take another"
+                );
+                errors.push(format!("{path}.name"), rule);
+            }
+            if let Some(other) = scopes.insert(&budget.applies_to, index) {
+                let rule = format!("under {BUDGETS}[{other}] already");
+                errors.push(format!("{path}.for"), rule);
+            }
+        }
+    }
+
+    /// Adds an error for every budget that does not fit the platform's configuration.
+    pub(crate) fn validate_budgets_with(&self, config: &NodeConfig, errors: &mut ErrorCollector) {
+        if self.budgets.is_empty() {
+            return;
+        }
+        let settings = &config.settings;
+        let tenants: HashSet<&str> = settings.tenant_names.iter().map(String::as_str).collect();
+        for (index, budget) in self.budgets.iter().enumerate() {
+            let path = format!("{BUDGETS}[{index}]");
+            let (kind, name, known) = match &budget.applies_to {
+                BudgetFor::Tenant(name) => ("customer", name, tenants.contains(name.as_str())),
+                BudgetFor::Group(name) => {
+                    ("endpoint group", name, settings.group_names.contains(name))
+                }
+                BudgetFor::Pool(name) | BudgetFor::Retries(name) | BudgetFor::Ramp(name) => {
+                    ("pool", name, self.pool_names().any(|pool| pool == name))
+                }
+            };
+            if !known {
+                let name = name.clone();
+                errors.push(
+                    format!("{path}.for"),
+                    ConfigErrorKind::UnknownName { kind, name },
+                );
+            } else if let BudgetFor::Ramp(pool) = &budget.applies_to {
+                self.validate_slow_start_budget(budget.limit, pool, &path, errors);
+            }
+        }
+    }
+
+    /// A budget for the slow start of a pool that has none, or one that grants more than it needs.
+    fn validate_slow_start_budget(
+        &self,
+        limit: u32,
+        pool: &str,
+        path: &str,
+        errors: &mut ErrorCollector,
+    ) {
+        let index = self.pool_names().position(|name| name == pool);
+        let Some((pool_path, servers)) = index.and_then(|index| self.pools_with_paths().nth(index))
+        else {
+            return;
+        };
+        let Some(slow_start) = servers.slow_start else {
+            errors.push(format!("{path}.for"), format!("{pool_path} has no ramp"));
+            return;
+        };
+        let max = slow_start.tokens_per_second();
+        if u64::from(limit) > max {
+            let rule = format!(
+                "at most {max} is wanted, 2 * runs / over_ms a second of {pool_path}.ramp; found {limit}"
+            );
+            errors.push(format!("{path}.limit"), rule);
+        }
+    }
+}
--- /dev/null
+++ b/crates/config/src/deserialize.rs
@@ -0,0 +1,147 @@
+//! Deserializes JSON with all errors, and not only the first.
+//!
+//! serde stops at the first error. The key at which it stopped is removed from a copy, and the rest is
+//! deserialized again, until that succeeds or says nothing new.
+
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+use serde_path_to_error::{Path, Segment};
+
+use crate::{ConfigErrorKind, ConfigErrors, ErrorCollector};
+
+/// Errors reported of one value. A text that is wrong throughout is not read over and over.
+const MAX_ERRORS: usize = 50;
+
+/// Deserializes `value`, which is found at `root` in its file.
+///
+/// # Errors
+/// Every key that is unknown, of a wrong type or missing, each with its path; of several that are missing
+/// from one object the first.
+pub fn all_errors<T: DeserializeOwned>(value: &Value, root: &str) -> Result<T, ConfigErrors> {
+    // A value without errors is read once, and neither copied nor followed by its paths.
+    if let Ok(read) = T::deserialize(value) {
+        return Ok(read);
+    }
+    let mut errors = ErrorCollector::default();
+    let mut rest = Remainder::new(root, value);
+    while errors.errors().len() < MAX_ERRORS {
+        let error = match serde_path_to_error::deserialize::<_, T>(&rest.value) {
+            Ok(read) => return errors.finish(read),
+            Err(error) => error,
+        };
+        report(
+            &rest.original_path(error.path()),
+            error.inner(),
+            &mut errors,
+        );
+        if !rest.remove(error.path()) {
+            break;
+        }
+    }
+    Err(errors.into_errors())
+}
+
+/// Adds the error at `path`, unless a key is missing only because it was removed for an error of its own.
+fn report(path: &str, error: &serde_json::Error, errors: &mut ErrorCollector) {
+    let reason = error.to_string();
+    let Some(key) = missing_field(&reason) else {
+        errors.push(path, ConfigErrorKind::WrongType(reason));
+        return;
+    };
+    let key_path = format!("{path}.{key}");
+    if errors.errors().iter().all(|error| error.path != key_path) {
+        errors.push(path, ConfigErrorKind::missing_key(key));
+    }
+}
+
+/// The field that serde finds missing.
+fn missing_field(reason: &str) -> Option<&str> {
+    reason.strip_prefix("missing field `")?.split('`').next()
+}
+
+/// A value from which the keys with errors are removed one after the other.
+struct Remainder<'a> {
+    root: &'a str,
+    value: Value,
+    /// Items that were removed from lists: the list's path, and the index in the file.
+    removed_items: Vec<(String, usize)>,
+}
+
+impl<'a> Remainder<'a> {
+    fn new(root: &'a str, value: &Value) -> Remainder<'a> {
+        Remainder {
+            root,
+            value: value.clone(),
+            removed_items: Vec::new(),
+        }
+    }
+
+    /// The path in the file, where no items were removed from lists.
+    fn original_path(&self, path: &Path) -> String {
+        let mut original = self.root.to_string();
+        for segment in path {
+            original = match segment {
+                Segment::Seq { index } => {
+                    let index = self.original_index(&original, *index);
+                    format!("{original}[{index}]")
+                }
+                Segment::Map { key } => format!("{original}.{key}"),
+                Segment::Enum { variant } => format!("{original}.{variant}"),
+                Segment::Unknown => original,
+            };
+        }
+        original
+    }
+
+    /// The index in the file of the item that is now at `index` of a list.
+    fn original_index(&self, list: &str, index: usize) -> usize {
+        let mut removed: Vec<usize> = self
+            .removed_items
+            .iter()
+            .filter(|(path, _)| path == list)
+            .map(|(_, index)| *index)
+            .collect();
+        removed.sort_unstable();
+        removed.into_iter().fold(index, |index, removed| {
+            index + usize::from(removed <= index)
+        })
+    }
+
+    /// Removes what is at `path`; whether there was anything.
+    fn remove(&mut self, path: &Path) -> bool {
+        let segments: Vec<&Segment> = path.iter().collect();
+        let Some((last, parents)) = segments.split_last() else {
+            return false;
+        };
+        // The list's own path, where the last segment is an index.
+        let original = self.original_path(path);
+        let Some(parent) = find_mut(&mut self.value, parents) else {
+            return false;
+        };
+        match (last, parent) {
+            (Segment::Map { key }, Value::Object(object)) => object.remove(key).is_some(),
+            (Segment::Seq { index }, Value::Array(list)) if *index < list.len() => {
+                list.remove(*index);
+                if let Some((list_path, index)) = split_index(&original) {
+                    self.removed_items.push((list_path.to_string(), index));
+                }
+                true
+            }
+            _ => false,
+        }
+    }
+}
+
+fn find_mut<'a>(value: &'a mut Value, path: &[&Segment]) -> Option<&'a mut Value> {
+    path.iter().try_fold(value, |value, segment| match segment {
+        Segment::Seq { index } => value.get_mut(*index),
+        Segment::Map { key } => value.get_mut(key),
+        Segment::Enum { .. } | Segment::Unknown => None,
+    })
+}
+
+/// `list[3]` as `list` and 3.
+fn split_index(path: &str) -> Option<(&str, usize)> {
+    let (list, index) = path.strip_suffix(']')?.rsplit_once('[')?;
+    Some((list, index.parse().ok()?))
+}
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -136,13 +136,6 @@
     }
 }
 
-impl ConfigErrors {
-    /// Adds the errors of a check that failed to `list`; the value of one that succeeded.
-    pub fn keep<T>(list: &mut Vec<ConfigError>, result: Result<T, ConfigErrors>) -> Option<T> {
-        result.map_err(|errors| list.extend(errors.0)).ok()
-    }
-}
-
 impl From<ConfigError> for ConfigErrors {
     fn from(error: ConfigError) -> ConfigErrors {
         ConfigErrors(vec![error])
@@ -197,7 +190,7 @@
     ///
     /// # Errors
     /// All that were collected.
-    pub(crate) fn finish_some<T>(self, value: Option<T>) -> Result<T, ConfigErrors> {
+    pub fn finish_some<T>(self, value: Option<T>) -> Result<T, ConfigErrors> {
         match value {
             Some(value) => self.finish(value),
             None => Err(self.into_errors()),
--- /dev/null
+++ b/crates/config/src/fleet/key.rs
@@ -0,0 +1,55 @@
+//! The key that the nodes of a fleet share.
+
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+
+use thiserror::Error;
+
+const KEY_BYTES: usize = 32;
+const HEX_DIGITS: usize = 2 * KEY_BYTES;
+
+/// A fleet's key.
+pub type FleetKey = [u8; KEY_BYTES];
+
+/// Why a key can't be had.
+#[derive(Debug, Error)]
+pub enum KeyError {
+    /// Its file can't be read.
+    #[error("{}: {source}", .path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// The system's reason.
+        source: io::Error,
+    },
+    /// Its file holds something else.
+    #[error("{}: {HEX_DIGITS} hex digits are wanted", .path.display())]
+    NotHex {
+        /// The file.
+        path: PathBuf,
+    },
+}
+
+/// Reads a key of 64 hex digits; white space around them is ignored.
+///
+/// # Errors
+/// The file can't be read, or holds something else.
+pub fn read_key(path: &Path) -> Result<FleetKey, KeyError> {
+    let text = fs::read_to_string(path).map_err(|source| KeyError::Unreadable {
+        path: path.into(),
+        source,
+    })?;
+    decode(text.trim()).ok_or_else(|| KeyError::NotHex { path: path.into() })
+}
+
+fn decode(digits: &str) -> Option<FleetKey> {
+    if digits.len() != HEX_DIGITS || !digits.is_ascii() {
+        return None;
+    }
+    let mut key = [0; KEY_BYTES];
+    for (index, byte) in key.iter_mut().enumerate() {
+        *byte = u8::from_str_radix(&digits[2 * index..2 * index + 2], 16).ok()?;
+    }
+    Some(key)
+}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,17 +1,22 @@
-//! What a node is handed at start, read, checked and given its defaults in this one place: the platform's
-//! configuration ([`orders`], named by `GW_CONFIG`) and the operators' own file ([`file`]), which adds what
-//! the platform knows nothing of.
+//! The configuration that a node is started with: read, checked and given its defaults in this one place.
 //!
-//! Both are read whole before anything is done with them, and every [`Fault`] names the path of its key, as
+//! It has two parts: the platform's configuration ([`node_config`], named by `GW_CONFIG`) and the operators'
+//! own file ([`installation`]), which adds what the platform does not know. What changes while a node serves
+//! is worked out in [`reload`].
+//!
+//! Both are read as a whole before any of it is used, and every [`ConfigError`] names the path of its key, as
 //! in `installation.fronts[1].listen`. Nothing here opens a socket or looks at a clock.
 
+#![warn(missing_docs)]
+
 pub mod budgets;
+pub mod deserialize;
 mod error;
-pub mod file;
 pub mod fleet;
-pub mod gather;
+pub mod installation;
 mod limits;
 pub mod node_config;
+mod range;
 pub mod reload;
 pub mod rules;
 pub mod servers;
@@ -19,8 +24,8 @@
 
 pub use budgets::{BudgetFile, BudgetFor, BudgetIndices, BudgetKind, LeaseTimes};
 pub use error::{ConfigError, ConfigErrorKind, ConfigErrors, ErrorCollector};
-pub use file::{Front, Installation};
 pub use fleet::{FleetFile, FleetTests, FleetTimes};
+pub use installation::{Installation, ListenerConfig, ProtocolName};
 pub use limits::ResourceLimits;
 pub use node_config::NodeConfig;
-pub use servers::Servers;
+pub use servers::ServerPool;
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -1,5 +1,5 @@
-//! What a new configuration changes while a node serves, and what it can't: decided here from the old and
-//! the new one, without I/O or a clock. The node carries it out (`node/src/serve/reload.rs`).
+//! What a new configuration changes while a node serves, and what takes a restart. Decided here from the old
+//! and the new configuration, without I/O or a clock; the node applies it.
 
 mod builds;
 mod keys;
@@ -8,5 +8,5 @@
 pub use builds::Builds;
 pub use keys::KeyMeanings;
 pub use plan::{
-    FleetChange, FrontChanges, NeedsStart, Plan, Platform, PlatformRead, Started, plan,
+    FleetChange, ListenerChanges, Plan, Platform, PlatformRead, RestartRequired, Started, plan,
 };
--- a/crates/config/src/reload/builds.rs
+++ b/crates/config/src/reload/builds.rs
@@ -1,15 +1,15 @@
-//! When configurations are built: one at a time, and one more after it for all notices that came meanwhile.
+//! When configurations are built: one at a time, and one more for all notices that came meanwhile.
 
-/// Keeps account of builds under way and waiting. At most one of each, however many notices come.
+/// Tracks the build under way and the one waiting: at most one of each, however many notices come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Builds {
     under_way: bool,
-    /// Notices came since the build under way was begun: it may have read the files before they changed.
+    /// Notices came since the build under way began: it may have read the files before they changed.
     waiting: bool,
 }
 
 impl Builds {
-    /// A notice that the files changed came; whether a build is to be begun now.
+    /// Records a notice that the files changed; whether a build has to begin now.
     pub fn notice(&mut self) -> bool {
         let begin = !self.under_way;
         self.waiting = self.under_way;
@@ -17,12 +17,13 @@
         begin
     }
 
+    /// Whether a build is under way.
     pub fn is_under_way(&self) -> bool {
         self.under_way
     }
 
-    /// The build under way has come to its end, with or without a result. Whether the next one is to be
-    /// begun; it counts as under way from here on.
+    /// Records that the build under way ended, with or without a result; whether the next one has to begin,
+    /// which is under way from here on.
     pub fn finished(&mut self) -> bool {
         self.under_way = std::mem::take(&mut self.waiting);
         self.under_way
--- a/crates/config/src/reload/keys.rs
+++ b/crates/config/src/reload/keys.rs
@@ -6,75 +6,78 @@
 use sha2::{Digest as _, Sha256};
 
 use crate::Installation;
+use crate::node_config::Digest;
+use crate::rules::ExpressionLimits;
 
-type Digest = [u8; 32];
-
-/// For each endpoint group a digest of all that leads to its keys: which requests are of the group, and
-/// which key each has.
+/// For each endpoint group a digest of everything that its keys depend on: which requests belong to the group,
+/// and which key each of them has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyMeanings {
-    /// Whether requests of fronts are classed by rules, or by the platform's variables.
+    /// Whether requests of listeners are classified by rules, or by the platform's variables.
     by_rules: bool,
-    /// Whether there are fronts, which rules are for.
-    has_fronts: bool,
-    /// By the place of the group; none where neither a rule nor `otherwise` names it.
+    /// Whether there are listeners, to which the rules apply.
+    has_listeners: bool,
+    /// By the index of the group; none where neither a rule nor `otherwise` names it.
     groups: Vec<Option<Digest>>,
 }
 
 impl KeyMeanings {
     /// Reads each rule once, at a cost that does not grow with the number of groups.
     pub fn new(installation: &Installation, group_names: &[String]) -> KeyMeanings {
-        let places: HashMap<&str, usize> = group_names
+        let indices: HashMap<&str, usize> = group_names
             .iter()
             .enumerate()
-            .map(|(place, name)| (name.as_str(), place))
+            .map(|(index, name)| (name.as_str(), index))
             .collect();
-        let place = |name: &str| places.get(name).copied();
-        // All conditions so far: a rule before may take what one after it took.
-        let mut conditions = Sha256::new();
-        let limits = installation.expressions;
-        for limit in [limits.max_cost, limits.variable_bytes, limits.body_bytes] {
-            conditions.update(limit.to_le_bytes());
-        }
+        let index_of = |name: &str| indices.get(name).copied();
+        // All conditions so far: an earlier rule may match what a later one matched before.
+        let mut conditions = limits_digest(installation.expressions);
         let mut groups: Vec<Option<Sha256>> = vec![None; group_names.len()];
-        for (nth, rule) in installation.rules.iter().enumerate() {
+        for (position, rule) in installation.rules.iter().enumerate() {
             add_text(&mut conditions, Some(&rule.when));
-            let Some(place) = place(&rule.group) else {
+            let Some(index) = index_of(&rule.group) else {
                 continue;
             };
-            let group = groups[place].get_or_insert_default();
-            group.update((nth as u64).to_le_bytes());
+            let group = groups[index].get_or_insert_default();
+            group.update((position as u64).to_le_bytes());
             group.update(conditions.clone().finalize());
             add_text(group, rule.idempotency_key.as_deref());
         }
-        if let Some(place) = installation.otherwise.as_deref().and_then(place) {
-            let group = groups[place].get_or_insert_default();
+        if let Some(index) = installation.otherwise.as_deref().and_then(index_of) {
+            let group = groups[index].get_or_insert_default();
             group.update(u64::MAX.to_le_bytes());
             group.update(conditions.finalize());
         }
         let digest = |group: Option<Sha256>| group.map(|group| group.finalize().into());
         KeyMeanings {
             by_rules: !installation.rules.is_empty(),
-            has_fronts: !installation.fronts.is_empty(),
+            has_listeners: !installation.listeners.is_empty(),
             groups: groups.into_iter().map(digest).collect(),
         }
     }
 
-    /// The places of the groups whose keys mean something else by `new`.
+    /// The indices of the groups whose keys mean something else by `new`.
     pub fn changed(&self, new: &KeyMeanings) -> Vec<usize> {
-        // Where variables alone said what a request is, any group may have been one's own.
-        let all = self.has_fronts && !self.by_rules && new.by_rules;
-        let places = 0..self.groups.len().max(new.groups.len());
-        let differs = |place: &usize| all || self.groups.get(*place) != new.groups.get(*place);
-        places.filter(differs).collect()
+        // Variables may have put any request into any group.
+        let all = self.has_listeners && !self.by_rules && new.by_rules;
+        let indices = 0..self.groups.len().max(new.groups.len());
+        let differs = |index: &usize| all || self.groups.get(*index) != new.groups.get(*index);
+        indices.filter(differs).collect()
+    }
+}
+
+/// A digest begun with what expressions see of a request.
+fn limits_digest(limits: ExpressionLimits) -> Sha256 {
+    let mut digest = Sha256::new();
+    for limit in [limits.max_cost, limits.variable_bytes, limits.body_bytes] {
+        digest.update(limit.to_le_bytes());
     }
+    digest
 }
 
+/// Adds a text with its length, which keeps texts apart, and an absent one apart from an empty one.
 fn add_text(digest: &mut Sha256, text: Option<&str>) {
-    // Lengths keep texts apart, and an absent one from an empty one.
-    digest.update(
-        text.map_or(u64::MAX, |text| text.len() as u64)
-            .to_le_bytes(),
-    );
+    let length = text.map_or(u64::MAX, |text| text.len() as u64);
+    digest.update(length.to_le_bytes());
     digest.update(text.unwrap_or_default());
 }
--- a/crates/config/src/reload/plan.rs
+++ b/crates/config/src/reload/plan.rs
@@ -1,4 +1,4 @@
-//! From the configuration in force and the one that was read to what changes between two turns of the loop.
+//! Works out what changes from the configuration in force to the one that was read.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,35 +9,32 @@
 use doortrack_time::TenthMillis;
 
 use super::KeyMeanings;
-use crate::file::Spoken;
 use crate::{
-    BudgetIndices, ConfigErrors, FleetFile, Front, Installation, NodeConfig, ResourceLimits,
+    BudgetIndices, ConfigErrors, FleetFile, Installation, ListenerConfig, NodeConfig, ProtocolName,
+    ResourceLimits,
 };
 
 /// What of the platform's configuration may change while a node serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Platform {
+    /// Where the engine listens.
     pub engine: SocketAddr,
+    /// Where the registry listens.
     pub registry: SocketAddr,
-    /// From the notice to leave to the stop.
+    /// Time from the request to shut down until the process stops.
     pub stop_after: TenthMillis,
+    /// Of the node's random numbers.
     pub seed: u64,
 }
 
 impl Platform {
-    pub fn new(orders: &NodeConfig) -> Platform {
-        let NodeConfig {
-            engine,
-            registry,
-            stop_after,
-            seed,
-            ..
-        } = *orders;
+    /// The part of `config` that may change.
+    pub fn new(config: &NodeConfig) -> Platform {
         Platform {
-            engine,
-            registry,
-            stop_after,
-            seed,
+            engine: config.engine,
+            registry: config.registry,
+            stop_after: config.stop_after,
+            seed: config.seed,
         }
     }
 }
@@ -45,88 +42,109 @@
 /// The platform's configuration as it was read, as far as a reload goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlatformRead {
+    /// What may change while the node serves.
     pub platform: Platform,
-    /// Something differs from the start that can't change while the node serves.
-    pub rest_needs_start: bool,
+    /// Something else differs from what the node was started with.
+    pub requires_restart: bool,
 }
 
 impl PlatformRead {
-    /// `started` is what the node was started with.
+    /// What was `read` by a node that was `started` with another configuration, or the same.
     pub fn new(started: &NodeConfig, read: &NodeConfig) -> PlatformRead {
         PlatformRead {
             platform: Platform::new(read),
-            rest_needs_start: fixed(started) != fixed(read),
+            requires_restart: FixedConfig::new(started) != FixedConfig::new(read),
         }
     }
 }
 
-/// What of the platform's configuration is as it was at the start.
-fn fixed(orders: &NodeConfig) -> (&str, SocketAddr, ResourceLimits, &DeploymentSettings) {
-    let NodeConfig {
-        name,
-        listen,
-        limits: room,
-        settings: handed,
-        engine: _,
-        registry: _,
-        stop_after: _,
-        seed: _,
-        source: _,
-    } = orders;
-    (name, *listen, *room, handed)
+/// What of the platform's configuration can't change while a node serves.
+#[derive(PartialEq)]
+struct FixedConfig<'a> {
+    name: &'a str,
+    listen: SocketAddr,
+    limits: ResourceLimits,
+    settings: &'a DeploymentSettings,
+}
+
+impl<'a> FixedConfig<'a> {
+    fn new(config: &'a NodeConfig) -> FixedConfig<'a> {
+        // Without `..`, so that a new field is sorted either here or into `Platform`.
+        let NodeConfig {
+            name,
+            listen,
+            limits,
+            settings,
+            engine: _,
+            registry: _,
+            stop_after: _,
+            seed: _,
+            source: _,
+        } = config;
+        FixedConfig {
+            name,
+            listen: *listen,
+            limits: *limits,
+            settings,
+        }
+    }
 }
 
 /// What a node was started with.
 #[derive(Clone, Debug)]
 pub struct Started {
-    pub orders: Arc<NodeConfig>,
-    /// Whether it is of a fleet.
+    /// The platform's configuration.
+    pub config: Arc<NodeConfig>,
+    /// Whether it joined a fleet.
     pub in_fleet: bool,
 }
 
-/// Something that was asked for and is not taken up, as only a start can.
+/// A change that is ignored, as it takes a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NeedsStart {
-    /// Pools of servers come or go, or speak something else. They and their servers stay as they are.
+pub enum RestartRequired {
+    /// Pools of servers are added or removed, or change their protocol. They and their servers stay.
     Pools,
-    /// A fleet is to be joined.
+    /// The node is to join a fleet.
     JoinFleet,
 }
 
-impl NeedsStart {
-    /// What the log says needs a start.
+impl RestartRequired {
+    /// The message of the log.
     pub fn subject(self) -> &'static str {
         match self {
-            NeedsStart::Pools => "servers need a start",
-            NeedsStart::JoinFleet => "fleet needs a start",
+            RestartRequired::Pools => "servers need a start",
+            RestartRequired::JoinFleet => "fleet needs a start",
         }
     }
 }
 
-impl fmt::Display for NeedsStart {
+impl fmt::Display for RestartRequired {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            NeedsStart::Pools => "pools come or go, or speak something else",
-            NeedsStart::JoinFleet => "it can't be joined under way",
+            RestartRequired::Pools => "pools come or go, or speak something else",
+            RestartRequired::JoinFleet => "it can't be joined under way",
         })
     }
 }
 
-/// What the part on the fleet is to take up, with all that takes time worked out beforehand.
+/// The new configuration of membership and budgets, with all that takes time worked out beforehand.
 #[derive(Debug)]
 pub struct FleetChange {
     /// None where the new configuration has no fleet.
     pub file: Option<FleetFile>,
+    /// The budgets in the order of the file.
     pub budgets: Vec<Budget>,
+    /// Which of them apply to which requests.
     pub indices: BudgetIndices,
 }
 
 impl FleetChange {
-    pub fn new(installation: &Installation, started: &NodeConfig) -> FleetChange {
+    /// The change to `installation` of a node that was started with `config`.
+    pub fn new(installation: &Installation, config: &NodeConfig) -> FleetChange {
         FleetChange {
             file: installation.fleet.clone(),
-            budgets: installation.budget_list(started),
-            indices: installation.budget_indices(started),
+            budgets: installation.budget_list(config),
+            indices: installation.budget_indices(config),
         }
     }
 }
@@ -134,82 +152,94 @@
 /// Everything that changes with a new configuration.
 #[derive(Debug)]
 pub struct Plan {
+    /// The platform's configuration.
     pub platform: PlatformRead,
     /// The installation as it will be in force.
     pub installation: Arc<Installation>,
-    pub needs_start: Vec<NeedsStart>,
+    /// Changes that the installation in force does not have.
+    pub restart_required: Vec<RestartRequired>,
+    /// What idempotency keys mean by its rules.
     pub keys: KeyMeanings,
+    /// The configuration of membership and budgets.
     pub fleet: FleetChange,
 }
 
-/// Decides what changes; `running` is the installation in force.
+/// Decides what changes; `running` is the installation in force, `read` the one that is to replace it.
 ///
 /// # Errors
-/// Every fault of the new installation beside the platform's configuration, each with the path of its key.
+/// Everything in which the new installation does not go together with the platform's configuration.
 pub fn plan(
     started: &Started,
     running: &Installation,
     platform: PlatformRead,
     read: Installation,
 ) -> Result<Plan, ConfigErrors> {
-    // What can't change under way is as it was at the start.
-    let orders = &started.orders;
-    read.beside(orders)?;
+    let config = &started.config;
+    read.validate_with(config)?;
     let mut installation = read;
-    let mut needs_start = Vec::new();
-    if pool_kinds(running) != pool_kinds(&installation) {
-        needs_start.push(NeedsStart::Pools);
+    let mut restart_required = Vec::new();
+    if pool_protocols(running) != pool_protocols(&installation) {
+        restart_required.push(RestartRequired::Pools);
         installation.servers.clone_from(&running.servers);
         installation.pools.clone_from(&running.pools);
     }
     if !started.in_fleet && installation.fleet.is_some() {
-        needs_start.push(NeedsStart::JoinFleet);
+        restart_required.push(RestartRequired::JoinFleet);
     }
-    let keys = KeyMeanings::new(&installation, &orders.settings.group_names);
-    let fleet = FleetChange::new(&installation, orders);
+    let keys = KeyMeanings::new(&installation, &config.settings.group_names);
+    let fleet = FleetChange::new(&installation, config);
     Ok(Plan {
         platform,
         installation: Arc::new(installation),
-        needs_start,
+        restart_required,
         keys,
         fleet,
     })
 }
 
-/// Which pools there are and what each speaks; requests in hand are written in that.
-fn pool_kinds(installation: &Installation) -> Vec<(&str, Spoken)> {
+/// The name and protocol of each pool. Requests in flight are encoded in that protocol.
+fn pool_protocols(installation: &Installation) -> Vec<(&str, ProtocolName)> {
     installation
         .named_pools()
-        .map(|(name, servers)| (name, servers.protocol))
+        .map(|(name, pool)| (name, pool.protocol))
         .collect()
 }
 
-/// Which fronts are to be opened and which drained.
+/// Which listeners are to be opened and which closed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct FrontChanges {
-    pub withdrawn: Vec<Front>,
-    pub opened: Vec<Front>,
-    /// Those that stay, with the bounds that they have from now on.
-    pub kept: Vec<Front>,
-}
-
-impl FrontChanges {
-    /// `open` are the fronts that listen now, `wanted` those that are to.
-    pub fn between(open: &[Front], wanted: &[Front]) -> FrontChanges {
-        let same = |one: &Front, other: &Front| {
-            (one.listen, one.protocol) == (other.listen, other.protocol)
-        };
-        let among = |fronts: &[Front], front: &Front| fronts.iter().any(|other| same(other, front));
-        let (kept, opened) = wanted.iter().cloned().partition(|front| among(open, front));
-        let withdrawn = open
+pub struct ListenerChanges {
+    /// Those to be closed, once their connections are drained.
+    pub closed: Vec<ListenerConfig>,
+    /// Those to be opened.
+    pub opened: Vec<ListenerConfig>,
+    /// Those that stay, with their new limits.
+    pub retained: Vec<ListenerConfig>,
+}
+
+impl ListenerChanges {
+    /// The changes from the `current` listeners to the `new` ones. Address and protocol together identify a
+    /// listener.
+    pub fn between(current: &[ListenerConfig], new: &[ListenerConfig]) -> ListenerChanges {
+        let (retained, opened) = new
+            .iter()
+            .cloned()
+            .partition(|listener| contains(current, listener));
+        let closed = current
             .iter()
-            .filter(|front| !among(wanted, front))
+            .filter(|listener| !contains(new, listener))
             .cloned()
             .collect();
-        FrontChanges {
-            withdrawn,
+        ListenerChanges {
+            closed,
             opened,
-            kept,
+            retained,
         }
     }
 }
+
+fn contains(listeners: &[ListenerConfig], wanted: &ListenerConfig) -> bool {
+    let identity = |listener: &ListenerConfig| (listener.listen, listener.protocol);
+    listeners
+        .iter()
+        .any(|listener| identity(listener) == identity(wanted))
+}
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -1,13 +1,19 @@
-//! The part on rules: how exchanges of the installation's fronts are classed.
+//! The section of the operators' file on rules: how requests of the installation's listeners are classified.
+//!
+//! Doc comments of the file's types are the descriptions in its schema.
 
 use doortrack_admission::Effect;
 use doortrack_expr::Limits;
-use doortrack_routes::{Built, Names, Note, Rule, Table};
+use doortrack_routes::{Built, Names, Rule, Table};
 use doortrack_settings::DeploymentSettings;
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-use crate::{ConfigError, ConfigErrors, Installation};
+use crate::{ConfigError, ConfigErrorKind, ConfigErrors, ErrorCollector, Installation};
+
+const MAX_COST: u64 = 10_000_000;
+const MAX_VARIABLE_BYTES: u64 = 8192;
+const MAX_BODY_BYTES: u64 = 2048;
 
 /// One rule. The first whose condition holds says what an exchange is. All but `group` are expressions
 /// (docs/expressions.md).
@@ -67,116 +73,108 @@
 }
 
 impl ExpressionLimits {
+    /// The limits for the evaluator.
     pub fn limits(self) -> Limits {
-        let (max_cost, variable, body) = (self.max_cost, self.variable_bytes, self.body_bytes);
         Limits {
-            max_cost,
-            variable,
-            body,
+            max_cost: self.max_cost,
+            variable: self.variable_bytes,
+            body: self.body_bytes,
             ..Limits::default()
         }
     }
 
-    pub(crate) fn faults(self, faults: &mut Vec<ConfigError>) {
-        for (key, value, most) in [
-            ("max_cost", self.max_cost, 10_000_000),
-            ("variable_bytes", self.variable_bytes, 8192),
-            ("body_bytes", self.body_bytes, 2048),
-        ] {
-            if value > most || (value == 0 && key != "body_bytes") {
-                let what = format!("a whole number up to {most} is wanted, found {value}");
-                faults.push(ConfigError::new(
-                    format!("installation.expressions.{key}"),
-                    what,
-                ));
+    /// Adds an error for every limit that is out of its range.
+    pub(crate) fn validate(self, errors: &mut ErrorCollector) {
+        let ranges = [
+            ("max_cost", self.max_cost, 1..=MAX_COST),
+            (
+                "variable_bytes",
+                self.variable_bytes,
+                1..=MAX_VARIABLE_BYTES,
+            ),
+            ("body_bytes", self.body_bytes, 0..=MAX_BODY_BYTES),
+        ];
+        for (key, value, range) in ranges {
+            if !range.contains(&value) {
+                let expected = format!("a whole number up to {}", range.end());
+                let kind = ConfigErrorKind::unexpected(expected, value);
+                errors.push(format!("installation.expressions.{key}"), kind);
             }
         }
     }
 }
 
-/// Rules as a table, and what to be told of them.
-pub type Ruled = (Table, Vec<Note>);
-
-fn ruled(built: Built) -> Ruled {
-    (built.table, built.notes)
+impl From<&RuleFile> for Rule {
+    fn from(rule: &RuleFile) -> Rule {
+        Rule {
+            when: rule.when.clone(),
+            group: rule.group.clone(),
+            tenant: rule.tenant.clone(),
+            subject: rule.subject.clone(),
+            idempotency_key: rule.idempotency_key.clone(),
+            rank: rule.rank.clone(),
+            due: rule.due.clone(),
+            servers: rule.servers.clone(),
+        }
+    }
 }
 
 impl Installation {
     /// The table of its rules over the deployment's names; none where it has no rules.
     ///
     /// # Errors
-    /// Every fault of the rules, each with its path.
-    pub fn table(&self, handed: &DeploymentSettings) -> Result<Option<Ruled>, ConfigErrors> {
-        Ok(self.table_from(None, handed)?.map(ruled))
+    /// Every error of the rules, each with its path.
+    pub fn table(&self, settings: &DeploymentSettings) -> Result<Option<Built>, ConfigErrors> {
+        self.table_from(None, settings)
     }
 
-    /// As [`Installation::table`], sharing the rules that stand in `previous` as well.
+    /// As [`Installation::table`]; rules that are also in the `previous` table are shared with it.
     ///
     /// # Errors
-    /// Every fault of the rules, each with its path.
+    /// Every error of the rules, each with its path.
     pub fn table_from(
         &self,
         previous: Option<&Table>,
-        handed: &DeploymentSettings,
+        settings: &DeploymentSettings,
     ) -> Result<Option<Built>, ConfigErrors> {
-        let keyed = handed
+        let has_key = settings
             .admission
             .groups
             .iter()
             .map(|group| group.effect == Effect::Deduplicated);
-        let groups = handed.group_names.iter().cloned().zip(keyed).collect();
-        let tenants = handed.tenant_names.clone();
-        let pools = self.pools.keys().cloned().collect();
-        let table = self.build(
-            previous,
-            &Names {
-                groups,
-                tenants,
-                pools,
-            },
-        )?;
-        if let Some(name) = self
-            .otherwise
-            .as_ref()
-            .filter(|name| !handed.group_names.contains(name))
-        {
-            let what = format!(
-                "'{name}' is none of the endpoint groups {}",
-                handed.group_names.join(", ")
-            );
-            return Err(ConfigErrors::one("installation.otherwise", what));
-        }
+        let names = Names {
+            groups: settings.group_names.iter().cloned().zip(has_key).collect(),
+            tenants: settings.tenant_names.clone(),
+            pools: self.pools.keys().cloned().collect(),
+        };
+        let table = self.build_table(previous, &names)?;
+        self.check_fallback_group(&settings.group_names)?;
         Ok(table)
     }
 
-    /// The same where the deployment is not known: its names are taken to be those that the rules use.
-    pub fn table_by_itself(&self) -> Result<Option<Ruled>, ConfigErrors> {
-        let groups = self
-            .groups_named()
-            .into_iter()
-            .map(|name| (name, true))
-            .collect();
-        let pools = self.pools.keys().cloned().collect();
-        let built = self.build(
-            None,
-            &Names {
-                groups,
-                tenants: vec!["any".into()],
-                pools,
-            },
-        )?;
-        Ok(built.map(ruled))
+    /// The table where the deployment is not known: its names are taken to be those that the rules use.
+    ///
+    /// # Errors
+    /// Every error of the rules, each with its path.
+    pub fn table_without_deployment(&self) -> Result<Option<Built>, ConfigErrors> {
+        let groups = self.groups_in_rules();
+        let names = Names {
+            groups: groups.into_iter().map(|name| (name, true)).collect(),
+            tenants: vec!["any".into()],
+            pools: self.pools.keys().cloned().collect(),
+        };
+        self.build_table(None, &names)
     }
 
     /// The endpoint groups that its rules name, each once, in the order of their names.
-    pub fn groups_named(&self) -> Vec<String> {
+    pub fn groups_in_rules(&self) -> Vec<String> {
         let mut groups: Vec<String> = self.rules.iter().map(|rule| rule.group.clone()).collect();
         groups.sort_unstable();
         groups.dedup();
         groups
     }
 
-    fn build(
+    fn build_table(
         &self,
         previous: Option<&Table>,
         names: &Names,
@@ -184,27 +182,27 @@
         if self.rules.is_empty() {
             return Ok(None);
         }
-        let rule = |rule: &RuleFile| Rule {
-            when: rule.when.clone(),
-            group: rule.group.clone(),
-            tenant: rule.tenant.clone(),
-            subject: rule.subject.clone(),
-            idempotency_key: rule.idempotency_key.clone(),
-            rank: rule.rank.clone(),
-            due: rule.due.clone(),
-            servers: rule.servers.clone(),
-        };
-        let rules: Vec<Rule> = self.rules.iter().map(rule).collect();
-        let path = |path: String| format!("installation.{path}");
-        let built = Table::build_from(previous, &rules, names, self.expressions.limits());
-        let faults = |faults: Vec<doortrack_routes::Fault>| {
-            ConfigErrors(
-                faults
-                    .into_iter()
-                    .map(|fault| ConfigError::new(path(fault.path), fault.what))
-                    .collect(),
-            )
-        };
-        built.map(Some).map_err(faults)
+        let rules: Vec<Rule> = self.rules.iter().map(Rule::from).collect();
+        let limits = self.expressions.limits();
+        match Table::build_from(previous, &rules, names, limits) {
+            Ok(built) => Ok(Some(built)),
+            Err(errors) => Err(ConfigErrors(errors.into_iter().map(rule_error).collect())),
+        }
+    }
+
+    /// The group of what no rule takes has to be one of the deployment's.
+    fn check_fallback_group(&self, group_names: &[String]) -> Result<(), ConfigErrors> {
+        match &self.otherwise {
+            Some(name) if !group_names.contains(name) => {
+                let known = group_names.join(", ");
+                let rule = format!("'{name}' is none of the endpoint groups {known}");
+                Err(ConfigErrors::one("installation.otherwise", rule))
+            }
+            _ => Ok(()),
+        }
     }
 }
+
+fn rule_error(error: doortrack_routes::Fault) -> ConfigError {
+    ConfigError::new(format!("installation.{}", error.path), error.what)
+}
--- a/crates/config/tests/old_keys.rs
+++ b/crates/config/tests/old_keys.rs
@@ -1,6 +1,6 @@
 //! Keys that earlier builds had in the operators' file are read as the present ones.
 
-use doortrack_config::file::parse;
+use doortrack_config::installation::parse;
 
 const PRESENT: &str = r#"{
     "fleet": {"name": "delta", "listen": "127.0.0.1:7401", "voters": ["n1", "n2", "n3"],
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use doortrack_config::{file, node_config};
+use doortrack_config::{installation, node_config};
 use serde_json::{Value, json};
 
 const EXPECTED: &str = include_str!("data/refusals.txt");
@@ -189,10 +189,10 @@
 /// All errors of an installation file, by itself or beside the node's configuration, or that there were none.
 fn installation_outcome(installation: &Value) -> String {
     let node = node_config::parse(doortrack_fakes::bed::config().to_string().as_bytes()).unwrap();
-    let outcome = file::parse(installation.to_string().as_bytes()).and_then(|read| {
-        read.beside(&node)?;
+    let outcome = installation::parse(installation.to_string().as_bytes()).and_then(|read| {
+        read.validate_with(&node)?;
         read.table(&node.settings)?;
-        Ok(format!("accepted, {}", read.in_one_line()))
+        Ok(format!("accepted, {}", read.summary()))
     });
     outcome.unwrap_or_else(|errors| errors.to_string())
 }
@@ -211,7 +211,7 @@
     for text in ["", "[]", "{}", "7"] {
         let config = node_config::parse(text.as_bytes()).unwrap_err();
         lines.push(format!("config {text:?}: {config}"));
-        let installation = file::parse(text.as_bytes());
+        let installation = installation::parse(text.as_bytes());
         let outcome = installation.map_or_else(|errors| errors.to_string(), |_| "accepted".into());
         lines.push(format!("installation {text:?}: {outcome}"));
     }
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -4,14 +4,15 @@
 
 use doortrack_config::node_config;
 use doortrack_config::reload::{
-    Builds, FrontChanges, KeyMeanings, NeedsStart, Plan, Platform, PlatformRead, Started, plan,
+    Builds, KeyMeanings, ListenerChanges, Plan, Platform, PlatformRead, RestartRequired, Started,
+    plan,
 };
-use doortrack_config::{ConfigErrors, Front, Installation, NodeConfig, file};
+use doortrack_config::{ConfigErrors, Installation, ListenerConfig, NodeConfig, installation};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
 
-fn orders(change: impl Fn(&mut Value)) -> NodeConfig {
+fn node_config(change: impl Fn(&mut Value)) -> NodeConfig {
     let mut value = doortrack_fakes::bed::config();
     value["settings"]["parties"] = json!([{"name": "north", "allowance_per_s": 1}]);
     change(&mut value);
@@ -20,17 +21,17 @@
 
 fn started(in_fleet: bool) -> Started {
     Started {
-        orders: Arc::new(orders(|_| {})),
+        config: Arc::new(node_config(|_| {})),
         in_fleet,
     }
 }
 
 fn installation(value: &Value) -> Installation {
-    file::parse(value.to_string().as_bytes()).unwrap()
+    installation::parse(value.to_string().as_bytes()).unwrap()
 }
 
 fn planned(started: &Started, old: &Value, new: &Value) -> Result<Plan, ConfigErrors> {
-    let platform = PlatformRead::new(&started.orders, &started.orders);
+    let platform = PlatformRead::new(&started.config, &started.config);
     plan(started, &installation(old), platform, installation(new))
 }
 
@@ -40,8 +41,8 @@
 
 #[test]
 fn of_the_platform_four_things_change_and_the_rest_needs_a_start() {
-    let started = orders(|_| {});
-    let moved = orders(|value| {
+    let started = node_config(|_| {});
+    let moved = node_config(|value| {
         value["engine"] = json!("127.0.0.1:4499");
         value["registry"] = json!("127.0.0.1:2399");
         value["stop_ms"] = json!(4000);
@@ -58,7 +59,7 @@
         read,
         PlatformRead {
             platform: wanted,
-            rest_needs_start: false
+            requires_restart: false
         }
     );
     for change in [
@@ -68,7 +69,7 @@
         |value: &mut Value| value["settings"]["lanes"][0]["deadline"] = json!(1_000_000),
         |value: &mut Value| value["settings"]["parties"][0]["name"] = json!("south"),
     ] {
-        assert!(PlatformRead::new(&started, &orders(change)).rest_needs_start);
+        assert!(PlatformRead::new(&started, &node_config(change)).requires_restart);
     }
 }
 
@@ -80,7 +81,7 @@
     let new = json!({"servers": pool(7009, "uwsgi"), "pools": {"slow": pool(7002, "uwsgi")}});
     let changed = planned(&started, &old, &new).unwrap();
     assert_eq!(
-        (changed.needs_start, &*changed.installation),
+        (changed.restart_required, &*changed.installation),
         (vec![], &installation(&new))
     );
     // Which pools there are and what they speak does not; the rest of the file is taken up.
@@ -93,7 +94,7 @@
         let mut new = pools;
         new["rules"] = json!([{"when": "true", "group": "look"}]);
         let changed = planned(&started, &old, &new).unwrap();
-        assert_eq!(changed.needs_start, [NeedsStart::Pools]);
+        assert_eq!(changed.restart_required, [RestartRequired::Pools]);
         assert_eq!(changed.installation.servers, installation(&old).servers);
         assert_eq!(changed.installation.pools, installation(&old).pools);
         assert_eq!(changed.installation.rules.len(), 1);
@@ -104,17 +105,17 @@
 fn a_fleet_is_joined_at_the_start_alone() {
     let fleet = json!({"fleet": {"name": "f", "listen": "127.0.0.1:7401"}});
     let changed = planned(&started(false), &json!({}), &fleet).unwrap();
-    assert_eq!(changed.needs_start, [NeedsStart::JoinFleet]);
+    assert_eq!(changed.restart_required, [RestartRequired::JoinFleet]);
     // Told each time, though the installation in force says it by then.
     let again = planned(&started(false), &fleet, &fleet).unwrap();
-    assert_eq!(again.needs_start, [NeedsStart::JoinFleet]);
+    assert_eq!(again.restart_required, [RestartRequired::JoinFleet]);
     let member = planned(&started(true), &fleet, &fleet).unwrap();
-    assert_eq!(member.needs_start, []);
+    assert_eq!(member.restart_required, []);
     // One who leaves it and comes back was in it all the time.
     assert_eq!(
         planned(&started(true), &json!({}), &fleet)
             .unwrap()
-            .needs_start,
+            .restart_required,
         []
     );
 }
@@ -159,7 +160,7 @@
 
 #[test]
 fn fronts_are_told_apart_by_address_and_protocol() {
-    let front = |port: u16, protocol: &str, connections: u32| -> Front {
+    let front = |port: u16, protocol: &str, connections: u32| -> ListenerConfig {
         let value = json!({"protocol": protocol, "listen": format!("127.0.0.1:{port}"),
             "connections": connections});
         serde_json::from_value(value).unwrap()
@@ -174,17 +175,14 @@
         front(2, "fastcgi", 5),
         front(4, "uwsgi", 5),
     ];
-    let changes = FrontChanges::between(&open, &wanted);
-    assert_eq!(changes.kept, [front(1, "uwsgi", 9)]);
+    let changes = ListenerChanges::between(&open, &wanted);
+    assert_eq!(changes.retained, [front(1, "uwsgi", 9)]);
     assert_eq!(
         changes.opened,
         [front(2, "fastcgi", 5), front(4, "uwsgi", 5)]
     );
-    assert_eq!(
-        changes.withdrawn,
-        [front(2, "uwsgi", 5), front(3, "uwsgi", 5)]
-    );
-    assert_eq!(FrontChanges::between(&open, &open).kept, open);
+    assert_eq!(changes.closed, [front(2, "uwsgi", 5), front(3, "uwsgi", 5)]);
+    assert_eq!(ListenerChanges::between(&open, &open).retained, open);
 }
 
 const GROUPS: [&str; 3] = ["look", "pay", "book"];
@@ -359,8 +357,8 @@
             }
         });
         while !writer.is_finished() {
-            let read = file::read(&path).unwrap();
-            let groups = read.groups_named();
+            let read = installation::read(&path).unwrap();
+            let groups = read.groups_in_rules();
             assert_eq!((read.rules.len(), groups.len()), (2_000, 1), "{groups:?}");
         }
     });
--- a/crates/fault-harness/src/scale/node_cost.rs
+++ b/crates/fault-harness/src/scale/node_cost.rs
@@ -16,7 +16,7 @@
 
 use clap::Args;
 use doortrack_budgets::MAX_BUDGETS;
-use doortrack_config::file::MOST_POOLS;
+use doortrack_config::installation::MAX_POOLS;
 use indicatif::{ProgressBar, ProgressStyle};
 
 use self::measure::{Bench, Spans, measure};
@@ -29,7 +29,7 @@
 const AT_SIZE: Size = Size {
     routes: 3_400,
     tenants: 20_000,
-    services: MOST_POOLS + 1,
+    services: MAX_POOLS + 1,
     callers: 700,
     budgets: Some(MAX_BUDGETS),
 };
@@ -80,7 +80,7 @@
 }
 
 fn sizes(quick: bool) -> Vec<(Dimension, Vec<usize>)> {
-    let pools = MOST_POOLS + 1;
+    let pools = MAX_POOLS + 1;
     let all = [
         (Dimension::Routes, vec![0, 340, 850, 1_700, 3_400]),
         (Dimension::Tenants, vec![200, 2_000, 10_000, 20_000]),
--- a/crates/fault-harness/src/scale/node_cost/log_volume.rs
+++ b/crates/fault-harness/src/scale/node_cost/log_volume.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-use doortrack_config::file::MOST_POOLS;
+use doortrack_config::installation::MAX_POOLS;
 use serde::Serialize;
 use serde_json::json;
 
@@ -17,7 +17,7 @@
 
 /// As many pools as there may be, the one without a name included.
 const MOST_SERVICES: Size = Size {
-    services: MOST_POOLS + 1,
+    services: MAX_POOLS + 1,
     ..Size::HELD
 };
 
--- a/crates/fault-harness/src/scale/plan.rs
+++ b/crates/fault-harness/src/scale/plan.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use doortrack_config::{Installation, NodeConfig, file, node_config};
+use doortrack_config::{Installation, NodeConfig, installation, node_config};
 use doortrack_fakes::bed;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -156,8 +156,8 @@
         let orders =
             node_config::parse(self.config(node).to_string().as_bytes()).map_err(faults)?;
         let installation =
-            file::parse(self.installation(node).to_string().as_bytes()).map_err(faults)?;
-        installation.beside(&orders).map_err(faults)?;
+            installation::parse(self.installation(node).to_string().as_bytes()).map_err(faults)?;
+        installation.validate_with(&orders).map_err(faults)?;
         Ok((installation, orders))
     }
 }
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use doortrack_config::{Installation, NodeConfig, file, node_config};
+use doortrack_config::{Installation, NodeConfig, installation, node_config};
 use doortrack_expr::{Scratch, Written};
 use doortrack_fault_harness::scale::fit::fit;
 use doortrack_fault_harness::scale::node_cost::caller::{Outcome, Outcomes, paced};
@@ -31,8 +31,8 @@
     let configuration = configuration("n1", size, &addresses()).to_string();
     let installation = installation("n1", size, &addresses()).to_string();
     let orders = node_config::parse(configuration.as_bytes()).unwrap();
-    let installation = file::parse(installation.as_bytes()).unwrap();
-    installation.beside(&orders).unwrap();
+    let installation = installation::parse(installation.as_bytes()).unwrap();
+    installation.validate_with(&orders).unwrap();
     (orders, installation)
 }
 
@@ -57,7 +57,7 @@
         assert_eq!(installation.rules.len(), size.routes, "{size:?}");
         assert_eq!(orders.settings.tenant_names.len(), size.tenants, "{size:?}");
         assert_eq!(
-            installation.pools_of_servers().count(),
+            installation.pools_with_paths().count(),
             size.services,
             "{size:?}"
         );
@@ -105,7 +105,7 @@
 fn more_pools_than_a_node_may_have_are_refused() {
     let size = Size::HELD.with(Dimension::Services, 150);
     let text = installation("n1", &size, &addresses()).to_string();
-    let faults = file::parse(text.as_bytes()).unwrap_err();
+    let faults = installation::parse(text.as_bytes()).unwrap_err();
     assert!(
         faults.to_string().contains("installation.pools"),
         "{faults}"
@@ -114,7 +114,7 @@
 
 fn table(size: &Size, installation: &Installation) -> Table {
     let (orders, _) = read(size);
-    installation.table(&orders.settings).unwrap().unwrap().0
+    installation.table(&orders.settings).unwrap().unwrap().table
 }
 
 fn group_of(table: &Table, path: &str) -> Option<u8> {
@@ -147,7 +147,8 @@
     for size in [Size::HELD, Size::HELD.with(Dimension::Routes, 0)] {
         let before = installation("n1", &size, &addresses());
         let after = installation_changed(&before);
-        let parse = |text: &serde_json::Value| file::parse(text.to_string().as_bytes()).unwrap();
+        let parse =
+            |text: &serde_json::Value| installation::parse(text.to_string().as_bytes()).unwrap();
         let (old, new) = (parse(&before), parse(&after));
         let kept = size.routes.saturating_sub(1);
         assert_eq!(new.rules.len(), size.routes.max(1));
--- a/crates/node/src/commands/check.rs
+++ b/crates/node/src/commands/check.rs
@@ -1,28 +1,25 @@
-//! `doortrack check`: every fault of an installation file, and of a configuration.
+//! `doortrack check`: every error of an installation file, and of a configuration.
 
 use std::path::Path;
 
-use doortrack_config::{ConfigErrors, file, node_config};
+use doortrack_config::{ConfigErrors, ErrorCollector, installation, node_config};
 
-/// What a good file says in one line, or every fault of both.
+/// What a good file says in one line, or every error of both.
 pub fn check(installation: &Path, config: Option<&Path>) -> Result<String, ConfigErrors> {
-    let mut faults = Vec::new();
-    let read = ConfigErrors::keep(&mut faults, file::read(installation));
+    let mut errors = ErrorCollector::default();
+    let read = errors.collect(installation::read(installation));
     if let Some(fleet) = read.as_ref().and_then(|read| read.fleet.as_ref()) {
         let folder = installation.parent().unwrap_or(Path::new(""));
-        ConfigErrors::keep(&mut faults, fleet.key(folder));
+        errors.collect(fleet.key(folder));
     }
-    let orders = config.map(|path| ConfigErrors::keep(&mut faults, node_config::read_file(path)));
-    match (&read, &orders) {
-        (Some(read), Some(Some(orders))) => {
-            ConfigErrors::keep(&mut faults, read.beside(orders));
-            ConfigErrors::keep(&mut faults, read.table(&orders.settings));
+    let config = config.map(|path| errors.collect(node_config::read_file(path)));
+    match (&read, &config) {
+        (Some(read), Some(Some(config))) => {
+            errors.collect(read.validate_with(config));
+            errors.collect(read.table(&config.settings));
         }
-        (Some(read), _) => _ = ConfigErrors::keep(&mut faults, read.table_by_itself()),
+        (Some(read), _) => _ = errors.collect(read.table_without_deployment()),
         (None, _) => {}
     }
-    match read {
-        Some(read) if faults.is_empty() => Ok(read.in_one_line()),
-        _ => Err(ConfigErrors(faults)),
-    }
+    errors.finish_some(read.map(|read| read.summary()))
 }
--- a/crates/node/src/commands/fleet.rs
+++ b/crates/node/src/commands/fleet.rs
@@ -298,7 +298,10 @@
 /// # Errors
 /// In words, for the user.
 pub fn run(command: &FleetCommand, mut say: impl FnMut(&str)) -> Result<(), String> {
-    let key = |whom: &Whom| whom.key_file.as_deref().map(read_key).transpose();
+    let key = |whom: &Whom| {
+        let key = whom.key_file.as_deref().map(read_key).transpose();
+        key.map_err(|error| error.to_string())
+    };
     match command {
         FleetCommand::Status { whom, json } => {
             let mut seen = ask(whom.peer, key(whom)?)?;
--- a/crates/node/src/commands/input.rs
+++ b/crates/node/src/commands/input.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::Path;
 
-use doortrack_config::{ConfigErrors, gather};
+use doortrack_config::{ConfigErrors, deserialize};
 use doortrack_expr::Written;
 use serde::Deserialize;
 use serde_json::Value;
@@ -92,6 +92,6 @@
 }
 
 pub fn read(path: &Path) -> Result<Written, ConfigErrors> {
-    let file: RequestFile = gather::read(&json(path, "request")?, "request")?;
+    let file: RequestFile = deserialize::all_errors(&json(path, "request")?, "request")?;
     file.request("request")
 }
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Subcommand};
 use doortrack_config::rules::RuleFile;
-use doortrack_config::{ConfigErrors, Installation, file, gather, node_config};
+use doortrack_config::{ConfigErrors, Installation, deserialize, installation, node_config};
 use doortrack_expr::{Kind, Limits, Scratch, Span, Written, infer, parse};
 use doortrack_routes::{Classed, Refusal, Table};
 use serde::Deserialize;
@@ -93,19 +93,22 @@
 
 impl Files {
     fn read(&self) -> Result<Read, ConfigErrors> {
-        let installation = file::read(&self.installation)?;
+        let installation = installation::read(&self.installation)?;
         let (table, groups) = match &self.config {
             Some(path) => {
                 let handed = node_config::read_file(path)?.settings;
                 (installation.table(&handed)?, handed.group_names)
             }
-            None => (installation.table_by_itself()?, installation.groups_named()),
+            None => (
+                installation.table_without_deployment()?,
+                installation.groups_in_rules(),
+            ),
         };
-        let (table, _) =
+        let built =
             table.ok_or_else(|| ConfigErrors::one("installation.rules", "there are none"))?;
         Ok(Read {
             installation,
-            table,
+            table: built.table,
             groups,
         })
     }
@@ -143,7 +146,7 @@
 type Tested = Result<String, String>;
 
 fn test(read: &Read, cases: &Path) -> Result<Tested, ConfigErrors> {
-    let cases: Vec<Case> = gather::read(&input::json(cases, "cases")?, "cases")?;
+    let cases: Vec<Case> = deserialize::all_errors(&input::json(cases, "cases")?, "cases")?;
     let (mut out, mut failed, mut scratch) = (String::new(), 0, Scratch::default());
     for (nth, case) in cases.iter().enumerate() {
         let request = case.request.request(&format!("cases[{nth}].request"))?;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use doortrack_budgets::Safeguards;
-use doortrack_config::{ConfigErrors, FleetTests, Installation, file, node_config};
+use doortrack_config::{ConfigErrors, FleetTests, Installation, installation, node_config};
 use doortrack_node::commands::check::check;
 use doortrack_node::commands::expr::{self, ExprCommand};
 use doortrack_node::commands::fleet::{self, FleetCommand};
@@ -134,7 +134,7 @@
             }
         },
         Command::Schema => {
-            print!("{}", file::schema());
+            print!("{}", installation::schema());
             ExitCode::SUCCESS
         }
         Command::Expr(command) => told(expr::run(&command)),
@@ -167,7 +167,7 @@
     let all = |faults: ConfigErrors| faults.0.iter().map(ToString::to_string).collect::<Vec<_>>();
     let orders = node_config::read().map_err(all)?;
     let mut installation = match &words.installation {
-        Some(path) => file::read(path).map_err(all)?,
+        Some(path) => installation::read(path).map_err(all)?,
         None => Installation::default(),
     };
     let tests = FleetTests {
@@ -183,7 +183,7 @@
             ]);
         }
     }
-    installation.beside(&orders).map_err(all)?;
+    installation.validate_with(&orders).map_err(all)?;
     let log = log::open(
         &orders.name,
         words.log_format,
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use doortrack_admission::{RequestId, RunOutcome};
-use doortrack_config::Servers as Asked;
+use doortrack_config::ServerPool as Asked;
 use doortrack_protocols::{Answer, AnswerReader, Pair, Protocol, write_request};
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{Action, Admission, ConnId, Pool, RunEnd, RunId, ServerId, Token};
@@ -105,7 +105,7 @@
     /// start: requests in hand are written in that.
     pub fn take_up(&mut self, asked: &Asked, longest: TenthMillis, now: TenthMillis) {
         let terms = asked.terms(longest);
-        (self.keep, self.most_answer) = (terms.idle > 0, asked.most_answer_bytes as usize);
+        (self.keep, self.most_answer) = (terms.idle > 0, asked.max_response_bytes as usize);
         self.pool.retune(terms, now, &mut self.actions);
         self.settle(now);
         let members: BTreeMap<SocketAddr, ServerId> = self
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -17,7 +17,7 @@
 use doortrack_admission::AdmissionController;
 use doortrack_admission::{Action, Effect, Event, Gauges, RequestId};
 use doortrack_config::reload::{KeyMeanings, Platform};
-use doortrack_config::{Front, Installation, NodeConfig};
+use doortrack_config::{Installation, ListenerConfig, NodeConfig};
 use doortrack_time::{MILLISECOND, TenthMillis};
 use polling::{Events, Poller};
 use slog::{Logger, error, info};
@@ -57,7 +57,7 @@
     installation: Arc<Installation>,
     keys: KeyMeanings,
     /// The installation's fronts that could be opened.
-    listening: Vec<Front>,
+    listening: Vec<ListenerConfig>,
     reloader: Reloader,
     log: Logger,
     clock: Clock,
--- a/crates/node/src/serve/build.rs
+++ b/crates/node/src/serve/build.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use doortrack_config::node_config::{self, Digest};
-use doortrack_config::reload::{NeedsStart, Plan, PlatformRead, Started, plan};
-use doortrack_config::{ConfigErrors, Installation, file};
+use doortrack_config::reload::{Plan, PlatformRead, RestartRequired, Started, plan};
+use doortrack_config::{ConfigErrors, Installation, installation};
 use doortrack_routes::Table;
 
 use crate::network::classified::RuleTable;
@@ -31,7 +31,7 @@
 pub(super) struct Rejected {
     pub faults: ConfigErrors,
     /// What could not be taken up in any case: a fault may be due to it.
-    pub needs_start: Vec<NeedsStart>,
+    pub needs_start: Vec<RestartRequired>,
 }
 
 impl From<ConfigErrors> for Rejected {
@@ -62,7 +62,7 @@
 
 impl Builder {
     pub(super) fn new(sources: Sources) -> Builder {
-        let orders = &sources.started.orders;
+        let orders = &sources.started.config;
         let last_read = (orders.source, PlatformRead::new(orders, orders));
         Builder { sources, last_read }
     }
@@ -75,11 +75,11 @@
         let begun = Instant::now();
         let platform = self.platform()?;
         let read = match &self.sources.file {
-            Some(path) => file::read(path)?,
+            Some(path) => installation::read(path)?,
             None => Installation::default(),
         };
         let plan = plan(&self.sources.started, &running.installation, platform, read)?;
-        let handed = &self.sources.started.orders.settings;
+        let handed = &self.sources.started.config.settings;
         let built = match plan
             .installation
             .table_from(running.table.as_deref(), handed)
@@ -88,7 +88,7 @@
             Err(faults) => {
                 return Err(Rejected {
                     faults,
-                    needs_start: plan.needs_start,
+                    needs_start: plan.restart_required,
                 });
             }
         };
@@ -109,7 +109,7 @@
             let read = node_config::parse_file(&path, &bytes)?;
             self.last_read = (
                 source,
-                PlatformRead::new(&self.sources.started.orders, &read),
+                PlatformRead::new(&self.sources.started.config, &read),
             );
         }
         Ok(self.last_read.1)
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use doortrack_config::reload::{FrontChanges, KeyMeanings, NeedsStart, PlatformRead};
-use doortrack_config::{ConfigError, ConfigErrors, Front, Installation};
+use doortrack_config::reload::{KeyMeanings, ListenerChanges, PlatformRead, RestartRequired};
+use doortrack_config::{ConfigError, ConfigErrors, Installation, ListenerConfig};
 use doortrack_time::MILLISECOND;
 use slog::{debug, info, warn};
 
@@ -78,7 +78,7 @@
         listener_events: &mut Vec<ListenerEvent>,
         backend_events: &mut Vec<BackendEvent>,
     ) -> Retired {
-        self.log_needs_start(&candidate.plan.needs_start);
+        self.log_needs_start(&candidate.plan.restart_required);
         if let Err(faults) = self.check_keys(&candidate.plan.keys) {
             warn!(self.log, "configuration left out"; "fault" => %faults);
             return Box::new(candidate);
@@ -86,7 +86,7 @@
         self.bring_into_force(candidate, listener_events, backend_events)
     }
 
-    fn log_needs_start(&self, parts: &[NeedsStart]) {
+    fn log_needs_start(&self, parts: &[RestartRequired]) {
         for part in parts {
             warn!(self.log, "{}", part.subject(); "why" => %part);
         }
@@ -134,7 +134,7 @@
         let Candidate { plan, rules, took } = candidate;
         self.change_platform(
             plan.platform,
-            plan.installation.fronts.len(),
+            plan.installation.listeners.len(),
             backend_events,
         );
         self.change_servers(&plan.installation);
@@ -161,7 +161,7 @@
     ) {
         let (engine, registry) = (read.platform.engine, read.platform.registry);
         info!(self.log, "configuration read again"; "engine" => %engine, "registry" => %registry,
-            "fronts" => listeners, "rest_needs_a_start" => read.rest_needs_start);
+            "fronts" => listeners, "rest_needs_a_start" => read.requires_restart);
         self.platform = read.platform;
         self.work.move_to(engine, self.now, backend_events);
         if let Err(e) = self.registry.move_to(registry) {
@@ -198,17 +198,17 @@
         installation: &Installation,
         listener_events: &mut Vec<ListenerEvent>,
     ) {
-        let changes = FrontChanges::between(&self.listening, &installation.fronts);
-        for front in &changes.withdrawn {
+        let changes = ListenerChanges::between(&self.listening, &installation.listeners);
+        for front in &changes.closed {
             info!(self.log, "front withdrawn"; "address" => %front.listen);
             self.listeners
                 .drain_listener(front.listen, self.now, listener_events);
         }
-        for front in &changes.kept {
+        for front in &changes.retained {
             self.listeners
                 .bound(front.listen, front.connections.map(|most| most as usize));
         }
-        self.listening = changes.kept;
+        self.listening = changes.retained;
         let opened = if self.stop_at.is_none() {
             changes.opened
         } else {
@@ -225,7 +225,7 @@
         }
     }
 
-    pub(super) fn open_front(&mut self, front: &Front) -> std::io::Result<()> {
+    pub(super) fn open_front(&mut self, front: &ListenerConfig) -> std::io::Result<()> {
         let at: SocketAddr = front.listen;
         self.listeners.listen(
             at,
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -7,7 +7,7 @@
 use doortrack_admission::AdmissionController;
 use doortrack_admission::{Backpressure, Effect, EndpointGroup, Event, Gauges};
 use doortrack_config::reload::{KeyMeanings, Platform, Started};
-use doortrack_config::{Installation, NodeConfig, Servers as ServerSettings};
+use doortrack_config::{Installation, NodeConfig, ServerPool};
 use doortrack_protocols::Protocol;
 use doortrack_time::{MILLISECOND, TenthMillis};
 use polling::Poller;
@@ -53,7 +53,7 @@
 /// The pools of servers could take more than half of what the system lets it have.
 fn connections(installation: &Installation, wanted: usize, log: &Logger) -> Result<usize, Fault> {
     let all = wanted.min(descriptors::connections());
-    let servers = installation.server_connections();
+    let servers = installation.max_server_connections();
     if all < wanted {
         let limit = descriptors::limit();
         if servers > all / 2 {
@@ -105,7 +105,7 @@
     poller: &Arc<Poller>,
     log: &Logger,
 ) -> Backend {
-    let open_pool = |(index, (name, settings)): (usize, (&str, &ServerSettings))| {
+    let open_pool = |(index, (name, settings)): (usize, (&str, &ServerPool))| {
         let pool_log = log.new(o!("pool" => name.to_string()));
         let seed = orders.seed.wrapping_add(index as u64);
         let servers = Servers::new(
@@ -206,7 +206,7 @@
             work.gate_ramps(|pool| part.ramp_gate(pool));
         }
         let started = Started {
-            orders: Arc::clone(&orders),
+            config: Arc::clone(&orders),
             in_fleet: installation.fleet.is_some(),
         };
         let reloader = Reloader::new(Sources { started, file }, poller.clone());
@@ -245,7 +245,7 @@
             platform: Platform::new(&orders),
             orders: Arc::clone(&orders),
             keys,
-            listening: installation.fronts.clone(),
+            listening: installation.listeners.clone(),
             reloader,
             installation: Arc::new(installation),
         };
@@ -256,7 +256,7 @@
 
     fn open_installation_fronts(&mut self) -> Result<(), Fault> {
         let installation = Arc::clone(&self.installation);
-        for (nth, front) in installation.fronts.iter().enumerate() {
+        for (nth, front) in installation.listeners.iter().enumerate() {
             once_free(|| self.open_front(front))
                 .map_err(|e| format!("installation.fronts[{nth}].listen: {}: {e}", front.listen))?;
         }
--- a/crates/node/tests/node/ramps.rs
+++ b/crates/node/tests/node/ramps.rs
@@ -1,6 +1,6 @@
 //! What the operators' file says of ramps, and what is wrong with it.
 
-use doortrack_config::{file, node_config};
+use doortrack_config::{installation, node_config};
 use doortrack_fakes::bed::config;
 use serde_json::{Value, json};
 
@@ -19,8 +19,8 @@
 /// The faults of a file, in one line, beside the platform's configuration; empty where there is none.
 fn faults(value: &Value) -> String {
     let orders = node_config::parse(config().to_string().as_bytes()).unwrap();
-    let read = file::parse(value.to_string().as_bytes());
-    read.and_then(|file| file.beside(&orders))
+    let read = installation::parse(value.to_string().as_bytes());
+    read.and_then(|file| file.validate_with(&orders))
         .err()
         .map_or_else(String::new, |faults| faults.to_string())
 }
@@ -28,7 +28,7 @@
 #[test]
 fn a_ramp_and_the_budget_for_it_are_read() {
     assert_eq!(faults(&good()), "");
-    let installation = file::parse(good().to_string().as_bytes()).unwrap();
+    let installation = installation::parse(good().to_string().as_bytes()).unwrap();
     let orders = node_config::parse(config().to_string().as_bytes()).unwrap();
     assert_eq!(installation.budget_indices(&orders).ramps, [None, Some(0)]);
     let ramp = installation.pools["boats"].terms(0).ramp.unwrap();
--- a/crates/node/tests/node/rules.rs
+++ b/crates/node/tests/node/rules.rs
@@ -541,7 +541,8 @@
 fn a_rule_of_before_that_says_mark_is_read_as_one_that_says_idempotency_key() {
     let read = |key: &str| {
         let rule = json!({"when": "true", "group": "pay", key: "path"});
-        doortrack_config::file::parse(json!({"rules": [rule]}).to_string().as_bytes()).unwrap()
+        doortrack_config::installation::parse(json!({"rules": [rule]}).to_string().as_bytes())
+            .unwrap()
     };
     assert_eq!(read("mark"), read("idempotency_key"));
 }
