--- a/crates/config/src/servers.rs
+++ b/crates/config/src/servers.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use doortrack_time::{MILLISECOND, TenthMillis};
-use doortrack_upstream::{Aside, Ramp, Retries, Terms};
+use doortrack_upstream::{OutlierConfig, PoolConfig, RetryConfig, SlowStartConfig};
 use schemars::JsonSchema;
 use serde::Deserialize;
 
@@ -147,32 +147,32 @@
 
 impl Servers {
     /// What the pool is handed; `longest` is the longest deadline.
-    pub fn terms(&self, longest: TenthMillis) -> Terms {
+    pub fn terms(&self, longest: TenthMillis) -> PoolConfig {
         let ms = |ms: u32| TenthMillis::from(ms) * MILLISECOND;
         let (aside, retries) = (self.aside, self.retries);
-        Terms {
-            at_once: self.at_once,
+        PoolConfig {
+            max_concurrency: self.at_once,
             // uwsgi has one request on each connection.
-            idle: if self.protocol == Spoken::FastCgi {
+            idle_timeout: if self.protocol == Spoken::FastCgi {
                 ms(self.idle_ms)
             } else {
                 0
             },
-            open_within: ms(self.open_within_ms),
-            answer_within: self.answer_within_ms.map_or(longest, ms).max(1),
-            aside: Aside {
-                failures: aside.failures,
-                first: ms(aside.first_ms),
-                longest: ms(aside.longest_ms),
-                floor: aside.floor,
+            connect_timeout: ms(self.open_within_ms),
+            response_timeout: self.answer_within_ms.map_or(longest, ms).max(1),
+            outlier: OutlierConfig {
+                consecutive_failures: aside.failures,
+                base_ejection: ms(aside.first_ms),
+                max_ejection: ms(aside.longest_ms),
+                in_use_floor: aside.floor,
             },
-            retries: Retries {
-                share: retries.share,
+            retry: RetryConfig {
+                ratio: retries.share,
                 burst: retries.burst,
-                tries: retries.tries,
+                max_attempts: retries.tries,
             },
-            ramp: self.ramp.map(|ramp| Ramp {
-                over: ms(ramp.over_ms),
+            slow_start: self.ramp.map(|ramp| SlowStartConfig {
+                duration: ms(ramp.over_ms),
                 runs: ramp.runs,
             }),
         }
--- a/crates/node/src/network/backend.rs
+++ b/crates/node/src/network/backend.rs
@@ -5,7 +5,7 @@
 
 use doortrack_admission::RequestId;
 use doortrack_time::TenthMillis;
-use doortrack_upstream::{Admission, Token};
+use doortrack_upstream::{Admission, TokenResponse};
 use polling::Event;
 
 use super::engine::{BackendEvent, ENGINE_KEY, EngineLink};
@@ -83,7 +83,10 @@
     }
 
     /// Pools whose ramps are shared with others: by place, where they ask for tokens.
-    pub fn gate_ramps(&mut self, mut gate: impl FnMut(u16) -> Option<Box<dyn FnMut() -> Token>>) {
+    pub fn gate_ramps(
+        &mut self,
+        mut gate: impl FnMut(u16) -> Option<Box<dyn FnMut() -> TokenResponse>>,
+    ) {
         if let Backend::Servers(pools) = self {
             for (place, (_, pool)) in pools.iter_mut().enumerate() {
                 gate(place as u16)
@@ -99,12 +102,12 @@
     /// How long to wait before it comes back, in tenths of a ms.
     pub fn admit(&mut self, pool: u16, now: TenthMillis) -> Result<Admission, TenthMillis> {
         match self {
-            Backend::Engine(_) => Ok(Admission::Free),
+            Backend::Engine(_) => Ok(Admission::Unreserved),
             Backend::Servers(pools) => {
                 let place = pool_place(pool, pools.len());
                 pools
                     .get_mut(place)
-                    .map_or(Ok(Admission::Free), |(_, pool)| pool.admit(now))
+                    .map_or(Ok(Admission::Unreserved), |(_, pool)| pool.admit(now))
             }
         }
     }
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -12,7 +12,7 @@
 use doortrack_config::Servers as Asked;
 use doortrack_protocols::{Answer, AnswerReader, Pair, Protocol, write_request};
 use doortrack_time::TenthMillis;
-use doortrack_upstream::{Action, Admission, ConnId, Pool, RunEnd, RunId, ServerId, Token};
+use doortrack_upstream::{Action, Admission, ConnId, Pool, RunEnd, RunId, ServerId, TokenResponse};
 use polling::{Event, PollMode, Poller};
 use rustc_hash::FxHashMap;
 use slog::{Logger, warn};
@@ -21,7 +21,7 @@
 use super::engine::{BackendEvent, begin_to_connect};
 use super::headers::passed_on;
 use super::listeners::Block;
-use super::server_log::log_standing;
+use super::server_log::log_server_state;
 use super::termination::Termination;
 
 /// Connections to servers have the keys from here on, those of each pool so many.
@@ -105,13 +105,13 @@
     /// start: requests in hand are written in that.
     pub fn take_up(&mut self, asked: &Asked, longest: TenthMillis, now: TenthMillis) {
         let terms = asked.terms(longest);
-        (self.keep, self.most_answer) = (terms.idle > 0, asked.most_answer_bytes as usize);
-        self.pool.retune(terms, now, &mut self.actions);
+        (self.keep, self.most_answer) = (terms.idle_timeout > 0, asked.most_answer_bytes as usize);
+        self.pool.reconfigure(terms, now, &mut self.actions);
         self.settle(now);
         let members: BTreeMap<SocketAddr, ServerId> = self
             .at
             .iter()
-            .filter(|(server, _)| self.pool.has(**server))
+            .filter(|(server, _)| self.pool.is_member(**server))
             .map(|(server, at)| (*at, *server))
             .collect();
         // New ones first, so that what the others are given meanwhile has somewhere to go.
@@ -122,15 +122,15 @@
         {
             // What is known from the node's own start on counts as warm.
             let server = match self.up {
-                true => self.pool.add_cold(now, &mut self.actions),
-                false => self.pool.add(now, &mut self.actions),
+                true => self.pool.add_cold_server(now, &mut self.actions),
+                false => self.pool.add_server(now, &mut self.actions),
             };
             self.at.insert(server, *at);
             self.settle(now);
         }
         let wanted: BTreeSet<SocketAddr> = asked.addresses.iter().copied().collect();
         for (_, server) in members.iter().filter(|(at, _)| !wanted.contains(at)) {
-            self.pool.remove(*server, now, &mut self.actions);
+            self.pool.remove_server(*server, now, &mut self.actions);
             self.settle(now);
         }
         self.forget_gone();
@@ -138,17 +138,17 @@
 
     fn forget_gone(&mut self) {
         let pool = &self.pool;
-        self.at.retain(|server, _| pool.knows(*server));
+        self.at.retain(|server, _| pool.is_known(*server));
     }
 
     /// Retries are to pass this as well.
     pub fn gate_retries(&mut self, gate: Box<dyn FnMut() -> bool>) {
-        self.pool.gate_retries(gate);
+        self.pool.set_retry_gate(gate);
     }
 
     /// Ramps are shared with others, who grant tokens of them.
-    pub fn gate_ramps(&mut self, gate: Box<dyn FnMut() -> Token>) {
-        self.pool.gate_ramps(gate);
+    pub fn gate_ramps(&mut self, gate: Box<dyn FnMut() -> TokenResponse>) {
+        self.pool.set_slow_start_tokens(gate);
     }
 
     /// Whether one more request may be admitted.
@@ -162,7 +162,7 @@
     }
 
     pub fn release(&mut self) {
-        self.pool.release();
+        self.pool.release_reservation();
     }
 
     pub fn pool(&self) -> &Pool {
@@ -216,7 +216,7 @@
     }
 
     pub fn stop(&mut self, run: RequestId, now: TenthMillis) {
-        self.pool.stop(run, now, &mut self.actions);
+        self.pool.cancel(run, now, &mut self.actions);
         self.settle(now);
     }
 
@@ -233,7 +233,7 @@
             match sock.sock.take_error() {
                 Ok(None) if event.writable => {
                     sock.opening = false;
-                    self.pool.opened(conn, now, &mut self.actions);
+                    self.pool.connected(conn, now, &mut self.actions);
                 }
                 Ok(None) => {}
                 failed => {
@@ -254,9 +254,9 @@
     /// A connection did not open. Refused, there is no doubt that nothing listens there.
     fn not_opened(&mut self, conn: ConnId, why: Option<std::io::Error>, now: TenthMillis) {
         if why.is_some_and(|e| e.kind() == ErrorKind::ConnectionRefused) {
-            self.pool.refused(conn, now, &mut self.actions);
+            self.pool.connect_refused(conn, now, &mut self.actions);
         } else {
-            self.pool.open_failed(conn, now, &mut self.actions);
+            self.pool.connect_failed(conn, now, &mut self.actions);
         }
     }
 
@@ -293,10 +293,10 @@
                 let end = match end {
                     RunEnd::Completed => Termination::Run(RunOutcome::Completed),
                     RunEnd::Failed => Termination::Run(RunOutcome::Failed),
-                    RunEnd::Stopped => Termination::Run(RunOutcome::Cancelled),
-                    RunEnd::NeverRan => Termination::Unreached,
+                    RunEnd::Cancelled => Termination::Run(RunOutcome::Cancelled),
+                    RunEnd::NotRun => Termination::Unreached,
                     RunEnd::Lost => Termination::ServerLost,
-                    RunEnd::Late => Termination::ServerLate,
+                    RunEnd::TimedOut => Termination::ServerLate,
                 };
                 *self.ends.entry(end.name()).or_default() += 1;
                 let headers = passed_on(&answer);
@@ -307,12 +307,12 @@
                     body: answer.body,
                 });
             }
-            Action::Report { server, standing } => {
+            Action::StateChanged { server, state } => {
                 let address = self
                     .at
                     .get(&server)
                     .map_or_else(String::new, SocketAddr::to_string);
-                log_standing(&self.log, &address, self.pool.in_use(), standing, now);
+                log_server_state(&self.log, &address, self.pool.in_use(), state, now);
             }
         }
     }
--- a/crates/node/src/network/servers/transfer.rs
+++ b/crates/node/src/network/servers/transfer.rs
@@ -4,7 +4,7 @@
 
 use doortrack_protocols::{AnswerReader, Answered, Protocol};
 use doortrack_time::TenthMillis;
-use doortrack_upstream::{ConnId, Over, RunId};
+use doortrack_upstream::{ConnId, ResponseEnd, RunId};
 use polling::{Event, PollMode};
 
 use super::{ID, Servers};
@@ -12,7 +12,7 @@
 impl Servers {
     fn lost(&mut self, conn: ConnId, now: TenthMillis) {
         self.drop_sock(conn);
-        self.pool.lost(conn, now, &mut self.actions);
+        self.pool.connection_lost(conn, now, &mut self.actions);
     }
 
     pub(super) fn send(&mut self, conn: ConnId, run: RunId, now: TenthMillis) {
@@ -45,7 +45,7 @@
             match sock.sock.write(&request[sock.written..]) {
                 Ok(n) if n > 0 => {
                     if sock.written == 0 {
-                        self.pool.sent(conn);
+                        self.pool.request_sent(conn);
                     }
                     sock.written += n;
                 }
@@ -120,14 +120,14 @@
                 let keep = keep && !answer.excess;
                 if (200..300).contains(&answer.status) {
                     self.results.insert(run, answer);
-                    Over::Completed { keep }
+                    ResponseEnd::Completed { reusable: keep }
                 } else {
-                    Over::Failed { keep }
+                    ResponseEnd::Failed { reusable: keep }
                 }
             }
-            Answered::Refused(_) => Over::Refused { keep },
+            Answered::Refused(_) => ResponseEnd::Refused { reusable: keep },
         };
-        self.pool.over(conn, over, now, &mut self.actions);
+        self.pool.response_ended(conn, over, now, &mut self.actions);
         self.forget_gone();
     }
 }
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -20,7 +20,7 @@
     Action, Change, Event, Fleet, Incarnation, MemberState, MemberUpdate, Name,
 };
 use doortrack_time::TenthMillis;
-use doortrack_upstream::Token;
+use doortrack_upstream::TokenResponse;
 use slog::{Logger, info, warn};
 
 pub use self::socket::{Counts, Registration, Tap};
@@ -265,16 +265,18 @@
         }))
     }
 
-    fn ramp_gate(&self, pool: u16) -> Option<Box<dyn FnMut() -> Token>> {
+    fn ramp_gate(&self, pool: u16) -> Option<Box<dyn FnMut() -> TokenResponse>> {
         let (zero, drift) = (self.zero, self.file.tests.drift_ppm);
         let budgets = self.budgets.clone()?;
         // Looked up each time, as for retries.
         Some(Box::new(move || {
             let mut budgets = budgets.borrow_mut();
             match budgets.ramp(pool) {
-                None => Token::Unshared,
-                Some(index) if budgets.acquire_one(index, now(zero, drift)) => Token::Granted,
-                Some(_) => Token::Refused,
+                None => TokenResponse::Unshared,
+                Some(index) if budgets.acquire_one(index, now(zero, drift)) => {
+                    TokenResponse::Granted
+                }
+                Some(_) => TokenResponse::Refused,
             }
         }))
     }
--- a/crates/node/src/serve/report.rs
+++ b/crates/node/src/serve/report.rs
@@ -41,14 +41,14 @@
             &[]
         };
         for (name, servers) in pools {
-            let (pool, counts) = (servers.pool(), servers.pool().counts);
-            info!(self.log, "so far of servers"; "pool" => name, "servers" => pool.servers(),
+            let (pool, counters) = (servers.pool(), servers.pool().counters);
+            info!(self.log, "so far of servers"; "pool" => name, "servers" => pool.members(),
                 "in_use" => pool.in_use(),
-                "connections" => pool.connections(), "in_hand" => pool.in_hand(), "begun" => counts.begun,
-                "ends" => Serde(servers.ends.clone()), "retries" => counts.retries,
-                "unbudgeted" => counts.unbudgeted, "failures" => counts.failures,
-                "put_aside" => counts.put_aside, "opened" => counts.opened, "stale" => counts.stale,
-                "cold" => pool.cold(), "ramps" => counts.ramps, "held_back" => counts.held_back);
+                "connections" => pool.connections(), "in_hand" => pool.in_flight(), "begun" => counters.begun,
+                "ends" => Serde(servers.ends.clone()), "retries" => counters.retries,
+                "unbudgeted" => counters.retries_over_budget, "failures" => counters.failures,
+                "put_aside" => counters.ejections, "opened" => counters.connections_opened, "stale" => counters.stale_connections,
+                "cold" => pool.cold_servers(), "ramps" => counters.slow_starts, "held_back" => counters.held_back);
         }
         // With the platform's listener alone the whole is that front's.
         for front in self
--- a/crates/node/src/subsystem.rs
+++ b/crates/node/src/subsystem.rs
@@ -8,7 +8,7 @@
 
 use doortrack_config::reload::FleetChange;
 use doortrack_time::TenthMillis;
-use doortrack_upstream::Token;
+use doortrack_upstream::TokenResponse;
 use slog::Logger;
 
 /// Keys of the poller that parts have, one each.
@@ -72,7 +72,7 @@
     }
 
     /// Where tokens for ramps in the pool at this place are asked for, if this part shares them.
-    fn ramp_gate(&self, _pool: u16) -> Option<Box<dyn FnMut() -> Token>> {
+    fn ramp_gate(&self, _pool: u16) -> Option<Box<dyn FnMut() -> TokenResponse>> {
         None
     }
 
--- a/crates/upstream/src/health.rs
+++ b/crates/upstream/src/health.rs
@@ -1,106 +1,130 @@
-//! What is thought of one server: trusted with all, put aside, or taken back a little at a time.
+//! The health of one server: healthy, ejected, or recovering a little at a time.
 
-use crate::Aside;
+use crate::OutlierConfig;
 use doortrack_time::TenthMillis;
 
+/// The greatest power of two by which an ejection is prolonged.
+const MAX_BACKOFF_SHIFT: u32 = 32;
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
-    /// Trusted with all; failures since its last success.
-    Fit { failures: u32 },
-    /// Given nothing until then. `times` it was put aside before, one after the other.
-    Aside { till: TenthMillis, times: u32 },
-    /// Taken back slowly: trusted with so many runs at once, one more with each success. The first of them
-    /// is its probe.
-    Returning { trusted: u32, times: u32 },
+    /// Takes as many runs as any other.
+    Healthy {
+        /// Failures since its last success.
+        failures: u32,
+    },
+    /// Gets no runs until then.
+    Ejected {
+        until: TenthMillis,
+        /// Ejections in a row before this one.
+        earlier_ejections: u32,
+    },
+    /// Gets this many concurrent runs, one more with each success. The first is its health check.
+    Recovering {
+        allowed: u32,
+        /// Ejections in a row before the last one.
+        earlier_ejections: u32,
+    },
 }
 
-/// In what way a server failed.
+/// How a server failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
     /// Nothing listens there.
-    Refused,
-    /// A connection did not open, or broke, or brought nothing in time.
-    Lost,
-    /// It answered, and the answer says that it failed or would not run it.
-    Answered,
+    ConnectionRefused,
+    /// A connection did not open, broke, or brought no response in time.
+    ConnectionLost,
+    /// Its response says that the run failed or was refused.
+    ErrorResponse,
 }
 
-/// What a failure calls for.
+/// What follows from a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    Stays,
-    /// It is to be put aside, for the nth time after this many.
-    PutAside {
-        times: u32,
-    },
+    Keep,
+    Eject { earlier_ejections: u32 },
 }
 
 impl Health {
-    pub(crate) const FIT: Health = Health::Fit { failures: 0 };
+    pub(crate) const HEALTHY: Health = Health::Healthy { failures: 0 };
 
-    /// Runs at once that it is trusted with, of at most `at_once`.
-    pub(crate) fn trusted(self, at_once: u32) -> u32 {
+    /// Concurrent runs that it may take, of at most `max_concurrency`.
+    pub(crate) fn allowed_runs(self, max_concurrency: u32) -> u32 {
         match self {
-            Health::Fit { .. } => at_once,
-            Health::Aside { .. } => 0,
-            Health::Returning { trusted, .. } => trusted.min(at_once),
+            Health::Healthy { .. } => max_concurrency,
+            Health::Ejected { .. } => 0,
+            Health::Recovering { allowed, .. } => allowed.min(max_concurrency),
         }
     }
 
-    /// Whether its next run is a probe, which who can't be repeated should not be.
-    pub(crate) fn unproven(self) -> bool {
-        matches!(self, Health::Returning { trusted: 1, .. })
+    /// Whether its next run is a health check, which a run that can't be retried should not be.
+    pub(crate) fn awaits_health_check(self) -> bool {
+        matches!(self, Health::Recovering { allowed: 1, .. })
     }
 
-    pub(crate) fn is_aside(self) -> bool {
-        matches!(self, Health::Aside { .. })
+    pub(crate) fn is_ejected(self) -> bool {
+        matches!(self, Health::Ejected { .. })
     }
 
-    pub(crate) fn is_returning(self) -> bool {
-        matches!(self, Health::Returning { .. })
+    pub(crate) fn is_recovering(self) -> bool {
+        matches!(self, Health::Recovering { .. })
     }
 
+    /// The health after a success.
     #[must_use]
-    pub(crate) fn succeeded(self, at_once: u32) -> Health {
+    pub(crate) fn after_success(self, max_concurrency: u32) -> Health {
         match self {
-            Health::Fit { .. } => Health::FIT,
-            Health::Returning { trusted, .. } if trusted + 1 >= at_once => Health::FIT,
-            Health::Returning { trusted, times } => Health::Returning {
-                trusted: trusted + 1,
-                times,
+            Health::Healthy { .. } => Health::HEALTHY,
+            Health::Recovering { allowed, .. } if allowed + 1 >= max_concurrency => Health::HEALTHY,
+            Health::Recovering {
+                allowed,
+                earlier_ejections,
+            } => Health::Recovering {
+                allowed: allowed + 1,
+                earlier_ejections,
             },
-            // An answer from before it was put aside proves nothing of now.
-            aside => aside,
+            // A response from before the ejection proves nothing of the present.
+            ejected => ejected,
         }
     }
 
-    pub(crate) fn failed(&mut self, terms: &Aside) -> Verdict {
+    /// Counts a failure.
+    pub(crate) fn on_failure(&mut self, config: &OutlierConfig) -> Verdict {
         match self {
-            Health::Fit { failures } => {
+            Health::Healthy { failures } => {
                 *failures = failures.saturating_add(1);
-                if *failures >= terms.failures {
-                    Verdict::PutAside { times: 0 }
-                } else {
-                    Verdict::Stays
+                if *failures < config.consecutive_failures {
+                    return Verdict::Keep;
+                }
+                Verdict::Eject {
+                    earlier_ejections: 0,
                 }
             }
-            Health::Returning { trusted, times } => {
-                *trusted = 1;
-                Verdict::PutAside {
-                    times: times.saturating_add(1),
+            Health::Recovering {
+                allowed,
+                earlier_ejections,
+            } => {
+                *allowed = 1;
+                Verdict::Eject {
+                    earlier_ejections: earlier_ejections.saturating_add(1),
                 }
             }
-            Health::Aside { .. } => Verdict::Stays,
+            Health::Ejected { .. } => Verdict::Keep,
         }
     }
 }
 
-/// How long a server is put aside after `times` before; `chance` in 0 to 1 takes off up to half.
-pub(crate) fn span(terms: &Aside, times: u32, chance: f64) -> TenthMillis {
-    let whole = terms
-        .first
-        .saturating_mul(1 << times.min(32))
-        .min(terms.longest)
+/// How long an ejection lasts after `earlier_ejections` in a row, in tenths of a millisecond. `jitter` in 0
+/// to 1 takes off up to half.
+pub(crate) fn ejection_time(
+    config: &OutlierConfig,
+    earlier_ejections: u32,
+    jitter: f64,
+) -> TenthMillis {
+    let longest = config
+        .base_ejection
+        .saturating_mul(1 << earlier_ejections.min(MAX_BACKOFF_SHIFT))
+        .min(config.max_ejection)
         .max(1);
-    whole - (whole as f64 / 2.0 * chance) as TenthMillis
+    longest - (longest as f64 / 2.0 * jitter) as TenthMillis
 }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,9 +1,13 @@
-//! The state of a pool of servers: runs, connections, and what each event makes of them.
+//! The state of a pool of servers, and what it shows of itself.
 
-mod choose;
-mod lives;
+mod admission;
+mod connections;
+mod deadlines;
+mod dispatch;
+mod ejection;
 mod members;
-mod ramps;
+mod runs;
+mod warmup;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,32 +16,35 @@
 use rustc_hash::FxHashMap;
 use slab::Slab;
 
-use crate::budget::Budget;
-use crate::health::{Failure, Health};
-use crate::pool::ramps::Ramps;
-use crate::ramp::Cold;
-use crate::{Action, ConnId, Over, RunEnd, RunId, ServerId, Standing, Terms};
+use crate::health::Health;
+use crate::retry_budget::RetryBudget;
+use crate::slow_start::Warmup;
+use crate::{ConnId, PoolConfig, RunEnd, RunId, ServerId};
 
-pub use ramps::Admission;
+use self::admission::Reservations;
 
-/// What happened so far.
+pub use self::admission::Admission;
+
+/// What a pool counted since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
+    /// Runs begun.
     pub begun: u64,
-    /// Tries after the first.
+    /// Attempts after the first.
     pub retries: u64,
-    /// Tries that were wanted and not in the budget.
-    pub unbudgeted: u64,
-    /// Failures of servers: refused or broken connections, answers that are none, fail or come late.
+    /// Retries that were wanted and not in the budget.
+    pub retries_over_budget: u64,
+    /// Failures of servers: connections refused or broken, responses that fail, can't be read or come late.
     pub failures: u64,
-    /// Times that a server was put aside.
-    pub put_aside: u64,
-    pub opened: u64,
-    /// Kept connections that were found closed when they were to be used.
-    pub stale: u64,
-    /// Returns of servers that began a ramp.
-    pub ramps: u64,
-    /// Requests that were not admitted as no server was there but cold ones.
+    /// Ejections of servers.
+    pub ejections: u64,
+    /// Connections opened.
+    pub connections_opened: u64,
+    /// Idle connections that turned out to be closed when they were to be used.
+    pub stale_connections: u64,
+    /// Returns of servers that began a slow start.
+    pub slow_starts: u64,
+    /// Requests that were not admitted as every server was down or in slow start.
     pub held_back: u64,
 }
 
@@ -45,354 +52,162 @@
 struct Server {
     health: Health,
     /// Connections that carry a run or are opened for one.
-    in_hand: u32,
-    /// Kept connections; the one used last is taken first, so that the others may lapse.
+    busy_connections: u32,
+    /// Idle connections; the one used last is taken first, so that the others may time out.
     idle: Vec<ConnId>,
-    /// Its place among those that can take a run now.
-    open_place: Option<usize>,
-    /// It is gone once nothing is on it any more.
+    /// Its index among the servers that can take a run now.
+    available_index: Option<usize>,
+    /// It is dropped once it has no connections left.
     removed: bool,
-    /// It was down, and its ramp is not over; only where the terms have one.
-    cold: Option<Cold>,
-    /// It counts among those that are in use and not cold.
-    counted_warm: bool,
-    /// Times that it went down.
-    downs: u32,
+    /// Present while it is down or in slow start; only where slow start is configured.
+    warmup: Option<Warmup>,
+    /// It counts among the servers that are in use and warmed up.
+    counted_as_warm: bool,
+    /// How often it went down.
+    outages: u32,
+}
+
+impl Server {
+    fn new(health: Health, warmup: Option<Warmup>) -> Server {
+        Server {
+            health,
+            busy_connections: 0,
+            idle: Vec::new(),
+            available_index: None,
+            removed: false,
+            warmup,
+            counted_as_warm: false,
+            outages: 0,
+        }
+    }
+
+    /// Whether no connection to it has opened since it went down.
+    fn is_down(&self) -> bool {
+        self.warmup.as_ref().is_some_and(Warmup::is_down)
+    }
+
+    fn connections(&self) -> u32 {
+        self.busy_connections + self.idle.len() as u32
+    }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
-    Opening(RunId),
-    /// It carries a run; whether any byte of that was handed to the system.
-    Carrying {
+enum ConnectionState {
+    Connecting(RunId),
+    /// It carries a run.
+    Busy {
         run: RunId,
+        /// Whether any byte of the run was handed to the system.
         sent: bool,
     },
     Idle,
 }
 
 #[derive(Debug)]
-struct Conn {
+struct Connection {
     server: ServerId,
-    stage: Stage,
-    /// When its stage has lasted for too long.
-    due: TenthMillis,
+    state: ConnectionState,
+    /// When its state has lasted for too long.
+    deadline: TenthMillis,
     /// It carried a run before.
-    used: bool,
-    /// Times that its server had gone down when it was begun.
-    downs: u32,
+    reused: bool,
+    /// The outages of its server before it was opened.
+    outages: u32,
 }
 
 #[derive(Debug)]
 struct Run {
-    repeatable: bool,
-    /// Its place in the line, which it keeps when it is tried again.
-    turn: u64,
-    tries: u32,
-    /// Where it was tried last.
-    last: Option<ServerId>,
+    idempotent: bool,
+    /// Its position in the queue, which it keeps when it is retried.
+    sequence: u64,
+    attempts: u32,
+    last_server: Option<ServerId>,
     conn: Option<ConnId>,
     /// How it ends if no server is left that it could wait for.
-    otherwise: RunEnd,
+    end_without_server: RunEnd,
 }
 
-/// Servers, and the runs that they are given.
+/// A pool of servers, and the runs that they get.
 #[derive(Debug)]
 pub struct Pool {
-    terms: Terms,
+    config: PoolConfig,
     rng: Rng,
     servers: Slab<Server>,
-    conns: Slab<Conn>,
+    connections: Slab<Connection>,
     runs: FxHashMap<RunId, Run>,
-    /// Runs that wait for a server, by turn.
-    waiting: BTreeMap<u64, RunId>,
-    turns: u64,
+    /// Runs that wait for a server, by sequence.
+    queue: BTreeMap<u64, RunId>,
+    last_sequence: u64,
     /// Servers that can take a run now, in no order.
-    open: Vec<ServerId>,
-    /// Servers that are not put aside, and not removed; and all that are not removed.
+    available: Vec<ServerId>,
+    /// Members that are not ejected.
     in_use: usize,
+    /// Servers that are not removed.
     members: usize,
-    dues: BTreeSet<(TenthMillis, ConnId)>,
-    returns: BTreeSet<(TenthMillis, ServerId)>,
-    budget: Budget,
-    ramps: Ramps,
-    pub counts: Counts,
+    deadlines: BTreeSet<(TenthMillis, ConnId)>,
+    ejection_ends: BTreeSet<(TenthMillis, ServerId)>,
+    retry_budget: RetryBudget,
+    reservations: Reservations,
+    /// What happened so far.
+    pub counters: Counters,
 }
 
 impl Pool {
-    pub fn new(terms: Terms, seed: u64) -> Pool {
-        let (servers, conns, open) = (Slab::new(), Slab::new(), Vec::new());
-        let (runs, waiting, dues, returns, ramps, counts) = Default::default();
-        let (rng, budget) = (Rng::with_seed(seed), Budget::new(&terms.retries));
-        let (turns, in_use, members) = (0, 0, 0);
+    /// An empty pool, whose random choices follow from `seed`.
+    pub fn new(config: PoolConfig, seed: u64) -> Pool {
         Pool {
-            terms,
-            rng,
-            servers,
-            conns,
-            runs,
-            waiting,
-            turns,
-            open,
-            in_use,
-            members,
-            dues,
-            returns,
-            budget,
-            ramps,
-            counts,
+            retry_budget: RetryBudget::new(&config.retry),
+            config,
+            rng: Rng::with_seed(seed),
+            servers: Slab::new(),
+            connections: Slab::new(),
+            runs: FxHashMap::default(),
+            queue: BTreeMap::new(),
+            last_sequence: 0,
+            available: Vec::new(),
+            in_use: 0,
+            members: 0,
+            deadlines: BTreeSet::new(),
+            ejection_ends: BTreeSet::new(),
+            reservations: Reservations::default(),
+            counters: Counters::default(),
         }
     }
 
-    /// Each retry that the pool's own budget allows is to pass this as well; asked just before it is made.
-    pub fn gate_retries(&mut self, gate: Box<dyn FnMut() -> bool>) {
-        self.budget.gate(gate);
+    /// Sets a gate that each retry must pass beside the pool's own budget; it is asked just before a retry.
+    pub fn set_retry_gate(&mut self, gate: Box<dyn FnMut() -> bool>) {
+        self.retry_budget.set_gate(gate);
     }
 
-    // --- What is seen from outside ---
-
-    /// Whether the server is still known: removed ones are until nothing is on them.
-    pub fn knows(&self, server: ServerId) -> bool {
+    /// Whether the server is known: a removed one is until it has no connections left.
+    pub fn is_known(&self, server: ServerId) -> bool {
         self.servers.contains(server)
     }
 
-    /// Whether the server is given runs, or would be.
-    pub fn has(&self, server: ServerId) -> bool {
-        self.servers.get(server).is_some_and(|of| !of.removed)
+    /// Whether the server is known and not removed.
+    pub fn is_member(&self, server: ServerId) -> bool {
+        self.servers
+            .get(server)
+            .is_some_and(|server| !server.removed)
     }
 
-    pub fn servers(&self) -> usize {
+    /// The number of servers that are not removed.
+    pub fn members(&self) -> usize {
         self.members
     }
 
-    /// Servers that are not put aside.
+    /// The number of members that are not ejected.
     pub fn in_use(&self) -> usize {
         self.in_use
     }
 
+    /// The number of connections, idle ones included.
     pub fn connections(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 
-    /// Runs that were begun and have not ended.
-    pub fn in_hand(&self) -> usize {
+    /// The number of runs that were begun and have not ended.
+    pub fn in_flight(&self) -> usize {
         self.runs.len()
     }
-
-    /// When [`Pool::tick`] is due.
-    pub fn next_due(&self) -> TenthMillis {
-        let conn = self.dues.first().map_or(TenthMillis::MAX, |(due, _)| *due);
-        let returns = self
-            .returns
-            .first()
-            .map_or(TenthMillis::MAX, |(till, _)| *till);
-        conn.min(returns).min(self.next_wake())
-    }
-
-    // --- Runs ---
-
-    /// Begins a run. One that is not repeatable is never sent twice.
-    pub fn begin(
-        &mut self,
-        run: RunId,
-        repeatable: bool,
-        now: TenthMillis,
-        actions: &mut Vec<Action>,
-    ) {
-        self.counts.begun += 1;
-        self.budget.run_begun();
-        self.turns += 1;
-        let turn = self.turns;
-        let otherwise = RunEnd::NeverRan;
-        self.runs.insert(
-            run,
-            Run {
-                repeatable,
-                turn,
-                tries: 0,
-                last: None,
-                conn: None,
-                otherwise,
-            },
-        );
-        self.waiting.insert(turn, run);
-        self.hand_out(now, actions);
-    }
-
-    /// Stops a run; it ends at once.
-    pub fn stop(&mut self, run: RunId, now: TenthMillis, actions: &mut Vec<Action>) {
-        let Some(of) = self.runs.get(&run) else {
-            return;
-        };
-        let Some(conn) = of.conn else {
-            self.waiting.remove(&of.turn);
-            return self.end(run, RunEnd::NeverRan, actions);
-        };
-        let sent = matches!(self.conns[conn].stage, Stage::Carrying { sent: true, .. });
-        self.close(conn, actions);
-        self.end(
-            run,
-            if sent {
-                RunEnd::Stopped
-            } else {
-                RunEnd::NeverRan
-            },
-            actions,
-        );
-        self.hand_out(now, actions);
-    }
-
-    // --- What became of connections ---
-
-    pub fn opened(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
-        let Some(Conn {
-            server,
-            stage: Stage::Opening(run),
-            downs,
-            ..
-        }) = self.conns.get(conn)
-        else {
-            return;
-        };
-        let (server, run, current) = (*server, *run, *downs == self.servers[*server].downs);
-        self.counts.opened += 1;
-        if current {
-            self.has_opened(server, now, actions);
-            return self.carry(conn, run, now, actions);
-        }
-        // Its server has gone down since: this is no probe, and its run is not within a ramp.
-        self.close(conn, actions);
-        self.again_or(run, RunEnd::NeverRan, actions);
-        self.hand_out(now, actions);
-    }
-
-    /// It could not be opened, so nothing of its run was sent.
-    pub fn open_failed(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
-        self.not_opened(conn, Failure::Lost, now, actions);
-    }
-
-    /// It was refused: nothing listens there, and nothing of its run was sent.
-    pub fn refused(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
-        self.not_opened(conn, Failure::Refused, now, actions);
-    }
-
-    fn not_opened(
-        &mut self,
-        conn: ConnId,
-        failure: Failure,
-        now: TenthMillis,
-        actions: &mut Vec<Action>,
-    ) {
-        let Some(Stage::Opening(run)) = self.conns.get(conn).map(|of| of.stage) else {
-            return;
-        };
-        let server = self.forget_conn(conn);
-        self.failed(server, failure, now, actions);
-        self.again_or(run, RunEnd::NeverRan, actions);
-        self.gone_if_over(server);
-        self.hand_out(now, actions);
-    }
-
-    /// Some of the run that it carries was handed to the system, so that it may reach the server.
-    pub fn sent(&mut self, conn: ConnId) {
-        if let Some(Stage::Carrying { sent, .. }) = self.conns.get_mut(conn).map(|of| &mut of.stage)
-        {
-            *sent = true;
-        }
-    }
-
-    /// The answer to what it carries has come to its end.
-    pub fn over(&mut self, conn: ConnId, over: Over, now: TenthMillis, actions: &mut Vec<Action>) {
-        let Some(of) = self.conns.get(conn) else {
-            return;
-        };
-        let (server, Stage::Carrying { run, .. }) = (of.server, of.stage) else {
-            return;
-        };
-        let (keep, end) = match over {
-            Over::Completed { keep } => (keep, RunEnd::Completed),
-            Over::Failed { keep } => (keep, RunEnd::Failed),
-            Over::Refused { keep } => (keep, RunEnd::NeverRan),
-        };
-        if end == RunEnd::Completed {
-            let health = &mut self.servers[server].health;
-            let before = std::mem::replace(health, health.succeeded(self.terms.at_once));
-            if before.is_returning() && !health.is_returning() {
-                actions.push(Action::Report {
-                    server,
-                    standing: Standing::Fit,
-                });
-            }
-        } else {
-            self.failed(server, Failure::Answered, now, actions);
-        }
-        self.rest(conn, keep, now, actions);
-        if end == RunEnd::NeverRan {
-            self.again_or(run, end, actions);
-        } else {
-            self.end(run, end, actions);
-        }
-        self.gone_if_over(server);
-        self.hand_out(now, actions);
-    }
-
-    /// The connection has ended, or what came on it can't be read. It is not to be closed any more.
-    pub fn lost(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
-        let Some(of) = self.conns.get(conn) else {
-            return;
-        };
-        match (of.stage, of.used) {
-            (Stage::Opening(_), _) => return self.open_failed(conn, now, actions),
-            (Stage::Idle, _) => {
-                let server = self.forget_conn(conn);
-                self.gone_if_over(server);
-            }
-            // Kept, and closed by the server meanwhile as is its right: no failure, and no retry that would
-            // have to be in the budget. Each uses up a kept connection, so there is an end of it.
-            (Stage::Carrying { run, sent: false }, true) => {
-                self.counts.stale += 1;
-                self.forget_conn(conn);
-                if let Some(of) = self.runs.get_mut(&run) {
-                    of.tries -= 1;
-                }
-                self.wait(run);
-            }
-            (Stage::Carrying { run, sent }, _) => {
-                let server = self.forget_conn(conn);
-                self.failed(server, Failure::Lost, now, actions);
-                self.after_loss(run, sent, RunEnd::Lost, actions);
-                self.gone_if_over(server);
-            }
-        }
-        self.hand_out(now, actions);
-    }
-
-    /// Acts on the times that ran out.
-    pub fn tick(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
-        while let Some((due, conn)) = self.dues.first().copied()
-            && due <= now
-        {
-            let (server, stage) = (self.conns[conn].server, self.conns[conn].stage);
-            self.close(conn, actions);
-            match stage {
-                Stage::Idle => {}
-                Stage::Opening(run) => {
-                    self.failed(server, Failure::Lost, now, actions);
-                    self.again_or(run, RunEnd::NeverRan, actions);
-                }
-                Stage::Carrying { run, sent } => {
-                    self.failed(server, Failure::Lost, now, actions);
-                    self.after_loss(run, sent, RunEnd::Late, actions);
-                }
-            }
-            self.gone_if_over(server);
-        }
-        while let Some((till, server)) = self.returns.first().copied()
-            && till <= now
-        {
-            self.take_back(till, server, actions);
-        }
-        self.wake_ramping(now, actions);
-        self.hand_out(now, actions);
-    }
 }
--- a/crates/upstream/src/pool/members.rs
+++ b/crates/upstream/src/pool/members.rs
@@ -1,175 +1,106 @@
-//! Which servers there are, and which of them are put aside.
+//! Which servers there are.
 
 use super::{Pool, Server};
-use crate::health::{self, Failure, Health, Verdict};
-use crate::ramp::Cold;
-use crate::{Action, ServerId, Standing, Terms};
+use crate::health::Health;
+use crate::slow_start::Warmup;
+use crate::{Action, PoolConfig, ServerId};
 use doortrack_time::TenthMillis;
 
 impl Pool {
-    /// Other terms from here on; what is under way keeps the times that it was given.
-    pub fn retune(&mut self, terms: Terms, now: TenthMillis, actions: &mut Vec<Action>) {
-        self.terms = terms;
-        self.budget.retune(&terms.retries);
-        let all: Vec<ServerId> = self.servers.iter().map(|(server, _)| server).collect();
-        for server in all {
-            // What is kept beyond the new bound goes.
-            while self.has_too_many(server)
+    /// Changes the configuration. Connections and ejections keep the deadlines that they have.
+    pub fn reconfigure(&mut self, config: PoolConfig, now: TenthMillis, actions: &mut Vec<Action>) {
+        self.config = config;
+        self.retry_budget.reconfigure(&config.retry);
+        let servers: Vec<ServerId> = self.servers.iter().map(|(server, _)| server).collect();
+        for server in servers {
+            while self.has_surplus_connections(server)
                 && let Some(conn) = self.servers[server].idle.first().copied()
             {
                 self.close(conn, actions);
             }
-            if terms.ramp.is_none() {
-                self.becomes_warm(server);
+            if config.slow_start.is_none() {
+                self.finish_warmup(server);
             }
-            self.place(server);
+            self.update_availability(server);
         }
-        self.hand_out(now, actions);
+        self.dispatch(now, actions);
     }
 
-    /// A new server, trusted with all at once: most are there when the pool starts.
-    pub fn add(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> ServerId {
-        self.add_as(Health::FIT, None, now, actions)
+    /// Adds a server that takes as many runs as any other at once, as when the pool starts.
+    pub fn add_server(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> ServerId {
+        self.insert_server(Server::new(Health::HEALTHY, None), now, actions)
     }
 
-    /// A new server that came later than the others: with a ramp it is probed, and then ramps up.
-    pub fn add_cold(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> ServerId {
-        if self.terms.ramp.is_none() {
-            return self.add(now, actions);
+    /// Adds a server that came later than the others: with slow start it gets a health check first, and then
+    /// a slow start.
+    pub fn add_cold_server(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> ServerId {
+        if self.config.slow_start.is_none() {
+            return self.add_server(now, actions);
         }
-        let health = Health::Returning {
-            trusted: 1,
-            times: 0,
+        let health = Health::Recovering {
+            allowed: 1,
+            earlier_ejections: 0,
         };
-        self.add_as(health, Some(Cold::default()), now, actions)
+        let server = Server::new(health, Some(Warmup::default()));
+        self.insert_server(server, now, actions)
     }
 
-    fn add_as(
+    fn insert_server(
         &mut self,
-        health: Health,
-        cold: Option<Cold>,
+        server: Server,
         now: TenthMillis,
         actions: &mut Vec<Action>,
     ) -> ServerId {
-        let (in_hand, idle, open_place, removed, counted_warm, downs) = Default::default();
-        let fresh = Server {
-            health,
-            in_hand,
-            idle,
-            open_place,
-            removed,
-            cold,
-            counted_warm,
-            downs,
-        };
-        let server = self.servers.insert(fresh);
-        (self.members, self.in_use) = (self.members + 1, self.in_use + 1);
-        self.place(server);
-        self.hand_out(now, actions);
-        server
-    }
-
-    /// Takes a server out: it is given nothing more, what runs there may end.
-    pub fn remove(&mut self, server: ServerId, now: TenthMillis, actions: &mut Vec<Action>) {
-        let Some(of) = self.servers.get_mut(server).filter(|of| !of.removed) else {
-            return;
-        };
-        of.removed = true;
-        self.members -= 1;
-        match of.health {
-            Health::Aside { till, .. } => _ = self.returns.remove(&(till, server)),
-            _ => self.in_use -= 1,
-        }
-        for conn in std::mem::take(&mut self.servers[server].idle) {
-            self.forget_conn(conn);
-            actions.push(Action::Close { conn });
-        }
-        self.stop_ramping(server);
-        self.place(server);
-        self.gone_if_over(server);
-        // With it may go the last one in use: then those come back that were to come back first.
-        while self.in_use < self.floor()
-            && let Some((till, other)) = self.returns.first().copied()
-        {
-            self.take_back(till, other, actions);
-        }
-        self.hand_out(now, actions);
-    }
-
-    pub(super) fn gone_if_over(&mut self, server: ServerId) {
-        if self
-            .servers
-            .get(server)
-            .is_some_and(|of| of.removed && of.in_hand == 0 && of.idle.is_empty())
-        {
-            self.servers.remove(server);
-        }
+        let server_id = self.servers.insert(server);
+        self.members += 1;
+        self.in_use += 1;
+        self.update_availability(server_id);
+        self.dispatch(now, actions);
+        server_id
     }
 
-    pub(super) fn take_back(
+    /// Removes a server: it gets no more runs, those on it may end.
+    pub fn remove_server(
         &mut self,
-        till: TenthMillis,
-        server: ServerId,
-        actions: &mut Vec<Action>,
-    ) {
-        self.returns.remove(&(till, server));
-        if let Health::Aside { times, .. } = self.servers[server].health {
-            self.servers[server].health = Health::Returning { trusted: 1, times };
-            self.in_use += 1;
-            self.place(server);
-            // One that is down is probed often, and that is told once.
-            if self.servers[server].cold.is_none() {
-                actions.push(Action::Report {
-                    server,
-                    standing: Standing::Returning,
-                });
-            }
-        }
-    }
-
-    /// A server failed: it may be put aside, unless too few would be left.
-    pub(super) fn failed(
-        &mut self,
-        server: ServerId,
-        failure: Failure,
+        server_id: ServerId,
         now: TenthMillis,
         actions: &mut Vec<Action>,
     ) {
-        self.counts.failures += 1;
-        let Some(of) = self.servers.get_mut(server) else {
+        let Some(server) = self
+            .servers
+            .get_mut(server_id)
+            .filter(|server| !server.removed)
+        else {
             return;
         };
-        let verdict = of.health.failed(&self.terms.aside);
-        let lost = match failure {
-            Failure::Refused => true,
-            Failure::Lost => verdict != Verdict::Stays || of.cold.is_some() && of.health.is_aside(),
-            Failure::Answered => false,
-        };
-        if lost && self.terms.ramp.is_some() && !of.removed {
-            return self.goes_down(server, verdict, now, actions);
+        server.removed = true;
+        self.members -= 1;
+        if let Health::Ejected { until, .. } = server.health {
+            self.ejection_ends.remove(&(until, server_id));
+        } else {
+            self.in_use -= 1;
         }
-        let Verdict::PutAside { times } = verdict else {
-            return;
-        };
-        if of.removed || self.in_use <= self.floor() {
-            return self.place(server);
+        self.close_idle(server_id, actions);
+        self.stop_slow_start(server_id);
+        self.update_availability(server_id);
+        self.drop_if_unused(server_id);
+        // It may have been the last one in use: those whose ejection ends first return early.
+        while self.in_use < self.in_use_floor()
+            && let Some((until, ejected)) = self.ejection_ends.first().copied()
+        {
+            self.end_ejection(until, ejected, actions);
         }
-        let till = now + health::span(&self.terms.aside, times, self.rng.f64());
-        self.servers[server].health = Health::Aside { till, times };
-        self.returns.insert((till, server));
-        self.in_use -= 1;
-        self.counts.put_aside += 1;
-        actions.push(Action::Report {
-            server,
-            standing: Standing::PutAside { till },
-        });
-        self.place(server);
+        self.dispatch(now, actions);
     }
 
-    /// Servers that are in use whatever they do.
-    pub(super) fn floor(&self) -> usize {
-        let share =
-            (self.members as f64 * f64::from(self.terms.aside.floor.clamp(0.0, 1.0))).ceil();
-        (share as usize).max(1)
+    /// Drops a removed server that has no connections left.
+    pub(super) fn drop_if_unused(&mut self, server_id: ServerId) {
+        let unused = self
+            .servers
+            .get(server_id)
+            .is_some_and(|server| server.removed && server.connections() == 0);
+        if unused {
+            self.servers.remove(server_id);
+        }
     }
 }
--- a/crates/upstream/tests/pool.rs
+++ b/crates/upstream/tests/pool.rs
@@ -4,37 +4,38 @@
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 use doortrack_upstream::{
-    Action, Aside, ConnId, Over, Pool, Retries, RunEnd, RunId, ServerId, Terms,
+    Action, ConnId, OutlierConfig, Pool, PoolConfig, ResponseEnd, RetryConfig, RunEnd, RunId,
+    ServerId,
 };
 use fastrand::Rng;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn terms() -> Terms {
-    Terms {
-        at_once: 4,
-        idle: 5_000 * MILLISECOND,
-        open_within: 250 * MILLISECOND,
-        answer_within: 1_000 * MILLISECOND,
-        aside: Aside {
-            failures: 3,
-            first: 500 * MILLISECOND,
-            longest: 8_000 * MILLISECOND,
-            floor: 0.25,
+fn config() -> PoolConfig {
+    PoolConfig {
+        max_concurrency: 4,
+        idle_timeout: 5_000 * MILLISECOND,
+        connect_timeout: 250 * MILLISECOND,
+        response_timeout: 1_000 * MILLISECOND,
+        outlier: OutlierConfig {
+            consecutive_failures: 3,
+            base_ejection: 500 * MILLISECOND,
+            max_ejection: 8_000 * MILLISECOND,
+            in_use_floor: 0.25,
         },
-        retries: Retries {
-            share: 0.1,
+        retry: RetryConfig {
+            ratio: 0.1,
             burst: 10,
-            tries: 3,
+            max_attempts: 3,
         },
-        ramp: None,
+        slow_start: None,
     }
 }
 
-/// What a server does with what comes.
+/// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Mood {
-    Sound,
+enum Behavior {
+    Healthy,
     /// Takes connections and never answers.
     Hangs,
     Refuses,
@@ -46,73 +47,75 @@
     Slow(TenthMillis),
 }
 
-/// Plays the sockets: carries out what the pool wants, on servers with moods.
-struct World {
+/// Simulates the sockets: executes what the pool wants, on servers with behaviors.
+struct Simulation {
     pool: Pool,
     now: TenthMillis,
-    moods: BTreeMap<ServerId, Mood>,
+    behaviors: BTreeMap<ServerId, Behavior>,
     conns: BTreeMap<ConnId, (ServerId, Option<RunId>)>,
     /// What happens next, by time: a connection opens, or answers.
     next: BTreeSet<(TenthMillis, u64, ConnId)>,
-    nth: u64,
-    repeatable: BTreeMap<RunId, bool>,
+    index: u64,
+    idempotent: BTreeMap<RunId, bool>,
     sent: BTreeMap<RunId, Vec<ServerId>>,
     ended: BTreeMap<RunId, (RunEnd, TenthMillis)>,
-    most_on_one: BTreeMap<ServerId, usize>,
+    max_connections: BTreeMap<ServerId, usize>,
     /// Servers in use when the last load ended.
     in_use: usize,
 }
 
-impl World {
-    fn new(terms: Terms, servers: usize, seed: u64) -> World {
-        let mut pool = Pool::new(terms, seed);
-        let ids: Vec<ServerId> = (0..servers).map(|_| pool.add(0, &mut Vec::new())).collect();
-        World {
+impl Simulation {
+    fn new(config: PoolConfig, servers: usize, seed: u64) -> Simulation {
+        let mut pool = Pool::new(config, seed);
+        let ids: Vec<ServerId> = (0..servers)
+            .map(|_| pool.add_server(0, &mut Vec::new()))
+            .collect();
+        Simulation {
             pool,
             now: 0,
-            moods: ids.into_iter().map(|id| (id, Mood::Sound)).collect(),
+            behaviors: ids.into_iter().map(|id| (id, Behavior::Healthy)).collect(),
             conns: BTreeMap::new(),
             next: BTreeSet::new(),
-            nth: 0,
-            repeatable: BTreeMap::new(),
+            index: 0,
+            idempotent: BTreeMap::new(),
             sent: BTreeMap::new(),
             ended: BTreeMap::new(),
-            most_on_one: BTreeMap::new(),
+            max_connections: BTreeMap::new(),
             in_use: 0,
         }
     }
 
-    fn at(&mut self, after: TenthMillis, conn: ConnId) {
-        self.nth += 1;
-        self.next.insert((self.now + after, self.nth, conn));
+    fn schedule(&mut self, after: TenthMillis, conn: ConnId) {
+        self.index += 1;
+        self.next.insert((self.now + after, self.index, conn));
     }
 
-    fn begin(&mut self, run: RunId, repeatable: bool) {
-        self.repeatable.insert(run, repeatable);
+    fn begin(&mut self, run: RunId, idempotent: bool) {
+        self.idempotent.insert(run, idempotent);
         let mut actions = Vec::new();
-        self.pool.begin(run, repeatable, self.now, &mut actions);
-        self.carry_out(actions);
+        self.pool.begin(run, idempotent, self.now, &mut actions);
+        self.execute(actions);
     }
 
-    fn stop(&mut self, run: RunId) {
+    fn cancel(&mut self, run: RunId) {
         let mut actions = Vec::new();
-        self.pool.stop(run, self.now, &mut actions);
-        self.carry_out(actions);
+        self.pool.cancel(run, self.now, &mut actions);
+        self.execute(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
-        for what in actions {
-            match what {
+    fn execute(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
                 Action::Open { conn, server } => {
                     assert!(
                         self.conns.insert(conn, (server, None)).is_none(),
                         "{conn} is open already"
                     );
-                    let open = self.conns.values().filter(|(of, _)| *of == server).count();
-                    let most = self.most_on_one.entry(server).or_default();
+                    let open = self.conns.values().filter(|(at, _)| *at == server).count();
+                    let most = self.max_connections.entry(server).or_default();
                     *most = open.max(*most);
-                    self.at(
-                        if self.moods[&server] == Mood::Refuses {
+                    self.schedule(
+                        if self.behaviors[&server] == Behavior::Refuses {
                             2
                         } else {
                             1
@@ -121,26 +124,28 @@
                     );
                 }
                 Action::Send { conn, run } => {
-                    let (server, carries) = self.conns.get_mut(&conn).expect("sent on none");
-                    assert_eq!(carries.replace(run), None, "two runs on one connection");
+                    let (server, carried) = self.conns.get_mut(&conn).expect("sent on none");
+                    assert_eq!(carried.replace(run), None, "two runs on one connection");
                     let sent = self.sent.entry(run).or_default();
                     sent.push(*server);
-                    let most = if self.repeatable[&run] { 3 } else { 1 };
+                    let most = if self.idempotent[&run] { 3 } else { 1 };
                     assert!(sent.len() <= most, "{run} was sent to {sent:?}");
-                    let mood = self.moods[server];
-                    self.pool.sent(conn);
-                    match mood {
-                        Mood::Hangs => {}
-                        Mood::Slow(time) => self.at(time, conn),
-                        Mood::Sound => self.at(20 * MILLISECOND, conn),
-                        Mood::Breaks | Mood::Fails | Mood::Refuses => self.at(MILLISECOND, conn),
+                    let behavior = self.behaviors[server];
+                    self.pool.request_sent(conn);
+                    match behavior {
+                        Behavior::Hangs => {}
+                        Behavior::Slow(time) => self.schedule(time, conn),
+                        Behavior::Healthy => self.schedule(20 * MILLISECOND, conn),
+                        Behavior::Breaks | Behavior::Fails | Behavior::Refuses => {
+                            self.schedule(MILLISECOND, conn)
+                        }
                     }
                 }
                 Action::Close { conn } => {
                     assert!(self.conns.remove(&conn).is_some(), "closed twice");
-                    self.next.retain(|(.., other)| *other != conn);
+                    self.next.retain(|(.., scheduled)| *scheduled != conn);
                 }
-                Action::Report { .. } => {}
+                Action::StateChanged { .. } => {}
                 Action::Ended { run, end } => {
                     assert!(
                         self.ended.insert(run, (end, self.now)).is_none(),
@@ -152,34 +157,37 @@
         self.check();
     }
 
-    /// What must hold whatever comes.
+    /// What must hold for any events.
     fn check(&self) {
-        let counts = self.pool.counts;
-        assert!(counts.retries <= 10 + counts.begun / 10 + 1, "{counts:?}");
-        let floor = (self.pool.servers() as f64 / 4.0).ceil() as usize;
+        let counters = self.pool.counters;
         assert!(
-            self.pool.in_use() >= floor.min(self.pool.servers()),
+            counters.retries <= 10 + counters.begun / 10 + 1,
+            "{counters:?}"
+        );
+        let floor = (self.pool.members() as f64 / 4.0).ceil() as usize;
+        assert!(
+            self.pool.in_use() >= floor.min(self.pool.members()),
             "{} in use",
             self.pool.in_use()
         );
         assert!(
-            self.most_on_one.values().all(|most| *most <= 4),
+            self.max_connections.values().all(|most| *most <= 4),
             "{:?}",
-            self.most_on_one
+            self.max_connections
         );
         assert_eq!(self.pool.connections(), self.conns.len());
     }
 
     /// Lets time pass, with what happens in it.
-    fn pass(&mut self, till: TenthMillis) {
+    fn advance(&mut self, until: TenthMillis) {
         loop {
             let next = self.next.first().map_or(TenthMillis::MAX, |(at, ..)| *at);
             let due = self.pool.next_due();
-            self.now = next.min(due).min(till).max(self.now);
+            self.now = next.min(due).min(until).max(self.now);
             let mut actions = Vec::new();
             if next <= self.now && next <= due {
                 let (_, _, conn) = self.next.pop_first().unwrap();
-                self.handle(conn, &mut actions);
+                self.connection_ready(conn, &mut actions);
             } else if due <= self.now {
                 self.pool.tick(self.now, &mut actions);
                 assert!(
@@ -189,34 +197,42 @@
             } else {
                 return;
             }
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 
-    fn handle(&mut self, conn: ConnId, actions: &mut Vec<Action>) {
-        let (server, carries) = self.conns[&conn];
-        let mood = self.moods[&server];
-        let Some(_) = carries else {
-            if mood == Mood::Refuses {
+    fn connection_ready(&mut self, conn: ConnId, actions: &mut Vec<Action>) {
+        let (server, carried) = self.conns[&conn];
+        let behavior = self.behaviors[&server];
+        let Some(_) = carried else {
+            if behavior == Behavior::Refuses {
                 self.conns.remove(&conn);
-                return self.pool.open_failed(conn, self.now, actions);
+                return self.pool.connect_failed(conn, self.now, actions);
             }
-            return self.pool.opened(conn, self.now, actions);
+            return self.pool.connected(conn, self.now, actions);
         };
-        match mood {
-            Mood::Breaks | Mood::Refuses => {
+        match behavior {
+            Behavior::Breaks | Behavior::Refuses => {
                 self.conns.remove(&conn);
-                self.pool.lost(conn, self.now, actions);
+                self.pool.connection_lost(conn, self.now, actions);
             }
-            Mood::Fails => {
+            Behavior::Fails => {
                 self.conns.get_mut(&conn).unwrap().1 = None;
-                self.pool
-                    .over(conn, Over::Failed { keep: true }, self.now, actions);
+                self.pool.response_ended(
+                    conn,
+                    ResponseEnd::Failed { reusable: true },
+                    self.now,
+                    actions,
+                );
             }
             _ => {
                 self.conns.get_mut(&conn).unwrap().1 = None;
-                self.pool
-                    .over(conn, Over::Completed { keep: true }, self.now, actions);
+                self.pool.response_ended(
+                    conn,
+                    ResponseEnd::Completed { reusable: true },
+                    self.now,
+                    actions,
+                );
             }
         }
     }
@@ -240,10 +256,10 @@
                 counted.push(run);
             }
             run += 1;
-            self.pass(self.now + every);
+            self.advance(self.now + every);
         }
         self.in_use = self.pool.in_use();
-        self.pass(self.now + 10_000 * MILLISECOND);
+        self.advance(self.now + 10_000 * MILLISECOND);
         let good = counted
             .iter()
             .filter(|run| self.end(**run) == Some(RunEnd::Completed))
@@ -253,69 +269,92 @@
 }
 
 #[test]
-fn sound_servers_share_the_runs_and_keep_their_connections() {
-    let mut world = World::new(terms(), 4, 1);
-    assert_eq!(world.load(0, 5 * MILLISECOND, 4_000 * MILLISECOND, 0), 1.0);
-    let counts = world.pool.counts;
-    assert_eq!((counts.begun, counts.retries, counts.failures), (800, 0, 0));
-    assert!(counts.opened <= 16, "{counts:?}");
+fn healthy_servers_share_the_runs_and_keep_their_connections() {
+    let mut simulation = Simulation::new(config(), 4, 1);
+    assert_eq!(
+        simulation.load(0, 5 * MILLISECOND, 4_000 * MILLISECOND, 0),
+        1.0
+    );
+    let counters = simulation.pool.counters;
+    assert_eq!(
+        (counters.begun, counters.retries, counters.failures),
+        (800, 0, 0)
+    );
+    assert!(counters.connections_opened <= 16, "{counters:?}");
     let mut on = BTreeMap::<ServerId, u32>::new();
-    world
+    simulation
         .sent
         .values()
         .flatten()
         .for_each(|server| *on.entry(*server).or_default() += 1);
     assert!(on.values().all(|runs| (150..250).contains(runs)), "{on:?}");
-    // Kept ones are closed after lying idle.
-    world.pass(world.now + 6_000 * MILLISECOND);
-    assert_eq!((world.pool.connections(), world.pool.in_hand()), (0, 0));
+    // Idle ones are closed after lying idle.
+    simulation.advance(simulation.now + 6_000 * MILLISECOND);
+    assert_eq!(
+        (simulation.pool.connections(), simulation.pool.in_flight()),
+        (0, 0)
+    );
 }
 
 #[test]
-fn one_bad_server_of_four_costs_little_and_comes_back_slowly() {
-    for mood in [
-        Mood::Refuses,
-        Mood::Breaks,
-        Mood::Fails,
-        Mood::Hangs,
-        Mood::Slow(2_000 * MILLISECOND),
+fn one_outlier_of_four_costs_little_and_recovers_gradually() {
+    for behavior in [
+        Behavior::Refuses,
+        Behavior::Breaks,
+        Behavior::Fails,
+        Behavior::Hangs,
+        Behavior::Slow(2_000 * MILLISECOND),
     ] {
-        let mut world = World::new(terms(), 4, 2);
-        world.moods.insert(2, mood);
+        let mut simulation = Simulation::new(config(), 4, 2);
+        simulation.behaviors.insert(2, behavior);
         // The first seconds are for finding out.
-        let share = world.load(
+        let share = simulation.load(
             0,
             5 * MILLISECOND,
             20_000 * MILLISECOND,
             4_000 * MILLISECOND,
         );
-        assert!(share > 0.985, "{mood:?}: {share}, {:?}", world.pool.counts);
-        assert!(world.in_use <= 4, "{mood:?}");
-        let without = World::load(
+        assert!(
+            share > 0.985,
+            "{behavior:?}: {share}, {:?}",
+            simulation.pool.counters
+        );
+        assert!(simulation.in_use <= 4, "{behavior:?}");
+        let without = Simulation::load(
             &mut {
-                let aside = Aside {
-                    failures: u32::MAX,
-                    ..terms().aside
+                let outlier = OutlierConfig {
+                    consecutive_failures: u32::MAX,
+                    ..config().outlier
                 };
-                let mut world = World::new(Terms { aside, ..terms() }, 4, 2);
-                world.moods.insert(2, mood);
-                world
+                let mut simulation = Simulation::new(
+                    PoolConfig {
+                        outlier,
+                        ..config()
+                    },
+                    4,
+                    2,
+                );
+                simulation.behaviors.insert(2, behavior);
+                simulation
             },
             0,
             5 * MILLISECOND,
             20_000 * MILLISECOND,
             4_000 * MILLISECOND,
         );
-        assert!(share > without, "{mood:?}: {share} with, {without} without");
-        world.moods.insert(2, Mood::Sound);
-        let before = world
+        assert!(
+            share > without,
+            "{behavior:?}: {share} with, {without} without"
+        );
+        simulation.behaviors.insert(2, Behavior::Healthy);
+        let before = simulation
             .sent
             .values()
             .flatten()
             .filter(|server| **server == 2)
             .count();
         assert_eq!(
-            world.load(
+            simulation.load(
                 100_000,
                 5 * MILLISECOND,
                 12_000 * MILLISECOND,
@@ -323,9 +362,9 @@
             ),
             1.0
         );
-        assert_eq!(world.pool.in_use(), 4);
+        assert_eq!(simulation.pool.in_use(), 4);
         assert!(
-            world
+            simulation
                 .sent
                 .values()
                 .flatten()
@@ -338,101 +377,127 @@
 
 #[test]
 fn a_full_outage_is_not_multiplied_and_ends_soon_after_its_cause() {
-    for mood in [Mood::Refuses, Mood::Breaks, Mood::Fails, Mood::Hangs] {
-        let mut world = World::new(terms(), 4, 3);
-        world.moods.values_mut().for_each(|of| *of = mood);
-        assert_eq!(world.load(0, 5 * MILLISECOND, 20_000 * MILLISECOND, 0), 0.0);
-        // A quarter is tried whatever they do.
+    for behavior in [
+        Behavior::Refuses,
+        Behavior::Breaks,
+        Behavior::Fails,
+        Behavior::Hangs,
+    ] {
+        let mut simulation = Simulation::new(config(), 4, 3);
+        simulation
+            .behaviors
+            .values_mut()
+            .for_each(|current| *current = behavior);
+        assert_eq!(
+            simulation.load(0, 5 * MILLISECOND, 20_000 * MILLISECOND, 0),
+            0.0
+        );
+        // A quarter is kept in use whatever they do.
         assert!(
-            world.in_use <= 2,
-            "{mood:?}: one, and perhaps one that is being probed"
+            simulation.in_use <= 2,
+            "{behavior:?}: one, and perhaps one in a health check"
         );
-        let counts = world.pool.counts;
+        let counters = simulation.pool.counters;
         assert!(
-            counts.retries <= 10 + counts.begun / 10,
-            "{mood:?}: {counts:?}"
+            counters.retries <= 10 + counters.begun / 10,
+            "{behavior:?}: {counters:?}"
         );
         // Where they fail at once the budget is used up, and no more than that.
-        let fast = [Mood::Refuses, Mood::Breaks].contains(&mood);
+        let fast = [Behavior::Refuses, Behavior::Breaks].contains(&behavior);
         assert!(
-            !fast || counts.retries >= counts.begun / 20,
-            "{mood:?}: {counts:?}"
+            !fast || counters.retries >= counters.begun / 20,
+            "{behavior:?}: {counters:?}"
         );
         // Whoever begins runs does not wait for ever; where all hang, most found no server.
         (0..5000)
-            .filter(|run| world.end(*run).is_none())
+            .filter(|run| simulation.end(*run).is_none())
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|run| world.stop(run));
-        world.moods.values_mut().for_each(|of| *of = Mood::Sound);
-        let share = world.load(
+            .for_each(|run| simulation.cancel(run));
+        simulation
+            .behaviors
+            .values_mut()
+            .for_each(|current| *current = Behavior::Healthy);
+        let share = simulation.load(
             100_000,
             50 * MILLISECOND,
             3_000 * MILLISECOND,
             200 * MILLISECOND,
         );
-        assert_eq!(share, 1.0, "{mood:?}: the floor serves at once");
-        world.load(200_000, 50 * MILLISECOND, 9_000 * MILLISECOND, 0);
-        assert_eq!(world.pool.in_use(), 4, "{mood:?}");
+        assert_eq!(share, 1.0, "{behavior:?}: the floor serves at once");
+        simulation.load(200_000, 50 * MILLISECOND, 9_000 * MILLISECOND, 0);
+        assert_eq!(simulation.pool.in_use(), 4, "{behavior:?}");
     }
 }
 
 #[test]
-fn what_may_have_reached_a_server_is_never_sent_again_unless_it_may_run_twice() {
-    let mut world = World::new(
-        Terms {
-            aside: Aside {
-                failures: 9,
-                ..terms().aside
+fn a_run_that_may_have_reached_a_server_is_resent_only_if_idempotent() {
+    let mut simulation = Simulation::new(
+        PoolConfig {
+            outlier: OutlierConfig {
+                consecutive_failures: 9,
+                ..config().outlier
             },
-            ..terms()
+            ..config()
         },
         2,
         4,
     );
-    world.moods.values_mut().for_each(|of| *of = Mood::Breaks);
-    world.begin(1, false);
-    world.begin(2, true);
-    world.pass(100 * MILLISECOND);
+    simulation
+        .behaviors
+        .values_mut()
+        .for_each(|current| *current = Behavior::Breaks);
+    simulation.begin(1, false);
+    simulation.begin(2, true);
+    simulation.advance(100 * MILLISECOND);
     assert_eq!(
-        (world.end(1), world.end(2)),
+        (simulation.end(1), simulation.end(2)),
         (Some(RunEnd::Lost), Some(RunEnd::Lost))
     );
-    assert_eq!((world.sent[&1].len(), world.sent[&2].len()), (1, 3));
-    // What no connection could be had for is tried again in any case, and told as never run.
-    world.moods.values_mut().for_each(|of| *of = Mood::Refuses);
-    world.begin(3, false);
-    world.pass(200 * MILLISECOND);
     assert_eq!(
-        (world.end(3), world.sent.get(&3)),
-        (Some(RunEnd::NeverRan), None)
+        (simulation.sent[&1].len(), simulation.sent[&2].len()),
+        (1, 3)
+    );
+    // What no connection could be had for is retried in any case, and ends as not run.
+    simulation
+        .behaviors
+        .values_mut()
+        .for_each(|current| *current = Behavior::Refuses);
+    simulation.begin(3, false);
+    simulation.advance(200 * MILLISECOND);
+    assert_eq!(
+        (simulation.end(3), simulation.sent.get(&3)),
+        (Some(RunEnd::NotRun), None)
     );
     // One that hangs is late, and not sent elsewhere.
-    world.moods.values_mut().for_each(|of| *of = Mood::Hangs);
-    world.begin(4, false);
-    world.pass(3_000 * MILLISECOND);
+    simulation
+        .behaviors
+        .values_mut()
+        .for_each(|current| *current = Behavior::Hangs);
+    simulation.begin(4, false);
+    simulation.advance(3_000 * MILLISECOND);
     assert_eq!(
-        (world.end(4), world.sent[&4].len()),
-        (Some(RunEnd::Late), 1)
+        (simulation.end(4), simulation.sent[&4].len()),
+        (Some(RunEnd::TimedOut), 1)
     );
 }
 
 #[test]
-fn a_retry_goes_to_another_server_and_keeps_its_turn() {
-    let mut world = World::new(terms(), 3, 5);
-    world.moods.insert(0, Mood::Breaks);
+fn a_retry_goes_to_another_server_and_keeps_its_queue_position() {
+    let mut simulation = Simulation::new(config(), 3, 5);
+    simulation.behaviors.insert(0, Behavior::Breaks);
     (0..60).filter(|run| run % 2 == 0).for_each(|run| {
-        world.begin(run, true);
-        world.pass(world.now + 100 * MILLISECOND);
+        simulation.begin(run, true);
+        simulation.advance(simulation.now + 100 * MILLISECOND);
     });
-    for (run, servers) in &world.sent {
+    for (run, servers) in &simulation.sent {
         assert!(
             servers.windows(2).all(|pair| pair[0] != pair[1]),
             "{run}: {servers:?}"
         );
     }
     assert!(
-        world
+        simulation
             .ended
             .values()
             .all(|(end, _)| *end == RunEnd::Completed)
@@ -440,190 +505,214 @@
 }
 
 #[test]
-fn a_kept_connection_that_its_server_closed_costs_neither_retry_nor_failure() {
-    let mut world = World::new(terms(), 1, 6);
-    world.begin(1, false);
-    world.pass(100 * MILLISECOND);
-    let conn = *world.conns.keys().next().unwrap();
-    let (mut actions, now) = (Vec::new(), world.now);
-    world.pool.begin(2, false, now, &mut actions);
+fn a_stale_idle_connection_costs_neither_retry_nor_failure() {
+    let mut simulation = Simulation::new(config(), 1, 6);
+    simulation.begin(1, false);
+    simulation.advance(100 * MILLISECOND);
+    let conn = *simulation.conns.keys().next().unwrap();
+    let (mut actions, now) = (Vec::new(), simulation.now);
+    simulation.pool.begin(2, false, now, &mut actions);
     assert_eq!(actions, [Action::Send { conn, run: 2 }]);
     // Found closed before any byte of it was handed over.
-    world.conns.remove(&conn);
+    simulation.conns.remove(&conn);
     actions.clear();
-    world.pool.lost(conn, now, &mut actions);
+    simulation.pool.connection_lost(conn, now, &mut actions);
     assert!(
         matches!(actions[..], [Action::Open { server: 0, .. }]),
         "{actions:?}"
     );
-    world.repeatable.insert(2, false);
-    world.carry_out(actions);
-    world.pass(now + 100 * MILLISECOND);
-    let counts = world.pool.counts;
+    simulation.idempotent.insert(2, false);
+    simulation.execute(actions);
+    simulation.advance(now + 100 * MILLISECOND);
+    let counters = simulation.pool.counters;
     assert_eq!(
-        (world.end(2), counts.stale, counts.failures, counts.retries),
+        (
+            simulation.end(2),
+            counters.stale_connections,
+            counters.failures,
+            counters.retries
+        ),
         (Some(RunEnd::Completed), 1, 0, 0)
     );
 }
 
 #[test]
-fn who_is_stopped_ends_at_once_in_every_stage() {
-    let mut world = World::new(
-        Terms {
-            at_once: 1,
-            ..terms()
+fn a_cancelled_run_ends_at_once_in_every_state() {
+    let mut simulation = Simulation::new(
+        PoolConfig {
+            max_concurrency: 1,
+            ..config()
         },
         1,
         7,
     );
-    world.moods.insert(0, Mood::Hangs);
-    (1..=3).for_each(|run| world.begin(run, false));
-    world.stop(3);
+    simulation.behaviors.insert(0, Behavior::Hangs);
+    (1..=3).for_each(|run| simulation.begin(run, false));
+    simulation.cancel(3);
     assert_eq!(
-        world.end(3),
-        Some(RunEnd::NeverRan),
+        simulation.end(3),
+        Some(RunEnd::NotRun),
         "it waited for a server"
     );
-    world.stop(1);
+    simulation.cancel(1);
     assert_eq!(
-        world.end(1),
-        Some(RunEnd::NeverRan),
+        simulation.end(1),
+        Some(RunEnd::NotRun),
         "its connection was being opened"
     );
-    world.pass(10 * MILLISECOND);
-    world.stop(2);
-    assert_eq!(world.end(2), Some(RunEnd::Stopped), "it was sent");
-    world.stop(2);
-    assert_eq!((world.pool.in_hand(), world.pool.connections()), (0, 0));
+    simulation.advance(10 * MILLISECOND);
+    simulation.cancel(2);
+    assert_eq!(simulation.end(2), Some(RunEnd::Cancelled), "it was sent");
+    simulation.cancel(2);
+    assert_eq!(
+        (simulation.pool.in_flight(), simulation.pool.connections()),
+        (0, 0)
+    );
 }
 
 #[test]
-fn members_come_and_go_under_load() {
-    let mut world = World::new(terms(), 2, 8);
-    world.moods.insert(1, Mood::Hangs);
-    (0..8).for_each(|run| world.begin(run, false));
-    world.pass(10 * MILLISECOND);
+fn servers_are_added_and_removed_under_load() {
+    let mut simulation = Simulation::new(config(), 2, 8);
+    simulation.behaviors.insert(1, Behavior::Hangs);
+    (0..8).for_each(|run| simulation.begin(run, false));
+    simulation.advance(10 * MILLISECOND);
     let mut actions = Vec::new();
-    world.pool.remove(0, world.now, &mut actions);
-    world.pool.remove(1, world.now, &mut actions);
-    world.pool.remove(1, world.now, &mut actions);
-    let fresh = world.pool.add(world.now, &mut actions);
-    world.moods.insert(fresh, Mood::Sound);
-    world.carry_out(actions);
-    assert!(world.pool.knows(1) && fresh > 1, "what runs there may end");
-    (8..12).for_each(|run| world.begin(run, false));
-    world.pass(5_000 * MILLISECOND);
+    simulation
+        .pool
+        .remove_server(0, simulation.now, &mut actions);
+    simulation
+        .pool
+        .remove_server(1, simulation.now, &mut actions);
+    simulation
+        .pool
+        .remove_server(1, simulation.now, &mut actions);
+    let added = simulation.pool.add_server(simulation.now, &mut actions);
+    simulation.behaviors.insert(added, Behavior::Healthy);
+    simulation.execute(actions);
+    assert!(
+        simulation.pool.is_known(1) && added > 1,
+        "what runs there may end"
+    );
+    (8..12).for_each(|run| simulation.begin(run, false));
+    simulation.advance(5_000 * MILLISECOND);
     assert!(
-        (8..12).all(|run| world.end(run) == Some(RunEnd::Completed) && world.sent[&run] == [fresh])
+        (8..12).all(|run| simulation.end(run) == Some(RunEnd::Completed)
+            && simulation.sent[&run] == [added])
     );
-    assert_eq!(world.ended.len(), 12);
-    assert!(!world.pool.knows(0) && !world.pool.knows(1));
-    // Without any, runs wait for one; with fewer at once, what is kept beyond goes.
+    assert_eq!(simulation.ended.len(), 12);
+    assert!(!simulation.pool.is_known(0) && !simulation.pool.is_known(1));
+    // Without any, runs wait for one; with fewer at once, surplus idle connections are closed.
     let mut actions = Vec::new();
-    world.pool.retune(
-        Terms {
-            at_once: 1,
-            ..terms()
+    simulation.pool.reconfigure(
+        PoolConfig {
+            max_concurrency: 1,
+            ..config()
         },
-        world.now,
+        simulation.now,
         &mut actions,
     );
-    world.pool.remove(fresh, world.now, &mut actions);
-    world.carry_out(actions);
-    world.begin(20, true);
+    simulation
+        .pool
+        .remove_server(added, simulation.now, &mut actions);
+    simulation.execute(actions);
+    simulation.begin(20, true);
     assert_eq!(
         (
-            world.pool.servers(),
-            world.pool.in_hand(),
-            world.pool.connections()
+            simulation.pool.members(),
+            simulation.pool.in_flight(),
+            simulation.pool.connections()
         ),
         (0, 1, 0)
     );
     let mut actions = Vec::new();
-    let server = world.pool.add(world.now, &mut actions);
-    world.moods.insert(server, Mood::Sound);
-    world.carry_out(actions);
-    world.pass(world.now + 100 * MILLISECOND);
-    assert_eq!(world.end(20), Some(RunEnd::Completed));
+    let server = simulation.pool.add_server(simulation.now, &mut actions);
+    simulation.behaviors.insert(server, Behavior::Healthy);
+    simulation.execute(actions);
+    simulation.advance(simulation.now + 100 * MILLISECOND);
+    assert_eq!(simulation.end(20), Some(RunEnd::Completed));
 }
 
-/// One thing that a random play does.
+/// One thing that a random scenario does.
 #[derive(Clone, Debug)]
 enum Step {
-    Begin { repeatable: bool },
-    Stop(u8),
-    Mood(u8, Mood),
-    Pass(TenthMillis),
+    Begin { idempotent: bool },
+    Cancel(u8),
+    Behave(u8, Behavior),
+    Advance(TenthMillis),
     Break(u8),
     Add,
     Remove(u8),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let moods = [
-        Mood::Sound,
-        Mood::Hangs,
-        Mood::Refuses,
-        Mood::Breaks,
-        Mood::Fails,
-        Mood::Slow(1500 * MILLISECOND),
+    let behaviors = [
+        Behavior::Healthy,
+        Behavior::Hangs,
+        Behavior::Refuses,
+        Behavior::Breaks,
+        Behavior::Fails,
+        Behavior::Slow(1500 * MILLISECOND),
     ];
-    let mood = prop::sample::select(moods.to_vec());
+    let behavior = prop::sample::select(behaviors.to_vec());
     prop_oneof![
-        8 => any::<bool>().prop_map(|repeatable| Step::Begin { repeatable }),
-        1 => any::<u8>().prop_map(Step::Stop),
-        2 => (any::<u8>(), mood).prop_map(|(server, mood)| Step::Mood(server, mood)),
-        4 => (0..900 * MILLISECOND).prop_map(Step::Pass),
+        8 => any::<bool>().prop_map(|idempotent| Step::Begin { idempotent }),
+        1 => any::<u8>().prop_map(Step::Cancel),
+        2 => (any::<u8>(), behavior).prop_map(|(server, behavior)| Step::Behave(server, behavior)),
+        4 => (0..900 * MILLISECOND).prop_map(Step::Advance),
         1 => any::<u8>().prop_map(Step::Break),
         1 => Just(Step::Add),
         1 => any::<u8>().prop_map(Step::Remove),
     ]
 }
 
-fn play(steps: &[Step], seed: u64) -> World {
-    let mut world = World::new(terms(), 3, seed);
+fn run_steps(steps: &[Step], seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(config(), 3, seed);
     let (mut members, mut runs) = (vec![0, 1, 2], 0);
     for step in steps {
         let mut actions = Vec::new();
         match step {
-            Step::Begin { repeatable } => {
+            Step::Begin { idempotent } => {
                 runs += 1;
-                world.begin(runs, *repeatable);
+                simulation.begin(runs, *idempotent);
             }
-            Step::Stop(run) => world.stop(RunId::from(*run) % (runs + 1)),
-            Step::Mood(server, mood) => {
-                let server = usize::from(*server) % world.moods.len();
-                *world.moods.values_mut().nth(server).unwrap() = *mood;
+            Step::Cancel(run) => simulation.cancel(RunId::from(*run) % (runs + 1)),
+            Step::Behave(server, behavior) => {
+                let server = usize::from(*server) % simulation.behaviors.len();
+                *simulation.behaviors.values_mut().nth(server).unwrap() = *behavior;
             }
-            Step::Pass(time) => world.pass(world.now + time),
+            Step::Advance(time) => simulation.advance(simulation.now + time),
             // A connection ends for no reason.
-            Step::Break(nth) => {
-                let conn = world
+            Step::Break(index) => {
+                let conn = simulation
                     .conns
                     .keys()
-                    .nth(usize::from(*nth) % world.conns.len().max(1))
+                    .nth(usize::from(*index) % simulation.conns.len().max(1))
                     .copied();
                 if let Some(conn) = conn {
-                    world.conns.remove(&conn);
-                    world.next.retain(|(.., other)| *other != conn);
-                    world.pool.lost(conn, world.now, &mut actions);
+                    simulation.conns.remove(&conn);
+                    simulation.next.retain(|(.., scheduled)| *scheduled != conn);
+                    simulation
+                        .pool
+                        .connection_lost(conn, simulation.now, &mut actions);
                 }
             }
             Step::Add if members.len() < 6 => {
-                let server = world.pool.add(world.now, &mut actions);
-                world.moods.insert(server, Mood::Sound);
+                let server = simulation.pool.add_server(simulation.now, &mut actions);
+                simulation.behaviors.insert(server, Behavior::Healthy);
                 members.push(server);
             }
-            Step::Remove(nth) if members.len() > 1 => {
-                let server = members.swap_remove(usize::from(*nth) % members.len());
-                world.pool.remove(server, world.now, &mut actions);
+            Step::Remove(index) if members.len() > 1 => {
+                let server = members.swap_remove(usize::from(*index) % members.len());
+                simulation
+                    .pool
+                    .remove_server(server, simulation.now, &mut actions);
             }
             _ => {}
         }
-        world.carry_out(actions);
+        simulation.execute(actions);
     }
-    world.pass(world.now + 60_000 * MILLISECOND);
-    world
+    simulation.advance(simulation.now + 60_000 * MILLISECOND);
+    simulation
 }
 
 proptest! {
@@ -633,30 +722,30 @@
     })]
 
     #[test]
-    fn each_run_ends_once_whatever_comes(
+    fn each_run_ends_once_for_any_events(
         steps in prop::collection::vec(step(), 1..120),
         seed in any::<u64>(),
     ) {
-        let world = play(&steps, seed);
-        prop_assert_eq!(world.ended.len(), world.repeatable.len(), "not all have ended");
-        prop_assert_eq!(world.pool.in_hand(), 0);
-        let again = play(&steps, seed);
-        prop_assert_eq!(again.ended, world.ended, "same input, same output");
+        let simulation = run_steps(&steps, seed);
+        prop_assert_eq!(simulation.ended.len(), simulation.idempotent.len(), "not all have ended");
+        prop_assert_eq!(simulation.pool.in_flight(), 0);
+        let again = run_steps(&steps, seed);
+        prop_assert_eq!(again.ended, simulation.ended, "same input, same output");
     }
 }
 
 #[test]
-fn spans_of_two_servers_differ_by_chance() {
+fn ejection_times_are_jittered() {
     let mut rng = Rng::with_seed(9);
     let returns: BTreeSet<TenthMillis> = (0..20)
         .map(|_| {
-            let mut world = World::new(terms(), 2, rng.u64(..));
-            world.moods.insert(0, Mood::Refuses);
-            world.moods.insert(1, Mood::Refuses);
-            (0..9).for_each(|run| world.begin(run, true));
-            world.pass(100 * MILLISECOND);
-            assert_eq!(world.pool.in_use(), 1);
-            let due = world.pool.next_due();
+            let mut simulation = Simulation::new(config(), 2, rng.u64(..));
+            simulation.behaviors.insert(0, Behavior::Refuses);
+            simulation.behaviors.insert(1, Behavior::Refuses);
+            (0..9).for_each(|run| simulation.begin(run, true));
+            simulation.advance(100 * MILLISECOND);
+            assert_eq!(simulation.pool.in_use(), 1);
+            let due = simulation.pool.next_due();
             assert!(
                 (250 * MILLISECOND..=510 * MILLISECOND).contains(&due),
                 "{due}"
@@ -668,10 +757,13 @@
 }
 
 #[test]
-fn what_a_server_says_it_did_not_run_is_tried_elsewhere_whatever_it_is() {
-    let mut pool = Pool::new(terms(), 10);
+fn a_refused_run_is_retried_elsewhere_even_if_not_idempotent() {
+    let mut pool = Pool::new(config(), 10);
     let mut actions = Vec::new();
-    let servers = [pool.add(0, &mut actions), pool.add(0, &mut actions)];
+    let servers = [
+        pool.add_server(0, &mut actions),
+        pool.add_server(0, &mut actions),
+    ];
     pool.begin(1, false, 0, &mut actions);
     let mut seen = Vec::new();
     for _ in 0..3 {
@@ -680,11 +772,16 @@
         };
         seen.push(server);
         actions.clear();
-        pool.opened(conn, 0, &mut actions);
+        pool.connected(conn, 0, &mut actions);
         assert_eq!(actions, [Action::Send { conn, run: 1 }]);
-        pool.sent(conn);
+        pool.request_sent(conn);
         actions.clear();
-        pool.over(conn, Over::Refused { keep: false }, 0, &mut actions);
+        pool.response_ended(
+            conn,
+            ResponseEnd::Refused { reusable: false },
+            0,
+            &mut actions,
+        );
         assert!(actions.contains(&Action::Close { conn }), "{actions:?}");
     }
     // Within its three tries, never twice in a row on one; then it ends as one that never ran.
@@ -696,12 +793,12 @@
     assert!(
         actions.contains(&Action::Ended {
             run: 1,
-            end: RunEnd::NeverRan
+            end: RunEnd::NotRun
         }),
         "{actions:?}"
     );
     assert_eq!(
-        (pool.counts.retries, pool.in_hand(), pool.connections()),
+        (pool.counters.retries, pool.in_flight(), pool.connections()),
         (2, 0, 0)
     );
 }
