--- a/crates/node/tests/node/ramps.rs
+++ b/crates/node/tests/node/ramps.rs
@@ -31,9 +31,9 @@
     let installation = file::parse(good().to_string().as_bytes()).unwrap();
     let orders = node_config::parse(config().to_string().as_bytes()).unwrap();
     assert_eq!(installation.budget_indices(&orders).ramps, [None, Some(0)]);
-    let ramp = installation.pools["boats"].terms(0).ramp.unwrap();
-    assert_eq!((ramp.over, ramp.runs), (100_000, 100));
-    assert_eq!(installation.servers.unwrap().terms(0).ramp, None);
+    let ramp = installation.pools["boats"].terms(0).slow_start.unwrap();
+    assert_eq!((ramp.duration, ramp.runs), (100_000, 100));
+    assert_eq!(installation.servers.unwrap().terms(0).slow_start, None);
 }
 
 #[test]
