--- a/crates/fault-harness/src/scale/simulated/world/carrying.rs
+++ b/crates/fault-harness/src/scale/simulated/world/carrying.rs
@@ -79,10 +79,10 @@
         ) {
             return;
         }
-        let (about, view) = (change.about(), own.fleet.view());
+        let (about, view) = (change.member(), own.fleet.view());
         let what = What::MemberChange {
             node: machine,
-            change: change.word().to_string(),
+            change: change.name().to_string(),
             member: about.map(|(name, _)| name.to_string()),
             incarnation: about.map(|(_, incarnation)| incarnation.to_string()),
             view: view.number,
--- a/crates/fault-harness/src/simulated.rs
+++ b/crates/fault-harness/src/simulated.rs
@@ -250,10 +250,10 @@
         if at_ms < self.options.record_from_ms {
             return;
         }
-        let (member, view) = (change.about(), fleet.view());
+        let (member, view) = (change.member(), fleet.view());
         let what = What::MemberChange {
             node,
-            change: change.word().to_string(),
+            change: change.name().to_string(),
             member: member.map(|(name, _)| name.to_string()),
             incarnation: member.map(|(_, incarnation)| incarnation.to_string()),
             view: view.number,
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -226,7 +226,7 @@
         let head = Head {
             sender: update(1),
             to: incarnation,
-            nth: nth as u64 + 1,
+            sequence: nth as u64 + 1,
             digest: 0,
             view: 0,
         };
--- a/crates/membership/src/applying.rs
+++ b/crates/membership/src/applying.rs
@@ -1,4 +1,4 @@
-//! Applies updates: to the table, to the view, and to what is passed on.
+//! Applies updates to the table, the view and the pending updates.
 
 use crate::fleet::{Fleet, Timer};
 use crate::suspicion::Suspicion;
@@ -13,10 +13,10 @@
         &mut self,
         now: TenthMillis,
         update: MemberUpdate,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Option<MemberIndex> {
         let Some(index) = self.table.index_of(&update.name) else {
-            return self.add_member(now, update, out);
+            return self.add_member(now, update, actions);
         };
         let record = self.table.get_mut(index)?;
         let old = record.update.clone();
@@ -31,16 +31,22 @@
         {
             record.suspicion = None;
         }
-        // Who left on its own word comes back as often as it likes.
+        // A member that left by itself may come back as often as it likes.
         let returns = update.state.is_present()
             && old.state != MemberState::Left
             && (restarted || !old.state.is_present());
         self.table.set(index, update.clone(), now);
         if returns {
-            self.note_return(now, index, out);
+            self.note_return(now, index, actions);
         }
         self.queue_update(now, index);
-        self.follow_state(now, index, &update, was_present.then_some(old.state), out);
+        self.publish_state(
+            now,
+            index,
+            &update,
+            was_present.then_some(old.state),
+            actions,
+        );
         Some(index)
     }
 
@@ -48,7 +54,7 @@
     pub(crate) fn queue_update(&mut self, now: TenthMillis, index: MemberIndex) {
         if let Some(record) = self.table.get(index) {
             self.gossip.add(index, record.revision);
-            self.arm_updates(now);
+            self.schedule_updates(now);
         }
     }
 
@@ -56,80 +62,88 @@
         &mut self,
         now: TenthMillis,
         update: MemberUpdate,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Option<MemberIndex> {
         if self.table.len() >= self.parameters.max_members {
-            out.push(Action::Report(Change::NoRoom { name: update.name }));
+            actions.push(Action::Report(Change::TableFull { name: update.name }));
             return None;
         }
         let index = self.table.insert(update.clone(), now);
         self.queue_update(now, index);
-        self.follow_state(now, index, &update, None, out);
+        self.publish_state(now, index, &update, None, actions);
         Some(index)
     }
 
-    /// Brings the view and the log in line with a new state. `was` is the previous state of the same
-    /// incarnation, if it was present.
-    fn follow_state(
+    /// Updates the view and the log after a change of state. `previous` is the state before in the same
+    /// incarnation, if the member was present.
+    fn publish_state(
         &mut self,
         now: TenthMillis,
         index: MemberIndex,
         update: &MemberUpdate,
-        was: Option<MemberState>,
-        out: &mut Vec<Action>,
+        previous: Option<MemberState>,
+        actions: &mut Vec<Action>,
     ) {
         let (name, incarnation) = (update.name.clone(), update.incarnation);
         match update.state {
             MemberState::Alive => {
-                let cleared = matches!(was, Some(MemberState::Suspected { .. }));
-                if was.is_none() {
-                    self.admit(now, index, out);
+                let cleared = matches!(previous, Some(MemberState::Suspected { .. }));
+                if previous.is_none() {
+                    self.add_to_view(now, index, actions);
                 } else if cleared {
-                    out.push(Action::Report(Change::Cleared { name, incarnation }));
+                    actions.push(Action::Report(Change::Cleared { name, incarnation }));
                 }
             }
             MemberState::Suspected { by } => {
-                if was.is_none() {
-                    self.admit(now, index, out);
+                if previous.is_none() {
+                    self.add_to_view(now, index, actions);
                 }
-                self.suspected(now, index, by, out);
+                self.suspected(now, index, by, actions);
             }
             MemberState::Dead | MemberState::Left => {
-                if let Some(record) = self.table.get_mut(index) {
-                    record.held_until = None;
-                    let revision = record.revision;
-                    self.arm(
-                        now + self.parameters.forget_after,
-                        Timer::Forget(index, revision),
-                    );
-                }
+                self.schedule_forget(now, index);
                 self.change_view(now, |view| view.remove(&name));
-                if was.is_some() {
-                    let left = update.state == MemberState::Left;
-                    out.push(Action::Report(if left {
+                if previous.is_some() {
+                    let change = if update.state == MemberState::Left {
                         Change::Left { name, incarnation }
                     } else {
                         Change::Dead { name, incarnation }
-                    }));
+                    };
+                    actions.push(Action::Report(change));
                 }
             }
         }
     }
 
+    /// Schedules when a member that is not present is forgotten.
+    fn schedule_forget(&mut self, now: TenthMillis, index: MemberIndex) {
+        if let Some(record) = self.table.get_mut(index) {
+            record.held_until = None;
+            let forget = Timer::Forget(index, record.revision);
+            self.set_timer(now + self.parameters.forget_after, forget);
+        }
+    }
+
     /// Begins a suspicion, and may probe the member to confirm or clear it.
-    fn suspected(&mut self, now: TenthMillis, index: MemberIndex, by: u32, out: &mut Vec<Action>) {
+    fn suspected(
+        &mut self,
+        now: TenthMillis,
+        index: MemberIndex,
+        by: u32,
+        actions: &mut Vec<Action>,
+    ) {
         let members = self.view.members.len();
         let Some(record) = self.table.get_mut(index) else {
             return;
         };
         let (name, incarnation) = (record.update.name.clone(), record.update.incarnation);
         record.suspicion.get_or_insert(Suspicion::new(by, now));
-        self.arm_suspicion(now, index);
-        out.push(Action::Report(Change::Suspected { name, incarnation }));
-        // A few of all that hear of it try for themselves, however many there are.
+        self.schedule_suspicion_end(now, index);
+        actions.push(Action::Report(Change::Suspected { name, incarnation }));
+        // A few of all nodes that learn of it probe the member themselves, however large the fleet.
         let indirect_probers = self.parameters.indirect_probers as f64;
-        if by != self.mark && self.chance.f64() * members as f64 <= indirect_probers {
-            self.probe(now, index, out);
+        if by != self.suspicion_mark && self.rng.f64() * members as f64 <= indirect_probers {
+            self.probe(now, index, actions);
         }
     }
 
@@ -152,35 +166,35 @@
             return false;
         };
         suspicion.confirm(by);
-        self.arm_suspicion(now, index);
-        // Passed on, as it is a word of its own.
+        self.schedule_suspicion_end(now, index);
+        // Sent on, as it is independent of the first one.
         update.state = MemberState::Suspected { by };
         self.table.set(index, update, now);
         self.queue_update(now, index);
         true
     }
 
-    /// Sets the end of a suspicion, and two final probes before it: an update that cleared it may have missed
-    /// this node, as dissemination reaches all but one in some thousands.
-    pub(crate) fn arm_suspicion(&mut self, now: TenthMillis, index: MemberIndex) {
+    /// Schedules the end of a suspicion, and two final probes before it: an update that cleared it may not
+    /// have reached this node, as dissemination is not certain.
+    pub(crate) fn schedule_suspicion_end(&mut self, now: TenthMillis, index: MemberIndex) {
         let (members, resumed_at) = (self.view.members.len(), self.resumed_at);
         let Some(suspicion) = self.table.get(index).and_then(|record| record.suspicion) else {
             return;
         };
-        let ends = suspicion
-            .ends(&self.parameters, members, resumed_at)
+        let ends_at = suspicion
+            .ends_at(&self.parameters, members, resumed_at)
             .max(now);
-        self.arm(ends, Timer::Suspicion(index, suspicion.since));
+        self.set_timer(ends_at, Timer::Suspicion(index, suspicion.since));
         let first = self.parameters.final_probes();
         for before in [first, first / 2] {
-            self.arm(
-                ends.saturating_sub(before).max(now),
+            self.set_timer(
+                ends_at.saturating_sub(before).max(now),
                 Timer::FinalProbe(index, suspicion.since),
             );
         }
     }
 
-    /// Changes the view, and takes note of when it changed.
+    /// Changes the view, and records when it changed.
     pub(crate) fn change_view(&mut self, now: TenthMillis, change: impl FnOnce(&mut View)) {
         let before = self.view.number;
         change(&mut self.view);
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -1,15 +1,13 @@
-//! The state of one node's membership, its interface, and how datagrams are sent.
+//! The state of one node's membership, and its interface.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-use std::net::SocketAddr;
 
 use crate::gossip::Gossip;
 use crate::probes::Probes;
 use crate::table::{MemberIndex, Table};
 use crate::{
-    Action, Change, Datagram, Event, Head, Incarnation, MemberState, MemberUpdate, Message, Name,
-    Parameters, UPDATE_BYTES, View,
+    Action, Change, Event, Incarnation, MemberState, MemberUpdate, Name, Parameters, View,
 };
 use doortrack_time::TenthMillis;
 
@@ -29,7 +27,7 @@
     Superseded,
 }
 
-/// What is to be done at a time. A timer is never cancelled: what it was set for may be over when it fires.
+/// What is due at a time. A timer is never cancelled: what it was set for may be over when it fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// The next period begins: probe the next member.
@@ -56,8 +54,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Fetch {
     pub from: Name,
-    /// When the fetch is given up, in tenths of a ms.
-    pub till: TenthMillis,
+    /// When the fetch is given up, in tenths of a millisecond.
+    pub until: TenthMillis,
 }
 
 /// One node's membership. The crate's documentation says how to drive it.
@@ -65,7 +63,7 @@
     /// What this node announces about itself.
     pub(crate) me: MemberUpdate,
     /// Distinguishes this node among those that suspect a member.
-    pub(crate) mark: u32,
+    pub(crate) suspicion_mark: u32,
     pub(crate) stage: Stage,
     pub(crate) parameters: Parameters,
     pub(crate) table: Table,
@@ -74,17 +72,18 @@
     pub(crate) view_since: TenthMillis,
     pub(crate) gossip: Gossip,
     pub(crate) probes: Probes,
-    pub(crate) chance: fastrand::Rng,
+    pub(crate) rng: fastrand::Rng,
     timers: BinaryHeap<Reverse<(TenthMillis, Timer)>>,
     /// The number of the last datagram sent.
-    pub(crate) nth: u64,
+    pub(crate) sequence: u64,
     /// Rounds left in which this node announces a change of itself.
     pub(crate) retransmissions: u32,
     /// Whether [`Timer::PendingUpdates`] is set.
-    pub(crate) updates_armed: bool,
-    /// Whether anybody answered since the last period began, and for how many periods nobody has.
+    pub(crate) updates_scheduled: bool,
+    /// Whether anybody answered since the last period began.
     pub(crate) answered: bool,
-    pub(crate) silent: u32,
+    /// Periods without any answer since the last one.
+    pub(crate) silent_periods: u32,
     pub(crate) isolated: bool,
     /// The process resumed after a pause and has had no answer since.
     pub(crate) resumed: bool,
@@ -112,10 +111,10 @@
         };
         let mut view = View::default();
         view.put(&me.name, me.member());
-        let mut chance = fastrand::Rng::with_seed(seed ^ me.incarnation.0);
+        let mut rng = fastrand::Rng::with_seed(seed ^ me.incarnation.0);
         let alone = parameters.seeds.iter().all(|seed| *seed == me.address);
         let mut fleet = Fleet {
-            mark: chance.u32(1..),
+            suspicion_mark: rng.u32(1..),
             stage: if alone { Stage::Member } else { Stage::Joining },
             me,
             parameters,
@@ -124,13 +123,13 @@
             view_since: now,
             gossip: Gossip::default(),
             probes: Probes::default(),
-            chance,
+            rng,
             timers: BinaryHeap::new(),
-            nth: 0,
+            sequence: 0,
             retransmissions: 0,
-            updates_armed: false,
+            updates_scheduled: false,
             answered: false,
-            silent: 0,
+            silent_periods: 0,
             isolated: false,
             resumed: false,
             resumed_at: 0,
@@ -140,13 +139,17 @@
             duplicate: Incarnation(0),
             refused: 0,
         };
-        // Nodes that start at one instant must not probe at one instant ever after.
-        let offset = fleet.chance.u64(0..fleet.parameters.period);
-        fleet.arm(now + offset, Timer::Period);
-        fleet.arm(now, Timer::JoinRequest);
+        fleet.set_first_timers(now);
         fleet
     }
 
+    fn set_first_timers(&mut self, now: TenthMillis) {
+        // Nodes that start at the same instant must not probe at the same instants ever after.
+        let offset = self.rng.u64(0..self.parameters.period);
+        self.set_timer(now + offset, Timer::Period);
+        self.set_timer(now, Timer::JoinRequest);
+    }
+
     /// When [`Event::Tick`] is due at the latest; [`TenthMillis::MAX`] for never.
     pub fn next_due(&self) -> TenthMillis {
         if self.stage == Stage::Superseded {
@@ -157,22 +160,22 @@
             .map_or(TenthMillis::MAX, |Reverse((at, _))| *at)
     }
 
-    /// Handles one event at the time `now`, which must not go back. Actions are added to `out`, in order.
-    pub fn handle(&mut self, now: TenthMillis, event: Event, out: &mut Vec<Action>) {
+    /// Handles one event at the time `now`, which must not go back. Actions are added to `actions`, in order.
+    pub fn handle(&mut self, now: TenthMillis, event: Event, actions: &mut Vec<Action>) {
         if self.stage == Stage::Superseded {
             return;
         }
         let late = now.saturating_sub(self.next_due());
         if late > self.parameters.max_lateness && !self.resumed {
-            // Answers may lie unread, or were lost while nobody read: what was begun says nothing.
+            // Answers may be unread, or were lost while nobody read: pending probes prove nothing.
             self.resumed = true;
             self.probes.drop_all();
-            out.push(Action::Report(Change::Resumed { late }));
+            actions.push(Action::Report(Change::Resumed { late }));
         }
         match event {
-            Event::Tick => self.on_tick(now, out),
-            Event::Received { from, datagram } => self.on_datagram(now, from, datagram, out),
-            Event::Leave => self.on_leave(now, out),
+            Event::Tick => self.on_tick(now, actions),
+            Event::Received { from, datagram } => self.on_datagram(now, from, datagram, actions),
+            Event::Leave => self.on_leave(now, actions),
             Event::Changed { parameters } => {
                 self.parameters = *parameters;
             }
@@ -194,21 +197,21 @@
         self.isolated
     }
 
-    /// Whether a later process of the same name has taken this node's part.
+    /// Whether a later process of the same name has replaced this one.
     pub fn is_superseded(&self) -> bool {
         self.stage == Stage::Superseded
     }
 
-    /// Whether missing answers are this node's own fault as far as it knows.
+    /// Whether missing answers may be due to this node itself.
     pub(crate) fn suspects_nobody(&self) -> bool {
         self.isolated || self.resumed
     }
 
-    pub(crate) fn arm(&mut self, at: TenthMillis, timer: Timer) {
+    pub(crate) fn set_timer(&mut self, at: TenthMillis, timer: Timer) {
         self.timers.push(Reverse((at, timer)));
     }
 
-    pub(crate) fn due(&mut self, now: TenthMillis) -> Option<Timer> {
+    pub(crate) fn next_expired(&mut self, now: TenthMillis) -> Option<Timer> {
         let Reverse((at, timer)) = self.timers.peek().copied()?;
         if at > now {
             return None;
@@ -217,80 +220,13 @@
         Some(timer)
     }
 
-    /// Sees to it that pending updates are sent soon.
-    pub(crate) fn arm_updates(&mut self, now: TenthMillis) {
-        if !self.updates_armed {
-            self.updates_armed = true;
-            // A little chance keeps those that heard the same thing from passing it on in one instant.
-            let wait = self.chance.u64(0..self.parameters.gossip_interval.max(1));
-            self.arm(now + wait, Timer::PendingUpdates);
-        }
-    }
-
-    // --- Sending ---
-
-    fn head(&mut self, to: Incarnation) -> Head {
-        self.nth += 1;
-        Head {
-            sender: self.me.clone(),
-            to,
-            nth: self.nth,
-            digest: self.view.digest,
-            view: self.view.number,
-        }
-    }
-
-    /// Sends to a member, with pending updates; if it is not known as alive, that comes first, so that it can
-    /// refute it.
-    pub(crate) fn send(&mut self, index: MemberIndex, message: Message, out: &mut Vec<Action>) {
-        let Some(record) = self.table.get(index) else {
-            return;
-        };
-        let (to, incarnation) = (record.update.address, record.update.incarnation);
-        let mut indices = Vec::new();
-        let mut updates = Vec::new();
-        let mut room = UPDATE_BYTES;
-        if record.update.state != MemberState::Alive {
-            room = room.saturating_sub(record.update.max_bytes());
-            updates.push(record.update.clone());
+    /// Schedules a round of pending updates, if none is scheduled.
+    pub(crate) fn schedule_updates(&mut self, now: TenthMillis) {
+        if !self.updates_scheduled {
+            self.updates_scheduled = true;
+            // Jitter keeps nodes that received the same update from sending it on at the same instant.
+            let wait = self.rng.u64(0..self.parameters.gossip_interval.max(1));
+            self.set_timer(now + wait, Timer::PendingUpdates);
         }
-        let (table, members) = (&self.table, self.view.members.len());
-        let bytes = |index: MemberIndex, revision: u32| {
-            let record = table
-                .get(index)
-                .filter(|record| record.revision == revision)?;
-            Some(record.update.max_bytes())
-        };
-        self.gossip
-            .next_updates((room, updates.len()), members, bytes, &mut indices);
-        updates.extend(
-            indices
-                .iter()
-                .filter_map(|index| self.table.get(*index))
-                .map(|record| record.update.clone()),
-        );
-        let datagram = Box::new(Datagram {
-            head: self.head(incarnation),
-            message,
-            updates,
-        });
-        out.push(Action::Send { to, datagram });
-    }
-
-    /// Sends to a node that is not in the table, or in it under another incarnation.
-    pub(crate) fn send_to(
-        &mut self,
-        to: SocketAddr,
-        incarnation: Incarnation,
-        message: Message,
-        updates: Vec<MemberUpdate>,
-        out: &mut Vec<Action>,
-    ) {
-        let datagram = Box::new(Datagram {
-            head: self.head(incarnation),
-            message,
-            updates,
-        });
-        out.push(Action::Send { to, datagram });
     }
 }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -5,20 +5,13 @@
 use crate::MAX_UPDATES;
 use crate::table::MemberIndex;
 
-/// Members whose latest update is still to be sent, by how often it was sent. A member has at most one entry
-/// of its current revision; entries of earlier ones are dropped when they come up.
-#[derive(Default)]
-pub struct Gossip {
-    by_transmissions: Vec<VecDeque<(MemberIndex, u32)>>,
-    queued: usize,
-}
-
 /// Entries that wait at once: several times the members of a table, as outdated ones are dropped only when
 /// they come up.
 const MAX_QUEUED: usize = 20_000;
-/// Updates of one datagram while no more than [`BACKLOG`] wait. A few at a time reach a member by more
-/// datagrams, so that less hangs on each that is lost; but hundreds would take seconds to go round.
+/// Updates of one datagram while no more than [`BACKLOG`] wait, so that less depends on each datagram that
+/// is lost.
 const FEW_UPDATES: usize = 10;
+/// Waiting updates above which datagrams are filled, as hundreds would take seconds otherwise.
 const BACKLOG: usize = 100;
 /// Upper bound of [`transmissions`], however large the fleet.
 const MAX_TRANSMISSIONS: usize = 20;
@@ -30,6 +23,25 @@
     (digits + 2).min(MAX_TRANSMISSIONS)
 }
 
+/// A member, and the revision of its update that is to be sent.
+type QueueEntry = (MemberIndex, u32);
+
+/// What a datagram holds of updates already.
+pub struct DatagramFill {
+    /// Bytes that updates may still take.
+    pub free_bytes: usize,
+    /// Updates in it.
+    pub updates: usize,
+}
+
+/// Members whose latest update is still to be sent, by how often it was sent. A member has at most one entry
+/// of its current revision; entries of earlier ones are dropped when they come up.
+#[derive(Default)]
+pub struct Gossip {
+    by_transmissions: Vec<VecDeque<QueueEntry>>,
+    queued: usize,
+}
+
 impl Gossip {
     /// Queues the latest update of a member, which has this revision.
     pub fn add(&mut self, index: MemberIndex, revision: u32) {
@@ -38,13 +50,13 @@
                 .resize_with(MAX_TRANSMISSIONS, VecDeque::new);
         }
         if self.queued >= MAX_QUEUED {
-            // What was sent most often is missed least.
-            let often = self
+            // Dropping what was sent most often costs least.
+            let most_sent = self
                 .by_transmissions
                 .iter_mut()
                 .rev()
                 .find(|queue| !queue.is_empty());
-            self.queued -= usize::from(often.is_some_and(|queue| queue.pop_front().is_some()));
+            self.queued -= usize::from(most_sent.is_some_and(|queue| queue.pop_front().is_some()));
         }
         self.by_transmissions[0].push_back((index, revision));
         self.queued += 1;
@@ -55,40 +67,44 @@
         self.queued == 0
     }
 
-    /// Chooses updates for one datagram until they fill `room` bytes, few of them unless many wait, and adds
-    /// their members to `into`. `already` are in the datagram by another way; `members` is the size of the
-    /// fleet; `bytes` tells how long an entry's update is, and nothing if the entry is outdated.
+    /// Chooses updates for one datagram until it is full, few of them unless many wait, and returns their
+    /// members. `members` is the size of the fleet; `size` is the size in bytes of an entry's update, and none
+    /// if the entry is outdated.
     pub fn next_updates(
         &mut self,
-        (mut room, already): (usize, usize),
+        mut fill: DatagramFill,
         members: usize,
-        bytes: impl Fn(MemberIndex, u32) -> Option<usize>,
-        into: &mut Vec<MemberIndex>,
-    ) {
-        let max = transmissions(members);
+        size: impl Fn(MemberIndex, u32) -> Option<usize>,
+    ) -> Vec<MemberIndex> {
         let max_updates = if self.queued > BACKLOG {
             MAX_UPDATES
         } else {
             FEW_UPDATES
         };
-        let mut taken: Vec<(usize, (MemberIndex, u32))> = Vec::new();
+        let mut taken: Vec<(usize, QueueEntry)> = Vec::new();
         'full: for (sent, queue) in self.by_transmissions.iter_mut().enumerate() {
-            while let Some(entry) = queue.pop_front() {
+            while let Some((index, revision)) = queue.pop_front() {
                 self.queued -= 1;
-                let Some(bytes) = bytes(entry.0, entry.1) else {
+                let Some(size) = size(index, revision) else {
                     continue;
                 };
-                taken.push((sent + 1, entry));
-                room = room.saturating_sub(bytes);
-                if room == 0 || taken.len() + already >= max_updates {
+                taken.push((sent + 1, (index, revision)));
+                fill.free_bytes = fill.free_bytes.saturating_sub(size);
+                fill.updates += 1;
+                if fill.free_bytes == 0 || fill.updates >= max_updates {
                     break 'full;
                 }
             }
         }
-        for (sent, entry) in taken {
-            into.push(entry.0);
-            if sent < max {
-                self.by_transmissions[sent].push_back(entry);
+        self.requeue(&taken, transmissions(members));
+        taken.iter().map(|(_, (index, _))| *index).collect()
+    }
+
+    /// Queues entries again that were sent less often than `max_transmissions`.
+    fn requeue(&mut self, sent_entries: &[(usize, QueueEntry)], max_transmissions: usize) {
+        for (sent, entry) in sent_entries {
+            if *sent < max_transmissions {
+                self.by_transmissions[*sent].push_back(*entry);
                 self.queued += 1;
             }
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
 //! Membership: decides which nodes of a fleet are present.
 //!
 //! Every node holds a [`Fleet`]. It is driven by [`Event`]s with the time of each, and returns [`Action`]s to
-//! carry out. There are neither sockets nor a clock here, and the same events with the same seed give the
-//! same actions, so that the node, the emulator and the tests drive the same code.
+//! execute. There are neither sockets nor a clock here, and the same events with the same seed give the
+//! same actions, so that the node, the simulation and the tests drive the same code.
 //!
 //! ```text
 //! let mut fleet = Fleet::new(me, parameters, seed, now);
@@ -36,7 +36,11 @@
 //! Bounds: members ([`Parameters::max_members`]), probes under way, updates in a datagram, datagrams in a
 //! period. The cost of an event grows at most with the logarithm of the members.
 
+#![warn(missing_docs)]
+
+mod answers;
 mod applying;
+mod evidence;
 mod fleet;
 mod gossip;
 mod joining;
@@ -45,16 +49,19 @@
 mod probes;
 mod receiving;
 mod report;
+mod sending;
 mod suspicion;
 mod table;
 mod timers;
 mod update;
 mod view;
+mod view_sync;
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use doortrack_time::TenthMillis;
 use serde::{Deserialize, Serialize};
 
 pub use fleet::Fleet;
@@ -75,7 +82,10 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Incarnation(pub u64);
+pub struct Incarnation(
+    /// Its number.
+    pub u64,
+);
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -86,8 +96,8 @@
 impl Incarnation {
     /// The incarnation of a process started at this Unix time in ms. Its low 16 bits are random, so that two
     /// processes started in the same ms differ.
-    pub fn started(unix_ms: u64, chance: u64) -> Incarnation {
-        Incarnation((unix_ms << 16) | (chance & 0xffff))
+    pub fn started(unix_ms: u64, random: u64) -> Incarnation {
+        Incarnation((unix_ms << 16) | (random & 0xffff))
     }
 }
 
@@ -98,91 +108,128 @@
     Tick,
     /// A datagram arrived that is intact and belongs to this fleet.
     Received {
+        /// The address that it came from.
         from: SocketAddr,
+        /// The datagram.
         datagram: Datagram,
     },
-    /// The node was told to leave.
+    /// The node was asked to leave.
     Leave,
     /// The parameters and seeds were changed.
-    Changed { parameters: Box<Parameters> },
+    Changed {
+        /// The new ones.
+        parameters: Box<Parameters>,
+    },
 }
 
-/// An output of [`Fleet::handle`], to be carried out in order.
+/// An output of [`Fleet::handle`], to be executed in order.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a datagram to this address; it may get lost.
     Send {
+        /// Where it goes (UDP).
         to: SocketAddr,
+        /// The datagram.
         datagram: Box<Datagram>,
     },
-    /// Tell the log, and those whose decisions rest on the view.
+    /// Notify the log, and those whose decisions rest on the view.
     Report(Change),
 }
 
-/// A change of membership. `name` and `incarnation` are those of the member.
+/// A change of membership. Times are in tenths of a millisecond.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member entered the view; `back` if it was dead before.
+    /// A member entered the view.
     Alive {
+        /// The member.
         name: Name,
+        /// Its incarnation.
         incarnation: Incarnation,
+        /// Whether it was dead before.
         back: bool,
     },
     /// A probe of a member failed, here or elsewhere.
     Suspected {
+        /// The member.
         name: Name,
+        /// Its incarnation.
         incarnation: Incarnation,
     },
     /// A suspected member refuted the suspicion.
     Cleared {
+        /// The member.
         name: Name,
+        /// Its incarnation.
         incarnation: Incarnation,
     },
     /// A member was declared dead and left the view.
     Dead {
+        /// The member.
         name: Name,
+        /// Its incarnation.
         incarnation: Incarnation,
     },
     /// A member announced that it leaves, and left the view.
     Left {
+        /// The member.
         name: Name,
+        /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// A member came back too often; it enters the view again after `wait`, in tenths of a ms.
+    /// A member came back too often.
     HeldBack {
+        /// The member.
         name: Name,
+        /// Its incarnation.
         incarnation: Incarnation,
-        wait: u64,
+        /// How long it is kept out of the view.
+        wait: TenthMillis,
     },
-    /// A member answers, but late: `after` is its smoothed response time in tenths of a ms.
+    /// A member answers, but late.
     Slow {
+        /// The member.
         name: Name,
+        /// Its incarnation.
         incarnation: Incarnation,
-        after: u64,
+        /// Its smoothed response time.
+        after: TenthMillis,
     },
     /// Nobody answers this node (`true`), or somebody does again.
     Isolated(bool),
-    /// This process was paused and resumed `late`, in tenths of a ms, by its own clock.
-    Resumed { late: u64 },
+    /// This process was paused and has resumed.
+    Resumed {
+        /// How late it runs by its own clock.
+        late: TenthMillis,
+    },
     /// This node continues under another incarnation, as a later one of its name was known.
-    NewIncarnation { incarnation: Incarnation },
-    /// Another process of this node's name joined later: this one takes part no longer.
+    NewIncarnation {
+        /// The new incarnation.
+        incarnation: Incarnation,
+    },
+    /// Another process of this node's name joined later: this one no longer takes part.
     Superseded {
+        /// The incarnation of the other process.
         by: Incarnation,
+        /// Its address.
         address: SocketAddr,
     },
-    /// Another process of this node's name joined earlier; it is told to stop taking part.
+    /// Another process of this node's name joined earlier; it is notified that it is superseded.
     DuplicateName {
+        /// The incarnation of the other process.
         incarnation: Incarnation,
+        /// Its address.
         address: SocketAddr,
     },
     /// The table is full: a new member was left out.
-    NoRoom { name: Name },
+    TableFull {
+        /// The member.
+        name: Name,
+    },
 }
 
 impl Change {
-    /// Its word in logs and histories.
-    pub fn word(&self) -> &'static str {
+    /// Its name in logs and histories.
+    pub fn name(&self) -> &'static str {
         match self {
             Change::Alive { back: false, .. } => "alive",
             Change::Alive { back: true, .. } => "back",
@@ -198,12 +245,12 @@
             Change::NewIncarnation { .. } => "new_incarnation",
             Change::Superseded { .. } => "superseded",
             Change::DuplicateName { .. } => "duplicate_name",
-            Change::NoRoom { .. } => "no_room",
+            Change::TableFull { .. } => "no_room",
         }
     }
 
     /// The member that it is about, unless that is this node.
-    pub fn about(&self) -> Option<(&Name, Incarnation)> {
+    pub fn member(&self) -> Option<(&Name, Incarnation)> {
         match self {
             Change::Alive {
                 name, incarnation, ..
@@ -224,6 +271,6 @@
 }
 
 /// Whether this can be a node's name: 1 to 64 bytes without control characters.
-pub fn is_name(word: &str) -> bool {
-    (1..=MAX_NAME_LEN).contains(&word.len()) && !word.chars().any(char::is_control)
+pub fn is_name(name: &str) -> bool {
+    (1..=MAX_NAME_LEN).contains(&name.len()) && !name.chars().any(char::is_control)
 }
--- a/crates/membership/src/parameters.rs
+++ b/crates/membership/src/parameters.rs
@@ -3,7 +3,7 @@
 use doortrack_time::{MILLISECOND, TenthMillis};
 use std::net::SocketAddr;
 
-/// Timing and bounds. All times are in tenths of a ms. The reader of the operators' file checks their ranges;
+/// Timing and bounds. All times are in tenths of a millisecond. The reader of the operators' file checks their ranges;
 /// nothing here does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameters {
@@ -15,19 +15,22 @@
     pub answer_within: TenthMillis,
     /// Members that are asked to probe in this node's place when there is no direct answer.
     pub indirect_probers: usize,
-    /// How long a suspicion lasts before the member is declared dead: confirmed by others, and unconfirmed.
+    /// How long a suspicion that others confirmed lasts before the member is declared dead.
     pub suspicion_min: TenthMillis,
+    /// The same for a suspicion that nobody confirmed.
     pub suspicion_max: TenthMillis,
-    /// The interval at which pending updates are sent, and the members that each round of them goes to.
+    /// The interval at which pending updates are sent.
     pub gossip_interval: TenthMillis,
+    /// Members that each round of updates goes to.
     pub gossip_fanout: usize,
     /// A process that runs later than it asked for by more than this counts as having been paused.
     pub max_lateness: TenthMillis,
     /// Periods without any answer after which this node considers itself isolated.
     pub silent_periods: u32,
     /// How long a member that came back for the second time is kept out of the view; doubled with each
-    /// further return, up to the maximum.
+    /// further return.
     pub hold_first: TenthMillis,
+    /// The longest time that a member is kept out of the view.
     pub hold_max: TenthMillis,
     /// Dead and left members are forgotten after this.
     pub forget_after: TenthMillis,
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -6,11 +6,11 @@
 use crate::{Incarnation, Name};
 use doortrack_time::TenthMillis;
 
-/// Probes under way at once: one each period, and those that a suspicion heard of gives cause for.
-const MAX_UNDER_WAY: usize = 16;
-/// Failed probes that are remembered, as a late answer tells how slow the member is.
+/// Probes under way at once: one each period, and those that confirm suspicions of others.
+const MAX_PENDING: usize = 16;
+/// Failed probes that are remembered, as a late answer shows how slow the member is.
 const MAX_LATE: usize = 32;
-/// Probes made for other nodes that are remembered; the oldest makes room.
+/// Probes made for other nodes that are remembered; the oldest is dropped first.
 const MAX_INDIRECT: usize = 64;
 
 /// A probe of one member.
@@ -18,11 +18,12 @@
 pub struct Probe {
     /// Comes back with the answer.
     pub nonce: u32,
-    /// The member that is probed, and its incarnation at that time.
+    /// The member that is probed.
     pub index: MemberIndex,
+    /// Its incarnation at that time.
     pub incarnation: Incarnation,
-    /// When it was sent, in tenths of a ms.
-    pub began: TenthMillis,
+    /// When it was sent, in tenths of a millisecond.
+    pub sent_at: TenthMillis,
 }
 
 /// A probe that another node asked for.
@@ -30,21 +31,22 @@
 pub struct IndirectProbe {
     /// Of this node's ping.
     pub nonce: u32,
-    /// Who is to have the answer, under which nonce.
+    /// The node that asked.
     pub asker: Name,
+    /// The nonce of its request.
     pub asker_nonce: u32,
 }
 
 /// All probes of one node; every list is bounded.
 #[derive(Default)]
 pub struct Probes {
-    under_way: Vec<Probe>,
+    pending: Vec<Probe>,
     late: VecDeque<Probe>,
     indirect: VecDeque<IndirectProbe>,
 }
 
 /// Which probe an answer belongs to.
-pub enum Answered {
+pub enum AnsweredProbe {
     /// One under way.
     InTime(Probe),
     /// One that had failed.
@@ -56,23 +58,23 @@
 }
 
 impl Probes {
-    /// Takes note of a probe; `false` where [`MAX_UNDER_WAY`] are under way, and it is not to be sent.
+    /// Records a probe; `false` if [`MAX_PENDING`] are under way already and it must not be sent.
     pub fn begin(&mut self, probe: Probe) -> bool {
-        let room = self.under_way.len() < MAX_UNDER_WAY;
-        if room {
-            self.under_way.push(probe);
+        let accepted = self.pending.len() < MAX_PENDING;
+        if accepted {
+            self.pending.push(probe);
         }
-        room
+        accepted
     }
 
     /// Whether a probe of this member is under way.
-    pub fn is_under_way(&self, index: MemberIndex) -> bool {
-        self.under_way.iter().any(|probe| probe.index == index)
+    pub fn is_pending(&self, index: MemberIndex) -> bool {
+        self.pending.iter().any(|probe| probe.index == index)
     }
 
     /// The probe under way with this nonce.
     pub fn get(&self, nonce: u32) -> Option<Probe> {
-        self.under_way
+        self.pending
             .iter()
             .find(|probe| probe.nonce == nonce)
             .copied()
@@ -80,11 +82,8 @@
 
     /// Moves a probe that was not answered in time to the failed ones.
     pub fn fail(&mut self, nonce: u32) -> Option<Probe> {
-        let index = self
-            .under_way
-            .iter()
-            .position(|probe| probe.nonce == nonce)?;
-        let probe = self.under_way.swap_remove(index);
+        let index = self.pending.iter().position(|probe| probe.nonce == nonce)?;
+        let probe = self.pending.swap_remove(index);
         if self.late.len() >= MAX_LATE {
             self.late.pop_front();
         }
@@ -93,23 +92,23 @@
     }
 
     /// Takes out the probe that an answer belongs to.
-    pub fn answered(&mut self, nonce: u32) -> Answered {
-        if let Some(index) = self.under_way.iter().position(|probe| probe.nonce == nonce) {
-            return Answered::InTime(self.under_way.swap_remove(index));
+    pub fn answered(&mut self, nonce: u32) -> AnsweredProbe {
+        if let Some(index) = self.pending.iter().position(|probe| probe.nonce == nonce) {
+            return AnsweredProbe::InTime(self.pending.swap_remove(index));
         }
         if let Some(index) = self.late.iter().position(|probe| probe.nonce == nonce) {
             return self
                 .late
                 .remove(index)
-                .map_or(Answered::Nothing, Answered::Late);
+                .map_or(AnsweredProbe::Nothing, AnsweredProbe::Late);
         }
         let index = self.indirect.iter().position(|probe| probe.nonce == nonce);
         index
             .and_then(|index| self.indirect.remove(index))
-            .map_or(Answered::Nothing, Answered::IndirectProbe)
+            .map_or(AnsweredProbe::Nothing, AnsweredProbe::IndirectProbe)
     }
 
-    /// Takes note of a probe made for another node.
+    /// Records a probe made for another node.
     pub fn begin_indirect(&mut self, probe: IndirectProbe) {
         if self.indirect.len() >= MAX_INDIRECT {
             self.indirect.pop_front();
@@ -117,8 +116,8 @@
         self.indirect.push_back(probe);
     }
 
-    /// Forgets the probes under way: after a pause of the process they tell nothing.
+    /// Forgets the probes under way: after a pause of the process they prove nothing.
     pub fn drop_all(&mut self) {
-        self.under_way.clear();
+        self.pending.clear();
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -7,7 +7,7 @@
 use crate::{MemberState, MemberUpdate, Name};
 use doortrack_time::TenthMillis;
 
-/// Index of a member in the table; used again once that member was forgotten.
+/// Index of a member in the table; reused once that member was forgotten.
 pub type MemberIndex = usize;
 
 /// Datagrams back from the latest within which a replayed one is recognized.
@@ -23,47 +23,53 @@
 }
 
 impl Received {
-    /// Takes note of a datagram's number; `false` if it came before, or is too old to tell.
-    pub fn is_first(&mut self, nth: u64) -> bool {
-        if nth > self.last {
-            let by = nth - self.last;
-            self.bits = if by < WINDOW { self.bits << by } else { 0 } | 1;
-            self.last = nth;
+    /// Records a datagram's number; `false` if it was received before, or is too old to know.
+    pub fn insert(&mut self, sequence: u64) -> bool {
+        if sequence > self.last {
+            let advance = sequence - self.last;
+            let kept_bits = if advance < WINDOW {
+                self.bits << advance
+            } else {
+                0
+            };
+            self.bits = kept_bits | 1;
+            self.last = sequence;
             return true;
         }
-        let back = self.last - nth;
-        if back >= WINDOW || self.bits & (1 << back) != 0 {
+        let age = self.last - sequence;
+        if age >= WINDOW || self.bits & (1 << age) != 0 {
             return false;
         }
-        self.bits |= 1 << back;
+        self.bits |= 1 << age;
         true
     }
 }
 
-/// All that is kept of one member.
+/// What this node knows of one member.
 #[derive(Clone, Debug)]
 pub struct MemberRecord {
     /// The update that takes precedence among all received.
     pub update: MemberUpdate,
     /// Grows with each change of the update, so that queued copies of earlier ones are recognized.
     pub revision: u32,
-    /// When the state last changed, in tenths of a ms.
+    /// When the state last changed, in tenths of a millisecond.
     pub since: TenthMillis,
     /// Its datagrams of this incarnation.
     pub received: Received,
-    /// Smoothed response time in tenths of a ms; 0 before the first answer.
+    /// Smoothed response time in tenths of a millisecond; 0 before the first answer.
     pub response_time: TenthMillis,
     /// Whether it was reported as slow.
     pub slow: bool,
     /// The suspicion under way, if its state is [`MemberState::Suspected`].
     pub suspicion: Option<Suspicion>,
-    /// Times that it came back from being dead, and when it last did.
+    /// Times that it came back from being dead.
     pub returns: u32,
+    /// When it last came back.
     pub returned_at: TenthMillis,
     /// Kept out of the view until then, as it came back too often.
     pub held_until: Option<TenthMillis>,
     /// Its position in the list of present members, or of dead ones.
-    pub listed: usize,
+    pub list_index: usize,
 }
 
 impl MemberRecord {
@@ -79,7 +85,7 @@
             returns: 0,
             returned_at: 0,
             held_until: None,
-            listed: 0,
+            list_index: 0,
         }
     }
 }
@@ -188,79 +194,78 @@
             return;
         };
         list.push(index);
-        let listed = list.len() - 1;
+        let list_index = list.len() - 1;
         if let Some(record) = self.get_mut(index) {
-            record.listed = listed;
+            record.list_index = list_index;
         }
     }
 
     fn unlist(&mut self, index: MemberIndex, state: MemberState) {
-        let Some(listed) = self.get(index).map(|record| record.listed) else {
+        let Some(list_index) = self.get(index).map(|record| record.list_index) else {
             return;
         };
-        if state.is_present() && listed < self.probed {
-            // The last of those that had their turn takes its place, so that the rest keep theirs.
+        if state.is_present() && list_index < self.probed {
+            // Replaced by the last one probed in this round, so that the others keep their positions.
             self.probed -= 1;
-            self.swap(listed, self.probed);
+            self.swap(list_index, self.probed);
             return self.unlist_at(self.probed, state);
         }
-        self.unlist_at(listed, state);
+        self.unlist_at(list_index, state);
     }
 
-    fn unlist_at(&mut self, listed: usize, state: MemberState) {
+    fn unlist_at(&mut self, list_index: usize, state: MemberState) {
         let Some(list) = self.list_of(state) else {
             return;
         };
-        if listed >= list.len() {
+        if list_index >= list.len() {
             return;
         }
-        list.swap_remove(listed);
-        let moved = list.get(listed).copied();
+        list.swap_remove(list_index);
+        let moved = list.get(list_index).copied();
         if let Some(record) = moved.and_then(|index| self.get_mut(index)) {
-            record.listed = listed;
+            record.list_index = list_index;
         }
     }
 
     fn swap(&mut self, left: usize, right: usize) {
         self.present.swap(left, right);
-        for listed in [left, right] {
-            let index = self.present[listed];
+        for list_index in [left, right] {
+            let index = self.present[list_index];
             if let Some(record) = self.get_mut(index) {
-                record.listed = listed;
+                record.list_index = list_index;
             }
         }
     }
 
     /// The next member to probe: each present member once a round, in an order drawn as the round goes.
-    pub fn next_probe(&mut self, chance: &mut fastrand::Rng) -> Option<MemberIndex> {
+    pub fn next_probe(&mut self, rng: &mut fastrand::Rng) -> Option<MemberIndex> {
         if self.present.is_empty() {
             return None;
         }
         if self.probed >= self.present.len() {
             self.probed = 0;
         }
-        let picked = chance.usize(self.probed..self.present.len());
+        let picked = rng.usize(self.probed..self.present.len());
         self.swap(picked, self.probed);
         self.probed += 1;
         self.present.get(self.probed - 1).copied()
     }
 
-    /// Up to `count` different present members drawn at random, none of them `but`.
-    pub fn some(
+    /// Up to `count` different present members drawn at random, none of them `excluded`.
+    pub fn random_present(
         &self,
         count: usize,
-        but: Option<MemberIndex>,
-        chance: &mut fastrand::Rng,
+        excluded: Option<MemberIndex>,
+        rng: &mut fastrand::Rng,
     ) -> Vec<MemberIndex> {
         let mut picked = Vec::with_capacity(count);
-        // Enough draws for a small fleet too; a draw that hits one again is not made good.
+        // Enough draws for a small fleet too; a member drawn twice is not replaced.
         for _ in 0..count * 3 {
-            let index = if self.present.is_empty() {
+            if self.present.is_empty() {
                 break;
-            } else {
-                self.present[chance.usize(..self.present.len())]
-            };
-            if Some(index) != but && !picked.contains(&index) {
+            }
+            let index = self.present[rng.usize(..self.present.len())];
+            if Some(index) != excluded && !picked.contains(&index) {
                 picked.push(index);
                 if picked.len() == count {
                     break;
@@ -271,11 +276,11 @@
     }
 
     /// A dead member drawn at random.
-    pub fn some_dead(&self, chance: &mut fastrand::Rng) -> Option<MemberIndex> {
+    pub fn random_dead(&self, rng: &mut fastrand::Rng) -> Option<MemberIndex> {
         if self.dead.is_empty() {
             None
         } else {
-            self.dead.get(chance.usize(..self.dead.len())).copied()
+            self.dead.get(rng.usize(..self.dead.len())).copied()
         }
     }
 }
--- a/crates/membership/src/update.rs
+++ b/crates/membership/src/update.rs
@@ -43,10 +43,12 @@
     }
 }
 
-/// The most that an update takes in a datagram beside its name: the name's length 1, incarnation 10, version
-/// 5, state 6, weight 3; and an address of either family with its tag and port.
+/// The most bytes that an update takes in a datagram beside name and address: the name's length 1,
+/// incarnation 10, version 5, state 6, weight 3.
 const OVERHEAD: usize = 25;
+/// The most bytes of an address with its tag and port.
 const IPV4_BYTES: usize = 1 + 4 + 3;
+/// As [`IPV4_BYTES`].
 const IPV6_BYTES: usize = 1 + 16 + 3;
 
 /// What one node announces about a member. The order of the fields is part of the wire format.
--- a/crates/membership/tests/random.rs
+++ b/crates/membership/tests/random.rs
@@ -1,4 +1,4 @@
-//! Whatever is heard, in whatever order: nothing panics, views stay what they say, what is kept is bounded.
+//! Any datagrams in any order: nothing panics, views stay consistent, and the state is bounded.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 
 const MAX_MEMBERS: usize = 12;
 
-fn address(of: u8) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, of + 1], 7_400))
+fn address(node: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, node + 1], 7_400))
 }
 
 fn state() -> impl Strategy<Value = MemberState> {
@@ -29,9 +29,9 @@
 prop_compose! {
     /// On one of 20 names, the node's own (n0) among them.
     fn update()(
-        of in 0u8..20, incarnation in 1u64..4, version in 0u32..3, state in state(), weight in 1u32..3,
+        node in 0u8..20, incarnation in 1u64..4, version in 0u32..3, state in state(), weight in 1u32..3,
     ) -> MemberUpdate {
-        let (name, address) = (format!("n{of}").into(), address(of));
+        let (name, address) = (format!("n{node}").into(), address(node));
         MemberUpdate { name, incarnation: Incarnation(incarnation), version, state, address, weight }
     }
 }
@@ -41,30 +41,30 @@
         Just(Message::Join),
         any::<u32>().prop_map(|nonce| Message::Ping { nonce }),
         any::<u32>().prop_map(|nonce| Message::Ack { nonce }),
-        (any::<u32>(), 0u8..20, 1u64..4).prop_map(|(nonce, of, incarnation)| {
+        (any::<u32>(), 0u8..20, 1u64..4).prop_map(|(nonce, node, incarnation)| {
             Message::PingRequest {
                 nonce,
-                name: format!("n{of}").into(),
+                name: format!("n{node}").into(),
                 incarnation: Incarnation(incarnation),
             }
         }),
         Just(Message::Updates),
-        proptest::option::of(0u8..20).prop_map(|of| Message::Ask {
-            after: of.map(|of| format!("n{of}").into())
+        proptest::option::of(0u8..20).prop_map(|node| Message::PageRequest {
+            after: node.map(|node| format!("n{node}").into())
         }),
-        proptest::option::of(0u8..20).prop_map(|of| Message::Page {
-            next: of.map(|of| format!("n{of}").into())
+        proptest::option::of(0u8..20).prop_map(|node| Message::Page {
+            next: node.map(|node| format!("n{node}").into())
         }),
     ]
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
-    Hear {
+    Advance(u64),
+    Receive {
         sender: MemberUpdate,
-        to_me: bool,
-        nth: u64,
+        to_this_incarnation: bool,
+        sequence: u64,
         message: Message,
         updates: Vec<MemberUpdate>,
     },
@@ -72,7 +72,7 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let hear = (
+    let receive = (
         update(),
         prop::bool::weighted(0.8),
         1u64..300,
@@ -80,9 +80,9 @@
         prop::collection::vec(update(), 0..6),
     );
     prop_oneof![
-        30 => (0u64..800).prop_map(Step::Pass),
-        60 => hear.prop_map(|(sender, to_me, nth, message, updates)| {
-            Step::Hear { sender, to_me, nth, message, updates }
+        30 => (0u64..800).prop_map(Step::Advance),
+        60 => receive.prop_map(|(sender, to_this_incarnation, sequence, message, updates)| {
+            Step::Receive { sender, to_this_incarnation, sequence, message, updates }
         }),
         1 => Just(Step::Leave),
     ]
@@ -95,7 +95,7 @@
         ..ProptestConfig::with_cases(300)
     })]
     #[test]
-    fn whatever_is_heard_views_stay_what_they_say(steps in prop::collection::vec(step(), 1..120), seed: u64) {
+    fn views_stay_consistent_for_any_datagrams(steps in prop::collection::vec(step(), 1..120), seed: u64) {
         let me = MemberUpdate {
             name: "n0".into(),
             incarnation: Incarnation(2),
@@ -107,30 +107,30 @@
         let seeds = vec![address(1)];
         let parameters = Parameters { seeds, max_members: MAX_MEMBERS, ..Parameters::default() };
         let mut fleet = Fleet::new(me, parameters, seed, 0);
-        let (mut now, mut out, mut number) = (0, Vec::new(), 0);
+        let (mut now, mut actions, mut number) = (0, Vec::new(), 0);
         let mut by_digest: BTreeMap<u64, Vec<(String, Incarnation, u32)>> = BTreeMap::new();
         let mut incarnation = Incarnation(2);
         for step in steps {
             match step {
-                Step::Pass(ms) => {
-                    let till = now + ms * MILLISECOND;
-                    while fleet.next_due() <= till {
+                Step::Advance(ms) => {
+                    let until = now + ms * MILLISECOND;
+                    while fleet.next_due() <= until {
                         now = now.max(fleet.next_due());
-                        fleet.handle(now, Event::Tick, &mut out);
-                        prop_assert!(fleet.next_due() > now, "a turn leaves nothing due");
+                        fleet.handle(now, Event::Tick, &mut actions);
+                        prop_assert!(fleet.next_due() > now, "a tick leaves nothing due");
                     }
-                    now = till;
+                    now = until;
                 }
-                Step::Hear { sender, to_me, nth, message, updates } => {
-                    let to = if to_me { fleet.me().incarnation } else { Incarnation(0) };
+                Step::Receive { sender, to_this_incarnation, sequence, message, updates } => {
+                    let to = if to_this_incarnation { fleet.me().incarnation } else { Incarnation(0) };
                     let from = sender.address;
-                    let head = Head { sender, to, nth, digest: 0, view: 0 };
+                    let head = Head { sender, to, sequence, digest: 0, view: 0 };
                     let datagram = Datagram { head, message, updates };
-                    fleet.handle(now, Event::Received { from, datagram }, &mut out);
+                    fleet.handle(now, Event::Received { from, datagram }, &mut actions);
                 }
-                Step::Leave => fleet.handle(now, Event::Leave, &mut out),
+                Step::Leave => fleet.handle(now, Event::Leave, &mut actions),
             }
-            for action in out.drain(..) {
+            for action in actions.drain(..) {
                 if let Action::Send { datagram, .. } = action {
                     let page = matches!(datagram.message, Message::Page { .. });
                     prop_assert!(page || datagram.updates.len() <= MAX_UPDATES);
--- a/crates/node/src/peers/link/logging.rs
+++ b/crates/node/src/peers/link/logging.rs
@@ -33,8 +33,8 @@
     pub(super) fn log(&self, change: &Change) {
         let view = self.fleet.view();
         let digest = format!("{:016x}", view.digest);
-        let word = change.word();
-        match change.about() {
+        let word = change.name();
+        match change.member() {
             Some((name, incarnation)) => {
                 info!(self.log, "member"; "what" => word, "of" => &**name, "incarnation" => %incarnation,
                     "view" => view.number, "members" => view.members.len(), "digest" => digest);
--- a/crates/node/tests/fleet/encoding.rs
+++ b/crates/node/tests/fleet/encoding.rs
@@ -33,7 +33,7 @@
     let head = Head {
         sender,
         to: INCARNATION,
-        nth: 5,
+        sequence: 5,
         digest: 0xfe,
         view: 6,
     };
@@ -140,7 +140,7 @@
         ),
         (Message::Updates, "04"),
         (
-            Message::Ask {
+            Message::PageRequest {
                 after: Some("b".into()),
             },
             "05010162",
--- a/crates/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/link.rs
@@ -58,7 +58,7 @@
     let head = Head {
         sender,
         to: Incarnation(0),
-        nth: 1,
+        sequence: 1,
         digest: 0,
         view: 0,
     };
@@ -151,7 +151,7 @@
     let head = Head {
         sender: update(0),
         to: Incarnation(u64::MAX),
-        nth: u64::MAX,
+        sequence: u64::MAX,
         digest: u64::MAX,
         view: u64::MAX,
     };
@@ -181,12 +181,12 @@
         let head = Head {
             sender,
             to: Incarnation(u64::MAX),
-            nth: 1,
+            sequence: 1,
             digest: 0,
             view: 0,
         };
         let message = if nth == 59 {
-            Message::Ask { after: None }
+            Message::PageRequest { after: None }
         } else {
             Message::Updates
         };
