--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -16,7 +16,7 @@
     Datagram, Event as FleetEvent, Fleet, Head, Incarnation, MAX_UPDATES, MemberState,
     MemberUpdate, Parameters,
 };
-use doortrack_node::network::connection::{Connection, Open};
+use doortrack_node::network::connection::{Connection, PendingRequest};
 use doortrack_node::network::request::RunOutput;
 use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
 use doortrack_node::state::results::Results;
@@ -146,7 +146,7 @@
     );
     within(
         "an open request without its parameters and body",
-        size_of::<Open>() as f64,
+        size_of::<PendingRequest>() as f64,
         200.0,
     );
 }
--- a/crates/node/src/network/bounds.rs
+++ b/crates/node/src/network/bounds.rs
@@ -1,63 +1,73 @@
-//! What keeps a bad client or peer off: the bounds of the wire's own protection, in this one place. None of
-//! them is a decision on work, and a sound dispatcher meets none of them.
+//! Resource bounds of the node's sockets, which protect it from misbehaving clients and peers.
+//!
+//! None of them takes part in an admission decision, and a well-behaved dispatcher reaches none of them.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 
-/// Requests that one connection may have open, by the protocol.
-pub const MOST_OPEN: usize = 32;
-/// Parameters of one request; with its body this is what a request may cost while it is read.
-pub const MOST_PARAMS: usize = 8192;
-pub const MOST_BODY: usize = 2048;
-/// Bytes read off one connection with no whole request in them: as many as all that it may have open can
-/// take, with their records. Past that come bodies of many MB, or records for nobody.
-pub const MOST_UNWHOLE: usize = MOST_OPEN * (MOST_PARAMS + MOST_BODY + 1024);
-/// A connection with so many answers unread is not read further until they are.
-pub const MOST_UNREAD: usize = 64 * 1024;
-/// What a buffer keeps once it is empty; so much unread is everyone's fair part of the room for answers.
-pub const FAIR_UNREAD: usize = 16 * 1024;
-/// How much is read off one connection before the others have their turn.
-pub const TURN: usize = 64 * 1024;
-/// Fronts at once, those that are drained after a new installation included.
-pub const MOST_FRONTS: usize = 24;
-/// Turns of reading that a connection has at the very end: all that it may have open, with room to spare.
-pub const LAST_TURNS: usize = 8;
-/// Connections accepted before those that are open have their turn.
-pub const ACCEPTS: usize = 64;
-/// Connections that never asked for anything, let go of at once where the table is full: so that looking them
-/// out costs each that comes little.
-pub const EVICTED: usize = 16;
-/// On a connection where something moved so lately a request may be under way, so it is not let go of for
-/// another: two callers that come at once would push each other out.
-pub const FRESH: TenthMillis = 25 * MILLISECOND;
-/// One place in this many is kept free ahead of need, so that who is let go of can be told the end in order
-/// before its place is taken. A smaller table has none to spare.
-const PLACES_A_SPARE: usize = 16;
-const LEAST_BACKLOG: usize = 1024;
-/// Most that a connection has for a whole request, from its start or from when one began to come.
-const WHOLE_WITHIN: TenthMillis = 2_000 * MILLISECOND;
-/// A stamp so many times the longest deadline away from now was not written by a sound clock. DeploymentSettings
-/// over, it would pass for a node that drowns.
-const FAR_OFF: TenthMillis = 10;
+/// Requests that one connection may have pending; the protocol's own limit.
+pub const MAX_PENDING_REQUESTS: usize = 32;
+/// Bytes of one request's variables.
+pub const MAX_PARAMS_BYTES: usize = 8192;
+/// Bytes of one request's body.
+pub const MAX_BODY_BYTES: usize = 2048;
+/// Bytes of record headers and padding that a request may need beside its variables and body.
+const MAX_FRAMING_BYTES: usize = 1024;
+/// Bytes read from one connection without completing a request: as many as all its pending requests can need.
+pub const MAX_INCOMPLETE_BYTES: usize =
+    MAX_PENDING_REQUESTS * (MAX_PARAMS_BYTES + MAX_BODY_BYTES + MAX_FRAMING_BYTES);
+/// A connection with this many bytes of answers that its peer has not read is not read from.
+pub const MAX_UNREAD_ANSWER_BYTES: usize = 64 * 1024;
+/// Bytes that an empty write buffer keeps allocated. While unread answers pile up on all connections, one with
+/// more than this is closed.
+pub const FAIR_UNREAD_ANSWER_BYTES: usize = 16 * 1024;
+/// Bytes read from one connection before the next one gets its turn.
+pub const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Listeners at once, those that are draining included.
+pub const MAX_LISTENERS: usize = 24;
+/// Reads of a connection whose listener drains: enough for all that may be pending on it.
+pub const MAX_FINAL_READS: usize = 8;
+/// Connections accepted in a row before open ones get their turn.
+pub const MAX_ACCEPTS_PER_EVENT: usize = 64;
+/// Connections evicted at once. Finding them takes a pass over the table, which this many share.
+pub const MAX_EVICTIONS: usize = 16;
+/// A connection with activity this recent is not evicted, as a request may be under way on it: two clients that
+/// connect at once would otherwise evict each other.
+pub const EVICTION_GRACE: TenthMillis = 25 * MILLISECOND;
+/// Slots of a table for each one that is kept spare; a smaller table has no spare slot.
+const SLOTS_PER_SPARE: usize = 16;
+/// Connections that the system queues for a listener at the least. A client that finds the queue full retries
+/// only after 1 s.
+const MIN_BACKLOG: usize = 1024;
+/// Upper bound of [`request_read_timeout`].
+const MAX_REQUEST_READ_TIMEOUT: TenthMillis = 2_000 * MILLISECOND;
+/// A request's timestamp may be off by this many times the longest deadline. Beyond that the sender's clock is
+/// wrong, and the request's age would look like overload.
+const MAX_TIMESTAMP_SKEW_DEADLINES: TenthMillis = 10;
+/// Bytes of one line from the engine: ten times a notice with a result of 4 KiB.
+pub const MAX_ENGINE_LINE_BYTES: usize = 64 * 1024;
 
-/// No notice of the engine is longer: a result of 4 KiB in base64 with its frame is a tenth of it.
-pub const MOST_LINE: usize = 64 * 1024;
-
-/// How long a connection may take over a request, where nobody waits for anything beyond `longest_deadline`.
-pub fn whole_within(longest_deadline: TenthMillis) -> TenthMillis {
-    longest_deadline.min(WHOLE_WITHIN)
+/// How long a connection may take to deliver a request, from its first byte; no caller waits for longer than
+/// `longest_deadline`.
+pub fn request_read_timeout(longest_deadline: TenthMillis) -> TenthMillis {
+    longest_deadline.min(MAX_REQUEST_READ_TIMEOUT)
 }
 
-/// Connections that the system holds for a front until they are accepted: as many as the table has places. A
-/// small one has more, as those that find no place there are asked again by their system only after 1 s.
-pub fn backlog(places: usize) -> i32 {
-    i32::try_from(places.max(LEAST_BACKLOG)).unwrap_or(i32::MAX)
+/// The backlog of a listener: one connection for each of the table's `slots`, and at least 1,024.
+pub fn backlog(slots: usize) -> i32 {
+    i32::try_from(slots.max(MIN_BACKLOG)).unwrap_or(i32::MAX)
 }
 
-/// Places of a table that are kept free ahead of need.
-pub fn spare(places: usize) -> usize {
-    (places / PLACES_A_SPARE).min(EVICTED)
+/// Slots of a table of `slots` that are kept free, so that connections can be closed in order before their
+/// slots are needed.
+pub fn spare_slots(slots: usize) -> usize {
+    (slots / SLOTS_PER_SPARE).min(MAX_EVICTIONS)
 }
 
-pub fn is_far_off(stamp: TenthMillis, now: TenthMillis, longest_deadline: TenthMillis) -> bool {
-    stamp.abs_diff(now) > longest_deadline.saturating_mul(FAR_OFF)
+/// Whether a request's timestamp is too far from `now` to be taken for its arrival.
+pub fn is_implausible_timestamp(
+    timestamp: TenthMillis,
+    now: TenthMillis,
+    longest_deadline: TenthMillis,
+) -> bool {
+    timestamp.abs_diff(now) > longest_deadline.saturating_mul(MAX_TIMESTAMP_SKEW_DEADLINES)
 }
--- a/crates/node/src/network/classified.rs
+++ b/crates/node/src/network/classified.rs
@@ -1,50 +1,53 @@
-//! Requests of the installation's fronts, classed by its rules. Who asks there may know nothing of the
-//! platform's variables: what neither a rule nor a variable says has a default.
+//! Reads requests of the installation's listeners by its rules.
+//!
+//! Their clients may know nothing of the platform's variables: what neither a rule nor a variable says has a
+//! default.
+
+mod view;
 
 use std::net::IpAddr;
-use std::str::FromStr;
 use std::sync::Arc;
 
 use doortrack_config::Installation;
-use doortrack_expr::{Request as Seen, Scratch};
-use doortrack_protocols::{Pair, Protocol};
+use doortrack_expr::{Request as _, Scratch};
+use doortrack_protocols::Protocol;
 use doortrack_routes::{Built, Class, Classed, Note, Refusal, Table};
 use doortrack_settings::DeploymentSettings;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
+use self::view::RequestView;
 use super::request::{
-    Fields, IdempotencyKey, Inbound, IncomingRequest, Names, TryId, Unreadable, hex, in_range,
+    AttemptId, Fields, HEALTH_CHECK_PATH, IdempotencyKey, Inbound, IncomingRequest, Names,
+    Unreadable, checked_memory_kb, checked_rank,
 };
 
-const DAY: TenthMillis = 86_400_000 * MILLISECOND;
-/// Microseconds in a tenth of a ms.
-const MICROS: i64 = 100;
-/// Rank and memory of a request of which nothing is said.
-const RANK: f32 = 0.5;
+/// The rank of a request of which nothing is said.
+const DEFAULT_RANK: f32 = 0.5;
+/// The digits 0 to 15 of generated ids.
+const GENERATED_ID_DIGITS: &[u8; 16] = b"ghijklmnopqrstuv";
 
-/// What the installation says of requests, with what is to be told of it. It does not change.
+/// The rules of an installation. They do not change once built.
 pub struct RuleTable {
+    /// The compiled rules.
     pub table: Arc<Table>,
-    /// The group of what no rule takes.
-    otherwise: Option<u8>,
-    /// Rules that can never win.
+    /// The endpoint group of requests that no rule matches.
+    default_group: Option<u8>,
+    /// Rules that can never match.
     pub notes: Vec<Note>,
-    /// Rules that the table shares with the one before it.
+    /// How many rules the table shares with the one before it.
     pub reused: usize,
 }
 
 impl RuleTable {
+    /// The rules of `installation`, with its names looked up in the deployment's settings.
     pub fn new(
         built: Built,
         installation: &Installation,
-        handed: &DeploymentSettings,
+        settings: &DeploymentSettings,
     ) -> RuleTable {
-        let place = |name: &String| handed.group_names.iter().position(|group| group == name);
-        let otherwise = installation
-            .otherwise
-            .as_ref()
-            .and_then(place)
-            .map(|place| place as u8);
+        let group_index =
+            |name: &String| settings.group_names.iter().position(|group| group == name);
+        let default_group = installation.otherwise.as_ref().and_then(group_index);
         let Built {
             table,
             notes,
@@ -52,113 +55,131 @@
         } = built;
         RuleTable {
             table: Arc::new(table),
-            otherwise,
+            default_group: default_group.map(|index| index as u8),
             notes,
             reused,
         }
     }
 }
 
-/// How requests are classed; another table is taken up as a whole.
+/// Classifies requests by the rules in force.
 pub struct Rules {
     rules: RuleTable,
     scratch: Scratch,
-    /// Tries that came without a name, by which they get one.
-    unnamed: u64,
+    /// Attempts that came without an id and were given one.
+    generated_ids: u64,
 }
 
-/// Where a request came from.
+/// How a request came to the node.
 #[derive(Clone, Copy)]
 pub struct Origin {
+    /// The protocol that its client spoke.
     pub protocol: Protocol,
+    /// Its client's address.
     pub peer: IpAddr,
+    /// When it was complete.
     pub now: TenthMillis,
 }
 
 impl Rules {
+    /// Classifies by these rules.
     pub fn new(rules: RuleTable) -> Rules {
         Rules {
             rules,
             scratch: Scratch::default(),
-            unnamed: 0,
+            generated_ids: 0,
         }
     }
 
+    /// The compiled rules in force.
     pub fn table(&self) -> &Arc<Table> {
         &self.rules.table
     }
 
-    /// Takes up another table, and goes on counting. Returns the one of before.
+    /// Puts other rules into force and returns the ones before. Generated ids stay unique.
     pub fn replace(&mut self, new: RuleTable) -> RuleTable {
         std::mem::replace(&mut self.rules, new)
     }
 
-    /// Reads a whole request by the rules.
+    /// Reads a complete request.
     ///
     /// # Errors
-    /// A field that can't be read, or a request that no rule takes where no group stands for the rest.
+    /// A variable that can't be read, or a request that no rule matches where there is no default group.
     pub fn read(
         &mut self,
-        block: &[u8],
+        variables: &[u8],
         body: &[u8],
         origin: Origin,
         names: &Names,
     ) -> Result<Inbound, Unreadable> {
         let pairs = origin
             .protocol
-            .pairs(block)
+            .pairs(variables)
             .map_err(|broken| Unreadable::Field(broken.0))?;
-        let view = View::of(&pairs, body, origin)?;
-        if view.path == "/status/live" {
+        let view = RequestView::new(&pairs, body, origin)?;
+        if view.path() == HEALTH_CHECK_PATH {
             return Ok(Inbound::Health);
         }
         let class = self.classify(&view)?;
         let group = class.as_ref().map(|class| class.group);
-        let group = group.or(self.rules.otherwise).ok_or(Unreadable::NoRule)?;
+        let group = group
+            .or(self.rules.default_group)
+            .ok_or(Unreadable::NoRule)?;
         let fields = Fields(&pairs);
-        let tenant = match class.as_ref().and_then(|class| class.tenant) {
+        // A request that does not say how much memory it needs takes as much as was read of it.
+        let read_kb = (variables.len() + body.len()) as f32 / 1024.0;
+        let request = self.build(group, class.as_ref(), &fields, read_kb, origin.now, names)?;
+        Ok(Inbound::Request(request))
+    }
+
+    /// Puts together what the rule and the variables say. What the rule says has precedence.
+    fn build(
+        &mut self,
+        group: u8,
+        class: Option<&Class>,
+        fields: &Fields,
+        default_memory_kb: f32,
+        now: TenthMillis,
+        names: &Names,
+    ) -> Result<IncomingRequest, Unreadable> {
+        let tenant = match class.and_then(|class| class.tenant) {
             Some(tenant) => tenant,
-            None => names.tenant(&fields)?,
+            None => names.tenant(fields)?,
         };
-        let rank = match class.as_ref().and_then(|class| class.rank) {
+        let rank = match class.and_then(|class| class.rank) {
             Some(rank) => rank,
-            None => parsed(&fields, "HTTP_X_RANK")?.unwrap_or(RANK),
+            None => fields.find_number("HTTP_X_RANK")?.unwrap_or(DEFAULT_RANK),
         };
-        // Where nobody books memory, what was read is what it takes.
-        let read_kb = (block.len() + body.len()) as f32 / 1024.0;
-        let kb = parsed(&fields, "HTTP_X_MEMORY_KB")?.unwrap_or(read_kb);
-        let stamp_ms: Option<u64> = parsed(&fields, "HTTP_X_REQUEST_START")?;
-        let try_id = match fields.find("HTTP_X_REQUEST_ID")? {
-            Some(text) => hex(text, "HTTP_X_REQUEST_ID")?,
-            None => self.name(),
+        let memory_kb = fields.find_number("HTTP_X_MEMORY_KB")?;
+        let start_ms: Option<u64> = fields.find_number("HTTP_X_REQUEST_START")?;
+        let attempt_id = match fields.find_hex("HTTP_X_REQUEST_ID")? {
+            Some(id) => id,
+            None => self.generate_id(),
         };
-        Ok(Inbound::Request(IncomingRequest {
-            try_id,
-            stamp: stamp_ms.map_or(origin.now, |ms| ms.saturating_mul(MILLISECOND)),
+        Ok(IncomingRequest {
+            attempt_id,
+            arrived_at: start_ms.map_or(now, |ms| ms.saturating_mul(MILLISECOND)),
             group,
             tenant,
-            caller: parsed(&fields, "HTTP_X_CALLER")?.unwrap_or(0),
-            retry: fields
-                .find("HTTP_X_RETRY")?
-                .is_some_and(|value| value == "1"),
-            kb: in_range(kb, kb > 0.0 && kb < 2000.0, "HTTP_X_MEMORY_KB")?,
-            rank: in_range(rank, (0.0..1.0).contains(&rank), "HTTP_X_RANK")?,
-            idempotency_key: idempotency_key(
-                names.keyed[usize::from(group)],
-                class.as_ref(),
-                &fields,
-            )?,
-            subject: class
-                .as_ref()
-                .and_then(|class| class.subject)
-                .map_or_else(|| fields.subject(), Ok)?,
-            wait: class.as_ref().and_then(|class| class.due),
-            pool: class.as_ref().and_then(|class| class.pool),
-        }))
+            caller: fields.find_number("HTTP_X_CALLER")?.unwrap_or(0),
+            retry: fields.is_retry()?,
+            memory_kb: checked_memory_kb(memory_kb.unwrap_or(default_memory_kb))?,
+            rank: checked_rank(rank)?,
+            idempotency_key: match names.idempotency_keyed[usize::from(group)] {
+                true => Some(idempotency_key(class, fields)?),
+                false => None,
+            },
+            session_key: match class.and_then(|class| class.subject) {
+                Some(session_key) => session_key,
+                None => fields.session_key()?,
+            },
+            timeout: class.and_then(|class| class.due),
+            pool: class.and_then(|class| class.pool),
+        })
     }
 
-    /// What the first rule that holds makes of a request; none where no rule holds.
-    fn classify(&mut self, view: &View) -> Result<Option<Class>, Unreadable> {
+    /// What the first matching rule says of a request; none where no rule matches.
+    fn classify(&mut self, view: &RequestView) -> Result<Option<Class>, Unreadable> {
         match self.rules.table.classify(view, &mut self.scratch) {
             Classed::As(class) => Ok(Some(class)),
             Classed::NoRule => Ok(None),
@@ -173,126 +194,24 @@
         }
     }
 
-    /// A name for a try that came without one. Callers write hex digits, so none of theirs is like it.
-    fn name(&mut self) -> TryId {
-        self.unnamed += 1;
-        let mut name = *b"n---------------";
-        let mut rest = self.unnamed;
-        for place in (1..name.len()).rev() {
-            name[place] = b"ghijklmnopqrstuv"[(rest & 15) as usize];
+    /// A new id for an attempt that came without one. It holds letters that are no hex digits, so that it is
+    /// never a client's.
+    fn generate_id(&mut self) -> AttemptId {
+        self.generated_ids += 1;
+        let mut id = *b"n---------------";
+        let mut rest = self.generated_ids;
+        for index in (1..id.len()).rev() {
+            id[index] = GENERATED_ID_DIGITS[(rest & 15) as usize];
             rest >>= 4;
         }
-        name
+        id
     }
 }
 
-/// A variable that is a number, if it is there.
-fn parsed<T: FromStr>(fields: &Fields, name: &'static str) -> Result<Option<T>, Unreadable> {
-    let parse = |text: &str| text.parse().map_err(|_| Unreadable::Field(name));
-    fields.find(name)?.map(parse).transpose()
-}
-
-/// The key of a request of a group whose requests carry one: what the rule says, or the variable.
-fn idempotency_key(
-    keyed: bool,
-    class: Option<&Class>,
-    fields: &Fields,
-) -> Result<Option<IdempotencyKey>, Unreadable> {
-    if !keyed {
-        return Ok(None);
-    }
+/// The key of a request of a group whose requests carry one: the rule's, or that of the variable.
+fn idempotency_key(class: Option<&Class>, fields: &Fields) -> Result<IdempotencyKey, Unreadable> {
     match class.and_then(|class| class.idempotency_key) {
-        Some(key) => Ok(Some(key)),
-        None => hex(
-            fields.needed("HTTP_IDEMPOTENCY_KEY")?,
-            "HTTP_IDEMPOTENCY_KEY",
-        )
-        .map(Some),
-    }
-}
-
-/// A request as expressions see it.
-struct View<'r> {
-    pairs: &'r [Pair<'r>],
-    method: &'r str,
-    path: &'r str,
-    query: &'r str,
-    body: &'r [u8],
-    origin: Origin,
-}
-
-impl<'r> View<'r> {
-    /// The path is that of the request's URI, where a front end passes it on; else script and rest, of
-    /// which one is mostly empty.
-    fn of(pairs: &'r [Pair<'r>], body: &'r [u8], origin: Origin) -> Result<View<'r>, Unreadable> {
-        let fields = Fields(pairs);
-        let text = |name| Ok(fields.find(name)?.unwrap_or_default());
-        let (uri, script, rest) = (
-            text("REQUEST_URI")?,
-            text("SCRIPT_NAME")?,
-            text("PATH_INFO")?,
-        );
-        let (before, behind) = uri.split_once('?').unwrap_or((uri, ""));
-        let path = match (before, script, rest) {
-            ("", script, "") => script,
-            ("", "", rest) => rest,
-            // Put together they stand nowhere; what follows the script alone would be another path.
-            ("", script, _) => script,
-            (uri, ..) => uri,
-        };
-        let query = fields.find("QUERY_STRING")?.unwrap_or(behind);
-        Ok(View {
-            pairs,
-            method: text("REQUEST_METHOD")?,
-            path,
-            query,
-            body,
-            origin,
-        })
-    }
-}
-
-impl Seen for View<'_> {
-    fn method(&self) -> &str {
-        self.method
-    }
-
-    fn path(&self) -> &str {
-        self.path
-    }
-
-    fn query(&self) -> &str {
-        self.query
-    }
-
-    fn variable(&self, name: &str) -> Option<&[u8]> {
-        let mut found = self
-            .pairs
-            .iter()
-            .filter(|(other, _)| *other == name.as_bytes());
-        match (found.next(), found.next()) {
-            (Some((_, value)), None) => Some(value),
-            _ => None,
-        }
-    }
-
-    fn body(&self) -> &[u8] {
-        self.body
-    }
-
-    fn body_length(&self) -> u64 {
-        self.body.len() as u64
-    }
-
-    fn front(&self) -> &str {
-        self.origin.protocol.name()
-    }
-
-    fn peer(&self) -> IpAddr {
-        self.origin.peer
-    }
-
-    fn time_of_day(&self) -> i64 {
-        (self.origin.now % DAY) as i64 * MICROS
+        Some(key) => Ok(key),
+        None => fields.required_hex("HTTP_IDEMPOTENCY_KEY"),
     }
 }
--- a/crates/node/src/network/connection.rs
+++ b/crates/node/src/network/connection.rs
@@ -1,326 +1,371 @@
-//! One caller's connection: what is open on it, what was read, and what is still to be written.
+//! One client's connection: its pending requests, what was read of them, and the answers still to be written.
 
-use std::io::{ErrorKind, Read, Write};
+mod pending;
+mod write_buffer;
+
+use std::io::{ErrorKind, Read};
 use std::net::{IpAddr, Shutdown, TcpStream};
 
-use doortrack_admission::RequestId;
-use doortrack_protocols::RequestReader;
+use doortrack_protocols::{Protocol, RequestReader};
 use doortrack_time::TenthMillis;
 
-use super::bounds::{FAIR_UNREAD, MOST_BODY, MOST_OPEN, MOST_PARAMS, MOST_UNREAD, MOST_UNWHOLE};
+pub use self::pending::{CompleteRequest, PendingRequest, PendingRequests, Stream};
+pub use self::write_buffer::WriteBuffer;
+use super::bounds::{MAX_INCOMPLETE_BYTES, MAX_UNREAD_ANSWER_BYTES};
 use super::termination::Termination;
 
-/// A request that has not been answered.
-#[derive(Default)]
-pub struct Open {
-    pub id: u16,
-    /// Never the same twice: ids and places may be taken again while an answer is on its way.
-    pub nth: u64,
-    params: Vec<u8>,
-    body: Vec<u8>,
-    params_whole: bool,
-    body_whole: bool,
-    /// Known to the decisions under this name.
-    pub ex: Option<RequestId>,
+/// What a connection on which no caller waits is worth keeping for, the least first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum EvictionRank {
+    /// It never carried a request, or it lingers.
+    Unused,
+    /// It carried requests and may carry more.
+    Idle,
+    /// It carried requests, and a part of the next one has arrived.
+    PartialRequest,
 }
 
-impl Open {
-    pub fn half_read(&self) -> bool {
-        !(self.params_whole && self.body_whole)
-    }
+/// What the poller is to report of a socket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Interest {
+    /// That it can be read.
+    pub readable: bool,
+    /// That it can be written.
+    pub writable: bool,
 }
 
-/// The two streams that a request comes in.
-#[derive(Clone, Copy)]
-pub enum Stream {
-    Params,
-    Body,
+/// The times after which a connection is closed.
+#[derive(Clone, Copy, Debug)]
+pub struct Timeouts {
+    /// For one that is idle.
+    pub idle: TenthMillis,
+    /// For one that does not deliver a request that it began, or a first one.
+    pub request_read: TenthMillis,
+    /// For one whose answers are not read.
+    pub unread_answers: TenthMillis,
 }
 
-/// A request that was read to its end.
-pub struct Whole {
-    pub nth: u64,
-    pub params: Vec<u8>,
-    pub body: Vec<u8>,
+/// How far the reading of requests has come.
+struct ReadState {
+    reader: RequestReader,
+    /// A complete request has arrived, or a ping of the protocol.
+    carried_request: bool,
+    /// Since when a complete request is due: from the start, and while one is incomplete.
+    request_due_since: Option<TenthMillis>,
+    /// Bytes read since the last complete request.
+    incomplete_bytes: usize,
+    /// Something unreadable arrived: it is not read again before the next sweep, which bounds how often a
+    /// client can repeat that. A dispatcher that passed it on for its client waits as long.
+    paused: bool,
 }
 
-/// What a connection on which nobody waits for an answer is good for, the least first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Use {
-    /// It never asked for anything, or has been told the end.
-    None,
-    /// It asked before, and may again.
-    Idle,
-    /// It asked before, and a part of a request has come since.
-    HalfRequest,
+/// How far a connection is on its way to being closed.
+struct Lifecycle {
+    /// Requests are read. Not so once the peer has half-closed it, sent what is malformed, or it lingers.
+    reading: bool,
+    /// This side has half-closed it and discards what still comes until the peer closes too.
+    lingering: bool,
+    /// The peer has sent its last byte.
+    peer_finished: bool,
+    /// It is closed, for this reason, once all pending requests are answered.
+    close_when_answered: Option<Termination>,
+    /// It is closed, for this reason, at the end of the present turn.
+    close_now: Option<Termination>,
 }
 
+/// A client's connection.
 pub struct Connection {
+    /// Nonblocking; registered with the poller while the connection is in the table.
     pub sock: TcpStream,
+    /// The client's address.
     pub peer: IpAddr,
-    /// The front on which it came.
-    pub front: usize,
-    pub reader: RequestReader,
-    pub open: Vec<Open>,
-    pub out: Vec<u8>,
-    written: usize,
-    /// Last time that anything was read, or that unread answers moved.
-    pub moved: TenthMillis,
-    /// A whole request has come on it.
-    pub spoke: bool,
-    /// Since when a whole request is due: from the start, and while one is half read.
-    due_since: Option<TenthMillis>,
-    /// Bytes read with no whole request in them.
-    unwhole: usize,
-    /// Something on it could not be read: it is not read again before the next sweep, so that who sends the
-    /// same again at full speed has a few turns a second and no more. A sound dispatcher that passes on what
-    /// a bad client sent waits as long.
-    pub rests: bool,
-    /// All was said here, but the peer may still be sending: what comes is passed over until it stops.
-    pub lingers: bool,
-    /// Nothing more is read once it is half closed or malformed, or has been told the end.
-    pub reading: bool,
-    /// The peer said that it sends nothing more.
-    ended: bool,
-    /// It is to be closed once all that is open has been answered.
-    pub last: Option<Termination>,
-    /// It is to be closed at the end of the present turn.
-    pub doomed: Option<Termination>,
-    /// Whether the poller tells when it can be read, and when written.
-    pub watched: (bool, bool),
-    /// It is on the list of those to be written.
-    pub dirty: bool,
+    /// The index of the listener that accepted it.
+    pub listener: usize,
+    /// Requests that have not been answered.
+    pub pending: PendingRequests,
+    /// Answers that the peer has not taken.
+    pub out: WriteBuffer,
+    /// When anything was last read, or the peer last took a part of an answer.
+    pub last_activity: TenthMillis,
+    /// What the poller reports of it at present.
+    pub registered: Interest,
+    /// It is in the table's flush queue.
+    pub flush_queued: bool,
+    input: ReadState,
+    lifecycle: Lifecycle,
 }
 
 impl Connection {
+    /// A connection that was accepted just now and is registered for reading.
     pub fn new(
         sock: TcpStream,
         peer: IpAddr,
-        front: usize,
-        reader: RequestReader,
+        listener: usize,
+        protocol: Protocol,
         now: TenthMillis,
     ) -> Connection {
         Connection {
             sock,
             peer,
-            front,
-            reader,
-            open: Vec::new(),
-            out: Vec::new(),
-            written: 0,
-            moved: now,
-            spoke: false,
-            due_since: Some(now),
-            unwhole: 0,
-            rests: false,
-            lingers: false,
-            reading: true,
-            ended: false,
-            last: None,
-            doomed: None,
-            watched: (true, false),
-            dirty: false,
+            listener,
+            pending: PendingRequests::default(),
+            out: WriteBuffer::default(),
+            last_activity: now,
+            registered: Interest {
+                readable: true,
+                writable: false,
+            },
+            flush_queued: false,
+            input: ReadState {
+                reader: RequestReader::new(protocol),
+                carried_request: false,
+                request_due_since: Some(now),
+                incomplete_bytes: 0,
+                paused: false,
+            },
+            lifecycle: Lifecycle {
+                reading: true,
+                lingering: false,
+                peer_finished: false,
+                close_when_answered: None,
+                close_now: None,
+            },
         }
     }
 
-    pub fn unread(&self) -> usize {
-        self.out.len() - self.written
+    // --- State ---
+
+    /// The protocol that the client speaks.
+    pub fn protocol(&self) -> Protocol {
+        self.input.reader.protocol()
+    }
+
+    /// Whether requests are read from it.
+    pub fn is_reading(&self) -> bool {
+        self.lifecycle.reading
     }
 
-    pub fn idle(&self) -> bool {
-        self.open.is_empty() && self.unread() == 0 && self.reader.at_boundary()
+    /// Whether this side has half-closed it and waits for the peer to close.
+    pub fn is_lingering(&self) -> bool {
+        self.lifecycle.lingering
     }
 
-    /// Nobody waits for anything on it: it is idle, or what is open on it never came whole. What lingers has
-    /// had its answer as well, and only sends what nobody asked for.
-    pub fn asks_nothing(&self) -> bool {
-        self.idle() || (self.reading && self.unread() == 0 && self.open.iter().all(Open::half_read))
+    /// Whether no request is pending and no answer unread.
+    pub fn is_idle(&self) -> bool {
+        self.pending.is_empty() && self.out.is_empty() && self.input.reader.at_boundary()
     }
 
-    /// How much it would be missed, where it asks nothing.
-    pub fn use_of(&self) -> Use {
-        match (self.spoke && !self.lingers, self.idle()) {
-            (false, _) => Use::None,
-            (true, true) => Use::Idle,
-            (true, false) => Use::HalfRequest,
+    /// Whether no caller waits for an answer: it is idle, or all that is pending on it is incomplete.
+    pub fn has_no_waiting_caller(&self) -> bool {
+        self.is_idle()
+            || (self.lifecycle.reading && self.out.is_empty() && self.pending.all_incomplete())
+    }
+
+    /// What it is worth keeping for, if no caller waits on it.
+    pub fn eviction_rank(&self) -> EvictionRank {
+        if !self.input.carried_request || self.lifecycle.lingering {
+            EvictionRank::Unused
+        } else if self.is_idle() {
+            EvictionRank::Idle
+        } else {
+            EvictionRank::PartialRequest
         }
     }
 
-    /// The last look before an idle one is closed: a request that came since would be lost with it.
-    pub fn nothing_came(&self) -> bool {
+    /// Whether the system holds no unread byte of it and no end. Checked right before an idle connection is
+    /// closed, as a request that has arrived since would be lost.
+    pub fn nothing_to_read(&self) -> bool {
         self.sock
             .peek(&mut [0])
             .is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// This node ends it once all that is open has been answered: what begins now would come too late.
-    pub fn is_ending(&self) -> bool {
+    /// Whether this node closes it once all pending requests are answered: one that begins now is too late.
+    pub fn is_closing(&self) -> bool {
         matches!(
-            self.last,
-            Some(Termination::Slow | Termination::Withdrawn | Termination::Left)
+            self.lifecycle.close_when_answered,
+            Some(Termination::Slow | Termination::ListenerClosed | Termination::Shutdown)
         )
     }
 
-    /// Whether a whole request has been due for longer than it may take: nothing came, or it trickles.
-    pub fn is_slow(&self, now: TenthMillis, within: TenthMillis) -> bool {
-        ((self.reading && !self.is_ending()) || self.lingers)
-            && self
-                .due_since
-                .is_some_and(|since| now.saturating_sub(since) > within)
-            && (!self.idle() || self.lingers || self.nothing_came())
+    /// Why it has to be closed by now, if it has to.
+    pub fn expiry(&self, now: TenthMillis, timeouts: &Timeouts) -> Option<Termination> {
+        let inactive = now.saturating_sub(self.last_activity);
+        let overdue = self.is_request_overdue(now, timeouts.request_read);
+        if self.lifecycle.lingering {
+            self.lifecycle.close_when_answered.filter(|_| overdue)
+        } else if self.is_idle() && inactive >= timeouts.idle && self.nothing_to_read() {
+            Some(Termination::Idle)
+        } else if !self.out.is_empty() && inactive > timeouts.unread_answers {
+            Some(Termination::Unread)
+        } else {
+            overdue.then_some(Termination::Slow)
+        }
     }
 
-    /// What came was taken in; whether it is more than any request can hold.
-    pub fn took_in(&mut self, bytes: usize, now: TenthMillis) -> bool {
-        let between = self.reader.at_boundary() && !self.open.iter().any(Open::half_read);
-        match between && self.spoke {
-            true => self.due_since = None,
-            false => _ = self.due_since.get_or_insert(now),
-        }
-        self.unwhole += bytes;
-        self.unwhole > MOST_UNWHOLE
+    /// Whether a complete request has been due for too long: nothing came, or it trickles in.
+    fn is_request_overdue(&self, now: TenthMillis, timeout: TenthMillis) -> bool {
+        let lingering = self.lifecycle.lingering;
+        let is_due = (self.lifecycle.reading && !self.is_closing()) || lingering;
+        let timed_out = |since| now.saturating_sub(since) > timeout;
+        is_due
+            && self.input.request_due_since.is_some_and(timed_out)
+            && (!self.is_idle() || lingering || self.nothing_to_read())
     }
 
-    pub fn wants(&self) -> (bool, bool) {
-        let reads = self.reading && !self.rests && self.unread() < MOST_UNREAD;
-        (reads || self.lingers, self.unread() > 0)
+    /// What the poller should report of it.
+    pub fn interest(&self) -> Interest {
+        let backlogged = self.out.len() >= MAX_UNREAD_ANSWER_BYTES;
+        let reads = self.lifecycle.reading && !self.input.paused && !backlogged;
+        Interest {
+            readable: reads || self.lifecycle.lingering,
+            writable: !self.out.is_empty(),
+        }
     }
 
-    /// Reads once; how many bytes came, or how it ended.
-    pub fn read(&mut self, into: &mut [u8], now: TenthMillis) -> Result<usize, Termination> {
-        match self.sock.read(into) {
-            // Of one that is not read nothing is told but errors, so this is one.
-            Ok(_) if !self.reading && !self.lingers => Err(Termination::Reset),
+    // --- Reading ---
+
+    /// Reads once without blocking; how many bytes came.
+    ///
+    /// # Errors
+    /// The peer has finished, or the connection is broken.
+    pub fn read(&mut self, buffer: &mut [u8], now: TenthMillis) -> Result<usize, Termination> {
+        let Lifecycle {
+            reading, lingering, ..
+        } = self.lifecycle;
+        match self.sock.read(buffer) {
+            // The poller reports nothing but errors of a connection that is not read.
+            Ok(_) if !reading && !lingering => Err(Termination::Reset),
             Ok(0) => {
-                self.ended = true;
-                Err(if self.idle() {
+                self.lifecycle.peer_finished = true;
+                Err(if self.is_idle() {
                     Termination::Closed
                 } else {
                     Termination::HalfClosed
                 })
             }
-            Ok(n) => {
-                self.moved = now;
-                Ok(n)
+            Ok(count) => {
+                self.last_activity = now;
+                Ok(count)
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Ok(0),
             Err(_) => Err(Termination::Reset),
         }
     }
 
-    /// All is written and nothing more is wanted. Closed now, with something unread or about to come, the
-    /// system would reset the connection, and the peer could lose an answer that it has not read. So the end
-    /// is said first, and what comes is passed over until the peer ends too: whether that is waited for.
-    pub fn linger(&mut self, now: TenthMillis) -> bool {
-        self.ended |= matches!(self.sock.peek(&mut [0]), Ok(0));
-        if self.lingers || self.ended {
-            return self.lingers;
+    /// Splits what was read into pieces of requests.
+    pub fn reader(&mut self) -> &mut RequestReader {
+        &mut self.input.reader
+    }
+
+    /// Accounts for bytes that were read and split into pieces; whether too many have come without completing
+    /// a request.
+    pub fn account_read(&mut self, bytes: usize, now: TenthMillis) -> bool {
+        let between_requests = self.input.reader.at_boundary() && !self.pending.any_incomplete();
+        if between_requests && self.input.carried_request {
+            self.input.request_due_since = None;
+        } else {
+            self.input.request_due_since.get_or_insert(now);
         }
-        self.lingers = self.sock.shutdown(Shutdown::Write).is_ok();
-        (self.due_since, self.unwhole) = (Some(now), 0);
-        self.lingers
+        self.exceeds_incomplete_bytes(bytes)
+    }
+
+    /// Accounts for bytes that were discarded while it lingers; whether that is enough of them.
+    pub fn account_discarded(&mut self, bytes: usize) -> bool {
+        self.exceeds_incomplete_bytes(bytes)
+    }
+
+    fn exceeds_incomplete_bytes(&mut self, bytes: usize) -> bool {
+        self.input.incomplete_bytes += bytes;
+        self.input.incomplete_bytes > MAX_INCOMPLETE_BYTES
+    }
+
+    /// Ends one stream of a request; the request, if that completes it.
+    pub fn end_stream(&mut self, wire_id: u16, stream: Stream) -> Option<CompleteRequest> {
+        let request = self.pending.end_stream(wire_id, stream)?;
+        self.input.carried_request = true;
+        self.input.request_due_since = None;
+        self.input.incomplete_bytes = 0;
+        Some(request)
+    }
+
+    /// The peer sent its protocol's health check, after which nothing else can come.
+    pub fn finish_with_ping(&mut self) {
+        self.input.carried_request = true;
+        self.input.request_due_since = None;
+        self.close_when_answered(Termination::Closed);
+    }
+
+    /// Reads nothing more before the next sweep.
+    pub fn pause_reading(&mut self) {
+        self.input.paused = true;
     }
 
-    /// More of what is passed over has come; whether that is enough of it.
-    pub fn passed_over(&mut self, bytes: usize) -> bool {
-        self.unwhole += bytes;
-        self.unwhole > MOST_UNWHOLE
+    /// Reads again; whether it was paused.
+    pub fn resume_reading(&mut self) -> bool {
+        std::mem::take(&mut self.input.paused)
     }
 
+    // --- Writing and closing ---
+
     /// Writes what the peer takes.
+    ///
+    /// # Errors
+    /// The connection is broken.
     pub fn write(&mut self, now: TenthMillis) -> Result<(), Termination> {
-        while self.unread() > 0 {
-            match self.sock.write(&self.out[self.written..]) {
-                Ok(0) => return Err(Termination::Reset),
-                Ok(n) => (self.written, self.moved) = (self.written + n, now),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => return Err(Termination::Reset),
-            }
-        }
-        // Also while some is unread, as a slow peer may never take the last of it.
-        if self.unread() == 0 || self.written > FAIR_UNREAD {
-            self.out.drain(..self.written);
-            self.out.shrink_to(FAIR_UNREAD);
-            self.written = 0;
+        if self.out.write_to(&self.sock)? {
+            self.last_activity = now;
         }
         Ok(())
     }
 
-    /// Nothing more is read. What was not whole was never had, and its rest can't come: how many those were.
-    pub fn stop_reading(&mut self, end: Termination) -> usize {
-        (self.reading, self.last) = (false, Some(end));
-        let before = self.open.len();
-        self.open.retain(|open| !open.half_read());
-        before - self.open.len()
+    /// Closes it at the end of the present turn, whatever is pending.
+    pub fn close_now(&mut self, termination: Termination) {
+        self.lifecycle.close_now = Some(termination);
     }
 
-    pub fn has(&self, id: u16) -> bool {
-        self.open.iter().any(|open| open.id == id)
+    /// Why it is to be closed at the end of the present turn, if it is.
+    pub fn immediate_close(&self) -> Option<Termination> {
+        self.lifecycle.close_now
     }
 
-    /// Begins a request; whether it is one too many.
-    pub fn begin(&mut self, id: u16, nth: u64) -> bool {
-        self.open.push(Open {
-            id,
-            nth,
-            ..Open::default()
-        });
-        self.open.len() > MOST_OPEN
+    /// Closes it once all pending requests are answered.
+    pub fn close_when_answered(&mut self, termination: Termination) {
+        self.lifecycle.close_when_answered = Some(termination);
     }
 
-    /// Pieces for an id that is not open, or is whole, are of a request that was answered already.
-    fn unfinished(&mut self, id: u16) -> Option<&mut Open> {
-        self.open
-            .iter_mut()
-            .find(|open| open.id == id && open.half_read())
+    /// Why it is to be closed after the last answer, if it is.
+    pub fn deferred_close(&self) -> Option<Termination> {
+        self.lifecycle.close_when_answered
     }
 
-    /// Keeps a part of a request; the request's number, if it is longer than any may be.
-    pub fn collect(&mut self, id: u16, stream: Stream, bytes: &[u8]) -> Option<u64> {
-        let open = self.unfinished(id)?;
-        let (buffer, most) = match stream {
-            Stream::Params => (&mut open.params, MOST_PARAMS),
-            Stream::Body => (&mut open.body, MOST_BODY),
-        };
-        if buffer.len() + bytes.len() > most {
-            return Some(open.nth);
-        }
-        buffer.extend(bytes);
-        None
+    /// Why it is to be closed now that the last answer has been written, if it is.
+    pub fn due_close(&self) -> Option<Termination> {
+        self.lifecycle
+            .close_when_answered
+            .filter(|_| self.pending.is_empty() && self.out.is_empty())
     }
 
-    /// One stream of a request has ended; the request, if it is whole with that.
-    pub fn end_stream(&mut self, id: u16, stream: Stream) -> Option<Whole> {
-        let open = self.unfinished(id)?;
-        match stream {
-            Stream::Params => open.params_whole = true,
-            Stream::Body => open.body_whole = true,
-        }
-        if open.half_read() {
-            return None;
-        }
-        let (params, body) = (
-            std::mem::take(&mut open.params),
-            std::mem::take(&mut open.body),
-        );
-        let whole = Whole {
-            nth: open.nth,
-            params,
-            body,
-        };
-        (self.spoke, self.due_since, self.unwhole) = (true, None, 0);
-        Some(whole)
-    }
-
-    /// It asked in the protocol's own way whether this side is well, and nothing else can come of it.
-    pub fn answers_a_ping(&mut self) {
-        (self.spoke, self.due_since, self.last) = (true, None, Some(Termination::Closed));
+    /// Reads no more requests and drops incomplete ones, whose rest can't come; how many those were.
+    pub fn stop_reading(&mut self, termination: Termination) -> usize {
+        self.lifecycle.reading = false;
+        self.close_when_answered(termination);
+        self.pending.remove_incomplete()
     }
 
-    /// Takes out a request by its id, or by its number.
-    pub fn take(&mut self, is: impl Fn(&Open) -> bool) -> Option<Open> {
-        let place = self.open.iter().position(is)?;
-        Some(self.open.swap_remove(place))
+    /// Half-closes it after the last answer, to discard what comes until the peer closes too; false if there is
+    /// nothing to wait for. Closing at once, with bytes unread or on their way, would make the system reset the
+    /// connection, and the peer could lose an answer that it has not read yet.
+    pub fn linger(&mut self, termination: Termination, now: TenthMillis) -> bool {
+        self.lifecycle.reading = false;
+        self.close_when_answered(termination);
+        self.lifecycle.peer_finished |= matches!(self.sock.peek(&mut [0]), Ok(0));
+        if self.lifecycle.lingering || self.lifecycle.peer_finished {
+            return self.lifecycle.lingering;
+        }
+        self.lifecycle.lingering = self.sock.shutdown(Shutdown::Write).is_ok();
+        self.input.request_due_since = Some(now);
+        self.input.incomplete_bytes = 0;
+        self.lifecycle.lingering
     }
 }
--- a/crates/node/src/network/engine.rs
+++ b/crates/node/src/network/engine.rs
@@ -10,9 +10,9 @@
 use slog::{Logger, info, warn};
 use socket2::{Domain, Socket, Type};
 
-use super::bounds::MOST_LINE;
+use super::bounds::MAX_ENGINE_LINE_BYTES;
 use super::engine_protocol::{self, EngineMessage};
-use super::request::TryId;
+use super::request::AttemptId;
 use super::termination::Termination;
 
 pub const ENGINE_KEY: usize = 1;
@@ -197,7 +197,7 @@
     fn read(&mut self, now: TenthMillis, backend_events: &mut Vec<BackendEvent>) {
         let Some(sock) = &mut self.sock else { return };
         let start = self.input.len();
-        self.input.resize(start + MOST_LINE, 0);
+        self.input.resize(start + MAX_ENGINE_LINE_BYTES, 0);
         let got = sock.read(&mut self.input[start..]);
         self.input.truncate(start + got.as_ref().map_or(0, |n| *n));
         match got {
@@ -215,7 +215,7 @@
                 return self.lose(now, why, backend_events);
             }
         }
-        if rest.len() > MOST_LINE {
+        if rest.len() > MAX_ENGINE_LINE_BYTES {
             return self.lose(now, "a line without end", backend_events);
         }
         self.input = rest.to_vec();
@@ -286,13 +286,13 @@
     }
 
     /// Sends a run; the number of the last STAT before it.
-    pub fn run(&mut self, try_id: &TryId, group: &str, body: &[u8]) -> u64 {
-        engine_protocol::run(&mut self.out, try_id, group, body);
+    pub fn run(&mut self, attempt_id: &AttemptId, group: &str, body: &[u8]) -> u64 {
+        engine_protocol::run(&mut self.out, attempt_id, group, body);
         self.cookie
     }
 
-    pub fn halt(&mut self, try_id: &TryId) {
-        engine_protocol::halt(&mut self.out, try_id);
+    pub fn halt(&mut self, attempt_id: &AttemptId) {
+        engine_protocol::halt(&mut self.out, attempt_id);
     }
 
     pub fn flush(&mut self, now: TenthMillis, backend_events: &mut Vec<BackendEvent>) {
@@ -314,7 +314,7 @@
             }
         }
         self.out.drain(..written);
-        self.out.shrink_to(MOST_LINE);
+        self.out.shrink_to(MAX_ENGINE_LINE_BYTES);
         if self.out.len() > self.most_commands {
             return self.lose(now, "commands stay unread", backend_events);
         }
--- a/crates/node/src/network/engine_protocol.rs
+++ b/crates/node/src/network/engine_protocol.rs
@@ -6,7 +6,7 @@
 use doortrack_time::TenthMillis;
 use serde_json::Value;
 
-use super::request::TryId;
+use super::request::AttemptId;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineMessage {
@@ -16,7 +16,7 @@
     },
     Done {
         serial: u64,
-        try_id: TryId,
+        attempt_id: AttemptId,
         outcome: RunOutcome,
         result: Vec<u8>,
     },
@@ -27,7 +27,7 @@
     /// A command that was not carried out.
     Not {
         command: String,
-        try_id: Option<TryId>,
+        attempt_id: Option<AttemptId>,
     },
     Note {
         serial: u64,
@@ -51,9 +51,9 @@
 }
 
 /// `group` is the endpoint group's name, already written as JSON.
-pub fn run(out: &mut Vec<u8>, try_id: &TryId, group: &str, body: &[u8]) {
+pub fn run(out: &mut Vec<u8>, attempt_id: &AttemptId, group: &str, body: &[u8]) {
     out.extend(b"{\"msg\":\"RUN\",\"call\":\"");
-    out.extend(try_id);
+    out.extend(attempt_id);
     out.extend(b"\",\"service\":");
     out.extend(group.bytes());
     out.extend(b",\"blob\":\"");
@@ -61,9 +61,9 @@
     out.extend(b"\"}\n");
 }
 
-pub fn halt(out: &mut Vec<u8>, try_id: &TryId) {
+pub fn halt(out: &mut Vec<u8>, attempt_id: &AttemptId) {
     out.extend(b"{\"msg\":\"HALT\",\"call\":\"");
-    out.extend(try_id);
+    out.extend(attempt_id);
     out.extend(b"\"}\n");
 }
 
@@ -76,7 +76,7 @@
     let value: Value = serde_json::from_slice(line).map_err(|_| "not JSON")?;
     let word = |key: &str| value.get(key).and_then(Value::as_str);
     let whole = |key: &str| value.get(key).and_then(Value::as_u64);
-    let try_id = || word("call").and_then(|id| TryId::try_from(id.as_bytes()).ok());
+    let attempt_id = || word("call").and_then(|id| AttemptId::try_from(id.as_bytes()).ok());
     match word("msg").ok_or("no msg")? {
         "HELLO" => {
             let age = value
@@ -103,10 +103,10 @@
                 _ => RunOutcome::Failed,
             };
             let serial = whole("serial").ok_or("DONE without serial")?;
-            let try_id = try_id().ok_or("DONE without call")?;
+            let attempt_id = attempt_id().ok_or("DONE without call")?;
             Ok(EngineMessage::Done {
                 serial,
-                try_id,
+                attempt_id,
                 outcome,
                 result: result.unwrap_or_default(),
             })
@@ -130,7 +130,7 @@
             let command = word("how").ok_or("NO without how")?.to_string();
             Ok(EngineMessage::Not {
                 command,
-                try_id: try_id(),
+                attempt_id: attempt_id(),
             })
         }
         "NOTE" => {
--- a/crates/node/src/network/listeners.rs
+++ b/crates/node/src/network/listeners.rs
@@ -1,285 +1,165 @@
-//! The table of the callers' connections on all fronts: answered within bounds that hold by design, one state
-//! whatever they speak. How connections come and go stands in `coming`, how they are read in `reading`.
+//! The node's listeners and the table of all clients' connections, whatever protocol they speak.
+//!
+//! The table keeps within [`bounds`](super::bounds) by construction. Nothing here blocks: each call does what
+//! the sockets allow at once, and [`Listeners::flush`] ends a turn of the event loop.
 
 mod accept;
+mod answers;
+mod close;
+mod counts;
+mod drain;
+mod eviction;
+mod listener;
 mod reading;
 
-use std::collections::BTreeMap;
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::sync::Arc;
 
 use doortrack_admission::RequestId;
 use doortrack_config::ResourceLimits;
 use doortrack_protocols::Protocol;
 use doortrack_time::TenthMillis;
-use polling::{Event, PollMode, Poller};
+use polling::Poller;
 use slab::Slab;
 
-use super::bounds::{FAIR_UNREAD, MOST_FRONTS, TURN};
+pub use self::counts::Counts;
+pub use self::listener::Listener;
+use super::bounds::{MAX_LISTENERS, READ_BUFFER_BYTES};
 use super::classified::Rules;
 use super::connection::Connection;
-use super::request::{self, Answer, IncomingRequest, Names};
+use super::request::{IncomingRequest, Names};
 use super::termination::Termination;
 
-/// Fronts have the keys from here on, connections those after them.
+/// The poller's key of the first listener; the others follow.
 pub const LISTEN_KEY: usize = 8;
-pub const FIRST_KEY: usize = LISTEN_KEY + MOST_FRONTS;
+/// The poller's key of the first connection; the others follow.
+pub const FIRST_KEY: usize = LISTEN_KEY + MAX_LISTENERS;
 
-/// Where an answer goes: a place in the table, and the number of a request there.
+/// Where an answer goes: the connection's slot in the table and the request's number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
     slot: usize,
-    nth: u64,
+    request: u64,
 }
 
-/// Variables as they came, and how they are written.
+/// A request's CGI variables as they were sent, and the protocol that encodes them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Block {
+pub struct RawVariables {
+    /// The protocol that the client spoke.
     pub protocol: Protocol,
+    /// The encoded variables, at most [`MAX_PARAMS_BYTES`](super::bounds::MAX_PARAMS_BYTES).
     pub bytes: Vec<u8>,
 }
 
-/// What the connections brought.
+/// What happened on the clients' connections.
 pub enum ListenerEvent {
+    /// A complete, readable request arrived.
     Request {
+        /// Where its answer goes.
         caller: Caller,
+        /// What admission needs to know of it.
         request: IncomingRequest,
-        block: Block,
+        /// Its variables, for whoever runs it.
+        variables: RawVariables,
+        /// Its body, for whoever runs it.
         body: Vec<u8>,
     },
+    /// A request's connection, or its caller's interest in it, came to an end.
     Ended {
-        ex: RequestId,
-        end: Termination,
+        /// The request.
+        id: RequestId,
+        /// How it ended.
+        termination: Termination,
     },
 }
 
-#[derive(Clone, Debug, Default)]
-pub struct Counts {
-    pub accepted: u64,
-    pub completed: u64,
-    pub rejected: u64,
-    pub failed: u64,
-    pub checks: u64,
-    /// By what could not be read.
-    pub unreadable: BTreeMap<&'static str, u64>,
-    pub no_room: u64,
-    pub ends: BTreeMap<&'static str, u64>,
-}
-
-impl Counts {
-    fn add(&mut self, other: &Counts) {
-        self.accepted += other.accepted;
-        self.completed += other.completed;
-        self.rejected += other.rejected;
-        self.failed += other.failed;
-        self.checks += other.checks;
-        self.no_room += other.no_room;
-        other
-            .unreadable
-            .iter()
-            .for_each(|(what, n)| *self.unreadable.entry(what).or_default() += n);
-        other
-            .ends
-            .iter()
-            .for_each(|(end, n)| *self.ends.entry(end).or_default() += n);
-    }
-}
-
-/// One address on which callers are taken in.
-pub struct Listener {
-    pub protocol: Protocol,
-    pub at: SocketAddr,
-    /// Connections that it may have at once.
-    most: usize,
-    /// None once it was withdrawn; it is forgotten with its last connection.
-    listener: Option<TcpListener>,
-    withdrawn: bool,
-    /// It is the platform's own, where its protocol alone says what a request is.
-    platform: bool,
-    accepting: bool,
-    pub connections: usize,
-    pub counts: Counts,
-}
-
-impl Listener {
-    fn is_at(&self, at: SocketAddr) -> bool {
-        self.listener.is_some() && self.at == at
-    }
-}
-
+/// All listeners, and the connections that they accepted.
 pub struct Listeners {
     poller: Arc<Poller>,
     listeners: Slab<Listener>,
-    conns: Slab<Connection>,
+    connections: Slab<Connection>,
     names: Names,
-    /// How requests of the installation's fronts are classed, if it has rules.
+    /// Classifies the requests of the installation's listeners, if it has rules.
     pub rules: Option<Rules>,
-    room: ResourceLimits,
-    /// Requests open on all connections, and how many were begun so far.
-    open: usize,
-    begun: u64,
-    /// Bytes of answers that were not read yet, on all connections.
-    unread: usize,
-    dirty: Vec<usize>,
-    scratch: Vec<u8>,
-    /// Nobody waits longer than this for anything.
+    limits: ResourceLimits,
+    /// Requests pending on all connections.
+    pending_requests: usize,
+    /// Requests begun since the start; the number of the last one.
+    requests_begun: u64,
+    /// Bytes of answers on all connections that the peers have not taken.
+    unread_answer_bytes: usize,
+    /// Slots of the connections that the next flush is to look at.
+    flush_queue: Vec<usize>,
+    read_buffer: Vec<u8>,
+    /// No caller waits for longer than this.
     longest_deadline: TenthMillis,
-    /// What goes out with each answer, and what health checks are told.
-    pub level: Option<f32>,
-    pub good: bool,
-    pub idle_limit: TenthMillis,
-    /// What fronts counted that are no more.
-    gone: Counts,
+    /// The load signal that goes out with each answer, if the deployment has one.
+    pub backpressure: Option<f32>,
+    /// What health checks are answered.
+    pub healthy: bool,
+    /// How long a connection may be idle before it is closed.
+    pub idle_timeout: TenthMillis,
+    /// The sum of the counts of listeners that have been removed.
+    removed_counts: Counts,
 }
 
 impl Listeners {
-    /// A table without any front yet.
+    /// An empty table, without any listener.
     pub fn new(
         poller: Arc<Poller>,
         names: Names,
-        room: ResourceLimits,
+        limits: ResourceLimits,
         longest_deadline: TenthMillis,
     ) -> Self {
         Listeners {
             poller,
             listeners: Slab::new(),
-            conns: Slab::new(),
+            connections: Slab::new(),
             names,
             rules: None,
-            room,
-            open: 0,
-            begun: 0,
-            unread: 0,
-            dirty: Vec::new(),
-            scratch: vec![0; TURN],
+            limits,
+            pending_requests: 0,
+            requests_begun: 0,
+            unread_answer_bytes: 0,
+            flush_queue: Vec::new(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
             longest_deadline,
-            level: None,
-            good: true,
-            idle_limit: TenthMillis::MAX,
-            gone: Counts::default(),
+            backpressure: None,
+            healthy: true,
+            idle_timeout: TenthMillis::MAX,
+            removed_counts: Counts::default(),
         }
     }
 
-    pub fn connections(&self) -> usize {
-        self.conns.len()
+    /// How many connections are open.
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
-    pub fn unread(&self) -> usize {
-        self.unread
+    /// Bytes of answers on all connections that the peers have not taken.
+    pub fn unread_answer_bytes(&self) -> usize {
+        self.unread_answer_bytes
     }
 
-    /// The fronts that are open or being drained.
-    pub fn each(&self) -> impl Iterator<Item = &Listener> {
-        self.listeners.iter().map(|(_, front)| front)
+    /// The listeners that are open or draining.
+    pub fn iter(&self) -> impl Iterator<Item = &Listener> {
+        self.listeners.iter().map(|(_, listener)| listener)
     }
 
-    /// What was counted on all fronts since the start.
+    /// What all listeners have counted since the start.
     pub fn counts(&self) -> Counts {
-        let mut all = self.gone.clone();
-        self.each().for_each(|front| all.add(&front.counts));
-        all
-    }
-
-    // --- Answering ---
-
-    /// Whether an answer can still go there.
-    pub fn waits(&self, caller: Caller) -> bool {
-        self.conns
-            .get(caller.slot)
-            .is_some_and(|conn| conn.open.iter().any(|open| open.nth == caller.nth))
-    }
-
-    /// From here on the decisions know this request as `ex`.
-    pub fn bind_request(&mut self, caller: Caller, ex: RequestId) {
-        let Some(conn) = self.conns.get_mut(caller.slot) else {
-            return;
-        };
-        if let Some(open) = conn.open.iter_mut().find(|open| open.nth == caller.nth) {
-            open.ex = Some(ex);
-        }
-    }
-
-    /// Gives the one answer; a second one finds nothing open any more.
-    pub fn answer(&mut self, caller: Caller, answer: Answer) {
-        let Some(conn) = self.conns.get_mut(caller.slot) else {
-            return;
-        };
-        let Some(open) = conn.take(|open| open.nth == caller.nth) else {
-            return;
-        };
-        let counts = &mut self.listeners[conn.front].counts;
-        match answer {
-            Answer::Completed(_) => counts.completed += 1,
-            Answer::Rejected { .. } => counts.rejected += 1,
-            Answer::Failed => counts.failed += 1,
-            Answer::Health { .. } => counts.checks += 1,
-            Answer::Unreadable(what) => {
-                conn.rests = true;
-                *counts.unreadable.entry(what.name()).or_default() += 1
-            }
-            Answer::UnknownRole => *counts.unreadable.entry("role").or_default() += 1,
-            Answer::NoRoom => counts.no_room += 1,
-        }
-        self.open -= 1;
-        // While answers pile up everywhere, who leaves more than a fair part unread is not given more.
-        if self.unread > self.room.unread_answer_bytes && conn.unread() > FAIR_UNREAD {
-            conn.doomed = Some(Termination::Unread);
-        }
-        let (level, protocol) = (self.level, conn.reader.protocol());
-        self.put(caller.slot, |out| {
-            request::write(out, protocol, open.id, answer, level)
-        });
-    }
-
-    pub(super) fn put(&mut self, slot: usize, write: impl FnOnce(&mut Vec<u8>)) {
-        let out = &mut self.conns[slot].out;
-        let before = out.len();
-        write(out);
-        self.unread += out.len() - before;
-        self.mark_dirty(slot);
-    }
-
-    pub(super) fn mark_dirty(&mut self, slot: usize) {
-        if !self.conns[slot].dirty {
-            self.conns[slot].dirty = true;
-            self.dirty.push(slot);
+        let mut total = self.removed_counts.clone();
+        for listener in self.iter() {
+            total.add(&listener.counts);
         }
+        total
     }
 
-    /// Writes what the present turn brought, and closes what is to be closed.
-    pub fn flush(&mut self, now: TenthMillis, listener_events: &mut Vec<ListenerEvent>) {
-        let mut dirty = std::mem::take(&mut self.dirty);
-        for slot in dirty.drain(..) {
-            let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.dirty) else {
-                continue;
-            };
-            conn.dirty = false;
-            let before = conn.unread();
-            let written = conn.doomed.map_or_else(|| conn.write(now), Err);
-            self.unread -= before - conn.unread();
-            let over = conn
-                .last
-                .filter(|_| conn.open.is_empty() && conn.unread() == 0);
-            match (written, over) {
-                (Err(end), _) => self.close(slot, end, listener_events),
-                (Ok(()), Some(end)) => self.linger(slot, end, now, listener_events),
-                _ => self.watch(slot),
-            }
-        }
-        self.dirty = dirty;
-    }
-
-    fn watch(&mut self, slot: usize) {
-        let conn = &mut self.conns[slot];
-        let wants = conn.wants();
-        let event = Event::new(FIRST_KEY + slot, wants.0, wants.1);
-        if wants != conn.watched
-            && self
-                .poller
-                .modify_with_mode(&conn.sock, event, PollMode::Level)
-                .is_ok()
-        {
-            conn.watched = wants;
-        }
+    /// The indices of the listeners that are open at this address; one at the most.
+    fn open_at(&self, address: SocketAddr) -> Vec<usize> {
+        let open = self.listeners.iter();
+        open.filter(|(_, listener)| listener.is_open_at(address))
+            .map(|(index, _)| index)
+            .collect()
     }
 }
--- /dev/null
+++ b/crates/node/src/network/listeners/answers.rs
@@ -0,0 +1,131 @@
+//! Answers requests, and writes what the clients take of the answers.
+
+use doortrack_admission::RequestId;
+use doortrack_time::TenthMillis;
+use polling::{Event, PollMode};
+
+use super::{Caller, Counts, FIRST_KEY, ListenerEvent, Listeners};
+use crate::network::bounds::FAIR_UNREAD_ANSWER_BYTES;
+use crate::network::request::{self, Answer};
+use crate::network::termination::Termination;
+
+impl Listeners {
+    /// Whether an answer can still go there.
+    pub fn is_pending(&self, caller: Caller) -> bool {
+        let connection = self.connections.get(caller.slot);
+        connection.is_some_and(|connection| connection.pending.find(caller.request).is_some())
+    }
+
+    /// Tells under which id the admission controller knows a request from here on.
+    pub fn bind_request(&mut self, caller: Caller, id: RequestId) {
+        let Some(connection) = self.connections.get_mut(caller.slot) else {
+            return;
+        };
+        if let Some(pending) = connection.pending.find_mut(caller.request) {
+            pending.id = Some(id);
+        }
+    }
+
+    /// Answers a request. It is no longer pending then, so a second answer has no effect.
+    pub fn answer(&mut self, caller: Caller, answer: Answer) {
+        let Some(connection) = self.connections.get_mut(caller.slot) else {
+            return;
+        };
+        let Some(request) = connection.pending.remove(caller.request) else {
+            return;
+        };
+        if let Answer::Unreadable(_) = answer {
+            connection.pause_reading();
+        }
+        count_answer(&mut self.listeners[connection.listener].counts, answer);
+        self.pending_requests -= 1;
+        // While unread answers pile up on all connections, one with more than its fair part gets no more.
+        if self.unread_answer_bytes > self.limits.unread_answer_bytes
+            && connection.out.len() > FAIR_UNREAD_ANSWER_BYTES
+        {
+            connection.close_now(Termination::Unread);
+        }
+        let (backpressure, protocol) = (self.backpressure, connection.protocol());
+        self.write(caller.slot, |out| {
+            request::write(out, protocol, request.wire_id, answer, backpressure)
+        });
+    }
+
+    /// Gives the same answer to all incomplete requests of a connection.
+    pub(super) fn answer_incomplete(&mut self, slot: usize, answer: Answer) {
+        for request in self.connections[slot].pending.incomplete_numbers() {
+            self.answer(Caller { slot, request }, answer);
+        }
+    }
+
+    /// Appends what `encode` writes to a connection's answers.
+    pub(super) fn write(&mut self, slot: usize, encode: impl FnOnce(&mut Vec<u8>)) {
+        self.unread_answer_bytes += self.connections[slot].out.append(encode);
+        self.queue_flush(slot);
+    }
+
+    /// Has the next flush look at a connection.
+    pub(super) fn queue_flush(&mut self, slot: usize) {
+        let connection = &mut self.connections[slot];
+        if !connection.flush_queued {
+            connection.flush_queued = true;
+            self.flush_queue.push(slot);
+        }
+    }
+
+    /// Writes what the present turn produced, and closes what is to be closed.
+    pub fn flush(&mut self, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
+        let mut queue = std::mem::take(&mut self.flush_queue);
+        for slot in queue.drain(..) {
+            self.flush_connection(slot, now, events);
+        }
+        self.flush_queue = queue;
+    }
+
+    fn flush_connection(&mut self, slot: usize, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
+        // The slot may have been closed since, and taken by another connection.
+        let connection = self.connections.get_mut(slot);
+        let Some(connection) = connection.filter(|connection| connection.flush_queued) else {
+            return;
+        };
+        connection.flush_queued = false;
+        let before = connection.out.len();
+        let written = connection
+            .immediate_close()
+            .map_or_else(|| connection.write(now), Err);
+        self.unread_answer_bytes -= before - connection.out.len();
+        match (written, connection.due_close()) {
+            (Err(termination), _) => self.close(slot, termination, events),
+            (Ok(()), Some(termination)) => self.linger(slot, termination, now, events),
+            (Ok(()), None) => self.update_interest(slot),
+        }
+    }
+
+    /// Tells the poller what to report of a connection, if that has changed.
+    pub(super) fn update_interest(&mut self, slot: usize) {
+        let connection = &mut self.connections[slot];
+        let interest = connection.interest();
+        if interest == connection.registered {
+            return;
+        }
+        let event = Event::new(FIRST_KEY + slot, interest.readable, interest.writable);
+        let modified = self
+            .poller
+            .modify_with_mode(&connection.sock, event, PollMode::Level);
+        if modified.is_ok() {
+            connection.registered = interest;
+        }
+    }
+}
+
+fn count_answer(counts: &mut Counts, answer: Answer) {
+    match answer {
+        Answer::Completed(_) => counts.completed += 1,
+        Answer::Rejected { .. } => counts.rejected += 1,
+        Answer::Failed => counts.failed += 1,
+        Answer::Health { .. } => counts.health_checks += 1,
+        Answer::Unreadable(reason) => *counts.unreadable.entry(reason.name()).or_default() += 1,
+        Answer::UnknownRole => *counts.unreadable.entry("role").or_default() += 1,
+        Answer::NoCapacity => counts.no_capacity += 1,
+    }
+}
--- /dev/null
+++ b/crates/node/src/network/listeners/close.rs
@@ -0,0 +1,125 @@
+//! Closes connections: in order, at once, or after a timeout.
+
+use doortrack_time::TenthMillis;
+
+use super::{ListenerEvent, Listeners};
+use crate::network::bounds;
+use crate::network::connection::Timeouts;
+use crate::network::request::{Answer, Unreadable};
+use crate::network::termination::Termination;
+
+impl Listeners {
+    /// Closes a connection in order once nothing is owed on it: half-closes it, discards what still comes, and
+    /// drops it once the peer has closed too. A request that crosses this is never run; its caller sees an
+    /// orderly end and may send it again.
+    pub(super) fn linger(
+        &mut self,
+        slot: usize,
+        termination: Termination,
+        now: TenthMillis,
+        events: &mut Vec<ListenerEvent>,
+    ) {
+        if self.connections[slot].linger(termination, now) {
+            self.update_interest(slot)
+        } else {
+            self.close(slot, termination, events)
+        }
+    }
+
+    /// Closes a connection at once and reports the requests that were pending on it.
+    pub(super) fn close(
+        &mut self,
+        slot: usize,
+        termination: Termination,
+        events: &mut Vec<ListenerEvent>,
+    ) {
+        let connection = self.connections.remove(slot);
+        _ = self.poller.delete(&connection.sock);
+        self.pending_requests -= connection.pending.len();
+        self.unread_answer_bytes -= connection.out.len();
+        let ids = connection.pending.iter().filter_map(|pending| pending.id);
+        events.extend(ids.map(|id| ListenerEvent::Ended { id, termination }));
+        let owner = &mut self.listeners[connection.listener];
+        owner.connections -= 1;
+        *owner
+            .counts
+            .terminations
+            .entry(termination.name())
+            .or_default() += 1;
+        self.remove_if_drained(connection.listener);
+        self.resume_accepting();
+    }
+
+    /// Closes the connection once all that is pending on it is answered. Until then it is read, as the peer may
+    /// be sending requests without knowing of the close; those are turned down.
+    pub(super) fn close_when_answered(&mut self, slot: usize, termination: Termination) {
+        self.connections[slot].close_when_answered(termination);
+        self.queue_flush(slot);
+    }
+
+    /// Closes connections that have been idle for too long, and those on which nobody can be waiting any more.
+    /// To be called at a steady pace while [`Listeners::needs_sweep`].
+    pub fn close_idle(&mut self, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
+        self.resume_paused();
+        let timeouts = Timeouts {
+            idle: self.idle_timeout,
+            request_read: bounds::request_read_timeout(self.longest_deadline),
+            unread_answers: self.longest_deadline,
+        };
+        let expiry = self.connections.iter().filter_map(|(slot, connection)| {
+            let termination = connection.expiry(now, &timeouts)?;
+            Some((slot, termination))
+        });
+        let expired: Vec<(usize, Termination)> = expiry.collect();
+        for (slot, termination) in expired {
+            self.close_expired(slot, termination, now, events);
+        }
+        self.retry_accepting();
+    }
+
+    /// Whether there is anything for [`Listeners::close_idle`] to do.
+    pub fn needs_sweep(&self) -> bool {
+        !self.connections.is_empty() || self.iter().any(|listener| !listener.accepting)
+    }
+
+    fn resume_paused(&mut self) {
+        for (slot, connection) in &mut self.connections {
+            if connection.resume_reading() && !connection.flush_queued {
+                connection.flush_queued = true;
+                self.flush_queue.push(slot);
+            }
+        }
+    }
+
+    fn close_expired(
+        &mut self,
+        slot: usize,
+        termination: Termination,
+        now: TenthMillis,
+        events: &mut Vec<ListenerEvent>,
+    ) {
+        match termination {
+            _ if self.connections[slot].is_lingering() => self.close(slot, termination, events),
+            Termination::Idle => self.linger(slot, termination, now, events),
+            // A dispatcher that relays a slow client's request may have others pending here.
+            Termination::Slow => {
+                self.answer_incomplete(slot, Answer::Unreadable(Unreadable::Field("record")));
+                self.close_when_answered(slot, termination);
+            }
+            _ => self.close(slot, termination, events),
+        }
+    }
+
+    /// Accepts again where there is a slot or one could be freed.
+    fn retry_accepting(&mut self) {
+        let can_evict = self
+            .connections
+            .iter()
+            .any(|(_, connection)| connection.is_lingering() || connection.has_no_waiting_caller());
+        for listener in self.listener_indices() {
+            if self.listeners.contains(listener) {
+                self.set_accepting(listener, can_evict || !self.is_full(listener));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/network/listeners/drain.rs
@@ -0,0 +1,104 @@
+//! Drains listeners: what the system has accepted is still answered, and nothing after it.
+
+use std::net::SocketAddr;
+
+use doortrack_time::TenthMillis;
+
+use super::{ListenerEvent, Listeners};
+use crate::network::bounds::MAX_FINAL_READS;
+use crate::network::request::Answer;
+use crate::network::termination::Termination;
+
+impl Listeners {
+    /// Closes the listener at this address. Requests that have arrived are still answered; the listener is
+    /// removed with its last connection.
+    pub fn drain_listener(
+        &mut self,
+        address: SocketAddr,
+        now: TenthMillis,
+        events: &mut Vec<ListenerEvent>,
+    ) {
+        for listener in self.open_at(address) {
+            self.drain(listener, Termination::ListenerClosed, now, events);
+        }
+    }
+
+    /// Closes all listeners at the end of the process. Requests that have arrived are still answered.
+    pub fn drain_all(&mut self, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
+        let listeners: Vec<usize> = self.listeners.iter().map(|(index, _)| index).collect();
+        for listener in listeners {
+            self.drain(listener, Termination::Shutdown, now, events);
+        }
+    }
+
+    /// Accepts a listener's backlog, closes its socket, reads each of its connections once more, and closes
+    /// them as soon as nothing is pending on them.
+    fn drain(
+        &mut self,
+        listener: usize,
+        termination: Termination,
+        now: TenthMillis,
+        events: &mut Vec<ListenerEvent>,
+    ) {
+        self.accept_backlog(listener, now, events);
+        // Accepting may have closed the last connection of a listener that was draining before.
+        let Some(entry) = self.listeners.get_mut(listener) else {
+            return;
+        };
+        if let Some(socket) = entry.socket.take() {
+            _ = self.poller.delete(&socket);
+        }
+        entry.removed |= termination == Termination::ListenerClosed;
+        let owned = self.connections.iter();
+        let slots: Vec<usize> = owned
+            .filter(|(_, connection)| connection.listener == listener)
+            .map(|(slot, _)| slot)
+            .collect();
+        for slot in slots {
+            self.drain_connection(slot, termination, now, events);
+        }
+        self.remove_if_drained(listener);
+    }
+
+    fn accept_backlog(
+        &mut self,
+        listener: usize,
+        now: TenthMillis,
+        events: &mut Vec<ListenerEvent>,
+    ) {
+        let entry = self.listeners.get(listener);
+        if entry.is_some_and(|entry| entry.socket.is_some()) {
+            // What stays in the backlog is lost, so recent activity spares no connection from eviction.
+            while self.accept_evicting(listener, now, now, events) {}
+        }
+    }
+
+    fn drain_connection(
+        &mut self,
+        slot: usize,
+        termination: Termination,
+        now: TenthMillis,
+        events: &mut Vec<ListenerEvent>,
+    ) {
+        for _ in 0..MAX_FINAL_READS {
+            let connection = self.connections.get(slot);
+            if connection.is_some_and(|connection| connection.is_reading()) {
+                self.read(slot, now, events);
+            }
+        }
+        if self.connections.contains(slot) {
+            self.answer_incomplete(slot, Answer::NoCapacity);
+            self.close_when_answered(slot, termination);
+        }
+    }
+
+    /// Removes a listener that was taken out of the installation, once its last connection has closed. What it
+    /// counted stays in the totals.
+    pub(super) fn remove_if_drained(&mut self, listener: usize) {
+        let entry = self.listeners.get(listener);
+        if entry.is_some_and(|entry| entry.removed && entry.connections == 0) {
+            let entry = self.listeners.remove(listener);
+            self.removed_counts.add(&entry.counts);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/network/listeners/listener.rs
@@ -0,0 +1,73 @@
+//! One listening socket.
+
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+
+use doortrack_protocols::Protocol;
+use socket2::{Domain, Socket, Type};
+
+use super::Counts;
+
+/// One address at which clients connect.
+pub struct Listener {
+    /// The protocol that its clients speak.
+    pub protocol: Protocol,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Connections that it has at present.
+    pub connections: usize,
+    /// What it has counted.
+    pub counts: Counts,
+    /// Connections that it may have at once.
+    pub(super) max_connections: usize,
+    /// None once it accepts no more.
+    pub(super) socket: Option<TcpListener>,
+    /// It was taken out of the installation: it is removed with its last connection.
+    pub(super) removed: bool,
+    /// It is the platform's own: its requests are read by the platform's variables, not by rules.
+    pub(super) is_platform: bool,
+    /// The poller reports new connections.
+    pub(super) accepting: bool,
+}
+
+impl Listener {
+    /// A listener that is registered with the poller for new connections.
+    pub(super) fn new(
+        address: SocketAddr,
+        protocol: Protocol,
+        socket: TcpListener,
+        max_connections: Option<usize>,
+        is_platform: bool,
+    ) -> Listener {
+        Listener {
+            protocol,
+            address,
+            connections: 0,
+            counts: Counts::default(),
+            max_connections: max_connections.unwrap_or(usize::MAX),
+            socket: Some(socket),
+            removed: false,
+            is_platform,
+            accepting: true,
+        }
+    }
+
+    pub(super) fn is_open_at(&self, address: SocketAddr) -> bool {
+        self.socket.is_some() && self.address == address
+    }
+
+    pub(super) fn is_full(&self) -> bool {
+        self.connections >= self.max_connections
+    }
+}
+
+/// A nonblocking listening socket.
+pub(super) fn bind(address: SocketAddr, backlog: i32) -> io::Result<TcpListener> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
+    // A node that was killed gets its address back at once.
+    socket.set_reuse_address(true)?;
+    socket.bind(&address.into())?;
+    socket.listen(backlog)?;
+    socket.set_nonblocking(true)?;
+    Ok(TcpListener::from(socket))
+}
--- a/crates/node/src/network/listeners/reading.rs
+++ b/crates/node/src/network/listeners/reading.rs
@@ -1,66 +1,69 @@
-//! What comes on the callers' connections: read, cut into requests, and given up where it can't be read.
+//! Reads the clients' connections and assembles requests from what arrives.
 
+use doortrack_protocols::fastcgi::{self, RESPONDER};
+use doortrack_protocols::{Piece, uwsgi};
+use doortrack_time::TenthMillis;
 use polling::Event;
 
-use super::{Block, Caller, FIRST_KEY, ListenerEvent, Listeners};
-use crate::network::bounds::{self, MOST_BODY};
+use super::{Caller, FIRST_KEY, ListenerEvent, Listeners, RawVariables};
+use crate::network::bounds::{self, MAX_BODY_BYTES};
 use crate::network::classified::Origin;
-use crate::network::connection::Stream;
+use crate::network::connection::{CompleteRequest, Stream};
 use crate::network::request::{self, Answer, Inbound, Unreadable};
 use crate::network::termination::Termination;
-use doortrack_protocols::fastcgi::{self, RESPONDER};
-use doortrack_protocols::{Piece, uwsgi};
-use doortrack_time::TenthMillis;
 
 impl Listeners {
-    /// A connection is ready, or broke.
-    pub fn ready(
-        &mut self,
-        event: Event,
-        now: TenthMillis,
-        listener_events: &mut Vec<ListenerEvent>,
-    ) {
+    /// Handles what the poller reports of a connection.
+    pub fn on_event(&mut self, event: Event, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
         let slot = event.key - FIRST_KEY;
-        if !self.conns.contains(slot) {
+        if !self.connections.contains(slot) {
             return; // Closed earlier in this turn.
         }
         if event.writable {
-            self.mark_dirty(slot);
+            self.queue_flush(slot);
         }
-        // A turn that stood still reads twice, and what the first reading ended is told of again by the
-        // second: the poller learns only at the end of the turn that it is not to be read any more.
-        let conn = &self.conns[slot];
-        let ended_in_this_turn = !conn.reading && !conn.lingers && conn.watched.0;
+        // After a stall the event loop polls twice in a turn, and the second poll reports again what ended in the
+        // first: the poller learns only at the end of the turn that the connection is not read any more.
+        let connection = &self.connections[slot];
+        let ended_in_this_turn = !connection.is_reading()
+            && !connection.is_lingering()
+            && connection.registered.readable;
         if event.readable && !ended_in_this_turn {
-            self.read(slot, now, listener_events);
+            self.read(slot, now, events);
+        }
+    }
+
+    /// Reads a connection once.
+    pub(super) fn read(&mut self, slot: usize, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
+        let mut buffer = std::mem::take(&mut self.read_buffer);
+        let connection = &mut self.connections[slot];
+        let received = connection.read(&mut buffer, now);
+        if connection.is_lingering() {
+            self.discard(slot, received, events);
+        } else {
+            match received {
+                Ok(count) => self.split(slot, &buffer[..count], now, events),
+                Err(Termination::Reset) => self.close(slot, Termination::Reset, events),
+                Err(termination) => self.stop_reading(slot, termination),
+            }
         }
+        self.read_buffer = buffer;
     }
 
-    pub(super) fn read(
+    /// Discards what came on a lingering connection, and closes it once the peer has closed or sent too much.
+    /// Nothing is owed on it, so it does not matter how it ends.
+    fn discard(
         &mut self,
         slot: usize,
-        now: TenthMillis,
-        listener_events: &mut Vec<ListenerEvent>,
+        received: Result<usize, Termination>,
+        events: &mut Vec<ListenerEvent>,
     ) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        let conn = &mut self.conns[slot];
-        match conn.read(&mut scratch, now) {
-            Ok(n) if conn.lingers => {
-                if conn.passed_over(n) {
-                    let end = conn.last.unwrap_or(Termination::Closed);
-                    self.close(slot, end, listener_events);
-                }
-            }
-            // All was said, so however it ends takes nothing away.
-            Err(_) if conn.lingers => {
-                let end = conn.last.unwrap_or(Termination::Closed);
-                self.close(slot, end, listener_events);
-            }
-            Ok(n) => self.split(slot, &scratch[..n], now, listener_events),
-            Err(Termination::Reset) => self.close(slot, Termination::Reset, listener_events),
-            Err(end) => self.stop_reading(slot, end),
+        let connection = &mut self.connections[slot];
+        let is_over = received.map_or(true, |count| connection.account_discarded(count));
+        if is_over {
+            let termination = connection.deferred_close();
+            self.close(slot, termination.unwrap_or(Termination::Closed), events);
         }
-        self.scratch = scratch;
     }
 
     fn split(
@@ -68,183 +71,187 @@
         slot: usize,
         mut input: &[u8],
         now: TenthMillis,
-        listener_events: &mut Vec<ListenerEvent>,
+        events: &mut Vec<ListenerEvent>,
     ) {
         let size = input.len();
-        while self.conns[slot].reading {
-            match self.conns[slot].reader.next(&mut input) {
-                Ok(Some(piece)) => self.piece(slot, piece, now, listener_events),
+        while self.connections[slot].is_reading() {
+            match self.connections[slot].reader().next(&mut input) {
+                Ok(Some(piece)) => self.on_piece(slot, piece, now, events),
                 Ok(None) => break,
-                Err(_) => self.give_up(slot, Termination::Malformed),
+                Err(_) => self.give_up(slot),
             }
         }
-        if self.conns[slot].took_in(size, now) && self.conns[slot].reading {
-            self.give_up(slot, Termination::Malformed);
+        let connection = &mut self.connections[slot];
+        if connection.account_read(size, now) && connection.is_reading() {
+            self.give_up(slot);
         }
     }
 
-    /// What comes can't be read any further: what is whole is answered yet, what is not is told so.
-    fn give_up(&mut self, slot: usize, end: Termination) {
-        self.answer_half_read(slot, Answer::Unreadable(Unreadable::Field("record")));
-        self.stop_reading(slot, end);
+    /// Stops reading a connection whose input is malformed. Complete requests on it are still answered.
+    fn give_up(&mut self, slot: usize) {
+        self.answer_incomplete(slot, Answer::Unreadable(Unreadable::Field("record")));
+        self.stop_reading(slot, Termination::Malformed);
     }
 
-    pub(super) fn answer_half_read(&mut self, slot: usize, answer: Answer) {
-        let half = self.conns[slot].open.iter().filter(|open| open.half_read());
-        let callers: Vec<Caller> = half
-            .map(|open| Caller {
-                slot,
-                nth: open.nth,
-            })
-            .collect();
-        callers
-            .into_iter()
-            .for_each(|caller| self.answer(caller, answer));
+    fn stop_reading(&mut self, slot: usize, termination: Termination) {
+        self.pending_requests -= self.connections[slot].stop_reading(termination);
+        self.queue_flush(slot);
     }
 
-    /// It ends once all that is open on it has been answered. Until then it is read, as the peer may be
-    /// writing requests that it could not know to be in vain; those are refused.
-    pub(super) fn end_once_answered(&mut self, slot: usize, end: Termination) {
-        self.conns[slot].last = Some(end);
-        self.mark_dirty(slot);
-    }
-
-    fn stop_reading(&mut self, slot: usize, end: Termination) {
-        self.open -= self.conns[slot].stop_reading(end);
-        self.mark_dirty(slot);
-    }
-
-    fn piece(
+    fn on_piece(
         &mut self,
         slot: usize,
         piece: Piece,
         now: TenthMillis,
-        listener_events: &mut Vec<ListenerEvent>,
+        events: &mut Vec<ListenerEvent>,
     ) {
-        let conn = &mut self.conns[slot];
         match piece {
-            Piece::Begin { id, .. } if conn.has(id) => self.give_up(slot, Termination::Malformed),
-            Piece::Begin { id, role, keep } => {
-                let ending = conn.is_ending();
-                if !keep && !ending {
-                    conn.last = Some(Termination::Closed);
-                }
-                (self.begun, self.open) = (self.begun + 1, self.open + 1);
-                let caller = Caller {
-                    slot,
-                    nth: self.begun,
-                };
-                let too_many = conn.begin(id, caller.nth) || self.open > self.room.open_requests;
-                if role != RESPONDER {
-                    self.answer(caller, Answer::UnknownRole);
-                } else if too_many || ending {
-                    self.answer(caller, Answer::NoRoom);
-                }
-            }
-            Piece::Abort { id } => {
-                if let Some(open) = conn.take(|open| open.id == id) {
-                    self.open -= 1;
-                    listener_events.extend(open.ex.map(|ex| ListenerEvent::Ended {
-                        ex,
-                        end: Termination::Aborted,
-                    }));
-                    self.mark_dirty(slot);
-                }
-            }
-            Piece::Params { id, bytes } => self.collect(slot, id, Stream::Params, bytes),
-            Piece::Stdin { id, bytes } => self.collect(slot, id, Stream::Body, bytes),
-            Piece::ParamsEnd { id } => {
-                self.end_stream(slot, id, Stream::Params, now, listener_events)
-            }
-            Piece::StdinEnd { id } => self.end_stream(slot, id, Stream::Body, now, listener_events),
-            Piece::BodyOf { id, length } => {
-                if length > MOST_BODY as u64
-                    && let Some(open) = conn.open.iter().find(|open| open.id == id)
-                {
-                    let nth = open.nth;
-                    self.answer(
-                        Caller { slot, nth },
-                        Answer::Unreadable(Unreadable::TooLong),
-                    );
-                }
-            }
-            Piece::Ping => {
-                conn.answers_a_ping();
-                let (front, good) = (conn.front, self.good);
-                self.listeners[front].counts.checks += 1;
-                self.put(slot, |out| uwsgi::pong(out, good));
-            }
+            Piece::Begin { id, role, keep } => self.begin(slot, id, role, keep),
+            Piece::Abort { id } => self.abort(slot, id, events),
+            Piece::Params { id, bytes } => self.append(slot, id, Stream::Params, bytes),
+            Piece::Stdin { id, bytes } => self.append(slot, id, Stream::Body, bytes),
+            Piece::ParamsEnd { id } => self.end_stream(slot, id, Stream::Params, now, events),
+            Piece::StdinEnd { id } => self.end_stream(slot, id, Stream::Body, now, events),
+            Piece::BodyOf { id, length } => self.check_body_length(slot, id, length),
+            Piece::Ping => self.answer_ping(slot),
             Piece::GetValues => {
-                let (connections, requests) = (self.room.connections, self.room.open_requests);
-                self.put(slot, |out| fastcgi::values(out, connections, requests));
+                let (connections, requests) = (self.limits.connections, self.limits.open_requests);
+                self.write(slot, |out| fastcgi::values(out, connections, requests));
             }
-            Piece::Unknown { kind } => self.put(slot, |out| fastcgi::unknown_type(out, kind)),
+            Piece::Unknown { kind } => self.write(slot, |out| fastcgi::unknown_type(out, kind)),
+        }
+    }
+
+    fn begin(&mut self, slot: usize, wire_id: u16, role: u16, keep_open: bool) {
+        let connection = &mut self.connections[slot];
+        if connection.pending.find_wire_id(wire_id).is_some() {
+            return self.give_up(slot);
+        }
+        let is_closing = connection.is_closing();
+        if !keep_open && !is_closing {
+            connection.close_when_answered(Termination::Closed);
+        }
+        self.requests_begun += 1;
+        self.pending_requests += 1;
+        let request = self.requests_begun;
+        let within_bounds = connection.pending.begin(wire_id, request)
+            && self.pending_requests <= self.limits.open_requests;
+        let caller = Caller { slot, request };
+        if role != RESPONDER {
+            self.answer(caller, Answer::UnknownRole);
+        } else if !within_bounds || is_closing {
+            self.answer(caller, Answer::NoCapacity);
         }
     }
 
-    /// One that is longer than any may be is told so at once: its end may never come.
-    fn collect(&mut self, slot: usize, id: u16, stream: Stream, bytes: &[u8]) {
-        if let Some(nth) = self.conns[slot].collect(id, stream, bytes) {
-            self.answer(
-                Caller { slot, nth },
-                Answer::Unreadable(Unreadable::TooLong),
-            );
+    fn abort(&mut self, slot: usize, wire_id: u16, events: &mut Vec<ListenerEvent>) {
+        let pending = &mut self.connections[slot].pending;
+        let Some(request) = pending.remove_wire_id(wire_id) else {
+            return;
+        };
+        self.pending_requests -= 1;
+        events.extend(request.id.map(|id| ListenerEvent::Ended {
+            id,
+            termination: Termination::Aborted,
+        }));
+        self.queue_flush(slot);
+    }
+
+    fn append(&mut self, slot: usize, wire_id: u16, stream: Stream, bytes: &[u8]) {
+        let pending = &mut self.connections[slot].pending;
+        if let Err(request) = pending.append(wire_id, stream, bytes) {
+            self.answer_too_long(Caller { slot, request });
+        }
+    }
+
+    /// Turns a request down whose variables announce too long a body.
+    fn check_body_length(&mut self, slot: usize, wire_id: u16, length: u64) {
+        if length <= MAX_BODY_BYTES as u64 {
+            return;
         }
+        let pending = self.connections[slot].pending.find_wire_id(wire_id);
+        if let Some(request) = pending.map(|pending| pending.number) {
+            self.answer_too_long(Caller { slot, request });
+        }
+    }
+
+    /// Answered at once, as the request's end may never come.
+    fn answer_too_long(&mut self, caller: Caller) {
+        self.answer(caller, Answer::Unreadable(Unreadable::TooLong));
+    }
+
+    fn answer_ping(&mut self, slot: usize) {
+        let (connection, healthy) = (&mut self.connections[slot], self.healthy);
+        connection.finish_with_ping();
+        self.listeners[connection.listener].counts.health_checks += 1;
+        self.write(slot, |out| uwsgi::pong(out, healthy));
     }
 
     fn end_stream(
         &mut self,
         slot: usize,
-        id: u16,
+        wire_id: u16,
         stream: Stream,
         now: TenthMillis,
-        listener_events: &mut Vec<ListenerEvent>,
+        events: &mut Vec<ListenerEvent>,
     ) {
-        let Some(whole) = self.conns[slot].end_stream(id, stream) else {
+        let Some(complete) = self.connections[slot].end_stream(wire_id, stream) else {
             return;
         };
         let caller = Caller {
             slot,
-            nth: whole.nth,
+            request: complete.number,
         };
-        let conn = &self.conns[slot];
-        let (protocol, peer) = (conn.reader.protocol(), conn.peer);
-        let asked = match &mut self.rules {
-            Some(rules) if !self.listeners[conn.front].platform => rules.read(
-                &whole.params,
-                &whole.body,
-                Origin {
+        match self.decode(slot, &complete, now) {
+            Ok(Inbound::Request(request)) => events.push(ListenerEvent::Request {
+                caller,
+                request,
+                variables: RawVariables {
+                    protocol: self.connections[slot].protocol(),
+                    bytes: complete.params,
+                },
+                body: complete.body,
+            }),
+            Ok(Inbound::Health) => {
+                let healthy = self.healthy;
+                self.answer(caller, Answer::Health { healthy })
+            }
+            Err(unreadable) => self.answer(caller, Answer::Unreadable(unreadable)),
+        }
+    }
+
+    /// Decodes a complete request: by the installation's rules, or by the platform's variables alone.
+    fn decode(
+        &mut self,
+        slot: usize,
+        complete: &CompleteRequest,
+        now: TenthMillis,
+    ) -> Result<Inbound, Unreadable> {
+        let connection = &self.connections[slot];
+        let (protocol, peer) = (connection.protocol(), connection.peer);
+        let is_platform = self.listeners[connection.listener].is_platform;
+        let inbound = match &mut self.rules {
+            Some(rules) if !is_platform => {
+                let origin = Origin {
                     protocol,
                     peer,
                     now,
-                },
-                &self.names,
-            ),
-            _ => request::read(protocol, &whole.params, &self.names),
+                };
+                rules.read(&complete.params, &complete.body, origin, &self.names)?
+            }
+            _ => request::read(protocol, &complete.params, &self.names)?,
         };
-        let asked = match asked {
-            Ok(Inbound::Request(request))
-                if bounds::is_far_off(request.stamp, now, self.longest_deadline) =>
+        match inbound {
+            Inbound::Request(request)
+                if bounds::is_implausible_timestamp(
+                    request.arrived_at,
+                    now,
+                    self.longest_deadline,
+                ) =>
             {
                 Err(Unreadable::Field("HTTP_X_REQUEST_START"))
             }
-            asked => asked,
-        };
-        match asked {
-            Ok(Inbound::Request(request)) => {
-                let block = Block {
-                    protocol,
-                    bytes: whole.params,
-                };
-                listener_events.push(ListenerEvent::Request {
-                    caller,
-                    request,
-                    block,
-                    body: whole.body,
-                });
-            }
-            Ok(Inbound::Health) => self.answer(caller, Answer::Health { good: self.good }),
-            Err(unreadable) => self.answer(caller, Answer::Unreadable(unreadable)),
+            inbound => Ok(inbound),
         }
     }
 }
--- a/crates/node/src/network/mod.rs
+++ b/crates/node/src/network/mod.rs
@@ -1,5 +1,7 @@
-//! What is spoken on the wire. What can be read and written without sockets stands in the package
-//! `doortrack-protocols` (FastCGI, uwsgi), in `request` and in `link`.
+//! The node's sockets: its clients' connections, the engine or the servers that run requests, and the registry.
+//!
+//! What can be encoded and decoded without sockets is in the package `doortrack-protocols` (FastCGI, uwsgi), in
+//! [`request`], [`classified`] and [`engine_protocol`].
 
 pub mod backend;
 pub mod bounds;
--- a/crates/node/src/network/request.rs
+++ b/crates/node/src/network/request.rs
@@ -1,64 +1,80 @@
-//! What callers ask and are answered: CGI's fields, read and written without sockets, whatever carried them.
+//! Requests by the platform's CGI variables, read and answered without sockets, whatever protocol carried them.
 
-use doortrack_protocols::fastcgi::{self, ProtocolStatus};
-use doortrack_protocols::{Head, Pair, Protocol};
+mod answer;
+mod fields;
+
+use std::fmt;
+
+use doortrack_protocols::Protocol;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
-/// The name by which dispatchers and the engine know a try: 16 hex digits, as they came.
-pub type TryId = [u8; 16];
-/// The idempotency key of a deduplicated request, as it came.
-pub type IdempotencyKey = [u8; 32];
+pub use self::answer::{Answer, RunOutput, write};
+pub(super) use self::fields::Fields;
+use self::fields::in_range;
 
-/// What a run brought: header lines of its answer, each with its end of line, and a body.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RunOutput<'a> {
-    pub headers: &'a [u8],
-    pub body: &'a [u8],
-}
+/// The path of the platform's health check.
+pub(super) const HEALTH_CHECK_PATH: &str = "/status/live";
+/// What the path of the platform's requests starts with; the endpoint group's name follows.
+const GROUP_PATH_PREFIX: &str = "/svc/";
+/// Upper bound, exclusive, of a request's memory, in KiB.
+const MAX_MEMORY_KB: f32 = 2000.0;
 
-impl<'a> From<&'a [u8]> for RunOutput<'a> {
-    fn from(body: &'a [u8]) -> RunOutput<'a> {
-        RunOutput { headers: &[], body }
-    }
-}
+/// By which dispatchers and the engine know an attempt: 16 hex digits, as they were sent.
+pub type AttemptId = [u8; 16];
+/// The idempotency key of a request: 32 hex digits, as they were sent.
+pub type IdempotencyKey = [u8; 32];
 
-/// One request, with only those fields taken out that the decisions need.
+/// What admission needs to know of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncomingRequest {
-    pub try_id: TryId,
-    /// When it came to the machine, on the Unix clock.
-    pub stamp: TenthMillis,
+    /// The attempt.
+    pub attempt_id: AttemptId,
+    /// When it arrived at the machine, on the Unix clock.
+    pub arrived_at: TenthMillis,
+    /// The index of its endpoint group.
     pub group: u8,
+    /// The index of its tenant; 0 where the deployment has none.
     pub tenant: u16,
+    /// Who sent it, as the platform numbers callers.
     pub caller: u64,
+    /// Whether it is a further attempt.
     pub retry: bool,
-    pub kb: f32,
+    /// Memory that it needs, in KiB; greater than 0 and below 2000.
+    pub memory_kb: f32,
+    /// Its rank among the requests of its group; from 0 to below 1.
     pub rank: f32,
+    /// Present where its group's requests are idempotent with a key.
     pub idempotency_key: Option<IdempotencyKey>,
-    pub subject: u64,
-    /// How long its caller waits, if that was told.
-    pub wait: Option<TenthMillis>,
-    /// The place of the pool of servers that it goes to, if a rule says so.
+    /// The session that it belongs to; 0 for none.
+    pub session_key: u64,
+    /// How long its caller waits, if a rule says so.
+    pub timeout: Option<TenthMillis>,
+    /// The index of the named pool of servers that runs it, if a rule says so.
     pub pool: Option<u16>,
 }
 
+/// What a client asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Inbound {
+    /// Whether the node is healthy.
     Health,
+    /// Work.
     Request(IncomingRequest),
 }
 
-/// Why a request can't be read; it is answered by itself and reaches no decision.
+/// Why a request can't be read. It is answered at once and does not reach admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unreadable {
+    /// This variable, or part of the message, is absent, doubled or malformed.
     Field(&'static str),
+    /// It is longer than any request may be.
     TooLong,
-    /// No rule takes it.
+    /// No rule matches it.
     NoRule,
 }
 
 impl Unreadable {
-    /// The word for it in the log and in the answer.
+    /// The word for it in the log.
     pub fn name(self) -> &'static str {
         match self {
             Unreadable::Field(name) => name,
@@ -68,214 +84,93 @@
     }
 }
 
-/// The names that may stand in a request, in the order of the contract.
+impl fmt::Display for Unreadable {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(self.name())
+    }
+}
+
+impl std::error::Error for Unreadable {}
+
+/// The names that requests may carry, in the order of the deployment's settings.
 pub struct Names {
+    /// Endpoint groups.
     pub groups: Vec<String>,
-    /// Whether requests of the group carry an idempotency key.
-    pub keyed: Vec<bool>,
+    /// By group, whether its requests carry an idempotency key.
+    pub idempotency_keyed: Vec<bool>,
+    /// Tenants; none where the deployment does not tell tenants apart.
     pub tenants: Vec<String>,
 }
 
 impl Names {
-    /// The place of a tenant; 0 where the deployment knows none.
+    /// The index of the tenant that a request names; 0 where the deployment has none.
     pub(super) fn tenant(&self, fields: &Fields) -> Result<u16, Unreadable> {
         if self.tenants.is_empty() {
             return Ok(0);
         }
-        let tenant = fields.needed("HTTP_X_TENANT")?;
-        let place = self.tenants.iter().position(|name| name == tenant);
-        place
-            .map(|place| place as u16)
+        let tenant = fields.required("HTTP_X_TENANT")?;
+        let index = self.tenants.iter().position(|name| name == tenant);
+        index
+            .map(|index| index as u16)
             .ok_or(Unreadable::Field("HTTP_X_TENANT"))
     }
+
+    /// The index of the endpoint group that a path names.
+    fn group(&self, path: &str) -> Result<usize, Unreadable> {
+        path.strip_prefix(GROUP_PATH_PREFIX)
+            .and_then(|name| self.groups.iter().position(|group| group == name))
+            .ok_or(Unreadable::Field("SCRIPT_NAME"))
+    }
 }
 
+/// Reads a request by the platform's variables.
+///
+/// # Errors
+/// The first variable that is absent, doubled or malformed.
 pub fn read(protocol: Protocol, variables: &[u8], names: &Names) -> Result<Inbound, Unreadable> {
     let pairs = protocol
         .pairs(variables)
         .map_err(|broken| Unreadable::Field(broken.0))?;
     let fields = Fields(&pairs);
-    let script = fields.needed("SCRIPT_NAME")?;
-    if script == "/status/live" {
+    let path = fields.required("SCRIPT_NAME")?;
+    if path == HEALTH_CHECK_PATH {
         return Ok(Inbound::Health);
     }
-    let group = script
-        .strip_prefix("/svc/")
-        .and_then(|name| names.groups.iter().position(|g| g == name));
-    let group = group.ok_or(Unreadable::Field("SCRIPT_NAME"))?;
-    if fields.needed("REQUEST_METHOD")? != "POST" {
+    let group = names.group(path)?;
+    if fields.required("REQUEST_METHOD")? != "POST" {
         return Err(Unreadable::Field("REQUEST_METHOD"));
     }
     let tenant = names.tenant(&fields)?;
-    let kb = fields.number::<f32>("HTTP_X_MEMORY_KB")?;
-    let rank = fields.number::<f32>("HTTP_X_RANK")?;
+    let memory_kb = fields.required_number::<f32>("HTTP_X_MEMORY_KB")?;
+    let rank = fields.required_number::<f32>("HTTP_X_RANK")?;
     Ok(Inbound::Request(IncomingRequest {
-        try_id: hex(fields.needed("HTTP_X_REQUEST_ID")?, "HTTP_X_REQUEST_ID")?,
-        stamp: fields
-            .number::<u64>("HTTP_X_REQUEST_START")?
+        attempt_id: fields.required_hex("HTTP_X_REQUEST_ID")?,
+        arrived_at: fields
+            .required_number::<u64>("HTTP_X_REQUEST_START")?
             .saturating_mul(MILLISECOND),
         group: group as u8,
         tenant,
-        caller: fields.number("HTTP_X_CALLER")?,
-        retry: fields
-            .find("HTTP_X_RETRY")?
-            .is_some_and(|value| value == "1"),
-        kb: in_range(kb, kb > 0.0 && kb < 2000.0, "HTTP_X_MEMORY_KB")?,
-        rank: in_range(rank, (0.0..1.0).contains(&rank), "HTTP_X_RANK")?,
-        idempotency_key: match names.keyed[group] {
-            true => Some(hex(
-                fields.needed("HTTP_IDEMPOTENCY_KEY")?,
-                "HTTP_IDEMPOTENCY_KEY",
-            )?),
+        caller: fields.required_number("HTTP_X_CALLER")?,
+        retry: fields.is_retry()?,
+        memory_kb: checked_memory_kb(memory_kb)?,
+        rank: checked_rank(rank)?,
+        idempotency_key: match names.idempotency_keyed[group] {
+            true => Some(fields.required_hex("HTTP_IDEMPOTENCY_KEY")?),
             false => None,
         },
-        subject: fields.subject()?,
-        wait: None,
+        session_key: fields.session_key()?,
+        timeout: None,
         pool: None,
     }))
 }
 
-pub(super) struct Fields<'a>(pub(super) &'a [Pair<'a>]);
-
-impl<'a> Fields<'a> {
-    /// A doubled field is as bad as none: two readers could take different ones.
-    pub(super) fn find(&self, name: &'static str) -> Result<Option<&'a str>, Unreadable> {
-        let mut values = self
-            .0
-            .iter()
-            .filter(|(n, _)| *n == name.as_bytes())
-            .map(|(_, value)| *value);
-        match (values.next(), values.next()) {
-            (None, _) => Ok(None),
-            (Some(value), None) => std::str::from_utf8(value)
-                .map(Some)
-                .map_err(|_| Unreadable::Field(name)),
-            _ => Err(Unreadable::Field(name)),
-        }
-    }
-
-    /// The subject as the platform writes it; 0 where there is none.
-    pub(super) fn subject(&self) -> Result<u64, Unreadable> {
-        match self.find("HTTP_X_OBJECT")? {
-            Some(text) if text.bytes().all(|b| b.is_ascii_hexdigit()) => {
-                u64::from_str_radix(text, 16).map_err(|_| Unreadable::Field("HTTP_X_OBJECT"))
-            }
-            Some(_) => Err(Unreadable::Field("HTTP_X_OBJECT")),
-            None => Ok(0),
-        }
-    }
-
-    pub(super) fn needed(&self, name: &'static str) -> Result<&'a str, Unreadable> {
-        self.find(name)?.ok_or(Unreadable::Field(name))
-    }
-
-    fn number<T: std::str::FromStr>(&self, name: &'static str) -> Result<T, Unreadable> {
-        self.needed(name)?
-            .parse()
-            .map_err(|_| Unreadable::Field(name))
-    }
-}
-
-pub(super) fn in_range(number: f32, good: bool, name: &'static str) -> Result<f32, Unreadable> {
-    good.then_some(number).ok_or(Unreadable::Field(name))
+/// Memory in KiB, if a request may need that much.
+pub(super) fn checked_memory_kb(memory_kb: f32) -> Result<f32, Unreadable> {
+    let valid = memory_kb > 0.0 && memory_kb < MAX_MEMORY_KB;
+    in_range(memory_kb, valid, "HTTP_X_MEMORY_KB")
 }
 
-pub(super) fn hex<const N: usize>(text: &str, name: &'static str) -> Result<[u8; N], Unreadable> {
-    let digits = text
-        .as_bytes()
-        .try_into()
-        .ok()
-        .filter(|d: &[u8; N]| d.iter().all(u8::is_ascii_hexdigit));
-    digits.ok_or(Unreadable::Field(name))
-}
-
-/// The one answer to a request.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer<'a> {
-    Completed(RunOutput<'a>),
-    Rejected {
-        not_elsewhere: bool,
-        retry_after: TenthMillis,
-    },
-    Failed,
-    Health {
-        good: bool,
-    },
-    Unreadable(Unreadable),
-    /// No place for it here; it was not handed to the decisions.
-    NoRoom,
-    UnknownRole,
-}
-
-/// Writes an answer whole, with the level that goes out on each.
-pub fn write(out: &mut Vec<u8>, protocol: Protocol, id: u16, answer: Answer, level: Option<f32>) {
-    let unrun = match answer {
-        Answer::NoRoom => Some(ProtocolStatus::Overloaded),
-        Answer::UnknownRole => Some(ProtocolStatus::UnknownRole),
-        _ => None,
-    };
-    if let (Some(status), Protocol::FastCgi) = (unrun, protocol) {
-        return fastcgi::end(out, id, status);
-    }
-    let (status, body): (&str, &[u8]) = match answer {
-        Answer::Completed(made) => ("200 OK", made.body),
-        Answer::Health { good: true } => ("200 OK", b"good\n"),
-        Answer::Health { good: false } | Answer::Rejected { .. } | Answer::NoRoom => {
-            ("503 Service Unavailable", b"")
-        }
-        Answer::Unreadable(Unreadable::TooLong) => ("413 Content Too Large", b""),
-        Answer::Unreadable(Unreadable::NoRule) => ("404 Not Found", b""),
-        Answer::Unreadable(Unreadable::Field(name)) => ("400 Bad Request", name.as_bytes()),
-        Answer::Failed | Answer::UnknownRole => ("500 Internal Server Error", b""),
-    };
-    let (level, wait) = (
-        level.map(|level| level.to_string()),
-        retry_after(answer).to_string(),
-    );
-    let more = if let Answer::Completed(made) = answer {
-        made.headers
-    } else {
-        b""
-    };
-    let mut headers = [("Content-Type", "application/octet-stream"); 4];
-    // A server's own headers say what its body is; the engine has none.
-    let mut count = usize::from(more.is_empty());
-    let mut add = |name, value| {
-        headers[count] = (name, value);
-        count += 1;
-    };
-    if let Some(level) = &level {
-        add("X-Load-Signal", level);
-    }
-    if retry_after(answer) > 0 {
-        add("Retry-After-Ms", &wait);
-    }
-    if matches!(
-        answer,
-        Answer::Rejected {
-            not_elsewhere: true,
-            ..
-        }
-    ) {
-        add("X-Dont-Retry", "1");
-    }
-    doortrack_protocols::write_answer(
-        protocol,
-        out,
-        id,
-        Head {
-            status,
-            headers: &headers[..count],
-            more,
-        },
-        body,
-    );
-}
-
-/// The ms for which a rejected caller is to stay away; 0 where nothing is said of it.
-fn retry_after(answer: Answer) -> u64 {
-    match answer {
-        Answer::Rejected { retry_after, .. } => retry_after.div_ceil(MILLISECOND),
-        _ => 0,
-    }
+/// A rank, if it is one.
+pub(super) fn checked_rank(rank: f32) -> Result<f32, Unreadable> {
+    in_range(rank, (0.0..1.0).contains(&rank), "HTTP_X_RANK")
 }
--- /dev/null
+++ b/crates/node/src/network/request/fields.rs
@@ -0,0 +1,105 @@
+//! Typed access to CGI variables.
+
+use std::str::FromStr;
+
+use doortrack_protocols::Pair;
+
+use super::Unreadable;
+
+/// The variables of a request.
+pub(in crate::network) struct Fields<'a>(pub(in crate::network) &'a [Pair<'a>]);
+
+impl<'a> Fields<'a> {
+    /// A variable, if it is there. A doubled one is an error, as two readers could take different ones.
+    pub(in crate::network) fn find(
+        &self,
+        name: &'static str,
+    ) -> Result<Option<&'a str>, Unreadable> {
+        let mut values = self
+            .0
+            .iter()
+            .filter(|(field, _)| *field == name.as_bytes())
+            .map(|(_, value)| *value);
+        match (values.next(), values.next()) {
+            (None, _) => Ok(None),
+            (Some(value), None) => std::str::from_utf8(value)
+                .map(Some)
+                .map_err(|_| Unreadable::Field(name)),
+            (Some(_), Some(_)) => Err(Unreadable::Field(name)),
+        }
+    }
+
+    /// A variable that has to be there.
+    pub(in crate::network) fn required(&self, name: &'static str) -> Result<&'a str, Unreadable> {
+        self.find(name)?.ok_or(Unreadable::Field(name))
+    }
+
+    /// A number that has to be there.
+    pub(in crate::network) fn required_number<T: FromStr>(
+        &self,
+        name: &'static str,
+    ) -> Result<T, Unreadable> {
+        parse(self.required(name)?, name)
+    }
+
+    /// A number, if it is there.
+    pub(in crate::network) fn find_number<T: FromStr>(
+        &self,
+        name: &'static str,
+    ) -> Result<Option<T>, Unreadable> {
+        self.find(name)?.map(|text| parse(text, name)).transpose()
+    }
+
+    /// `N` hex digits that have to be there.
+    pub(in crate::network) fn required_hex<const N: usize>(
+        &self,
+        name: &'static str,
+    ) -> Result<[u8; N], Unreadable> {
+        parse_hex(self.required(name)?, name)
+    }
+
+    /// `N` hex digits, if the variable is there.
+    pub(in crate::network) fn find_hex<const N: usize>(
+        &self,
+        name: &'static str,
+    ) -> Result<Option<[u8; N]>, Unreadable> {
+        self.find(name)?
+            .map(|text| parse_hex(text, name))
+            .transpose()
+    }
+
+    /// Whether the request is a further attempt.
+    pub(in crate::network) fn is_retry(&self) -> Result<bool, Unreadable> {
+        Ok(self.find("HTTP_X_RETRY")? == Some("1"))
+    }
+
+    /// The session that the request belongs to; 0 for none.
+    pub(in crate::network) fn session_key(&self) -> Result<u64, Unreadable> {
+        match self.find("HTTP_X_OBJECT")? {
+            Some(text) if text.bytes().all(|b| b.is_ascii_hexdigit()) => {
+                u64::from_str_radix(text, 16).map_err(|_| Unreadable::Field("HTTP_X_OBJECT"))
+            }
+            Some(_) => Err(Unreadable::Field("HTTP_X_OBJECT")),
+            None => Ok(0),
+        }
+    }
+}
+
+fn parse<T: FromStr>(text: &str, name: &'static str) -> Result<T, Unreadable> {
+    text.parse().map_err(|_| Unreadable::Field(name))
+}
+
+/// A number that was checked to be in its range.
+pub(super) fn in_range(number: f32, valid: bool, name: &'static str) -> Result<f32, Unreadable> {
+    valid.then_some(number).ok_or(Unreadable::Field(name))
+}
+
+/// Exactly `N` hex digits, as they are written.
+fn parse_hex<const N: usize>(text: &str, name: &'static str) -> Result<[u8; N], Unreadable> {
+    let digits = text
+        .as_bytes()
+        .try_into()
+        .ok()
+        .filter(|digits: &[u8; N]| digits.iter().all(u8::is_ascii_hexdigit));
+    digits.ok_or(Unreadable::Field(name))
+}
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -17,10 +17,10 @@
 use rustc_hash::FxHashMap;
 use slog::{Logger, warn};
 
-use super::bounds::TURN;
+use super::bounds::READ_BUFFER_BYTES;
 use super::engine::{BackendEvent, begin_to_connect};
 use super::headers::passed_on;
-use super::listeners::Block;
+use super::listeners::RawVariables;
 use super::server_log::log_standing;
 use super::termination::Termination;
 
@@ -77,7 +77,7 @@
         let (requests, results, backend_events) = Default::default();
         let pool = Pool::new(asked.terms(longest), seed);
         let (protocol, keep, most_answer) = (asked.protocol.into(), false, 0);
-        let (scratch, up) = (vec![0; TURN], false);
+        let (scratch, up) = (vec![0; READ_BUFFER_BYTES], false);
         let first_key = SERVER_KEY + place * POOL_KEYS;
         let mut servers = Servers {
             poller,
@@ -195,7 +195,7 @@
     pub fn run(
         &mut self,
         run: RequestId,
-        block: Option<Block>,
+        block: Option<RawVariables>,
         body: &[u8],
         repeatable: bool,
         now: TenthMillis,
--- a/crates/node/src/network/termination.rs
+++ b/crates/node/src/network/termination.rs
@@ -1,79 +1,83 @@
-//! Every way in which a connection, or what it carried, can end; and what each means to the decisions.
+//! Every way in which a connection, a run or a link can end, and what that means for the requests concerned.
 
 use doortrack_admission::RunOutcome;
 
+/// How a connection, a run or a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Termination {
-    /// The dispatcher stopped waiting for one request.
+    /// The dispatcher aborted one request.
     Aborted,
     /// The dispatcher's side broke the connection.
     Reset,
-    /// The dispatcher sends nothing more; it may still read.
+    /// The dispatcher has sent its last byte; it may still read.
     HalfClosed,
-    /// The dispatcher, or this node at its word, closed a connection with nothing open.
+    /// The connection was closed with nothing pending, by the dispatcher or because it asked for that.
     Closed,
-    /// Closed here after lying idle for long enough.
+    /// Closed here after being idle for too long.
     Idle,
-    /// Closed here, idle, to make room for another.
+    /// Closed here, with no caller waiting, to free its slot.
     Evicted,
-    /// What came on it can't be read any further.
+    /// What arrives on the connection can't be read any further.
     Malformed,
-    /// No whole request came in the time that one may take: nothing at all, or too little.
+    /// No complete request arrived in time.
     Slow,
-    /// Its answers were not read for longer than anyone waits, or pile up.
+    /// Answers were not read for longer than any caller waits, or piled up.
     Unread,
     /// Closed at the end of the process.
-    Left,
-    /// Its front was taken out of the installation.
-    Withdrawn,
-    /// The engine told how a run ended.
+    Shutdown,
+    /// Its listener was taken out of the installation.
+    ListenerClosed,
+    /// A run ended, as reported by whoever ran it.
     Run(RunOutcome),
-    /// The engine would not carry out a RUN, as it knows no such request: nothing was begun.
+    /// The engine refused to begin a run, as it does not know the request: nothing has run.
     RunRefused,
-    /// The engine would not stop a run, as it knows no such request: nothing is going on.
+    /// The engine refused to cancel a run, as it does not know the request: nothing is running.
     StopRefused,
-    /// The run was never sent and is not wanted any more.
+    /// The run was cancelled before it was sent.
     Unsent,
-    /// No server could be had for a run, or the one that was said that it did not run it.
+    /// No server accepted the run.
     Unreached,
-    /// A run was sent to a server, and no whole answer came.
+    /// A run was sent to a server, and the connection broke before the answer was complete.
     ServerLost,
-    /// A run was sent to a server, and no whole answer came in time.
+    /// A run was sent to a server, and no complete answer came in time.
     ServerLate,
-    /// The link to the engine broke: what runs goes on, and its end is told on the next link.
+    /// The link to the engine broke. Runs go on, and their ends are reported on the next link.
     LinkLost,
 }
 
-/// What an end is to each request that it concerns.
+/// What a termination means for each request that it concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Nothing changes: an answer is still owed and can be given.
-    StillOwed,
+    /// Nothing: the answer can still be given.
+    AnswerPending,
+    /// Nobody waits for the answer any more.
     CallerGone,
+    /// Its run has ended.
     RunEnded(RunOutcome),
 }
 
 impl Termination {
-    /// The one place where ends are mapped to what the decisions are told.
+    /// What it means for each request that it concerns.
     pub fn outcome(self) -> Outcome {
         match self {
-            Termination::Aborted | Termination::Reset | Termination::Unread | Termination::Left => {
-                Outcome::CallerGone
-            }
-            // A half-closed connection may be read to its end; only a reset proves that nobody listens.
+            Termination::Aborted
+            | Termination::Reset
+            | Termination::Unread
+            | Termination::Shutdown => Outcome::CallerGone,
+            // A half-closed connection may still be read; only a reset proves that nobody listens.
             Termination::HalfClosed
             | Termination::Closed
             | Termination::Idle
             | Termination::Evicted
             | Termination::Malformed
             | Termination::Slow
-            | Termination::Withdrawn
-            | Termination::LinkLost => Outcome::StillOwed,
+            | Termination::ListenerClosed
+            | Termination::LinkLost => Outcome::AnswerPending,
             Termination::Run(outcome) => Outcome::RunEnded(outcome),
             Termination::RunRefused | Termination::Unsent | Termination::Unreached => {
                 Outcome::RunEnded(RunOutcome::NotStarted)
             }
-            // It may have run, so a repeat may not.
+            // It may have run, so it may not be repeated.
             Termination::ServerLost | Termination::ServerLate => {
                 Outcome::RunEnded(RunOutcome::Failed)
             }
@@ -93,8 +97,8 @@
             Termination::Malformed => "malformed",
             Termination::Slow => "slow",
             Termination::Unread => "unread",
-            Termination::Left => "left",
-            Termination::Withdrawn => "withdrawn",
+            Termination::Shutdown => "left",
+            Termination::ListenerClosed => "withdrawn",
             Termination::Run(RunOutcome::Completed) => "completed",
             Termination::Run(RunOutcome::Failed) => "failed",
             Termination::Run(RunOutcome::Cancelled) => "stopped",
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -116,7 +116,7 @@
             }
             if self.now >= self.sweep_at {
                 self.sweep_at = self.now + SWEEP;
-                self.listeners.sweep(self.now, &mut listener_events);
+                self.listeners.close_idle(self.now, &mut listener_events);
                 self.results.tidy(self.now);
             }
             // Ends first: what they free is there for what has come.
@@ -131,7 +131,7 @@
             if self.closes_now() {
                 // What is answered by now makes room for who still waits.
                 self.send(&mut listener_events, &mut backend_events);
-                self.listeners.last_reading(self.now, &mut listener_events);
+                self.listeners.drain_all(self.now, &mut listener_events);
                 listener_events
                     .drain(..)
                     .for_each(|what| self.listener_event(what));
@@ -145,7 +145,7 @@
                 self.summary();
             }
             let over = self.stop_at.is_some_and(|stop| self.now >= stop);
-            if over || (self.closing && self.listeners.connections() == 0) {
+            if over || (self.closing && self.listeners.connection_count() == 0) {
                 self.summary();
                 return Ok(());
             }
@@ -191,7 +191,7 @@
                         .listeners
                         .accept(event.key - LISTEN_KEY, self.now, listener_events)
                 }
-                _ => self.listeners.ready(event, self.now, listener_events),
+                _ => self.listeners.on_event(event, self.now, listener_events),
             }
         }
         if reload {
@@ -239,7 +239,7 @@
         } else {
             stop.saturating_sub(FLUSH)
         };
-        let sweep = if self.listeners.has_idle() {
+        let sweep = if self.listeners.needs_sweep() {
             self.sweep_at
         } else {
             TenthMillis::MAX
@@ -280,12 +280,12 @@
             Action::Run { id } => self.run(id),
             Action::Reject {
                 id,
-                no_retry_elsewhere: not_elsewhere,
+                no_retry_elsewhere,
                 retry_after,
             } => self.final_answer(
                 id,
                 Answer::Rejected {
-                    not_elsewhere,
+                    no_retry_elsewhere,
                     retry_after,
                 },
             ),
@@ -328,14 +328,14 @@
                 root.into_iter().for_each(|root| self.serve_from(id, root));
             }
             Action::Health { healthy: good, .. } => {
-                self.listeners.good = good;
+                self.listeners.healthy = good;
                 let follows = self.orders.settings.list_follows_health;
                 self.registry
                     .tell(self.stop_at.is_some() || (follows && !good));
                 info!(self.log, "health"; "good" => good);
             }
-            Action::Backpressure { value: level } => self.listeners.level = Some(level),
-            Action::IdleTimeout { timeout: after } => self.listeners.idle_limit = after,
+            Action::Backpressure { value: level } => self.listeners.backpressure = Some(level),
+            Action::IdleTimeout { timeout: after } => self.listeners.idle_timeout = after,
             Action::SetTimer { at, token } => self.alarms.push(Reverse((at, token))),
             // Refused at start, as this node can't make calls.
             Action::Call { id, .. } | Action::SkipCall { id } => {
--- a/crates/node/src/serve/events.rs
+++ b/crates/node/src/serve/events.rs
@@ -9,7 +9,7 @@
 use super::{Node, READING, STALE};
 use crate::network::engine::BackendEvent;
 use crate::network::engine_protocol::EngineMessage;
-use crate::network::listeners::{Block, Caller, ListenerEvent};
+use crate::network::listeners::{Caller, ListenerEvent, RawVariables};
 use crate::network::request::{Answer, IncomingRequest, RunOutput, Unreadable};
 use crate::network::termination::{Outcome, Termination};
 use crate::state::in_flight::{Hold, InFlightRequest, Stage};
@@ -22,19 +22,27 @@
             ListenerEvent::Request {
                 caller,
                 request,
-                block,
+                variables,
                 body,
-            } => self.arrived(caller, request, block, body),
-            ListenerEvent::Ended { ex, end } => self.ended(ex, end, RunOutput::default()),
+            } => self.arrived(caller, request, variables, body),
+            ListenerEvent::Ended { id, termination } => {
+                self.ended(id, termination, RunOutput::default())
+            }
         }
     }
 
-    fn arrived(&mut self, caller: Caller, request: IncomingRequest, block: Block, body: Vec<u8>) {
-        if !self.listeners.waits(caller) {
+    fn arrived(
+        &mut self,
+        caller: Caller,
+        request: IncomingRequest,
+        variables: RawVariables,
+        body: Vec<u8>,
+    ) {
+        if !self.listeners.is_pending(caller) {
             return; // Given up in the same turn in which it came.
         }
         if self.door.is_none() {
-            return self.listeners.answer(caller, Answer::NoRoom);
+            return self.listeners.answer(caller, Answer::NoCapacity);
         }
         let key = request.idempotency_key.map(|key| (request.group, key));
         // A second try of one batch is decided upon once the first was, so that it sees what became of it.
@@ -43,14 +51,14 @@
             self.batch_keys.extend(key);
         }
         let repeats = match key
-            .map(|key| self.first_try(&key, &body, request.stamp))
+            .map(|key| self.first_try(&key, &body, request.arrived_at))
             .transpose()
         {
             Ok(first) => first.flatten(),
             Err(answer) => return self.listeners.answer(caller, answer),
         };
-        let (try_id, group, stamp) = (request.try_id, request.group, request.stamp);
-        let block = Some(block).filter(|_| self.work.wants_variables());
+        let (try_id, group, stamp) = (request.attempt_id, request.group, request.arrived_at);
+        let block = Some(variables).filter(|_| self.work.wants_variables());
         let pool = request.pool.map_or(0, |place| place + 1);
         // A repeat takes the outcome of the first: it uses nothing more.
         let asked = AdmissionRequest {
@@ -82,18 +90,18 @@
         };
         self.listeners.bind_request(caller, id);
         // Stamps are whole ms, cut off: the age is never too small, so no answer comes late.
-        let age = self.now.saturating_sub(request.stamp);
+        let age = self.now.saturating_sub(request.arrived_at);
         self.slowest.arrival = self.slowest.arrival.max(age);
         self.batch.push(Event::Arrived(Request {
             id,
             group: request.group,
             tenant: request.tenant,
-            session_key: request.subject,
+            session_key: request.session_key,
             deadline: request
-                .wait
-                .map(|wait| request.stamp + wait.min(self.deadline_of(request.group))),
+                .timeout
+                .map(|wait| request.arrived_at + wait.min(self.deadline_of(request.group))),
             work_hint: None,
-            memory_kb: request.kb,
+            memory_kb: request.memory_kb,
             rank: request.rank,
             retry: request.retry,
             caller: request.caller,
@@ -117,7 +125,7 @@
         match self.results.repeats(key, body, stamp.min(self.now)) {
             Repeats::Nothing => Ok(None),
             Repeats::Of(first) => Ok(Some(first)),
-            Repeats::NoRoom => Err(Answer::NoRoom),
+            Repeats::NoRoom => Err(Answer::NoCapacity),
             Repeats::Misused => Err(Answer::Unreadable(Unreadable::Field(
                 "HTTP_IDEMPOTENCY_KEY",
             ))),
@@ -165,7 +173,7 @@
     /// Something ended, with all that this means for the request it concerns.
     pub(super) fn ended(&mut self, id: RequestId, end: Termination, made: RunOutput) {
         match end.outcome() {
-            Outcome::StillOwed => {}
+            Outcome::AnswerPending => {}
             Outcome::CallerGone => {
                 let Some(ex) = self.in_flight.get(id).filter(|ex| ex.caller.is_some()) else {
                     return;
@@ -248,18 +256,21 @@
             BackendEvent::Hello { cold, age } => self.open_door(cold, age),
             BackendEvent::CaughtUp { proven } => self.caught_up(proven),
             BackendEvent::EngineMessage(EngineMessage::Done {
-                try_id,
+                attempt_id,
                 outcome,
                 result,
                 ..
             }) => {
-                if let Some(id) = self.in_flight.of_try(&try_id) {
+                if let Some(id) = self.in_flight.of_try(&attempt_id) {
                     self.ended(id, Termination::Run(outcome), RunOutput::from(&result[..]));
                 }
             }
-            BackendEvent::EngineMessage(EngineMessage::Not { command, try_id }) => {
+            BackendEvent::EngineMessage(EngineMessage::Not {
+                command,
+                attempt_id,
+            }) => {
                 warn!(self.log, "engine would not"; "command" => &command);
-                let id = try_id.and_then(|try_id| self.in_flight.of_try(&try_id));
+                let id = attempt_id.and_then(|attempt_id| self.in_flight.of_try(&attempt_id));
                 let end = if command == "RUN" {
                     Termination::RunRefused
                 } else {
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -206,7 +206,7 @@
         }
         for front in &changes.kept {
             self.listeners
-                .bound(front.listen, front.connections.map(|most| most as usize));
+                .set_max_connections(front.listen, front.connections.map(|most| most as usize));
         }
         self.listening = changes.kept;
         let opened = if self.stop_at.is_none() {
--- a/crates/node/src/serve/report.rs
+++ b/crates/node/src/serve/report.rs
@@ -25,10 +25,10 @@
         let counts = self.listeners.counts();
         info!(self.log, "so far"; "completed" => counts.completed, "rejected" => counts.rejected,
             "failed" => counts.failed,
-            "in_hand" => self.in_flight.in_flight_count(), "connections" => self.listeners.connections(),
+            "in_hand" => self.in_flight.in_flight_count(), "connections" => self.listeners.connection_count(),
             "accepted" => counts.accepted, "unreadable" => Serde(counts.unreadable.clone()),
-            "no_room" => counts.no_room, "checks" => counts.checks, "ends" => Serde(counts.ends.clone()),
-            "unread_bytes" => self.listeners.unread(),
+            "no_room" => counts.no_capacity, "checks" => counts.health_checks, "ends" => Serde(counts.terminations.clone()),
+            "unread_bytes" => self.listeners.unread_answer_bytes(),
             "result_bytes" => self.results.bytes(), "link_losses" => self.work.link_losses(),
             "turn_ms" => self.slowest.turn / MILLISECOND, "reading_ms" => self.slowest.reading / MILLISECOND,
             "read_after_ms" => self.slowest.arrival / MILLISECOND, "memory_kb" => peak_kb(),
@@ -53,15 +53,15 @@
         // With the platform's listener alone the whole is that front's.
         for front in self
             .listeners
-            .each()
-            .filter(|_| self.listeners.each().count() > 1)
+            .iter()
+            .filter(|_| self.listeners.iter().count() > 1)
         {
             let counts = &front.counts;
-            info!(self.log, "so far of a front"; "protocol" => front.protocol.name(), "address" => %front.at,
+            info!(self.log, "so far of a front"; "protocol" => front.protocol.name(), "address" => %front.address,
                 "completed" => counts.completed, "rejected" => counts.rejected,
                 "failed" => counts.failed, "connections" => front.connections,
                 "accepted" => counts.accepted, "unreadable" => Serde(counts.unreadable.clone()),
-                "no_room" => counts.no_room, "checks" => counts.checks, "ends" => Serde(counts.ends.clone()));
+                "no_room" => counts.no_capacity, "checks" => counts.health_checks, "ends" => Serde(counts.terminations.clone()));
         }
     }
 }
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -92,7 +92,7 @@
     let is_keyed = |group: &EndpointGroup| group.effect == Effect::Deduplicated;
     Names {
         groups: handed.group_names.clone(),
-        keyed: handed.admission.groups.iter().map(is_keyed).collect(),
+        idempotency_keyed: handed.admission.groups.iter().map(is_keyed).collect(),
         tenants: handed.tenant_names.clone(),
     }
 }
@@ -188,7 +188,8 @@
         once_free(|| listeners.listen(orders.listen, Protocol::FastCgi, None))
             .map_err(|e| format!("config.listen: {}: {e}", orders.listen))?;
         // Nothing is said before the decisions do, but where the least rank is meant, none is held back.
-        listeners.level = (handed.admission.backpressure == Backpressure::MinRank).then_some(0.0);
+        listeners.backpressure =
+            (handed.admission.backpressure == Backpressure::MinRank).then_some(0.0);
         let registry = Registry::open(orders.listen, orders.registry, orders.name.clone())
             .map_err(|e| format!("config.registry: {}: {e}", orders.registry))?;
         info!(log, "listening"; "address" => %orders.listen, "connections" => room.connections,
--- a/crates/node/src/state/in_flight.rs
+++ b/crates/node/src/state/in_flight.rs
@@ -8,8 +8,8 @@
 use rustc_hash::FxHashMap;
 
 use super::results::Key;
-use crate::network::listeners::{Block, Caller};
-use crate::network::request::TryId;
+use crate::network::listeners::{Caller, RawVariables};
+use crate::network::request::AttemptId;
 use crate::subsystem::Permit;
 
 /// Tries remembered after their end, so that a doubled id is known as one.
@@ -42,14 +42,14 @@
 }
 
 pub struct InFlightRequest {
-    pub try_id: TryId,
+    pub try_id: AttemptId,
     pub group: u8,
     /// By what a repeat of it is known, if it is deduplicated.
     pub key: Option<Key>,
     pub stamp: TenthMillis,
     pub body: Vec<u8>,
     /// Its variables as they came, where a server is to have them.
-    pub block: Option<Block>,
+    pub block: Option<RawVariables>,
     /// The place of its pool of servers; 0 is the one without a name.
     pub pool: u16,
     /// Where its answer goes; none once it is given, or nobody waits for it.
@@ -74,10 +74,10 @@
     /// The next name to be given.
     next: RequestId,
     by_id: FxHashMap<RequestId, InFlightRequest>,
-    by_try: HashMap<TryId, RequestId>,
+    by_try: HashMap<AttemptId, RequestId>,
     waiting: FxHashMap<RequestId, Vec<RequestId>>,
-    ended: HashSet<TryId>,
-    order: VecDeque<TryId>,
+    ended: HashSet<AttemptId>,
+    order: VecDeque<AttemptId>,
 }
 
 impl InFlight {
@@ -101,7 +101,7 @@
         self.by_id.get_mut(&id)
     }
 
-    pub fn of_try(&self, try_id: &TryId) -> Option<RequestId> {
+    pub fn of_try(&self, try_id: &AttemptId) -> Option<RequestId> {
         self.by_try.get(try_id).copied()
     }
 
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -9,7 +9,7 @@
 use doortrack_fakes::LONG;
 use doortrack_fakes::bed::fresh_address;
 use doortrack_fakes::records::{Client, record, request};
-use doortrack_node::network::bounds::FRESH;
+use doortrack_node::network::bounds::EVICTION_GRACE;
 use doortrack_node::network::listeners::{Caller, FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
 use doortrack_node::network::request::{Answer, Names, RunOutput};
 use doortrack_protocols::Protocol;
@@ -41,7 +41,7 @@
         };
         let names = Names {
             groups: vec!["look".into()],
-            keyed: vec![false],
+            idempotency_keyed: vec![false],
             tenants: Vec::new(),
         };
         let mut fronts = Listeners::new(poller.clone(), names, room, 10 * S);
@@ -72,7 +72,7 @@
                         .fronts
                         .accept(event.key - LISTEN_KEY, self.now, &mut front_events)
                 }
-                _ => self.fronts.ready(event, self.now, &mut front_events),
+                _ => self.fronts.on_event(event, self.now, &mut front_events),
             }
         }
         self.fronts.flush(self.now, &mut front_events);
@@ -93,7 +93,7 @@
     fn pass(&mut self, time: u64) {
         self.now += time;
         let mut front_events = Vec::new();
-        self.fronts.sweep(self.now, &mut front_events);
+        self.fronts.close_idle(self.now, &mut front_events);
         self.fronts.flush(self.now, &mut front_events);
     }
 
@@ -120,17 +120,17 @@
     }
 
     fn checks(&mut self, client: &mut Client, nth: u64) {
-        let checks = self.fronts.counts().checks;
+        let checks = self.fronts.counts().health_checks;
         client.send(&request(9, nth, "/status/live", &[], b""));
-        self.until(|table| table.fronts.counts().checks > checks);
+        self.until(|table| table.fronts.counts().health_checks > checks);
         assert_eq!(client.reply().status, 200);
     }
 
     /// Sends one more request on a connection that is about to end, which is refused as never run.
     fn refuses(&mut self, client: &mut Client, id: u16, nth: u64) {
-        let refused = self.fronts.counts().no_room;
+        let refused = self.fronts.counts().no_capacity;
         client.look(id, nth);
-        self.until(|table| table.fronts.counts().no_room > refused);
+        self.until(|table| table.fronts.counts().no_capacity > refused);
         let reply = client.reply();
         assert_eq!((reply.id, reply.status), (id, 2));
     }
@@ -159,7 +159,7 @@
         let mut caller = table.caller();
         table.checks(&mut caller, nth);
         callers.push(caller);
-        table.pass(FRESH);
+        table.pass(EVICTION_GRACE);
     }
     let mut newest = table.caller();
     let longest_idle = &mut callers[0];
@@ -177,8 +177,8 @@
     );
     table.checks(&mut newest, 21);
     drop(callers.remove(0));
-    table.until(|table| table.fronts.connections() == 15);
-    assert_eq!(table.fronts.counts().ends.get("evicted"), Some(&1));
+    table.until(|table| table.fronts.connection_count() == 15);
+    assert_eq!(table.fronts.counts().terminations.get("evicted"), Some(&1));
     callers
         .iter_mut()
         .zip(22..)
@@ -193,10 +193,10 @@
     let mut ninth = table.connect(table.at);
     // The listener is looked at, and there is nobody to let go of.
     table.turn();
-    assert_eq!(table.fronts.connections(), 8);
+    assert_eq!(table.fronts.connection_count(), 8);
     table.checks(&mut eighth, 10);
     // With nothing more from it, it is the one that makes room.
-    table.pass(FRESH);
+    table.pass(EVICTION_GRACE);
     table.until(|table| table.fronts.counts().accepted == 9);
     table.checks(&mut ninth, 11);
     assert!(has_ended(&mut eighth));
@@ -213,10 +213,10 @@
     let mut check = table.connect(table.at);
     // Something moved on all of them just now, so there is nobody to let go of.
     table.turn();
-    assert_eq!(table.fronts.connections(), 8);
-    table.pass(FRESH);
+    assert_eq!(table.fronts.connection_count(), 8);
+    table.pass(EVICTION_GRACE);
     table.checks(&mut check, 1);
-    assert_eq!(table.fronts.counts().ends.get("evicted"), Some(&8));
+    assert_eq!(table.fronts.counts().terminations.get("evicted"), Some(&8));
 }
 
 #[test]
@@ -230,7 +230,7 @@
     }
     let mut idle = table.caller();
     table.checks(&mut idle, 10);
-    table.pass(FRESH);
+    table.pass(EVICTION_GRACE);
     let mut first = table.caller();
     table.checks(&mut first, 11);
     assert!(
@@ -239,11 +239,11 @@
     );
     first.look(1, 12);
     table.until(|table| table.exchanges.len() == 1);
-    table.pass(FRESH);
+    table.pass(EVICTION_GRACE);
     let mut second = table.caller();
     table.checks(&mut second, 13);
     table.serves(0, &mut first);
-    assert_eq!(table.fronts.counts().ends.get("evicted"), Some(&2));
+    assert_eq!(table.fronts.counts().terminations.get("evicted"), Some(&2));
 }
 
 #[test]
@@ -257,7 +257,7 @@
     let slow = client.reply();
     assert_eq!((slow.id, slow.status), (2, 400));
     // One that brought what can't be read rests until the next look.
-    table.pass(FRESH);
+    table.pass(EVICTION_GRACE);
     table.refuses(&mut client, 3, 3);
     table.pass(3 * S);
     table.serves(0, &mut client);
@@ -280,7 +280,7 @@
     table.serves(0, &mut client);
     assert!(has_ended(&mut client));
     drop(client);
-    table.until(|table| table.fronts.each().count() == 1);
+    table.until(|table| table.fronts.iter().count() == 1);
 }
 
 #[test]
@@ -297,9 +297,12 @@
         .fronts
         .answer(table.exchanges[0], Answer::Completed(made));
     table.fronts.flush(table.now, &mut Vec::new());
-    assert!(table.fronts.unread() > 0, "all of it was taken");
-    table.fronts.last_reading(table.now, &mut Vec::new());
+    assert!(
+        table.fronts.unread_answer_bytes() > 0,
+        "all of it was taken"
+    );
+    table.fronts.drain_all(table.now, &mut Vec::new());
     let reader = std::thread::spawn(move || (client.reply().body, has_ended(&mut client)));
-    table.until(|table| table.fronts.connections() == 0);
+    table.until(|table| table.fronts.connection_count() == 0);
     assert!(reader.join().unwrap() == (body, true));
 }
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -25,7 +25,7 @@
             LISTEN_KEY..FIRST_KEY => {
                 _ = fronts.accept(event.key - LISTEN_KEY, now, &mut front_events)
             }
-            _ => fronts.ready(event, now, &mut front_events),
+            _ => fronts.on_event(event, now, &mut front_events),
         }
     }
     let exchange = |came| match came {
@@ -48,7 +48,7 @@
     };
     let names = Names {
         groups: vec!["look".into()],
-        keyed: vec![false],
+        idempotency_keyed: vec![false],
         tenants: Vec::new(),
     };
     let mut fronts = Listeners::new(poller.clone(), names, room, 100_000);
@@ -69,7 +69,10 @@
     // The end of what it had to say, read and read again before anything is written.
     reads(&poller, &mut fronts, now);
     reads(&poller, &mut fronts, now);
-    assert!(fronts.waits(caller), "it was taken for one that is gone");
+    assert!(
+        fronts.is_pending(caller),
+        "it was taken for one that is gone"
+    );
     fronts.answer(
         caller,
         Answer::Completed(RunOutput {
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -151,8 +151,8 @@
         prop_assert_eq!(&sent["service"], "a \" name");
         let (call, blob) = (&sent["call"], &sent["blob"]);
         let line = json!({"msg": "DONE", "serial": serial, "call": call, "how": "OK", "blob": blob});
-        let (try_id, outcome) = (*b"00112233445566aa", RunOutcome::Completed);
-        let done = EngineMessage::Done { serial, try_id, outcome, result: body };
+        let (attempt_id, outcome) = (*b"00112233445566aa", RunOutcome::Completed);
+        let done = EngineMessage::Done { serial, attempt_id, outcome, result: body };
         prop_assert_eq!(engine_protocol::read(line.to_string().as_bytes()), Ok(done));
     }
 }
@@ -204,7 +204,7 @@
 fn names() -> Names {
     Names {
         groups: vec!["look".into(), "pay".into()],
-        keyed: vec![false, true],
+        idempotency_keyed: vec![false, true],
         tenants: vec!["one".into()],
     }
 }
@@ -232,11 +232,11 @@
     };
     assert_eq!((request.group, request.tenant, request.caller), (1, 0, 4));
     assert_eq!(
-        (request.stamp, request.kb, request.rank),
+        (request.arrived_at, request.memory_kb, request.rank),
         (1_764_576_000_123 * MILLISECOND, 24.5, 0.625)
     );
     assert_eq!(
-        (request.idempotency_key, request.subject),
+        (request.idempotency_key, request.session_key),
         (Some(*b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), 0)
     );
     assert!(!request.retry);
@@ -251,7 +251,7 @@
         panic!("not read")
     };
     assert_eq!(
-        (request.idempotency_key, request.subject, request.retry),
+        (request.idempotency_key, request.session_key, request.retry),
         (None, 0x7f3a_9c21_e0b4_d655, true)
     );
     assert_eq!(
@@ -303,7 +303,7 @@
     };
     let (rejected, _) = text(
         Answer::Rejected {
-            not_elsewhere: true,
+            no_retry_elsewhere: true,
             retry_after: 1201,
         },
         Some(0.25),
@@ -319,7 +319,7 @@
     );
     let (rejected, _) = text(
         Answer::Rejected {
-            not_elsewhere: false,
+            no_retry_elsewhere: false,
             retry_after: 0,
         },
         None,
@@ -330,7 +330,7 @@
             && !rejected.contains("Load"),
         "{rejected}"
     );
-    let (_, full) = text(Answer::NoRoom, Some(0.0));
+    let (_, full) = text(Answer::NoCapacity, Some(0.0));
     assert_eq!(
         full,
         record(3, 7, &[0, 0, 0, 0, 2, 0, 0, 0], 0),
@@ -392,7 +392,7 @@
         Termination::Aborted,
         Termination::Reset,
         Termination::Unread,
-        Termination::Left,
+        Termination::Shutdown,
     ] {
         assert_eq!(end.outcome(), Outcome::CallerGone);
     }
@@ -404,7 +404,7 @@
         Termination::Malformed,
         Termination::LinkLost,
     ] {
-        assert_eq!(end.outcome(), Outcome::StillOwed);
+        assert_eq!(end.outcome(), Outcome::AnswerPending);
     }
     assert_eq!(
         Termination::RunRefused.outcome(),
@@ -447,7 +447,7 @@
     let (batch, mut front_events, mut events) = (empty.repeat(200), Vec::new(), Events::new());
     for _ in 0..turns {
         // Who sends what can't be read is read again after a sweep.
-        fronts.sweep(0, &mut front_events);
+        fronts.close_idle(0, &mut front_events);
         fronts.flush(0, &mut front_events);
         _ = deaf.write(&batch);
         sound.write_all(&empty).unwrap();
@@ -459,16 +459,19 @@
             events
                 .iter()
                 .filter(|e| e.key >= FIRST_KEY)
-                .for_each(|e| fronts.ready(e, 0, &mut front_events));
+                .for_each(|e| fronts.on_event(e, 0, &mut front_events));
             fronts.flush(0, &mut front_events);
         }
         assert!(
-            fronts.unread() < 200_000,
+            fronts.unread_answer_bytes() < 200_000,
             "{} bytes pile up",
-            fronts.unread()
+            fronts.unread_answer_bytes()
         );
-        if fronts.counts().ends.contains_key("unread") {
-            assert_eq!((fronts.connections(), fronts.unread()), (1, 0));
+        if fronts.counts().terminations.contains_key("unread") {
+            assert_eq!(
+                (fronts.connection_count(), fronts.unread_answer_bytes()),
+                (1, 0)
+            );
             return true;
         }
     }
@@ -524,14 +527,14 @@
         };
         poller.wait(&mut events, waits).unwrap();
         assert_eq!(events.iter().any(|e| e.key >= FIRST_KEY), answered == 1);
-        fronts.sweep(0, &mut front_events);
+        fronts.close_idle(0, &mut front_events);
         fronts.flush(0, &mut front_events);
         events.clear();
         poller.wait(&mut events, None).unwrap();
         events
             .iter()
             .filter(|e| e.key >= FIRST_KEY)
-            .for_each(|e| fronts.ready(e, 0, &mut front_events));
+            .for_each(|e| fronts.on_event(e, 0, &mut front_events));
         fronts.flush(0, &mut front_events);
         assert!(bad.read(&mut answer).unwrap() > 0);
         assert_eq!(fronts.counts().unreadable.values().sum::<u64>(), answered);
