--- a/crates/admission/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -157,7 +157,7 @@
     /// Whether a run that began now would miss the latency objective of a group whose late answers
     /// have no value.
     fn would_be_late(&self, request: &InFlightRequest, group: &EndpointGroup) -> bool {
-        let run_time = self.run_times.expected(request.group, group, request.work);
+        let run_time = self.run_times.expected(request.group, request.work);
         let ends_at = self.now.saturating_add(run_time);
         group.late_is_worthless() && ends_at > request.objective_deadline
     }
@@ -199,7 +199,7 @@
     fn enqueue(&mut self, slot: Slot) {
         let request = &self.in_flight[slot];
         let group = self.group_of(slot);
-        let latest_start = self.latest_start(request, group);
+        let latest_start = self.latest_start(request);
         let relative_work = self.run_times.relative_work(request.group, request.work);
         let priority = self.run_priority(request, group, relative_work);
         let entry = QueueEntry::new(request, slot, priority);
@@ -211,11 +211,11 @@
 
     /// When a queued request is given up: once it has waited too long, or can no longer meet its
     /// latency objective.
-    fn latest_start(&self, request: &InFlightRequest, group: &EndpointGroup) -> TenthMillis {
+    fn latest_start(&self, request: &InFlightRequest) -> TenthMillis {
         let deadline = request.objective_deadline;
         let objective = deadline.saturating_sub(request.arrived_at);
         let max_wait = (MAX_WAIT_SHARE * objective as f32) as TenthMillis;
-        let run_time = self.run_times.expected(request.group, group, request.work);
+        let run_time = self.run_times.expected(request.group, request.work);
         (request.arrived_at + max_wait).min(deadline.saturating_sub(run_time))
     }
 
--- a/crates/admission/src/controller/calls.rs
+++ b/crates/admission/src/controller/calls.rs
@@ -66,9 +66,7 @@
     fn make_call(&mut self, slot: Slot, timeout: TenthMillis, actions: &mut Vec<Action>) {
         self.in_flight.set_stage(slot, Stage::Calling);
         let request = &mut self.in_flight[slot];
-        request.call_attempts += 1;
-        request.call_started_at = self.now;
-        request.call_charge = self.downstream.charge(timeout);
+        self.downstream.start(&mut request.calls, timeout, self.now);
         let id = request.id;
         actions.push(Action::Call { id, timeout });
     }
@@ -107,7 +105,7 @@
         let may_retry = group.effect == Effect::Idempotent || outcome.proves_not_run();
         if group.can_skip_call() {
             self.skip_call(slot, actions);
-        } else if may_retry && request.call_attempts <= MAX_CALL_RETRIES {
+        } else if may_retry && request.calls.attempts() <= MAX_CALL_RETRIES {
             self.enqueue_call(slot);
         } else {
             self.fail_running(slot, actions);
@@ -135,9 +133,7 @@
 
     /// Returns the unused part of a call's charge to the budget.
     pub(super) fn settle_call(&mut self, slot: Slot, abandoned: bool) {
-        let request = &self.in_flight[slot];
-        let duration = self.now - request.call_started_at;
-        self.downstream
-            .settle(request.call_charge, duration, abandoned);
+        let calls = &self.in_flight[slot].calls;
+        self.downstream.settle(calls, abandoned, self.now);
     }
 }
--- a/crates/admission/src/downstream_calls.rs
+++ b/crates/admission/src/downstream_calls.rs
@@ -26,6 +26,23 @@
 /// A call may take at least this long, however little time its request has left.
 const MIN_PLANNED_TIME: TenthMillis = 50 * MILLISECOND;
 
+/// The downstream calls of one request.
+#[derive(Debug, Default)]
+pub(crate) struct RequestCalls {
+    attempts: u8,
+    /// When the latest call was made.
+    started_at: TenthMillis,
+    /// Call time that was charged to the budget for it.
+    charge: TenthMillis,
+}
+
+impl RequestCalls {
+    /// Number of calls made.
+    pub(crate) fn attempts(&self) -> u8 {
+        self.attempts
+    }
+}
+
 /// Requests that wait for their calls, and the budget of call time, in the unit of
 /// [`doortrack_time`].
 #[derive(Debug)]
@@ -108,23 +125,29 @@
         (timeout >= min_timeout).then_some(timeout)
     }
 
-    /// Charges the budget with the longest time that a call with this timeout may take. Returns the
-    /// charge.
-    pub(crate) fn charge(&mut self, timeout: TenthMillis) -> TenthMillis {
-        let charge = timeout + self.abandoned_call_time;
-        self.budget -= charge as f32;
-        charge
+    /// Starts a call, and charges the budget with the longest time that it may take.
+    pub(crate) fn start(
+        &mut self,
+        calls: &mut RequestCalls,
+        timeout: TenthMillis,
+        now: TenthMillis,
+    ) {
+        calls.attempts += 1;
+        calls.started_at = now;
+        calls.charge = timeout + self.abandoned_call_time;
+        self.budget -= calls.charge as f32;
     }
 
-    /// Returns the unused part of a charge to the budget. An abandoned call uses the service for a
-    /// while after its end.
-    pub(crate) fn settle(&mut self, charge: TenthMillis, duration: TenthMillis, abandoned: bool) {
+    /// Returns the unused part of a call's charge to the budget. An abandoned call uses the service
+    /// for a while after its end.
+    pub(crate) fn settle(&mut self, calls: &RequestCalls, abandoned: bool, now: TenthMillis) {
+        let duration = now - calls.started_at;
         let continues = if abandoned {
             self.abandoned_call_time
         } else {
             0
         };
-        self.budget += charge as f32 - (duration + continues) as f32;
+        self.budget += calls.charge as f32 - (duration + continues) as f32;
     }
 
     /// A call produced a result after this duration.
--- a/crates/admission/src/in_flight.rs
+++ b/crates/admission/src/in_flight.rs
@@ -7,6 +7,7 @@
 use slab::Slab;
 
 use crate::RequestId;
+use crate::downstream_calls::RequestCalls;
 
 /// Position of a request in the table. It is reused once the request has ended.
 pub(crate) type Slot = usize;
@@ -63,12 +64,8 @@
     pub(crate) long_work: bool,
     /// It needs no answer any more; only the end of its run is still to be reported.
     pub(crate) answered: bool,
-    /// Number of downstream calls made for it.
-    pub(crate) call_attempts: u8,
-    /// When its downstream call was made.
-    pub(crate) call_started_at: TenthMillis,
-    /// Call time that was charged to the budget for it.
-    pub(crate) call_charge: TenthMillis,
+    /// Its downstream calls.
+    pub(crate) calls: RequestCalls,
 }
 
 /// All requests in flight, and their number at each stage.
--- a/crates/admission/src/run_time.rs
+++ b/crates/admission/src/run_time.rs
@@ -11,11 +11,18 @@
 /// regression line flat at first, as two runs alone could give any slope.
 const INITIAL_VARIANCE: f32 = 0.1;
 
+/// The run time of one endpoint group.
+#[derive(Debug)]
+struct GroupRunTime {
+    mean: MovingMean,
+    /// Bound on the expected run time of requests whose work is not known.
+    max_expected: TenthMillis,
+}
+
 /// Mean run times and mean work, in the unit of [`doortrack_time`].
 #[derive(Debug)]
 pub(crate) struct RunTimes {
-    /// Mean run time by endpoint group.
-    by_group: Vec<MovingMean>,
+    by_group: Vec<GroupRunTime>,
     run_time: MovingMean,
     work: MovingMean,
     estimator: RunTimeEstimator,
@@ -24,8 +31,12 @@
 impl RunTimes {
     /// Creates the state before the first run.
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
+        let group_run_time = |group: &EndpointGroup| GroupRunTime {
+            mean: MovingMean::default(),
+            max_expected: group.latency_objective / 2,
+        };
         Self {
-            by_group: vec![MovingMean::default(); config.groups.len()],
+            by_group: config.groups.iter().map(group_run_time).collect(),
             run_time: MovingMean::default(),
             work: MovingMean::default(),
             estimator: RunTimeEstimator::default(),
@@ -37,7 +48,7 @@
         if work > 0.0 {
             self.estimator.record(work, run_time);
         }
-        self.by_group[group].record(run_time);
+        self.by_group[group].mean.record(run_time);
         self.run_time.record(run_time);
         self.work.record(if work > 0.0 { work } else { run_time });
     }
@@ -50,19 +61,14 @@
     /// Expected run time of this work. If the work is not known, it is the group's mean, but at
     /// most half of the latency objective, so that a node whose mean is too high still starts runs
     /// and corrects it.
-    pub(crate) fn expected(
-        &self,
-        group_index: usize,
-        group: &EndpointGroup,
-        work: f32,
-    ) -> TenthMillis {
+    pub(crate) fn expected(&self, group: usize, work: f32) -> TenthMillis {
         if work > 0.0
             && let Some(run_time) = self.estimator.estimate(work)
         {
             return run_time as TenthMillis;
         }
-        let group_mean = self.by_group[group_index].get() as TenthMillis;
-        group_mean.min(group.latency_objective / 2)
+        let group = &self.by_group[group];
+        (group.mean.get() as TenthMillis).min(group.max_expected)
     }
 
     /// This work, or the group's mean run time if it is not known, as a multiple of the mean work;
@@ -71,7 +77,7 @@
         let work = if work > 0.0 {
             work
         } else {
-            self.by_group[group].get()
+            self.by_group[group].mean.get()
         };
         let mean_work = self.work.get();
         if work > 0.0 && mean_work > 0.0 {
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -2,6 +2,7 @@
 //! keeps counts of its own and checks the operators' four rules after every turn.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
+mod events;
 mod execute;
 mod invariants;
 mod simulated_node;
