--- a/crates/bench/benches/routes.rs
+++ b/crates/bench/benches/routes.rs
@@ -1,8 +1,8 @@
 //! The route table: a match among few and many rules, and loading them.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use doortrack_expr::{Limits, Scratch, Written};
-use doortrack_routes::{Names, Rule, Table};
+use doortrack_expr::{Limits, LiteralRequest, Scratch};
+use doortrack_routes::{GroupName, Names, Rule, Table};
 
 fn rules(count: usize) -> Vec<Rule> {
     let when = |n: usize| match n % 3 {
@@ -21,7 +21,7 @@
 
 fn names() -> Names {
     Names {
-        groups: vec![("look".into(), false)],
+        groups: vec![GroupName::new("look", false)],
         ..Names::default()
     }
 }
@@ -36,9 +36,9 @@
         });
         let (table, _) = Table::build(&rules, &names(), Limits::default()).expect("sound rules");
         let last = (count - 1) / 3 * 3;
-        let request = Written {
+        let request = LiteralRequest {
             path: format!("/yard-{last}/book"),
-            ..Written::default()
+            ..LiteralRequest::default()
         }
         .header("host", "booking.example.org")
         .header("x-yard", "none");
