--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -64,7 +64,7 @@
         self.queue_mut(long_work).push(entry);
     }
 
-    /// Removes the head of the queue of this kind of work.
+    /// Removes the head of the queue of this kind of work, once [`Self::next`] has chosen it.
     pub(crate) fn pop(&mut self, long_work: bool) {
         self.queue_mut(long_work).pop();
     }
--- a/crates/admission/tests/pinned.rs
+++ b/crates/admission/tests/pinned.rs
@@ -121,18 +121,18 @@
                 node.end_run(id, outcome);
             }
         }
-        15..=16 => node
-            .pick(Stage::Running, rng.u32(..))
-            .into_iter()
-            .for_each(|id| node.require_call(id)),
+        15..=16 => {
+            if let Some(id) = node.pick(Stage::Running, rng.u32(..)) {
+                node.require_call(id);
+            }
+        }
         17..=18 => end_call(node, rng),
         19 => {
-            let at = rng
-                .choice([Stage::Queued, Stage::Running, Stage::Calling])
-                .unwrap();
-            node.pick(at, rng.u32(..))
-                .into_iter()
-                .for_each(|id| node.caller_gone(id));
+            let stages = [Stage::Queued, Stage::Running, Stage::Calling];
+            let stage = rng.choice(stages).unwrap();
+            if let Some(id) = node.pick(stage, rng.u32(..)) {
+                node.caller_gone(id);
+            }
         }
         20 => node.busy_cores = rng.choice([0.3, 0.94, 0.95, 1.0]).unwrap(),
         21 => node.connections = rng.u32(0..300) as f32,
