--- a/crates/config/src/servers.rs
+++ b/crates/config/src/servers.rs
@@ -6,7 +6,7 @@
 mod validate;
 
 use doortrack_time::{MILLISECOND, TenthMillis};
-use doortrack_upstream::{Aside, Ramp, Retries, Terms};
+use doortrack_upstream::{OutlierConfig, PoolConfig, RetryConfig, SlowStartConfig};
 
 pub use file_types::{
     Again as RetryLimits, PutAside as OutlierEjection, RampFile as SlowStart, Servers as ServerPool,
@@ -23,35 +23,35 @@
 }
 
 impl ServerPool {
-    /// The terms on which the pool is kept. `longest_deadline`, of all endpoint groups, bounds responses where
-    /// the file does not.
-    pub fn terms(&self, longest_deadline: TenthMillis) -> Terms {
+    /// The configuration of the pool. `longest_deadline`, of all endpoint groups, bounds responses where the
+    /// file does not.
+    pub fn pool_config(&self, longest_deadline: TenthMillis) -> PoolConfig {
         let millis = |ms: u32| TenthMillis::from(ms) * MILLISECOND;
         let (ejection, retries) = (self.ejection, self.retries);
-        let idle = match self.protocol {
+        let idle_timeout = match self.protocol {
             ProtocolName::FastCgi => millis(self.idle_timeout_ms),
             // Each connection carries one request.
             ProtocolName::Uwsgi => 0,
         };
-        let answer_within = self.response_timeout_ms.map_or(longest_deadline, millis);
-        Terms {
-            at_once: self.max_concurrency,
-            idle,
-            open_within: millis(self.connect_timeout_ms),
-            answer_within: answer_within.max(1),
-            aside: Aside {
-                failures: ejection.failures,
-                first: millis(ejection.base_duration_ms),
-                longest: millis(ejection.max_duration_ms),
-                floor: ejection.min_share_in_use,
+        let response_timeout = self.response_timeout_ms.map_or(longest_deadline, millis);
+        PoolConfig {
+            max_concurrency: self.max_concurrency,
+            idle_timeout,
+            connect_timeout: millis(self.connect_timeout_ms),
+            response_timeout: response_timeout.max(1),
+            outlier: OutlierConfig {
+                consecutive_failures: ejection.failures,
+                base_ejection: millis(ejection.base_duration_ms),
+                max_ejection: millis(ejection.max_duration_ms),
+                in_use_floor: ejection.min_share_in_use,
             },
-            retries: Retries {
-                share: retries.retries_per_run,
+            retry: RetryConfig {
+                ratio: retries.retries_per_run,
                 burst: retries.burst,
-                tries: retries.max_attempts,
+                max_attempts: retries.max_attempts,
             },
-            ramp: self.slow_start.map(|slow_start| Ramp {
-                over: millis(slow_start.duration_ms),
+            slow_start: self.slow_start.map(|slow_start| SlowStartConfig {
+                duration: millis(slow_start.duration_ms),
                 runs: slow_start.runs,
             }),
         }
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -39,11 +39,11 @@
 
 /// Tells what rules there are, and those that can never win.
 pub(super) fn log_rules(log: &Logger, rules: &RuleTable) {
-    for note in rules.notes.iter().take(MOST_NOTES) {
+    for note in rules.shadowed.iter().take(MOST_NOTES) {
         warn!(log, "rule without effect"; "why" => %note);
     }
     info!(log, "rules"; "rules" => rules.table.len(), "asked_in_order" => rules.table.unindexed(),
-        "without_effect" => rules.notes.len(), "reused" => rules.reused);
+        "without_effect" => rules.shadowed.len(), "reused" => rules.reused);
 }
 
 /// Connections that callers may have: all sockets together keep within the node's own bound, and within what
@@ -92,7 +92,7 @@
     let is_keyed = |group: &EndpointGroup| group.effect == Effect::Deduplicated;
     Names {
         groups: handed.group_names.clone(),
-        keyed: handed.admission.groups.iter().map(is_keyed).collect(),
+        idempotency_keyed: handed.admission.groups.iter().map(is_keyed).collect(),
         tenants: handed.tenant_names.clone(),
     }
 }
@@ -188,7 +188,8 @@
         once_free(|| listeners.listen(orders.listen, Protocol::FastCgi, None))
             .map_err(|e| format!("config.listen: {}: {e}", orders.listen))?;
         // Nothing is said before the decisions do, but where the least rank is meant, none is held back.
-        listeners.level = (handed.admission.backpressure == Backpressure::MinRank).then_some(0.0);
+        listeners.backpressure =
+            (handed.admission.backpressure == Backpressure::MinRank).then_some(0.0);
         let registry = Registry::open(orders.listen, orders.registry, orders.name.clone())
             .map_err(|e| format!("config.registry: {}: {e}", orders.registry))?;
         info!(log, "listening"; "address" => %orders.listen, "connections" => room.connections,
