--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -8,14 +8,14 @@
 //! This package's tests check stations against queueing theory: M/M/1, M/M/c, M/G/1 with processor sharing,
 //! Erlang's loss formula, and Little's law on each of them.
 
-mod law;
-mod net;
-mod queue;
+mod distribution;
+mod event_queue;
+mod network;
 mod station;
 
-pub use law::{Law, LawFault, Stream, stream};
-pub use net::{Clock, Links, MachineId, Net, Next};
-pub use queue::Queue;
+pub use distribution::{Law, LawFault, Stream, stream};
+pub use event_queue::Queue;
+pub use network::{Clock, Links, MachineId, Net, Next};
 pub use station::{JobId, Pace, Station};
 
 /// A point in simulated time or a span of it, in microseconds.
