--- a/crates/bench/src/bin/budgets.rs
+++ b/crates/bench/src/bin/budgets.rs
@@ -10,7 +10,7 @@
 use doortrack_fault_harness::history::name;
 use doortrack_fault_harness::script::{Fault, Script, Timed};
 use doortrack_membership::Name;
-use doortrack_simulation::Law;
+use doortrack_simulation::Distribution;
 
 const LIMIT: u32 = 6_000;
 const VOTERS: usize = 5;
@@ -58,7 +58,7 @@
             ..Parameters::default()
         },
         budgets: vec![budget],
-        latency: Law::LogNormal {
+        latency: Distribution::LogNormal {
             mean: 300.0,
             sigma: 0.5,
         },
--- a/crates/fault-harness/src/divided.rs
+++ b/crates/fault-harness/src/divided.rs
@@ -11,7 +11,9 @@
     Action, Budget, Budgets, Change, Envelope, Event, Kind, NodeId, Parameters,
 };
 use doortrack_membership::{Incarnation, Member, Name, View};
-use doortrack_simulation::{Clock, Law, Links, MachineId, Micros, Net, Next};
+use doortrack_simulation::{
+    Distribution, LinkModel, MachineClock, MachineId, Micros, Network, NetworkEvent,
+};
 
 use self::message_size::encoded_size;
 use crate::history::name;
@@ -36,7 +38,7 @@
 pub struct Options<'a> {
     pub parameters: Parameters,
     pub budgets: Vec<Budget>,
-    pub latency: Law,
+    pub latency: Distribution,
     /// Least and greatest drift of clocks, in parts per million.
     pub drift_ppm: (i64, i64),
     /// Bound of each clock's offset, in ms, in either direction.
@@ -73,7 +75,7 @@
 }
 
 struct World<'a> {
-    net: Net<Envelope>,
+    network: Network<Envelope>,
     nodes: Vec<Option<Budgets>>,
     incarnations: Vec<Incarnation>,
     started: u64,
@@ -90,16 +92,16 @@
 
 /// Runs a script.
 pub fn run(script: &Script, options: &Options) -> Outcome {
-    let links = Links {
+    let links = LinkModel {
         latency: options.latency,
-        ..Links::default()
+        ..LinkModel::default()
     };
-    let mut net = Net::new(links, script.seed);
+    let mut network = Network::new(links, script.seed);
     let mut chance = fastrand::Rng::with_seed(script.seed ^ 0xb0d6);
     for _ in 0..script.nodes {
         let offset = chance.i64(-options.offset_ms..=options.offset_ms) * MS as i64 + BASE;
-        net.add(
-            Clock {
+        network.add_machine(
+            MachineClock {
                 offset,
                 drift_ppm: chance.i64(options.drift_ppm.0..=options.drift_ppm.1),
             },
@@ -108,7 +110,7 @@
     }
     let count = options.budgets.len();
     let mut world = World {
-        net,
+        network,
         nodes: (0..script.nodes).map(|_| None).collect(),
         incarnations: vec![Incarnation(0); script.nodes],
         started: 0,
@@ -133,20 +135,24 @@
 
 impl World<'_> {
     fn run(&mut self, script: &Script) {
-        let faults = links::mark(&mut self.net, script);
+        let faults = links::schedule_faults(&mut self.network, script);
         (0..script.nodes).for_each(|node| self.start(node));
         self.announce_members();
-        while let Some(next) = self.net.next(script.ms * MS) {
+        while let Some(next) = self.network.next_event(script.ms * MS) {
             match next {
-                Next::Mark(u64::MAX) => self.announce_members(),
-                Next::Mark(index) => self.inject(faults[index as usize].fault.clone()),
-                Next::Wakes { of: node } => {
+                NetworkEvent::Timer(u64::MAX) => self.announce_members(),
+                NetworkEvent::Timer(index) => self.inject(faults[index as usize].fault.clone()),
+                NetworkEvent::Woken { machine: node } => {
                     self.handle(node, Event::Tick);
                     self.demand(node);
                     self.wake(node);
                 }
-                Next::Hears { of: node, what, .. } => {
-                    self.handle(node, Event::Received(what));
+                NetworkEvent::Delivered {
+                    machine: node,
+                    message: envelope,
+                    ..
+                } => {
+                    self.handle(node, Event::Received(envelope));
                     self.wake(node);
                 }
             }
@@ -154,17 +160,17 @@
     }
 
     fn start(&mut self, node: MachineId) {
-        if !self.net.is_down(node) {
+        if !self.network.is_down(node) {
             return;
         }
-        self.net.start(node);
+        self.network.start(node);
         self.started += 1;
         self.incarnations[node] = Incarnation(self.started);
         let me = NodeId {
             name: name(node).into(),
             incarnation: self.incarnations[node],
         };
-        let now = self.net.shown(node) / TENTH;
+        let now = self.network.clock_reading(node) / TENTH;
         let (parameters, list) = (self.options.parameters.clone(), &self.options.budgets);
         self.nodes[node] = Some(Budgets::new(
             me,
@@ -174,9 +180,10 @@
             self.chance.u64(..),
             now,
         ));
-        self.next_demand[node] = self.net.shown(node);
+        self.next_demand[node] = self.network.clock_reading(node);
         self.wake(node);
-        self.net.mark(self.net.now() + MEMBERSHIP_DELAY, u64::MAX);
+        self.network
+            .set_timer(self.network.now() + MEMBERSHIP_DELAY, u64::MAX);
     }
 
     /// Tells all nodes which voters run.
@@ -185,7 +192,7 @@
         for voter in self.options.parameters.voters.iter() {
             let number: Option<usize> = voter[1..].parse().ok();
             if let Some(node) =
-                number.filter(|node| *node < self.nodes.len() && !self.net.is_down(*node))
+                number.filter(|node| *node < self.nodes.len() && !self.network.is_down(*node))
             {
                 let address = std::net::SocketAddr::from(([10, 0, 0, 1], node as u16));
                 let member = Member {
@@ -209,11 +216,11 @@
             .next_due()
             .saturating_mul(TENTH)
             .min(self.next_demand[node]);
-        self.net.wake(node, due);
+        self.network.wake_at(node, due);
     }
 
     fn handle(&mut self, node: MachineId, event: Event) {
-        let now = self.net.shown(node) / TENTH;
+        let now = self.network.clock_reading(node) / TENTH;
         let Some(mut budgets) = self.nodes[node].take() else {
             return;
         };
@@ -241,7 +248,7 @@
         else {
             return;
         };
-        if self.net.now() >= self.options.count_from_ms * MS {
+        if self.network.now() >= self.options.count_from_ms * MS {
             self.out.cost.datagrams += 1;
             if self.options.count_bytes {
                 let bytes = encoded_size(&envelope) + OVERHEAD_BYTES;
@@ -250,13 +257,13 @@
             }
         }
         let sent = (
-            self.net.now(),
+            self.network.now(),
             node,
             to,
             std::mem::discriminant(&envelope.message),
         );
         self.hash(&sent);
-        self.net.send(node, to, envelope);
+        self.network.send(node, to, envelope);
     }
 
     fn hash(&mut self, what: &impl std::hash::Hash) {
@@ -269,12 +276,12 @@
 
     /// The demand at a node since the last interval.
     fn demand(&mut self, node: MachineId) {
-        let shown = self.net.shown(node);
+        let shown = self.network.clock_reading(node);
         if shown < self.next_demand[node] {
             return;
         }
         self.next_demand[node] = shown + DEMAND_INTERVAL;
-        let at_ms = self.net.now() / MS;
+        let at_ms = self.network.now() / MS;
         for index in 0..self.options.budgets.len() {
             self.end_holds(index);
             let mean = (self.options.demand)(node, index, at_ms) * DEMAND_INTERVAL as f64 / 1e6;
@@ -287,8 +294,8 @@
     }
 
     fn request(&mut self, node: MachineId, index: usize) {
-        let now = self.net.shown(node) / TENTH;
-        let counted = self.net.now() >= self.options.count_from_ms * MS;
+        let now = self.network.clock_reading(node) / TENTH;
+        let counted = self.network.now() >= self.options.count_from_ms * MS;
         self.out.asked[index] += u64::from(counted);
         let Some(budgets) = &mut self.nodes[node] else {
             return;
@@ -302,16 +309,16 @@
             *self
                 .out
                 .by_time
-                .entry((node, self.net.now() / (100 * MS)))
+                .entry((node, self.network.now() / (100 * MS)))
                 .or_default() += 1;
         }
-        self.hash(&(self.net.now(), node, index));
+        self.hash(&(self.network.now(), node, index));
         self.record_use(node, index);
     }
 
     /// Records one use at its true time.
     fn record_use(&mut self, node: MachineId, index: usize) {
-        let (budget, now) = (&self.options.budgets[index], self.net.now());
+        let (budget, now) = (&self.options.budgets[index], self.network.now());
         let limit = f64::from(budget.limit);
         match budget.kind {
             Kind::Rate { burst } => {
@@ -343,11 +350,13 @@
 
     /// Ends holds whose time has come; a stopped node releases them when it continues.
     fn end_holds(&mut self, index: usize) {
-        let now = self.net.now();
-        let (nodes, incarnations, net) = (&mut self.nodes, &self.incarnations, &self.net);
+        let now = self.network.now();
+        let (nodes, incarnations, network) = (&mut self.nodes, &self.incarnations, &self.network);
         self.held[index].retain(|(end, node, incarnation)| {
             let over = *end <= now
-                && (net.is_up(*node) || incarnations[*node] != *incarnation || net.is_down(*node));
+                && (network.is_running(*node)
+                    || incarnations[*node] != *incarnation
+                    || network.is_down(*node));
             if over
                 && incarnations[*node] == *incarnation
                 && let Some(budgets) = &mut nodes[*node]
@@ -368,26 +377,26 @@
         {
             self.out
                 .violations
-                .push(format!("{} ms: {budget}: {what}", self.net.now() / MS));
+                .push(format!("{} ms: {budget}: {what}", self.network.now() / MS));
         }
     }
 
     fn inject(&mut self, fault: Fault) {
-        links::take_up(&mut self.net, self.options.latency, &fault);
+        links::inject(&mut self.network, self.options.latency, &fault);
         match fault {
             Fault::Kill { nodes } => {
                 for node in nodes
                     .into_iter()
-                    .filter(|node| !self.net.is_down(*node))
+                    .filter(|node| !self.network.is_down(*node))
                     .collect::<Vec<_>>()
                 {
-                    self.net.kill(node);
+                    self.network.kill(node);
                     self.nodes[node] = None;
                 }
             }
             Fault::Start { nodes, .. } | Fault::StartOlder { nodes } => {
                 for node in nodes {
-                    self.net.kill(node);
+                    self.network.kill(node);
                     self.nodes[node] = None;
                     self.start(node);
                 }
--- a/crates/fault-harness/src/links.rs
+++ b/crates/fault-harness/src/links.rs
@@ -1,19 +1,19 @@
 //! Injects the faults of a script into a simulated network, whatever runs in it.
 
-use doortrack_simulation::{Law, Net};
+use doortrack_simulation::{Distribution, Network};
 
 use crate::script::{Fault, Script, Timed};
 
 /// Microseconds in a ms.
 pub(crate) const MS: u64 = 1_000;
 
-/// The faults of a script by time. The network is told to stop at the time of each, marked by its index.
-pub(crate) fn mark<M: Clone>(net: &mut Net<M>, script: &Script) -> Vec<Timed> {
+/// The faults of a script by time. Sets a timer at the time of each, with its index as the identifier.
+pub(crate) fn schedule_faults<M: Clone>(network: &mut Network<M>, script: &Script) -> Vec<Timed> {
     let faults = script.in_order();
     for (index, timed) in faults.iter().enumerate() {
-        net.mark(timed.at_ms * MS, index as u64);
+        network.set_timer(timed.at_ms * MS, index as u64);
     }
-    net.keeps = faults
+    network.record_deliveries = faults
         .iter()
         .any(|timed| matches!(timed.fault, Fault::Replay { .. }));
     faults
@@ -21,27 +21,32 @@
 
 /// Injects a fault of links, or one of machines that keep their state. `latency` is that of undisturbed
 /// links. Faults that start, end or remove nodes are left to the caller.
-pub(crate) fn take_up<M: Clone>(net: &mut Net<M>, latency: Law, fault: &Fault) {
+pub(crate) fn inject<M: Clone>(network: &mut Network<M>, latency: Distribution, fault: &Fault) {
     match fault {
-        Fault::Replay { nodes } => nodes.iter().for_each(|node| net.replay(*node)),
-        Fault::Stop { nodes } => nodes.iter().for_each(|node| net.stop(*node)),
-        Fault::GoOn { nodes } => nodes.iter().for_each(|node| net.go_on(*node)),
-        Fault::Cut { from, to } => cut(net, from, to, true),
-        Fault::Mend { from, to } => cut(net, from, to, false),
+        Fault::Replay { nodes } => nodes.iter().for_each(|node| network.replay(*node)),
+        Fault::Stop { nodes } => nodes.iter().for_each(|node| network.suspend(*node)),
+        Fault::GoOn { nodes } => nodes.iter().for_each(|node| network.resume(*node)),
+        Fault::Cut { from, to } => {
+            for (from, to) in pairs(from, to) {
+                network.partition(from, to);
+            }
+        }
+        Fault::Mend { from, to } => {
+            for (from, to) in pairs(from, to) {
+                network.heal(from, to);
+            }
+        }
         Fault::Links {
             loss,
             doubled,
             garbled,
             delay_ms,
         } => {
-            let latency = match delay_ms {
-                0 => latency,
-                ms => Law::Exponential {
-                    mean: (ms * MS) as f64,
-                },
-            };
-            let links = net.links();
-            (links.loss, links.doubled, links.latency) = (loss + garbled, *doubled, latency);
+            let links = network.links_mut();
+            // A garbled datagram is discarded by its receiver.
+            links.loss_rate = loss + garbled;
+            links.duplication_rate = *doubled;
+            links.latency = delayed(latency, *delay_ms);
         }
         Fault::Kill { .. }
         | Fault::Start { .. }
@@ -52,8 +57,16 @@
     }
 }
 
-fn cut<M: Clone>(net: &mut Net<M>, from: &[usize], to: &[usize], cut: bool) {
-    for from in from {
-        to.iter().for_each(|to| net.cut(*from, *to, cut));
+fn delayed(undisturbed: Distribution, delay_ms: u64) -> Distribution {
+    match delay_ms {
+        0 => undisturbed,
+        delay_ms => Distribution::Exponential {
+            mean: (delay_ms * MS) as f64,
+        },
     }
 }
+
+fn pairs(from: &[usize], to: &[usize]) -> impl Iterator<Item = (usize, usize)> {
+    from.iter()
+        .flat_map(move |from| to.iter().map(move |to| (*from, *to)))
+}
--- a/crates/fault-harness/src/scale/simulated/topology.rs
+++ b/crates/fault-harness/src/scale/simulated/topology.rs
@@ -2,7 +2,7 @@
 
 use doortrack_budgets::{Budget, Kind};
 use doortrack_membership::Name;
-use doortrack_simulation::{Law, Links};
+use doortrack_simulation::{Distribution, LinkModel};
 
 use crate::history::name;
 
@@ -94,21 +94,21 @@
     }
 
     /// What lies between the machines.
-    pub fn links(self) -> Links {
-        Links {
+    pub fn links(self) -> LinkModel {
+        LinkModel {
             latency: Topology::latency(),
-            between_zones: BETWEEN_ZONES,
-            zones_of_region: ZONES_OF_REGION as u32,
-            between_regions: Law::LogNormal {
+            inter_zone_latency: BETWEEN_ZONES,
+            zones_per_region: ZONES_OF_REGION as u32,
+            inter_region_latency: Distribution::LogNormal {
                 mean: BETWEEN_REGIONS,
                 sigma: 0.1,
             },
-            ..Links::default()
+            ..LinkModel::default()
         }
     }
 
-    pub fn latency() -> Law {
-        Law::LogNormal {
+    pub fn latency() -> Distribution {
+        Distribution::LogNormal {
             mean: IN_ZONE,
             sigma: 0.5,
         }
--- a/crates/fault-harness/src/scale/simulated/world.rs
+++ b/crates/fault-harness/src/scale/simulated/world.rs
@@ -2,7 +2,7 @@
 
 use doortrack_budgets::{Event as BudgetEvent, Parameters as LeaseParameters};
 use doortrack_membership::{Event, Parameters};
-use doortrack_simulation::{Clock, MachineId, Micros, Net, Next};
+use doortrack_simulation::{MachineClock, MachineId, Micros, Network, NetworkEvent};
 use doortrack_time::TenthMillis;
 
 use super::agreement::{Agreement, Held};
@@ -63,8 +63,8 @@
 struct World<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    net: Net<Parcel>,
-    clocks: Vec<Clock>,
+    network: Network<Parcel>,
+    clocks: Vec<MachineClock>,
     machines: Vec<Option<Box<Machine>>>,
     /// Starts of each machine so far.
     starts: Vec<u32>,
@@ -81,22 +81,22 @@
 /// Plays a scenario.
 pub fn play(scenario: &Scenario, seed: u64) -> Played {
     let topology = scenario.topology;
-    let links = doortrack_simulation::Links {
-        loss: scenario.loss,
+    let links = doortrack_simulation::LinkModel {
+        loss_rate: scenario.loss,
         ..topology.links()
     };
-    let mut net = Net::new(links, seed);
+    let mut network = Network::new(links, seed);
     let mut chance = fastrand::Rng::with_seed(seed);
     let count = topology.machines();
     let mut clocks = Vec::with_capacity(count);
     for machine in 0..count {
         let offset = CLOCK_BASE + chance.i64(-CLOCK_OFFSET..=CLOCK_OFFSET);
-        let clock = Clock {
+        let clock = MachineClock {
             offset,
             drift_ppm: chance.i64(-DRIFT_PPM..=DRIFT_PPM),
         };
         clocks.push(clock);
-        net.add(clock, topology.zone(machine) as u32);
+        network.add_machine(clock, topology.zone(machine) as u32);
     }
     let budgets = scenario.list.len();
     // Nobody's callers come in step with another's.
@@ -106,7 +106,7 @@
     let mut world = World {
         scenario,
         seed,
-        net,
+        network,
         clocks,
         machines: (0..count).map(|_| None).collect(),
         starts: vec![0; count],
@@ -137,17 +137,21 @@
 impl World<'_> {
     fn run(&mut self) {
         for (nth, step) in self.scenario.steps.iter().enumerate() {
-            self.net.mark(step.at_ms * MS, nth as u64);
+            self.network.set_timer(step.at_ms * MS, nth as u64);
         }
-        self.net.mark(TICK, TICK_MARK);
+        self.network.set_timer(TICK, TICK_MARK);
         (0..self.machines.len()).for_each(|machine| self.start(machine));
         let end = self.played.end;
-        while let Some(next) = self.net.next(end) {
+        while let Some(next) = self.network.next_event(end) {
             match next {
-                Next::Mark(TICK_MARK) => self.tick(),
-                Next::Mark(nth) => self.step(nth as usize),
-                Next::Wakes { of } => self.woken(of),
-                Next::Hears { of, from: _, what } => self.hears(of, what),
+                NetworkEvent::Timer(TICK_MARK) => self.tick(),
+                NetworkEvent::Timer(nth) => self.step(nth as usize),
+                NetworkEvent::Woken { machine } => self.woken(machine),
+                NetworkEvent::Delivered {
+                    machine,
+                    from: _,
+                    message: parcel,
+                } => self.hears(machine, parcel),
             }
         }
         let step = self.machines.len().div_ceil(MOST_ASKED).max(1);
@@ -157,29 +161,29 @@
     }
 
     fn now(&self) -> Micros {
-        self.net.now()
+        self.network.now()
     }
 
     fn now_ms(&self) -> u64 {
-        self.net.now() / MS
+        self.network.now() / MS
     }
 
     /// What the machine's own clock shows.
     fn shown(&self, machine: MachineId) -> TenthMillis {
-        self.net.shown(machine) / TENTH
+        self.network.clock_reading(machine) / TENTH
     }
 
     fn start(&mut self, machine: MachineId) {
-        if !self.net.is_down(machine) {
+        if !self.network.is_down(machine) {
             return;
         }
-        self.net.start(machine);
+        self.network.start(machine);
         self.starts[machine] += 1;
         let at_ms = self.now_ms();
         self.played
             .history
             .put(at_ms, What::Began { node: machine });
-        let shown = self.net.shown(machine);
+        let shown = self.network.clock_reading(machine);
         let started = Machine::new(Start {
             machine,
             unix_ms: shown / MS,
@@ -222,7 +226,7 @@
         if due != own.due {
             own.due = due;
             if due != TenthMillis::MAX {
-                self.net.wake(machine, due * TENTH);
+                self.network.wake_at(machine, due * TENTH);
             }
         }
         self.machines[machine] = Some(own);
@@ -283,7 +287,7 @@
                 let others = self.scenario.topology.voters().rev();
                 let victim = others
                     .into_iter()
-                    .find(|of| Some(*of) != leader && !self.net.is_down(*of));
+                    .find(|of| Some(*of) != leader && !self.network.is_down(*of));
                 self.kill_voter(victim);
             }
             Incident::StartKilled => {
@@ -317,15 +321,15 @@
                 fault: fault.clone(),
             },
         );
-        links::take_up(&mut self.net, Topology::latency(), &fault);
+        links::inject(&mut self.network, Topology::latency(), &fault);
         match fault {
             Fault::Kill { nodes } => nodes.into_iter().for_each(|machine| self.kill(machine)),
             Fault::Start { nodes, clock_ms } => {
                 for machine in nodes {
                     let offset = self.clocks[machine].offset + clock_ms * MS as i64;
-                    self.net.set_clock(
+                    self.network.set_clock(
                         machine,
-                        Clock {
+                        MachineClock {
                             offset,
                             ..self.clocks[machine]
                         },
@@ -339,10 +343,10 @@
     }
 
     fn kill(&mut self, machine: MachineId) {
-        if self.net.is_down(machine) {
+        if self.network.is_down(machine) {
             return;
         }
-        self.net.kill(machine);
+        self.network.kill(machine);
         self.machines[machine] = None;
         let (now, at_ms) = (self.now(), self.now_ms());
         self.played.agreement.put(now, machine, None);
--- a/crates/fault-harness/src/scale/simulated/world/carrying.rs
+++ b/crates/fault-harness/src/scale/simulated/world/carrying.rs
@@ -58,16 +58,16 @@
 
     fn send(&mut self, from: MachineId, to: Option<MachineId>, content: Content) {
         let parcel = Parcel::new(content);
-        let now = self.net.now();
+        let now = self.network.now();
         self.played.traffic.sent(now, from, u64::from(parcel.bytes));
         if let Some(to) = to.filter(|to| *to < self.machines.len()) {
-            self.net.send(from, to, parcel);
+            self.network.send(from, to, parcel);
         }
     }
 
     /// Keeps what the checkers read. Doubts are only counted: one is told by every machine.
     fn note(&mut self, machine: MachineId, change: &Change, own: &Machine) {
-        if self.net.now() < QUIET {
+        if self.network.now() < QUIET {
             return;
         }
         if matches!(change, Change::Suspected { .. }) {
--- a/crates/fault-harness/src/scale/simulated/world/demand.rs
+++ b/crates/fault-harness/src/scale/simulated/world/demand.rs
@@ -13,7 +13,7 @@
 impl World<'_> {
     pub(super) fn tick(&mut self) {
         let now = self.now();
-        self.net.mark(now + TICK, TICK_MARK);
+        self.network.set_timer(now + TICK, TICK_MARK);
         self.end_places();
         let group = self.tick % GROUPS;
         let nodes = self.scenario.topology.nodes;
--- a/crates/fault-harness/src/simulated.rs
+++ b/crates/fault-harness/src/simulated.rs
@@ -10,7 +10,9 @@
 };
 use doortrack_node::peers::peer_message::PeerMessage;
 use doortrack_node::peers::seal::Seal;
-use doortrack_simulation::{Clock, Law, Links, MachineId, Micros, Net, Next};
+use doortrack_simulation::{
+    Distribution, LinkModel, MachineClock, MachineId, Micros, Network, NetworkEvent,
+};
 
 use crate::history::{History, Member, What, name};
 use crate::links::{self, MS};
@@ -29,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     pub parameters: Parameters,
-    pub latency: Law,
+    pub latency: Distribution,
     /// Zones, to which nodes are assigned in turn.
     pub zones: u32,
     /// Additional latency between two zones, in microseconds.
@@ -48,7 +50,7 @@
     fn default() -> Options {
         Options {
             parameters: Parameters::default(),
-            latency: Law::LogNormal {
+            latency: Distribution::LogNormal {
                 mean: 300.0,
                 sigma: 0.5,
             },
@@ -85,7 +87,7 @@
 }
 
 struct World {
-    net: Net<Datagram>,
+    network: Network<Datagram>,
     fleets: Vec<Option<Fleet>>,
     seeds: Vec<SocketAddr>,
     options: Options,
@@ -112,12 +114,12 @@
 
 /// Runs a script; returns its history and cost.
 pub fn run(script: &Script, options: &Options) -> (History, Cost) {
-    let links = Links {
+    let links = LinkModel {
         latency: options.latency,
-        between_zones: options.between_zones,
-        ..Links::default()
+        inter_zone_latency: options.between_zones,
+        ..LinkModel::default()
     };
-    let mut net = Net::new(links, script.seed);
+    let mut network = Network::new(links, script.seed);
     let mut chance = fastrand::Rng::with_seed(script.seed);
     for node in 0..script.nodes {
         let spread = |chance: &mut fastrand::Rng, bound: u64| match bound as i64 {
@@ -125,14 +127,14 @@
             bound => chance.i64(-bound..=bound),
         };
         let offset = spread(&mut chance, options.offset_ms) * MS as i64 + BASE;
-        let clock = Clock {
+        let clock = MachineClock {
             offset,
             drift_ppm: spread(&mut chance, options.drift_ppm),
         };
-        net.add(clock, node as u32 % options.zones.max(1));
+        network.add_machine(clock, node as u32 % options.zones.max(1));
     }
     let mut world = World {
-        net,
+        network,
         fleets: (0..script.nodes).map(|_| None).collect(),
         seeds: (0..script.nodes.min(3)).map(address).collect(),
         options: options.clone(),
@@ -151,25 +153,19 @@
 
 impl World {
     fn run(&mut self, script: &Script) {
-        let faults = links::mark(&mut self.net, script);
+        let faults = links::schedule_faults(&mut self.network, script);
         (0..script.nodes).for_each(|node| self.start(node));
-        while let Some(next) = self.net.next(script.ms * MS) {
+        while let Some(next) = self.network.next_event(script.ms * MS) {
             match next {
-                Next::Mark(index) => self.inject(faults[index as usize].fault.clone()),
-                Next::Wakes { of: node } => self.handle(node, Event::Tick),
-                Next::Hears {
-                    of: node,
+                NetworkEvent::Timer(index) => self.inject(faults[index as usize].fault.clone()),
+                NetworkEvent::Woken { machine: node } => self.handle(node, Event::Tick),
+                NetworkEvent::Delivered {
+                    machine: node,
                     from,
-                    what,
+                    message: datagram,
                 } => {
                     let from = address(from);
-                    self.handle(
-                        node,
-                        Event::Received {
-                            from,
-                            datagram: what,
-                        },
-                    );
+                    self.handle(node, Event::Received { from, datagram });
                 }
             }
         }
@@ -180,17 +176,17 @@
     }
 
     fn now_ms(&self) -> u64 {
-        self.net.now() / MS
+        self.network.now() / MS
     }
 
     fn start(&mut self, node: MachineId) {
-        if !self.net.is_down(node) {
+        if !self.network.is_down(node) {
             return;
         }
-        self.net.start(node);
+        self.network.start(node);
         let at_ms = self.now_ms();
         self.history.put(at_ms, What::Began { node });
-        let shown = self.net.shown(node);
+        let shown = self.network.clock_reading(node);
         let me = MemberUpdate {
             name: name(node).into(),
             incarnation: Incarnation::started(shown / MS, node as u64),
@@ -203,7 +199,12 @@
             seeds: self.seeds.clone(),
             ..self.options.parameters.clone()
         };
-        let fleet = Fleet::new(me, parameters, self.seed ^ self.net.now(), shown / TENTH);
+        let fleet = Fleet::new(
+            me,
+            parameters,
+            self.seed ^ self.network.now(),
+            shown / TENTH,
+        );
         self.wake(node, &fleet);
         self.fleets[node] = Some(fleet);
     }
@@ -211,12 +212,12 @@
     fn wake(&mut self, node: MachineId, fleet: &Fleet) {
         let due = fleet.next_due();
         if due != u64::MAX {
-            self.net.wake(node, due * TENTH);
+            self.network.wake_at(node, due * TENTH);
         }
     }
 
     fn handle(&mut self, node: MachineId, event: Event) {
-        let now = self.net.shown(node) / TENTH;
+        let now = self.network.clock_reading(node) / TENTH;
         let Some(mut fleet) = self.fleets[node].take() else {
             return;
         };
@@ -242,7 +243,7 @@
             let sealed = self.seal.close(&PeerMessage::Fleet(datagram.clone()));
             self.cost.bytes += sealed.map_or(0, |bytes| bytes.len() as u64) + HEADER_BYTES;
         }
-        self.net.send(node, to, datagram);
+        self.network.send(node, to, datagram);
     }
 
     fn record_change(&mut self, node: MachineId, change: &Change, fleet: &Fleet) {
@@ -270,15 +271,15 @@
                 fault: fault.clone(),
             },
         );
-        links::take_up(&mut self.net, self.options.latency, &fault);
+        links::inject(&mut self.network, self.options.latency, &fault);
         match fault {
             Fault::Kill { nodes } => {
                 for node in nodes
                     .into_iter()
-                    .filter(|node| !self.net.is_down(*node))
+                    .filter(|node| !self.network.is_down(*node))
                     .collect::<Vec<_>>()
                 {
-                    self.net.kill(node);
+                    self.network.kill(node);
                     self.fleets[node] = None;
                     self.history.put(at_ms, What::Ended { node });
                 }
@@ -300,23 +301,26 @@
                 .as_ref()
                 .is_some_and(|fleet| fleet.me().state == MemberState::Left)
             {
-                self.net.kill(node);
+                self.network.kill(node);
                 self.history.put(at_ms, What::Ended { node });
             }
-            if self.net.is_down(node) {
-                let clock = Clock {
+            if self.network.is_down(node) {
+                let clock = MachineClock {
                     offset: BASE + clock_ms * MS as i64,
                     drift_ppm: 0,
                 };
-                self.net.set_clock(node, clock);
+                self.network.set_clock(node, clock);
             }
             self.start(node);
         }
     }
 
     fn record_status(&mut self, node: MachineId, at_ms: u64) {
-        let now = self.net.shown(node) / TENTH;
-        let Some(fleet) = self.fleets[node].as_ref().filter(|_| self.net.is_up(node)) else {
+        let now = self.network.clock_reading(node) / TENTH;
+        let Some(fleet) = self.fleets[node]
+            .as_ref()
+            .filter(|_| self.network.is_running(node))
+        else {
             return;
         };
         let (reports, _) = fleet.report(None, usize::MAX, now);
--- a/crates/fault-harness/tests/divided.rs
+++ b/crates/fault-harness/tests/divided.rs
@@ -8,7 +8,7 @@
 use doortrack_fault_harness::history::name;
 use doortrack_fault_harness::script::{Fault, Script, Timed};
 use doortrack_membership::Name;
-use doortrack_simulation::Law;
+use doortrack_simulation::Distribution;
 
 const NODES: usize = 9;
 
@@ -82,7 +82,7 @@
     let options = Options {
         parameters: parameters(safeguards),
         budgets: vec![rate(600, 120, 20), concurrency(30, 1)],
-        latency: Law::LogNormal {
+        latency: Distribution::LogNormal {
             mean: 300.0,
             sigma: 0.5,
         },
@@ -323,7 +323,7 @@
     let options = Options {
         parameters: parameters(Safeguards::default()),
         budgets,
-        latency: Law::LogNormal {
+        latency: Distribution::LogNormal {
             mean: 300.0,
             sigma: 0.5,
         },
--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -1,102 +1,94 @@
 //! Probability distributions of durations.
 
-use std::fmt;
-
 use rand::SeedableRng;
 use rand_chacha::ChaCha12Rng;
-use rand_distr::{Distribution, Exp, LogNormal, Pareto};
+use rand_distr::{Distribution as _, Exp, LogNormal, Pareto};
 
 use crate::Micros;
 
 /// A stream of random numbers.
-pub type Stream = ChaCha12Rng;
+pub type RandomStream = ChaCha12Rng;
 
-/// The stream of one part of a world. Each part has a stream of its own, so that one more draw in one part
-/// changes nothing in the others.
-pub fn stream(seed: u64, part: u64) -> Stream {
-    let mut stream = ChaCha12Rng::seed_from_u64(seed);
-    stream.set_stream(part);
-    stream
+/// The random stream of one part of a simulation. Each part has a stream of its own, so that one more draw
+/// in one part changes nothing in the others.
+pub fn random_stream(seed: u64, part: u64) -> RandomStream {
+    let mut random = ChaCha12Rng::seed_from_u64(seed);
+    random.set_stream(part);
+    random
 }
 
-/// A distribution of durations in microseconds. All are given by their mean, so that one can replace another.
+/// A distribution of durations in microseconds. Each is given by its mean, so that one can replace another.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Law {
+pub enum Distribution {
+    /// Always the same duration.
     Fixed(f64),
+    /// The distribution of gaps between independent arrivals.
     Exponential {
+        /// Mean in microseconds.
         mean: f64,
     },
-    /// `sigma` is the standard deviation of the logarithm.
+    /// A logarithm that is normally distributed.
     LogNormal {
+        /// Mean in microseconds.
         mean: f64,
+        /// Standard deviation of the natural logarithm.
         sigma: f64,
     },
-    /// Heavy-tailed. `shape` is over 1; below 2 the variance is infinite.
+    /// A heavy tail that falls as a power of the duration.
     Pareto {
+        /// Mean in microseconds.
         mean: f64,
+        /// Exponent of the tail, over 1; up to 2 the variance is infinite.
         shape: f64,
     },
-    /// A `share` of the durations is `long`, the rest `short`.
+    /// One of two durations.
     Bimodal {
+        /// The shorter duration in microseconds.
         short: f64,
+        /// The longer duration in microseconds.
         long: f64,
-        share: f64,
+        /// Fraction of the durations that are `long`, 0 to 1.
+        long_fraction: f64,
     },
 }
 
-/// A parameter that is out of range.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LawFault {
+/// A parameter of a distribution that is out of range.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+#[error("{parameter} is out of range: {value}")]
+pub struct DistributionError {
     /// The name of the parameter.
-    pub what: &'static str,
-    pub found: f64,
+    pub parameter: &'static str,
+    /// The value found.
+    pub value: f64,
 }
 
-impl fmt::Display for LawFault {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}: {} makes no law", self.what, self.found)
-    }
-}
-
-impl std::error::Error for LawFault {}
-
-impl Law {
+impl Distribution {
     /// Validates the parameters.
     ///
     /// # Errors
     /// The first parameter out of range.
-    pub fn check(self) -> Result<Law, LawFault> {
-        let positive = |what, n: f64| {
-            if n > 0.0 && n.is_finite() {
-                Ok(())
-            } else {
-                Err(LawFault { what, found: n })
-            }
-        };
+    pub fn validate(self) -> Result<Distribution, DistributionError> {
         match self {
-            Law::Fixed(mean) | Law::Exponential { mean } => positive("mean", mean)?,
-            Law::LogNormal { mean, sigma } => {
-                positive("mean", mean)?;
-                positive("sigma", sigma)?;
+            Distribution::Fixed(mean) | Distribution::Exponential { mean } => {
+                require_positive("mean", mean)?;
+            }
+            Distribution::LogNormal { mean, sigma } => {
+                require_positive("mean", mean)?;
+                require_positive("sigma", sigma)?;
             }
-            Law::Pareto { mean, shape } => {
-                positive("mean", mean)?;
-                if !(shape > 1.0 && shape.is_finite()) {
-                    return Err(LawFault {
-                        what: "shape",
-                        found: shape,
-                    });
-                }
+            Distribution::Pareto { mean, shape } => {
+                require_positive("mean", mean)?;
+                require("shape", shape, shape > 1.0 && shape.is_finite())?;
             }
-            Law::Bimodal { short, long, share } => {
-                positive("short", short)?;
-                positive("long", long)?;
-                if !(0.0..=1.0).contains(&share) {
-                    return Err(LawFault {
-                        what: "share",
-                        found: share,
-                    });
-                }
+            Distribution::Bimodal {
+                short,
+                long,
+                long_fraction,
+            } => {
+                require_positive("short", short)?;
+                require_positive("long", long)?;
+                let is_fraction = (0.0..=1.0).contains(&long_fraction);
+                require("long_fraction", long_fraction, is_fraction)?;
             }
         }
         Ok(self)
@@ -105,34 +97,58 @@
     /// The mean in microseconds.
     pub fn mean(self) -> f64 {
         match self {
-            Law::Fixed(mean)
-            | Law::Exponential { mean }
-            | Law::LogNormal { mean, .. }
-            | Law::Pareto { mean, .. } => mean,
-            Law::Bimodal { short, long, share } => long * share + short * (1.0 - share),
+            Distribution::Fixed(mean)
+            | Distribution::Exponential { mean }
+            | Distribution::LogNormal { mean, .. }
+            | Distribution::Pareto { mean, .. } => mean,
+            Distribution::Bimodal {
+                short,
+                long,
+                long_fraction,
+            } => long * long_fraction + short * (1.0 - long_fraction),
         }
     }
 
-    /// Draws a duration in microseconds, at least one.
-    pub fn draw(self, stream: &mut Stream) -> Micros {
-        let drawn = match self {
-            Law::Fixed(mean) => mean,
-            Law::Exponential { mean } => {
-                Exp::new(1.0 / mean).map_or(mean, |law| law.sample(stream))
+    /// Draws a duration in microseconds, at least 1. Parameters out of range give the mean.
+    pub fn sample(self, random: &mut RandomStream) -> Micros {
+        let duration = match self {
+            Distribution::Fixed(mean) => mean,
+            Distribution::Exponential { mean } => {
+                Exp::new(1.0 / mean).map_or(mean, |exponential| exponential.sample(random))
             }
-            Law::LogNormal { mean, sigma } => {
+            Distribution::LogNormal { mean, sigma } => {
                 let mu = mean.ln() - sigma * sigma / 2.0;
-                LogNormal::new(mu, sigma).map_or(mean, |law| law.sample(stream))
+                LogNormal::new(mu, sigma).map_or(mean, |log_normal| log_normal.sample(random))
             }
-            Law::Pareto { mean, shape } => {
+            Distribution::Pareto { mean, shape } => {
                 let scale = mean * (shape - 1.0) / shape;
-                Pareto::new(scale, shape).map_or(mean, |law| law.sample(stream))
+                Pareto::new(scale, shape).map_or(mean, |pareto| pareto.sample(random))
             }
-            Law::Bimodal { short, long, share } => {
-                let chance: f64 = rand::RngExt::random(stream);
-                if chance < share { long } else { short }
+            Distribution::Bimodal {
+                short,
+                long,
+                long_fraction,
+            } => {
+                let uniform: f64 = rand::RngExt::random(random);
+                if uniform < long_fraction { long } else { short }
             }
         };
-        (drawn.round() as Micros).max(1)
+        (duration.round() as Micros).max(1)
+    }
+}
+
+fn require_positive(parameter: &'static str, value: f64) -> Result<(), DistributionError> {
+    require(parameter, value, value > 0.0 && value.is_finite())
+}
+
+fn require(
+    parameter: &'static str,
+    value: f64,
+    is_in_range: bool,
+) -> Result<(), DistributionError> {
+    if is_in_range {
+        Ok(())
+    } else {
+        Err(DistributionError { parameter, value })
     }
 }
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 
 /// Children of a node of the heap: four share a cache line, and the heap is half as deep as with two.
-const WIDTH: usize = 4;
+const CHILDREN: usize = 4;
 
 struct Entry<E> {
     at: Micros,
@@ -17,16 +17,17 @@
     }
 }
 
-/// A queue of events. Insertion and removal cost the logarithm of its size, and allocate only when it grows.
-pub struct Queue<E> {
+/// A queue of events, and the simulated time. Insertion and removal take logarithmic time, and allocate only
+/// when the queue grows.
+pub struct EventQueue<E> {
     heap: Vec<Entry<E>>,
     sequence: u64,
     now: Micros,
 }
 
-impl<E> Default for Queue<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Queue {
+        EventQueue {
             heap: Vec::new(),
             sequence: 0,
             now: 0,
@@ -34,70 +35,80 @@
     }
 }
 
-impl<E> Queue<E> {
+impl<E> EventQueue<E> {
     /// The time of the last event removed.
     pub fn now(&self) -> Micros {
         self.now
     }
 
+    /// The number of events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
+    /// Whether there is no event.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
 
-    /// Inserts an event. An event of the past happens now.
-    pub fn put(&mut self, at: Micros, event: E) {
+    /// Inserts an event. A time in the past counts as now.
+    pub fn schedule(&mut self, at: Micros, event: E) {
         self.sequence += 1;
         self.heap.push(Entry {
             at: at.max(self.now),
             sequence: self.sequence,
             event,
         });
-        let mut index = self.heap.len() - 1;
-        while index > 0 {
-            let parent = (index - 1) / WIDTH;
-            if !self.heap[index].is_before(&self.heap[parent]) {
-                break;
-            }
-            self.heap.swap(index, parent);
-            index = parent;
-        }
+        self.sift_up(self.heap.len() - 1);
     }
 
-    /// When the next event happens.
-    pub fn next_at(&self) -> Option<Micros> {
+    /// The time of the next event.
+    pub fn next_time(&self) -> Option<Micros> {
         self.heap.first().map(|entry| entry.at)
     }
 
     /// Removes the next event and advances the time to it.
-    pub fn take(&mut self) -> Option<(Micros, E)> {
+    pub fn pop(&mut self) -> Option<(Micros, E)> {
         if self.heap.is_empty() {
             return None;
         }
         let entry = self.heap.swap_remove(0);
-        let mut index = 0;
-        loop {
-            let first = index * WIDTH + 1;
-            let children = first..(first + WIDTH).min(self.heap.len());
-            let least = children.reduce(|one, other| {
-                if self.heap[other].is_before(&self.heap[one]) {
-                    other
-                } else {
-                    one
-                }
-            });
-            match least {
-                Some(least) if self.heap[least].is_before(&self.heap[index]) => {
-                    self.heap.swap(index, least)
-                }
-                _ => break,
-            }
-            index = least.unwrap_or(index);
-        }
+        self.sift_down(0);
         self.now = entry.at;
         Some((entry.at, entry.event))
     }
+
+    fn sift_up(&mut self, mut index: usize) {
+        while index > 0 {
+            let parent = (index - 1) / CHILDREN;
+            if !self.heap[index].is_before(&self.heap[parent]) {
+                break;
+            }
+            self.heap.swap(index, parent);
+            index = parent;
+        }
+    }
+
+    fn sift_down(&mut self, mut index: usize) {
+        while let Some(child) = self.first_child(index) {
+            if !self.heap[child].is_before(&self.heap[index]) {
+                break;
+            }
+            self.heap.swap(index, child);
+            index = child;
+        }
+    }
+
+    /// The child of a heap node whose event comes first.
+    fn first_child(&self, index: usize) -> Option<usize> {
+        let start = index * CHILDREN + 1;
+        let children = start..(start + CHILDREN).min(self.heap.len());
+        children.reduce(|first, child| {
+            if self.heap[child].is_before(&self.heap[first]) {
+                child
+            } else {
+                first
+            }
+        })
+    }
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,378 +1,343 @@
-//! Machines that send to one another over links that lose, delay, double and cut, each with a clock of its
-//! own. The machines themselves are the caller's; here is only what lies between them.
+//! A network of machines whose links delay, lose, duplicate and cut, and whose clocks differ.
+//! What the machines do is the caller's.
 
 use std::collections::{HashMap, VecDeque};
 
 use rand::RngExt;
 
-use crate::{Law, Micros, Queue, Stream, stream};
+use crate::{EventQueue, LinkModel, MachineClock, Micros, RandomStream, random_stream};
 
-/// Place of a machine in the net.
+/// Identifies a machine: its index in the order of [`Network::add_machine`].
 pub type MachineId = usize;
 
-/// What links do to what is sent.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Links {
-    pub latency: Law,
-    /// Added between machines of different zones, in microseconds.
-    pub between_zones: Micros,
-    /// Zones of one region, numbered one after the other; 0 where all zones lie in one region.
-    pub zones_of_region: u32,
-    /// Drawn and added between machines of different regions.
-    pub between_regions: Law,
-    /// Share of all that is lost on the way, and that comes twice.
-    pub loss: f64,
-    pub doubled: f64,
-}
-
-impl Default for Links {
-    fn default() -> Links {
-        Links {
-            latency: Law::LogNormal {
-                mean: 300.0,
-                sigma: 0.5,
-            },
-            between_zones: 0,
-            zones_of_region: 0,
-            between_regions: Law::Fixed(0.0),
-            loss: 0.0,
-            doubled: 0.0,
-        }
-    }
-}
-
-impl Links {
-    /// The region in which a zone lies.
-    pub fn region(&self, zone: u32) -> u32 {
-        zone.checked_div(self.zones_of_region).unwrap_or(0)
-    }
-
-    /// Draws how long a datagram takes from one zone to another.
-    fn draw(&self, from: u32, to: u32, chance: &mut Stream) -> Micros {
-        let mut took = self.latency.draw(chance);
-        if from != to {
-            took += self.between_zones;
-        }
-        if self.region(from) != self.region(to) {
-            took += self.between_regions.draw(chance);
-        }
-        took
-    }
-}
-
-/// A machine's clock: how far it is off, and how fast it goes against true time.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Clock {
-    pub offset: i64,
-    /// Millionths by which it gains; 20,000 are 2%.
-    pub drift_ppm: i64,
-}
-
-impl Clock {
-    /// What it shows, in microseconds. Never below 0.
-    pub fn at(self, now: Micros) -> Micros {
-        let gained = now as i128 * i128::from(self.drift_ppm) / 1_000_000;
-        (now as i128 + i128::from(self.offset) + gained).max(0) as Micros
-    }
+/// Messages buffered for a suspended machine; further ones are lost, as in a full socket buffer.
+const MAX_BUFFERED: usize = 400;
+/// Messages recorded per machine for [`Network::replay`].
+const MAX_RECORDED: usize = 100;
+/// The part of the seed's random streams that the links draw from.
+const LINK_STREAM: u64 = 1;
 
-    /// The true time at which it shows so much, rounded up.
-    pub fn when(self, shown: Micros) -> Micros {
-        let since = shown as i128 - i128::from(self.offset);
-        let rate = 1_000_000 + i128::from(self.drift_ppm);
-        (since * 1_000_000).div_euclid(rate).max(0) as Micros + 1
-    }
-}
-
-/// How a machine is.
+/// The state of a machine's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Running {
-    Up,
-    /// Stands still; what comes lies unread.
-    Stopped,
+enum ProcessState {
+    Running,
+    /// Does nothing; its messages are buffered.
+    Suspended,
     Down,
 }
 
 struct Machine<M> {
-    clock: Clock,
+    clock: MachineClock,
     zone: u32,
-    running: Running,
-    /// Grows with each start: what was set for an earlier one is void.
-    start: u32,
-    unread: Vec<(MachineId, M)>,
-    /// What last came to it, for a replay.
-    kept: VecDeque<(MachineId, M)>,
+    state: ProcessState,
+    /// Grows with each start: events of an earlier one are void.
+    incarnation: u32,
+    /// Number of the last wakeup set; earlier ones are void.
+    wakeup: u64,
+    buffered: Vec<(MachineId, M)>,
+    /// The last messages delivered.
+    recorded: VecDeque<(MachineId, M)>,
 }
 
-/// Bound on what lies unread at a machine that stands still; more is lost, as by a socket's buffer.
-const MOST_UNREAD: usize = 400;
-/// What is kept of what came, for a replay.
-const MOST_KEPT: usize = 100;
-
 enum Event<M> {
-    Comes {
-        from: MachineId,
-        to: MachineId,
-        start: u32,
-        what: M,
-    },
-    Wakes {
-        of: MachineId,
-        start: u32,
-        nth: u64,
+    Delivery(Delivery<M>),
+    Wakeup {
+        machine: MachineId,
+        incarnation: u32,
+        number: u64,
     },
-    Marked(u64),
+    Timer(u64),
+}
+
+struct Delivery<M> {
+    from: MachineId,
+    to: MachineId,
+    incarnation: u32,
+    message: M,
 }
 
-/// What happens next in the net.
+/// What happens next in the network.
 #[derive(Debug)]
-pub enum Next<M> {
-    Hears {
-        of: MachineId,
+pub enum NetworkEvent<M> {
+    /// A message arrives.
+    Delivered {
+        /// The receiver.
+        machine: MachineId,
+        /// The sender.
         from: MachineId,
-        what: M,
+        /// The message.
+        message: M,
     },
-    /// The time it asked to be woken at has come.
-    Wakes { of: MachineId },
-    /// A time that the caller marked, by its number.
-    Mark(u64),
+    /// The time set by [`Network::wake_at`] has come.
+    Woken {
+        /// The machine whose wakeup it is.
+        machine: MachineId,
+    },
+    /// A timer set by [`Network::set_timer`] has expired; holds its identifier.
+    Timer(u64),
 }
 
-/// The net. Events come in a settled order, so the same calls with the same seed give the same play.
-pub struct Net<M> {
-    queue: Queue<Event<M>>,
+/// Machines and the links between them. Simultaneous events have a defined order, so the same calls with the
+/// same seed give the same run.
+pub struct Network<M> {
+    queue: EventQueue<Event<M>>,
     machines: Vec<Machine<M>>,
-    wakes: Vec<u64>,
-    links: Links,
-    /// Cuts between groups of machines, one way each: by (from, to), counted, as cuts may lie over another.
-    /// Only looked up, never walked, so that its order makes no difference to a play.
-    cuts: HashMap<(MachineId, MachineId), u32>,
-    chance: Stream,
-    /// Whether what comes is kept, for [`Net::replay`].
-    pub keeps: bool,
+    links: LinkModel,
+    /// Overlapping partitions of each one-way link, by (sender, receiver). Never iterated, as its order
+    /// differs between runs.
+    partitions: HashMap<(MachineId, MachineId), u32>,
+    random: RandomStream,
+    /// Whether deliveries are recorded for [`Network::replay`].
+    pub record_deliveries: bool,
+    /// Messages sent.
     pub sent: u64,
+    /// Messages lost on the way, or at a machine that was down or whose buffer was full.
     pub lost: u64,
 }
 
-impl<M: Clone> Net<M> {
-    pub fn new(links: Links, seed: u64) -> Net<M> {
-        Net {
-            queue: Queue::default(),
+impl<M: Clone> Network<M> {
+    /// A network without machines at time 0.
+    pub fn new(links: LinkModel, seed: u64) -> Network<M> {
+        Network {
+            queue: EventQueue::default(),
             machines: Vec::new(),
-            wakes: Vec::new(),
             links,
-            cuts: HashMap::new(),
-            chance: stream(seed, 1),
-            keeps: false,
+            partitions: HashMap::new(),
+            random: random_stream(seed, LINK_STREAM),
+            record_deliveries: false,
             sent: 0,
             lost: 0,
         }
     }
 
-    pub fn add(&mut self, clock: Clock, zone: u32) -> MachineId {
+    /// Adds a machine that is down.
+    pub fn add_machine(&mut self, clock: MachineClock, zone: u32) -> MachineId {
         self.machines.push(Machine {
             clock,
             zone,
-            running: Running::Down,
-            start: 0,
-            unread: Vec::new(),
-            kept: VecDeque::new(),
+            state: ProcessState::Down,
+            incarnation: 0,
+            wakeup: 0,
+            buffered: Vec::new(),
+            recorded: VecDeque::new(),
         });
-        self.wakes.push(0);
         self.machines.len() - 1
     }
 
+    /// The simulated time.
     pub fn now(&self) -> Micros {
         self.queue.now()
     }
 
-    /// What the machine's clock shows.
-    pub fn shown(&self, of: MachineId) -> Micros {
-        self.machines[of].clock.at(self.queue.now())
+    /// What a machine's clock reads, in microseconds.
+    pub fn clock_reading(&self, machine: MachineId) -> Micros {
+        self.machines[machine].clock.reading_at(self.queue.now())
     }
 
-    pub fn links(&mut self) -> &mut Links {
+    /// The links, to change them from now on.
+    pub fn links_mut(&mut self) -> &mut LinkModel {
         &mut self.links
     }
 
-    pub fn set_clock(&mut self, of: MachineId, clock: Clock) {
-        self.machines[of].clock = clock;
+    /// Sets a machine's clock. Wakeups that are set already keep their simulated time.
+    pub fn set_clock(&mut self, machine: MachineId, clock: MachineClock) {
+        self.machines[machine].clock = clock;
     }
 
-    pub fn is_up(&self, of: MachineId) -> bool {
-        self.machines[of].running == Running::Up
+    /// Whether a machine's process runs and is not suspended.
+    pub fn is_running(&self, machine: MachineId) -> bool {
+        self.machines[machine].state == ProcessState::Running
     }
 
-    pub fn is_down(&self, of: MachineId) -> bool {
-        self.machines[of].running == Running::Down
+    /// Whether a machine has no process.
+    pub fn is_down(&self, machine: MachineId) -> bool {
+        self.machines[machine].state == ProcessState::Down
     }
 
-    /// A process starts: nothing of an earlier one reaches it.
-    pub fn start(&mut self, of: MachineId) {
-        let machine = &mut self.machines[of];
-        machine.start += 1;
-        machine.running = Running::Up;
-        machine.unread.clear();
+    /// Starts a new process. Messages and wakeups of an earlier one do not reach it.
+    pub fn start(&mut self, machine: MachineId) {
+        let machine = &mut self.machines[machine];
+        machine.incarnation += 1;
+        machine.state = ProcessState::Running;
+        machine.buffered.clear();
     }
 
-    pub fn kill(&mut self, of: MachineId) {
-        self.machines[of].running = Running::Down;
-        self.machines[of].unread.clear();
+    /// Ends a machine's process.
+    pub fn kill(&mut self, machine: MachineId) {
+        let machine = &mut self.machines[machine];
+        machine.state = ProcessState::Down;
+        machine.buffered.clear();
     }
 
-    pub fn stop(&mut self, of: MachineId) {
-        if self.machines[of].running == Running::Up {
-            self.machines[of].running = Running::Stopped;
+    /// Suspends a running process. Its messages are buffered, up to a bound.
+    pub fn suspend(&mut self, machine: MachineId) {
+        let machine = &mut self.machines[machine];
+        if machine.state == ProcessState::Running {
+            machine.state = ProcessState::Suspended;
         }
     }
 
-    /// It goes on, with all that lies unread and the time it meant to be woken at past.
-    pub fn go_on(&mut self, of: MachineId) {
-        if self.machines[of].running != Running::Stopped {
+    /// Resumes a suspended process: its buffered messages arrive now, then it is woken.
+    pub fn resume(&mut self, machine: MachineId) {
+        if self.machines[machine].state != ProcessState::Suspended {
             return;
         }
-        self.machines[of].running = Running::Up;
-        let (now, start) = (self.queue.now(), self.machines[of].start);
-        for (from, what) in std::mem::take(&mut self.machines[of].unread) {
-            self.queue.put(
-                now,
-                Event::Comes {
-                    from,
-                    to: of,
-                    start,
-                    what,
-                },
-            );
+        self.machines[machine].state = ProcessState::Running;
+        let now = self.queue.now();
+        for (from, message) in std::mem::take(&mut self.machines[machine].buffered) {
+            self.schedule_delivery(now, from, machine, message);
         }
-        self.wakes[of] += 1;
-        self.queue.put(
-            now,
-            Event::Wakes {
-                of,
-                start,
-                nth: self.wakes[of],
-            },
-        );
+        self.schedule_wakeup(now, machine);
     }
 
-    /// What last came to this machine, in whatever start, comes again.
-    pub fn replay(&mut self, of: MachineId) {
-        let (now, start) = (self.queue.now(), self.machines[of].start);
-        for (from, what) in self.machines[of].kept.clone() {
-            self.queue.put(
-                now,
-                Event::Comes {
-                    from,
-                    to: of,
-                    start,
-                    what,
-                },
-            );
+    /// Delivers the recorded messages of a machine again, also those of its earlier processes.
+    pub fn replay(&mut self, machine: MachineId) {
+        let now = self.queue.now();
+        for (from, message) in self.machines[machine].recorded.clone() {
+            self.schedule_delivery(now, from, machine, message);
         }
     }
 
-    /// Cuts what `from` sends to `to`, or mends that cut.
-    pub fn cut(&mut self, from: MachineId, to: MachineId, cut: bool) {
-        let count = self.cuts.entry((from, to)).or_default();
-        *count = if cut {
-            *count + 1
-        } else {
-            count.saturating_sub(1)
+    /// Loses all that `from` sends to `to` until [`Network::heal`]. Calls add up.
+    pub fn partition(&mut self, from: MachineId, to: MachineId) {
+        *self.partitions.entry((from, to)).or_default() += 1;
+    }
+
+    /// Undoes one call of [`Network::partition`], if there was one.
+    pub fn heal(&mut self, from: MachineId, to: MachineId) {
+        let Some(count) = self.partitions.get_mut(&(from, to)) else {
+            return;
         };
+        *count -= 1;
         if *count == 0 {
-            self.cuts.remove(&(from, to));
+            self.partitions.remove(&(from, to));
         }
     }
 
-    pub fn send(&mut self, from: MachineId, to: MachineId, what: M) {
+    /// Sends a message, which may be lost or duplicated.
+    pub fn send(&mut self, from: MachineId, to: MachineId, message: M) {
         self.sent += 1;
-        let (chance, loss) = (self.chance.random::<f64>(), self.links.loss);
-        let down = self.machines[to].running == Running::Down;
-        if chance < loss || down || self.cuts.contains_key(&(from, to)) {
+        let is_dropped = self.random.random::<f64>() < self.links.loss_rate;
+        if is_dropped || self.is_down(to) || self.partitions.contains_key(&(from, to)) {
             self.lost += 1;
             return;
         }
-        if self.chance.random::<f64>() < self.links.doubled {
-            self.put(from, to, what.clone());
+        if self.random.random::<f64>() < self.links.duplication_rate {
+            self.transmit(from, to, message.clone());
         }
-        self.put(from, to, what);
+        self.transmit(from, to, message);
     }
 
-    fn put(&mut self, from: MachineId, to: MachineId, what: M) {
-        let (from_zone, to_zone) = (self.machines[from].zone, self.machines[to].zone);
-        let took = self.links.draw(from_zone, to_zone, &mut self.chance);
-        let start = self.machines[to].start;
-        self.queue.put(
-            self.queue.now() + took,
-            Event::Comes {
-                from,
-                to,
-                start,
-                what,
-            },
-        );
+    /// Wakes a machine when its clock reads `reading`. Replaces an earlier wakeup of the machine.
+    pub fn wake_at(&mut self, machine: MachineId, reading: Micros) {
+        let at = self.machines[machine].clock.time_of(reading);
+        self.schedule_wakeup(at, machine);
     }
 
-    /// The machine wants to be woken when its clock shows so much. Only its last wish counts.
-    pub fn wake(&mut self, of: MachineId, shown: Micros) {
-        self.wakes[of] += 1;
-        let (at, start) = (self.machines[of].clock.when(shown), self.machines[of].start);
-        self.queue.put(
-            at,
-            Event::Wakes {
-                of,
-                start,
-                nth: self.wakes[of],
-            },
-        );
+    /// Sets a timer that expires at a simulated time as [`NetworkEvent::Timer`].
+    pub fn set_timer(&mut self, at: Micros, id: u64) {
+        self.queue.schedule(at, Event::Timer(id));
     }
 
-    /// [`Next::Mark`] comes at this true time.
-    pub fn mark(&mut self, at: Micros, number: u64) {
-        self.queue.put(at, Event::Marked(number));
-    }
-
-    /// Lets time pass to the next thing that happens, if it does by `till`.
-    pub fn next(&mut self, till: Micros) -> Option<Next<M>> {
-        while self.queue.next_at().is_some_and(|at| at <= till) {
-            let (_, event) = self.queue.take()?;
+    /// Advances to the next event if there is one up to and including `until`.
+    pub fn next_event(&mut self, until: Micros) -> Option<NetworkEvent<M>> {
+        while self.queue.next_time().is_some_and(|at| at <= until) {
+            let (_, event) = self.queue.pop()?;
             match event {
-                Event::Marked(number) => return Some(Next::Mark(number)),
-                Event::Wakes { of, start, nth } => {
-                    let machine = &self.machines[of];
-                    if machine.start == start
-                        && self.wakes[of] == nth
-                        && machine.running == Running::Up
-                    {
-                        return Some(Next::Wakes { of });
+                Event::Timer(id) => return Some(NetworkEvent::Timer(id)),
+                Event::Wakeup {
+                    machine,
+                    incarnation,
+                    number,
+                } => {
+                    if self.is_wakeup_due(machine, incarnation, number) {
+                        return Some(NetworkEvent::Woken { machine });
                     }
                 }
-                Event::Comes {
-                    from,
-                    to,
-                    start,
-                    what,
-                } => {
-                    let machine = &mut self.machines[to];
-                    match machine.running {
-                        Running::Up if machine.start == start => {
-                            if self.keeps {
-                                if machine.kept.len() >= MOST_KEPT {
-                                    machine.kept.pop_front();
-                                }
-                                machine.kept.push_back((from, what.clone()));
-                            }
-                            return Some(Next::Hears { of: to, from, what });
-                        }
-                        Running::Stopped
-                            if machine.start == start && machine.unread.len() < MOST_UNREAD =>
-                        {
-                            machine.unread.push((from, what));
-                        }
-                        _ => self.lost += 1,
+                Event::Delivery(delivery) => {
+                    if let Some(delivered) = self.deliver(delivery) {
+                        return Some(delivered);
                     }
                 }
             }
         }
         None
     }
+
+    fn transmit(&mut self, from: MachineId, to: MachineId, message: M) {
+        let (from_zone, to_zone) = (self.machines[from].zone, self.machines[to].zone);
+        let latency = self
+            .links
+            .sample_latency(from_zone, to_zone, &mut self.random);
+        self.schedule_delivery(self.queue.now() + latency, from, to, message);
+    }
+
+    fn schedule_delivery(&mut self, at: Micros, from: MachineId, to: MachineId, message: M) {
+        let delivery = Delivery {
+            from,
+            to,
+            incarnation: self.machines[to].incarnation,
+            message,
+        };
+        self.queue.schedule(at, Event::Delivery(delivery));
+    }
+
+    fn schedule_wakeup(&mut self, at: Micros, machine: MachineId) {
+        let state = &mut self.machines[machine];
+        state.wakeup += 1;
+        let wakeup = Event::Wakeup {
+            machine,
+            incarnation: state.incarnation,
+            number: state.wakeup,
+        };
+        self.queue.schedule(at, wakeup);
+    }
+
+    fn is_wakeup_due(&self, machine: MachineId, incarnation: u32, number: u64) -> bool {
+        let machine = &self.machines[machine];
+        machine.incarnation == incarnation
+            && machine.wakeup == number
+            && machine.state == ProcessState::Running
+    }
+
+    /// Hands a message to a running machine, buffers it at a suspended one, and loses it otherwise.
+    fn deliver(&mut self, delivery: Delivery<M>) -> Option<NetworkEvent<M>> {
+        let Delivery {
+            from,
+            to,
+            incarnation,
+            message,
+        } = delivery;
+        let machine = &mut self.machines[to];
+        if machine.incarnation != incarnation {
+            self.lost += 1;
+            return None;
+        }
+        match machine.state {
+            ProcessState::Running => {
+                if self.record_deliveries {
+                    machine.record(from, message.clone());
+                }
+                return Some(NetworkEvent::Delivered {
+                    machine: to,
+                    from,
+                    message,
+                });
+            }
+            ProcessState::Suspended if machine.buffered.len() < MAX_BUFFERED => {
+                machine.buffered.push((from, message));
+            }
+            ProcessState::Suspended | ProcessState::Down => self.lost += 1,
+        }
+        None
+    }
+}
+
+impl<M> Machine<M> {
+    fn record(&mut self, from: MachineId, message: M) {
+        if self.recorded.len() >= MAX_RECORDED {
+            self.recorded.pop_front();
+        }
+        self.recorded.push_back((from, message));
+    }
 }
--- a/crates/simulation/src/station.rs
+++ b/crates/simulation/src/station.rs
@@ -1,153 +1,169 @@
 //! A machine whose cores are shared by all its jobs.
 
-use std::cmp::Reverse;
+use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use slab::Slab;
 
 use crate::Micros;
 
-/// The key of a job on its station.
+/// Identifies a job of a station until it ends; then the number is used again.
 pub type JobId = usize;
 
-/// The speed of a station.
+/// How fast a station works.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct ServiceRate {
+    /// Number of cores.
     pub cores: f64,
-    /// Work done by one core in a microsecond, in microseconds of a standard core.
+    /// Speed of a core relative to a standard core.
     pub speed: f64,
-    /// Jobs a core beyond which further jobs slow down all: caches, memory, context switches.
-    pub tip: f64,
-    /// Slowdown for each multiple of `tip` beyond it; 0 for no slowdown.
-    pub loss: f64,
+    /// Jobs per core beyond which each further job slows down all, as caches and memory do.
+    pub overload_threshold: f64,
+    /// Slowdown for each multiple of `overload_threshold` above it; 0 for none.
+    pub overload_slowdown: f64,
 }
 
-impl Pace {
-    /// Work done for each of `jobs` jobs in a microsecond.
-    fn each(&self, jobs: usize) -> f64 {
+impl ServiceRate {
+    /// Work done per job and microsecond while there are `jobs` jobs.
+    fn per_job(&self, jobs: usize) -> f64 {
         let jobs = jobs as f64;
-        let beyond = (jobs / (self.cores * self.tip) - 1.0).max(0.0);
-        self.speed * (self.cores / jobs).min(1.0) / (1.0 + self.loss * beyond)
+        let overload = (jobs / (self.cores * self.overload_threshold) - 1.0).max(0.0);
+        self.speed * (self.cores / jobs).min(1.0) / (1.0 + self.overload_slowdown * overload)
     }
 }
 
-/// Distinguishes a job from an earlier one with the same key.
+/// A station with processor sharing: all jobs get the same share of the cores, and each ends once its work
+/// is done. A step takes time logarithmic in the number of jobs, as it advances one sum, not each job.
+pub struct ProcessorSharingStation {
+    rate: ServiceRate,
+    jobs: Slab<Job>,
+    /// Jobs by the value of `work_per_job` at which they are done. Cancelled ones are skipped when reached.
+    completions: BinaryHeap<Reverse<Completion>>,
+    /// Work done for each job that has been present since the station was last idle.
+    work_per_job: f64,
+    updated_at: Micros,
+    sequence: u64,
+}
+
+/// Distinguishes a job from an earlier one with the same number.
 struct Job {
     sequence: u64,
 }
 
-/// Processor sharing: all jobs get the same share of the cores, and each ends once its work is done. A step
-/// costs the logarithm of the number of jobs, as only the work given to each is advanced, not the jobs.
-pub struct Station {
-    pace: Pace,
-    jobs: Slab<Job>,
-    /// Jobs by the value of `given` at which they are done; stopped ones are skipped.
-    order: BinaryHeap<Reverse<(Work, u64, JobId)>>,
-    /// Work given to each job that has been present from the start.
-    given: f64,
-    at: Micros,
+/// When a job is done. Ordered by the work, then by the start of the job.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Completion {
+    at_work: Work,
     sequence: u64,
+    job: JobId,
 }
 
-/// An amount of work. Always finite, so that it is ordered.
+/// An amount of work in microseconds of a standard core. Always finite, so that it is ordered.
 #[derive(Clone, Copy, PartialEq)]
 struct Work(f64);
 
 impl Eq for Work {}
 
 impl PartialOrd for Work {
-    fn partial_cmp(&self, other: &Work) -> Option<std::cmp::Ordering> {
+    fn partial_cmp(&self, other: &Work) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
 impl Ord for Work {
-    fn cmp(&self, other: &Work) -> std::cmp::Ordering {
+    fn cmp(&self, other: &Work) -> Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-impl Station {
-    pub fn new(pace: Pace) -> Station {
-        Station {
-            pace,
+impl ProcessorSharingStation {
+    /// An idle station at time 0.
+    pub fn new(rate: ServiceRate) -> ProcessorSharingStation {
+        ProcessorSharingStation {
+            rate,
             jobs: Slab::new(),
-            order: BinaryHeap::new(),
-            given: 0.0,
-            at: 0,
+            completions: BinaryHeap::new(),
+            work_per_job: 0.0,
+            updated_at: 0,
             sequence: 0,
         }
     }
 
-    pub fn jobs(&self) -> usize {
+    /// The number of jobs.
+    pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// The share of the cores in use.
-    pub fn busy(&self) -> f64 {
-        (self.jobs.len() as f64 / self.pace.cores).min(1.0)
+    /// The fraction of the cores in use, 0 to 1.
+    pub fn utilization(&self) -> f64 {
+        (self.jobs.len() as f64 / self.rate.cores).min(1.0)
     }
 
-    /// Advances the time, at most to [`Station::next_end`].
-    pub fn pass(&mut self, now: Micros) {
-        if !self.jobs.is_empty() {
-            self.given += (now - self.at) as f64 * self.pace.each(self.jobs.len());
+    /// Advances the time, at most to [`ProcessorSharingStation::next_completion`].
+    pub fn advance_to(&mut self, now: Micros) {
+        if self.jobs.is_empty() {
+            // No job depends on the sum: restarting it keeps it precise.
+            self.work_per_job = 0.0;
+            self.completions.clear();
         } else {
-            // No job depends on the sum, which stays small.
-            self.given = 0.0;
-            self.order.clear();
+            let elapsed = (now - self.updated_at) as f64;
+            self.work_per_job += elapsed * self.rate.per_job(self.jobs.len());
         }
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// Changes the speed from `now` on.
-    pub fn change(&mut self, pace: Pace, now: Micros) {
-        self.pass(now);
-        self.pace = pace;
+    pub fn set_rate(&mut self, rate: ServiceRate, now: Micros) {
+        self.advance_to(now);
+        self.rate = rate;
     }
 
     /// Starts a job; `work` is in microseconds of a standard core.
-    pub fn begin(&mut self, work: Micros, now: Micros) -> JobId {
-        self.pass(now);
+    pub fn start_job(&mut self, work: Micros, now: Micros) -> JobId {
+        self.advance_to(now);
         self.sequence += 1;
-        let done_at = self.given + work as f64;
         let job = self.jobs.insert(Job {
             sequence: self.sequence,
         });
-        self.order
-            .push(Reverse((Work(done_at), self.sequence, job)));
+        self.completions.push(Reverse(Completion {
+            at_work: Work(self.work_per_job + work as f64),
+            sequence: self.sequence,
+            job,
+        }));
         job
     }
 
-    /// Stops a job; false if there is none of this key.
-    pub fn stop(&mut self, job: JobId, now: Micros) -> bool {
-        self.pass(now);
+    /// Ends a job early. Returns false if there is no such job.
+    pub fn cancel_job(&mut self, job: JobId, now: Micros) -> bool {
+        self.advance_to(now);
         self.jobs.try_remove(job).is_some()
     }
 
-    /// When the next job is done if none is started or stopped before; rounded up.
-    pub fn next_end(&mut self) -> Option<Micros> {
-        while let Some(Reverse((_, sequence, job))) = self.order.peek() {
-            if self
-                .jobs
-                .get(*job)
-                .is_some_and(|job| job.sequence == *sequence)
-            {
-                break;
-            }
-            self.order.pop();
-        }
-        let Reverse((done_at, ..)) = self.order.peek()?;
-        let left = (done_at.0 - self.given).max(0.0) / self.pace.each(self.jobs.len());
-        Some(self.at + left.ceil() as Micros)
+    /// When the next job is done unless one is started or cancelled before; rounded up.
+    pub fn next_completion(&mut self) -> Option<Micros> {
+        self.discard_cancelled();
+        let Reverse(next) = self.completions.peek()?;
+        let work_left = (next.at_work.0 - self.work_per_job).max(0.0);
+        let time_left = work_left / self.rate.per_job(self.jobs.len());
+        Some(self.updated_at + time_left.ceil() as Micros)
     }
 
     /// Removes the first job that is done by `now`.
-    pub fn take_done(&mut self, now: Micros) -> Option<JobId> {
-        let next = self.next_end().filter(|end| *end <= now)?;
-        self.pass(next.max(self.at));
-        let Reverse((_, _, job)) = self.order.pop()?;
-        self.jobs.remove(job);
-        Some(job)
+    pub fn take_completed(&mut self, now: Micros) -> Option<JobId> {
+        let done_at = self.next_completion().filter(|done_at| *done_at <= now)?;
+        self.advance_to(done_at.max(self.updated_at));
+        let Reverse(completion) = self.completions.pop()?;
+        self.jobs.remove(completion.job);
+        Some(completion.job)
+    }
+
+    fn discard_cancelled(&mut self) {
+        while let Some(Reverse(next)) = self.completions.peek() {
+            let current = self.jobs.get(next.job);
+            if current.is_some_and(|job| job.sequence == next.sequence) {
+                break;
+            }
+            self.completions.pop();
+        }
     }
 }
--- a/crates/simulation/tests/network.rs
+++ b/crates/simulation/tests/network.rs
@@ -1,163 +1,175 @@
-//! What links and machines do, a case each.
+//! Links, processes and clocks of machines.
 
-use doortrack_simulation::{Clock, Law, Links, Net, Next};
+use doortrack_simulation::{Distribution, LinkModel, MachineClock, Network, NetworkEvent};
 
+/// Microseconds in a ms.
 const MS: u64 = 1_000;
 
-fn net(machines: usize, links: Links) -> Net<u32> {
-    let mut net = Net::new(links, 7);
-    for of in 0..machines {
-        net.add(
-            Clock {
-                offset: 0,
-                drift_ppm: 0,
-            },
-            of as u32 % 2,
-        );
-        net.start(of);
+fn network(machines: usize, links: LinkModel) -> Network<u32> {
+    let mut network = Network::new(links, 7);
+    for machine in 0..machines {
+        network.add_machine(MachineClock::default(), machine as u32 % 2);
+        network.start(machine);
     }
-    net
+    network
 }
 
-fn received(net: &mut Net<u32>, till: u64) -> Vec<(usize, u32, u64)> {
+fn received(network: &mut Network<u32>, until: u64) -> Vec<(usize, u32, u64)> {
     let mut received = Vec::new();
-    while let Some(next) = net.next(till) {
-        if let Next::Hears { of, what, .. } = next {
-            received.push((of, what, net.now()));
+    while let Some(event) = network.next_event(until) {
+        if let NetworkEvent::Delivered {
+            machine, message, ..
+        } = event
+        {
+            received.push((machine, message, network.now()));
         }
     }
     received
 }
 
 #[test]
-fn what_is_sent_arrives_after_the_latency_and_that_between_zones() {
-    let links = Links {
-        latency: Law::Fixed(500.0),
-        between_zones: 2 * MS,
-        ..Links::default()
+fn messages_arrive_after_the_latency_and_that_between_zones() {
+    let links = LinkModel {
+        latency: Distribution::Fixed(500.0),
+        inter_zone_latency: 2 * MS,
+        ..LinkModel::default()
     };
-    let mut net = net(3, links);
-    net.send(0, 2, 1);
-    net.send(0, 1, 2);
-    assert_eq!(received(&mut net, 10 * MS), [(2, 1, 500), (1, 2, 2_500)]);
+    let mut network = network(3, links);
+    network.send(0, 2, 1);
+    network.send(0, 1, 2);
+    assert_eq!(
+        received(&mut network, 10 * MS),
+        [(2, 1, 500), (1, 2, 2_500)]
+    );
 }
 
 #[test]
-fn between_regions_takes_longer_than_between_zones() {
-    let (latency, between_regions) = (Law::Fixed(500.0), Law::Fixed(15_000.0));
-    let links = Links {
+fn messages_between_regions_take_longer_than_between_zones() {
+    let (latency, inter_region_latency) =
+        (Distribution::Fixed(500.0), Distribution::Fixed(15_000.0));
+    let links = LinkModel {
         latency,
-        between_zones: 2 * MS,
-        zones_of_region: 2,
-        between_regions,
-        ..Links::default()
+        inter_zone_latency: 2 * MS,
+        zones_per_region: 2,
+        inter_region_latency,
+        ..LinkModel::default()
     };
-    let mut net = Net::new(links, 7);
+    let mut network = Network::new(links, 7);
     for zone in 0..4 {
-        net.add(
-            Clock {
-                offset: 0,
-                drift_ppm: 0,
-            },
-            zone,
-        );
-        net.start(zone as usize);
+        network.add_machine(MachineClock::default(), zone);
+        network.start(zone as usize);
     }
-    (1..4).for_each(|to| net.send(0, to, to as u32));
+    (1..4).for_each(|to| network.send(0, to, to as u32));
     assert_eq!(
-        received(&mut net, 100 * MS),
+        received(&mut network, 100 * MS),
         [(1, 1, 2_500), (2, 2, 17_500), (3, 3, 17_500)]
     );
 }
 
 #[test]
-fn shares_of_what_is_sent_are_lost_and_doubled() {
-    let mut net = net(
+fn fractions_of_messages_are_lost_and_duplicated() {
+    let mut network = network(
         2,
-        Links {
-            loss: 0.2,
-            doubled: 0.1,
-            ..Links::default()
+        LinkModel {
+            loss_rate: 0.2,
+            duplication_rate: 0.1,
+            ..LinkModel::default()
         },
     );
-    (0..10_000).for_each(|n| net.send(0, 1, n));
-    let received = received(&mut net, 100 * MS).len();
+    (0..10_000).for_each(|n| network.send(0, 1, n));
+    let received = received(&mut network, 100 * MS).len();
     assert!(
         (8_500..9_100).contains(&received),
         "{received} where 8,800 are expected"
     );
-    assert!((1_850..2_150).contains(&net.lost));
+    assert!((1_850..2_150).contains(&network.lost));
 }
 
 #[test]
-fn a_cut_is_one_way_and_cuts_add_up() {
-    let mut net = net(2, Links::default());
-    net.cut(0, 1, true);
-    net.cut(0, 1, true);
-    net.cut(0, 1, false);
-    net.send(0, 1, 1);
-    net.send(1, 0, 2);
-    net.cut(0, 1, false);
-    net.send(0, 1, 3);
-    let mut whats: Vec<u32> = received(&mut net, 100 * MS)
+fn a_partition_is_one_way_and_partitions_add_up() {
+    let mut network = network(2, LinkModel::default());
+    network.partition(0, 1);
+    network.partition(0, 1);
+    network.heal(0, 1);
+    network.send(0, 1, 1);
+    network.send(1, 0, 2);
+    network.heal(0, 1);
+    network.send(0, 1, 3);
+    let mut messages: Vec<u32> = received(&mut network, 100 * MS)
         .iter()
-        .map(|(_, what, _)| *what)
+        .map(|(_, message, _)| *message)
         .collect();
-    whats.sort_unstable();
-    assert_eq!(whats, [2, 3]);
+    messages.sort_unstable();
+    assert_eq!(messages, [2, 3]);
 }
 
 #[test]
-fn one_that_stands_still_hears_all_when_it_goes_on_and_one_that_died_nothing() {
-    let mut net = net(3, Links::default());
-    net.stop(1);
-    net.kill(2);
-    net.send(0, 1, 1);
-    net.send(0, 2, 2);
-    net.wake(1, 20 * MS);
-    assert!(received(&mut net, 50 * MS).is_empty());
-    net.mark(60 * MS, 4);
-    assert!(matches!(net.next(100 * MS), Some(Next::Mark(4))));
-    net.go_on(1);
+fn a_suspended_process_gets_its_messages_when_resumed_and_a_killed_one_none() {
+    let mut network = network(3, LinkModel::default());
+    network.suspend(1);
+    network.kill(2);
+    network.send(0, 1, 1);
+    network.send(0, 2, 2);
+    network.wake_at(1, 20 * MS);
+    assert!(received(&mut network, 50 * MS).is_empty());
+    network.set_timer(60 * MS, 4);
+    assert!(matches!(
+        network.next_event(100 * MS),
+        Some(NetworkEvent::Timer(4))
+    ));
+    network.resume(1);
     assert!(matches!(
-        net.next(100 * MS),
-        Some(Next::Hears { of: 1, what: 1, .. })
+        network.next_event(100 * MS),
+        Some(NetworkEvent::Delivered {
+            machine: 1,
+            message: 1,
+            ..
+        })
     ));
     assert!(
-        matches!(net.next(100 * MS), Some(Next::Wakes { of: 1 })),
-        "its time is long past"
+        matches!(
+            network.next_event(100 * MS),
+            Some(NetworkEvent::Woken { machine: 1 })
+        ),
+        "its wakeup is overdue"
     );
-    // What was on its way to an earlier start does not reach the next one.
-    net.send(0, 1, 5);
-    net.kill(1);
-    net.start(1);
-    assert!(received(&mut net, 200 * MS).is_empty());
+    // A message on its way to one process does not reach the next one.
+    network.send(0, 1, 5);
+    network.kill(1);
+    network.start(1);
+    assert!(received(&mut network, 200 * MS).is_empty());
 }
 
 #[test]
-fn clocks_are_off_and_drift() {
-    let clock = Clock {
+fn clocks_have_an_offset_and_drift() {
+    let clock = MachineClock {
         offset: -2_000,
         drift_ppm: 20_000,
     };
-    assert_eq!(clock.at(1_000_000), 1_018_000);
-    let when = clock.when(1_018_000);
-    assert!(clock.at(when) >= 1_018_000 && when <= 1_000_002, "{when}");
-    let mut net = net(1, Links::default());
-    net.set_clock(0, clock);
-    net.wake(0, 1_018_000);
-    assert!(matches!(net.next(2_000_000), Some(Next::Wakes { of: 0 })));
-    assert!(net.shown(0) >= 1_018_000);
+    assert_eq!(clock.reading_at(1_000_000), 1_018_000);
+    let time = clock.time_of(1_018_000);
+    assert!(
+        clock.reading_at(time) >= 1_018_000 && time <= 1_000_002,
+        "{time}"
+    );
+    let mut network = network(1, LinkModel::default());
+    network.set_clock(0, clock);
+    network.wake_at(0, 1_018_000);
+    assert!(matches!(
+        network.next_event(2_000_000),
+        Some(NetworkEvent::Woken { machine: 0 })
+    ));
+    assert!(network.clock_reading(0) >= 1_018_000);
 }
 
 #[test]
-fn what_came_can_be_made_to_come_again() {
-    let mut net = net(2, Links::default());
-    net.keeps = true;
-    net.send(0, 1, 9);
-    assert_eq!(received(&mut net, 100 * MS).len(), 1);
-    net.kill(1);
-    net.start(1);
-    net.replay(1);
-    assert_eq!(received(&mut net, 200 * MS).len(), 1);
+fn recorded_messages_can_be_replayed() {
+    let mut network = network(2, LinkModel::default());
+    network.record_deliveries = true;
+    network.send(0, 1, 9);
+    assert_eq!(received(&mut network, 100 * MS).len(), 1);
+    network.kill(1);
+    network.start(1);
+    network.replay(1);
+    assert_eq!(received(&mut network, 200 * MS).len(), 1);
 }
--- a/crates/simulation/tests/theory.rs
+++ b/crates/simulation/tests/theory.rs
@@ -1,84 +1,103 @@
-//! Stations against queueing theory, and the queue against a plain sort.
+//! Stations against queueing theory, and the event queue against a plain sort.
 
 use std::collections::BTreeMap;
 
-use doortrack_simulation::{JobId, Law, Micros, Pace, Queue, Station, stream};
+use doortrack_simulation::{
+    Distribution, EventQueue, JobId, Micros, ProcessorSharingStation, ServiceRate, random_stream,
+};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
+/// Mean work of a job in microseconds.
 const MEAN: f64 = 10_000.0;
 
 enum Event {
-    Arrives,
-    MayEnd(u64),
+    Arrival,
+    Completion(u64),
 }
 
 #[derive(Default)]
-struct Seen {
-    /// Sojourns in order of their ends.
-    stays: Vec<f64>,
+struct Observed {
+    /// Sojourn times in microseconds, in order of completion.
+    sojourns: Vec<f64>,
     arrived: u64,
     lost: u64,
-    /// Jobs there, over time.
-    area: f64,
+    /// Integral of the number of jobs over time.
+    job_time: f64,
     time: Micros,
 }
 
-/// Poisson arrivals at a station of so many cores, with at most `room` jobs.
-fn play(load: f64, cores: f64, work: Law, room: usize, count: u64, seed: u64) -> Seen {
-    let (mut arrivals, mut works) = (stream(seed, 1), stream(seed, 2));
-    let between = Law::Exponential {
+/// Poisson arrivals of `count` jobs at a station with room for `max_jobs`.
+fn simulate(
+    load: f64,
+    cores: f64,
+    work: Distribution,
+    max_jobs: usize,
+    count: u64,
+    seed: u64,
+) -> Observed {
+    let (mut arrival_random, mut work_random) = (random_stream(seed, 1), random_stream(seed, 2));
+    let interarrival = Distribution::Exponential {
         mean: MEAN / (load * cores),
     };
-    let mut station = Station::new(Pace {
+    let mut station = ProcessorSharingStation::new(ServiceRate {
         cores,
         speed: 1.0,
-        tip: 1e9,
-        loss: 0.0,
+        overload_threshold: 1e9,
+        overload_slowdown: 0.0,
     });
-    let (mut queue, mut seen, mut since) = (
-        Queue::default(),
-        Seen::default(),
+    let (mut queue, mut observed, mut started_at) = (
+        EventQueue::default(),
+        Observed::default(),
         BTreeMap::<JobId, Micros>::new(),
     );
-    let mut turn = 0;
-    queue.put(between.draw(&mut arrivals), Event::Arrives);
-    while let Some((now, event)) = queue.take() {
-        seen.area += station.jobs() as f64 * (now - seen.time) as f64;
-        seen.time = now;
+    let mut version = 0;
+    queue.schedule(interarrival.sample(&mut arrival_random), Event::Arrival);
+    while let Some((now, event)) = queue.pop() {
+        observed.job_time += station.job_count() as f64 * (now - observed.time) as f64;
+        observed.time = now;
         match event {
-            Event::Arrives => {
-                seen.arrived += 1;
-                if station.jobs() < room {
-                    since.insert(station.begin(work.draw(&mut works), now), now);
+            Event::Arrival => {
+                observed.arrived += 1;
+                if station.job_count() < max_jobs {
+                    started_at.insert(station.start_job(work.sample(&mut work_random), now), now);
                 } else {
-                    seen.lost += 1;
+                    observed.lost += 1;
                 }
-                if seen.arrived < count {
-                    queue.put(now + between.draw(&mut arrivals), Event::Arrives);
+                if observed.arrived < count {
+                    queue.schedule(
+                        now + interarrival.sample(&mut arrival_random),
+                        Event::Arrival,
+                    );
                 }
             }
-            // Something came or went since it was foreseen.
-            Event::MayEnd(nth) if nth != turn => continue,
-            Event::MayEnd(_) => {
-                while let Some(job) = station.take_done(now) {
-                    seen.stays.push((now - since.remove(&job).unwrap()) as f64);
+            // A job started or ended since this was predicted.
+            Event::Completion(number) if number != version => continue,
+            Event::Completion(_) => {
+                while let Some(job) = station.take_completed(now) {
+                    observed
+                        .sojourns
+                        .push((now - started_at.remove(&job).unwrap()) as f64);
                 }
             }
         }
-        turn += 1;
-        if let Some(end) = station.next_end() {
-            queue.put(end, Event::MayEnd(turn));
+        version += 1;
+        if let Some(end) = station.next_completion() {
+            queue.schedule(end, Event::Completion(version));
         }
     }
-    assert_eq!((station.jobs(), since.len()), (0, 0), "all have ended");
-    seen
+    assert_eq!(
+        (station.job_count(), started_at.len()),
+        (0, 0),
+        "all jobs have ended"
+    );
+    observed
 }
 
-/// Mean and half width of the interval that holds it with 99.9%, by the means of forty batches.
-fn interval(values: &[f64]) -> (f64, f64) {
+/// The mean and the half width of its 99.9% confidence interval, by the means of forty batches.
+fn confidence_interval(values: &[f64]) -> (f64, f64) {
     let batches: Vec<f64> = values
         .chunks_exact(values.len() / 40)
-        .map(|part| part.iter().sum::<f64>() / part.len() as f64)
+        .map(|batch| batch.iter().sum::<f64>() / batch.len() as f64)
         .collect();
     let count = batches.len() as f64;
     let mean = batches.iter().sum::<f64>() / count;
@@ -99,101 +118,104 @@
     })
 }
 
-fn agrees(name: &str, seen: &Seen, wanted: f64) {
-    let (mean, half) = interval(&seen.stays);
+fn assert_agrees(name: &str, observed: &Observed, expected: f64) {
+    let (mean, half) = confidence_interval(&observed.sojourns);
     assert!(
-        (mean - wanted).abs() <= half,
-        "{name}: {mean:.0} +- {half:.0}, {wanted:.0} by theory"
+        (mean - expected).abs() <= half,
+        "{name}: {mean:.0} +- {half:.0}, {expected:.0} by theory"
     );
     assert!(
-        half < 0.1 * wanted,
-        "{name}: +- {half:.0} of {wanted:.0} says little"
+        half < 0.1 * expected,
+        "{name}: +- {half:.0} of {expected:.0} says little"
     );
-    // Little's law holds on every play, to rounding.
-    let (there, rate) = (
-        seen.area / seen.time as f64,
-        seen.stays.len() as f64 / seen.time as f64,
+    // Little's law holds in every run, to rounding.
+    let (mean_jobs, throughput) = (
+        observed.job_time / observed.time as f64,
+        observed.sojourns.len() as f64 / observed.time as f64,
     );
-    let all = seen.stays.iter().sum::<f64>() / seen.stays.len() as f64;
+    let mean_sojourn = observed.sojourns.iter().sum::<f64>() / observed.sojourns.len() as f64;
     assert!(
-        (there - rate * all).abs() < 1e-6 * there,
-        "{name}: {there} jobs, {}",
-        rate * all
+        (mean_jobs - throughput * mean_sojourn).abs() < 1e-6 * mean_jobs,
+        "{name}: {mean_jobs} jobs, {}",
+        throughput * mean_sojourn
     );
 }
 
 #[test]
-fn one_core_shared_is_m_m_1_and_does_not_care_for_the_law_of_work() {
+fn one_shared_core_is_m_m_1_whatever_the_distribution_of_work() {
     for (name, work) in [
-        ("exponential", Law::Exponential { mean: MEAN }),
-        ("fixed", Law::Fixed(MEAN)),
+        ("exponential", Distribution::Exponential { mean: MEAN }),
+        ("fixed", Distribution::Fixed(MEAN)),
         (
             "log-normal",
-            Law::LogNormal {
+            Distribution::LogNormal {
                 mean: MEAN,
                 sigma: 1.0,
             },
         ),
         (
             "bimodal",
-            Law::Bimodal {
+            Distribution::Bimodal {
                 short: MEAN / 2.0,
                 long: MEAN * 5.5,
-                share: 0.1,
+                long_fraction: 0.1,
             },
         ),
     ] {
         for load in [0.3, 0.7] {
-            let seen = play(load, 1.0, work, usize::MAX, 200_000, 7);
-            agrees(&format!("{name} at {load}"), &seen, MEAN / (1.0 - load));
+            let observed = simulate(load, 1.0, work, usize::MAX, 200_000, 7);
+            assert_agrees(&format!("{name} at {load}"), &observed, MEAN / (1.0 - load));
         }
     }
 }
 
 #[test]
-fn many_cores_shared_are_m_m_c() {
+fn many_shared_cores_are_m_m_c() {
     for (cores, load) in [(4, 0.5), (4, 0.8), (16, 0.9)] {
         let offered = f64::from(cores) * load;
-        let blocked = erlang_b(cores, offered);
-        let waits = blocked / (1.0 - load * (1.0 - blocked));
-        let wanted = MEAN + waits * MEAN / (f64::from(cores) * (1.0 - load));
-        let seen = play(
+        let blocking = erlang_b(cores, offered);
+        let waiting = blocking / (1.0 - load * (1.0 - blocking));
+        let expected = MEAN + waiting * MEAN / (f64::from(cores) * (1.0 - load));
+        let observed = simulate(
             load,
             f64::from(cores),
-            Law::Exponential { mean: MEAN },
+            Distribution::Exponential { mean: MEAN },
             usize::MAX,
             300_000,
             8,
         );
-        agrees(&format!("{cores} cores at {load}"), &seen, wanted);
+        assert_agrees(&format!("{cores} cores at {load}"), &observed, expected);
     }
 }
 
 #[test]
-fn a_station_with_no_place_to_wait_loses_by_erlangs_formula() {
+fn a_station_without_queue_loses_by_erlangs_formula() {
     for work in [
-        Law::Exponential { mean: MEAN },
-        Law::LogNormal {
+        Distribution::Exponential { mean: MEAN },
+        Distribution::LogNormal {
             mean: MEAN,
             sigma: 1.0,
         },
     ] {
-        let seen = play(0.9, 10.0, work, 10, 300_000, 9);
-        let (found, wanted) = (seen.lost as f64 / seen.arrived as f64, erlang_b(10, 9.0));
+        let observed = simulate(0.9, 10.0, work, 10, 300_000, 9);
+        let (found, expected) = (
+            observed.lost as f64 / observed.arrived as f64,
+            erlang_b(10, 9.0),
+        );
         assert!(
-            (found - wanted).abs() < 0.01,
-            "{found} lost, {wanted} by theory"
+            (found - expected).abs() < 0.01,
+            "{found} lost, {expected} by theory"
         );
     }
 }
 
 #[test]
-fn same_seed_same_play_and_events_of_one_time_keep_their_order() {
-    let plays = [0, 0, 1].map(|seed| {
-        play(
+fn same_seed_gives_the_same_run_and_simultaneous_events_keep_their_order() {
+    let runs = [0, 0, 1].map(|seed| {
+        simulate(
             0.6,
             2.0,
-            Law::Pareto {
+            Distribution::Pareto {
                 mean: MEAN,
                 shape: 2.2,
             },
@@ -201,67 +223,76 @@
             5000,
             seed,
         )
-        .stays
+        .sojourns
     });
-    assert_eq!(plays[0], plays[1]);
-    assert_ne!(plays[0], plays[2]);
-    let mut queue = Queue::default();
+    assert_eq!(runs[0], runs[1]);
+    assert_ne!(runs[0], runs[2]);
+    let mut queue = EventQueue::default();
     let times: Vec<Micros> = (0..5000u64)
         .map(|n| n.wrapping_mul(2_654_435_761) % 97)
         .collect();
     times
         .iter()
         .enumerate()
-        .for_each(|(nth, at)| queue.put(*at, nth));
-    let mut wanted: Vec<(Micros, usize)> = times.iter().copied().zip(0..).collect();
-    wanted.sort_unstable();
-    let found: Vec<(Micros, usize)> = std::iter::from_fn(|| queue.take()).collect();
-    assert_eq!(found, wanted);
-    queue.put(3, 1);
-    assert_eq!(queue.take(), Some((96, 1)), "what is past happens now");
+        .for_each(|(index, at)| queue.schedule(*at, index));
+    let mut expected: Vec<(Micros, usize)> = times.iter().copied().zip(0..).collect();
+    expected.sort_unstable();
+    let found: Vec<(Micros, usize)> = std::iter::from_fn(|| queue.pop()).collect();
+    assert_eq!(found, expected);
+    queue.schedule(3, 1);
+    assert_eq!(
+        queue.pop(),
+        Some((96, 1)),
+        "a time in the past counts as now"
+    );
 }
 
 #[test]
-fn a_crowd_costs_a_stop_frees_and_a_change_of_pace_counts_from_then_on() {
-    let pace = Pace {
+fn overload_slows_cancelling_frees_and_a_new_rate_counts_from_then_on() {
+    let rate = ServiceRate {
         cores: 1.0,
         speed: 1.0,
-        tip: 2.0,
-        loss: 1.0,
+        overload_threshold: 2.0,
+        overload_slowdown: 1.0,
     };
-    let mut station = Station::new(pace);
-    let jobs: Vec<JobId> = (0..4).map(|_| station.begin(1000, 0)).collect();
-    // Four on one core, twice the tip: each at a quarter, halved.
-    assert_eq!(station.next_end(), Some(8000));
+    let mut station = ProcessorSharingStation::new(rate);
+    let jobs: Vec<JobId> = (0..4).map(|_| station.start_job(1000, 0)).collect();
+    // Four jobs on one core, twice the threshold: each at a quarter of the speed, halved.
+    assert_eq!(station.next_completion(), Some(8000));
     assert!(
-        station.stop(jobs[0], 4000) && station.stop(jobs[1], 4000) && !station.stop(jobs[1], 4000)
+        station.cancel_job(jobs[0], 4000)
+            && station.cancel_job(jobs[1], 4000)
+            && !station.cancel_job(jobs[1], 4000)
+    );
+    assert_eq!(
+        (station.next_completion(), station.job_count()),
+        (Some(5000), 2)
     );
-    assert_eq!((station.next_end(), station.jobs()), (Some(5000), 2));
-    station.change(Pace { speed: 0.5, ..pace }, 4500);
-    assert_eq!(station.next_end(), Some(5500));
-    assert_eq!(station.take_done(5499), None);
-    let ends: Vec<JobId> = std::iter::from_fn(|| station.take_done(5500)).collect();
-    assert_eq!(ends, [jobs[2], jobs[3]]);
-    for law in [
-        Law::Fixed(0.0),
-        Law::Pareto {
+    station.set_rate(ServiceRate { speed: 0.5, ..rate }, 4500);
+    assert_eq!(station.next_completion(), Some(5500));
+    assert_eq!(station.take_completed(5499), None);
+    let completed: Vec<JobId> = std::iter::from_fn(|| station.take_completed(5500)).collect();
+    assert_eq!(completed, [jobs[2], jobs[3]]);
+    for distribution in [
+        Distribution::Fixed(0.0),
+        Distribution::Pareto {
             mean: 1.0,
             shape: 1.0,
         },
-        Law::LogNormal {
+        Distribution::LogNormal {
             mean: 1.0,
             sigma: f64::NAN,
         },
     ] {
-        assert!(law.check().is_err(), "{law:?}");
+        assert!(distribution.validate().is_err(), "{distribution:?}");
     }
     assert!(
-        Law::Bimodal {
+        Distribution::Bimodal {
             short: 1.0,
             long: 2.0,
-            share: 0.5
+            long_fraction: 0.5
         }
-        .check()
+        .validate()
         .is_ok()
     );
 }
