--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,21 +1,22 @@
-//! `doortrack-bench`: what a node does under load, over either protocol. Everything is played on loopback
-//! sockets of this machine; figures are to be compared within one run only.
+//! `doortrack-bench`: a node under load, over either protocol. Everything runs on loopback sockets of this
+//! machine; compare figures within one run only.
 
 mod load;
 mod report;
 mod request;
 mod target;
 
-use std::path::PathBuf;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::{Parser, ValueEnum};
 use doortrack_protocols::Protocol;
 
-use crate::load::{Load, Pace};
+use crate::load::{Arrivals, Load};
 use crate::report::{Row, print, write};
-use crate::target::{Behind, Target};
+use crate::target::{Backend, Target, TargetOptions};
 
 /// Plays load against nodes in turn, and tells requests a second, latency and time on the core.
 ///
@@ -24,21 +25,21 @@
 /// meets all alike.
 #[derive(Parser)]
 #[command(version)]
-struct Words {
+struct Cli {
     /// Programs to compare, each as NAME=PATH; one without fronts of its own is asked on the platform's
     /// listener
-    #[arg(long = "node", value_name = "NAME=PATH", required = true, value_parser = named)]
+    #[arg(long = "node", value_name = "NAME=PATH", required = true, value_parser = parse_node)]
     nodes: Vec<(String, PathBuf)>,
     /// Fronts to ask
-    #[arg(long = "front", value_enum, default_values = ["platform", "fastcgi", "uwsgi"])]
-    fronts: Vec<FrontWord>,
+    #[arg(long = "front", value_name = "FRONTS", value_enum, default_values = ["platform", "fastcgi", "uwsgi"])]
+    listeners: Vec<Listener>,
     /// What does the work
-    #[arg(long = "work", value_enum, default_values = ["engine"])]
-    works: Vec<WorkWord>,
+    #[arg(long = "work", value_name = "WORKS", value_enum, default_values = ["engine"])]
+    work: Vec<Work>,
     /// Requests a second, begun at their times whatever the node does; absent: as many as it takes, from a
     /// fixed number of callers that each wait for their answer
-    #[arg(long, value_name = "A_SECOND")]
-    open: Option<f64>,
+    #[arg(long = "open", value_name = "A_SECOND")]
+    open_rate: Option<f64>,
     /// Requests in hand at once where the loop is closed
     #[arg(long, default_value_t = 64)]
     callers: usize,
@@ -53,11 +54,11 @@
     rules: usize,
     /// Nodes of the fleet that the node is one of; another of them dies and comes anew every 1.5 s; 1 for
     /// none
-    #[arg(long = "fleet", default_values = ["1"])]
-    fleets: Vec<usize>,
+    #[arg(long = "fleet", value_name = "FLEETS", default_values = ["1"])]
+    fleet_sizes: Vec<usize>,
     /// Bytes of each body
-    #[arg(long, default_value_t = 64)]
-    body: usize,
+    #[arg(long = "body", value_name = "BODY", default_value_t = 64)]
+    body_bytes: usize,
     /// Seconds of each round that count; a fifth more goes before
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
@@ -72,88 +73,135 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, ValueEnum)]
-enum FrontWord {
+enum Listener {
     Platform,
     Fastcgi,
     Uwsgi,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, ValueEnum)]
-enum WorkWord {
+enum Work {
     Engine,
     Fastcgi,
     Uwsgi,
 }
 
-fn named(word: &str) -> Result<(String, PathBuf), String> {
-    let (name, path) = word.split_once('=').ok_or("NAME=PATH is wanted")?;
+/// One combination of what is measured.
+struct Case<'a> {
+    name: &'a str,
+    program: &'a Path,
+    listener: Listener,
+    work: Work,
+    fleet_size: usize,
+}
+
+impl Listener {
+    /// The protocol of a listener of the node's own.
+    fn protocol(self) -> Option<Protocol> {
+        match self {
+            Listener::Platform => None,
+            Listener::Fastcgi => Some(Protocol::FastCgi),
+            Listener::Uwsgi => Some(Protocol::Uwsgi),
+        }
+    }
+}
+
+impl From<Work> for Backend {
+    fn from(work: Work) -> Backend {
+        match work {
+            Work::Engine => Backend::Engine,
+            Work::Fastcgi => Backend::Server(Protocol::FastCgi),
+            Work::Uwsgi => Backend::Server(Protocol::Uwsgi),
+        }
+    }
+}
+
+fn parse_node(argument: &str) -> Result<(String, PathBuf), String> {
+    let (name, path) = argument.split_once('=').ok_or("NAME=PATH is wanted")?;
     Ok((name.to_string(), PathBuf::from(path)))
 }
 
 fn main() -> ExitCode {
-    let words = Words::parse();
-    match play(&words) {
-        Ok(rows) => {
-            print(&rows);
-            match words
-                .json
-                .as_ref()
-                .map_or(Ok(()), |path| write(path, &rows))
-            {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(e) => fail(&e.to_string()),
-            }
+    match run(&Cli::parse()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(e) => {
+            eprintln!("doortrack-bench: {e}");
+            ExitCode::FAILURE
         }
-        Err(e) => fail(&e.to_string()),
     }
 }
 
-fn fail(why: &str) -> ExitCode {
-    eprintln!("doortrack-bench: {why}");
-    ExitCode::FAILURE
+fn run(cli: &Cli) -> io::Result<()> {
+    let mut rows = Vec::new();
+    for round in 0..cli.rounds {
+        for case in cases(cli) {
+            let row = measure(cli, &case, round)?;
+            eprintln!("{}", row.line());
+            rows.push(row);
+        }
+    }
+    print(&rows);
+    match &cli.json {
+        Some(path) => write(path, &rows),
+        None => Ok(()),
+    }
 }
 
-fn play(words: &Words) -> std::io::Result<Vec<Row>> {
-    let mut rows = Vec::new();
-    for round in 0..words.rounds {
-        for (name, path) in &words.nodes {
-            for front in &words.fronts {
-                for work in &words.works {
-                    let behind = match work {
-                        WorkWord::Engine => Behind::Engine,
-                        WorkWord::Fastcgi => Behind::Servers(Protocol::FastCgi),
-                        WorkWord::Uwsgi => Behind::Servers(Protocol::Uwsgi),
-                    };
-                    let spoken = match front {
-                        FrontWord::Platform => None,
-                        FrontWord::Fastcgi => Some(Protocol::FastCgi),
-                        FrontWord::Uwsgi => Some(Protocol::Uwsgi),
-                    };
-                    for nodes in &words.fleets {
-                        let (rules, core) = (words.rules, words.core);
-                        let target = Target::start(path, spoken, behind, rules, core, *nodes)?;
-                        let load = Load {
-                            at: target.at,
-                            protocol: spoken.unwrap_or(Protocol::FastCgi),
-                            pace: words.open.map_or(Pace::Closed(words.callers), Pace::Open),
-                            connections: words.connections,
-                            threads: words.threads,
-                            body: words.body,
-                            warm: Duration::from_secs_f64(words.seconds / 5.0),
-                            lasts: Duration::from_secs_f64(words.seconds),
-                            seed: round as u64,
-                        };
-                        let played = load.play(&target)?;
-                        let mut place = format!("{front:?} before {work:?}").to_lowercase();
-                        if *nodes > 1 {
-                            place += &format!(", one of {nodes}");
-                        }
-                        rows.push(Row::of(name, &place, round, &played));
-                        eprintln!("{}", rows[rows.len() - 1].line());
-                    }
-                }
+fn cases(cli: &Cli) -> Vec<Case<'_>> {
+    let mut cases = Vec::new();
+    for (name, program) in &cli.nodes {
+        for listener in &cli.listeners {
+            for work in &cli.work {
+                cases.extend(cli.fleet_sizes.iter().map(|fleet_size| Case {
+                    name,
+                    program,
+                    listener: *listener,
+                    work: *work,
+                    fleet_size: *fleet_size,
+                }));
             }
         }
     }
-    Ok(rows)
+    cases
+}
+
+fn measure(cli: &Cli, case: &Case, round: usize) -> io::Result<Row> {
+    let protocol = case.listener.protocol();
+    let target = Target::start(&TargetOptions {
+        program: case.program,
+        listener: protocol,
+        backend: case.work.into(),
+        rules: cli.rules,
+        core: cli.core,
+        fleet_size: case.fleet_size,
+    })?;
+    let closed_loop = Arrivals::ClosedLoop {
+        callers: cli.callers,
+    };
+    let load = Load {
+        address: target.address,
+        protocol: protocol.unwrap_or(Protocol::FastCgi),
+        arrivals: cli
+            .open_rate
+            .map_or(closed_loop, |rate| Arrivals::OpenLoop { rate }),
+        connections: cli.connections,
+        threads: cli.threads,
+        body_bytes: cli.body_bytes,
+        warm_up: Duration::from_secs_f64(cli.seconds / 5.0),
+        duration: Duration::from_secs_f64(cli.seconds),
+        seed: round as u64,
+    };
+    let result = load.run(&target)?;
+    Ok(Row::new(case.name, &case.setup(), round, &result))
+}
+
+impl Case<'_> {
+    /// Listener, work and fleet size, as printed.
+    fn setup(&self) -> String {
+        let setup = format!("{:?} before {:?}", self.listener, self.work).to_lowercase();
+        match self.fleet_size {
+            0 | 1 => setup,
+            nodes => format!("{setup}, one of {nodes}"),
+        }
+    }
 }
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! Rounds as lines, as a table of their medians, and as JSON.
+//! Results of rounds: as lines, as a table of medians, and as JSON.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,67 +7,106 @@
 
 use serde::Serialize;
 
-use crate::load::Played;
+use crate::load::LoadResult;
 
+/// The result of one round, or the medians of several.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
+    /// The name of the program.
     pub node: String,
-    pub place: String,
+    /// Listener, work and fleet size.
+    #[serde(rename = "place")]
+    pub setup: String,
+    /// The round, or the number of rounds.
     pub round: usize,
-    pub a_second: f64,
-    pub bad: u64,
+    /// Requests answered with status 200 per second.
+    #[serde(rename = "a_second")]
+    pub throughput: f64,
+    /// All other requests.
+    #[serde(rename = "bad")]
+    pub failed: u64,
+    /// Latencies in microseconds.
     pub median_us: u64,
+    /// The 99th percentile.
     pub p99_us: u64,
+    /// The 99.9th percentile.
     pub p999_us: u64,
-    /// Time of the node on its core for each request, and share of the core.
+    /// Processor time of the node per request.
     pub cpu_us: f64,
-    pub busy: f64,
+    /// Fraction of its core that the node used.
+    #[serde(rename = "busy")]
+    pub cpu_utilization: f64,
+    /// Resident memory of the node at the end.
     pub memory_kb: u64,
 }
 
 impl Row {
-    pub fn of(node: &str, place: &str, round: usize, played: &Played) -> Row {
-        let (all, at) = ((played.good + played.bad).max(1) as f64, |q| {
-            played.latencies.value_at_quantile(q)
-        });
+    /// The result of one round.
+    pub fn new(node: &str, setup: &str, round: usize, result: &LoadResult) -> Row {
+        let requests = &result.requests;
+        let count = (requests.succeeded + requests.failed).max(1) as f64;
+        let latency = |quantile| requests.latencies.value_at_quantile(quantile);
         Row {
             node: node.to_string(),
-            place: place.to_string(),
+            setup: setup.to_string(),
             round,
-            a_second: played.good as f64 / played.seconds,
-            bad: played.bad,
-            median_us: at(0.5),
-            p99_us: at(0.99),
-            p999_us: at(0.999),
-            cpu_us: played.used.cpu_us as f64 / all,
-            busy: played.used.cpu_us as f64 / 1e6 / played.seconds,
-            memory_kb: played.used.memory_kb,
+            throughput: requests.succeeded as f64 / result.seconds,
+            failed: requests.failed,
+            median_us: latency(0.5),
+            p99_us: latency(0.99),
+            p999_us: latency(0.999),
+            cpu_us: result.usage.cpu_us as f64 / count,
+            cpu_utilization: result.usage.cpu_us as f64 / 1e6 / result.seconds,
+            memory_kb: result.usage.memory_kb,
         }
     }
 
+    /// The medians of several rounds; failed requests are added up.
+    fn median(node: String, setup: String, rows: &[&Row]) -> Row {
+        let median = |figure: &dyn Fn(&Row) -> f64| {
+            let mut values: Vec<f64> = rows.iter().map(|row| figure(row)).collect();
+            values.sort_by(f64::total_cmp);
+            values[values.len() / 2]
+        };
+        Row {
+            node,
+            setup,
+            round: rows.len(),
+            throughput: median(&|row| row.throughput),
+            failed: rows.iter().map(|row| row.failed).sum(),
+            median_us: median(&|row| row.median_us as f64) as u64,
+            p99_us: median(&|row| row.p99_us as f64) as u64,
+            p999_us: median(&|row| row.p999_us as f64) as u64,
+            cpu_us: median(&|row| row.cpu_us),
+            cpu_utilization: median(&|row| row.cpu_utilization),
+            memory_kb: median(&|row| row.memory_kb as f64) as u64,
+        }
+    }
+
+    /// A line of the table that [`print`] prints.
     pub fn line(&self) -> String {
         format!(
             "{:<10} {:<26} {:>9.0} {:>7} {:>9} {:>9} {:>9} {:>8.2} {:>6.2} {:>8}",
             self.node,
-            self.place,
-            self.a_second,
-            self.bad,
+            self.setup,
+            self.throughput,
+            self.failed,
             self.median_us,
             self.p99_us,
             self.p999_us,
             self.cpu_us,
-            self.busy,
+            self.cpu_utilization,
             self.memory_kb
         )
     }
 }
 
-/// The medians of each node and place over the rounds, with the ratio to the first row.
+/// Prints the medians of each node and setup over the rounds, with the ratio of throughput to the first row.
 pub fn print(rows: &[Row]) {
     let mut groups: BTreeMap<(String, String), Vec<&Row>> = BTreeMap::new();
     for row in rows {
         groups
-            .entry((row.place.clone(), row.node.clone()))
+            .entry((row.setup.clone(), row.node.clone()))
             .or_default()
             .push(row);
     }
@@ -85,31 +124,18 @@
         "kB",
         "ratio"
     );
-    let mut first = None;
-    for ((place, node), rows) in groups {
-        let median = |of: &dyn Fn(&Row) -> f64| {
-            let mut all: Vec<f64> = rows.iter().map(|row| of(row)).collect();
-            all.sort_by(f64::total_cmp);
-            all[all.len() / 2]
-        };
-        let row = Row {
-            node,
-            place,
-            round: rows.len(),
-            a_second: median(&|row| row.a_second),
-            bad: rows.iter().map(|row| row.bad).sum(),
-            median_us: median(&|row| row.median_us as f64) as u64,
-            p99_us: median(&|row| row.p99_us as f64) as u64,
-            p999_us: median(&|row| row.p999_us as f64) as u64,
-            cpu_us: median(&|row| row.cpu_us),
-            busy: median(&|row| row.busy),
-            memory_kb: median(&|row| row.memory_kb as f64) as u64,
-        };
-        let base = *first.get_or_insert(row.a_second);
-        println!("{} {:>6.2}", row.line(), row.a_second / base);
+    let mut first_throughput = None;
+    for ((setup, node), rows) in groups {
+        let row = Row::median(node, setup, &rows);
+        let base = *first_throughput.get_or_insert(row.throughput);
+        println!("{} {:>6.2}", row.line(), row.throughput / base);
     }
 }
 
+/// Writes all rounds as JSON.
+///
+/// # Errors
+/// Those of the file.
 pub fn write(path: &Path, rows: &[Row]) -> io::Result<()> {
     fs::write(path, serde_json::to_string_pretty(rows)? + "\n")
 }
--- a/crates/bench/src/target.rs
+++ b/crates/bench/src/target.rs
@@ -1,13 +1,12 @@
-//! A node under load: started on a core of its own, with work behind it that takes no time.
+//! A node under load: a process on a core of its own, with work behind it that takes no time.
+
+mod churn;
 
 use std::fs;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
-
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::thread::JoinHandle;
+use std::thread;
 use std::time::Duration;
 
 use doortrack_fakes::bed::{Bed, Plan, connect};
@@ -15,155 +14,164 @@
 use doortrack_protocols::Protocol;
 use rustix::process::Pid;
 use rustix::thread::{CpuSet, sched_setaffinity};
-use serde_json::json;
-
-#[derive(Clone, Copy)]
-pub enum Behind {
-    Engine,
-    Servers(Protocol),
-}
-
-pub struct Target {
-    bed: Bed,
-    pub at: SocketAddr,
-    _others: Option<Others>,
-}
+use serde_json::{Value, json};
 
-/// The rest of a fleet, of which one after the other is killed and started anew for as long as this lives.
-struct Others {
-    over: Arc<AtomicBool>,
-    thread: Option<JoinHandle<()>>,
-}
+use self::churn::{ChurningPeers, fleet_settings};
 
-/// Between a death and the next.
-const DEATH_EVERY: Duration = Duration::from_millis(1_500);
+/// Ports of the plan, which maps each to a free one.
+const LISTENER_PORT: u16 = 9091;
+const FLEET_PORT: u16 = 7400;
+/// A node rejects requests until it has heard from its engine or servers.
+const START_TIME: Duration = Duration::from_millis(300);
+/// Concurrency limit of the application server, and its threads.
+const SERVER_CONCURRENCY: usize = 64;
 
-fn member(program: &Path, seed: SocketAddr) -> Bed {
-    let mut plan = Plan::new(program);
-    plan.installation = Some(json!({"fleet": fleet(plan.port(7400), seed)}));
-    plan.start()
+/// What runs the requests.
+#[derive(Clone, Copy)]
+pub enum Backend {
+    /// An engine.
+    Engine,
+    /// An application server over this protocol.
+    Server(Protocol),
 }
 
-fn fleet(listen: SocketAddr, seed: SocketAddr) -> serde_json::Value {
-    json!({"name": "bench", "listen": listen.to_string(), "seeds": [seed.to_string()]})
+/// How a node is set up.
+pub struct TargetOptions<'a> {
+    /// The program of the node and its peers.
+    pub program: &'a Path,
+    /// The protocol of a listener of its own; absent for the platform's.
+    pub listener: Option<Protocol>,
+    /// What runs the requests.
+    pub backend: Backend,
+    /// Rules of the installation, the last of which matches. None for the platform's listener.
+    pub rules: usize,
+    /// The core that the node has to itself.
+    pub core: usize,
+    /// Nodes of its fleet, itself included; 1 for none.
+    pub fleet_size: usize,
 }
 
-impl Others {
-    fn start(program: &Path, count: usize, seed: SocketAddr) -> Others {
-        let over: Arc<AtomicBool> = Arc::default();
-        let (until, program) = (over.clone(), program.to_path_buf());
-        let thread = std::thread::spawn(move || {
-            let mut beds: Vec<Bed> = (0..count).map(|_| member(&program, seed)).collect();
-            let mut place = 0;
-            while !until.load(Ordering::Relaxed) {
-                std::thread::sleep(DEATH_EVERY);
-                place = (place + 1) % count;
-                // Dropped, it is killed: another life under the same name's stead.
-                beds[place] = member(&program, seed);
-            }
-        });
-        Others {
-            over,
-            thread: Some(thread),
-        }
-    }
-}
-
-impl Drop for Others {
-    fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        _ = self.thread.take().map(JoinHandle::join);
-    }
+/// A running node. Ends when dropped, with its peers.
+pub struct Target {
+    node: Bed,
+    /// Where it takes requests.
+    pub address: SocketAddr,
+    _peers: Option<ChurningPeers>,
 }
 
-/// Time on the core so far, in microseconds, and memory now, in kB.
+/// Resources that a process used.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Used {
+pub struct ResourceUsage {
+    /// Processor time since its start, in microseconds.
     pub cpu_us: u64,
+    /// Resident memory now.
     pub memory_kb: u64,
 }
 
 impl Target {
-    /// Without a front of its own the platform's listener is asked. `nodes` are those of its fleet, itself
-    /// included; 1 for none.
-    pub fn start(
-        program: &Path,
-        front: Option<Protocol>,
-        behind: Behind,
-        rules: usize,
-        core: usize,
-        nodes: usize,
-    ) -> io::Result<Target> {
-        let mut plan = Plan::new(program);
-        // Nothing is to be rejected: what is measured is the way of a request, not the decision on it.
-        plan.config["settings"]["family_info"]["cores"] = json!(1000);
-        plan.config["settings"]["family_info"]["memory_kb"] = json!(10_000_000);
-        plan.config["settings"]["family_info"]["keepalive_max"] = json!(3_600_000_000u64);
+    /// Starts a node and waits until it takes requests.
+    ///
+    /// # Errors
+    /// Those of sockets, and of setting the core.
+    pub fn start(options: &TargetOptions) -> io::Result<Target> {
+        let mut plan = Plan::new(options.program);
+        set_unlimited_resources(&mut plan);
         let mut installation = json!({});
-        let mut at = plan.at;
-        if let Some(front) = front {
-            at = plan.port(9091);
-            installation["fronts"] = json!([{"protocol": front.name(), "listen": at.to_string()}]);
+        let address = match options.listener {
+            Some(protocol) => add_listener(&mut plan, &mut installation, protocol, options.rules),
+            None => plan.at,
+        };
+        add_backend(&mut plan, &mut installation, options.backend)?;
+        let fleet_address = plan.port(FLEET_PORT);
+        if options.fleet_size > 1 {
+            installation["fleet"] = fleet_settings(fleet_address, fleet_address);
         }
-        if rules > 0 && front.is_some() {
-            let rule =
-                |n| json!({"when": format!("path.starts_with(\"/yard-{n}/\")"), "group": "look"});
-            let last =
-                json!({"when": "path == \"/svc/look\" && method == \"POST\"", "group": "look"});
-            installation["rules"] = (1..rules).map(rule).chain([last]).collect();
-        }
-        match behind {
-            Behind::Engine => {
-                let door = TcpListener::bind("127.0.0.1:0")?;
-                plan.config["engine"] = json!(door.local_addr()?.to_string());
-                instant::engine(door);
-            }
-            Behind::Servers(protocol) => {
-                let address = instant::server(protocol, 64)?;
-                installation["servers"] = json!({"protocol": protocol.name(), "addresses": [address.to_string()], "at_once": 64});
-            }
-        }
-        let link = plan.port(7400);
-        if nodes > 1 {
-            installation["fleet"] = fleet(link, link);
-        }
-        // One of before knows no such file, and is asked where the platform does.
-        plan.installation = installation
-            .as_object()
-            .filter(|file| !file.is_empty())
-            .map(|_| installation.clone());
-        let bed = plan.start();
-        let mut set = CpuSet::new();
-        set.set(core);
-        sched_setaffinity(Pid::from_raw(bed.program.id() as i32), &set)?;
-        drop(connect(at));
-        // Until its work is up a node refuses, and nobody asks it.
-        std::thread::sleep(std::time::Duration::from_millis(300));
-        let others = (nodes > 1).then(|| Others::start(program, nodes - 1, link));
+        // Earlier builds know no such file, and are measured on the platform's listener.
+        plan.installation = Some(installation).filter(|file| file != &json!({}));
+        let node = plan.start();
+        pin_to_core(&node, options.core)?;
+        drop(connect(address));
+        thread::sleep(START_TIME);
+        let peers = options.fleet_size.saturating_sub(1);
         Ok(Target {
-            bed,
-            at,
-            _others: others,
+            node,
+            address,
+            _peers: (peers > 0)
+                .then(|| ChurningPeers::start(options.program, peers, fleet_address)),
         })
     }
 
-    pub fn used(&self) -> Used {
-        let folder = format!("/proc/{}", self.bed.program.id());
-        let status = fs::read_to_string(format!("{folder}/status")).unwrap_or_default();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let memory_kb = line
-            .and_then(|line| line.split_whitespace().next()?.parse().ok())
+    /// What the node has used.
+    pub fn usage(&self) -> ResourceUsage {
+        let process = format!("/proc/{}", self.node.program.id());
+        let status = fs::read_to_string(format!("{process}/status")).unwrap_or_default();
+        let memory_kb = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))
+            .and_then(first_number)
             .unwrap_or(0);
-        // The scheduler's own count is finer than the hundredths of `stat`.
-        let run = fs::read_to_string(format!("{folder}/schedstat")).unwrap_or_default();
-        let ns: u64 = run
-            .split_whitespace()
-            .next()
-            .and_then(|ns| ns.parse().ok())
-            .unwrap_or(0);
-        Used {
-            cpu_us: ns / 1000,
+        // The scheduler's own count is finer than the hundredths of a second of `stat`.
+        let schedstat = fs::read_to_string(format!("{process}/schedstat")).unwrap_or_default();
+        let cpu_ns = first_number(&schedstat).unwrap_or(0);
+        ResourceUsage {
+            cpu_us: cpu_ns / 1000,
             memory_kb,
         }
     }
 }
+
+fn first_number(text: &str) -> Option<u64> {
+    text.split_whitespace().next()?.parse().ok()
+}
+
+/// The path of a request is measured, not the decision on it: nothing is to be rejected.
+fn set_unlimited_resources(plan: &mut Plan) {
+    let resources = &mut plan.config["settings"]["family_info"];
+    resources["cores"] = json!(1000);
+    resources["memory_kb"] = json!(10_000_000);
+    resources["keepalive_max"] = json!(3_600_000_000u64);
+}
+
+fn add_listener(
+    plan: &mut Plan,
+    installation: &mut Value,
+    protocol: Protocol,
+    rules: usize,
+) -> SocketAddr {
+    let address = plan.port(LISTENER_PORT);
+    let listener = json!({"protocol": protocol.name(), "listen": address.to_string()});
+    installation["fronts"] = json!([listener]);
+    if rules > 0 {
+        let other = |index| json!({"when": format!("path.starts_with(\"/yard-{index}/\")"), "group": "look"});
+        let matching =
+            json!({"when": "path == \"/svc/look\" && method == \"POST\"", "group": "look"});
+        installation["rules"] = (1..rules).map(other).chain([matching]).collect();
+    }
+    address
+}
+
+fn add_backend(plan: &mut Plan, installation: &mut Value, backend: Backend) -> io::Result<()> {
+    match backend {
+        Backend::Engine => {
+            let listener = TcpListener::bind("127.0.0.1:0")?;
+            plan.config["engine"] = json!(listener.local_addr()?.to_string());
+            instant::engine(listener);
+        }
+        Backend::Server(protocol) => {
+            let address = instant::server(protocol, SERVER_CONCURRENCY)?;
+            installation["servers"] = json!({
+                "protocol": protocol.name(),
+                "addresses": [address.to_string()],
+                "at_once": SERVER_CONCURRENCY,
+            });
+        }
+    }
+    Ok(())
+}
+
+fn pin_to_core(node: &Bed, core: usize) -> io::Result<()> {
+    let mut cores = CpuSet::new();
+    cores.set(core);
+    sched_setaffinity(Pid::from_raw(node.program.id() as i32), &cores)?;
+    Ok(())
+}
