--- a/crates/node/src/network/backend.rs
+++ b/crates/node/src/network/backend.rs
@@ -1,5 +1,4 @@
-//! Where runs go: to the platform's engine over its link, or to application servers. The loop does not know
-//! which.
+//! Where requests run: at the platform's engine, over its link, or at pools of application servers.
 
 use std::net::SocketAddr;
 
@@ -8,27 +7,62 @@
 use doortrack_upstream::{Admission, Token};
 use polling::Event;
 
-use super::engine::{BackendEvent, ENGINE_KEY, EngineLink};
+use super::engine::{ENGINE_KEY, EngineLink};
+use super::engine_protocol::EngineMessage;
 use super::servers::{POOL_KEYS, SERVER_KEY, Servers};
+use super::termination::Termination;
 use crate::state::in_flight::InFlightRequest;
 
-pub enum Backend {
-    Engine(Box<EngineLink>),
-    /// Pools of servers with their names; the one without a name first.
-    Servers(Vec<(String, Servers)>),
+/// What happened at the backend, in order.
+pub enum BackendEvent {
+    /// It is up, from now on or again.
+    Up {
+        /// It came up with cold caches.
+        cold: bool,
+        /// How long ago it came up.
+        uptime: TenthMillis,
+    },
+    /// The link to the engine is up, and all notices that were missed have been passed on.
+    CaughtUp {
+        /// The number of the last gauge query that was answered on the link before. Runs sent after that query
+        /// may not have arrived.
+        answered_cookie: u64,
+    },
+    /// A message from the engine.
+    EngineMessage(EngineMessage),
+    /// A run at a server has ended.
+    RunEnded {
+        /// The request.
+        id: RequestId,
+        /// How the run ended.
+        termination: Termination,
+        /// Header lines of the server's answer that go on to the caller.
+        headers: Vec<u8>,
+        /// The body of the server's answer.
+        body: Vec<u8>,
+    },
+    /// The link to the engine has ended.
+    LinkEnded(Termination),
 }
 
-/// Rules are read with the pools that there are; whatever else a request says, it is run.
-fn pool_place(pool: u16, pools: usize) -> usize {
-    if usize::from(pool) < pools {
-        usize::from(pool)
-    } else {
-        0
-    }
+/// Asks whether a retry may be sent.
+pub type RetryGate = Box<dyn FnMut() -> bool>;
+/// Asks for a token of a slow start.
+pub type RampGate = Box<dyn FnMut() -> Token>;
+
+/// A pool of servers and its name.
+pub type NamedPool = (String, Servers);
+
+/// Where requests run.
+pub enum Backend {
+    /// At the engine.
+    Engine(Box<EngineLink>),
+    /// At pools of servers; the first one has no name.
+    Servers(Vec<NamedPool>),
 }
 
 impl Backend {
-    /// Does what is due: makes a link, gives up what took too long.
+    /// Does what is due: makes the link, ends what took too long.
     pub fn maintain(&mut self, now: TenthMillis) {
         match self {
             Backend::Engine(link) => link.maintain(now),
@@ -36,11 +70,10 @@
         }
     }
 
-    /// When it is to be tended at the latest.
+    /// When [`Backend::maintain`] is due; [`TenthMillis::MAX`] for never.
     pub fn next_due(&self) -> TenthMillis {
         match self {
-            Backend::Engine(link) if link.is_down() => link.next_try,
-            Backend::Engine(_) => TenthMillis::MAX,
+            Backend::Engine(link) => link.next_due(),
             Backend::Servers(pools) => pools
                 .iter()
                 .map(|(_, pool)| pool.next_due())
@@ -49,78 +82,64 @@
         }
     }
 
-    /// Whether what is ready under this key belongs here.
-    pub fn has(&self, key: usize) -> bool {
+    /// Whether this key of the poller is the backend's.
+    pub fn has_key(&self, key: usize) -> bool {
         key == ENGINE_KEY || key >= SERVER_KEY
     }
 
-    pub fn ready(
-        &mut self,
-        event: Event,
-        now: TenthMillis,
-        backend_events: &mut Vec<BackendEvent>,
-    ) {
+    /// Handles what the poller reports under one of the backend's keys.
+    pub fn on_event(&mut self, event: Event, now: TenthMillis, events: &mut Vec<BackendEvent>) {
         match self {
-            Backend::Engine(link) => link.ready(event, now, backend_events),
+            Backend::Engine(link) => link.on_event(event, now, events),
             Backend::Servers(pools) => {
-                let place = event.key.saturating_sub(SERVER_KEY) / POOL_KEYS;
-                if let Some((_, pool)) = pools.get_mut(place) {
-                    pool.ready(event, now);
+                let index = event.key.saturating_sub(SERVER_KEY) / POOL_KEYS;
+                if let Some((_, pool)) = pools.get_mut(index) {
+                    pool.on_event(event, now);
                 }
             }
         }
     }
 
-    /// Pools whose retries are bounded elsewhere as well: by place, what they are to pass.
-    pub fn gate_retries(&mut self, mut gate: impl FnMut(u16) -> Option<Box<dyn FnMut() -> bool>>) {
-        if let Backend::Servers(pools) = self {
-            for (place, (_, pool)) in pools.iter_mut().enumerate() {
-                gate(place as u16)
-                    .into_iter()
-                    .for_each(|gate| pool.gate_retries(gate));
+    /// Has pools ask before they retry; `gate` gives each pool's gate by its index, if it has one.
+    pub fn gate_retries(&mut self, mut gate: impl FnMut(u16) -> Option<RetryGate>) {
+        for (index, (_, pool)) in self.pools_mut().iter_mut().enumerate() {
+            if let Some(gate) = gate(index as u16) {
+                pool.gate_retries(gate);
             }
         }
     }
 
-    /// Pools whose ramps are shared with others: by place, where they ask for tokens.
-    pub fn gate_ramps(&mut self, mut gate: impl FnMut(u16) -> Option<Box<dyn FnMut() -> Token>>) {
-        if let Backend::Servers(pools) = self {
-            for (place, (_, pool)) in pools.iter_mut().enumerate() {
-                gate(place as u16)
-                    .into_iter()
-                    .for_each(|gate| pool.gate_ramps(gate));
+    /// Has pools ask for tokens of their slow starts; `gate` gives each pool's gate by its index, if it has one.
+    pub fn gate_ramps(&mut self, mut gate: impl FnMut(u16) -> Option<RampGate>) {
+        for (index, (_, pool)) in self.pools_mut().iter_mut().enumerate() {
+            if let Some(gate) = gate(index as u16) {
+                pool.gate_ramps(gate);
             }
         }
     }
 
-    /// Whether one more request may be admitted to the pool at this place, as far as its servers go.
+    /// Admits one more request to the pool at this index, as far as its servers go.
     ///
     /// # Errors
-    /// How long to wait before it comes back, in tenths of a ms.
+    /// They are busy; when to retry.
     pub fn admit(&mut self, pool: u16, now: TenthMillis) -> Result<Admission, TenthMillis> {
-        match self {
-            Backend::Engine(_) => Ok(Admission::Free),
-            Backend::Servers(pools) => {
-                let place = pool_place(pool, pools.len());
-                pools
-                    .get_mut(place)
-                    .map_or(Ok(Admission::Free), |(_, pool)| pool.admit(now))
-            }
+        match self.pool_or_default(pool) {
+            Some(pool) => pool.admit(now),
+            None => Ok(Admission::Free),
         }
     }
 
-    /// What was reserved for a request is begun next, or not wanted any more.
+    /// Gives back a reservation: its request is run next, or never.
     pub fn release(&mut self, pool: u16, admission: Admission) {
-        if let (Backend::Servers(pools), Admission::Reserved) = (self, admission) {
-            let place = pool_place(pool, pools.len());
-            pools
-                .get_mut(place)
-                .into_iter()
-                .for_each(|(_, pool)| pool.release());
+        if admission != Admission::Reserved {
+            return;
+        }
+        if let Some(pool) = self.pool_or_default(pool) {
+            pool.release();
         }
     }
 
-    /// Whether what is asked for now is sent at once.
+    /// Whether commands are sent at once.
     pub fn is_up(&self) -> bool {
         match self {
             Backend::Engine(link) => link.is_up(),
@@ -128,81 +147,102 @@
         }
     }
 
-    /// Whether a run needs the variables that its request came with.
-    pub fn wants_variables(&self) -> bool {
+    /// Whether a run needs its request's variables.
+    pub fn needs_variables(&self) -> bool {
         matches!(self, Backend::Servers(_))
     }
 
-    /// Begins a run. `group` is the endpoint group's name as JSON. The number of the last STAT before it,
-    /// or none while it can't be sent.
+    /// Begins a run; `group` is the endpoint group's name as JSON. None if it can't be sent at present;
+    /// otherwise the number of the last gauge query before it.
     pub fn run(
         &mut self,
         id: RequestId,
-        ex: &mut InFlightRequest,
+        request: &mut InFlightRequest,
         group: &str,
-        repeatable: bool,
+        idempotent: bool,
         now: TenthMillis,
     ) -> Option<u64> {
         match self {
-            Backend::Engine(link) => link.is_up().then(|| link.run(&ex.try_id, group, &ex.body)),
+            Backend::Engine(link) if link.is_up() => {
+                Some(link.run(&request.try_id, group, &request.body))
+            }
+            Backend::Engine(_) => None,
             Backend::Servers(pools) => {
-                let block = ex.block.take();
-                ex.pool = pool_place(ex.pool, pools.len()) as u16;
-                if let Some((_, pool)) = pools.get_mut(usize::from(ex.pool)) {
-                    pool.run(id, block, &ex.body, repeatable, now);
+                let variables = request.block.take();
+                request.pool = existing_or_default(request.pool, pools.len());
+                if let Some((_, pool)) = pools.get_mut(usize::from(request.pool)) {
+                    pool.run(id, variables, &request.body, idempotent, now);
                 }
                 Some(0)
             }
         }
     }
 
-    /// Stops a run that was begun.
-    pub fn stop(&mut self, id: RequestId, ex: &InFlightRequest, now: TenthMillis) {
+    /// Cancels a run that was begun.
+    pub fn cancel(&mut self, id: RequestId, request: &InFlightRequest, now: TenthMillis) {
         match self {
-            Backend::Engine(link) if link.is_up() => link.halt(&ex.try_id),
+            Backend::Engine(link) if link.is_up() => link.cancel(&request.try_id),
             Backend::Engine(_) => {}
             Backend::Servers(pools) => {
-                if let Some((_, pool)) = pools.get_mut(usize::from(ex.pool)) {
-                    pool.stop(id, now);
+                if let Some((_, pool)) = pools.get_mut(usize::from(request.pool)) {
+                    pool.cancel(id, now);
                 }
             }
         }
     }
 
-    /// Asks for the gauges, where somebody has any: the number that the answer will carry.
-    pub fn stat(&mut self) -> Option<u64> {
+    /// Queries the gauges; the number that the answer will carry, or none where there are no gauges.
+    pub fn query_gauges(&mut self) -> Option<u64> {
         match self {
-            Backend::Engine(link) => link.is_up().then(|| link.stat()),
+            Backend::Engine(link) => link.is_up().then(|| link.query_gauges()),
             Backend::Servers(_) => None,
         }
     }
 
-    /// Writes what there is, and tells what came of runs.
-    pub fn flush(&mut self, now: TenthMillis, backend_events: &mut Vec<BackendEvent>) {
+    /// Writes commands, and passes on how runs at servers ended.
+    pub fn flush(&mut self, now: TenthMillis, events: &mut Vec<BackendEvent>) {
         match self {
-            Backend::Engine(link) => link.flush(now, backend_events),
-            Backend::Servers(pools) => pools
-                .iter_mut()
-                .for_each(|(_, pool)| pool.flush(backend_events)),
+            Backend::Engine(link) => link.flush(now, events),
+            Backend::Servers(pools) => pools.iter_mut().for_each(|(_, pool)| pool.flush(events)),
         }
     }
 
-    /// The engine is to be found elsewhere.
+    /// Makes the link to the engine at another address.
     pub fn move_to(
         &mut self,
-        at: SocketAddr,
+        address: SocketAddr,
         now: TenthMillis,
-        backend_events: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) {
         if let Backend::Engine(link) = self {
-            link.move_to(at, now, backend_events);
+            link.move_to(address, now, events);
         }
     }
 
+    /// How often the link to the engine has been lost.
     pub fn link_losses(&self) -> u64 {
         match self {
-            Backend::Engine(link) => link.losses,
+            Backend::Engine(link) => link.losses(),
             Backend::Servers(_) => 0,
         }
     }
+
+    fn pools_mut(&mut self) -> &mut [NamedPool] {
+        match self {
+            Backend::Engine(_) => &mut [],
+            Backend::Servers(pools) => pools,
+        }
+    }
+
+    /// The pool at this index, or the first one where there is none; none at the engine.
+    fn pool_or_default(&mut self, pool: u16) -> Option<&mut Servers> {
+        let pools = self.pools_mut();
+        let index = existing_or_default(pool, pools.len());
+        pools.get_mut(usize::from(index)).map(|(_, pool)| pool)
+    }
+}
+
+/// The index of a pool that exists: a request that was classified before a reload may name one that is gone.
+fn existing_or_default(pool: u16, pools: usize) -> u16 {
+    if usize::from(pool) < pools { pool } else { 0 }
 }
--- a/crates/node/src/network/connection.rs
+++ b/crates/node/src/network/connection.rs
@@ -1,5 +1,6 @@
 //! One client's connection: its pending requests, what was read of them, and the answers still to be written.
 
+mod expiry;
 mod pending;
 mod write_buffer;
 
@@ -9,22 +10,12 @@
 use doortrack_protocols::{Protocol, RequestReader};
 use doortrack_time::TenthMillis;
 
+pub use self::expiry::{EvictionRank, Timeouts};
 pub use self::pending::{CompleteRequest, PendingRequest, PendingRequests, Stream};
 pub use self::write_buffer::WriteBuffer;
 use super::bounds::{MAX_INCOMPLETE_BYTES, MAX_UNREAD_ANSWER_BYTES};
 use super::termination::Termination;
 
-/// What a connection on which no caller waits is worth keeping for, the least first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum EvictionRank {
-    /// It never carried a request, or it lingers.
-    Unused,
-    /// It carried requests and may carry more.
-    Idle,
-    /// It carried requests, and a part of the next one has arrived.
-    PartialRequest,
-}
-
 /// What the poller is to report of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
@@ -34,17 +25,6 @@
     pub writable: bool,
 }
 
-/// The times after which a connection is closed.
-#[derive(Clone, Copy, Debug)]
-pub struct Timeouts {
-    /// For one that is idle.
-    pub idle: TenthMillis,
-    /// For one that does not deliver a request that it began, or a first one.
-    pub request_read: TenthMillis,
-    /// For one whose answers are not read.
-    pub unread_answers: TenthMillis,
-}
-
 /// How far the reading of requests has come.
 struct ReadState {
     reader: RequestReader,
@@ -155,31 +135,6 @@
         self.pending.is_empty() && self.out.is_empty() && self.input.reader.at_boundary()
     }
 
-    /// Whether no caller waits for an answer: it is idle, or all that is pending on it is incomplete.
-    pub fn has_no_waiting_caller(&self) -> bool {
-        self.is_idle()
-            || (self.lifecycle.reading && self.out.is_empty() && self.pending.all_incomplete())
-    }
-
-    /// What it is worth keeping for, if no caller waits on it.
-    pub fn eviction_rank(&self) -> EvictionRank {
-        if !self.input.carried_request || self.lifecycle.lingering {
-            EvictionRank::Unused
-        } else if self.is_idle() {
-            EvictionRank::Idle
-        } else {
-            EvictionRank::PartialRequest
-        }
-    }
-
-    /// Whether the system holds no unread byte of it and no end. Checked right before an idle connection is
-    /// closed, as a request that has arrived since would be lost.
-    pub fn nothing_to_read(&self) -> bool {
-        self.sock
-            .peek(&mut [0])
-            .is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
-    }
-
     /// Whether this node closes it once all pending requests are answered: one that begins now is too late.
     pub fn is_closing(&self) -> bool {
         matches!(
@@ -188,31 +143,6 @@
         )
     }
 
-    /// Why it has to be closed by now, if it has to.
-    pub fn expiry(&self, now: TenthMillis, timeouts: &Timeouts) -> Option<Termination> {
-        let inactive = now.saturating_sub(self.last_activity);
-        let overdue = self.is_request_overdue(now, timeouts.request_read);
-        if self.lifecycle.lingering {
-            self.lifecycle.close_when_answered.filter(|_| overdue)
-        } else if self.is_idle() && inactive >= timeouts.idle && self.nothing_to_read() {
-            Some(Termination::Idle)
-        } else if !self.out.is_empty() && inactive > timeouts.unread_answers {
-            Some(Termination::Unread)
-        } else {
-            overdue.then_some(Termination::Slow)
-        }
-    }
-
-    /// Whether a complete request has been due for too long: nothing came, or it trickles in.
-    fn is_request_overdue(&self, now: TenthMillis, timeout: TenthMillis) -> bool {
-        let lingering = self.lifecycle.lingering;
-        let is_due = (self.lifecycle.reading && !self.is_closing()) || lingering;
-        let timed_out = |since| now.saturating_sub(since) > timeout;
-        is_due
-            && self.input.request_due_since.is_some_and(timed_out)
-            && (!self.is_idle() || lingering || self.nothing_to_read())
-    }
-
     /// What the poller should report of it.
     pub fn interest(&self) -> Interest {
         let backlogged = self.out.len() >= MAX_UNREAD_ANSWER_BYTES;
--- a/crates/node/src/network/engine.rs
+++ b/crates/node/src/network/engine.rs
@@ -1,134 +1,156 @@
-//! The link to the engine: made, lost and made anew, with the notices in between told once each.
+//! The link to the engine. It is made again whenever it is lost, and each notice is passed on once.
 
-use std::io::{ErrorKind, Read, Write};
+mod messages;
+
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-use doortrack_admission::RequestId;
-use doortrack_time::TenthMillis;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use polling::{Event, PollMode, Poller};
-use slog::{Logger, info, warn};
-use socket2::{Domain, Socket, Type};
+use slog::{Logger, warn};
+use thiserror::Error;
 
+use super::backend::BackendEvent;
 use super::bounds::MAX_ENGINE_LINE_BYTES;
-use super::engine_protocol::{self, EngineMessage};
-use super::request::AttemptId;
+use super::connect::connect_nonblocking;
+use super::engine_protocol;
 use super::termination::Termination;
 
+/// The poller's key of the link.
 pub const ENGINE_KEY: usize = 1;
 
-const TRY_AGAIN: TenthMillis = 1_000;
+/// How long after one attempt to connect the next one may begin.
+const RECONNECT_INTERVAL: TenthMillis = 100 * MILLISECOND;
+
+/// Why the link was lost.
+#[derive(Debug, Error)]
+enum LinkError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("closed by the engine")]
+    Closed,
+    #[error("the engine moved")]
+    Moved,
+    #[error("commands stay unread")]
+    CommandsUnread,
+    #[error("a line without end")]
+    LineTooLong,
+    #[error("a line that can't be read")]
+    UnreadableLine,
+    #[error("notices are missing")]
+    MissingNotices,
+    #[error("HELLO out of turn")]
+    UnexpectedHello,
+}
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
     Down,
     Connecting,
-    /// ATTACH is on its way; HELLO may take as long as the engine needs to come up.
+    /// `ATTACH` has been sent. `HELLO` may take as long as the engine needs to come up.
     Attaching,
-    /// HELLO was read; the answer to this STAT comes after all notices that were missed.
+    /// `HELLO` was read. The answer to the gauge query of this number comes after all missed notices.
     CatchingUp {
         cookie: u64,
     },
     Up,
 }
 
-/// What the link brought, in order.
-pub enum BackendEvent {
-    Hello {
-        cold: bool,
-        age: TenthMillis,
-    },
-    /// All notices missed are in. Runs sent after the STAT of this number may not have arrived.
-    CaughtUp {
-        proven: u64,
-    },
-    EngineMessage(EngineMessage),
-    /// A run at a server came to its end, with what it brought.
-    RunEnded {
-        id: RequestId,
-        end: Termination,
-        headers: Vec<u8>,
-        body: Vec<u8>,
-    },
-    /// The link itself came to an end.
-    Ended(Termination),
-}
-
+/// The link to the engine.
 pub struct EngineLink {
-    at: SocketAddr,
+    address: SocketAddr,
     poller: Arc<Poller>,
     log: Logger,
-    /// Bytes that the engine may leave unread.
-    most_commands: usize,
+    /// Bytes of commands that the engine may leave unread before the link is given up.
+    max_unread_command_bytes: usize,
     state: State,
+    /// Present unless the link is down.
     sock: Option<TcpStream>,
-    pub next_try: TenthMillis,
+    /// When the link may be made again.
+    next_attempt: TenthMillis,
+    /// The beginning of a line whose end has not arrived.
     input: Vec<u8>,
+    /// Commands that have not been written.
     out: Vec<u8>,
     watching_writes: bool,
-    /// Number of the last notice read.
-    last: u64,
-    /// Number of the last STAT sent, and of the last one answered on a link that was up.
-    cookie: u64,
-    proven: u64,
-    /// After this notice something could not be read, and the link was made anew for it once already.
-    doubted: Option<u64>,
-    /// It could not be reached, and this was told.
-    missed: bool,
-    pub losses: u64,
+    /// The number of the last notice read.
+    last_serial: u64,
+    /// The number of the last gauge query sent.
+    last_cookie: u64,
+    /// The number of the last gauge query answered while the link was up.
+    answered_cookie: u64,
+    /// The last notice before a line that made no sense, if the link was made again for that.
+    doubted_serial: Option<u64>,
+    /// That the engine can't be reached is in the log already.
+    unreachable_logged: bool,
+    losses: u64,
 }
 
 impl EngineLink {
-    pub fn new(at: SocketAddr, poller: Arc<Poller>, log: Logger, most_commands: usize) -> Self {
+    /// A link that is down; [`EngineLink::maintain`] makes it. It is given up when the engine leaves more than
+    /// `max_unread_command_bytes` of commands unread.
+    pub fn new(
+        address: SocketAddr,
+        poller: Arc<Poller>,
+        log: Logger,
+        max_unread_command_bytes: usize,
+    ) -> Self {
         EngineLink {
-            at,
+            address,
             poller,
             log,
-            most_commands,
+            max_unread_command_bytes,
             state: State::Down,
             sock: None,
-            next_try: 0,
+            next_attempt: 0,
             input: Vec::new(),
             out: Vec::new(),
             watching_writes: false,
-            last: 0,
-            cookie: 0,
-            proven: 0,
-            doubted: None,
-            missed: false,
+            last_serial: 0,
+            last_cookie: 0,
+            answered_cookie: 0,
+            doubted_serial: None,
+            unreachable_logged: false,
             losses: 0,
         }
     }
 
+    /// Whether all missed notices are read, so that commands may be sent.
     pub fn is_up(&self) -> bool {
         self.state == State::Up
     }
 
-    pub fn is_down(&self) -> bool {
-        self.state == State::Down
+    /// How often the link has been lost.
+    pub fn losses(&self) -> u64 {
+        self.losses
     }
 
-    /// Makes the link if there is none.
+    /// When [`EngineLink::maintain`] has something to do; [`TenthMillis::MAX`] while there is a link.
+    pub fn next_due(&self) -> TenthMillis {
+        match self.state {
+            State::Down => self.next_attempt,
+            _ => TenthMillis::MAX,
+        }
+    }
+
+    /// Makes the link if it is down.
     pub fn maintain(&mut self, now: TenthMillis) {
-        if self.state != State::Down || now < self.next_try {
+        if self.state != State::Down || now < self.next_attempt {
             return;
         }
-        self.next_try = now + TRY_AGAIN;
+        self.next_attempt = now + RECONNECT_INTERVAL;
         match self.connect() {
-            Ok(sock) => (self.sock, self.state) = (Some(sock), State::Connecting),
-            Err(e) => self.out_of_reach(&e.to_string()),
-        }
-    }
-
-    /// Told once until it is back, however often it is tried.
-    fn out_of_reach(&mut self, why: &str) {
-        if !std::mem::replace(&mut self.missed, true) {
-            warn!(self.log, "engine out of reach"; "why" => why);
+            Ok(sock) => {
+                self.sock = Some(sock);
+                self.state = State::Connecting;
+            }
+            Err(e) => self.log_unreachable(&e.into()),
         }
     }
 
-    fn connect(&mut self) -> std::io::Result<TcpStream> {
-        let sock = begin_to_connect(self.at)?;
+    fn connect(&mut self) -> io::Result<TcpStream> {
+        let sock = connect_nonblocking(self.address)?;
         // SAFETY: the socket is taken out of the poller in `lose`, before it is dropped.
         unsafe {
             self.poller
@@ -138,212 +160,165 @@
         Ok(sock)
     }
 
-    fn lose(&mut self, now: TenthMillis, why: &str, backend_events: &mut Vec<BackendEvent>) {
+    /// Logged once until the engine is back, however often the link is tried.
+    fn log_unreachable(&mut self, error: &LinkError) {
+        if !std::mem::replace(&mut self.unreachable_logged, true) {
+            warn!(self.log, "engine out of reach"; "why" => %error);
+        }
+    }
+
+    fn lose(&mut self, error: &LinkError, now: TenthMillis, events: &mut Vec<BackendEvent>) {
         if let Some(sock) = self.sock.take() {
             _ = self.poller.delete(&sock);
         }
         if self.state == State::Connecting {
-            self.out_of_reach(why);
+            self.log_unreachable(error);
         } else {
             self.losses += 1;
-            warn!(self.log, "engine link lost"; "why" => why, "last" => self.last);
-            backend_events.push(BackendEvent::Ended(Termination::LinkLost));
+            warn!(self.log, "engine link lost"; "why" => %error, "last" => self.last_serial);
+            events.push(BackendEvent::LinkEnded(Termination::LinkLost));
         }
         self.state = State::Down;
-        self.next_try = self.next_try.max(now);
+        self.next_attempt = self.next_attempt.max(now);
         self.input.clear();
         self.out.clear();
     }
 
-    /// The engine is to be found elsewhere from here on.
+    /// Makes the link to another address, if it is another.
     pub fn move_to(
         &mut self,
-        at: SocketAddr,
+        address: SocketAddr,
         now: TenthMillis,
-        backend_events: &mut Vec<BackendEvent>,
+        events: &mut Vec<BackendEvent>,
     ) {
-        if at == self.at {
+        if address == self.address {
             return;
         }
-        (self.at, self.missed) = (at, false);
+        self.address = address;
+        self.unreachable_logged = false;
         if self.state != State::Down {
-            self.lose(now, "the engine moved", backend_events);
+            self.lose(&LinkError::Moved, now, events);
         }
-        self.next_try = now;
+        self.next_attempt = now;
     }
 
-    pub fn ready(
+    /// Handles what the poller reports of the link.
+    pub fn on_event(&mut self, event: Event, now: TenthMillis, events: &mut Vec<BackendEvent>) {
+        if let Err(error) = self.try_on_event(event, events) {
+            self.lose(&error, now, events);
+        }
+    }
+
+    fn try_on_event(
         &mut self,
         event: Event,
-        now: TenthMillis,
-        backend_events: &mut Vec<BackendEvent>,
-    ) {
+        events: &mut Vec<BackendEvent>,
+    ) -> Result<(), LinkError> {
         if self.state == State::Connecting && (event.writable || event.readable) {
-            let error = self
-                .sock
-                .as_ref()
-                .and_then(|sock| sock.take_error().transpose());
-            if let Some(Ok(e) | Err(e)) = error {
-                return self.lose(now, &e.to_string(), backend_events);
-            }
-            self.state = State::Attaching;
-            engine_protocol::attach(&mut self.out, self.last);
+            self.finish_connect()?;
         }
-        if event.readable {
-            self.read(now, backend_events);
+        if event.readable && self.receive()? {
+            self.read_lines(events)?;
         }
+        Ok(())
     }
 
-    fn read(&mut self, now: TenthMillis, backend_events: &mut Vec<BackendEvent>) {
-        let Some(sock) = &mut self.sock else { return };
+    fn finish_connect(&mut self) -> Result<(), LinkError> {
+        let sock = self.sock.as_ref();
+        match sock.and_then(|sock| sock.take_error().transpose()) {
+            Some(Ok(e) | Err(e)) => Err(e.into()),
+            None => {
+                self.state = State::Attaching;
+                engine_protocol::write_attach(&mut self.out, self.last_serial);
+                Ok(())
+            }
+        }
+    }
+
+    /// Appends what has arrived to the input; false if nothing has.
+    fn receive(&mut self) -> Result<bool, LinkError> {
+        let Some(sock) = &mut self.sock else {
+            return Ok(false);
+        };
         let start = self.input.len();
         self.input.resize(start + MAX_ENGINE_LINE_BYTES, 0);
-        let got = sock.read(&mut self.input[start..]);
-        self.input.truncate(start + got.as_ref().map_or(0, |n| *n));
-        match got {
-            Ok(0) => return self.lose(now, "closed by the engine", backend_events),
-            Ok(_) => {}
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return,
-            Err(e) => return self.lose(now, &e.to_string(), backend_events),
+        let received = sock.read(&mut self.input[start..]);
+        let count = received.as_ref().map_or(0, |count| *count);
+        self.input.truncate(start + count);
+        match received {
+            Ok(0) => Err(LinkError::Closed),
+            Ok(_) => Ok(true),
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+                Ok(false)
+            }
+            Err(e) => Err(e.into()),
         }
+    }
+
+    /// Handles the complete lines of the input.
+    fn read_lines(&mut self, events: &mut Vec<BackendEvent>) -> Result<(), LinkError> {
         let input = std::mem::take(&mut self.input);
         let mut rest = &input[..];
-        while let Some(end) = rest.iter().position(|b| *b == b'\n') {
+        while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
             let line = &rest[..end];
             rest = &rest[end + 1..];
-            if let Err(why) = self.line(line, backend_events) {
-                return self.lose(now, why, backend_events);
-            }
+            self.on_line(line, events)?;
         }
         if rest.len() > MAX_ENGINE_LINE_BYTES {
-            return self.lose(now, "a line without end", backend_events);
+            return Err(LinkError::LineTooLong);
         }
         self.input = rest.to_vec();
+        Ok(())
     }
 
-    /// Takes one line; an error where the link is to be made anew, so that what was missed comes again.
-    fn line(
-        &mut self,
-        line: &[u8],
-        backend_events: &mut Vec<BackendEvent>,
-    ) -> Result<(), &'static str> {
-        let notice = match engine_protocol::read(line) {
-            Ok(notice) => notice,
-            Err(what) => {
-                warn!(self.log, "engine line left out"; "what" => what);
-                return self.doubt("a line that can't be read");
-            }
-        };
-        if let Some(serial) = notice.serial() {
-            if serial <= self.last {
-                return Ok(()); // Seen before, on the link that was lost.
-            }
-            if serial > self.last + 1 {
-                self.doubt("notices are missing")?;
-            }
-            self.last = serial;
+    /// Writes the commands that the engine takes.
+    pub fn flush(&mut self, now: TenthMillis, events: &mut Vec<BackendEvent>) {
+        if self.state == State::Connecting {
+            return;
         }
-        match notice {
-            EngineMessage::Hello { cold, age } if self.state == State::Attaching => {
-                info!(self.log, "engine attached"; "cold" => cold, "age_ms" => age / 10, "last" => self.last);
-                self.missed = false;
-                backend_events.push(BackendEvent::Hello { cold, age });
-                self.state = State::CatchingUp {
-                    cookie: self.cookie + 1,
-                };
-                self.stat();
-            }
-            EngineMessage::Hello { .. } => return self.doubt("HELLO out of turn"),
-            EngineMessage::Stats { cookie, .. } if self.state == (State::CatchingUp { cookie }) => {
-                self.state = State::Up;
-                backend_events.push(BackendEvent::CaughtUp {
-                    proven: self.proven,
-                });
-                self.proven = cookie;
-            }
-            EngineMessage::Stats { cookie, .. } => {
-                self.proven = self.proven.max(cookie.min(self.cookie));
-                backend_events.push(BackendEvent::EngineMessage(notice));
-            }
-            EngineMessage::Note { text, .. } => info!(self.log, "engine remark"; "text" => text),
-            _ => backend_events.push(BackendEvent::EngineMessage(notice)),
+        if let Err(error) = self.write_commands() {
+            self.lose(&error, now, events);
         }
-        Ok(())
-    }
-
-    /// Once for each place in the notices the link is made anew; if that did not help, it is lived with.
-    fn doubt(&mut self, why: &'static str) -> Result<(), &'static str> {
-        let again = self.doubted == Some(self.last);
-        self.doubted = Some(self.last);
-        if again { Ok(()) } else { Err(why) }
-    }
-
-    /// Asks for the gauges; the number that the answer will carry.
-    pub fn stat(&mut self) -> u64 {
-        self.cookie += 1;
-        engine_protocol::stat(&mut self.out, self.cookie);
-        self.cookie
-    }
-
-    /// Sends a run; the number of the last STAT before it.
-    pub fn run(&mut self, attempt_id: &AttemptId, group: &str, body: &[u8]) -> u64 {
-        engine_protocol::run(&mut self.out, attempt_id, group, body);
-        self.cookie
-    }
-
-    pub fn halt(&mut self, attempt_id: &AttemptId) {
-        engine_protocol::halt(&mut self.out, attempt_id);
     }
 
-    pub fn flush(&mut self, now: TenthMillis, backend_events: &mut Vec<BackendEvent>) {
-        let Some(sock) = self
-            .sock
-            .as_mut()
-            .filter(|_| self.state != State::Connecting)
-        else {
-            return;
+    fn write_commands(&mut self) -> Result<(), LinkError> {
+        let Some(sock) = &mut self.sock else {
+            return Ok(());
         };
         let mut written = 0;
         while written < self.out.len() {
             match sock.write(&self.out[written..]) {
-                Ok(n) if n > 0 => written += n,
+                Ok(0) => return Err(LinkError::Closed),
+                Ok(count) => written += count,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Ok(_) => return self.lose(now, "closed by the engine", backend_events),
-                Err(e) => return self.lose(now, &e.to_string(), backend_events),
+                Err(e) => return Err(e.into()),
             }
         }
         self.out.drain(..written);
         self.out.shrink_to(MAX_ENGINE_LINE_BYTES);
-        if self.out.len() > self.most_commands {
-            return self.lose(now, "commands stay unread", backend_events);
-        }
-        let wants = !self.out.is_empty();
-        if wants != self.watching_writes {
-            let event = Event::new(ENGINE_KEY, true, wants);
-            if self
-                .poller
-                .modify_with_mode(&*sock, event, PollMode::Level)
-                .is_ok()
-            {
-                self.watching_writes = wants;
-            }
+        if self.out.len() > self.max_unread_command_bytes {
+            return Err(LinkError::CommandsUnread);
         }
+        self.watch_writes(!self.out.is_empty());
+        Ok(())
     }
-}
 
-/// A connection that is being opened in the background; it becomes writable once that has ended, well or not.
-pub(super) fn begin_to_connect(at: SocketAddr) -> std::io::Result<TcpStream> {
-    let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
-    socket.set_nonblocking(true)?;
-    socket.set_tcp_nodelay(true)?;
-    match socket.connect(&at.into()) {
-        Err(e) if e.raw_os_error() != Some(EINPROGRESS) && e.kind() != ErrorKind::WouldBlock => {
-            Err(e)
+    /// Has the poller report that the link can be written, or not.
+    fn watch_writes(&mut self, wanted: bool) {
+        let Some(sock) = self
+            .sock
+            .as_ref()
+            .filter(|_| wanted != self.watching_writes)
+        else {
+            return;
+        };
+        let interest = Event::new(ENGINE_KEY, true, wanted);
+        let modified = self
+            .poller
+            .modify_with_mode(sock, interest, PollMode::Level);
+        if modified.is_ok() {
+            self.watching_writes = wanted;
         }
-        _ => Ok(TcpStream::from(socket)),
     }
 }
-
-/// What a connection attempt that goes on in the background reports on Linux.
-const EINPROGRESS: i32 = 115;
--- a/crates/node/src/network/headers.rs
+++ b/crates/node/src/network/headers.rs
@@ -1,9 +1,9 @@
-//! Headers of a server's answer that go on to its caller.
+//! Headers of a server's answer that go on to the caller.
 
 use doortrack_protocols::Answer;
 
-/// What a connection says of itself or to its next hop, and what this node says in its own words.
-const NOT_PASSED_ON: [&str; 12] = [
+/// Headers that concern the server's connection alone (RFC 9110, 7.6.1), and those that this node sets itself.
+const NOT_FORWARDED: [&str; 12] = [
     "Connection",
     "Keep-Alive",
     "Proxy-Authenticate",
@@ -18,14 +18,11 @@
     "X-Dont-Retry",
 ];
 
-/// The headers of an answer that are its caller's, as lines.
-pub(super) fn passed_on(answer: &Answer) -> Vec<u8> {
+/// The headers of an answer that go on to the caller, as lines.
+pub(super) fn forwarded_headers(answer: &Answer) -> Vec<u8> {
     let mut lines = Vec::new();
     for (name, value) in &answer.headers {
-        if !NOT_PASSED_ON
-            .iter()
-            .any(|own| own.eq_ignore_ascii_case(name))
-        {
+        if is_forwarded(name) {
             for part in [name.as_bytes(), b": ", value, b"\r\n"] {
                 lines.extend(part);
             }
@@ -33,3 +30,9 @@
     }
     lines
 }
+
+fn is_forwarded(name: &str) -> bool {
+    !NOT_FORWARDED
+        .iter()
+        .any(|header| header.eq_ignore_ascii_case(name))
+}
--- a/crates/node/src/network/mod.rs
+++ b/crates/node/src/network/mod.rs
@@ -6,6 +6,7 @@
 pub mod backend;
 pub mod bounds;
 pub mod classified;
+mod connect;
 pub mod connection;
 pub mod engine;
 pub mod engine_protocol;
--- a/crates/node/src/network/registry.rs
+++ b/crates/node/src/network/registry.rs
@@ -1,71 +1,83 @@
-//! Reports to the registry: one datagram each, never answered.
+//! Heartbeats to the registry, which lists the nodes that dispatchers use.
+//!
+//! A heartbeat is one datagram, `BEAT name state`, and is never answered.
 
-use doortrack_time::TenthMillis;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// A node leaves the list 3 s after its last report. Reports are lost on the way, and nobody sends to a node
-/// that is not listed: at this pace nine in a row may be lost.
-const EVERY: TenthMillis = 3_000;
+use doortrack_time::{MILLISECOND, TenthMillis};
 
+/// The registry drops a node 3 s after its last heartbeat, so nine in a row may be lost.
+const HEARTBEAT_INTERVAL: TenthMillis = 300 * MILLISECOND;
+
+/// The node's entry in the registry.
 pub struct Registry {
     sock: UdpSocket,
-    own: SocketAddr,
+    own_address: SocketAddr,
     name: String,
+    /// When the next heartbeat is due.
     pub next: TenthMillis,
     draining: bool,
 }
 
 impl Registry {
-    pub fn open(own: SocketAddr, registry: SocketAddr, name: String) -> io::Result<Self> {
+    /// An entry under `name`; its first heartbeat is due at once.
+    ///
+    /// # Errors
+    /// The system refuses the socket.
+    pub fn open(own_address: SocketAddr, registry: SocketAddr, name: String) -> io::Result<Self> {
         Ok(Registry {
-            sock: socket(own, registry)?,
-            own,
+            sock: connect(own_address, registry)?,
+            own_address,
             name,
             next: 0,
             draining: false,
         })
     }
 
-    /// Reports go elsewhere from here on, the next one at once.
+    /// Sends heartbeats to another address, the next one at once.
+    ///
+    /// # Errors
+    /// The system refuses the socket; heartbeats go where they went before.
     pub fn move_to(&mut self, registry: SocketAddr) -> io::Result<()> {
-        self.sock = socket(self.own, registry)?;
+        self.sock = connect(self.own_address, registry)?;
         self.next = 0;
         Ok(())
     }
 
-    /// What stands in the reports from here on; a change is told at once.
-    pub fn tell(&mut self, draining: bool) {
+    /// Sets whether the node takes no new work; a change is sent at once.
+    pub fn set_draining(&mut self, draining: bool) {
         if draining != self.draining {
             self.draining = draining;
             self.next = 0;
         }
     }
 
+    /// Sends a heartbeat if one is due.
     pub fn heartbeat(&mut self, now: TenthMillis) {
-        if now >= self.next {
-            self.next = now + EVERY;
-            let text = report(&self.name, self.draining);
-            // Where a datagram was refused, the system keeps that and tells it at the next one in place of
-            // sending it. Told once, it is forgotten, so the report goes out at the second time.
-            if self.sock.send(text.as_bytes()).is_err() {
-                // A registry that is down lists all it knew; the next report finds it up again.
-                _ = self.sock.send(text.as_bytes());
-            }
+        if now < self.next {
+            return;
+        }
+        self.next = now + HEARTBEAT_INTERVAL;
+        let datagram = encode(&self.name, self.draining);
+        // The system reports that an earlier datagram was refused in place of sending this one. The report
+        // clears that, so the second attempt sends.
+        if self.sock.send(datagram.as_bytes()).is_err() {
+            // A registry that is down keeps all entries, and the next heartbeat may find it up again.
+            _ = self.sock.send(datagram.as_bytes());
         }
     }
 }
 
-fn socket(own: SocketAddr, registry: SocketAddr) -> io::Result<UdpSocket> {
-    let sock = UdpSocket::bind((own.ip(), 0))?;
+fn connect(own_address: SocketAddr, registry: SocketAddr) -> io::Result<UdpSocket> {
+    let sock = UdpSocket::bind((own_address.ip(), 0))?;
     sock.set_nonblocking(true)?;
     sock.connect(registry)?;
     Ok(sock)
 }
 
-pub fn report(name: &str, draining: bool) -> String {
-    format!(
-        "BEAT {name} {}",
-        if draining { "draining" } else { "ready" }
-    )
+/// Encodes a heartbeat.
+pub fn encode(name: &str, draining: bool) -> String {
+    let state = if draining { "draining" } else { "ready" };
+    format!("BEAT {name} {state}")
 }
--- a/crates/node/src/network/server_log.rs
+++ b/crates/node/src/network/server_log.rs
@@ -1,34 +1,36 @@
-//! What the log tells of one application server.
+//! Log lines on the state of application servers.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 use doortrack_upstream::Standing;
 use slog::{Logger, info, warn};
 
-/// Tells what is thought of the server at this address from now on; `in_use` counts servers of its pool.
-pub fn log_standing(
+/// Logs a change of the state of the server at `address`; `in_use` is how many servers of its pool get requests.
+pub fn log_server_state(
     log: &Logger,
     address: &str,
     in_use: usize,
-    standing: Standing,
+    state: Standing,
     now: TenthMillis,
 ) {
-    let left_ms = |till: TenthMillis| till.saturating_sub(now) / MILLISECOND;
-    match standing {
+    let remaining_ms = |until: TenthMillis| until.saturating_sub(now) / MILLISECOND;
+    match state {
         Standing::PutAside { till } => {
-            warn!(log, "server put aside"; "address" => address, "for_ms" => left_ms(till),
+            warn!(log, "server ejected"; "address" => address, "for_ms" => remaining_ms(till),
                 "in_use" => in_use);
         }
         Standing::Returning => {
-            info!(log, "server probed"; "address" => address, "in_use" => in_use)
+            info!(log, "server health check"; "address" => address, "in_use" => in_use);
+        }
+        Standing::Fit => {
+            info!(log, "server recovered"; "address" => address, "in_use" => in_use);
         }
-        Standing::Fit => info!(log, "server fit again"; "address" => address, "in_use" => in_use),
         Standing::Down { till } => {
-            warn!(log, "server down"; "address" => address, "probed_after_ms" => left_ms(till),
+            warn!(log, "server down"; "address" => address, "health_check_after_ms" => remaining_ms(till),
                 "in_use" => in_use);
         }
         Standing::Ramping { till } => {
-            info!(log, "server ramps up"; "address" => address, "for_ms" => left_ms(till));
+            info!(log, "server slow start"; "address" => address, "for_ms" => remaining_ms(till));
         }
-        Standing::Warm => info!(log, "server warm"; "address" => address),
+        Standing::Warm => info!(log, "server warmed up"; "address" => address),
     }
 }
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -1,352 +1,256 @@
-//! The connections to application servers. All that is decided about them is the pool's (package `servers/`);
-//! here it is carried out on sockets.
+//! Pools of application servers: their connections, and the runs on them.
+//!
+//! What to do is decided by [`Pool`] (package `doortrack-upstream`) without sockets; it is carried out here.
 
+mod actions;
+mod connection;
 mod transfer;
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::io::ErrorKind;
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use std::sync::Arc;
 
-use doortrack_admission::{RequestId, RunOutcome};
-use doortrack_config::Servers as Asked;
-use doortrack_protocols::{Answer, AnswerReader, Pair, Protocol, write_request};
+use doortrack_admission::RequestId;
+use doortrack_config::Servers as ServerSettings;
+use doortrack_protocols::{Answer, Pair, Protocol, write_request};
 use doortrack_time::TenthMillis;
-use doortrack_upstream::{Action, Admission, ConnId, Pool, RunEnd, RunId, ServerId, Token};
-use polling::{Event, PollMode, Poller};
+use doortrack_upstream::{Action, Admission, Pool, RunId, ServerId};
+use polling::{Event, Poller};
 use rustc_hash::FxHashMap;
-use slog::{Logger, warn};
+use slog::Logger;
 
+use self::connection::ServerConnection;
+use super::backend::{BackendEvent, RampGate, RetryGate};
 use super::bounds::READ_BUFFER_BYTES;
-use super::engine::{BackendEvent, begin_to_connect};
-use super::headers::passed_on;
 use super::listeners::RawVariables;
-use super::server_log::log_standing;
-use super::termination::Termination;
 
-/// Connections to servers have the keys from here on, those of each pool so many.
+/// The poller's key of the first connection to a server.
 pub const SERVER_KEY: usize = 1 << 40;
+/// How many keys each pool has.
 pub const POOL_KEYS: usize = 1 << 24;
-/// On a connection that carries one request at a time every one goes by the same id.
-const ID: u16 = 1;
-struct Sock {
-    sock: TcpStream,
-    opening: bool,
-    run: Option<RunId>,
-    /// Bytes of the run's request that were handed to the system.
-    written: usize,
-    reader: AnswerReader,
-    /// Whether the poller tells when it can be written.
-    watches_writes: bool,
-}
+/// The wire id of every request, as a connection carries one at a time.
+const WIRE_ID: u16 = 1;
+/// Bytes of framing that an encoded request is expected to need beside variables and body.
+const EXPECTED_FRAMING_BYTES: usize = 256;
 
+/// A pool of servers and the connections to them.
 pub struct Servers {
     poller: Arc<Poller>,
     log: Logger,
-    /// The first of its keys.
+    /// The poller's key of the pool's first connection.
     first_key: usize,
     pool: Pool,
     protocol: Protocol,
-    keep: bool,
-    most_answer: usize,
-    at: BTreeMap<ServerId, SocketAddr>,
-    socks: Vec<Option<Sock>>,
-    /// What is to be sent for each run in hand, kept until it has ended, as it may be tried again.
+    /// Whether connections may be kept for the next run.
+    keep_alive: bool,
+    max_answer_bytes: usize,
+    addresses: BTreeMap<ServerId, SocketAddr>,
+    /// By the pool's id of the connection.
+    connections: Vec<Option<ServerConnection>>,
+    /// The encoded request of each run that has not ended, as it may be retried.
     requests: FxHashMap<RunId, Vec<u8>>,
-    results: FxHashMap<RunId, Answer>,
+    /// The answer of each run that has completed, until the pool reports its end.
+    answers: FxHashMap<RunId, Answer>,
+    /// What the pool has decided and is still to be carried out.
     actions: Vec<Action>,
-    backend_events: Vec<BackendEvent>,
-    scratch: Vec<u8>,
-    up: bool,
-    /// How runs ended.
-    pub ends: BTreeMap<&'static str, u64>,
+    /// What is still to be passed on.
+    events: Vec<BackendEvent>,
+    read_buffer: Vec<u8>,
+    /// That the backend is up has been reported.
+    started: bool,
+    /// How many runs ended, by the name of the termination.
+    pub terminations: BTreeMap<&'static str, u64>,
 }
 
 impl Servers {
-    /// `longest` is the longest deadline; chance in the pool starts from `seed`.
-    /// `place` is that of the pool among all.
+    /// The pool at `index` among all. Its random choices start from `seed`; no caller waits for longer than
+    /// `longest_deadline`.
     pub fn new(
         poller: Arc<Poller>,
         log: Logger,
-        asked: &Asked,
-        place: usize,
-        longest: TenthMillis,
+        settings: &ServerSettings,
+        index: usize,
+        longest_deadline: TenthMillis,
         seed: u64,
     ) -> Servers {
-        let (at, socks, actions, ends) = Default::default();
-        let (requests, results, backend_events) = Default::default();
-        let pool = Pool::new(asked.terms(longest), seed);
-        let (protocol, keep, most_answer) = (asked.protocol.into(), false, 0);
-        let (scratch, up) = (vec![0; READ_BUFFER_BYTES], false);
-        let first_key = SERVER_KEY + place * POOL_KEYS;
         let mut servers = Servers {
             poller,
             log,
-            first_key,
-            pool,
-            protocol,
-            keep,
-            most_answer,
-            at,
-            socks,
-            requests,
-            results,
-            actions,
-            backend_events,
-            scratch,
-            up,
-            ends,
+            first_key: SERVER_KEY + index * POOL_KEYS,
+            pool: Pool::new(settings.terms(longest_deadline), seed),
+            protocol: settings.protocol.into(),
+            keep_alive: false,
+            max_answer_bytes: 0,
+            addresses: BTreeMap::new(),
+            connections: Vec::new(),
+            requests: FxHashMap::default(),
+            answers: FxHashMap::default(),
+            actions: Vec::new(),
+            events: Vec::new(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            started: false,
+            terminations: BTreeMap::new(),
         };
-        servers.take_up(asked, longest, 0);
+        servers.reload(settings, longest_deadline, 0);
         servers
     }
 
-    /// Takes up a new list of servers and how the pool is to be kept. What they speak is as it was at the
-    /// start: requests in hand are written in that.
-    pub fn take_up(&mut self, asked: &Asked, longest: TenthMillis, now: TenthMillis) {
-        let terms = asked.terms(longest);
-        (self.keep, self.most_answer) = (terms.idle > 0, asked.most_answer_bytes as usize);
+    /// Puts new settings into force. The protocol stays, as requests are encoded in it already.
+    pub fn reload(
+        &mut self,
+        settings: &ServerSettings,
+        longest_deadline: TenthMillis,
+        now: TenthMillis,
+    ) {
+        let terms = settings.terms(longest_deadline);
+        self.keep_alive = terms.idle > 0;
+        self.max_answer_bytes = settings.most_answer_bytes as usize;
         self.pool.retune(terms, now, &mut self.actions);
-        self.settle(now);
-        let members: BTreeMap<SocketAddr, ServerId> = self
-            .at
-            .iter()
-            .filter(|(server, _)| self.pool.has(**server))
-            .map(|(server, at)| (*at, *server))
-            .collect();
-        // New ones first, so that what the others are given meanwhile has somewhere to go.
-        for at in asked
-            .addresses
-            .iter()
-            .filter(|at| !members.contains_key(at))
-        {
-            // What is known from the node's own start on counts as warm.
-            let server = match self.up {
-                true => self.pool.add_cold(now, &mut self.actions),
-                false => self.pool.add(now, &mut self.actions),
-            };
-            self.at.insert(server, *at);
-            self.settle(now);
+        self.execute_actions(now);
+        let members = self.members();
+        // Servers are added first, so that what the removed ones had to do has somewhere to go.
+        for address in &settings.addresses {
+            if !members.contains_key(address) {
+                self.add(*address, now);
+            }
         }
-        let wanted: BTreeSet<SocketAddr> = asked.addresses.iter().copied().collect();
-        for (_, server) in members.iter().filter(|(at, _)| !wanted.contains(at)) {
-            self.pool.remove(*server, now, &mut self.actions);
-            self.settle(now);
+        let listed: BTreeSet<SocketAddr> = settings.addresses.iter().copied().collect();
+        for (address, server) in &members {
+            if !listed.contains(address) {
+                self.pool.remove(*server, now, &mut self.actions);
+                self.execute_actions(now);
+            }
         }
-        self.forget_gone();
+        self.forget_removed();
+    }
+
+    /// The pool's servers by address.
+    fn members(&self) -> BTreeMap<SocketAddr, ServerId> {
+        let known = self.addresses.iter();
+        known
+            .filter(|(server, _)| self.pool.has(**server))
+            .map(|(server, address)| (*address, *server))
+            .collect()
+    }
+
+    fn add(&mut self, address: SocketAddr, now: TenthMillis) {
+        // Servers that are known from the node's own start count as warmed up.
+        let server = if self.started {
+            self.pool.add_cold(now, &mut self.actions)
+        } else {
+            self.pool.add(now, &mut self.actions)
+        };
+        self.addresses.insert(server, address);
+        self.execute_actions(now);
     }
 
-    fn forget_gone(&mut self) {
+    /// Drops the addresses of servers that the pool does not need any more.
+    fn forget_removed(&mut self) {
         let pool = &self.pool;
-        self.at.retain(|server, _| pool.knows(*server));
+        self.addresses.retain(|server, _| pool.knows(*server));
     }
 
-    /// Retries are to pass this as well.
-    pub fn gate_retries(&mut self, gate: Box<dyn FnMut() -> bool>) {
+    /// Has the pool ask before it retries.
+    pub fn gate_retries(&mut self, gate: RetryGate) {
         self.pool.gate_retries(gate);
     }
 
-    /// Ramps are shared with others, who grant tokens of them.
-    pub fn gate_ramps(&mut self, gate: Box<dyn FnMut() -> Token>) {
+    /// Has the pool ask for tokens of its slow starts.
+    pub fn gate_ramps(&mut self, gate: RampGate) {
         self.pool.gate_ramps(gate);
     }
 
-    /// Whether one more request may be admitted.
+    /// Admits one more request.
     ///
     /// # Errors
-    /// How long to wait before it comes back, in tenths of a ms.
+    /// The servers are busy; when to retry.
     pub fn admit(&mut self, now: TenthMillis) -> Result<Admission, TenthMillis> {
         let admission = self.pool.admit(now);
-        self.settle(now);
+        self.execute_actions(now);
         admission
     }
 
+    /// Gives back a reservation.
     pub fn release(&mut self) {
         self.pool.release();
     }
 
+    /// The pool, for its counts.
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
+    /// Does what is due.
     pub fn maintain(&mut self, now: TenthMillis) {
-        if !std::mem::replace(&mut self.up, true) {
-            // Nobody tells whether servers are warm; a pool takes one at a time back that is not.
-            self.backend_events.push(BackendEvent::Hello {
+        if !std::mem::replace(&mut self.started, true) {
+            // Whether servers have warmed up is not known; a pool sends each one that returns a run at a time.
+            self.events.push(BackendEvent::Up {
                 cold: false,
-                age: 0,
+                uptime: 0,
             });
         }
         if self.pool.next_due() <= now {
             self.pool.tick(now, &mut self.actions);
-            self.settle(now);
+            self.execute_actions(now);
         }
     }
 
+    /// When [`Servers::maintain`] is due; 0 while there are events to pass on.
     pub fn next_due(&self) -> TenthMillis {
-        // What is to be told is not waited for.
-        if self.up && self.backend_events.is_empty() {
+        if self.started && self.events.is_empty() {
             self.pool.next_due()
         } else {
             0
         }
     }
 
+    /// Begins a run.
     pub fn run(
         &mut self,
         run: RequestId,
-        block: Option<RawVariables>,
+        variables: Option<RawVariables>,
         body: &[u8],
-        repeatable: bool,
+        idempotent: bool,
         now: TenthMillis,
     ) {
-        let pairs = block
-            .as_ref()
-            .and_then(|block| block.protocol.pairs(&block.bytes).ok());
-        let mut variables: Vec<Pair> = pairs.unwrap_or_default();
-        variables.retain(|(name, _)| *name != b"CONTENT_LENGTH");
-        let mut request = Vec::with_capacity(
-            body.len() + block.as_ref().map_or(0, |block| block.bytes.len()) + 256,
-        );
-        let written = write_request(self.protocol, &mut request, ID, self.keep, &variables, body);
-        debug_assert!(written.is_ok(), "a block that was read is written again");
+        let request = self.encode(variables.as_ref(), body);
         self.requests.insert(run, request);
-        self.pool.begin(run, repeatable, now, &mut self.actions);
-        self.settle(now);
-    }
-
-    pub fn stop(&mut self, run: RequestId, now: TenthMillis) {
-        self.pool.stop(run, now, &mut self.actions);
-        self.settle(now);
-    }
-
-    pub fn ready(&mut self, event: Event, now: TenthMillis) {
-        self.became_ready(event.key - self.first_key, event, now);
-        self.settle(now);
-    }
-
-    fn became_ready(&mut self, conn: ConnId, event: Event, now: TenthMillis) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
-            return;
-        };
-        if sock.opening {
-            match sock.sock.take_error() {
-                Ok(None) if event.writable => {
-                    sock.opening = false;
-                    self.pool.opened(conn, now, &mut self.actions);
-                }
-                Ok(None) => {}
-                failed => {
-                    self.drop_sock(conn);
-                    self.not_opened(conn, failed.ok().flatten(), now);
-                }
-            }
-            return;
-        }
-        if event.writable {
-            self.write(conn, now);
-        }
-        if event.readable {
-            self.read(conn, now);
-        }
-    }
-
-    /// A connection did not open. Refused, there is no doubt that nothing listens there.
-    fn not_opened(&mut self, conn: ConnId, why: Option<std::io::Error>, now: TenthMillis) {
-        if why.is_some_and(|e| e.kind() == ErrorKind::ConnectionRefused) {
-            self.pool.refused(conn, now, &mut self.actions);
-        } else {
-            self.pool.open_failed(conn, now, &mut self.actions);
-        }
-    }
-
-    /// What came of it all since the last time.
-    pub fn flush(&mut self, backend_events: &mut Vec<BackendEvent>) {
-        backend_events.append(&mut self.backend_events);
+        self.pool.begin(run, idempotent, now, &mut self.actions);
+        self.execute_actions(now);
     }
 
-    /// Carries out what the pool decided, until nothing new comes of it. That is done after each event:
-    /// places of connections are used again at once, and an event of the one before would be taken for the
-    /// next one's.
-    fn settle(&mut self, now: TenthMillis) {
-        while !self.actions.is_empty() {
-            let actions = std::mem::take(&mut self.actions);
-            actions
-                .into_iter()
-                .for_each(|what| self.carry_out(what, now));
-        }
+    fn encode(&self, variables: Option<&RawVariables>, body: &[u8]) -> Vec<u8> {
+        let pairs = variables.and_then(|raw| raw.protocol.pairs(&raw.bytes).ok());
+        let mut pairs: Vec<Pair> = pairs.unwrap_or_default();
+        pairs.retain(|(name, _)| *name != b"CONTENT_LENGTH");
+        let variable_bytes = variables.map_or(0, |raw| raw.bytes.len());
+        let mut request = Vec::with_capacity(body.len() + variable_bytes + EXPECTED_FRAMING_BYTES);
+        let encoded = write_request(
+            self.protocol,
+            &mut request,
+            WIRE_ID,
+            self.keep_alive,
+            &pairs,
+            body,
+        );
+        debug_assert!(encoded.is_ok(), "variables that were decoded are encoded");
+        request
     }
 
-    fn carry_out(&mut self, what: Action, now: TenthMillis) {
-        match what {
-            Action::Open { conn, server } => {
-                if let Err(e) = self.open(conn, server) {
-                    warn!(self.log, "server out of reach"; "address" => ?self.at.get(&server), "why" => %e);
-                    self.not_opened(conn, Some(e), now);
-                }
-            }
-            Action::Send { conn, run } => self.send(conn, run, now),
-            Action::Close { conn } => self.drop_sock(conn),
-            Action::Ended { run, end } => {
-                self.requests.remove(&run);
-                let answer = self.results.remove(&run).unwrap_or_default();
-                let end = match end {
-                    RunEnd::Completed => Termination::Run(RunOutcome::Completed),
-                    RunEnd::Failed => Termination::Run(RunOutcome::Failed),
-                    RunEnd::Stopped => Termination::Run(RunOutcome::Cancelled),
-                    RunEnd::NeverRan => Termination::Unreached,
-                    RunEnd::Lost => Termination::ServerLost,
-                    RunEnd::Late => Termination::ServerLate,
-                };
-                *self.ends.entry(end.name()).or_default() += 1;
-                let headers = passed_on(&answer);
-                self.backend_events.push(BackendEvent::RunEnded {
-                    id: run,
-                    end,
-                    headers,
-                    body: answer.body,
-                });
-            }
-            Action::Report { server, standing } => {
-                let address = self
-                    .at
-                    .get(&server)
-                    .map_or_else(String::new, SocketAddr::to_string);
-                log_standing(&self.log, &address, self.pool.in_use(), standing, now);
-            }
-        }
+    /// Cancels a run.
+    pub fn cancel(&mut self, run: RequestId, now: TenthMillis) {
+        self.pool.stop(run, now, &mut self.actions);
+        self.execute_actions(now);
     }
 
-    fn open(&mut self, conn: ConnId, server: ServerId) -> std::io::Result<()> {
-        let at = self.at.get(&server).copied().ok_or(ErrorKind::NotFound)?;
-        let sock = begin_to_connect(at)?;
-        // SAFETY: the socket is taken out of the poller in `drop_sock`, before it is dropped.
-        unsafe {
-            self.poller
-                .add_with_mode(&sock, Event::all(self.first_key + conn), PollMode::Level)?
-        };
-        if self.socks.len() <= conn {
-            self.socks.resize_with(conn + 1, || None);
-        }
-        let reader = AnswerReader::new(self.protocol, ID, self.most_answer);
-        let (opening, run, written, watches_writes) = (true, None, 0, true);
-        self.socks[conn] = Some(Sock {
-            sock,
-            opening,
-            run,
-            written,
-            reader,
-            watches_writes,
-        });
-        Ok(())
+    /// Handles what the poller reports of a connection.
+    pub fn on_event(&mut self, event: Event, now: TenthMillis) {
+        self.on_connection_event(event.key - self.first_key, event, now);
+        self.execute_actions(now);
     }
 
-    fn drop_sock(&mut self, conn: ConnId) {
-        if let Some(sock) = self.socks.get_mut(conn).and_then(Option::take) {
-            _ = self.poller.delete(&sock.sock);
-        }
-        while self.socks.last().is_some_and(Option::is_none) {
-            self.socks.pop();
-        }
+    /// Passes on what has happened since the last time.
+    pub fn flush(&mut self, events: &mut Vec<BackendEvent>) {
+        events.append(&mut self.events);
     }
 }
--- /dev/null
+++ b/crates/node/src/network/servers/connection.rs
@@ -0,0 +1,110 @@
+//! Opens and closes connections to servers.
+
+use std::io::{self, ErrorKind};
+use std::net::TcpStream;
+
+use doortrack_protocols::AnswerReader;
+use doortrack_time::TenthMillis;
+use doortrack_upstream::{ConnId, RunId, ServerId};
+use polling::{Event, PollMode};
+
+use super::{Servers, WIRE_ID};
+use crate::network::connect::connect_nonblocking;
+
+/// A connection to a server. It carries one run at a time.
+pub(super) struct ServerConnection {
+    pub(super) sock: TcpStream,
+    /// It is not established yet.
+    pub(super) connecting: bool,
+    /// The run that it carries.
+    pub(super) run: Option<RunId>,
+    /// Bytes of the run's request that the system has taken.
+    pub(super) written: usize,
+    pub(super) reader: AnswerReader,
+    /// The poller reports when it can be written.
+    pub(super) watching_writes: bool,
+}
+
+impl Servers {
+    pub(super) fn connection_mut(&mut self, id: ConnId) -> Option<&mut ServerConnection> {
+        self.connections.get_mut(id).and_then(Option::as_mut)
+    }
+
+    /// Begins to connect to a server.
+    pub(super) fn open(&mut self, id: ConnId, server: ServerId) -> io::Result<()> {
+        let address = self.addresses.get(&server).copied();
+        let sock = connect_nonblocking(address.ok_or(ErrorKind::NotFound)?)?;
+        // SAFETY: the socket is taken out of the poller in `close`, before it is dropped.
+        unsafe {
+            self.poller
+                .add_with_mode(&sock, Event::all(self.first_key + id), PollMode::Level)?
+        };
+        if self.connections.len() <= id {
+            self.connections.resize_with(id + 1, || None);
+        }
+        self.connections[id] = Some(ServerConnection {
+            sock,
+            connecting: true,
+            run: None,
+            written: 0,
+            reader: AnswerReader::new(self.protocol, WIRE_ID, self.max_answer_bytes),
+            watching_writes: true,
+        });
+        Ok(())
+    }
+
+    pub(super) fn close(&mut self, id: ConnId) {
+        if let Some(connection) = self.connections.get_mut(id).and_then(Option::take) {
+            _ = self.poller.delete(&connection.sock);
+        }
+        while self.connections.last().is_some_and(Option::is_none) {
+            self.connections.pop();
+        }
+    }
+
+    pub(super) fn on_connection_event(&mut self, id: ConnId, event: Event, now: TenthMillis) {
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
+        if connection.connecting {
+            return self.on_connect_event(id, event, now);
+        }
+        if event.writable {
+            self.write(id, now);
+        }
+        if event.readable {
+            self.read(id, now);
+        }
+    }
+
+    fn on_connect_event(&mut self, id: ConnId, event: Event, now: TenthMillis) {
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
+        match connection.sock.take_error() {
+            Ok(None) if event.writable => {
+                connection.connecting = false;
+                self.pool.opened(id, now, &mut self.actions);
+            }
+            Ok(None) => {}
+            failed => {
+                self.close(id);
+                self.on_open_failed(id, failed.ok().flatten(), now);
+            }
+        }
+    }
+
+    /// Reports that a connection could not be opened. If it was refused, nothing listens there for sure.
+    pub(super) fn on_open_failed(
+        &mut self,
+        id: ConnId,
+        error: Option<io::Error>,
+        now: TenthMillis,
+    ) {
+        if error.is_some_and(|e| e.kind() == ErrorKind::ConnectionRefused) {
+            self.pool.refused(id, now, &mut self.actions);
+        } else {
+            self.pool.open_failed(id, now, &mut self.actions);
+        }
+    }
+}
--- a/crates/node/src/network/servers/transfer.rs
+++ b/crates/node/src/network/servers/transfer.rs
@@ -1,133 +1,147 @@
-//! What passes on one connection to an application server: a run is written, its answer is read.
+//! Writes requests to servers and reads their answers.
 
 use std::io::{ErrorKind, Read, Write};
 
-use doortrack_protocols::{AnswerReader, Answered, Protocol};
+use doortrack_protocols::{Answer, AnswerReader, Answered, Protocol};
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{ConnId, Over, RunId};
 use polling::{Event, PollMode};
 
-use super::{ID, Servers};
+use super::{Servers, WIRE_ID};
 
 impl Servers {
-    fn lost(&mut self, conn: ConnId, now: TenthMillis) {
-        self.drop_sock(conn);
-        self.pool.lost(conn, now, &mut self.actions);
-    }
-
-    pub(super) fn send(&mut self, conn: ConnId, run: RunId, now: TenthMillis) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
+    /// Sends a run on an idle connection.
+    pub(super) fn send(&mut self, id: ConnId, run: RunId, now: TenthMillis) {
+        let reader = AnswerReader::new(self.protocol, WIRE_ID, self.max_answer_bytes);
+        let Some(connection) = self.connection_mut(id) else {
             return;
         };
-        // The last look before a kept one is used: what its server closed meanwhile would take the run with
-        // it.
-        if !sock
+        // Checked right before it is used: the server may have closed it, and the run would be lost with it.
+        let nothing_to_read = connection
             .sock
             .peek(&mut [0])
-            .is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
-        {
-            return self.lost(conn, now);
+            .is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
+        if !nothing_to_read {
+            return self.on_lost(id, now);
         }
-        (sock.run, sock.written) = (Some(run), 0);
-        sock.reader = AnswerReader::new(self.protocol, ID, self.most_answer);
-        self.write(conn, now);
+        connection.run = Some(run);
+        connection.written = 0;
+        connection.reader = reader;
+        self.write(id, now);
     }
 
-    pub(super) fn write(&mut self, conn: ConnId, now: TenthMillis) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
+    /// Writes what the server takes of a run's request.
+    pub(super) fn write(&mut self, id: ConnId, now: TenthMillis) {
+        let Some(connection) = self.connections.get_mut(id).and_then(Option::as_mut) else {
             return;
         };
-        let request = sock
-            .run
-            .and_then(|run| self.requests.get(&run))
-            .map_or(&[][..], Vec::as_slice);
-        while sock.written < request.len() {
-            match sock.sock.write(&request[sock.written..]) {
-                Ok(n) if n > 0 => {
-                    if sock.written == 0 {
-                        self.pool.sent(conn);
+        let request = connection.run.and_then(|run| self.requests.get(&run));
+        let request = request.map_or(&[][..], Vec::as_slice);
+        while connection.written < request.len() {
+            match connection.sock.write(&request[connection.written..]) {
+                Ok(count) if count > 0 => {
+                    if connection.written == 0 {
+                        self.pool.sent(id);
                     }
-                    sock.written += n;
+                    connection.written += count;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                // It takes no more of it; perhaps it has answered already. If not, reading tells.
-                _ if sock.written > 0 => {
-                    sock.written = request.len();
-                    return self.read(conn, now);
+                // The server takes no more of it. It may have answered already, which reading tells.
+                _ if connection.written > 0 => {
+                    connection.written = request.len();
+                    return self.read(id, now);
                 }
-                _ => return self.lost(conn, now),
+                _ => return self.on_lost(id, now),
             }
         }
-        let wants = sock.written < request.len();
-        if wants != sock.watches_writes {
-            let event = Event::new(self.first_key + conn, true, wants);
-            if self
-                .poller
-                .modify_with_mode(&sock.sock, event, PollMode::Level)
-                .is_ok()
-            {
-                sock.watches_writes = wants;
-            }
+        let is_incomplete = connection.written < request.len();
+        self.watch_writes(id, is_incomplete);
+    }
+
+    /// Has the poller report that a connection can be written, or not.
+    fn watch_writes(&mut self, id: ConnId, wanted: bool) {
+        let connection = self.connections.get_mut(id).and_then(Option::as_mut);
+        let Some(connection) = connection.filter(|found| found.watching_writes != wanted) else {
+            return;
+        };
+        let interest = Event::new(self.first_key + id, true, wanted);
+        let modified = self
+            .poller
+            .modify_with_mode(&connection.sock, interest, PollMode::Level);
+        if modified.is_ok() {
+            connection.watching_writes = wanted;
         }
     }
 
-    pub(super) fn read(&mut self, conn: ConnId, now: TenthMillis) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        self.read_into(conn, &mut scratch, now);
-        self.scratch = scratch;
+    /// Reads a connection once.
+    pub(super) fn read(&mut self, id: ConnId, now: TenthMillis) {
+        let mut buffer = std::mem::take(&mut self.read_buffer);
+        self.read_into(id, &mut buffer, now);
+        self.read_buffer = buffer;
     }
 
-    fn read_into(&mut self, conn: ConnId, scratch: &mut [u8], now: TenthMillis) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
+    fn read_into(&mut self, id: ConnId, buffer: &mut [u8], now: TenthMillis) {
+        let Some(connection) = self.connection_mut(id) else {
             return;
         };
-        let n = match sock.sock.read(scratch) {
-            Ok(n) => n,
+        let count = match connection.sock.read(buffer) {
+            Ok(count) => count,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return,
-            Err(_) => return self.lost(conn, now),
+            Err(_) => return self.on_lost(id, now),
         };
-        // On one that carries nothing there is nothing to be read but its end.
-        if sock.run.is_none() {
-            return self.lost(conn, now);
+        // Nothing but its end can be expected of a connection that carries no run.
+        if connection.run.is_none() {
+            return self.on_lost(id, now);
         }
-        if n == 0 {
-            return match sock.reader.closed() {
-                Ok(answer) => self.over(conn, Answered::Whole(answer), false, now),
-                Err(_) => self.lost(conn, now),
+        if count == 0 {
+            return match connection.reader.closed() {
+                Ok(answer) => self.on_answer(id, Answered::Whole(answer), false, now),
+                Err(_) => self.on_lost(id, now),
             };
         }
-        let mut input = &scratch[..n];
-        match sock.reader.take(&mut input) {
-            Ok(Some(answered)) => self.over(conn, answered, input.is_empty(), now),
+        let mut input = &buffer[..count];
+        match connection.reader.take(&mut input) {
+            Ok(Some(answered)) => self.on_answer(id, answered, input.is_empty(), now),
             Ok(None) => {}
-            Err(_) => self.lost(conn, now),
+            Err(_) => self.on_lost(id, now),
         }
     }
 
-    fn over(&mut self, conn: ConnId, answered: Answered, clean: bool, now: TenthMillis) {
-        let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
+    fn on_lost(&mut self, id: ConnId, now: TenthMillis) {
+        self.close(id);
+        self.pool.lost(id, now, &mut self.actions);
+    }
+
+    /// Handles the answer of a run; `nothing_left` tells that the server sent nothing after it.
+    fn on_answer(&mut self, id: ConnId, answered: Answered, nothing_left: bool, now: TenthMillis) {
+        let Some(connection) = self.connection_mut(id) else {
+            return;
+        };
+        let written = connection.written;
+        let Some(run) = connection.run.take() else {
             return;
         };
-        let Some(run) = sock.run.take() else { return };
-        let whole = self
-            .requests
-            .get(&run)
-            .is_some_and(|request| request.len() == sock.written);
-        let keep = clean && whole && self.keep && self.protocol == Protocol::FastCgi;
+        let request = self.requests.get(&run);
+        let all_written = request.is_some_and(|request| request.len() == written);
+        let is_reusable = self.keep_alive && self.protocol == Protocol::FastCgi;
+        let keep = nothing_left && all_written && is_reusable;
         let over = match answered {
-            Answered::Whole(answer) => {
-                let keep = keep && !answer.excess;
-                if (200..300).contains(&answer.status) {
-                    self.results.insert(run, answer);
-                    Over::Completed { keep }
-                } else {
-                    Over::Failed { keep }
-                }
-            }
+            Answered::Whole(answer) => self.store_answer(run, answer, keep),
             Answered::Refused(_) => Over::Refused { keep },
         };
-        self.pool.over(conn, over, now, &mut self.actions);
-        self.forget_gone();
+        self.pool.over(id, over, now, &mut self.actions);
+        self.forget_removed();
+    }
+
+    /// Stores the answer of a run that has completed, until the pool reports its end.
+    fn store_answer(&mut self, run: RunId, answer: Answer, keep: bool) -> Over {
+        let keep = keep && !answer.excess;
+        let succeeded = (200..300).contains(&answer.status);
+        if !succeeded {
+            return Over::Failed { keep };
+        }
+        self.answers.insert(run, answer);
+        Over::Completed { keep }
     }
 }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -25,8 +25,7 @@
 use self::builds::Reloader;
 use self::drain::FLUSH;
 use self::report::Slowest;
-use crate::network::backend::Backend;
-use crate::network::engine::BackendEvent;
+use crate::network::backend::{Backend, BackendEvent};
 use crate::network::listeners::{FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
 use crate::network::registry::Registry;
 use crate::network::request::{Answer, RunOutput};
@@ -185,7 +184,9 @@
                         .filter(|part| part.key() == key)
                         .for_each(|part| part.ready());
                 }
-                key if self.work.has(key) => self.work.ready(event, self.now, backend_events),
+                key if self.work.has_key(key) => {
+                    self.work.on_event(event, self.now, backend_events)
+                }
                 LISTEN_KEY..FIRST_KEY => {
                     _ = self
                         .listeners
@@ -302,7 +303,7 @@
                     ..
                 }) if self.work.is_up() => self.run(id),
                 Some(ex) if ex.stage.may_run() => {
-                    self.work.stop(id, ex, self.now);
+                    self.work.cancel(id, ex, self.now);
                     if let Stage::InDoubt { stopped } = &mut ex.stage {
                         *stopped = self.work.is_up();
                     }
@@ -331,7 +332,7 @@
                 self.listeners.healthy = good;
                 let follows = self.orders.settings.list_follows_health;
                 self.registry
-                    .tell(self.stop_at.is_some() || (follows && !good));
+                    .set_draining(self.stop_at.is_some() || (follows && !good));
                 info!(self.log, "health"; "good" => good);
             }
             Action::Backpressure { value: level } => self.listeners.backpressure = Some(level),
--- a/crates/node/src/serve/drain.rs
+++ b/crates/node/src/serve/drain.rs
@@ -20,7 +20,7 @@
         }
         let stop = noticed + self.platform.stop_after;
         (self.stop_at, self.noticed) = (Some(stop), noticed);
-        self.registry.tell(true);
+        self.registry.set_draining(true);
         self.parts.iter_mut().for_each(|part| part.leave());
         self.build_names_stop = self.reloader.is_under_way();
         info!(self.log, "told to leave"; "in_hand" => self.in_flight.in_flight_count());
--- a/crates/node/src/serve/events.rs
+++ b/crates/node/src/serve/events.rs
@@ -7,8 +7,8 @@
 use slog::warn;
 
 use super::{Node, READING, STALE};
-use crate::network::engine::BackendEvent;
-use crate::network::engine_protocol::EngineMessage;
+use crate::network::backend::BackendEvent;
+use crate::network::engine_protocol::{EngineMessage, RefusedCommand};
 use crate::network::listeners::{Caller, ListenerEvent, RawVariables};
 use crate::network::request::{Answer, IncomingRequest, RunOutput, Unreadable};
 use crate::network::termination::{Outcome, Termination};
@@ -58,7 +58,7 @@
             Err(answer) => return self.listeners.answer(caller, answer),
         };
         let (try_id, group, stamp) = (request.attempt_id, request.group, request.arrived_at);
-        let block = Some(variables).filter(|_| self.work.wants_variables());
+        let block = Some(variables).filter(|_| self.work.needs_variables());
         let pool = request.pool.map_or(0, |place| place + 1);
         // A repeat takes the outcome of the first: it uses nothing more.
         let asked = AdmissionRequest {
@@ -253,8 +253,8 @@
 
     pub(super) fn backend_event(&mut self, what: BackendEvent) {
         match what {
-            BackendEvent::Hello { cold, age } => self.open_door(cold, age),
-            BackendEvent::CaughtUp { proven } => self.caught_up(proven),
+            BackendEvent::Up { cold, uptime } => self.open_door(cold, uptime),
+            BackendEvent::CaughtUp { answered_cookie } => self.caught_up(answered_cookie),
             BackendEvent::EngineMessage(EngineMessage::Done {
                 attempt_id,
                 outcome,
@@ -265,13 +265,13 @@
                     self.ended(id, Termination::Run(outcome), RunOutput::from(&result[..]));
                 }
             }
-            BackendEvent::EngineMessage(EngineMessage::Not {
+            BackendEvent::EngineMessage(EngineMessage::Refused {
                 command,
                 attempt_id,
             }) => {
-                warn!(self.log, "engine would not"; "command" => &command);
+                warn!(self.log, "engine would not"; "command" => %command);
                 let id = attempt_id.and_then(|attempt_id| self.in_flight.of_try(&attempt_id));
-                let end = if command == "RUN" {
+                let end = if command == RefusedCommand::Run {
                     Termination::RunRefused
                 } else {
                     Termination::StopRefused
@@ -285,18 +285,18 @@
             BackendEvent::EngineMessage(_) => {}
             BackendEvent::RunEnded {
                 id,
-                end,
+                termination,
                 headers,
                 body,
             } => self.ended(
                 id,
-                end,
+                termination,
                 RunOutput {
                     headers: &headers,
                     body: &body,
                 },
             ),
-            BackendEvent::Ended(end) => {
+            BackendEvent::LinkEnded(end) => {
                 let running: Vec<RequestId> = self.in_flight.running().map(|(id, _)| id).collect();
                 running
                     .into_iter()
@@ -373,7 +373,7 @@
             None if self.closes_next() => {}
             // Where nobody has gauges, alarms carry none.
             None => {
-                if let Some(cookie) = self.work.stat() {
+                if let Some(cookie) = self.work.query_gauges() {
                     self.reading = Some((cookie, self.now + READING));
                     return;
                 }
--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -15,9 +15,8 @@
 use super::build::{Candidate, Running};
 use super::builds::Retired;
 use super::start::log_rules;
-use crate::network::backend::Backend;
+use crate::network::backend::{Backend, BackendEvent};
 use crate::network::classified::{RuleTable, Rules};
-use crate::network::engine::BackendEvent;
 use crate::network::listeners::ListenerEvent;
 use crate::system::signals::RELOAD_KEY;
 
@@ -175,7 +174,7 @@
         let longest = groups.iter().map(|group| group.deadline).max().unwrap_or(0);
         if let Backend::Servers(pools) = &mut self.work {
             for ((_, pool), (_, servers)) in pools.iter_mut().zip(installation.named_pools()) {
-                pool.take_up(servers, longest, self.now);
+                pool.reload(servers, longest, self.now);
             }
         }
     }
--- a/crates/node/src/serve/report.rs
+++ b/crates/node/src/serve/report.rs
@@ -45,7 +45,7 @@
             info!(self.log, "so far of servers"; "pool" => name, "servers" => pool.servers(),
                 "in_use" => pool.in_use(),
                 "connections" => pool.connections(), "in_hand" => pool.in_hand(), "begun" => counts.begun,
-                "ends" => Serde(servers.ends.clone()), "retries" => counts.retries,
+                "ends" => Serde(servers.terminations.clone()), "retries" => counts.retries,
                 "unbudgeted" => counts.unbudgeted, "failures" => counts.failures,
                 "put_aside" => counts.put_aside, "opened" => counts.opened, "stale" => counts.stale,
                 "cold" => pool.cold(), "ramps" => counts.ramps, "held_back" => counts.held_back);
--- a/crates/node/tests/node/idle.rs
+++ b/crates/node/tests/node/idle.rs
@@ -241,7 +241,7 @@
         assert_eq!(code, Some(0), "{log}");
         assert!(log.contains("few descriptors"), "{log}");
         assert!(
-            !log.contains("server put aside") && !log.contains("out of reach"),
+            !log.contains("server ejected") && !log.contains("out of reach"),
             "{log}"
         );
     }
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -146,7 +146,7 @@
     #[test]
     fn bodies_pass_the_engine_link_unchanged(body in bytes(2100), serial in any::<u64>()) {
         let mut out = Vec::new();
-        engine_protocol::run(&mut out, b"00112233445566aa", "\"a \\\" name\"", &body);
+        engine_protocol::write_run(&mut out, b"00112233445566aa", "\"a \\\" name\"", &body);
         let sent: Value = serde_json::from_slice(&out).unwrap();
         prop_assert_eq!(&sent["service"], "a \" name");
         let (call, blob) = (&sent["call"], &sent["blob"]);
@@ -381,7 +381,7 @@
         hello,
         Ok(EngineMessage::Hello {
             cold: true,
-            age: 125
+            uptime: 125
         })
     );
 }
@@ -556,8 +556,8 @@
 
 #[test]
 fn reports_are_three_words() {
-    assert_eq!(registry::report("n3", false), "BEAT n3 ready");
-    assert_eq!(registry::report("n3", true), "BEAT n3 draining");
+    assert_eq!(registry::encode("n3", false), "BEAT n3 ready");
+    assert_eq!(registry::encode("n3", true), "BEAT n3 draining");
 }
 
 const KEY: (u8, [u8; 32]) = (1, [b'a'; 32]);
--- a/crates/node/tests/node/silences.rs
+++ b/crates/node/tests/node/silences.rs
@@ -66,7 +66,7 @@
     registry.heartbeat(0);
     let list = UdpSocket::bind(at).unwrap();
     list.set_read_timeout(Some(LONG)).unwrap();
-    registry.tell(true);
+    registry.set_draining(true);
     registry.heartbeat(1);
     let mut text = [0; 64];
     let n = list.recv(&mut text).unwrap();
