--- a/crates/node/src/network/backend.rs
+++ b/crates/node/src/network/backend.rs
@@ -4,7 +4,7 @@
 
 use doortrack_admission::RequestId;
 use doortrack_time::TenthMillis;
-use doortrack_upstream::{Admission, Token};
+use doortrack_upstream::{Admission, TokenResponse};
 use polling::Event;
 
 use super::engine::{ENGINE_KEY, EngineLink};
@@ -48,7 +48,7 @@
 /// Asks whether a retry may be sent.
 pub type RetryGate = Box<dyn FnMut() -> bool>;
 /// Asks for a token of a slow start.
-pub type RampGate = Box<dyn FnMut() -> Token>;
+pub type RampGate = Box<dyn FnMut() -> TokenResponse>;
 
 /// A pool of servers and its name.
 pub type NamedPool = (String, Servers);
@@ -125,7 +125,7 @@
     pub fn admit(&mut self, pool: u16, now: TenthMillis) -> Result<Admission, TenthMillis> {
         match self.pool_or_default(pool) {
             Some(pool) => pool.admit(now),
-            None => Ok(Admission::Free),
+            None => Ok(Admission::Unreserved),
         }
     }
 
--- a/crates/node/src/network/classified.rs
+++ b/crates/node/src/network/classified.rs
@@ -11,7 +11,7 @@
 use doortrack_config::Installation;
 use doortrack_expr::{Request as _, Scratch};
 use doortrack_protocols::Protocol;
-use doortrack_routes::{Built, Class, Classed, Note, Refusal, Table};
+use doortrack_routes::{Built, Class, Classification, Rejection, Shadowed, Table};
 use doortrack_settings::DeploymentSettings;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
@@ -33,7 +33,7 @@
     /// The endpoint group of requests that no rule matches.
     default_group: Option<u8>,
     /// Rules that can never match.
-    pub notes: Vec<Note>,
+    pub shadowed: Vec<Shadowed>,
     /// How many rules the table shares with the one before it.
     pub reused: usize,
 }
@@ -50,13 +50,13 @@
         let default_group = installation.otherwise.as_ref().and_then(group_index);
         let Built {
             table,
-            notes,
+            shadowed,
             reused,
         } = built;
         RuleTable {
             table: Arc::new(table),
             default_group: default_group.map(|index| index as u8),
-            notes,
+            shadowed,
             reused,
         }
     }
@@ -169,11 +169,11 @@
                 true => Some(idempotency_key(class, fields)?),
                 false => None,
             },
-            session_key: match class.and_then(|class| class.subject) {
+            session_key: match class.and_then(|class| class.session_key) {
                 Some(session_key) => session_key,
                 None => fields.session_key()?,
             },
-            timeout: class.and_then(|class| class.due),
+            timeout: class.and_then(|class| class.timeout),
             pool: class.and_then(|class| class.pool),
         })
     }
@@ -181,14 +181,14 @@
     /// What the first matching rule says of a request; none where no rule matches.
     fn classify(&mut self, view: &RequestView) -> Result<Option<Class>, Unreadable> {
         match self.rules.table.classify(view, &mut self.scratch) {
-            Classed::As(class) => Ok(Some(class)),
-            Classed::NoRule => Ok(None),
-            Classed::Refused {
-                why: Refusal::Tenant,
+            Classification::As(class) => Ok(Some(class)),
+            Classification::NoRule => Ok(None),
+            Classification::Rejected {
+                why: Rejection::Tenant,
                 ..
             } => Err(Unreadable::Field("customer")),
-            Classed::Refused {
-                why: Refusal::IdempotencyKey,
+            Classification::Rejected {
+                why: Rejection::IdempotencyKey,
                 ..
             } => Err(Unreadable::Field("idempotency_key")),
         }
--- a/crates/node/src/network/server_log.rs
+++ b/crates/node/src/network/server_log.rs
@@ -1,7 +1,7 @@
 //! Log lines on the state of application servers.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
-use doortrack_upstream::Standing;
+use doortrack_upstream::ServerState;
 use slog::{Logger, info, warn};
 
 /// Logs a change of the state of the server at `address`; `in_use` is how many servers of its pool get requests.
@@ -9,28 +9,28 @@
     log: &Logger,
     address: &str,
     in_use: usize,
-    state: Standing,
+    state: ServerState,
     now: TenthMillis,
 ) {
     let remaining_ms = |until: TenthMillis| until.saturating_sub(now) / MILLISECOND;
     match state {
-        Standing::PutAside { till } => {
-            warn!(log, "server ejected"; "address" => address, "for_ms" => remaining_ms(till),
+        ServerState::Ejected { until } => {
+            warn!(log, "server ejected"; "address" => address, "for_ms" => remaining_ms(until),
                 "in_use" => in_use);
         }
-        Standing::Returning => {
+        ServerState::HealthCheck => {
             info!(log, "server health check"; "address" => address, "in_use" => in_use);
         }
-        Standing::Fit => {
+        ServerState::Recovered => {
             info!(log, "server recovered"; "address" => address, "in_use" => in_use);
         }
-        Standing::Down { till } => {
-            warn!(log, "server down"; "address" => address, "health_check_after_ms" => remaining_ms(till),
+        ServerState::Down { until } => {
+            warn!(log, "server down"; "address" => address, "health_check_after_ms" => remaining_ms(until),
                 "in_use" => in_use);
         }
-        Standing::Ramping { till } => {
-            info!(log, "server slow start"; "address" => address, "for_ms" => remaining_ms(till));
+        ServerState::SlowStart { until } => {
+            info!(log, "server slow start"; "address" => address, "for_ms" => remaining_ms(until));
         }
-        Standing::Warm => info!(log, "server warmed up"; "address" => address),
+        ServerState::WarmedUp => info!(log, "server warmed up"; "address" => address),
     }
 }
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use doortrack_admission::RequestId;
-use doortrack_config::Servers as ServerSettings;
+use doortrack_config::ServerPool as ServerSettings;
 use doortrack_protocols::{Answer, Pair, Protocol, write_request};
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{Action, Admission, Pool, RunId, ServerId};
@@ -77,7 +77,7 @@
             poller,
             log,
             first_key: SERVER_KEY + index * POOL_KEYS,
-            pool: Pool::new(settings.terms(longest_deadline), seed),
+            pool: Pool::new(settings.pool_config(longest_deadline), seed),
             protocol: settings.protocol.into(),
             keep_alive: false,
             max_answer_bytes: 0,
@@ -102,10 +102,10 @@
         longest_deadline: TenthMillis,
         now: TenthMillis,
     ) {
-        let terms = settings.terms(longest_deadline);
-        self.keep_alive = terms.idle > 0;
-        self.max_answer_bytes = settings.most_answer_bytes as usize;
-        self.pool.retune(terms, now, &mut self.actions);
+        let config = settings.pool_config(longest_deadline);
+        self.keep_alive = config.idle_timeout > 0;
+        self.max_answer_bytes = settings.max_response_bytes as usize;
+        self.pool.reconfigure(config, now, &mut self.actions);
         self.execute_actions(now);
         let members = self.members();
         // Servers are added first, so that what the removed ones had to do has somewhere to go.
@@ -117,7 +117,7 @@
         let listed: BTreeSet<SocketAddr> = settings.addresses.iter().copied().collect();
         for (address, server) in &members {
             if !listed.contains(address) {
-                self.pool.remove(*server, now, &mut self.actions);
+                self.pool.remove_server(*server, now, &mut self.actions);
                 self.execute_actions(now);
             }
         }
@@ -128,7 +128,7 @@
     fn members(&self) -> BTreeMap<SocketAddr, ServerId> {
         let known = self.addresses.iter();
         known
-            .filter(|(server, _)| self.pool.has(**server))
+            .filter(|(server, _)| self.pool.is_member(**server))
             .map(|(server, address)| (*address, *server))
             .collect()
     }
@@ -136,9 +136,9 @@
     fn add(&mut self, address: SocketAddr, now: TenthMillis) {
         // Servers that are known from the node's own start count as warmed up.
         let server = if self.started {
-            self.pool.add_cold(now, &mut self.actions)
+            self.pool.add_cold_server(now, &mut self.actions)
         } else {
-            self.pool.add(now, &mut self.actions)
+            self.pool.add_server(now, &mut self.actions)
         };
         self.addresses.insert(server, address);
         self.execute_actions(now);
@@ -147,17 +147,17 @@
     /// Drops the addresses of servers that the pool does not need any more.
     fn forget_removed(&mut self) {
         let pool = &self.pool;
-        self.addresses.retain(|server, _| pool.knows(*server));
+        self.addresses.retain(|server, _| pool.is_known(*server));
     }
 
     /// Has the pool ask before it retries.
     pub fn gate_retries(&mut self, gate: RetryGate) {
-        self.pool.gate_retries(gate);
+        self.pool.set_retry_gate(gate);
     }
 
     /// Has the pool ask for tokens of its slow starts.
     pub fn gate_ramps(&mut self, gate: RampGate) {
-        self.pool.gate_ramps(gate);
+        self.pool.set_slow_start_tokens(gate);
     }
 
     /// Admits one more request.
@@ -172,7 +172,7 @@
 
     /// Gives back a reservation.
     pub fn release(&mut self) {
-        self.pool.release();
+        self.pool.release_reservation();
     }
 
     /// The pool, for its counts.
@@ -239,7 +239,7 @@
 
     /// Cancels a run.
     pub fn cancel(&mut self, run: RequestId, now: TenthMillis) {
-        self.pool.stop(run, now, &mut self.actions);
+        self.pool.cancel(run, now, &mut self.actions);
         self.execute_actions(now);
     }
 
--- a/crates/node/src/network/servers/actions.rs
+++ b/crates/node/src/network/servers/actions.rs
@@ -35,10 +35,10 @@
             Action::Send { conn, run } => self.send(conn, run, now),
             Action::Close { conn } => self.close(conn),
             Action::Ended { run, end } => self.on_run_ended(run, termination(end)),
-            Action::Report { server, standing } => {
+            Action::StateChanged { server, state } => {
                 let address = self.addresses.get(&server);
                 let address = address.map_or_else(String::new, SocketAddr::to_string);
-                log_server_state(&self.log, &address, self.pool.in_use(), standing, now);
+                log_server_state(&self.log, &address, self.pool.in_use(), state, now);
             }
         }
     }
@@ -60,9 +60,9 @@
     match end {
         RunEnd::Completed => Termination::Run(RunOutcome::Completed),
         RunEnd::Failed => Termination::Run(RunOutcome::Failed),
-        RunEnd::Stopped => Termination::Run(RunOutcome::Cancelled),
-        RunEnd::NeverRan => Termination::Unreached,
+        RunEnd::Cancelled => Termination::Run(RunOutcome::Cancelled),
+        RunEnd::NotRun => Termination::Unreached,
         RunEnd::Lost => Termination::ServerLost,
-        RunEnd::Late => Termination::ServerLate,
+        RunEnd::TimedOut => Termination::ServerLate,
     }
 }
--- a/crates/node/src/network/servers/connection.rs
+++ b/crates/node/src/network/servers/connection.rs
@@ -84,7 +84,7 @@
         match connection.sock.take_error() {
             Ok(None) if event.writable => {
                 connection.connecting = false;
-                self.pool.opened(id, now, &mut self.actions);
+                self.pool.connected(id, now, &mut self.actions);
             }
             Ok(None) => {}
             failed => {
@@ -102,9 +102,9 @@
         now: TenthMillis,
     ) {
         if error.is_some_and(|e| e.kind() == ErrorKind::ConnectionRefused) {
-            self.pool.refused(id, now, &mut self.actions);
+            self.pool.connect_refused(id, now, &mut self.actions);
         } else {
-            self.pool.open_failed(id, now, &mut self.actions);
+            self.pool.connect_failed(id, now, &mut self.actions);
         }
     }
 }
--- a/crates/node/src/network/servers/transfer.rs
+++ b/crates/node/src/network/servers/transfer.rs
@@ -4,7 +4,7 @@
 
 use doortrack_protocols::{Answer, AnswerReader, Answered, Protocol};
 use doortrack_time::TenthMillis;
-use doortrack_upstream::{ConnId, Over, RunId};
+use doortrack_upstream::{ConnId, ResponseEnd, RunId};
 use polling::{Event, PollMode};
 
 use super::{Servers, WIRE_ID};
@@ -41,7 +41,7 @@
             match connection.sock.write(&request[connection.written..]) {
                 Ok(count) if count > 0 => {
                     if connection.written == 0 {
-                        self.pool.sent(id);
+                        self.pool.request_sent(id);
                     }
                     connection.written += count;
                 }
@@ -110,7 +110,7 @@
 
     fn on_lost(&mut self, id: ConnId, now: TenthMillis) {
         self.close(id);
-        self.pool.lost(id, now, &mut self.actions);
+        self.pool.connection_lost(id, now, &mut self.actions);
     }
 
     /// Handles the answer of a run; `nothing_left` tells that the server sent nothing after it.
@@ -124,24 +124,24 @@
         };
         let request = self.requests.get(&run);
         let all_written = request.is_some_and(|request| request.len() == written);
-        let is_reusable = self.keep_alive && self.protocol == Protocol::FastCgi;
-        let keep = nothing_left && all_written && is_reusable;
-        let over = match answered {
-            Answered::Whole(answer) => self.store_answer(run, answer, keep),
-            Answered::Refused(_) => Over::Refused { keep },
+        let may_keep = self.keep_alive && self.protocol == Protocol::FastCgi;
+        let reusable = nothing_left && all_written && may_keep;
+        let end = match answered {
+            Answered::Whole(answer) => self.store_answer(run, answer, reusable),
+            Answered::Refused(_) => ResponseEnd::Refused { reusable },
         };
-        self.pool.over(id, over, now, &mut self.actions);
+        self.pool.response_ended(id, end, now, &mut self.actions);
         self.forget_removed();
     }
 
     /// Stores the answer of a run that has completed, until the pool reports its end.
-    fn store_answer(&mut self, run: RunId, answer: Answer, keep: bool) -> Over {
-        let keep = keep && !answer.excess;
+    fn store_answer(&mut self, run: RunId, answer: Answer, reusable: bool) -> ResponseEnd {
+        let reusable = reusable && !answer.excess;
         let succeeded = (200..300).contains(&answer.status);
         if !succeeded {
-            return Over::Failed { keep };
+            return ResponseEnd::Failed { reusable };
         }
         self.answers.insert(run, answer);
-        Over::Completed { keep }
+        ResponseEnd::Completed { reusable }
     }
 }
