--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -4,7 +4,7 @@
 
 use doortrack_admission::Effect;
 use doortrack_expr::Limits;
-use doortrack_routes::{Built, Names, Rule, Table};
+use doortrack_routes::{Built, GroupName, Names, Rule, RuleError, Table};
 use doortrack_settings::DeploymentSettings;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -29,8 +29,8 @@
     pub tenant: Option<String>,
     /// What the exchange is about, as string, bytes or int. Absent: the variable HTTP_X_OBJECT, if there is
     /// one.
-    #[serde(default)]
-    pub subject: Option<String>,
+    #[serde(default, rename = "subject")]
+    pub session_key: Option<String>,
     /// The idempotency key by which a repeat of a deduplicated exchange is known. Absent: the variable
     /// HTTP_IDEMPOTENCY_KEY.
     #[serde(default, alias = "mark")]
@@ -39,11 +39,11 @@
     #[serde(default)]
     pub rank: Option<String>,
     /// How long its caller waits, a duration. Absent: the deadline of its group.
-    #[serde(default)]
-    pub due: Option<String>,
+    #[serde(default, rename = "due")]
+    pub timeout: Option<String>,
     /// The pool of servers that it goes to, by its name in `pools`. Absent: `servers`.
-    #[serde(default)]
-    pub servers: Option<String>,
+    #[serde(default, rename = "servers")]
+    pub pool: Option<String>,
 }
 
 /// What an expression may cost, and what it sees of a request.
@@ -110,11 +110,11 @@
             when: rule.when.clone(),
             group: rule.group.clone(),
             tenant: rule.tenant.clone(),
-            subject: rule.subject.clone(),
+            session_key: rule.session_key.clone(),
             idempotency_key: rule.idempotency_key.clone(),
             rank: rule.rank.clone(),
-            due: rule.due.clone(),
-            servers: rule.servers.clone(),
+            timeout: rule.timeout.clone(),
+            pool: rule.pool.clone(),
         }
     }
 }
@@ -137,13 +137,11 @@
         previous: Option<&Table>,
         settings: &DeploymentSettings,
     ) -> Result<Option<Built>, ConfigErrors> {
-        let has_key = settings
-            .admission
-            .groups
-            .iter()
-            .map(|group| group.effect == Effect::Deduplicated);
+        let groups = settings.group_names.iter().zip(&settings.admission.groups);
         let names = Names {
-            groups: settings.group_names.iter().cloned().zip(has_key).collect(),
+            groups: groups
+                .map(|(name, group)| GroupName::new(name, group.effect == Effect::Deduplicated))
+                .collect(),
             tenants: settings.tenant_names.clone(),
             pools: self.pools.keys().cloned().collect(),
         };
@@ -159,7 +157,10 @@
     pub fn table_without_deployment(&self) -> Result<Option<Built>, ConfigErrors> {
         let groups = self.groups_in_rules();
         let names = Names {
-            groups: groups.into_iter().map(|name| (name, true)).collect(),
+            groups: groups
+                .into_iter()
+                .map(|name| GroupName::new(name, true))
+                .collect(),
             tenants: vec!["any".into()],
             pools: self.pools.keys().cloned().collect(),
         };
@@ -203,6 +204,6 @@
     }
 }
 
-fn rule_error(error: doortrack_routes::Fault) -> ConfigError {
-    ConfigError::new(format!("installation.{}", error.path), error.what)
+fn rule_error(error: RuleError) -> ConfigError {
+    ConfigError::new(format!("installation.{}", error.path), error.message)
 }
