--- a/crates/config/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -37,7 +37,7 @@
     pub burst: Option<u32>,
     /// Which exchanges it is for: one of the five.
     #[serde(rename = "for")]
-    pub applies_to: BudgetFor,
+    pub applies_to: BudgetScope,
     /// Set aside for each node of `reserved_for`, so that it has this much even when it hears nobody. For a
     /// rate at least `limit` / `burst`, or it holds no whole exchange.
     #[serde(default, alias = "floor")]
@@ -70,7 +70,8 @@
 /// By what exchanges fall under a budget; each customer, group and pool under one at the most.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
-pub enum BudgetFor {
+#[schemars(rename = "BudgetFor")]
+pub enum BudgetScope {
     #[expect(missing_docs, reason = "a doc comment would change the schema")]
     #[serde(rename = "customer")]
     Tenant(String),
@@ -82,7 +83,8 @@
     Retries(String),
     /// First runs on servers of that pool that were down: a rate, each second `2 * runs / over_ms` of the
     /// pool's `ramp`.
-    Ramp(String),
+    #[serde(rename = "ramp")]
+    SlowStart(String),
 }
 
 /// How fast budgets are divided; the same on all nodes of a fleet.
--- a/crates/config/src/budgets/assignment.rs
+++ b/crates/config/src/budgets/assignment.rs
@@ -4,7 +4,7 @@
 
 use doortrack_budgets::Budget;
 
-use super::BudgetFor;
+use super::BudgetScope;
 use crate::{Installation, NodeConfig};
 
 /// Indices of the budgets that apply to requests, by group, tenant and pool; `None` where there is no budget.
@@ -20,7 +20,7 @@
     /// Of retries, by pool.
     pub retries: Vec<Option<u16>>,
     /// Of first runs on servers in slow start, by pool.
-    pub ramps: Vec<Option<u16>>,
+    pub slow_starts: Vec<Option<u16>>,
 }
 
 impl Installation {
@@ -38,13 +38,13 @@
 
     /// Which budgets apply to which requests.
     pub fn budget_indices(&self, config: &NodeConfig) -> BudgetIndices {
-        let indices: HashMap<&BudgetFor, u16> = self
+        let indices: HashMap<&BudgetScope, u16> = self
             .budgets
             .iter()
             .enumerate()
             .map(|(index, budget)| (&budget.applies_to, index as u16))
             .collect();
-        let indices_of = |names: &[String], scope: fn(String) -> BudgetFor| -> Vec<Option<u16>> {
+        let indices_of = |names: &[String], scope: fn(String) -> BudgetScope| -> Vec<Option<u16>> {
             names
                 .iter()
                 .map(|name| indices.get(&scope(name.clone())).copied())
@@ -52,11 +52,11 @@
         };
         let pools: Vec<String> = self.pool_names().map(String::from).collect();
         BudgetIndices {
-            groups: indices_of(&config.settings.group_names, BudgetFor::Group),
-            tenants: indices_of(&config.settings.tenant_names, BudgetFor::Tenant),
-            pools: indices_of(&pools, BudgetFor::Pool),
-            retries: indices_of(&pools, BudgetFor::Retries),
-            ramps: indices_of(&pools, BudgetFor::Ramp),
+            groups: indices_of(&config.settings.group_names, BudgetScope::Group),
+            tenants: indices_of(&config.settings.tenant_names, BudgetScope::Tenant),
+            pools: indices_of(&pools, BudgetScope::Pool),
+            retries: indices_of(&pools, BudgetScope::Retries),
+            slow_starts: indices_of(&pools, BudgetScope::SlowStart),
         }
     }
 }
--- a/crates/config/src/budgets/validate.rs
+++ b/crates/config/src/budgets/validate.rs
@@ -4,7 +4,7 @@
 
 use doortrack_budgets::MAX_BUDGETS;
 
-use super::{BudgetFile, BudgetFor, BudgetKind, LeaseTimes};
+use super::{BudgetFile, BudgetKind, BudgetScope, LeaseTimes};
 use crate::fleet::NAME_RULE;
 use crate::range::check_range;
 use crate::{ConfigErrorKind, ErrorCollector, Installation, NodeConfig};
@@ -85,11 +85,13 @@
         }
         if self.kind == BudgetKind::Concurrency {
             match self.applies_to {
-                BudgetFor::Retries(_) => {
+                BudgetScope::Retries(_) => {
                     errors.push(format!("{path}.kind"), "retries are a rate");
                 }
-                BudgetFor::Ramp(_) => errors.push(format!("{path}.kind"), "a ramp is a rate"),
-                BudgetFor::Tenant(_) | BudgetFor::Group(_) | BudgetFor::Pool(_) => {}
+                BudgetScope::SlowStart(_) => {
+                    errors.push(format!("{path}.kind"), "a ramp is a rate")
+                }
+                BudgetScope::Tenant(_) | BudgetScope::Group(_) | BudgetScope::Pool(_) => {}
             }
         }
     }
@@ -167,11 +169,13 @@
         for (index, budget) in self.budgets.iter().enumerate() {
             let path = format!("{BUDGETS}[{index}]");
             let (kind, name, known) = match &budget.applies_to {
-                BudgetFor::Tenant(name) => ("customer", name, tenants.contains(name.as_str())),
-                BudgetFor::Group(name) => {
+                BudgetScope::Tenant(name) => ("customer", name, tenants.contains(name.as_str())),
+                BudgetScope::Group(name) => {
                     ("endpoint group", name, settings.group_names.contains(name))
                 }
-                BudgetFor::Pool(name) | BudgetFor::Retries(name) | BudgetFor::Ramp(name) => {
+                BudgetScope::Pool(name)
+                | BudgetScope::Retries(name)
+                | BudgetScope::SlowStart(name) => {
                     ("pool", name, self.pool_names().any(|pool| pool == name))
                 }
             };
@@ -181,7 +185,7 @@
                     format!("{path}.for"),
                     ConfigErrorKind::UnknownName { kind, name },
                 );
-            } else if let BudgetFor::Ramp(pool) = &budget.applies_to {
+            } else if let BudgetScope::SlowStart(pool) = &budget.applies_to {
                 self.validate_slow_start_budget(budget.limit, pool, &path, errors);
             }
         }
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -39,8 +39,8 @@
     #[schemars(length(max = 8))]
     pub listeners: Vec<ListenerConfig>,
     /// Application servers that do the work in place of the engine. Absent: the engine does it.
-    #[serde(default)]
-    pub servers: Option<ServerPool>,
+    #[serde(default, rename = "servers")]
+    pub default_pool: Option<ServerPool>,
     /// Further pools of servers, by the names that rules use.
     #[serde(default)]
     pub pools: BTreeMap<String, ServerPool>,
@@ -50,8 +50,8 @@
     #[schemars(length(max = 100_000))]
     pub rules: Vec<RuleFile>,
     /// The endpoint group of what no rule takes. Absent: it is answered with 404.
-    #[serde(default)]
-    pub otherwise: Option<String>,
+    #[serde(default, rename = "otherwise")]
+    pub fallback_group: Option<String>,
     /// What expressions may cost and see.
     #[serde(default)]
     pub expressions: ExpressionLimits,
@@ -159,7 +159,7 @@
     /// All pools of servers with the paths at which they are found; the one without a name first.
     pub fn pools_with_paths(&self) -> impl Iterator<Item = (String, &ServerPool)> {
         let default = self
-            .servers
+            .default_pool
             .iter()
             .map(|pool| (format!("{ROOT}.{DEFAULT_POOL}"), pool));
         let named = self
@@ -171,7 +171,7 @@
 
     /// All pools of servers with their names; the one without a name comes first and goes by `servers`.
     pub fn named_pools(&self) -> impl Iterator<Item = (&str, &ServerPool)> {
-        let default = self.servers.iter().map(|pool| (DEFAULT_POOL, pool));
+        let default = self.default_pool.iter().map(|pool| (DEFAULT_POOL, pool));
         let named = self.pools.iter().map(|(name, pool)| (name.as_str(), pool));
         default.chain(named)
     }
--- a/crates/config/src/installation/validate.rs
+++ b/crates/config/src/installation/validate.rs
@@ -20,7 +20,7 @@
             fleet.validate(errors);
         }
         self.validate_budgets(errors);
-        if self.otherwise.is_some() && self.rules.is_empty() {
+        if self.fallback_group.is_some() && self.rules.is_empty() {
             let rule = "without rules there is nothing else";
             errors.push(format!("{ROOT}.otherwise"), rule);
         }
@@ -58,7 +58,7 @@
         for (path, pool) in self.pools_with_paths() {
             pool.validate(&path, errors);
         }
-        if self.servers.is_none() && !self.pools.is_empty() {
+        if self.default_pool.is_none() && !self.pools.is_empty() {
             let rule = "needed key 'servers' is missing: what no rule sends to a pool goes there";
             errors.push(ROOT, rule);
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod servers;
 mod stable;
 
-pub use budgets::{BudgetFile, BudgetFor, BudgetIndices, BudgetKind, LeaseTimes};
+pub use budgets::{BudgetFile, BudgetIndices, BudgetKind, BudgetScope, LeaseTimes};
 pub use error::{ConfigError, ConfigErrorKind, ConfigErrors, ErrorCollector};
 pub use fleet::{FleetFile, FleetTests, FleetTimes};
 pub use installation::{Installation, ListenerConfig, ProtocolName};
--- a/crates/config/src/node_config.rs
+++ b/crates/config/src/node_config.rs
@@ -159,50 +159,45 @@
 fn settings(root: &JsonNode) -> Result<DeploymentSettings, ConfigErrors> {
     let settings = doortrack_settings::read(&root.required("settings")?)?;
     check_supported(&settings)?;
+    check_counts(&settings)?;
     Ok(settings)
 }
 
 /// Refuses what a deployment may ask for and this node can't do.
 fn check_supported(settings: &DeploymentSettings) -> Result<(), ConfigError> {
     let groups = &settings.admission.groups;
-    let unsupported = [
-        (settings.has_downstream, "below", "calls to what lies below"),
+    let calls_downstream = groups.iter().any(|group| group.calls_downstream);
+    let (key, feature) = if settings.has_downstream {
+        ("below", "calls to what lies below")
+    } else if calls_downstream {
+        ("calls_by_class", "endpoint groups that call")
+    } else if settings.deep_checks {
+        ("deep_checks", "health checks that do real work")
+    } else if settings.passes_deadline {
         (
-            groups.iter().any(|group| group.calls_downstream),
-            "calls_by_class",
-            "endpoint groups that call",
-        ),
-        (
-            settings.deep_checks,
-            "deep_checks",
-            "health checks that do real work",
-        ),
-        (
-            settings.passes_deadline,
             "passes_deadline",
             "exchanges that tell how long their caller waits",
-        ),
-    ];
-    if let Some((_, key, feature)) = unsupported.iter().find(|(asked_for, _, _)| *asked_for) {
-        let path = format!("config.settings.family_info.{key}");
-        return Err(ConfigError::new(
-            path,
-            ConfigErrorKind::Unsupported(feature),
-        ));
-    }
-    if settings.group_names.is_empty() {
-        return Err(ConfigError::new(
-            "config.settings.lanes",
-            "at least one is wanted",
-        ));
-    }
-    if settings.group_names.len() > MAX_GROUPS {
-        let rule = format!("at most {MAX_GROUPS} are wanted");
-        return Err(ConfigError::new("config.settings.lanes", rule));
-    }
-    if settings.tenant_names.len() > MAX_TENANTS {
-        let rule = format!("at most {MAX_TENANTS} are wanted");
-        return Err(ConfigError::new("config.settings.parties", rule));
-    }
-    Ok(())
+        )
+    } else {
+        return Ok(());
+    };
+    Err(ConfigError::new(
+        format!("config.settings.family_info.{key}"),
+        ConfigErrorKind::Unsupported(feature),
+    ))
+}
+
+/// Refuses more endpoint groups or tenants than their numbers have room for, and a deployment without a group.
+fn check_counts(settings: &DeploymentSettings) -> Result<(), ConfigError> {
+    let (groups, tenants) = (settings.group_names.len(), settings.tenant_names.len());
+    let (key, rule) = if groups == 0 {
+        ("lanes", "at least one is wanted".to_string())
+    } else if groups > MAX_GROUPS {
+        ("lanes", format!("at most {MAX_GROUPS} are wanted"))
+    } else if tenants > MAX_TENANTS {
+        ("parties", format!("at most {MAX_TENANTS} are wanted"))
+    } else {
+        return Ok(());
+    };
+    Err(ConfigError::new(format!("config.settings.{key}"), rule))
 }
--- a/crates/config/src/reload/keys.rs
+++ b/crates/config/src/reload/keys.rs
@@ -43,7 +43,7 @@
             group.update(conditions.clone().finalize());
             add_text(group, rule.idempotency_key.as_deref());
         }
-        if let Some(index) = installation.otherwise.as_deref().and_then(index_of) {
+        if let Some(index) = installation.fallback_group.as_deref().and_then(index_of) {
             let group = groups[index].get_or_insert_default();
             group.update(u64::MAX.to_le_bytes());
             group.update(conditions.finalize());
--- a/crates/config/src/reload/plan.rs
+++ b/crates/config/src/reload/plan.rs
@@ -180,7 +180,7 @@
     let mut restart_required = Vec::new();
     if pool_protocols(running) != pool_protocols(&installation) {
         restart_required.push(RestartRequired::Pools);
-        installation.servers.clone_from(&running.servers);
+        installation.default_pool.clone_from(&running.default_pool);
         installation.pools.clone_from(&running.pools);
     }
     if !started.in_fleet && installation.fleet.is_some() {
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -193,7 +193,7 @@
 
     /// The group of what no rule takes has to be one of the deployment's.
     fn check_fallback_group(&self, group_names: &[String]) -> Result<(), ConfigErrors> {
-        match &self.otherwise {
+        match &self.fallback_group {
             Some(name) if !group_names.contains(name) => {
                 let known = group_names.join(", ");
                 let rule = format!("'{name}' is none of the endpoint groups {known}");
--- a/crates/config/tests/old_keys.rs
+++ b/crates/config/tests/old_keys.rs
@@ -37,21 +37,21 @@
 #[test]
 fn a_key_under_both_its_names_is_refused() {
     let both = EARLIER.replace("\"whole\": 600", "\"whole\": 600, \"limit\": 600");
-    let faults = parse(both.as_bytes()).unwrap_err();
+    let errors = parse(both.as_bytes()).unwrap_err();
     assert!(
-        faults.to_string().contains("installation.budgets[0]"),
-        "{faults}"
+        errors.to_string().contains("installation.budgets[0]"),
+        "{errors}"
     );
 }
 
 #[test]
 fn a_bad_value_under_an_earlier_key_names_the_present_one() {
     let bad = EARLIER.replace("\"floor\": 20", "\"floor\": 900");
-    let faults = parse(bad.as_bytes()).unwrap_err();
+    let errors = parse(bad.as_bytes()).unwrap_err();
     assert!(
-        faults
+        errors
             .to_string()
             .contains("installation.budgets[0].reserved"),
-        "{faults}"
+        "{errors}"
     );
 }
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -83,9 +83,9 @@
     conflict(&|v| v["budgets"][3]["limit"] = json!(201));
     conflict(&|v| {
         v["budgets"] = (0..257)
-            .map(|nth| {
-                json!({"name": nth.to_string(), "kind": "rate", "limit": 1, "burst": 1,
-                    "for": {"customer": nth.to_string()}})
+            .map(|index| {
+                json!({"name": index.to_string(), "kind": "rate", "limit": 1, "burst": 1,
+                    "for": {"customer": index.to_string()}})
             })
             .collect();
     });
@@ -102,7 +102,7 @@
     conflict(&|v| {
         let servers = &v["servers"];
         v["pools"] = (0..65)
-            .map(|nth| (nth.to_string(), servers.clone()))
+            .map(|index| (index.to_string(), servers.clone()))
             .collect();
     });
     all
@@ -226,3 +226,69 @@
         panic!("first difference: {differing:?}; all that is said now is in {path}");
     }
 }
+
+#[test]
+fn deployments_that_the_node_cannot_serve_are_refused() {
+    let lanes = |count: usize| {
+        move |v: &mut Value| {
+            let lane = v["settings"]["lanes"][0].clone();
+            let named = |index: usize| {
+                let mut lane = lane.clone();
+                lane["name"] = json!(index.to_string());
+                lane
+            };
+            v["settings"]["lanes"] = (0..count).map(named).collect();
+            v["settings"]["family_info"]["calls_by_class"] = json!(vec![false; count]);
+            v["settings"]["family_info"]["class_skip_worth"] = json!(vec![0; count]);
+        }
+    };
+    let parties = |count: usize| {
+        move |v: &mut Value| {
+            let party = |index: usize| json!({"name": index.to_string(), "allowance_per_s": 1});
+            v["settings"]["parties"] = (0..count).map(party).collect();
+        }
+    };
+    let node = |key: &'static str, value: Value| {
+        move |v: &mut Value| {
+            v["settings"]["family_info"][key] = value.clone();
+        }
+    };
+    let cases: [(&dyn Fn(&mut Value), &str); 9] = [
+        (
+            &node("below", json!("common")),
+            "config.settings.family_info.below: calls to what lies below can't be served by this node yet",
+        ),
+        (
+            &node("calls_by_class", json!([false, true])),
+            "config.settings.family_info.calls_by_class: endpoint groups that call can't be served by \
+             this node yet",
+        ),
+        (
+            &node("deep_checks", json!(true)),
+            "config.settings.family_info.deep_checks: health checks that do real work can't be served \
+             by this node yet",
+        ),
+        (
+            &node("passes_deadline", json!(true)),
+            "config.settings.family_info.passes_deadline: exchanges that tell how long their caller \
+             waits can't be served by this node yet",
+        ),
+        (&lanes(0), "config.settings.lanes: at least one is wanted"),
+        (&lanes(256), "accepted"),
+        (&lanes(257), "config.settings.lanes: at most 256 are wanted"),
+        (&parties(65_536), "accepted"),
+        (
+            &parties(65_537),
+            "config.settings.parties: at most 65536 are wanted",
+        ),
+    ];
+    for (change, expected) in cases {
+        let mut config = doortrack_fakes::bed::config();
+        change(&mut config);
+        let outcome = match node_config::parse(config.to_string().as_bytes()) {
+            Ok(_) => "accepted".into(),
+            Err(errors) => errors.to_string(),
+        };
+        assert_eq!(outcome, expected);
+    }
+}
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -1,4 +1,4 @@
-//! What a new configuration changes while a node serves, what needs a start, and when builds are begun.
+//! What a new configuration changes while a node serves, what requires a restart, and when builds begin.
 
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn of_the_platform_four_things_change_and_the_rest_needs_a_start() {
+fn four_keys_of_the_platform_change_and_the_rest_requires_a_restart() {
     let started = node_config(|_| {});
     let moved = node_config(|value| {
         value["engine"] = json!("127.0.0.1:4499");
@@ -74,17 +74,17 @@
 }
 
 #[test]
-fn pools_that_come_or_go_need_a_start_and_stay_as_they_are() {
+fn added_or_removed_pools_require_a_restart_and_leave_the_old_ones() {
     let started = started(false);
     let old = json!({"servers": pool(7001, "uwsgi"), "pools": {"slow": pool(7002, "uwsgi")}});
-    // What a pool holds changes.
+    // The servers of a pool change.
     let new = json!({"servers": pool(7009, "uwsgi"), "pools": {"slow": pool(7002, "uwsgi")}});
     let changed = planned(&started, &old, &new).unwrap();
     assert_eq!(
         (changed.restart_required, &*changed.installation),
         (vec![], &installation(&new))
     );
-    // Which pools there are and what they speak does not; the rest of the file is taken up.
+    // The set of pools and their protocols do not; the rest of the file is applied.
     for pools in [
         json!({"servers": pool(7009, "uwsgi")}),
         json!({"servers": pool(7009, "fastcgi"), "pools": {"slow": pool(7002, "uwsgi")}}),
@@ -95,23 +95,26 @@
         new["rules"] = json!([{"when": "true", "group": "look"}]);
         let changed = planned(&started, &old, &new).unwrap();
         assert_eq!(changed.restart_required, [RestartRequired::Pools]);
-        assert_eq!(changed.installation.servers, installation(&old).servers);
+        assert_eq!(
+            changed.installation.default_pool,
+            installation(&old).default_pool
+        );
         assert_eq!(changed.installation.pools, installation(&old).pools);
         assert_eq!(changed.installation.rules.len(), 1);
     }
 }
 
 #[test]
-fn a_fleet_is_joined_at_the_start_alone() {
+fn joining_a_fleet_requires_a_restart() {
     let fleet = json!({"fleet": {"name": "f", "listen": "127.0.0.1:7401"}});
     let changed = planned(&started(false), &json!({}), &fleet).unwrap();
     assert_eq!(changed.restart_required, [RestartRequired::JoinFleet]);
-    // Told each time, though the installation in force says it by then.
+    // Reported each time, though the installation in force has it by then.
     let again = planned(&started(false), &fleet, &fleet).unwrap();
     assert_eq!(again.restart_required, [RestartRequired::JoinFleet]);
     let member = planned(&started(true), &fleet, &fleet).unwrap();
     assert_eq!(member.restart_required, []);
-    // One who leaves it and comes back was in it all the time.
+    // A node that left the fleet and joins again has been started in it.
     assert_eq!(
         planned(&started(true), &json!({}), &fleet)
             .unwrap()
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn what_does_not_fit_the_platform_is_refused_with_its_path() {
+fn conflicts_with_the_platform_are_refused_with_their_path() {
     let front = |at: &str| json!({"fronts": [{"protocol": "uwsgi", "listen": at}]});
     let clash = planned(&started(false), &json!({}), &front("127.0.0.1:9090"))
         .err()
@@ -159,29 +162,32 @@
 }
 
 #[test]
-fn fronts_are_told_apart_by_address_and_protocol() {
-    let front = |port: u16, protocol: &str, connections: u32| -> ListenerConfig {
+fn listeners_are_identified_by_address_and_protocol() {
+    let listener = |port: u16, protocol: &str, connections: u32| -> ListenerConfig {
         let value = json!({"protocol": protocol, "listen": format!("127.0.0.1:{port}"),
             "connections": connections});
         serde_json::from_value(value).unwrap()
     };
     let open = [
-        front(1, "uwsgi", 5),
-        front(2, "uwsgi", 5),
-        front(3, "uwsgi", 5),
+        listener(1, "uwsgi", 5),
+        listener(2, "uwsgi", 5),
+        listener(3, "uwsgi", 5),
     ];
-    let wanted = [
-        front(1, "uwsgi", 9),
-        front(2, "fastcgi", 5),
-        front(4, "uwsgi", 5),
+    let new = [
+        listener(1, "uwsgi", 9),
+        listener(2, "fastcgi", 5),
+        listener(4, "uwsgi", 5),
     ];
-    let changes = ListenerChanges::between(&open, &wanted);
-    assert_eq!(changes.retained, [front(1, "uwsgi", 9)]);
+    let changes = ListenerChanges::between(&open, &new);
+    assert_eq!(changes.retained, [listener(1, "uwsgi", 9)]);
     assert_eq!(
         changes.opened,
-        [front(2, "fastcgi", 5), front(4, "uwsgi", 5)]
+        [listener(2, "fastcgi", 5), listener(4, "uwsgi", 5)]
+    );
+    assert_eq!(
+        changes.closed,
+        [listener(2, "uwsgi", 5), listener(3, "uwsgi", 5)]
     );
-    assert_eq!(changes.closed, [front(2, "uwsgi", 5), front(3, "uwsgi", 5)]);
     assert_eq!(ListenerChanges::between(&open, &open).retained, open);
 }
 
@@ -199,12 +205,12 @@
     meanings(old)
         .changed(&meanings(new))
         .into_iter()
-        .map(|place| GROUPS[place])
+        .map(|index| GROUPS[index])
         .collect()
 }
 
 #[test]
-fn keys_keep_their_meaning_only_where_all_that_leads_to_them_stays() {
+fn keys_keep_their_meaning_only_where_everything_they_depend_on_stays() {
     let rule = |when: &str, group: &str, key: Option<&str>| {
         let (when, group, key) = (json!(when), json!(group), json!(key));
         json!({"when": when, "group": group, "idempotency_key": key})
@@ -215,7 +221,7 @@
     let base = json!({"rules": [look, pay, book]});
     let with = |rules: Value| json!({"rules": rules});
     assert_eq!(changed(&base, &base), [""; 0]);
-    // What comes after the last rule of a group does not concern it.
+    // Rules after the last one of a group do not matter to it.
     assert_eq!(
         changed(
             &base,
@@ -224,7 +230,7 @@
         ["look"]
     );
     assert_eq!(changed(&base, &with(json!([look, pay]))), ["book"]);
-    // A rule before may take what one after it took.
+    // An earlier rule may match what a later one matched before.
     assert_eq!(changed(&base, &with(json!([pay, book]))), GROUPS);
     assert_eq!(
         changed(
@@ -251,7 +257,7 @@
         ),
         ["pay"]
     );
-    // A rule without a key that goes over to another group takes its requests with it.
+    // A rule without a key that changes its group takes its requests with it.
     let last = rule("path == \"/last\"", "book", None);
     let keyless = with(json!([look, book, last]));
     let gone = with(json!([look, rule("path == \"/book\"", "look", None), last]));
@@ -259,7 +265,7 @@
 }
 
 #[test]
-fn what_no_rule_takes_and_what_rules_see_are_part_of_the_meaning() {
+fn the_fallback_group_and_the_limits_are_part_of_the_meaning() {
     let rule = json!({"when": "path == \"/pay\"", "group": "pay"});
     let base = json!({"rules": [rule], "otherwise": "book"});
     assert_eq!(
@@ -267,7 +273,7 @@
         ["look", "book"]
     );
     assert_eq!(changed(&base, &json!({"rules": [rule]})), ["book"]);
-    // Any rule more takes something of what was left.
+    // Any further rule may match what went to the fallback group.
     let more = json!({"when": "path == \"/x\"", "group": "look"});
     assert_eq!(
         changed(&base, &json!({"rules": [rule, more], "otherwise": "book"})),
@@ -276,11 +282,11 @@
     let longer =
         json!({"rules": [rule], "otherwise": "book", "expressions": {"variable_bytes": 100}});
     assert_eq!(changed(&base, &longer), ["pay", "book"]);
-    // Where there are fronts and no rules, variables say of which group a request is: of any.
+    // With listeners and without rules, variables put requests into any group.
     let front = json!([{"protocol": "uwsgi", "listen": "127.0.0.1:9091"}]);
-    let ruled = json!({"fronts": front, "rules": [rule]});
-    assert_eq!(changed(&json!({"fronts": front}), &ruled), GROUPS);
-    assert_eq!(changed(&json!({}), &ruled), ["pay"]);
+    let classified = json!({"fronts": front, "rules": [rule]});
+    assert_eq!(changed(&json!({"fronts": front}), &classified), GROUPS);
+    assert_eq!(changed(&json!({}), &classified), ["pay"]);
     assert_eq!(changed(&json!({"fronts": front}), &json!({})), [""; 0]);
 }
 
@@ -293,15 +299,15 @@
     /// Against the rules themselves: the conditions up to the last rule of a group, which of those rules are
     /// of the group, and their keys.
     #[test]
-    fn digests_tell_what_comparing_the_rules_tells(
+    fn digests_differ_exactly_where_the_rules_differ(
         old in prop::collection::vec((0..4u8, 0..3usize, 0..3u8), 0..6),
         edits in prop::collection::vec((0..6usize, 0..4u8, 0..3usize, 0..3u8), 0..3),
     ) {
         let mut new = old.clone();
-        for (place, when, group, key) in edits {
-            match place % (new.len() + 1) {
-                place if place == new.len() => new.push((when, group, key)),
-                place => new[place] = (when, group, key),
+        for (index, when, group, key) in edits {
+            match index % (new.len() + 1) {
+                index if index == new.len() => new.push((when, group, key)),
+                index => new[index] = (when, group, key),
             }
         }
         let value = |rules: &[(u8, usize, u8)]| -> Value {
@@ -323,36 +329,36 @@
 }
 
 #[test]
-fn one_build_is_under_way_and_one_waits_at_the_most() {
+fn at_most_one_build_is_under_way_and_one_waits() {
     let mut builds = Builds::default();
     assert!(!builds.is_under_way());
-    assert!(builds.notice(), "the first is begun at once");
+    assert!(builds.notice(), "the first begins at once");
     assert!(
         (0..100).all(|_| !builds.notice()),
-        "those that come meanwhile wait together"
+        "notices that come meanwhile wait together"
     );
-    assert!(builds.finished(), "the next one is begun");
+    assert!(builds.finished(), "the next one begins");
     assert!(builds.is_under_way());
     assert!(!builds.finished());
     assert!(!builds.is_under_way() && builds.notice());
-    assert!(!builds.finished(), "what came before counts no more");
+    assert!(!builds.finished(), "earlier notices no longer count");
 }
 
 #[test]
-fn a_file_that_is_replaced_while_it_is_read_is_read_as_one_or_the_other() {
+fn a_file_replaced_while_it_is_read_is_read_in_one_version() {
     let folder = std::env::temp_dir().join(format!("doortrack-replaced-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (path, next) = (folder.join("installation.json"), folder.join("next.json"));
     let content = |group: &str| {
-        let rule = |nth: usize| json!({"when": format!("path == \"/{nth}\""), "group": group});
+        let rule = |index: usize| json!({"when": format!("path == \"/{index}\""), "group": group});
         json!({"rules": (0..2_000).map(rule).collect::<Vec<_>>()}).to_string()
     };
     let contents = [content("look"), content("pay")];
     std::fs::write(&path, &contents[0]).unwrap();
     std::thread::scope(|scope| {
         let writer = scope.spawn(|| {
-            for nth in 0..200 {
-                std::fs::write(&next, &contents[nth % 2]).unwrap();
+            for index in 0..200 {
+                std::fs::write(&next, &contents[index % 2]).unwrap();
                 std::fs::rename(&next, &path).unwrap();
             }
         });
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -156,7 +156,7 @@
         let (probe, other) = (probe_path(&size), unchanged_path(&size));
         assert_eq!(group_of(&table(&size, &new), probe), None);
         match size.routes {
-            0 => assert_eq!(new.otherwise.as_deref(), Some("look")),
+            0 => assert_eq!(new.fallback_group.as_deref(), Some("look")),
             _ => {
                 assert_eq!(group_of(&table(&size, &old), probe), Some(0));
                 assert_eq!(group_of(&table(&size, &new), &other), Some(0));
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -136,7 +136,7 @@
         } => {
             format!("rules[{rule}], refused: no idempotency key")
         }
-        Classification::NoRule => match &read.installation.otherwise {
+        Classification::NoRule => match &read.installation.fallback_group {
             Some(group) => format!("no rule, group {group}"),
             None => "no rule, 404".into(),
         },
@@ -157,7 +157,7 @@
                 Some(read.groups[usize::from(class.group)].clone()),
             ),
             Classification::Rejected { rule, .. } => (Some(*rule), None),
-            Classification::NoRule => (None, read.installation.otherwise.clone()),
+            Classification::NoRule => (None, read.installation.fallback_group.clone()),
         };
         let mut differs = Vec::new();
         if let Some(wanted) = case.rule.filter(|wanted| *wanted != rule) {
--- a/crates/node/src/network/classified.rs
+++ b/crates/node/src/network/classified.rs
@@ -41,7 +41,7 @@
     ) -> RuleTable {
         let place = |name: &String| handed.group_names.iter().position(|group| group == name);
         let otherwise = installation
-            .otherwise
+            .fallback_group
             .as_ref()
             .and_then(place)
             .map(|place| place as u8);
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -172,7 +172,11 @@
 
     /// The budget of the ramps in the pool at this index.
     pub fn ramp(&self, pool: u16) -> Option<u16> {
-        self.indices.ramps.get(usize::from(pool)).copied().flatten()
+        self.indices
+            .slow_starts
+            .get(usize::from(pool))
+            .copied()
+            .flatten()
     }
 
     /// Takes one token of the budget at this index, if there is one.
--- a/crates/node/tests/node/ramps.rs
+++ b/crates/node/tests/node/ramps.rs
@@ -30,10 +30,13 @@
     assert_eq!(faults(&good()), "");
     let installation = installation::parse(good().to_string().as_bytes()).unwrap();
     let orders = node_config::parse(config().to_string().as_bytes()).unwrap();
-    assert_eq!(installation.budget_indices(&orders).ramps, [None, Some(0)]);
+    assert_eq!(
+        installation.budget_indices(&orders).slow_starts,
+        [None, Some(0)]
+    );
     let ramp = installation.pools["boats"].terms(0).ramp.unwrap();
     assert_eq!((ramp.over, ramp.runs), (100_000, 100));
-    assert_eq!(installation.servers.unwrap().terms(0).ramp, None);
+    assert_eq!(installation.default_pool.unwrap().terms(0).ramp, None);
 }
 
 #[test]
