--- a/crates/node/src/serve/reload.rs
+++ b/crates/node/src/serve/reload.rs
@@ -206,7 +206,7 @@
         }
         for front in &changes.retained {
             self.listeners
-                .bound(front.listen, front.connections.map(|most| most as usize));
+                .set_max_connections(front.listen, front.connections.map(|most| most as usize));
         }
         self.listening = changes.retained;
         let opened = if self.stop_at.is_none() {
--- a/crates/node/src/serve/report.rs
+++ b/crates/node/src/serve/report.rs
@@ -25,10 +25,10 @@
         let counts = self.listeners.counts();
         info!(self.log, "so far"; "completed" => counts.completed, "rejected" => counts.rejected,
             "failed" => counts.failed,
-            "in_hand" => self.in_flight.in_flight_count(), "connections" => self.listeners.connections(),
+            "in_hand" => self.in_flight.in_flight_count(), "connections" => self.listeners.connection_count(),
             "accepted" => counts.accepted, "unreadable" => Serde(counts.unreadable.clone()),
-            "no_room" => counts.no_room, "checks" => counts.checks, "ends" => Serde(counts.ends.clone()),
-            "unread_bytes" => self.listeners.unread(),
+            "no_room" => counts.no_capacity, "checks" => counts.health_checks, "ends" => Serde(counts.terminations.clone()),
+            "unread_bytes" => self.listeners.unread_answer_bytes(),
             "result_bytes" => self.results.bytes(), "link_losses" => self.work.link_losses(),
             "turn_ms" => self.slowest.turn / MILLISECOND, "reading_ms" => self.slowest.reading / MILLISECOND,
             "read_after_ms" => self.slowest.arrival / MILLISECOND, "memory_kb" => peak_kb(),
@@ -41,27 +41,27 @@
             &[]
         };
         for (name, servers) in pools {
-            let (pool, counts) = (servers.pool(), servers.pool().counts);
-            info!(self.log, "so far of servers"; "pool" => name, "servers" => pool.servers(),
+            let (pool, counters) = (servers.pool(), servers.pool().counters);
+            info!(self.log, "so far of servers"; "pool" => name, "servers" => pool.members(),
                 "in_use" => pool.in_use(),
-                "connections" => pool.connections(), "in_hand" => pool.in_hand(), "begun" => counts.begun,
-                "ends" => Serde(servers.ends.clone()), "retries" => counts.retries,
-                "unbudgeted" => counts.unbudgeted, "failures" => counts.failures,
-                "put_aside" => counts.put_aside, "opened" => counts.opened, "stale" => counts.stale,
-                "cold" => pool.cold(), "ramps" => counts.ramps, "held_back" => counts.held_back);
+                "connections" => pool.connections(), "in_hand" => pool.in_flight(), "begun" => counters.begun,
+                "ends" => Serde(servers.ends.clone()), "retries" => counters.retries,
+                "unbudgeted" => counters.retries_over_budget, "failures" => counters.failures,
+                "put_aside" => counters.ejections, "opened" => counters.connections_opened, "stale" => counters.stale_connections,
+                "cold" => pool.cold_servers(), "ramps" => counters.slow_starts, "held_back" => counters.held_back);
         }
         // With the platform's listener alone the whole is that front's.
         for front in self
             .listeners
-            .each()
-            .filter(|_| self.listeners.each().count() > 1)
+            .iter()
+            .filter(|_| self.listeners.iter().count() > 1)
         {
             let counts = &front.counts;
-            info!(self.log, "so far of a front"; "protocol" => front.protocol.name(), "address" => %front.at,
+            info!(self.log, "so far of a front"; "protocol" => front.protocol.name(), "address" => %front.address,
                 "completed" => counts.completed, "rejected" => counts.rejected,
                 "failed" => counts.failed, "connections" => front.connections,
                 "accepted" => counts.accepted, "unreadable" => Serde(counts.unreadable.clone()),
-                "no_room" => counts.no_room, "checks" => counts.checks, "ends" => Serde(counts.ends.clone()));
+                "no_room" => counts.no_capacity, "checks" => counts.health_checks, "ends" => Serde(counts.terminations.clone()));
         }
     }
 }
--- a/crates/node/tests/node/ramps.rs
+++ b/crates/node/tests/node/ramps.rs
@@ -34,9 +34,15 @@
         installation.budget_indices(&orders).slow_starts,
         [None, Some(0)]
     );
-    let ramp = installation.pools["boats"].terms(0).ramp.unwrap();
-    assert_eq!((ramp.over, ramp.runs), (100_000, 100));
-    assert_eq!(installation.default_pool.unwrap().terms(0).ramp, None);
+    let ramp = installation.pools["boats"]
+        .pool_config(0)
+        .slow_start
+        .unwrap();
+    assert_eq!((ramp.duration, ramp.runs), (100_000, 100));
+    assert_eq!(
+        installation.default_pool.unwrap().pool_config(0).slow_start,
+        None
+    );
 }
 
 #[test]
