--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -227,6 +227,9 @@
     }
 }
 
+/// Changes a node's configuration.
+type Change<'a> = &'a dyn Fn(&mut Value);
+
 #[test]
 fn deployments_that_the_node_cannot_serve_are_refused() {
     let lanes = |count: usize| {
@@ -253,7 +256,7 @@
             v["settings"]["family_info"][key] = value.clone();
         }
     };
-    let cases: [(&dyn Fn(&mut Value), &str); 9] = [
+    let cases: [(Change, &str); 9] = [
         (
             &node("below", json!("common")),
             "config.settings.family_info.below: calls to what lies below can't be served by this node yet",
