--- a/crates/config/src/deserialize.rs
+++ b/crates/config/src/deserialize.rs
@@ -77,9 +77,9 @@
     }
 
     /// The path in the file, where no items were removed from lists.
-    fn original_path(&self, path: &Path) -> String {
+    fn original_path<'s>(&self, segments: impl IntoIterator<Item = &'s Segment>) -> String {
         let mut original = self.root.to_string();
-        for segment in path {
+        for segment in segments {
             original = match segment {
                 Segment::Seq { index } => {
                     let index = self.original_index(&original, *index);
@@ -113,8 +113,7 @@
         let Some((last, parents)) = segments.split_last() else {
             return false;
         };
-        // The list's own path, where the last segment is an index.
-        let original = self.original_path(path);
+        let parent_path = self.original_path(parents.iter().copied());
         let Some(parent) = find_mut(&mut self.value, parents) else {
             return false;
         };
@@ -122,9 +121,8 @@
             (Segment::Map { key }, Value::Object(object)) => object.remove(key).is_some(),
             (Segment::Seq { index }, Value::Array(list)) if *index < list.len() => {
                 list.remove(*index);
-                if let Some((list_path, index)) = split_index(&original) {
-                    self.removed_items.push((list_path.to_string(), index));
-                }
+                let original_index = self.original_index(&parent_path, *index);
+                self.removed_items.push((parent_path, original_index));
                 true
             }
             _ => false,
@@ -139,9 +137,3 @@
         Segment::Enum { .. } | Segment::Unknown => None,
     })
 }
-
-/// `list[3]` as `list` and 3.
-fn split_index(path: &str) -> Option<(&str, usize)> {
-    let (list, index) = path.strip_suffix(']')?.rsplit_once('[')?;
-    Some((list, index.parse().ok()?))
-}
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -227,6 +227,25 @@
     }
 }
 
+#[test]
+fn errors_of_several_items_of_a_list_name_their_indices_in_the_file() {
+    let mut value = complete_installation();
+    value["fleet"]["seeds"] = json!(["x", "127.0.0.1:1", 7, "127.0.0.1:2", "y"]);
+    value["servers"]["addresses"] = json!(["127.0.0.1:1", "x", "y"]);
+    let errors = installation::parse(value.to_string().as_bytes()).unwrap_err();
+    let paths: Vec<&str> = errors.0.iter().map(|error| error.path.as_str()).collect();
+    assert_eq!(
+        paths,
+        [
+            "installation.fleet.seeds[0]",
+            "installation.fleet.seeds[2]",
+            "installation.fleet.seeds[4]",
+            "installation.servers.addresses[1]",
+            "installation.servers.addresses[2]",
+        ]
+    );
+}
+
 /// Changes a node's configuration.
 type Change<'a> = &'a dyn Fn(&mut Value);
 
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -51,9 +51,9 @@
 /// The first key that is missing or holds a value out of range.
 pub fn read(root: &JsonNode) -> Result<DeploymentSettings, SettingsError> {
     let sections = Sections::find(root)?;
-    let lanes = root.required(top::ENDPOINT_GROUPS)?.list()?;
-    let groups = sections.endpoint_groups(&lanes)?;
-    let group_names = unique_names(&lanes, endpoint_group::NAME)?;
+    let group_entries = root.required(top::ENDPOINT_GROUPS)?.list()?;
+    let groups = sections.endpoint_groups(&group_entries)?;
+    let group_names = unique_names(&group_entries, endpoint_group::NAME)?;
     let tenants = read_tenants(root)?;
     let (downstream, downstream_concurrency) = sections.downstream()?;
     Ok(DeploymentSettings {
@@ -86,15 +86,15 @@
         })
     }
 
-    fn endpoint_groups(&self, lanes: &[JsonNode]) -> Result<Vec<EndpointGroup>, SettingsError> {
-        let degraded_weights = self.list_by_group(node::DEGRADED_WEIGHTS, lanes.len())?;
-        let calls_downstream = self.list_by_group(node::CALLS_DOWNSTREAM, lanes.len())?;
-        let mut groups = Vec::with_capacity(lanes.len());
-        for (index, lane) in lanes.iter().enumerate() {
+    fn endpoint_groups(&self, entries: &[JsonNode]) -> Result<Vec<EndpointGroup>, SettingsError> {
+        let degraded_weights = self.list_by_group(node::DEGRADED_WEIGHTS, entries.len())?;
+        let calls_downstream = self.list_by_group(node::CALLS_DOWNSTREAM, entries.len())?;
+        let mut groups = Vec::with_capacity(entries.len());
+        for (index, entry) in entries.iter().enumerate() {
             let calls_downstream = calls_downstream[index].boolean()?;
             let degraded_weight = degraded_weights[index].fraction()?;
             groups.push(read_endpoint_group(
-                lane,
+                entry,
                 degraded_weight,
                 calls_downstream,
             )?);
@@ -189,13 +189,13 @@
 }
 
 fn read_endpoint_group(
-    lane: &JsonNode,
+    entry: &JsonNode,
     degraded_weight: f32,
     calls_downstream: bool,
 ) -> Result<EndpointGroup, SettingsError> {
-    let effect = lane.required(endpoint_group::EFFECT)?.one_of(&EFFECTS)?;
-    let latency_objective = time_floor(lane, endpoint_group::LATENCY_OBJECTIVE)?;
-    let objective_per_work = match lane.get(endpoint_group::OBJECTIVE_PER_WORK) {
+    let effect = entry.required(endpoint_group::EFFECT)?.one_of(&EFFECTS)?;
+    let latency_objective = time_floor(entry, endpoint_group::LATENCY_OBJECTIVE)?;
+    let objective_per_work = match entry.get(endpoint_group::OBJECTIVE_PER_WORK) {
         Some(multiple) => multiple.number()? as f32,
         None => 0.0,
     };
@@ -203,10 +203,10 @@
         effect,
         latency_objective,
         objective_per_work,
-        deadline: time_floor(lane, endpoint_group::DEADLINE)?,
-        dedup_window: time_ceil(lane, endpoint_group::DEDUP_WINDOW)?,
-        priority_weight: f32_at(lane, endpoint_group::PRIORITY_WEIGHT)?,
-        late_weight: lane.required(endpoint_group::LATE_WEIGHT)?.fraction()?,
+        deadline: time_floor(entry, endpoint_group::DEADLINE)?,
+        dedup_window: time_ceil(entry, endpoint_group::DEDUP_WINDOW)?,
+        priority_weight: f32_at(entry, endpoint_group::PRIORITY_WEIGHT)?,
+        late_weight: entry.required(endpoint_group::LATE_WEIGHT)?.fraction()?,
         degraded_weight,
         calls_downstream,
     })
@@ -221,22 +221,22 @@
 
 /// There may be no list of tenants at all.
 fn read_tenants(root: &JsonNode) -> Result<Tenants, SettingsError> {
-    let parties = match root.get(top::TENANTS) {
-        Some(parties) => parties.list()?,
+    let entries = match root.get(top::TENANTS) {
+        Some(entries) => entries.list()?,
         None => Vec::new(),
     };
-    let quotas = parties
+    let quotas = entries
         .iter()
-        .map(|party| f32_at(party, tenant::QUOTA))
+        .map(|entry| f32_at(entry, tenant::QUOTA))
         .collect::<Result<_, _>>()?;
-    for share in parties
+    for share in entries
         .iter()
-        .filter_map(|party| party.get(tenant::TRAFFIC_SHARE))
+        .filter_map(|entry| entry.get(tenant::TRAFFIC_SHARE))
     {
         // Not used, but refused where it is out of range.
         share.fraction()?;
     }
-    let names = unique_names(&parties, tenant::NAME)?;
+    let names = unique_names(&entries, tenant::NAME)?;
     Ok(Tenants { quotas, names })
 }
 
@@ -245,10 +245,10 @@
     let mut names = Vec::with_capacity(list.len());
     let mut seen = HashSet::with_capacity(list.len());
     for item in list {
-        let node = item.required(key)?;
-        let name = node.string()?;
+        let value = item.required(key)?;
+        let name = value.string()?;
         if !seen.insert(name) {
-            return Err(node.unexpected("a name that none before it has"));
+            return Err(value.unexpected("a name that none before it has"));
         }
         names.push(name.to_string());
     }
