--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -4,7 +4,7 @@
 
 use doortrack_admission::Effect;
 use doortrack_expr::Limits;
-use doortrack_routes::{Built, GroupName, Names, Rule, Table};
+use doortrack_routes::{Built, GroupName, Names, Rule, RuleError, Table};
 use doortrack_settings::DeploymentSettings;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -29,8 +29,8 @@
     pub tenant: Option<String>,
     /// What the exchange is about, as string, bytes or int. Absent: the variable HTTP_X_OBJECT, if there is
     /// one.
-    #[serde(default)]
-    pub subject: Option<String>,
+    #[serde(default, rename = "subject")]
+    pub session_key: Option<String>,
     /// The idempotency key by which a repeat of a deduplicated exchange is known. Absent: the variable
     /// HTTP_IDEMPOTENCY_KEY.
     #[serde(default, alias = "mark")]
@@ -39,11 +39,11 @@
     #[serde(default)]
     pub rank: Option<String>,
     /// How long its caller waits, a duration. Absent: the deadline of its group.
-    #[serde(default)]
-    pub due: Option<String>,
+    #[serde(default, rename = "due")]
+    pub timeout: Option<String>,
     /// The pool of servers that it goes to, by its name in `pools`. Absent: `servers`.
-    #[serde(default)]
-    pub servers: Option<String>,
+    #[serde(default, rename = "servers")]
+    pub pool: Option<String>,
 }
 
 /// What an expression may cost, and what it sees of a request.
@@ -110,11 +110,11 @@
             when: rule.when.clone(),
             group: rule.group.clone(),
             tenant: rule.tenant.clone(),
-            session_key: rule.subject.clone(),
+            session_key: rule.session_key.clone(),
             idempotency_key: rule.idempotency_key.clone(),
             rank: rule.rank.clone(),
-            timeout: rule.due.clone(),
-            pool: rule.servers.clone(),
+            timeout: rule.timeout.clone(),
+            pool: rule.pool.clone(),
         }
     }
 }
@@ -137,17 +137,10 @@
         previous: Option<&Table>,
         settings: &DeploymentSettings,
     ) -> Result<Option<Built>, ConfigErrors> {
-        let has_key = settings
-            .admission
-            .groups
-            .iter()
-            .map(|group| group.effect == Effect::Deduplicated);
+        let groups = settings.group_names.iter().zip(&settings.admission.groups);
         let names = Names {
-            groups: settings
-                .group_names
-                .iter()
-                .zip(has_key)
-                .map(|(name, deduplicated)| GroupName::new(name, deduplicated))
+            groups: groups
+                .map(|(name, group)| GroupName::new(name, group.effect == Effect::Deduplicated))
                 .collect(),
             tenants: settings.tenant_names.clone(),
             pools: self.pools.keys().cloned().collect(),
@@ -200,7 +193,7 @@
 
     /// The group of what no rule takes has to be one of the deployment's.
     fn check_fallback_group(&self, group_names: &[String]) -> Result<(), ConfigErrors> {
-        match &self.otherwise {
+        match &self.fallback_group {
             Some(name) if !group_names.contains(name) => {
                 let known = group_names.join(", ");
                 let rule = format!("'{name}' is none of the endpoint groups {known}");
@@ -211,6 +204,6 @@
     }
 }
 
-fn rule_error(error: doortrack_routes::RuleError) -> ConfigError {
+fn rule_error(error: RuleError) -> ConfigError {
     ConfigError::new(format!("installation.{}", error.path), error.message)
 }
--- a/crates/node/src/network/classified.rs
+++ b/crates/node/src/network/classified.rs
@@ -47,7 +47,7 @@
     ) -> RuleTable {
         let group_index =
             |name: &String| settings.group_names.iter().position(|group| group == name);
-        let default_group = installation.otherwise.as_ref().and_then(group_index);
+        let default_group = installation.fallback_group.as_ref().and_then(group_index);
         let Built {
             table,
             shadowed,
