--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -4,18 +4,18 @@
 use crate::{Budget, Grant, Kind, Parameters, ReportItem, Units};
 use doortrack_time::TenthMillis;
 
-/// The fractions that one unit of a rate is counted in: a thousandth of a unit a second makes one in a tenth
-/// of a ms.
+/// Fractions of one token: a rate of one thousandth of a unit a second adds one fraction in a tenth of a
+/// millisecond.
 const TOKEN: u64 = 10_000_000;
 
 /// How use is counted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Uses {
-    /// A token bucket: `tokens` as of `counted`, at most `cap`, in fractions of [`TOKEN`].
+enum Usage {
+    /// A token bucket: `tokens` as of `counted_until`, at most `cap`, in fractions of [`TOKEN`].
     Rate {
         tokens: u64,
         cap: u64,
-        counted: TenthMillis,
+        counted_until: TenthMillis,
     },
     /// Units held.
     Concurrency { in_use: Units },
@@ -29,13 +29,13 @@
     /// When the reserved minimum may be used: what an earlier incarnation held may be in use until then.
     reserved_from: TenthMillis,
     leased: Units,
-    till: TenthMillis,
+    lease_until: TenthMillis,
     /// The latest report whose answer is in force.
     pub accepted: u64,
-    uses: Uses,
+    usage: Usage,
     need: NeedEstimate,
     /// What was on a lease that expired, until it is reported.
-    ran_out: Option<Units>,
+    expired_lease: Option<Units>,
     /// Requests for a unit that were rejected since the start.
     pub rejected: u64,
 }
@@ -48,29 +48,24 @@
         now: TenthMillis,
         parameters: &Parameters,
     ) -> Allocation {
-        let held = if parameters.safeguards.held {
-            budget.max_hold()
-        } else {
-            0
-        };
-        let uses = match budget.kind {
-            Kind::Rate { .. } => Uses::Rate {
+        let usage = match budget.kind {
+            Kind::Rate { .. } => Usage::Rate {
                 tokens: 0,
                 cap: 0,
-                counted: now,
+                counted_until: now,
             },
-            Kind::Concurrency { .. } => Uses::Concurrency { in_use: 0 },
+            Kind::Concurrency { .. } => Usage::Concurrency { in_use: 0 },
         };
         let mut allocation = Allocation {
             reserved: budget.reserved_at(name),
-            reserved_from: now + held,
+            reserved_from: now + parameters.max_hold_after_lease(&budget),
             budget,
             leased: 0,
-            till: 0,
+            lease_until: 0,
             accepted: 0,
-            uses,
+            usage,
             need: NeedEstimate::new(now),
-            ran_out: None,
+            expired_lease: None,
             rejected: 0,
         };
         allocation.apply_cap();
@@ -90,27 +85,27 @@
 
     /// Takes back everything: nothing may be used any more.
     pub fn close(&mut self) {
-        (self.reserved, self.leased, self.till) = (0, 0, 0);
+        (self.reserved, self.leased, self.lease_until) = (0, 0, 0);
         self.apply_cap();
     }
 
     /// Adapts the token bucket to what is allocated.
     fn apply_cap(&mut self) {
         let (usable, limit) = (self.reserved + self.leased, self.budget.limit());
-        if let (Uses::Rate { tokens, cap, .. }, Kind::Rate { burst }) =
-            (&mut self.uses, self.budget.kind)
+        if let (Usage::Rate { tokens, cap, .. }, Kind::Rate { burst }) =
+            (&mut self.usage, self.budget.kind)
         {
-            let all = u128::from(burst) * u128::from(TOKEN);
-            *cap = (all * u128::from(usable.min(limit)) / u128::from(limit.max(1))) as u64;
+            let full_cap = u128::from(burst) * u128::from(TOKEN);
+            *cap = (full_cap * u128::from(usable.min(limit)) / u128::from(limit.max(1))) as u64;
             *tokens = (*tokens).min(*cap);
         }
     }
 
     /// Counts up to now, and ends a lease that has expired.
     fn settle(&mut self, now: TenthMillis, parameters: &Parameters) {
-        if self.leased > 0 && self.till <= now && parameters.safeguards.run_out {
-            self.count(self.till, parameters);
-            self.ran_out = Some(self.leased);
+        if self.leased > 0 && self.lease_until <= now && parameters.safeguards.lease_expiry {
+            self.count(self.lease_until, parameters);
+            self.expired_lease = Some(self.leased);
             self.leased = 0;
             self.apply_cap();
         }
@@ -120,20 +115,20 @@
     /// Adds the tokens of the time since the last count.
     fn count(&mut self, now: TenthMillis, parameters: &Parameters) {
         let rate = self.reserved + self.leased;
-        if let Uses::Rate {
+        if let Usage::Rate {
             tokens,
             cap,
-            counted,
-        } = &mut self.uses
+            counted_until,
+        } = &mut self.usage
         {
-            let span = now.saturating_sub(*counted);
-            let mut more = rate.saturating_mul(span);
+            let elapsed = now.saturating_sub(*counted_until);
+            let mut added = rate.saturating_mul(elapsed);
             if parameters.safeguards.drift {
                 // A clock that is too fast must not make more of a second than there is.
-                more = more.saturating_mul(1_000) / (1_000 + parameters.drift);
+                added = added.saturating_mul(1_000) / (1_000 + parameters.drift);
             }
-            *tokens = tokens.saturating_add(more).min(*cap);
-            *counted = now.max(*counted);
+            *tokens = tokens.saturating_add(added).min(*cap);
+            *counted_until = now.max(*counted_until);
         }
     }
 
@@ -151,7 +146,7 @@
     /// Acquires one unit.
     ///
     /// # Errors
-    /// None is left: how long to wait before asking again, in tenths of a ms.
+    /// None is left: how long to wait before asking again, in tenths of a millisecond.
     pub fn acquire(
         &mut self,
         now: TenthMillis,
@@ -159,8 +154,8 @@
     ) -> Result<(), TenthMillis> {
         let usable = self.usable(now, parameters);
         let rate = self.reserved + self.leased;
-        let (taken, in_use) = match &mut self.uses {
-            Uses::Rate { tokens, cap, .. } => {
+        let (taken, in_use) = match &mut self.usage {
+            Usage::Rate { tokens, cap, .. } => {
                 if *tokens >= TOKEN {
                     *tokens -= TOKEN;
                     (Ok(()), 0)
@@ -170,7 +165,7 @@
                     (Err(parameters.round), 0)
                 }
             }
-            Uses::Concurrency { in_use } => {
+            Usage::Concurrency { in_use } => {
                 let taken = if *in_use < usable {
                     Ok(())
                 } else {
@@ -181,16 +176,16 @@
             }
         };
         self.rejected += u64::from(taken.is_err());
-        self.need.asked(taken.is_ok(), in_use);
+        self.need.on_request(taken.is_ok(), in_use);
         taken
     }
 
     /// Gives back a unit: of a concurrency always, of a rate only if it was not used.
     pub fn release(&mut self, used: bool) {
-        match &mut self.uses {
-            Uses::Rate { tokens, cap, .. } if !used => *tokens = (*tokens + TOKEN).min(*cap),
-            Uses::Rate { .. } => {}
-            Uses::Concurrency { in_use } => *in_use = in_use.saturating_sub(1),
+        match &mut self.usage {
+            Usage::Rate { tokens, cap, .. } if !used => *tokens = (*tokens + TOKEN).min(*cap),
+            Usage::Rate { .. } => {}
+            Usage::Concurrency { in_use } => *in_use = in_use.saturating_sub(1),
         }
     }
 
@@ -201,9 +196,9 @@
 
     /// Units held; 0 for a rate.
     pub fn in_use(&self) -> Units {
-        match self.uses {
-            Uses::Rate { .. } => 0,
-            Uses::Concurrency { in_use } => in_use,
+        match self.usage {
+            Usage::Rate { .. } => 0,
+            Usage::Concurrency { in_use } => in_use,
         }
     }
 
@@ -213,18 +208,18 @@
         now: TenthMillis,
         parameters: &Parameters,
         round: bool,
-        leaves: bool,
+        leaving: bool,
     ) -> ReportItem {
         self.settle(now, parameters);
         let in_use = self.in_use();
         let need = if round {
-            self.need.round(now, &self.budget, in_use)
+            self.need.end_round(now, &self.budget, in_use)
         } else {
-            self.need.last()
+            self.need.last_reported()
         };
         ReportItem {
             id: self.budget.id(),
-            need: if leaves {
+            need: if leaving {
                 0
             } else {
                 need.saturating_sub(self.reserved)
@@ -236,21 +231,21 @@
         }
     }
 
-    /// Applies the leader's answer to report `seq`, whose lease expires at `till`. Returns what was and what
-    /// is leased.
+    /// Applies the leader's answer to report `seq`, whose lease expires at `until`. Returns what was leased
+    /// and what is now.
     pub fn apply_grant(
         &mut self,
         now: TenthMillis,
         seq: u64,
         grant: Grant,
-        till: TenthMillis,
+        until: TenthMillis,
         parameters: &Parameters,
     ) -> (Units, Units) {
         self.settle(now, parameters);
-        let was = self.leased;
+        let previous = self.leased;
         // A leader that prolongs may not know that this has been granted to another since it was over here.
         let max = if grant.prolongs && parameters.safeguards.prolong {
-            was
+            previous
         } else {
             Units::MAX
         };
@@ -258,20 +253,24 @@
             self.budget
                 .grantable(self.budget.limit(), self.budget.reserved()),
         );
-        (self.till, self.accepted, self.ran_out) = (till, seq, None);
+        (self.lease_until, self.accepted, self.expired_lease) = (until, seq, None);
         self.apply_cap();
-        (was, self.leased)
+        (previous, self.leased)
     }
 
     /// What was on a lease that expired since this was last asked.
-    pub fn ran_out(&mut self, now: TenthMillis, parameters: &Parameters) -> Option<Units> {
+    pub fn take_expired_lease(
+        &mut self,
+        now: TenthMillis,
+        parameters: &Parameters,
+    ) -> Option<Units> {
         self.settle(now, parameters);
-        self.ran_out.take()
+        self.expired_lease.take()
     }
 
     /// When the lease expires, if there is one.
-    pub fn till(&self) -> Option<TenthMillis> {
-        (self.leased > 0).then_some(self.till)
+    pub fn lease_until(&self) -> Option<TenthMillis> {
+        (self.leased > 0).then_some(self.lease_until)
     }
 
     /// What is on a lease.
@@ -281,6 +280,6 @@
 
     /// The need as last reported.
     pub fn need(&self) -> Units {
-        self.need.last()
+        self.need.last_reported()
     }
 }
--- a/crates/budgets/src/divide.rs
+++ b/crates/budgets/src/divide.rs
@@ -1,9 +1,11 @@
 //! Weighted max-min fair division: no holder gets more than it needs while another that gets less in
 //! proportion to its weight goes short.
 
+use std::cmp::Ordering;
+
 use crate::Units;
 
-/// What one holder brings to a division.
+/// The demand of one holder in a division.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderDemand {
     /// What it could use.
@@ -14,87 +16,106 @@
     pub max: Units,
 }
 
+impl HolderDemand {
+    fn weight(&self) -> u128 {
+        u128::from(self.weight.max(1))
+    }
+}
+
 /// The allocations in the order of `demands`: multiples of `step` whose sum is at most `limit`. What exceeds
 /// all needs is divided by weight, up to the maxima. Single steps that can't be divided go to one holder
 /// after the other as `rotation` grows, so that over time they are divided as well.
 pub fn divide(limit: Units, step: Units, demands: &[HolderDemand], rotation: u64) -> Vec<Units> {
     let step = step.max(1);
     let steps = limit / step;
+    let maxima: Vec<Units> = demands.iter().map(|demand| demand.max / step).collect();
     let needs: Vec<Units> = demands
-        .iter()
-        .map(|holder| holder.need.min(holder.max).div_ceil(step))
-        .collect();
-    let maxima: Vec<Units> = demands.iter().map(|holder| holder.max / step).collect();
-    let needs: Vec<Units> = needs
         .iter()
         .zip(&maxima)
-        .map(|(need, max)| *need.min(max))
+        .map(|(demand, max)| demand.need.min(demand.max).div_ceil(step).min(*max))
         .collect();
-    let mut allocations = level(steps, demands, &needs, rotation);
-    let left = steps - allocations.iter().sum::<Units>();
-    if left > 0 {
-        let room: Vec<Units> = maxima
+    let mut allocations = fill(steps, demands, &needs, rotation);
+    let remaining = steps - allocations.iter().sum::<Units>();
+    if remaining > 0 {
+        let headroom: Vec<Units> = maxima
             .iter()
             .zip(&allocations)
             .map(|(max, allocation)| max - allocation)
             .collect();
-        let more = level(left, demands, &room, rotation);
-        allocations
-            .iter_mut()
-            .zip(more)
-            .for_each(|(allocation, more)| *allocation += more);
+        let surplus = fill(remaining, demands, &headroom, rotation);
+        for (allocation, surplus) in allocations.iter_mut().zip(surplus) {
+            *allocation += surplus;
+        }
+    }
+    for allocation in &mut allocations {
+        *allocation *= step;
     }
     allocations
-        .iter()
-        .map(|allocation| allocation * step)
-        .collect()
 }
 
-/// Fills all to one level in proportion to weight (water-filling), each at most to its bound.
-fn level(limit: Units, demands: &[HolderDemand], bounds: &[Units], rotation: u64) -> Vec<Units> {
-    let weight = |holder: usize| u128::from(demands[holder].weight.max(1));
-    // By bound for the weight: who needs least for its weight is filled first.
-    let mut order: Vec<usize> = (0..demands.len())
-        .filter(|holder| bounds[*holder] > 0)
-        .collect();
-    order.sort_by(|a, b| {
-        let (first, second) = (
-            u128::from(bounds[*a]) * weight(*b),
-            u128::from(bounds[*b]) * weight(*a),
-        );
-        first.cmp(&second).then(a.cmp(b))
-    });
+/// Fills all holders to one level in proportion to weight (water-filling), each at most to its bound.
+fn fill(limit: Units, demands: &[HolderDemand], bounds: &[Units], rotation: u64) -> Vec<Units> {
+    let order = fill_order(demands, bounds);
     let mut allocations = vec![0; demands.len()];
-    let mut weights: u128 = order.iter().map(|holder| weight(*holder)).sum();
-    let mut left = limit;
-    for (nth, holder) in order.iter().enumerate() {
-        let fair = u128::from(left) * weight(*holder) / weights.max(1);
-        if u128::from(bounds[*holder]) > fair {
-            // From here on nobody is filled: all get what is fair of the rest.
-            let rest = &order[nth..];
-            for holder in rest {
-                allocations[*holder] =
-                    ((u128::from(left) * weight(*holder) / weights) as Units).min(bounds[*holder]);
+    let mut weights: u128 = order.iter().map(|holder| demands[*holder].weight()).sum();
+    let mut remaining = limit;
+    for (position, holder) in order.iter().enumerate() {
+        let fair = fair_share(remaining, &demands[*holder], weights);
+        if bounds[*holder] > fair {
+            // No further holder reaches its bound: each gets its fair share of what remains.
+            let unfilled = &order[position..];
+            for holder in unfilled {
+                let fair = fair_share(remaining, &demands[*holder], weights);
+                allocations[*holder] = fair.min(bounds[*holder]);
             }
-            left -= rest
+            remaining -= unfilled
                 .iter()
                 .map(|holder| allocations[*holder])
                 .sum::<Units>();
             break;
         }
         allocations[*holder] = bounds[*holder];
-        left -= bounds[*holder];
-        weights -= weight(*holder);
+        remaining -= bounds[*holder];
+        weights -= demands[*holder].weight();
     }
-    // Single steps, from an index that moves on.
-    let open: Vec<usize> = (0..demands.len())
+    distribute_single_steps(remaining, bounds, rotation, &mut allocations);
+    allocations
+}
+
+/// The holders with a bound above 0, those with the smallest bound for their weight first.
+fn fill_order(demands: &[HolderDemand], bounds: &[Units]) -> Vec<usize> {
+    let by_relative_bound = |a: &usize, b: &usize| -> Ordering {
+        let left = u128::from(bounds[*a]) * demands[*b].weight();
+        let right = u128::from(bounds[*b]) * demands[*a].weight();
+        left.cmp(&right).then(a.cmp(b))
+    };
+    let mut order: Vec<usize> = (0..demands.len())
+        .filter(|holder| bounds[*holder] > 0)
+        .collect();
+    order.sort_by(by_relative_bound);
+    order
+}
+
+/// A holder's part of what remains by its weight among all `weights`; at most `remaining`.
+fn fair_share(remaining: Units, demand: &HolderDemand, weights: u128) -> Units {
+    (u128::from(remaining) * demand.weight() / weights.max(1)) as Units
+}
+
+/// Gives one step each to holders below their bounds, beginning with one that moves on with `rotation`.
+fn distribute_single_steps(
+    remaining: Units,
+    bounds: &[Units],
+    rotation: u64,
+    allocations: &mut [Units],
+) {
+    let unfilled: Vec<usize> = (0..bounds.len())
         .filter(|holder| allocations[*holder] < bounds[*holder])
         .collect();
-    if !open.is_empty() {
-        let from = (rotation % open.len() as u64) as usize;
-        for nth in 0..open.len().min(left as usize) {
-            allocations[open[(from + nth) % open.len()]] += 1;
-        }
+    if unfilled.is_empty() {
+        return;
+    }
+    let first = (rotation % unfilled.len() as u64) as usize;
+    for offset in 0..unfilled.len().min(remaining as usize) {
+        allocations[unfilled[(first + offset) % unfilled.len()]] += 1;
     }
-    allocations
 }
--- a/crates/budgets/src/envelope.rs
+++ b/crates/budgets/src/envelope.rs
@@ -12,45 +12,76 @@
 /// One incarnation of a node: its name, and the run of its process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId {
+    /// The node's name.
     pub name: Name,
+    /// The run of its process.
     pub incarnation: Incarnation,
 }
 
 /// A message with its sender and receiver. A message for another incarnation is ignored.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Envelope {
+    /// The sender.
     pub from: NodeId,
+    /// The receiver.
     pub to: NodeId,
+    /// What is sent.
     pub message: Message,
 }
 
-/// What is sent. A ballot is the number of a request for votes, `seq` that of a report.
+/// A message. A ballot is the number of a request for votes, `seq` that of a report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A candidate, or the leader, asks for a vote.
-    Ask { ballot: u64 },
+    /// A candidate, or the leader, requests a vote.
+    VoteRequest {
+        /// The number of the request.
+        ballot: u64,
+    },
     /// The voter gives its vote.
-    Vote { ballot: u64 },
+    Vote {
+        /// The number of the request.
+        ballot: u64,
+    },
     /// The voter refuses: another has its vote, or it gives none yet.
-    Refused { ballot: u64 },
+    Refused {
+        /// The number of the request.
+        ballot: u64,
+    },
     /// The candidate gives the vote of this ballot back.
-    Release { ballot: u64 },
+    Release {
+        /// The number of the request.
+        ballot: u64,
+    },
     /// A holder's needs, and what it may have in use.
     Report {
+        /// The number of the report.
         seq: u64,
+        /// The holder's capacity, in a unit that all nodes share.
         weight: u32,
+        /// One for each budget; at most [`MAX_ITEMS`].
         items: Vec<ReportItem>,
     },
     /// The leader's answer to a report: what the holder may use, on a lease that runs from when it sent the
     /// report.
-    Grant { seq: u64, grants: Vec<Grant> },
-    /// The receiver of the report is not the leader; who is, as far as it knows.
-    Elsewhere { seq: u64, leader: Option<NodeId> },
+    Grant {
+        /// The number of the report.
+        seq: u64,
+        /// One for each budget that the leader knows.
+        grants: Vec<Grant>,
+    },
+    /// The receiver of the report is not the leader.
+    NotLeader {
+        /// The number of the report.
+        seq: u64,
+        /// The leader, if the receiver knows it.
+        leader: Option<NodeId>,
+    },
 }
 
 /// One budget in a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Grant {
+    /// The budget.
     pub id: Id,
     /// Units beyond the reserved minimum.
     pub allocation: Units,
@@ -61,6 +92,7 @@
 /// One budget in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReportItem {
+    /// The budget.
     pub id: Id,
     /// Units that could be used now, beyond the reserved minimum.
     pub need: Units,
@@ -68,7 +100,8 @@
     pub holding: Units,
     /// The latest report whose answer is in force.
     pub accepted: u64,
-    /// Limit and reserved minimum of the budget as this node is configured.
+    /// The limit of the budget as this node is configured.
     pub limit: Units,
+    /// The reserved minimum of the budget as this node is configured.
     pub reserved: Units,
 }
--- a/crates/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -17,18 +17,30 @@
     /// The latest report on it. The reports of one round on different budgets may arrive in any order.
     last_seq: u64,
     need: Units,
-    /// What the holder reported it may have in use.
-    holding: Units,
+    /// What the holder reported that it may have in use.
+    in_use: Units,
     /// Allocations sent since, by report: any of them may be or come into force.
     sent: VecDeque<(u64, Units)>,
     /// What it is to have by the last division.
     target: Units,
     /// When nothing of this can be in use any more.
-    till: TenthMillis,
+    expires_at: TenthMillis,
+    /// The limit of the budget as the holder is configured.
     limit: Units,
+    /// The reserved minimum of the budget as the holder is configured.
     reserved: Units,
 }
 
+/// A report of one holder.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct HolderReport<'a> {
+    /// Its number.
+    pub seq: u64,
+    /// The holder's capacity.
+    pub weight: u32,
+    pub items: &'a [ReportItem],
+}
+
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Holder {
     weight: u32,
@@ -54,20 +66,73 @@
     rotation: u64,
 }
 
+impl BudgetAccount {
+    /// Lowers what can be granted to what a holder's configuration allows.
+    fn lower_grantable(&mut self, item: &ReportItem) {
+        let limit = item.limit.min(self.budget.limit());
+        let grantable = self.budget.grantable(limit, item.reserved);
+        self.grantable = self.grantable.min(grantable);
+    }
+
+    /// What can be granted while others have this much.
+    fn free(&self, others: Units) -> Units {
+        self.grantable.saturating_sub(others)
+    }
+}
+
 impl HolderAccount {
+    /// Nothing is known of the holder but its configuration.
+    fn new(item: &ReportItem) -> HolderAccount {
+        HolderAccount {
+            last_seq: 0,
+            need: 0,
+            in_use: 0,
+            sent: VecDeque::new(),
+            target: 0,
+            expires_at: 0,
+            limit: item.limit,
+            reserved: item.reserved,
+        }
+    }
+
+    /// Applies an item of report `seq`, which confirms the allocations that it has accepted.
+    fn apply(
+        &mut self,
+        now: TenthMillis,
+        seq: u64,
+        item: &ReportItem,
+        budget: &Budget,
+        parameters: &Parameters,
+    ) {
+        self.last_seq = seq;
+        self.sent.retain(|(sent, _)| *sent > item.accepted);
+        self.in_use = item.holding.min(budget.limit());
+        self.need = item.need;
+        self.limit = item.limit;
+        self.reserved = item.reserved;
+        self.expires_at = now + parameters.lease + parameters.max_hold_after_lease(budget);
+    }
+
+    /// What the holder is to get: what it has in use, if that is only prolonged, or else its target.
+    fn wanted(&self, prolongs: bool) -> Units {
+        if prolongs { self.in_use } else { self.target }
+    }
+
+    /// The most that the holder may have in use.
     fn outstanding(&self, parameters: &Parameters) -> Units {
         if !parameters.safeguards.confirm {
             return self
                 .sent
                 .back()
-                .map_or(self.holding, |(_, allocation)| *allocation);
+                .map_or(self.in_use, |(_, allocation)| *allocation);
         }
         self.sent
             .iter()
             .map(|(_, allocation)| *allocation)
-            .fold(self.holding, Units::max)
+            .fold(self.in_use, Units::max)
     }
 
+    /// Records an allocation that is sent in answer to report `seq`.
     fn send(&mut self, seq: u64, allocation: Units) {
         self.sent.push_back((seq, allocation));
         if self.sent.len() > MAX_SENT
@@ -80,6 +145,7 @@
 }
 
 impl Ledger {
+    /// Nothing is granted yet.
     pub fn new(list: &[Budget]) -> Ledger {
         let account = |budget: &Budget| BudgetAccount {
             granted: 0,
@@ -101,13 +167,13 @@
     /// Changes the budgets; what is granted of those that remain is kept.
     pub fn change(&mut self, list: &[Budget]) {
         let old = std::mem::replace(self, Ledger::new(list));
-        for (who, holder) in old.holders {
-            let kept = holder.accounts.into_iter().filter_map(|(index, held)| {
+        for (node, holder) in old.holders {
+            let remaining = holder.accounts.into_iter().filter_map(|(index, holding)| {
                 let index = *self.indices.get(&old.accounts[index].budget.id())?;
-                Some((index, held))
+                Some((index, holding))
             });
-            let accounts: BTreeMap<usize, HolderAccount> = kept.collect();
-            self.holders.insert(who, Holder { accounts, ..holder });
+            let accounts: BTreeMap<usize, HolderAccount> = remaining.collect();
+            self.holders.insert(node, Holder { accounts, ..holder });
         }
         for account in &mut self.accounts {
             let before = old
@@ -119,65 +185,40 @@
         self.rotation = old.rotation;
     }
 
-    /// Takes in a report and returns what the holder may use; none if the report is outdated. `settled` tells
-    /// of a budget whether all that an earlier leader granted of it has expired.
-    pub fn report(
+    /// Applies a report and returns what the holder may use; none if the report is outdated. `settled` says of
+    /// a budget whether all that an earlier leader granted of it has expired.
+    pub fn apply_report(
         &mut self,
         now: TenthMillis,
-        who: &NodeId,
-        (seq, weight): (u64, u32),
-        items: &[ReportItem],
+        node: &NodeId,
+        report: HolderReport,
         settled: impl Fn(&Budget) -> bool,
         parameters: &Parameters,
     ) -> Option<Vec<Grant>> {
-        let holder = self.holders.entry(who.clone()).or_default();
-        holder.weight = weight;
-        let mut grants = Vec::with_capacity(items.len());
-        for item in items {
+        let holder = self.holders.entry(node.clone()).or_default();
+        holder.weight = report.weight;
+        let mut grants = Vec::with_capacity(report.items.len());
+        for item in report.items {
             let Some(index) = self.indices.get(&item.id).copied() else {
                 continue;
             };
             let account = &mut self.accounts[index];
-            let grantable = account
-                .budget
-                .grantable(item.limit.min(account.budget.limit()), item.reserved);
-            account.grantable = account.grantable.min(grantable);
-            let held = holder
+            account.lower_grantable(item);
+            let holding = holder
                 .accounts
                 .entry(index)
-                .or_insert_with(|| HolderAccount {
-                    last_seq: 0,
-                    need: 0,
-                    holding: 0,
-                    sent: VecDeque::new(),
-                    target: 0,
-                    till: 0,
-                    limit: item.limit,
-                    reserved: item.reserved,
-                });
-            if seq <= held.last_seq && parameters.safeguards.in_order {
+                .or_insert_with(|| HolderAccount::new(item));
+            if report.seq <= holding.last_seq && parameters.safeguards.in_order {
                 continue;
             }
-            held.last_seq = seq;
-            let before = held.outstanding(parameters);
-            held.sent.retain(|(seq, _)| *seq > item.accepted);
-            held.holding = item.holding.min(account.budget.limit());
-            (held.need, held.limit, held.reserved) = (item.need, item.limit, item.reserved);
-            held.till = now
-                + parameters.lease
-                + if parameters.safeguards.held {
-                    account.budget.max_hold()
-                } else {
-                    0
-                };
-            // What others may have is theirs, whatever this one needs.
-            let others = account.granted.saturating_sub(before);
-            let free = account.grantable.saturating_sub(others);
+            let before = holding.outstanding(parameters);
+            holding.apply(now, report.seq, item, &account.budget, parameters);
             let prolongs = !settled(&account.budget);
-            let wanted = if prolongs { held.holding } else { held.target };
-            let allocation = wanted.min(free);
-            held.send(seq, allocation);
-            account.granted = others + held.outstanding(parameters);
+            // What others may have in use is theirs, whatever this holder needs.
+            let others = account.granted.saturating_sub(before);
+            let allocation = holding.wanted(prolongs).min(account.free(others));
+            holding.send(report.seq, allocation);
+            account.granted = others + holding.outstanding(parameters);
             grants.push(Grant {
                 id: item.id,
                 allocation,
@@ -187,58 +228,73 @@
         (!grants.is_empty()).then_some(grants)
     }
 
-    /// Strikes out what has expired, and divides the budgets anew.
+    /// Removes what has expired, and divides the budgets anew.
     pub fn divide(&mut self, now: TenthMillis, parameters: &Parameters) {
         self.rotation += 1;
+        self.remove_expired(now, parameters);
+        let demands = self.demands();
+        self.update_grantable();
+        let mut allocations: Vec<std::vec::IntoIter<Units>> = self
+            .accounts
+            .iter()
+            .zip(&demands)
+            .map(|(account, demands)| {
+                let (limit, step) = (account.grantable, account.budget.step());
+                divide(limit, step, demands, self.rotation / ROTATE_AFTER).into_iter()
+            })
+            .collect();
+        for holder in self.holders.values_mut() {
+            for (index, holding) in &mut holder.accounts {
+                holding.target = allocations[*index].next().unwrap_or(0);
+            }
+        }
+    }
+
+    fn remove_expired(&mut self, now: TenthMillis, parameters: &Parameters) {
         for holder in self.holders.values_mut() {
-            holder.accounts.retain(|index, held| {
-                let over = held.till <= now;
-                if over {
-                    let account = &mut self.accounts[*index];
-                    account.granted = account.granted.saturating_sub(held.outstanding(parameters));
+            holder.accounts.retain(|index, holding| {
+                let expired = holding.expires_at <= now;
+                if expired {
+                    let granted = &mut self.accounts[*index].granted;
+                    *granted = granted.saturating_sub(holding.outstanding(parameters));
                 }
-                !over
+                !expired
             });
         }
         self.holders.retain(|_, holder| !holder.accounts.is_empty());
+    }
+
+    /// The demands on each budget, in the order of the holders.
+    fn demands(&self) -> Vec<Vec<HolderDemand>> {
         let mut demands: Vec<Vec<HolderDemand>> = vec![Vec::new(); self.accounts.len()];
-        let mut seen: Vec<(Units, Units)> = self
+        for (node, holder) in &self.holders {
+            for (index, holding) in &holder.accounts {
+                demands[*index].push(HolderDemand {
+                    need: holding.need,
+                    weight: holder.weight,
+                    max: self.accounts[*index].budget.max_grant(&node.name),
+                });
+            }
+        }
+        demands
+    }
+
+    /// Computes what can be granted by the lowest limit and the greatest reserved minimum of all holders.
+    fn update_grantable(&mut self) {
+        let mut bounds: Vec<(Units, Units)> = self
             .accounts
             .iter()
             .map(|account| (account.budget.limit(), account.budget.reserved()))
             .collect();
-        for (who, holder) in &self.holders {
-            for (index, held) in &holder.accounts {
-                let max = self.accounts[*index].budget.max_grant(&who.name);
-                demands[*index].push(HolderDemand {
-                    need: held.need,
-                    weight: holder.weight,
-                    max,
-                });
-                let (limit, reserved) = &mut seen[*index];
-                (*limit, *reserved) = (held.limit.min(*limit), held.reserved.max(*reserved));
+        for holder in self.holders.values() {
+            for (index, holding) in &holder.accounts {
+                let (limit, reserved) = &mut bounds[*index];
+                *limit = holding.limit.min(*limit);
+                *reserved = holding.reserved.max(*reserved);
             }
         }
-        let mut allocations: Vec<std::vec::IntoIter<Units>> =
-            Vec::with_capacity(self.accounts.len());
-        for ((account, demands), (limit, reserved)) in
-            self.accounts.iter_mut().zip(&demands).zip(seen)
-        {
+        for (account, (limit, reserved)) in self.accounts.iter_mut().zip(bounds) {
             account.grantable = account.budget.grantable(limit, reserved);
-            allocations.push(
-                divide(
-                    account.grantable,
-                    account.budget.step(),
-                    demands,
-                    self.rotation / ROTATE_AFTER,
-                )
-                .into_iter(),
-            );
-        }
-        for holder in self.holders.values_mut() {
-            for (index, held) in &mut holder.accounts {
-                held.target = allocations[*index].next().unwrap_or(0);
-            }
         }
     }
 
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -2,7 +2,7 @@
 //! use more than its limit.
 //!
 //! Every node holds one [`Budgets`]. It is driven by [`Event`]s with the time of each, returns [`Action`]s to
-//! carry out, and is asked before each use ([`Budgets::acquire`]). There are neither sockets nor a clock
+//! execute, and is asked before each use ([`Budgets::acquire`]). There are neither sockets nor a clock
 //! here, and the same events with the same seed give the same actions.
 //!
 //! ```text
@@ -36,10 +36,13 @@
 //! constant time; a report costs the leader the logarithm of the holders, and a division, twice a round, as
 //! much for each holder.
 
+#![warn(missing_docs)]
+
 mod allocation;
 mod budgets;
 mod divide;
 mod envelope;
+mod holder;
 mod leadership;
 mod ledger;
 mod need;
@@ -73,53 +76,70 @@
     /// A later process uses this node's name: this one uses nothing more, reserved minimums included.
     Superseded,
     /// The budgets were changed. Use of those that remain is kept.
-    Changed { list: Vec<Budget> },
+    Changed {
+        /// All budgets from here on, each with an id of its own.
+        list: Vec<Budget>,
+    },
 }
 
-/// An output of [`Budgets::handle`], to be carried out in order.
+/// An output of [`Budgets::handle`], to be executed in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message to the node that it names; it may get lost.
     Send(Envelope),
-    /// Tell the log.
+    /// Notify the log.
     Report(Change),
 }
 
-/// A change that the log tells. Allocations are in [`Units`], times in tenths of a ms.
+/// A change for the log. Allocations are in [`Units`], times in tenths of a millisecond.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// This node became the leader; it grants what is free after `grants_after`.
-    Elected { grants_after: TenthMillis },
+    /// This node became the leader.
+    Elected {
+        /// How long it only prolongs leases before it grants what is free.
+        grants_after: TenthMillis,
+    },
     /// This node is no longer the leader.
     SteppedDown,
     /// The leader that this node reports to from here on.
     Leader(NodeId),
     /// The leader has not answered for some rounds.
     LeaderSilent(NodeId),
-    /// The allocation of the budget at this index changed, and now lasts for `lasts`.
+    /// The allocation of a budget changed.
     Allocation {
+        /// The index of the budget.
+        index: usize,
+        /// What was on the lease before.
+        previous: Units,
+        /// What is on the lease now.
+        allocation: Units,
+        /// How long the lease lasts.
+        lease_remaining: TenthMillis,
+    },
+    /// A lease expired.
+    LeaseExpired {
+        /// The index of the budget.
         index: usize,
-        was: Units,
+        /// What was on the lease.
         allocation: Units,
-        lasts: TenthMillis,
     },
-    /// The lease expired; `allocation` was on it.
-    RanOut { index: usize, allocation: Units },
 }
 
 impl Change {
-    /// Its word in logs and histories.
-    pub fn word(&self) -> &'static str {
+    /// Its name in logs and histories.
+    pub fn name(&self) -> &'static str {
         match self {
             Change::Elected { .. } => "elected",
             Change::SteppedDown => "stepped_down",
             Change::Leader(_) => "leader",
             Change::LeaderSilent(_) => "leader_silent",
             Change::Allocation {
-                was, allocation, ..
-            } if allocation < was => "returned",
+                previous,
+                allocation,
+                ..
+            } if allocation < previous => "returned",
             Change::Allocation { .. } => "taken",
-            Change::RanOut { .. } => "ran_out",
+            Change::LeaseExpired { .. } => "ran_out",
         }
     }
 }
--- a/crates/budgets/src/need.rs
+++ b/crates/budgets/src/need.rs
@@ -1,29 +1,38 @@
 //! Estimates how much of a budget a node could use, smoothed so that allocations do not oscillate.
 
 use crate::{Budget, Kind, Units};
-use doortrack_time::TenthMillis;
+use doortrack_time::{SECOND, TenthMillis};
 
-/// How far the estimate moves to the measured need in a round, in eighths: when it rises, and when it falls.
-const UP: Units = 8;
-const DOWN: Units = 6;
-/// Uses in a round below which chance outweighs need, and how far the estimate moves then.
-const FEW: Units = 8;
-const BY_FEW: Units = 1;
-/// The reported need is left unchanged while the estimate is above it by less than this fraction of it, or
-/// below it by less than the second one.
-const LEFT_UP: Units = 32;
-const LEFT_DOWN: Units = 12;
+/// Smoothing weights are in eighths of the way from the estimate to the measured need.
+const WEIGHT_DENOMINATOR: Units = 8;
+/// Weight of a round in which the need rises.
+const RISING_WEIGHT: Units = 8;
+/// Weight of a round in which the need falls.
+const FALLING_WEIGHT: Units = 6;
+/// Weight of a round with fewer uses than [`FEW_USES`].
+const FEW_USES_WEIGHT: Units = 1;
+/// Uses in a round below which they are mostly random.
+const FEW_USES: Units = 8;
+/// The reported need is kept while the estimate is above it by at most this fraction.
+const RISE_HYSTERESIS: Units = 32;
+/// The reported need is kept while the estimate is below it by at most this fraction.
+const FALL_HYSTERESIS: Units = 12;
+/// [`Units`] of a rate that one use a second makes.
+const UNITS_PER_USE: Units = 1_000;
 
-/// The need of one budget: uses that were asked for, rejected ones included.
+/// The need of one budget: uses that were requested, rejected ones included.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct NeedEstimate {
-    /// Since the last round: uses asked for, rejected, and the most held at once.
-    asked: Units,
+    /// Uses requested since the last round.
+    requested: Units,
+    /// Of those the rejected ones.
     rejected: Units,
+    /// The most units held at once since the last round.
     peak: Units,
+    /// When the last round ended.
     since: TenthMillis,
-    smooth: Units,
-    told: Units,
+    smoothed: Units,
+    reported: Units,
 }
 
 impl NeedEstimate {
@@ -35,9 +44,9 @@
         }
     }
 
-    /// Counts a use that was asked for.
-    pub fn asked(&mut self, granted: bool, in_use: Units) {
-        self.asked += 1;
+    /// Counts a use that was requested.
+    pub fn on_request(&mut self, granted: bool, in_use: Units) {
+        self.requested += 1;
         self.rejected += Units::from(!granted);
         self.peak = self.peak.max(in_use);
     }
@@ -48,57 +57,62 @@
     }
 
     /// Ends a round, and returns the need to report.
-    pub fn round(&mut self, now: TenthMillis, budget: &Budget, in_use: Units) -> Units {
-        let span = now.saturating_sub(self.since);
-        if span == 0 {
-            return self.told;
+    pub fn end_round(&mut self, now: TenthMillis, budget: &Budget, in_use: Units) -> Units {
+        let duration = now.saturating_sub(self.since);
+        if duration == 0 {
+            return self.reported;
         }
-        let seen = match budget.kind {
-            Kind::Rate { .. } => self.asked * 1_000 * 10_000 / span,
-            Kind::Concurrency { .. } => self.peak.max(in_use) + self.rejected,
-        };
-        // No more than all there is: who reports the absurd gets what is fair among equals.
-        let seen = seen.min(budget.limit());
-        let (asked, rejected, peak) = (0, 0, in_use);
-        let few = match budget.kind {
-            Kind::Rate { .. } => self.asked.max(self.smooth * span / 10_000_000) < FEW,
-            Kind::Concurrency { .. } => false,
-        };
-        let smooth = match (seen > self.smooth, few) {
-            (true, few) => {
-                let part = if few { BY_FEW } else { UP };
-                (self.smooth * (8 - part) + seen * part).div_ceil(8)
-            }
-            (false, few) => {
-                let part = if few { BY_FEW } else { DOWN };
-                (self.smooth * (8 - part) + seen * part) / 8
-            }
-        };
-        let told = self.told;
-        let left = if smooth > told {
-            told / LEFT_UP
+        let smoothed = self.smooth(duration, budget, in_use);
+        let hysteresis = if smoothed > self.reported {
+            self.reported / RISE_HYSTERESIS
         } else {
-            told / LEFT_DOWN
+            self.reported / FALL_HYSTERESIS
         };
-        // Nothing is added for what comes by chance: what all needs leave over is divided as well.
-        let told = if smooth.abs_diff(told) > left {
-            smooth
+        // No margin is added for random peaks: what exceeds all needs is divided as well.
+        let reported = if smoothed.abs_diff(self.reported) > hysteresis {
+            smoothed
         } else {
-            told
+            self.reported
         };
         *self = NeedEstimate {
-            asked,
-            rejected,
-            peak,
+            requested: 0,
+            rejected: 0,
+            peak: in_use,
             since: now,
-            smooth,
-            told,
+            smoothed,
+            reported,
+        };
+        reported
+    }
+
+    /// The estimate after a round of this duration.
+    fn smooth(&self, duration: TenthMillis, budget: &Budget, in_use: Units) -> Units {
+        let (measured, few_uses) = match budget.kind {
+            Kind::Rate { .. } => {
+                let expected = self.smoothed * duration / (UNITS_PER_USE * SECOND);
+                let measured = self.requested * UNITS_PER_USE * SECOND / duration;
+                (measured, self.requested.max(expected) < FEW_USES)
+            }
+            Kind::Concurrency { .. } => (self.peak.max(in_use) + self.rejected, false),
         };
-        told
+        // Bounded by the limit, so that an absurd need gets no more than a fair share among equals.
+        let measured = measured.min(budget.limit());
+        let rising = measured > self.smoothed;
+        let weight = match (few_uses, rising) {
+            (true, _) => FEW_USES_WEIGHT,
+            (false, true) => RISING_WEIGHT,
+            (false, false) => FALLING_WEIGHT,
+        };
+        let sum = self.smoothed * (WEIGHT_DENOMINATOR - weight) + measured * weight;
+        if rising {
+            sum.div_ceil(WEIGHT_DENOMINATOR)
+        } else {
+            sum / WEIGHT_DENOMINATOR
+        }
     }
 
     /// The need as last reported.
-    pub fn last(&self) -> Units {
-        self.told
+    pub fn last_reported(&self) -> Units {
+        self.reported
     }
 }
--- a/crates/budgets/src/parameters.rs
+++ b/crates/budgets/src/parameters.rs
@@ -33,7 +33,7 @@
     },
     /// Units held at once.
     Concurrency {
-        /// The longest that a unit is held, in tenths of a ms, also by a node that is isolated or has died.
+        /// The longest that a unit is held, in tenths of a millisecond, also by a node that is isolated or has died.
         max_hold: TenthMillis,
     },
 }
@@ -41,7 +41,9 @@
 /// One budget of the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
+    /// Its name; unique within an installation together with the kind.
     pub name: Arc<str>,
+    /// What it limits.
     pub kind: Kind,
     /// Of the whole fleet: units a second, or units held at once.
     pub limit: u32,
@@ -105,7 +107,7 @@
         }
     }
 
-    /// How long after its lease a unit may still be in use, in tenths of a ms.
+    /// How long after its lease a unit may still be in use, in tenths of a millisecond.
     pub fn max_hold(&self) -> TenthMillis {
         match self.kind {
             Kind::Rate { .. } => 0,
@@ -114,7 +116,7 @@
     }
 }
 
-/// Timing and voters, the same on all nodes of a fleet. Times are in tenths of a ms.
+/// Timing and voters, the same on all nodes of a fleet. Times are in tenths of a millisecond.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Parameters {
     /// The names of the nodes of which a majority elects the leader.
@@ -154,6 +156,15 @@
         }
     }
 
+    /// How long after its lease a unit of this budget counts as in use, in tenths of a millisecond.
+    pub(crate) fn max_hold_after_lease(&self, budget: &Budget) -> TenthMillis {
+        if self.safeguards.held {
+            budget.max_hold()
+        } else {
+            0
+        }
+    }
+
     /// Votes that make a majority.
     pub(crate) fn majority(&self) -> usize {
         if self.safeguards.majority {
@@ -176,7 +187,7 @@
     /// What was granted counts until the holder has confirmed that it gave it up.
     pub confirm: bool,
     /// A holder checks whether its lease has expired.
-    pub run_out: bool,
+    pub lease_expiry: bool,
     /// Leases are shortened for their holders by what clocks may drift.
     pub drift: bool,
     /// A holder accepts only answers to its reports to the present leader, and none older than the last.
@@ -195,7 +206,7 @@
             majority: true,
             settle: true,
             confirm: true,
-            run_out: true,
+            lease_expiry: true,
             drift: true,
             in_order: true,
             prolong: true,
--- a/crates/budgets/src/reporting.rs
+++ b/crates/budgets/src/reporting.rs
@@ -7,8 +7,9 @@
 /// The state of one budget at one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AllocationStatus {
-    /// What this node may use now, its reserved minimum included, and of that what is on a lease.
+    /// What this node may use now, its reserved minimum included.
     pub allocation: Units,
+    /// Of the allocation what is on a lease.
     pub leased: Units,
     /// Units in use; 0 for a rate.
     pub in_use: Units,
@@ -16,8 +17,8 @@
     pub need: Units,
     /// Requests for a unit that were rejected since the start.
     pub rejected: u64,
-    /// How long the lease still lasts, in tenths of a ms.
-    pub lasts: Option<TenthMillis>,
+    /// How long the lease still lasts, in tenths of a millisecond.
+    pub lease_remaining: Option<TenthMillis>,
     /// What this node has granted to all, if it is the leader.
     pub granted: Option<Units>,
 }
@@ -40,7 +41,7 @@
 
     /// Whether this node holds the votes of a majority at `now`.
     pub fn is_leader(&self, now: TenthMillis) -> bool {
-        matches!(&self.leadership, Leadership::Leader(term) if term.election.till(&self.parameters) > now)
+        matches!(&self.leadership, Leadership::Leader(term) if term.election.held_until(&self.parameters) > now)
     }
 
     /// The budgets, in the order of their indices.
@@ -59,7 +60,9 @@
             in_use: allocation.in_use(),
             need: allocation.need(),
             rejected: allocation.rejected,
-            lasts: allocation.till().map(|till| till.saturating_sub(now)),
+            lease_remaining: allocation
+                .lease_until()
+                .map(|until| until.saturating_sub(now)),
             granted: leader.then(|| self.ledger.granted(index)),
         }
     }
--- a/crates/budgets/src/voter.rs
+++ b/crates/budgets/src/voter.rs
@@ -3,8 +3,8 @@
 use crate::{NodeId, Parameters};
 use doortrack_time::TenthMillis;
 
-/// One voter's memory. It does not outlast the process, so a new one gives no vote for as long as a vote of
-/// its predecessor may last.
+/// One voter's state. It does not outlast the process, so a voter that has just started gives no vote for as
+/// long as one of its predecessor may last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Voter {
     silent_until: TenthMillis,
@@ -15,7 +15,7 @@
 struct Vote {
     to: NodeId,
     ballot: u64,
-    till: TenthMillis,
+    until: TenthMillis,
 }
 
 impl Voter {
@@ -33,18 +33,18 @@
     }
 
     /// Handles a request for the vote; whether the candidate has it from now on, for `vote_duration`.
-    pub fn ask(
+    pub fn request_vote(
         &mut self,
         now: TenthMillis,
         from: &NodeId,
         ballot: u64,
         parameters: &Parameters,
     ) -> bool {
-        let taken = self
+        let given_to_other = self
             .vote
             .as_ref()
-            .is_some_and(|vote| vote.till > now && vote.to != *from);
-        if now < self.silent_until || taken {
+            .is_some_and(|vote| vote.until > now && vote.to != *from);
+        if now < self.silent_until || given_to_other {
             return false;
         }
         let newest = self
@@ -52,11 +52,11 @@
             .as_ref()
             .filter(|vote| vote.to == *from)
             .map_or(0, |vote| vote.ballot);
-        let till = now + parameters.vote_duration;
+        let until = now + parameters.vote_duration;
         self.vote = Some(Vote {
             to: from.clone(),
             ballot: ballot.max(newest),
-            till,
+            until,
         });
         true
     }
@@ -64,15 +64,16 @@
     /// Takes the vote of this ballot back from the candidate; a late release of an earlier one changes
     /// nothing.
     pub fn release(&mut self, from: &NodeId, ballot: u64) -> bool {
-        let is = |vote: &Vote| vote.to == *from && vote.ballot == ballot;
-        self.vote.take_if(|vote| is(vote)).is_some()
+        self.vote
+            .take_if(|vote| vote.to == *from && vote.ballot == ballot)
+            .is_some()
     }
 
     /// The node that has the vote now.
     pub fn leader(&self, now: TenthMillis) -> Option<&NodeId> {
         self.vote
             .as_ref()
-            .filter(|vote| vote.till > now)
+            .filter(|vote| vote.until > now)
             .map(|vote| &vote.to)
     }
 
@@ -80,7 +81,7 @@
     pub fn free_at(&self) -> TenthMillis {
         self.vote
             .as_ref()
-            .map_or(0, |vote| vote.till)
+            .map_or(0, |vote| vote.until)
             .max(self.silent_until)
     }
 }
--- a/crates/budgets/tests/holder.rs
+++ b/crates/budgets/tests/holder.rs
@@ -1,4 +1,4 @@
-//! A holder by itself: what it makes of a leader's words, whenever they come.
+//! A holder by itself: how it applies a leader's answers, whenever they arrive.
 
 use std::sync::Arc;
 
@@ -58,13 +58,13 @@
         }
     }
 
-    /// What it reports first when its turn comes, from `now` on.
-    fn reports(&mut self) -> u64 {
+    /// Lets time pass until the next report; its number.
+    fn next_report(&mut self) -> u64 {
         loop {
             self.now = self.now.max(self.budgets.next_due());
-            let mut out = Vec::new();
-            self.budgets.handle(self.now, Event::Tick, &mut out);
-            let seq = out.iter().find_map(|action| match action {
+            let mut actions = Vec::new();
+            self.budgets.handle(self.now, Event::Tick, &mut actions);
+            let seq = actions.iter().find_map(|action| match action {
                 Action::Send(Envelope {
                     message: Message::Report { seq, .. },
                     ..
@@ -77,7 +77,7 @@
         }
     }
 
-    fn hears(&mut self, message: Message) {
+    fn receive(&mut self, message: Message) {
         let envelope = Envelope {
             from: self.leader.clone(),
             to: self.budgets.me().clone(),
@@ -87,9 +87,9 @@
             .handle(self.now, Event::Received(envelope), &mut Vec::new());
     }
 
-    fn granted(&mut self, seq: u64, allocation: u64, prolongs: bool) -> u64 {
+    fn apply_grant(&mut self, seq: u64, allocation: u64, prolongs: bool) -> u64 {
         let id = self.budgets.list().next().unwrap().id();
-        self.hears(Message::Grant {
+        self.receive(Message::Grant {
             seq,
             grants: vec![Grant {
                 id,
@@ -100,42 +100,42 @@
         self.budgets.exposed(0, self.now)
     }
 
-    /// Bound to its leader, with ten units.
-    fn with_ten(safeguards: Safeguards) -> Holder {
+    /// Following its leader, with ten units leased.
+    fn with_ten_units(safeguards: Safeguards) -> Holder {
         let mut holder = Holder::new(safeguards);
-        let seq = holder.reports();
+        let seq = holder.next_report();
         let leader = Some(holder.leader.clone());
-        holder.hears(Message::Elsewhere { seq, leader });
-        let seq = holder.reports();
-        assert_eq!(holder.granted(seq, 10, false), 10);
+        holder.receive(Message::NotLeader { seq, leader });
+        let seq = holder.next_report();
+        assert_eq!(holder.apply_grant(seq, 10, false), 10);
         holder
     }
 }
 
 /// A leader that stepped down and was elected again knows nothing of what another granted in between. Its
-/// word on a report that was long on its way must not bring back what was over meanwhile.
-fn late_word(safeguards: Safeguards) -> u64 {
-    let mut holder = Holder::with_ten(safeguards);
+/// answer to a report that was delayed must not bring back what has expired meanwhile.
+fn late_prolongation(safeguards: Safeguards) -> u64 {
+    let mut holder = Holder::with_ten_units(safeguards);
     let granted_at = holder.now;
-    let mut late = 0;
+    let mut late_seq = 0;
     while holder.now < granted_at + 400 * MILLISECOND {
-        late = holder.reports();
+        late_seq = holder.next_report();
     }
-    // It stands still, so that it holds on to its leader; its report was sent, and takes its time.
+    // It is paused, so that it keeps its leader; its report was sent, and is delayed.
     holder.now = granted_at + 1_500 * MILLISECOND;
     assert_eq!(
         holder.budgets.exposed(0, holder.now),
         0,
-        "its lease is over"
+        "its lease has expired"
     );
-    holder.granted(late, 10, true)
+    holder.apply_grant(late_seq, 10, true)
 }
 
 #[test]
-fn what_is_over_is_not_prolonged() {
-    assert_eq!(late_word(Safeguards::default()), 0);
+fn an_expired_lease_is_not_prolonged() {
+    assert_eq!(late_prolongation(Safeguards::default()), 0);
     assert_eq!(
-        late_word(Safeguards {
+        late_prolongation(Safeguards {
             prolong: false,
             ..Safeguards::default()
         }),
@@ -144,20 +144,20 @@
 }
 
 #[test]
-fn what_is_in_force_is_prolonged_and_never_raised_by_that() {
-    let mut holder = Holder::with_ten(Safeguards::default());
-    let seq = holder.reports();
-    assert_eq!(holder.granted(seq, 15, true), 10);
-    let seq = holder.reports();
-    assert_eq!(holder.granted(seq, 15, false), 15);
-    // An older answer that comes later changes nothing, nor does one that comes twice.
-    assert_eq!(holder.granted(seq - 1, 3, false), 15);
-    assert_eq!(holder.granted(seq, 3, false), 15);
+fn a_lease_in_force_is_prolonged_and_never_raised_by_that() {
+    let mut holder = Holder::with_ten_units(Safeguards::default());
+    let seq = holder.next_report();
+    assert_eq!(holder.apply_grant(seq, 15, true), 10);
+    let seq = holder.next_report();
+    assert_eq!(holder.apply_grant(seq, 15, false), 15);
+    // An older answer that arrives later changes nothing, nor does a duplicate.
+    assert_eq!(holder.apply_grant(seq - 1, 3, false), 15);
+    assert_eq!(holder.apply_grant(seq, 3, false), 15);
 }
 
 #[test]
-fn one_that_is_superseded_uses_nothing_more() {
-    let mut holder = Holder::with_ten(Safeguards::default());
+fn a_superseded_node_uses_nothing_more() {
+    let mut holder = Holder::with_ten_units(Safeguards::default());
     holder
         .budgets
         .handle(holder.now, Event::Superseded, &mut Vec::new());
--- a/crates/budgets/tests/model.rs
+++ b/crates/budgets/tests/model.rs
@@ -1,6 +1,7 @@
-//! Leaders, votes and leases as a machine, searched exhaustively within small bounds: whatever dies, stops,
-//! is lost, doubled or overtaken, the allocations that may be used are never more than the limit. The model
-//! drives the package that the node runs. Each safeguard taken out must make it fail.
+//! Leaders, votes and leases as a state machine, searched exhaustively within small bounds: whatever node
+//! restarts or pauses, and whatever message is lost, duplicated or reordered, the allocations that may be
+//! used never exceed the limit. The model drives the package that the node runs. Without any one of the
+//! safeguards it must fail.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -21,7 +22,7 @@
 struct Fleet {
     nodes: usize,
     safeguards: Safeguards,
-    /// Bounds of the search: ticks, faults of either kind, envelopes on their way.
+    /// Bounds of the search: ticks, faults of either kind, envelopes in the network.
     ticks: TenthMillis,
     faults: u8,
     envelopes: usize,
@@ -31,29 +32,29 @@
 struct State {
     now: TenthMillis,
     nodes: Vec<Budgets>,
-    stopped: Vec<bool>,
-    net: BTreeSet<Envelope>,
+    paused: Vec<bool>,
+    network: BTreeSet<Envelope>,
     faults: u8,
     incarnation: u64,
-    ends: TenthMillis,
+    ends_at: TenthMillis,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Tick,
-    /// It comes, and stays on its way for a second time if this is a fault.
-    Comes(Envelope, bool),
+    /// It arrives; as a fault it is also kept, to arrive again.
+    Delivered(Envelope, bool),
     Lost(Envelope),
-    Starts(usize),
-    Stops(usize),
-    GoesOn(usize),
+    Restarts(usize),
+    Pauses(usize),
+    Resumes(usize),
 }
 
 impl Fleet {
     fn parameters(&self) -> Parameters {
         Parameters {
             voters: (0..self.nodes)
-                .map(|of| Name::from(format!("n{of}")))
+                .map(|index| Name::from(format!("n{index}")))
                 .collect(),
             round: ROUND,
             vote_duration: VOTE,
@@ -63,15 +64,15 @@
         }
     }
 
-    fn who(of: usize, incarnation: u64) -> NodeId {
+    fn node_id(index: usize, incarnation: u64) -> NodeId {
         NodeId {
-            name: format!("n{of}").into(),
+            name: format!("n{index}").into(),
             incarnation: Incarnation(incarnation),
         }
     }
 
-    fn start(&self, of: usize, incarnation: u64, now: TenthMillis) -> Budgets {
-        // What may be used counts as used.
+    fn start(&self, index: usize, incarnation: u64, now: TenthMillis) -> Budgets {
+        // A rate, so that what may be used counts as used.
         let kind = Kind::Rate { burst: 1 };
         let reserved_for = Arc::new([]);
         let budget = Budget {
@@ -83,7 +84,7 @@
             max_per_node: 1,
         };
         Budgets::new(
-            Self::who(of, incarnation),
+            Self::node_id(index, incarnation),
             1,
             self.parameters(),
             &[budget],
@@ -108,16 +109,16 @@
         view
     }
 
-    fn tell(&self, state: &mut State, of: usize, event: Event) {
-        let mut out = Vec::new();
-        state.nodes[of].handle(state.now, event, &mut out);
-        for action in out {
-            // A refusal changes nothing where it comes.
+    fn handle(&self, state: &mut State, index: usize, event: Event) {
+        let mut actions = Vec::new();
+        state.nodes[index].handle(state.now, event, &mut actions);
+        for action in actions {
+            // A refusal changes nothing for its receiver.
             if let Action::Send(envelope) = action
-                && state.net.len() < self.envelopes
+                && state.network.len() < self.envelopes
                 && !matches!(envelope.message, Message::Refused { .. })
             {
-                state.net.insert(envelope);
+                state.network.insert(envelope);
             }
         }
     }
@@ -129,21 +130,22 @@
 
     fn init_states(&self) -> Vec<State> {
         let nodes = (0..self.nodes)
-            .map(|of| self.start(of, of as u64 + 1, 0))
+            .map(|index| self.start(index, index as u64 + 1, 0))
             .collect();
         let mut state = State {
             now: 0,
             nodes,
-            stopped: vec![false; self.nodes],
-            net: BTreeSet::new(),
+            paused: vec![false; self.nodes],
+            network: BTreeSet::new(),
             faults: 0,
             incarnation: self.nodes as u64 + 1,
-            ends: TenthMillis::MAX,
+            ends_at: TenthMillis::MAX,
         };
         let view = Self::view(&state);
-        (0..self.nodes).for_each(|of| self.tell(&mut state, of, Event::Members(view.clone())));
-        // In calm, all that is sent comes at once, until an allocation is granted: the search begins there.
-        let calm = Fleet {
+        (0..self.nodes)
+            .for_each(|index| self.handle(&mut state, index, Event::Members(view.clone())));
+        // All messages arrive at once until an allocation is granted: the search begins there.
+        let lossless = Fleet {
             envelopes: 1_000,
             ..*self
         };
@@ -153,39 +155,39 @@
             .all(|node| node.exposed(0, state.now) == 0)
         {
             state.now += 1;
-            for of in 0..self.nodes {
-                calm.tell(&mut state, of, Event::Tick);
-                while let Some(envelope) = state.net.first().cloned() {
-                    state = calm
-                        .next_state(&state, Step::Comes(envelope, false))
+            for index in 0..self.nodes {
+                lossless.handle(&mut state, index, Event::Tick);
+                while let Some(envelope) = state.network.first().cloned() {
+                    state = lossless
+                        .next_state(&state, Step::Delivered(envelope, false))
                         .unwrap();
                 }
             }
             assert!(state.now < 50, "nothing is ever granted");
         }
-        state.ends = state.now + self.ticks;
+        state.ends_at = state.now + self.ticks;
         vec![state]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         let may_fail = state.faults < self.faults;
-        if state.now < state.ends {
+        if state.now < state.ends_at {
             steps.push(Step::Tick);
         }
-        for envelope in &state.net {
-            steps.push(Step::Comes(envelope.clone(), false));
+        for envelope in &state.network {
+            steps.push(Step::Delivered(envelope.clone(), false));
             if may_fail {
-                steps.push(Step::Comes(envelope.clone(), true));
+                steps.push(Step::Delivered(envelope.clone(), true));
                 steps.push(Step::Lost(envelope.clone()));
             }
         }
-        for of in 0..self.nodes {
-            if state.stopped[of] {
-                steps.push(Step::GoesOn(of));
+        for index in 0..self.nodes {
+            if state.paused[index] {
+                steps.push(Step::Resumes(index));
             } else {
                 if may_fail {
-                    steps.push(Step::Starts(of));
-                    steps.push(Step::Stops(of));
+                    steps.push(Step::Restarts(index));
+                    steps.push(Step::Pauses(index));
                 }
             }
         }
@@ -196,44 +198,44 @@
         match step {
             Step::Tick => {
                 state.now += 1;
-                for of in 0..self.nodes {
-                    if !state.stopped[of] {
-                        self.tell(&mut state, of, Event::Tick);
+                for index in 0..self.nodes {
+                    if !state.paused[index] {
+                        self.handle(&mut state, index, Event::Tick);
                     }
                 }
             }
-            Step::Comes(envelope, again) => {
-                let of: usize = envelope.to.name[1..].parse().ok()?;
-                if state.stopped[of] {
+            Step::Delivered(envelope, duplicated) => {
+                let index: usize = envelope.to.name[1..].parse().ok()?;
+                if state.paused[index] {
                     return None;
                 }
-                if again {
+                if duplicated {
                     state.faults += 1;
                 } else {
-                    state.net.remove(&envelope);
+                    state.network.remove(&envelope);
                 }
-                self.tell(&mut state, of, Event::Received(envelope));
+                self.handle(&mut state, index, Event::Received(envelope));
             }
             Step::Lost(envelope) => {
                 state.faults += 1;
-                state.net.remove(&envelope);
+                state.network.remove(&envelope);
             }
-            Step::Starts(of) => {
+            Step::Restarts(index) => {
                 state.faults += 1;
                 let now = state.now;
-                state.nodes[of] = self.start(of, state.incarnation, now);
+                state.nodes[index] = self.start(index, state.incarnation, now);
                 state.incarnation += 1;
                 let view = Self::view(&state);
                 (0..self.nodes)
-                    .for_each(|of| self.tell(&mut state, of, Event::Members(view.clone())));
+                    .for_each(|index| self.handle(&mut state, index, Event::Members(view.clone())));
             }
-            Step::Stops(of) => {
+            Step::Pauses(index) => {
                 state.faults += 1;
-                state.stopped[of] = true;
+                state.paused[index] = true;
             }
-            Step::GoesOn(of) => {
-                state.stopped[of] = false;
-                self.tell(&mut state, of, Event::Tick);
+            Step::Resumes(index) => {
+                state.paused[index] = false;
+                self.handle(&mut state, index, Event::Tick);
             }
         }
         Some(state)
@@ -271,11 +273,11 @@
 
 /// Exhaustive up to so many steps from where an allocation is granted.
 fn search(nodes: usize, faults: u8, depth: usize) -> usize {
-    let bounded = Fleet {
+    let fleet_with_faults = Fleet {
         faults,
         ..fleet(nodes, Safeguards::default())
     };
-    let checker = bounded
+    let checker = fleet_with_faults
         .checker()
         .threads(2)
         .target_max_depth(depth)
@@ -305,7 +307,7 @@
     assert_eq!(walk(3, Safeguards::default(), 0..50_000), None);
 }
 
-/// Walks drawn from seeds; the first that breaks the promise.
+/// Walks drawn from seeds; the first that exceeds the limit.
 fn walk(nodes: usize, safeguards: Safeguards, mut seeds: Range<u64>) -> Option<u64> {
     let fleet = Fleet {
         faults: 4,
@@ -314,33 +316,33 @@
         ..fleet(nodes, safeguards)
     };
     let first = fleet.init_states().remove(0);
-    let within = |state: &State| (fleet.properties()[0].condition)(&fleet, state);
+    let holds = |state: &State| (fleet.properties()[0].condition)(&fleet, state);
     seeds.find(|seed| {
-        let (mut chance, mut state) = (fastrand::Rng::with_seed(*seed), first.clone());
+        let (mut rng, mut state) = (fastrand::Rng::with_seed(*seed), first.clone());
         for _ in 0..120 {
             let mut steps = Vec::new();
             fleet.actions(&state, &mut steps);
-            // Mostly what is sent comes; faults are rare, and time goes on now and then.
+            // Most messages arrive; faults are rare, and time passes now and then.
             let weight = |step: &Step| match step {
                 Step::Tick => 3,
-                Step::Comes(_, false) => 4,
-                Step::GoesOn(_) => 1,
-                Step::Comes(_, true) | Step::Lost(_) | Step::Starts(_) | Step::Stops(_) => 1,
+                Step::Delivered(_, false) => 4,
+                Step::Resumes(_) => 1,
+                Step::Delivered(_, true) | Step::Lost(_) | Step::Restarts(_) | Step::Pauses(_) => 1,
             };
             let sum: u32 = steps.iter().map(weight).sum();
             if sum == 0 {
                 break;
             }
-            let mut drawn = chance.u32(..sum);
+            let mut drawn = rng.u32(..sum);
             let taken = steps.into_iter().find(|step| {
-                let here = drawn < weight(step);
+                let found = drawn < weight(step);
                 drawn = drawn.saturating_sub(weight(step));
-                here
+                found
             });
             if let Some(next) = taken.and_then(|step| fleet.next_state(&state, step)) {
                 state = next;
             }
-            if !within(&state) {
+            if !holds(&state) {
                 return true;
             }
         }
@@ -377,10 +379,10 @@
             },
         ),
         (
-            "run out",
+            "lease expiry",
             1904,
             Safeguards {
-                run_out: false,
+                lease_expiry: false,
                 ..all
             },
         ),
@@ -393,36 +395,36 @@
             },
         ),
     ];
-    for (what, from, safeguards) in without {
-        // Known to break it; the walks before are left to those who change something here.
+    for (safeguard, from, safeguards) in without {
+        // Known to exceed the limit without the safeguard.
         let found = walk(3, safeguards, from..from + 1);
-        assert!(found.is_some(), "{what}: nothing came of taking it out");
-        assert_eq!(walk(3, all, from..from + 1), None, "{what}");
+        assert!(found.is_some(), "{safeguard}: nothing changed without it");
+        assert_eq!(walk(3, all, from..from + 1), None, "{safeguard}");
     }
 }
 
-/// A voter that forgets its vote makes a second leader while the first is still one: something that no chance
-/// walk meets in thousands, as the time of the first is all but over.
-fn forgets_its_vote(safeguards: Safeguards) -> u64 {
+/// A voter that forgets its vote makes a second leader while the first still is one: no random walk
+/// of thousands meets this, as the first term is nearly over then.
+fn exposed_after_forgotten_vote(safeguards: Safeguards) -> u64 {
     let fleet = Fleet {
         envelopes: 1_000,
         ..fleet(3, safeguards)
     };
     let mut state = fleet.init_states().remove(0);
     let leader = (0..3)
-        .find(|of| state.nodes[*of].is_leader(state.now))
+        .find(|index| state.nodes[*index].is_leader(state.now))
         .unwrap();
-    let (voter, other) = ((leader + 1) % 3, (leader + 2) % 3);
-    // One turn of these, and all that comes of it between pairs that hear one another.
-    let turn = |state: &mut State, nodes: &[usize], pairs: &[(usize, usize)]| {
-        for of in nodes {
-            fleet.tell(state, *of, Event::Tick);
-            while let Some(envelope) = state.net.first().cloned() {
+    let (voter, candidate) = ((leader + 1) % 3, (leader + 2) % 3);
+    // One tick of these nodes, and all messages that follow between connected pairs.
+    let tick = |state: &mut State, nodes: &[usize], pairs: &[(usize, usize)]| {
+        for index in nodes {
+            fleet.handle(state, *index, Event::Tick);
+            while let Some(envelope) = state.network.first().cloned() {
                 let [from, to] = [&envelope.from, &envelope.to]
-                    .map(|who| who.name[1..].parse::<usize>().unwrap());
-                let heard = pairs.contains(&(from, to)) || pairs.contains(&(to, from));
-                let step = if heard {
-                    Step::Comes(envelope, false)
+                    .map(|node_id| node_id.name[1..].parse::<usize>().unwrap());
+                let delivered = pairs.contains(&(from, to)) || pairs.contains(&(to, from));
+                let step = if delivered {
+                    Step::Delivered(envelope, false)
                 } else {
                     Step::Lost(envelope)
                 };
@@ -433,18 +435,22 @@
     for _ in 0..4 * LEASE {
         state.now += 1;
         _ = state.nodes[leader].acquire(0, state.now);
-        turn(&mut state, &[leader, voter], &[(leader, voter)]);
+        tick(&mut state, &[leader, voter], &[(leader, voter)]);
     }
-    state = fleet.next_state(&state, Step::Starts(voter)).unwrap();
-    turn(&mut state, &[other, voter], &[(other, voter)]);
-    let mut most = 0;
+    state = fleet.next_state(&state, Step::Restarts(voter)).unwrap();
+    tick(&mut state, &[candidate, voter], &[(candidate, voter)]);
+    let mut max_exposed = 0;
     for _ in 0..3 * LEASE {
         state.now += 1;
-        for of in [other, leader] {
-            _ = state.nodes[of].acquire(0, state.now);
+        for index in [candidate, leader] {
+            _ = state.nodes[index].acquire(0, state.now);
         }
-        turn(&mut state, &[other, voter, leader], &[(other, voter)]);
-        most = most.max(
+        tick(
+            &mut state,
+            &[candidate, voter, leader],
+            &[(candidate, voter)],
+        );
+        max_exposed = max_exposed.max(
             state
                 .nodes
                 .iter()
@@ -452,14 +458,14 @@
                 .sum(),
         );
     }
-    most
+    max_exposed
 }
 
 #[test]
-fn a_voter_that_has_just_started_keeps_silent() {
-    assert_eq!(forgets_its_vote(Safeguards::default()), 1_000);
+fn a_restarted_voter_gives_no_vote() {
+    assert_eq!(exposed_after_forgotten_vote(Safeguards::default()), 1_000);
     assert_eq!(
-        forgets_its_vote(Safeguards {
+        exposed_after_forgotten_vote(Safeguards {
             silent_start: false,
             ..Safeguards::default()
         }),
--- a/crates/fault-harness/src/divided/message_size.rs
+++ b/crates/fault-harness/src/divided/message_size.rs
@@ -7,9 +7,9 @@
     let varint = |value: u64| 1 + u64::from(value > 127) + u64::from(value > 16_383);
     let node_id = |id: &NodeId| 1 + id.name.len() as u64 + 9;
     let message = match &envelope.message {
-        Message::Ask { ballot } | Message::Vote { ballot } | Message::Refused { ballot } => {
-            varint(*ballot)
-        }
+        Message::VoteRequest { ballot }
+        | Message::Vote { ballot }
+        | Message::Refused { ballot } => varint(*ballot),
         Message::Release { ballot } => varint(*ballot),
         Message::Report { seq, items, .. } => {
             let item = |item: &doortrack_budgets::ReportItem| {
@@ -32,7 +32,7 @@
                     .map(|grant| 6 + varint(grant.allocation))
                     .sum::<u64>()
         }
-        Message::Elsewhere { seq, leader } => varint(*seq) + 1 + leader.as_ref().map_or(0, node_id),
+        Message::NotLeader { seq, leader } => varint(*seq) + 1 + leader.as_ref().map_or(0, node_id),
     };
     node_id(&envelope.from) + node_id(&envelope.to) + 1 + message
 }
--- a/crates/fault-harness/tests/divided.rs
+++ b/crates/fault-harness/tests/divided.rs
@@ -281,7 +281,7 @@
     breaks(
         "run out",
         Safeguards {
-            run_out: false,
+            lease_expiry: false,
             ..all
         },
     );
--- a/crates/fault-harness/tests/scale_simulated.rs
+++ b/crates/fault-harness/tests/scale_simulated.rs
@@ -117,7 +117,7 @@
 fn where_leases_do_not_run_out_what_the_parted_hold_is_used_twice() {
     let parted = Scenario::parted(SMALL, 30_000, 1);
     let safeguards = Safeguards {
-        run_out: false,
+        lease_expiry: false,
         ..Safeguards::default()
     };
     breaks(
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -96,7 +96,7 @@
     match word {
         "settle" => safeguards.settle = false,
         "confirm" => safeguards.confirm = false,
-        "run-out" => safeguards.run_out = false,
+        "run-out" => safeguards.lease_expiry = false,
         "majority" => safeguards.majority = false,
         _ => return Err("settle, confirm, run-out or majority is wanted".into()),
     }
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -239,7 +239,9 @@
                 rejected: status.rejected,
                 need: status.need,
                 in_use: status.in_use,
-                until_ms: status.lasts.map(|lasts| lasts / MILLISECOND),
+                until_ms: status
+                    .lease_remaining
+                    .map(|remaining| remaining / MILLISECOND),
                 granted: status.granted,
             }
         });
@@ -265,7 +267,7 @@
             }
             *logged = *allocation;
         }
-        let word = change.word();
+        let word = change.name();
         let name = |index: usize| {
             self.budgets
                 .list()
@@ -281,14 +283,14 @@
             Change::LeaderSilent(who) => warn!(log, "budget"; "what" => word, "of" => &*who.name),
             Change::Allocation {
                 index,
-                was,
+                previous,
                 allocation,
-                lasts,
+                lease_remaining,
             } => {
-                info!(log, "budget"; "what" => word, "budget" => name(*index), "was" => was,
-                    "allocation" => allocation, "lasts_ms" => lasts / MILLISECOND);
+                info!(log, "budget"; "what" => word, "budget" => name(*index), "was" => previous,
+                    "allocation" => allocation, "lasts_ms" => lease_remaining / MILLISECOND);
             }
-            Change::RanOut { index, allocation } => {
+            Change::LeaseExpired { index, allocation } => {
                 warn!(log, "budget"; "what" => word, "budget" => name(*index), "was" => allocation);
             }
         }
--- a/crates/node/tests/fleet/encoding.rs
+++ b/crates/node/tests/fleet/encoding.rs
@@ -173,7 +173,7 @@
         prolongs: true,
     };
     let messages = [
-        (BudgetMessage::Ask { ballot: 1 }, "0001"),
+        (BudgetMessage::VoteRequest { ballot: 1 }, "0001"),
         (BudgetMessage::Vote { ballot: 2 }, "0102"),
         (BudgetMessage::Refused { ballot: 3 }, "0203"),
         (BudgetMessage::Release { ballot: 4 }, "0304"),
@@ -193,7 +193,7 @@
             "0507010b0601",
         ),
         (
-            BudgetMessage::Elsewhere {
+            BudgetMessage::NotLeader {
                 seq: 8,
                 leader: Some(node("k")),
             },
