--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use doortrack_admission::{RequestId, RunOutcome};
-use doortrack_config::Servers as Asked;
+use doortrack_config::ServerPool as Asked;
 use doortrack_protocols::{Answer, AnswerReader, Pair, Protocol, write_request};
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{Action, Admission, ConnId, Pool, RunEnd, RunId, ServerId, TokenResponse};
@@ -17,10 +17,10 @@
 use rustc_hash::FxHashMap;
 use slog::{Logger, warn};
 
-use super::bounds::TURN;
+use super::bounds::READ_BUFFER_BYTES;
 use super::engine::{BackendEvent, begin_to_connect};
 use super::headers::passed_on;
-use super::listeners::Block;
+use super::listeners::RawVariables;
 use super::server_log::log_server_state;
 use super::termination::Termination;
 
@@ -75,9 +75,9 @@
     ) -> Servers {
         let (at, socks, actions, ends) = Default::default();
         let (requests, results, backend_events) = Default::default();
-        let pool = Pool::new(asked.terms(longest), seed);
+        let pool = Pool::new(asked.pool_config(longest), seed);
         let (protocol, keep, most_answer) = (asked.protocol.into(), false, 0);
-        let (scratch, up) = (vec![0; TURN], false);
+        let (scratch, up) = (vec![0; READ_BUFFER_BYTES], false);
         let first_key = SERVER_KEY + place * POOL_KEYS;
         let mut servers = Servers {
             poller,
@@ -104,8 +104,8 @@
     /// Takes up a new list of servers and how the pool is to be kept. What they speak is as it was at the
     /// start: requests in hand are written in that.
     pub fn take_up(&mut self, asked: &Asked, longest: TenthMillis, now: TenthMillis) {
-        let terms = asked.terms(longest);
-        (self.keep, self.most_answer) = (terms.idle_timeout > 0, asked.most_answer_bytes as usize);
+        let terms = asked.pool_config(longest);
+        (self.keep, self.most_answer) = (terms.idle_timeout > 0, asked.max_response_bytes as usize);
         self.pool.reconfigure(terms, now, &mut self.actions);
         self.settle(now);
         let members: BTreeMap<SocketAddr, ServerId> = self
@@ -195,7 +195,7 @@
     pub fn run(
         &mut self,
         run: RequestId,
-        block: Option<Block>,
+        block: Option<RawVariables>,
         body: &[u8],
         repeatable: bool,
         now: TenthMillis,
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -7,7 +7,7 @@
 use doortrack_admission::AdmissionController;
 use doortrack_admission::{Backpressure, Effect, EndpointGroup, Event, Gauges};
 use doortrack_config::reload::{KeyMeanings, Platform, Started};
-use doortrack_config::{Installation, NodeConfig, Servers as ServerSettings};
+use doortrack_config::{Installation, NodeConfig, ServerPool};
 use doortrack_protocols::Protocol;
 use doortrack_time::{MILLISECOND, TenthMillis};
 use polling::Poller;
@@ -39,11 +39,11 @@
 
 /// Tells what rules there are, and those that can never win.
 pub(super) fn log_rules(log: &Logger, rules: &RuleTable) {
-    for note in rules.notes.iter().take(MOST_NOTES) {
+    for note in rules.shadowed.iter().take(MOST_NOTES) {
         warn!(log, "rule without effect"; "why" => %note);
     }
     info!(log, "rules"; "rules" => rules.table.len(), "asked_in_order" => rules.table.unindexed(),
-        "without_effect" => rules.notes.len(), "reused" => rules.reused);
+        "without_effect" => rules.shadowed.len(), "reused" => rules.reused);
 }
 
 /// Connections that callers may have: all sockets together keep within the node's own bound, and within what
@@ -53,7 +53,7 @@
 /// The pools of servers could take more than half of what the system lets it have.
 fn connections(installation: &Installation, wanted: usize, log: &Logger) -> Result<usize, Fault> {
     let all = wanted.min(descriptors::connections());
-    let servers = installation.server_connections();
+    let servers = installation.max_server_connections();
     if all < wanted {
         let limit = descriptors::limit();
         if servers > all / 2 {
@@ -92,7 +92,7 @@
     let is_keyed = |group: &EndpointGroup| group.effect == Effect::Deduplicated;
     Names {
         groups: handed.group_names.clone(),
-        keyed: handed.admission.groups.iter().map(is_keyed).collect(),
+        idempotency_keyed: handed.admission.groups.iter().map(is_keyed).collect(),
         tenants: handed.tenant_names.clone(),
     }
 }
@@ -105,7 +105,7 @@
     poller: &Arc<Poller>,
     log: &Logger,
 ) -> Backend {
-    let open_pool = |(index, (name, settings)): (usize, (&str, &ServerSettings))| {
+    let open_pool = |(index, (name, settings)): (usize, (&str, &ServerPool))| {
         let pool_log = log.new(o!("pool" => name.to_string()));
         let seed = orders.seed.wrapping_add(index as u64);
         let servers = Servers::new(
@@ -188,7 +188,8 @@
         once_free(|| listeners.listen(orders.listen, Protocol::FastCgi, None))
             .map_err(|e| format!("config.listen: {}: {e}", orders.listen))?;
         // Nothing is said before the decisions do, but where the least rank is meant, none is held back.
-        listeners.level = (handed.admission.backpressure == Backpressure::MinRank).then_some(0.0);
+        listeners.backpressure =
+            (handed.admission.backpressure == Backpressure::MinRank).then_some(0.0);
         let registry = Registry::open(orders.listen, orders.registry, orders.name.clone())
             .map_err(|e| format!("config.registry: {}: {e}", orders.registry))?;
         info!(log, "listening"; "address" => %orders.listen, "connections" => room.connections,
@@ -206,7 +207,7 @@
             work.gate_ramps(|pool| part.ramp_gate(pool));
         }
         let started = Started {
-            orders: Arc::clone(&orders),
+            config: Arc::clone(&orders),
             in_fleet: installation.fleet.is_some(),
         };
         let reloader = Reloader::new(Sources { started, file }, poller.clone());
@@ -245,7 +246,7 @@
             platform: Platform::new(&orders),
             orders: Arc::clone(&orders),
             keys,
-            listening: installation.fronts.clone(),
+            listening: installation.listeners.clone(),
             reloader,
             installation: Arc::new(installation),
         };
@@ -256,7 +257,7 @@
 
     fn open_installation_fronts(&mut self) -> Result<(), Fault> {
         let installation = Arc::clone(&self.installation);
-        for (nth, front) in installation.fronts.iter().enumerate() {
+        for (nth, front) in installation.listeners.iter().enumerate() {
             once_free(|| self.open_front(front))
                 .map_err(|e| format!("installation.fronts[{nth}].listen: {}: {e}", front.listen))?;
         }
