--- a/crates/node/src/serve/report.rs
+++ b/crates/node/src/serve/report.rs
@@ -45,7 +45,7 @@
             info!(self.log, "so far of servers"; "pool" => name, "servers" => pool.members(),
                 "in_use" => pool.in_use(),
                 "connections" => pool.connections(), "in_hand" => pool.in_flight(), "begun" => counters.begun,
-                "ends" => Serde(servers.ends.clone()), "retries" => counters.retries,
+                "ends" => Serde(servers.terminations.clone()), "retries" => counters.retries,
                 "unbudgeted" => counters.retries_over_budget, "failures" => counters.failures,
                 "put_aside" => counters.ejections, "opened" => counters.connections_opened, "stale" => counters.stale_connections,
                 "cold" => pool.cold_servers(), "ramps" => counters.slow_starts, "held_back" => counters.held_back);
--- a/crates/node/tests/node/ramps.rs
+++ b/crates/node/tests/node/ramps.rs
@@ -30,14 +30,17 @@
     assert_eq!(faults(&good()), "");
     let installation = installation::parse(good().to_string().as_bytes()).unwrap();
     let orders = node_config::parse(config().to_string().as_bytes()).unwrap();
-    assert_eq!(installation.budget_indices(&orders).ramps, [None, Some(0)]);
+    assert_eq!(
+        installation.budget_indices(&orders).slow_starts,
+        [None, Some(0)]
+    );
     let ramp = installation.pools["boats"]
         .pool_config(0)
         .slow_start
         .unwrap();
     assert_eq!((ramp.duration, ramp.runs), (100_000, 100));
     assert_eq!(
-        installation.servers.unwrap().pool_config(0).slow_start,
+        installation.default_pool.unwrap().pool_config(0).slow_start,
         None
     );
 }
