--- a/crates/bench/benches/codecs.rs
+++ b/crates/bench/benches/codecs.rs
@@ -1,4 +1,4 @@
-//! Parsers and writers of both protocols by themselves: one request read whole, one answer written.
+//! Parsers and writers of both protocols: one request read, one answer written and read.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use doortrack_fakes::caller::Ask;
@@ -12,16 +12,14 @@
         group.throughput(Throughput::Elements(1));
         group.bench_function("read a request", |bencher| {
             bencher.iter(|| {
-                let (mut reader, mut input, mut bytes) =
-                    (RequestReader::new(protocol), &request[..], 0);
+                let mut reader = RequestReader::new(protocol);
+                let (mut input, mut byte_count) = (&request[..], 0);
                 while let Ok(Some(piece)) = reader.next(&mut input) {
-                    if let Piece::Params { bytes: part, .. } | Piece::Stdin { bytes: part, .. } =
-                        piece
-                    {
-                        bytes += part.len();
+                    if let Piece::Params { bytes, .. } | Piece::Stdin { bytes, .. } = piece {
+                        byte_count += bytes.len();
                     }
                 }
-                bytes
+                byte_count
             })
         });
         let block: Vec<u8> = {
--- a/crates/bench/benches/expressions.rs
+++ b/crates/bench/benches/expressions.rs
@@ -1,17 +1,17 @@
-//! Expressions by themselves: ten typical ones, each an evaluation.
+//! The evaluation of ten typical expressions, and the compilation of one.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use doortrack_bench::typical::TYPICAL;
 use doortrack_expr::{Limits, LiteralRequest, Scratch, infer};
 
 fn expressions(criterion: &mut Criterion) {
-    let asked = LiteralRequest::example();
+    let request = LiteralRequest::example();
     let mut group = criterion.benchmark_group("evaluate");
     for (name, source) in TYPICAL {
-        let program = infer(source, Limits::default()).expect("a sound source");
+        let program = infer(source, Limits::default()).expect("a valid expression");
         let mut scratch = Scratch::default();
         group.bench_function(name, |bencher| {
-            bencher.iter(|| program.eval(&asked, &mut scratch) == doortrack_expr::Value::Absent)
+            bencher.iter(|| program.eval(&request, &mut scratch) == doortrack_expr::Value::Absent)
         });
     }
     group.finish();
--- a/crates/bench/benches/routes.rs
+++ b/crates/bench/benches/routes.rs
@@ -1,18 +1,20 @@
-//! The route table: a match among few and many rules, and loading them.
+//! The route table: loading few and many rules, and a match among them.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use doortrack_expr::{Limits, LiteralRequest, Scratch};
 use doortrack_routes::{GroupName, Names, Rule, Table};
 
 fn rules(count: usize) -> Vec<Rule> {
-    let when = |n: usize| match n % 3 {
-        0 => format!("path.starts_with(\"/yard-{n}/\")"),
-        1 => format!("(header(\"x-yard\") ?? \"\") == \"yard-{n}\" && method == \"POST\""),
-        _ => format!("(segment(0) ?? \"\") in [\"yard-{n}\", \"dock-{n}\"] && body_length < 4096"),
+    let when = |index: usize| match index % 3 {
+        0 => format!("path.starts_with(\"/yard-{index}/\")"),
+        1 => format!("(header(\"x-yard\") ?? \"\") == \"yard-{index}\" && method == \"POST\""),
+        _ => format!(
+            "(segment(0) ?? \"\") in [\"yard-{index}\", \"dock-{index}\"] && body_length < 4096"
+        ),
     };
     (0..count)
-        .map(|n| Rule {
-            when: when(n),
+        .map(|index| Rule {
+            when: when(index),
             group: "look".into(),
             ..Rule::default()
         })
@@ -34,10 +36,10 @@
         group.bench_function(BenchmarkId::new("load", count), |bencher| {
             bencher.iter(|| Table::build(&rules, &names(), Limits::default()).is_ok())
         });
-        let (table, _) = Table::build(&rules, &names(), Limits::default()).expect("sound rules");
-        let last = (count - 1) / 3 * 3;
+        let (table, _) = Table::build(&rules, &names(), Limits::default()).expect("valid rules");
+        let last_prefix_rule = (count - 1) / 3 * 3;
         let request = LiteralRequest {
-            path: format!("/yard-{last}/book"),
+            path: format!("/yard-{last_prefix_rule}/book"),
             ..LiteralRequest::default()
         }
         .header("host", "booking.example.org")
--- a/crates/bench/src/bin/bad-servers.rs
+++ b/crates/bench/src/bin/bad-servers.rs
@@ -1,5 +1,5 @@
-//! `bad-servers`: what one bad server of four costs, and how often an outage is retried, with putting aside
-//! and without. Played on loopback sockets, with an open loop of callers.
+//! `bad-servers`: the cost of one bad server of four, and how often an outage of all is retried, with
+//! ejection and without. Runs on loopback sockets, with an open loop of callers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,15 +9,28 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use doortrack_fakes::bed::{Bed, Plan};
+use doortrack_bench::log_line;
+use doortrack_fakes::bed::{Bed, Plan, connect};
 use doortrack_fakes::caller::{Ask, Seen};
 use doortrack_fakes::server::{Act, CutBy, Server};
 use doortrack_protocols::Protocol;
-use serde_json::json;
+use serde_json::{Value, json};
+
+const SERVERS: usize = 4;
+const LISTENER_PORT: u16 = 9091;
+/// Time for the node to start after it listens.
+const START_TIME: Duration = Duration::from_millis(100);
+/// Start and end of the bad phase, as fractions of a run.
+const BAD_PHASE: (f64, f64) = (0.25, 0.75);
+/// Time after which the node should have found a change, in seconds.
+const DETECTION_S: f64 = 0.5;
+/// Failures in a row that eject a server, and a number that is never reached.
+const EJECTION_FAILURES: u32 = 3;
+const NO_EJECTION: u32 = 1000;
 
 #[derive(Parser)]
 #[command(version)]
-struct Words {
+struct Cli {
     /// The program
     #[arg(long, default_value = "target/release/doortrack")]
     node: PathBuf,
@@ -36,200 +49,249 @@
     in_time_ms: u64,
 }
 
+/// How a server behaves.
 #[derive(Clone, Copy, PartialEq)]
 #[repr(u8)]
-enum Mood {
-    Sound,
+enum Behaviour {
+    Healthy,
     Hangs,
     Fails,
-    Breaks,
+    ClosesEarly,
     Slow,
 }
 
-const MOODS: [(Mood, &str); 4] = [
-    (Mood::Hangs, "hangs"),
-    (Mood::Fails, "fails fast"),
-    (Mood::Breaks, "breaks off"),
-    (Mood::Slow, "slow tenfold"),
+const BAD_BEHAVIOURS: [(Behaviour, &str); 4] = [
+    (Behaviour::Hangs, "hangs"),
+    (Behaviour::Fails, "fails fast"),
+    (Behaviour::ClosesEarly, "breaks off"),
+    (Behaviour::Slow, "slow tenfold"),
 ];
 
-impl Mood {
-    fn of(byte: u8) -> Mood {
-        [
-            Mood::Sound,
-            Mood::Hangs,
-            Mood::Fails,
-            Mood::Breaks,
-            Mood::Slow,
-        ][usize::from(byte)]
-    }
-}
-
-fn server(protocol: Protocol, work: Duration, mood: Arc<AtomicU8>) -> Server {
-    Server::start(protocol, move |_| {
-        match Mood::of(mood.load(Ordering::Relaxed)) {
-            Mood::Sound => Act::Answer {
-                status: "200 OK",
-                body: b"done".into(),
-                after: work,
-            },
-            Mood::Slow => Act::Answer {
-                status: "200 OK",
-                body: b"done".into(),
-                after: work * 10,
-            },
-            Mood::Hangs => Act::Hang,
-            Mood::Fails => Act::Answer {
-                status: "503 No",
-                body: Vec::new(),
-                after: Duration::ZERO,
-            },
-            Mood::Breaks => Act::Cut {
+impl Behaviour {
+    fn act(self, run_time: Duration) -> Act {
+        match self {
+            Behaviour::Healthy => answer("200 OK", b"done", run_time),
+            Behaviour::Slow => answer("200 OK", b"done", run_time * 10),
+            Behaviour::Hangs => Act::Hang,
+            Behaviour::Fails => answer("503 No", b"", Duration::ZERO),
+            Behaviour::ClosesEarly => Act::Cut {
                 body: b"done".into(),
                 at: 0,
                 how: CutBy::Close,
             },
         }
-    })
+    }
+}
+
+fn answer(status: &'static str, body: &[u8], after: Duration) -> Act {
+    Act::Answer {
+        status,
+        body: body.to_vec(),
+        after,
+    }
 }
 
-/// One request: its part of the play, from 0 to 1, and whether it was completed in time.
-type Told = (f64, bool);
+/// The behaviour of a running server, which can change.
+#[derive(Clone)]
+struct BehaviourSwitch(Arc<AtomicU8>);
 
-fn play(
-    words: &Words,
+impl BehaviourSwitch {
+    fn new() -> BehaviourSwitch {
+        BehaviourSwitch(Arc::new(AtomicU8::new(Behaviour::Healthy as u8)))
+    }
+
+    fn set(&self, behaviour: Behaviour) {
+        self.0.store(behaviour as u8, Ordering::Relaxed);
+    }
+
+    fn get(&self) -> Behaviour {
+        let current = self.0.load(Ordering::Relaxed);
+        BAD_BEHAVIOURS
+            .iter()
+            .map(|(behaviour, _)| *behaviour)
+            .find(|behaviour| *behaviour as u8 == current)
+            .unwrap_or(Behaviour::Healthy)
+    }
+}
+
+/// One combination of what is measured.
+struct Case {
     protocol: Protocol,
-    bad: usize,
-    mood: Mood,
-    aside: bool,
-) -> (Vec<Told>, String) {
-    let moods: Vec<Arc<AtomicU8>> = (0..4).map(|_| Arc::new(AtomicU8::new(0))).collect();
-    let work = Duration::from_millis(words.work_ms);
-    let servers: Vec<Server> = moods
+    bad_servers: usize,
+    behaviour: Behaviour,
+    ejection: bool,
+}
+
+/// One request: when it was due, as a fraction of the run, and whether it was completed in time.
+#[derive(Clone, Copy)]
+struct Sent {
+    at: f64,
+    in_time: bool,
+}
+
+/// Runs a case. Returns its requests and what the node's log says of its servers.
+fn run(cli: &Cli, case: &Case) -> (Vec<Sent>, String) {
+    let switches: Vec<BehaviourSwitch> = (0..SERVERS).map(|_| BehaviourSwitch::new()).collect();
+    let run_time = Duration::from_millis(cli.work_ms);
+    let servers: Vec<Server> = switches
         .iter()
-        .map(|mood| server(protocol, work, mood.clone()))
+        .map(|switch| {
+            let switch = switch.clone();
+            Server::start(case.protocol, move |_| switch.get().act(run_time))
+        })
         .collect();
-    let mut plan = Plan::new(&words.node);
-    let at = plan.port(9091);
+    let mut plan = Plan::new(&cli.node);
+    let listener = plan.port(LISTENER_PORT);
     plan.config["settings"]["family_info"]["cores"] = json!(64);
-    // Entries of deduplicated requests are not to run out.
+    // The entries of idempotency keys are not to run out.
     plan.config["settings"]["family_info"]["memory_kb"] = json!(10_000_000);
     plan.config["stop_ms"] = json!(1500);
-    let addresses: Vec<String> = servers.iter().map(|server| server.at.to_string()).collect();
-    let failures = if aside { 3 } else { 1000 };
-    plan.installation = Some(json!({
-        "fronts": [{"protocol": "uwsgi", "listen": at.to_string()}],
-        "servers": {"protocol": protocol.name(), "addresses": addresses, "at_once": 8,
-            "answer_within_ms": 500,
-            "aside": {"failures": failures, "longest_ms": 4000}}
-    }));
-    let bed = plan.start();
-    drop(doortrack_fakes::bed::connect(at));
-    thread::sleep(Duration::from_millis(100));
-    let told = ask(words, at, |part| {
-        let now = if (0.25..0.75).contains(&part) {
-            mood
+    plan.installation = Some(installation(case, listener, &servers));
+    let node = plan.start();
+    drop(connect(listener));
+    thread::sleep(START_TIME);
+    let sent = send_all(cli, listener, |at| {
+        let is_bad = (BAD_PHASE.0..BAD_PHASE.1).contains(&at);
+        let behaviour = if is_bad {
+            case.behaviour
         } else {
-            Mood::Sound
+            Behaviour::Healthy
         };
-        moods[..bad]
-            .iter()
-            .for_each(|of| of.store(now as u8, Ordering::Relaxed));
+        for switch in &switches[..case.bad_servers] {
+            switch.set(behaviour);
+        }
     });
-    (told, log_line(bed))
+    (sent, pool_summary(node))
+}
+
+fn installation(case: &Case, listener: SocketAddr, servers: &[Server]) -> Value {
+    let addresses: Vec<String> = servers.iter().map(|server| server.at.to_string()).collect();
+    let failures = if case.ejection {
+        EJECTION_FAILURES
+    } else {
+        NO_EJECTION
+    };
+    json!({
+        "fronts": [{"protocol": "uwsgi", "listen": listener.to_string()}],
+        "servers": {"protocol": case.protocol.name(), "addresses": addresses, "at_once": 8,
+            "answer_within_ms": 500,
+            "aside": {"failures": failures, "longest_ms": 4000}}
+    })
 }
 
-fn ask(words: &Words, at: SocketAddr, at_part: impl Fn(f64)) -> Vec<Told> {
-    let (start, told) = (Instant::now(), Arc::new(Mutex::new(Vec::new())));
-    let count = (words.rate * words.seconds) as u64;
+/// Sends requests at a fixed rate, each in a thread of its own. Calls `on_request` before each with the time
+/// as a fraction of the run.
+fn send_all(cli: &Cli, listener: SocketAddr, on_request: impl Fn(f64)) -> Vec<Sent> {
+    let began = Instant::now();
+    let sent = Arc::new(Mutex::new(Vec::new()));
+    let count = (cli.rate * cli.seconds) as u64;
+    let objective = Duration::from_millis(cli.in_time_ms);
     let threads: Vec<_> = (0..count)
-        .map(|nth| {
-            let due = Duration::from_secs_f64(nth as f64 / words.rate);
-            thread::sleep(due.saturating_sub(start.elapsed()));
-            let part = nth as f64 / count as f64;
-            at_part(part);
-            let (told, within) = (told.clone(), Duration::from_millis(words.in_time_ms));
+        .map(|index| {
+            let due = Duration::from_secs_f64(index as f64 / cli.rate);
+            thread::sleep(due.saturating_sub(began.elapsed()));
+            let at = index as f64 / count as f64;
+            on_request(at);
+            let sent = sent.clone();
             thread::spawn(move || {
-                // Half of them may run twice, half may not.
-                let key = format!("{nth:032x}");
-                let ask = Ask::new(
-                    nth,
-                    if nth % 2 == 0 {
-                        "/svc/look"
-                    } else {
-                        "/svc/pay"
-                    },
-                    b"",
-                );
-                let ask = if nth % 2 == 0 {
-                    ask
-                } else {
-                    ask.with("HTTP_IDEMPOTENCY_KEY", &key)
-                };
-                let good = matches!(ask.send(at, Protocol::Uwsgi).seen(), Seen::Completed(_));
-                // From when it was due: a caller that came late counts what it waited.
-                let in_time = good && start.elapsed() <= due + within;
-                told.lock().unwrap().push((part, in_time));
+                let is_completed = send(index, listener);
+                // From when it was due: a caller that was late counts its delay.
+                let in_time = is_completed && began.elapsed() <= due + objective;
+                sent.lock().unwrap().push(Sent { at, in_time });
             })
         })
         .collect();
-    threads
-        .into_iter()
-        .for_each(|thread| thread.join().unwrap());
-    told.lock().unwrap().clone()
+    for thread in threads {
+        thread.join().unwrap();
+    }
+    sent.lock().unwrap().clone()
+}
+
+/// Sends one request; every second one has an idempotency key. Returns whether it was completed.
+fn send(index: u64, listener: SocketAddr) -> bool {
+    let key = format!("{index:032x}");
+    let request = if index.is_multiple_of(2) {
+        Ask::new(index, "/svc/look", b"")
+    } else {
+        Ask::new(index, "/svc/pay", b"").with("HTTP_IDEMPOTENCY_KEY", &key)
+    };
+    let answer = request.send(listener, Protocol::Uwsgi).seen();
+    matches!(answer, Seen::Completed(_))
 }
 
-/// What the node says of its servers at its end.
-fn log_line(bed: Bed) -> String {
-    bed.signal("-TERM");
-    let (_, log) = bed.end();
+/// Ends the node and reads the last summary of its server pool.
+fn pool_summary(node: Bed) -> String {
+    node.signal("-TERM");
+    let (_, log) = node.end();
     let line = log
         .lines()
-        .rfind(|line| line.contains("so far of servers"))
-        .unwrap_or_default()
-        .to_string();
-    let find = |key: &str| {
-        let rest = line.split(&format!(" {key}=")).nth(1).unwrap_or_default();
-        rest.split(' ').next().unwrap_or_default().to_string()
-    };
+        .rfind(|line| log_line::is_pool_summary(line))
+        .unwrap_or_default();
+    let figure = |key| log_line::value(line, key).unwrap_or_default();
     format!(
         "retries {} of {} begun, put aside {}",
-        find("retries"),
-        find("begun"),
-        find("put_aside")
+        figure("retries"),
+        figure("begun"),
+        figure("put_aside")
     )
 }
 
-/// Percent in time while it is bad, from half a second after it began, and after its end.
-fn shares(words: &Words, told: &[Told]) -> (f64, f64, f64) {
-    let share = |from: f64, till: f64| {
-        let part: Vec<&Told> = told
-            .iter()
-            .filter(|(part, _)| (from..till).contains(part))
-            .collect();
-        100.0 * part.iter().filter(|(_, in_time)| *in_time).count() as f64
-            / part.len().max(1) as f64
+/// Percentages in time: in the bad phase, in the bad phase after its detection, and after the recovery.
+struct InTime {
+    bad: f64,
+    detected: f64,
+    recovered: f64,
+}
+
+impl InTime {
+    fn new(cli: &Cli, sent: &[Sent]) -> InTime {
+        let detection = DETECTION_S / cli.seconds;
+        let (start, end) = BAD_PHASE;
+        InTime {
+            bad: percent_in_time(sent, start, end),
+            detected: percent_in_time(sent, start + detection, end),
+            recovered: percent_in_time(sent, end + detection, 1.0),
+        }
+    }
+}
+
+fn percent_in_time(sent: &[Sent], from: f64, until: f64) -> f64 {
+    let phase: Vec<&Sent> = sent
+        .iter()
+        .filter(|request| (from..until).contains(&request.at))
+        .collect();
+    let in_time = phase.iter().filter(|request| request.in_time).count();
+    100.0 * in_time as f64 / phase.len().max(1) as f64
+}
+
+fn print_case(cli: &Cli, case: &Case, behaviour: &str) {
+    let (sent, summary) = run(cli, case);
+    let in_time = InTime::new(cli, &sent);
+    let ejection = if case.ejection {
+        "put aside"
+    } else {
+        "all kept"
     };
-    let found = 0.25 + 0.5 / words.seconds;
-    (
-        share(0.25, 0.75),
-        share(found, 0.75),
-        share(0.75 + 0.5 / words.seconds, 1.0),
-    )
+    println!(
+        "{:<7} {} of {SERVERS} {behaviour:<12} {ejection:<9} {:>5.1} {:>5.1} {:>5.1} {summary}",
+        case.protocol, case.bad_servers, in_time.bad, in_time.detected, in_time.recovered
+    );
 }
 
 fn main() {
-    let words = Words::parse();
+    let cli = Cli::parse();
     println!("in time, percent: while bad, from 0.5 s after it began, from 0.5 s after it ended");
     for protocol in Protocol::ALL {
-        for bad in [1, 4] {
-            for (mood, name) in MOODS {
-                for aside in [true, false] {
-                    let (told, log) = play(&words, protocol, bad, mood, aside);
-                    let (all, found, after) = shares(&words, &told);
-                    let shares = format!("{all:>5.1} {found:>5.1} {after:>5.1}");
-                    let kind = if aside { "put aside" } else { "all kept" };
-                    println!("{protocol:<7} {bad} of 4 {name:<12} {kind:<9} {shares} {log}");
+        for bad_servers in [1, SERVERS] {
+            for (behaviour, name) in BAD_BEHAVIOURS {
+                for ejection in [true, false] {
+                    let case = Case {
+                        protocol,
+                        bad_servers,
+                        behaviour,
+                        ejection,
+                    };
+                    print_case(&cli, &case, name);
                 }
             }
         }
--- a/crates/bench/src/bin/budgets.rs
+++ b/crates/bench/src/bin/budgets.rs
@@ -1,7 +1,8 @@
-//! What dividing a budget costs and brings, in simulated time on the package that the node runs: put to use
-//! under skewed demand, followed when demand moves, divided anew after a loss, fair, and what it sends.
+//! `budgets`: the cost and benefit of dividing a budget among nodes, in simulated time on the package that
+//! the node runs: utilization under skewed demand, time to follow demand that moves and to recover from a
+//! loss, fairness, and traffic.
 //!
-//! Beside it, on the same demand: fixed shares of 1/N, and a divider that knows all at once.
+//! Utilization is compared, on the same demand, with fixed shares of 1/N and with an omniscient divider.
 
 use std::sync::Arc;
 
@@ -12,200 +13,242 @@
 use doortrack_membership::Name;
 use doortrack_simulation::Distribution;
 
+/// The limit of the budget in uses per second, and its burst.
 const LIMIT: u32 = 6_000;
+const LIMIT_PER_S: f64 = LIMIT as f64;
 const VOTERS: usize = 5;
 /// Allocations are granted from here on.
 const CALM_MS: u64 = 5_000;
+/// The end of the runs that measure utilization.
+const UTILIZATION_END_MS: u64 = 35_000;
+/// Time from a node's graceful shutdown to its start.
+const RESTART_MS: u64 = 1_000;
+/// When demand moves or a node dies, in the runs that measure recovery.
+const EVENT_MS: u64 = 15_000;
+/// Outcomes count uses by tenths of a second.
+const TENTH_MS: u64 = 100;
+/// Tenths of a second within which a recovery is looked for, and for which it has to last.
+const RECOVERY_WITHIN: u64 = 150;
+const RECOVERY_LASTS: u64 = 5;
 
+/// Requested uses per second, by node and time in ms.
 type Demand<'a> = &'a dyn Fn(usize, u64) -> f64;
 
+/// One simulated run.
+struct Run<'a> {
+    nodes: usize,
+    end_ms: u64,
+    count_from_ms: u64,
+    faults: Vec<Timed>,
+    demand: Demand<'a>,
+}
+
+impl Run<'_> {
+    fn outcome(&self) -> Outcome {
+        let script = Script {
+            nodes: self.nodes,
+            ms: self.end_ms,
+            seed: 7,
+            faults: self.faults.clone(),
+        };
+        let restarts = Restarts::new(&self.faults);
+        let options = Options {
+            parameters: Parameters {
+                voters: names(VOTERS.min(self.nodes)),
+                ..Parameters::default()
+            },
+            budgets: vec![budget(self.nodes)],
+            latency: Distribution::LogNormal {
+                mean: 300.0,
+                sigma: 0.5,
+            },
+            drift_ppm: (-10_000, 10_000),
+            offset_ms: 500,
+            demand: &|node, _, ms| restarts.demand(self.demand, node, ms),
+            mean_hold_ms: 1,
+            count_from_ms: self.count_from_ms,
+            count_bytes: true,
+        };
+        let outcome = divided::run(&script, &options);
+        assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
+        outcome
+    }
+}
+
 fn names(count: usize) -> Arc<[Name]> {
-    (0..count).map(|of| Name::from(name(of))).collect()
+    (0..count).map(|node| Name::from(name(node))).collect()
 }
 
-fn run(
-    nodes: usize,
-    ms: u64,
-    from: u64,
-    faults: Vec<(u64, Fault)>,
-    demand: Demand,
-    reserved: u32,
-) -> Outcome {
-    let away = away_of(&faults);
-    let faults = faults
-        .into_iter()
-        .map(|(at_ms, fault)| Timed { at_ms, fault })
-        .collect();
-    let script = Script {
-        nodes,
-        ms,
-        seed: 7,
-        faults,
-    };
-    let kind = Kind::Rate { burst: LIMIT };
-    let reserved_for = names(nodes);
-    let budget = Budget {
+fn budget(nodes: usize) -> Budget {
+    Budget {
         name: "b".into(),
-        kind,
+        kind: Kind::Rate { burst: LIMIT },
         limit: LIMIT,
-        reserved,
-        reserved_for,
+        reserved: 0,
+        reserved_for: names(nodes),
         max_per_node: LIMIT,
-    };
-    let options = Options {
-        parameters: Parameters {
-            voters: names(VOTERS.min(nodes)),
-            ..Parameters::default()
-        },
-        budgets: vec![budget],
-        latency: Distribution::LogNormal {
-            mean: 300.0,
-            sigma: 0.5,
-        },
-        drift_ppm: (-10_000, 10_000),
-        offset_ms: 500,
-        demand: &|of, _, ms| if away(of, ms) { 0.0 } else { demand(of, ms) },
-        mean_hold_ms: 1,
-        count_from_ms: from,
-        count_bytes: true,
-    };
-    let out = divided::run(&script, &options);
-    assert!(out.violations.is_empty(), "{:?}", out.violations);
-    out
+    }
 }
 
-/// What could be used from `from` to `till` in all, by who knows all, and by fixed shares. Nobody asks of a
-/// node while it is `away`.
-fn could(
-    nodes: usize,
-    from: u64,
-    till: u64,
-    demand: Demand,
-    away: &dyn Fn(usize, u64) -> bool,
-) -> (f64, f64) {
-    let (limit, fixed) = (f64::from(LIMIT), f64::from(LIMIT) / nodes as f64);
-    let (mut knows, mut fixes) = (0.0, 0.0);
-    for ms in (from..till).step_by(10) {
-        let asked: Vec<f64> = (0..nodes)
-            .map(|of| if away(of, ms) { 0.0 } else { demand(of, ms) })
-            .collect();
-        knows += asked.iter().sum::<f64>().min(limit) / 100.0;
-        fixes += asked.iter().map(|of| of.min(fixed)).sum::<f64>() / 100.0;
+/// Nodes that are restarted, with the times of their starts in ms.
+struct Restarts(Vec<(usize, u64)>);
+
+impl Restarts {
+    fn new(faults: &[Timed]) -> Restarts {
+        let starts = faults.iter().filter_map(|timed| match &timed.fault {
+            Fault::Start { nodes, .. } => Some((nodes[0], timed.at_ms)),
+            _ => None,
+        });
+        Restarts(starts.collect())
     }
-    (knows, fixes)
+
+    /// The demand at a node: none between its shutdown and its start.
+    fn demand(&self, demand: Demand, node: usize, ms: u64) -> f64 {
+        let is_restarting = self.0.iter().any(|(restarted, start_ms)| {
+            *restarted == node && ms + RESTART_MS >= *start_ms && ms < *start_ms
+        });
+        if is_restarting { 0.0 } else { demand(node, ms) }
+    }
+}
+
+/// The uses that other ways of dividing the same budget would admit.
+struct Baseline {
+    omniscient: f64,
+    fixed_shares: f64,
 }
 
-/// Whether a node is away: it leaves 1 s before it starts anew.
-fn away_of(faults: &[(u64, Fault)]) -> impl Fn(usize, u64) -> bool + use<> {
-    let starts = faults.iter().filter_map(|(at, fault)| match fault {
-        Fault::Start { nodes, .. } => Some((nodes[0], *at)),
-        _ => None,
-    });
-    let starts: Vec<(usize, u64)> = starts.collect();
-    move |of, ms| {
-        starts
-            .iter()
-            .any(|(who, at)| *who == of && ms + 1_000 >= *at && ms < *at)
+impl Baseline {
+    fn new(nodes: usize, restarts: &Restarts, demand: Demand) -> Baseline {
+        let share = LIMIT_PER_S / nodes as f64;
+        let mut baseline = Baseline {
+            omniscient: 0.0,
+            fixed_shares: 0.0,
+        };
+        // Steps of 10 ms, a hundred of which make the second that demand is counted by.
+        for ms in (CALM_MS..UTILIZATION_END_MS).step_by(10) {
+            let requested: Vec<f64> = (0..nodes)
+                .map(|node| restarts.demand(demand, node, ms))
+                .collect();
+            let within_shares: f64 = requested.iter().map(|uses| uses.min(share)).sum();
+            baseline.omniscient += requested.iter().sum::<f64>().min(LIMIT_PER_S) / 100.0;
+            baseline.fixed_shares += within_shares / 100.0;
+        }
+        baseline
     }
 }
 
-fn put_to_use(what: &str, nodes: usize, faults: Vec<(u64, Fault)>, demand: Demand, reserved: u32) {
-    let till = 35_000;
-    let away = away_of(&faults);
-    let out = run(nodes, till, CALM_MS, faults, demand, reserved);
-    let (knows, fixes) = could(nodes, CALM_MS, till, demand, &away);
+fn print_utilization(title: &str, nodes: usize, faults: Vec<Timed>, demand: Demand) {
+    let baseline = Baseline::new(nodes, &Restarts::new(&faults), demand);
+    let outcome = Run {
+        nodes,
+        end_ms: UTILIZATION_END_MS,
+        count_from_ms: CALM_MS,
+        faults,
+        demand,
+    }
+    .outcome();
     println!(
-        "{what}, {nodes} nodes: {:.3} of what one who knows all puts to use; fixed shares {:.3}",
-        out.used[0] as f64 / knows,
-        fixes / knows
+        "{title}, {nodes} nodes: {:.3} of what one who knows all puts to use; fixed shares {:.3}",
+        outcome.used[0] as f64 / baseline.omniscient,
+        baseline.fixed_shares / baseline.omniscient
     );
 }
 
-fn total(out: &Outcome, tenth: u64) -> u32 {
-    out.by_time
-        .iter()
-        .filter(|((_, at), _)| *at == tenth)
-        .map(|(_, count)| *count)
-        .sum()
+/// Nine tenths of the limit at one node; a little at each.
+fn skewed(nodes: usize, hot_node: usize, node: usize) -> f64 {
+    if hot_node == node {
+        LIMIT_PER_S * 0.9
+    } else {
+        LIMIT_PER_S * 0.2 / nodes as f64
+    }
 }
 
-/// Tenths of a second after `from_ms` from which on, for half a second, `enough` is used in each.
-fn from_when(out: &Outcome, from_ms: u64, enough: f64, of: Option<usize>) -> String {
-    let used = |tenth: u64| match of {
-        Some(of) => out.by_time.get(&(of, tenth)).copied().unwrap_or(0),
-        None => total(out, tenth),
-    };
-    let from = from_ms / 100;
-    let lasts = |tenth: &u64| (*tenth..tenth + 5).all(|tenth| f64::from(used(tenth)) >= enough);
-    (from..from + 150)
-        .find(lasts)
-        .map_or("never".into(), |at| format!("{} ms", (at - from) * 100))
+/// Demand concentrated on another node after each `period_ms`.
+fn moving(nodes: usize, period_ms: u64) -> impl Fn(usize, u64) -> f64 {
+    move |node, ms| skewed(nodes, (ms / period_ms) as usize % nodes, node)
 }
 
-fn jain(shares: &[u64]) -> f64 {
-    let sum: f64 = shares.iter().map(|of| *of as f64).sum();
-    let squares: f64 = shares.iter().map(|of| (*of as f64).powi(2)).sum();
-    sum * sum / (shares.len() as f64 * squares.max(1.0))
+/// Six in ten nodes are restarted one after the other within 7 s.
+fn rolling_restart(nodes: usize) -> Vec<Timed> {
+    let restarted = nodes * 6 / 10;
+    let restart = |node: usize| {
+        let leave_ms = 12_000 + 7_000 * node as u64 / restarted as u64;
+        let leave = Timed {
+            at_ms: leave_ms,
+            fault: Fault::Leave { nodes: vec![node] },
+        };
+        let start = Timed {
+            at_ms: leave_ms + RESTART_MS,
+            fault: Fault::Start {
+                nodes: vec![node],
+                clock_ms: 0,
+            },
+        };
+        [leave, start]
+    };
+    (0..restarted).flat_map(restart).collect()
 }
 
-fn main() {
-    let limit = f64::from(LIMIT);
+fn measure_utilization() {
     for nodes in [9, 30] {
-        let still = move |of: usize, _: u64| {
-            if of == 7 {
-                limit * 0.9
-            } else {
-                limit * 0.2 / nodes as f64
-            }
-        };
-        put_to_use("skewed, always the same node", nodes, vec![], &still, 0);
-        // Nine tenths of the limit at one node, which changes every 5 s; a little at the others.
-        let skewed = move |of: usize, ms: u64| {
-            if (ms / 5_000) as usize % nodes == of {
-                limit * 0.9
-            } else {
-                limit * 0.2 / nodes as f64
-            }
-        };
-        put_to_use("skewed, another node every 5 s", nodes, vec![], &skewed, 0);
-        let mut release = Vec::new();
-        let gone = nodes * 6 / 10;
-        for nth in 0..gone {
-            let at = 12_000 + 7_000 * nth as u64 / gone as u64;
-            release.push((at, Fault::Leave { nodes: vec![nth] }));
-            release.push((
-                at + 1_000,
-                Fault::Start {
-                    nodes: vec![nth],
-                    clock_ms: 0,
-                },
-            ));
-        }
-        put_to_use(
-            "the same while six in ten are replaced within 7 s",
-            nodes,
-            release,
-            &skewed,
-            0,
-        );
-        let every_second = move |of: usize, ms: u64| {
-            if (ms / 1_000) as usize % nodes == of {
-                limit * 0.9
-            } else {
-                limit * 0.2 / nodes as f64
-            }
-        };
-        put_to_use("moving every second", nodes, vec![], &every_second, 0);
+        let constant = move |node: usize, _: u64| skewed(nodes, 7, node);
+        print_utilization("skewed, always the same node", nodes, vec![], &constant);
+        let slow = moving(nodes, 5_000);
+        print_utilization("skewed, another node every 5 s", nodes, vec![], &slow);
+        let title = "the same while six in ten are replaced within 7 s";
+        print_utilization(title, nodes, rolling_restart(nodes), &slow);
+        let fast = moving(nodes, 1_000);
+        print_utilization("moving every second", nodes, vec![], &fast);
     }
-    let jump = |of: usize, ms: u64| match (of, ms < 15_000) {
-        (6, true) | (7, false) => limit * 1.2,
-        _ => limit * 0.01,
+}
+
+/// Time after [`EVENT_MS`] until `threshold` is used in each tenth of a second for a while, by one node or
+/// by all together.
+fn recovery_time(outcome: &Outcome, threshold: f64, node: Option<usize>) -> String {
+    let used = |tenth: u64| match node {
+        Some(node) => outcome.by_time.get(&(node, tenth)).copied().unwrap_or(0),
+        None => used_by_all(outcome, tenth),
+    };
+    let event = EVENT_MS / TENTH_MS;
+    let has_recovered = |tenth: &u64| {
+        (*tenth..tenth + RECOVERY_LASTS).all(|tenth| f64::from(used(tenth)) >= threshold)
+    };
+    (event..event + RECOVERY_WITHIN)
+        .find(has_recovered)
+        .map_or("never".into(), |tenth| {
+            format!("{} ms", (tenth - event) * TENTH_MS)
+        })
+}
+
+fn used_by_all(outcome: &Outcome, tenth: u64) -> u32 {
+    outcome
+        .by_time
+        .iter()
+        .filter(|((_, at), _)| *at == tenth)
+        .map(|(_, count)| *count)
+        .sum()
+}
+
+fn measure_moved_demand() {
+    let moved = |node: usize, ms: u64| match (node, ms < EVENT_MS) {
+        (6, true) | (7, false) => LIMIT_PER_S * 1.2,
+        _ => LIMIT_PER_S * 0.01,
     };
-    let out = run(9, 25_000, 0, vec![], &jump, 0);
-    let after = from_when(&out, 15_000, 0.8 * limit * 0.9 / 10.0, Some(7));
+    let outcome = Run {
+        nodes: 9,
+        end_ms: 25_000,
+        count_from_ms: 0,
+        faults: vec![],
+        demand: &moved,
+    }
+    .outcome();
+    let after = recovery_time(&outcome, 0.8 * LIMIT_PER_S * 0.9 / 10.0, Some(7));
     println!("demand that moves is followed to 80% after {after}");
-    let hungry = |of: usize, _: u64| if of == 8 { limit * 2.0 } else { limit * 0.5 };
-    for (who, gone) in [
+}
+
+fn measure_deaths() {
+    let excessive = |node: usize, _: u64| LIMIT_PER_S * if node == 8 { 2.0 } else { 0.5 };
+    for (role, node) in [
         ("a holder", 8),
         ("a voter", 0),
         ("a voter", 1),
@@ -213,52 +256,93 @@
         ("a voter", 3),
         ("a voter", 4),
     ] {
-        let out = run(
-            9,
-            30_000,
-            0,
-            vec![(15_000, Fault::Kill { nodes: vec![gone] })],
-            &hungry,
-            0,
-        );
-        let after = from_when(&out, 15_000, 0.93 * limit / 10.0, None);
+        let death = Timed {
+            at_ms: EVENT_MS,
+            fault: Fault::Kill { nodes: vec![node] },
+        };
+        let outcome = Run {
+            nodes: 9,
+            end_ms: 30_000,
+            count_from_ms: 0,
+            faults: vec![death],
+            demand: &excessive,
+        }
+        .outcome();
+        let after = recovery_time(&outcome, 0.93 * LIMIT_PER_S / 10.0, None);
         println!(
-            "{who} dies ({} leaders in all): 93% of the limit in use again after {after}",
-            out.leaders
+            "{role} dies ({} leaders in all): 93% of the limit in use again after {after}",
+            outcome.leaders
         );
     }
-    let equal = |_: usize, _: u64| limit * 0.3;
+}
+
+/// Jain's fairness index: 1 if all are equal, 1/N if one has all.
+fn jain_index(shares: &[u64]) -> f64 {
+    let sum: f64 = shares.iter().map(|share| *share as f64).sum();
+    let squares: f64 = shares.iter().map(|share| (*share as f64).powi(2)).sum();
+    sum * sum / (shares.len() as f64 * squares.max(1.0))
+}
+
+fn measure_fairness() {
+    let equal = |_: usize, _: u64| LIMIT_PER_S * 0.3;
     for nodes in [9, 30] {
-        let out = run(nodes, 35_000, CALM_MS, vec![], &equal, 0);
+        let outcome = calm_run(nodes, UTILIZATION_END_MS, &equal);
         println!(
             "equal need, {nodes} nodes: Jain's index {:.4}, {:.3} of the limit used",
-            jain(&out.by_node),
-            out.used[0] as f64 / (limit * 30.0)
+            jain_index(&outcome.by_node),
+            outcome.used[0] as f64 / (LIMIT_PER_S * 30.0)
         );
     }
-    // How much allocations swing where needs do not.
-    let steady = |of: usize, _: u64| limit * if of.is_multiple_of(2) { 0.4 } else { 0.6 };
-    let out = run(2, 35_000, CALM_MS, vec![], &steady, 0);
-    let by_second: Vec<u32> = (10..35)
-        .map(|s| {
-            (s * 10..s * 10 + 10)
-                .filter_map(|t| out.by_time.get(&(0, t)))
-                .sum()
-        })
-        .collect();
+}
+
+fn calm_run(nodes: usize, end_ms: u64, demand: Demand) -> Outcome {
+    Run {
+        nodes,
+        end_ms,
+        count_from_ms: CALM_MS,
+        faults: vec![],
+        demand,
+    }
+    .outcome()
+}
+
+/// How much allocations vary under constant demand.
+fn measure_stability() {
+    let constant =
+        |node: usize, _: u64| LIMIT_PER_S * if node.is_multiple_of(2) { 0.4 } else { 0.6 };
+    let outcome = calm_run(2, UTILIZATION_END_MS, &constant);
+    let used_in = |second: u64| -> u32 {
+        (second * 10..second * 10 + 10)
+            .filter_map(|tenth| outcome.by_time.get(&(0, tenth)))
+            .sum()
+    };
+    let by_second: Vec<u32> = (10..35).map(used_in).collect();
     println!("two nodes that need 0.4 and 0.6: the first uses {by_second:?} a second");
+}
+
+fn measure_traffic() {
     for nodes in [10, 30, 100, 300, 1_000, 3_000] {
-        let little = move |_: usize, _: u64| limit * 0.8 / nodes as f64;
-        let out = run(nodes, 15_000, CALM_MS, vec![], &little, 0);
-        let each = |of: u64| of as f64 / nodes as f64 / 10.0;
+        let low = move |_: usize, _: u64| LIMIT_PER_S * 0.8 / nodes as f64;
+        let outcome = calm_run(nodes, 15_000, &low);
+        let cost = &outcome.cost;
+        let per_node_and_second = |count: u64| count as f64 / nodes as f64 / 10.0;
         println!(
             "{nodes} nodes: {:.1} datagrams and {:.0} bytes a second sent by each, {:.0} bytes by the \
              leader; {:.0} ns an event; {:.3} used",
-            each(out.cost.datagrams),
-            each(out.cost.bytes),
-            out.max_bytes as f64 / 10.0,
-            out.cost.decisions_ns as f64 / out.cost.events.max(1) as f64,
-            out.used[0] as f64 / out.asked[0].max(1) as f64,
+            per_node_and_second(cost.datagrams),
+            per_node_and_second(cost.bytes),
+            outcome.max_bytes as f64 / 10.0,
+            cost.decisions_ns as f64 / cost.events.max(1) as f64,
+            outcome.used[0] as f64 / outcome.asked[0].max(1) as f64,
         );
     }
 }
+
+fn main() {
+    measure_utilization();
+    measure_moved_demand();
+    measure_deaths();
+    measure_fairness();
+    measure_stability();
+    measure_traffic();
+}
--- a/crates/bench/src/bin/expression-tail.rs
+++ b/crates/bench/src/bin/expression-tail.rs
@@ -1,6 +1,5 @@
-//! `expression-tail`: how long the slow ones of many evaluations take, to be run beside a load on
-//! the same machine.
-//! Each is timed by itself, which adds what reading the clock takes; that is told too.
+//! `expression-tail`: tail latencies of the evaluation of expressions, to be run beside a load on the same
+//! machine. Each evaluation is timed by itself, which adds the time to read the clock; it is printed too.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -10,49 +9,50 @@
 use doortrack_expr::{Limits, LiteralRequest, Scratch, infer};
 use hdrhistogram::Histogram;
 
+/// Evaluations over a second count as a second.
+const MAX_LATENCY_NS: u64 = 1_000_000_000;
+
 #[derive(Parser)]
 #[command(version)]
-struct Words {
+struct Cli {
     /// Evaluations of each expression
     #[arg(long, default_value_t = 1_000_000)]
     count: u64,
 }
 
-fn timed(count: u64, mut what: impl FnMut()) -> Histogram<u64> {
-    let mut times =
-        Histogram::new_with_bounds(1, 1_000_000_000, 3).expect("bounds that make sense");
+fn measure(count: u64, mut operation: impl FnMut()) -> Histogram<u64> {
+    let mut latencies =
+        Histogram::new_with_bounds(1, MAX_LATENCY_NS, 3).expect("constant bounds are valid");
     for _ in 0..count {
         let start = Instant::now();
-        what();
-        times.saturating_record(start.elapsed().as_nanos() as u64);
+        operation();
+        latencies.saturating_record(start.elapsed().as_nanos() as u64);
     }
-    times
+    latencies
+}
+
+fn print_row(name: &str, latencies: &Histogram<u64>) {
+    println!(
+        "{name:<22} {:>10} {:>10} {:>10}",
+        latencies.value_at_quantile(0.5),
+        latencies.value_at_quantile(0.99),
+        latencies.value_at_quantile(0.999)
+    );
 }
 
 fn main() {
-    let (words, asked) = (Words::parse(), LiteralRequest::example());
+    let (cli, request) = (Cli::parse(), LiteralRequest::example());
     println!(
         "{:<22} {:>10} {:>10} {:>10}",
         "ns", "median", "p99", "p99.9"
     );
-    let line = |name: &str, times: &Histogram<u64>| {
-        let at = |q| times.value_at_quantile(q);
-        println!(
-            "{name:<22} {:>10} {:>10} {:>10}",
-            at(0.5),
-            at(0.99),
-            at(0.999)
-        );
-    };
-    line("the clock alone", &timed(words.count, || {}));
+    print_row("the clock alone", &measure(cli.count, || {}));
     for (name, source) in TYPICAL {
-        let program = infer(source, Limits::default()).expect("a sound source");
+        let program = infer(source, Limits::default()).expect("a valid expression");
         let mut scratch = Scratch::default();
-        line(
-            name,
-            &timed(words.count, || {
-                _ = black_box(program.eval(&asked, &mut scratch))
-            }),
-        );
+        let latencies = measure(cli.count, || {
+            _ = black_box(program.eval(&request, &mut scratch));
+        });
+        print_row(name, &latencies);
     }
 }
--- /dev/null
+++ b/crates/bench/src/bin/membership/main.rs
@@ -0,0 +1,32 @@
+//! `membership`: how soon a fleet detects a death and rejoins after a partition, and what that costs: on
+//! processes behind the harness's relay, and in simulated time on the same decisions.
+//!
+//! `membership sim SIZES`, `membership processes SIZES`, `membership loss NODES SECONDS`. Prints a line for
+//! each figure.
+
+mod detection;
+mod processes;
+mod simulated;
+
+use std::process::ExitCode;
+
+const USAGE: &str = "membership sim SIZES | processes SIZES | loss NODES SECONDS";
+
+fn main() -> ExitCode {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let numbers: Vec<usize> = arguments
+        .iter()
+        .skip(1)
+        .filter_map(|argument| argument.parse().ok())
+        .collect();
+    match (arguments.first().map(String::as_str), &numbers[..]) {
+        (Some("sim"), sizes) => sizes.iter().for_each(|nodes| simulated::measure(*nodes)),
+        (Some("processes"), sizes) => sizes.iter().for_each(|nodes| processes::measure(*nodes)),
+        (Some("loss"), [nodes, seconds]) => simulated::measure_loss(*nodes, *seconds as u64),
+        _ => {
+            eprintln!("{USAGE}");
+            return ExitCode::FAILURE;
+        }
+    }
+    ExitCode::SUCCESS
+}
--- a/crates/bench/src/bin/storm.rs
+++ b/crates/bench/src/bin/storm.rs
@@ -1,10 +1,11 @@
-//! A retry storm of a whole fleet against one shared pool: what is completed in time after the pool stood
-//! still for a moment, with each node's own bound on retries alone, with the fleet's budget beside it, and
-//! with no retries at all. Played on processes behind the rig.
+//! `storm`: a retry storm of a fleet against one server that stalls for a moment: requests completed in time
+//! with no retries, with each node's own retry limit, and with the fleet's retry budget beside it. Runs on
+//! processes of the harness.
 
+use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Condvar, Mutex, PoisonError};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -12,137 +13,190 @@
 use doortrack_fakes::server::{Act, Got, Server};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_protocols::Protocol;
-use serde_json::json;
+use serde_json::{Value, json};
 
+const PROGRAM: &str = "target/release/doortrack";
 const NODES: usize = 5;
-/// Runs that the server does at once, and what one takes.
+/// Concurrency of the server and its time per run.
 const SLOTS: u32 = 4;
-const WORK: Duration = Duration::from_millis(20);
-/// Requests a second, of the 200 that the server can do.
-const OFFERED: u64 = 120;
+const RUN_TIME: Duration = Duration::from_millis(20);
+/// Requests per second, of the 200 that the server can run.
+const OFFERED_RATE: u64 = 120;
 const CALLERS: u64 = 120;
-/// The server stands still from and till; what counts is from there on.
+/// Time for the nodes to find one another.
+const START_TIME: Duration = Duration::from_secs(4);
+/// Start and end of the server's stall, since the callers began.
 const STALL: (Duration, Duration) = (Duration::from_secs(5), Duration::from_secs(7));
-const LASTS: Duration = Duration::from_secs(15);
-const IN_TIME: Duration = Duration::from_millis(400);
+const DURATION: Duration = Duration::from_secs(15);
+/// Results before this do not count.
+const WARM_UP: Duration = Duration::from_secs(1);
+/// Latency objective of a request.
+const OBJECTIVE: Duration = Duration::from_millis(400);
+const STALL_POLL: Duration = Duration::from_millis(5);
 
+/// A server with a fixed concurrency that stalls once.
 #[derive(Default)]
-struct Slots {
-    taken: Mutex<u32>,
-    free: Condvar,
+struct StallingServer {
+    busy_slots: Mutex<u32>,
+    slot_released: Condvar,
+    runs: AtomicU64,
+    began: OnceLock<Instant>,
 }
 
-impl Slots {
-    fn work(&self, stalls: impl Fn() -> bool) {
-        let mut taken = self.taken.lock().unwrap_or_else(PoisonError::into_inner);
-        while *taken >= SLOTS || stalls() {
-            let wait = Duration::from_millis(5);
-            taken = self
-                .free
-                .wait_timeout(taken, wait)
+impl StallingServer {
+    fn run(&self) {
+        self.runs.fetch_add(1, Ordering::Relaxed);
+        let mut busy_slots = self.lock();
+        while *busy_slots >= SLOTS || self.is_stalled() {
+            busy_slots = self
+                .slot_released
+                .wait_timeout(busy_slots, STALL_POLL)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
-        *taken += 1;
-        drop(taken);
-        thread::sleep(WORK);
-        *self.taken.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        self.free.notify_one();
+        *busy_slots += 1;
+        drop(busy_slots);
+        thread::sleep(RUN_TIME);
+        *self.lock() -= 1;
+        self.slot_released.notify_one();
+    }
+
+    fn lock(&self) -> MutexGuard<'_, u32> {
+        self.busy_slots
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn is_stalled(&self) -> bool {
+        let elapsed = self.began.get().map_or(Duration::ZERO, Instant::elapsed);
+        (STALL.0..STALL.1).contains(&elapsed)
     }
 }
 
-/// Completed in time, of those asked before the stall and after it.
-struct Came {
+/// One setting of retries.
+struct Policy {
+    title: &'static str,
+    /// Attempts of a request, the first included.
+    attempts: u32,
+    /// Retries per second of the whole fleet; absent for no such budget.
+    fleet_budget: Option<u32>,
+}
+
+const POLICIES: [Policy; 3] = [
+    Policy {
+        title: "no retries",
+        attempts: 1,
+        fleet_budget: None,
+    },
+    Policy {
+        title: "each node's own bound",
+        attempts: 4,
+        fleet_budget: None,
+    },
+    Policy {
+        title: "the fleet's budget of 10 a second beside it",
+        attempts: 4,
+        fleet_budget: Some(10),
+    },
+];
+
+impl Policy {
+    fn installation(&self, server: SocketAddr) -> Value {
+        let mut file = json!({"fleet": {"voters": ["n0", "n1", "n2"]}, "servers": {"protocol": "fastcgi",
+            "addresses": [server.to_string()], "at_once": 200, "answer_within_ms": 150, "idle_ms": 0,
+            "aside": {"failures": 1000},
+            "retries": {"share": 1.0, "burst": 100, "tries": self.attempts}}});
+        if let Some(limit) = self.fleet_budget {
+            file["budgets"] = json!([{"name": "again", "kind": "rate", "limit": limit, "burst": limit,
+                "for": {"retries": "servers"}}]);
+        }
+        file
+    }
+}
+
+/// Fractions of the offered requests completed in time, before the stall and after it, and runs in all.
+struct Outcome {
     before: f64,
     after: f64,
     runs: u64,
 }
 
-fn play(tries: u32, fleets: Option<u32>) -> Came {
-    let (slots, runs) = (Arc::new(Slots::default()), Arc::new(AtomicU64::new(0)));
-    let began: Arc<Mutex<Option<Instant>>> = Arc::default();
-    let since = |began: &Mutex<Option<Instant>>| {
-        began
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .map_or(Duration::ZERO, |at: Instant| at.elapsed())
-    };
-    let (own, count, clock) = (slots.clone(), runs.clone(), began.clone());
-    // It does what it was asked even if nobody waits any more: that is what makes storms.
+/// When a request was sent, since the caller began, and whether it was completed in time.
+struct Sent {
+    at: Duration,
+    in_time: bool,
+}
+
+fn run(policy: &Policy) -> Outcome {
+    let work = Arc::new(StallingServer::default());
+    let runner = work.clone();
+    // It runs what it has read even if no caller waits any more: that is what makes storms.
     let server = Server::start(Protocol::FastCgi, move |_: &Got| {
-        count.fetch_add(1, Ordering::Relaxed);
-        own.work(|| (STALL.0..STALL.1).contains(&since(&clock)));
+        runner.run();
         Act::ok("done")
     });
-    let mut file = json!({"fleet": {"voters": ["n0", "n1", "n2"]}, "servers": {"protocol": "fastcgi",
-        "addresses": [server.at.to_string()], "at_once": 200, "answer_within_ms": 150, "idle_ms": 0,
-        "aside": {"failures": 1000}, "retries": {"share": 1.0, "burst": 100, "tries": tries}}});
-    if let Some(limit) = fleets {
-        file["budgets"] = json!([{"name": "again", "kind": "rate", "limit": limit, "burst": limit, "for":
-            {"retries": "servers"}}]);
-    }
-    let mut rig = Rig::new(Path::new("target/release/doortrack"), NODES, 1).expect("a rig");
-    (0..NODES).for_each(|of| rig.start(of, of, &file).expect("a process"));
-    thread::sleep(Duration::from_secs(4));
-    *began.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
-    let fronts: Vec<_> = (0..NODES).map(|of| rig.front(of)).collect();
+    let installation = policy.installation(server.at);
+    let mut rig = Rig::new(Path::new(PROGRAM), NODES, 1).expect("a rig");
+    (0..NODES).for_each(|node| rig.start(node, node, &installation).expect("a process"));
+    thread::sleep(START_TIME);
+    work.began.set(Instant::now()).expect("set once");
+    let listeners: Arc<[SocketAddr]> = (0..NODES).map(|node| rig.front(node)).collect();
     let callers: Vec<_> = (0..CALLERS)
-        .map(|place| {
-            let (fronts, begins) = (fronts.clone(), Instant::now());
-            thread::spawn(move || {
-                let every = Duration::from_micros(1_000_000 * CALLERS / OFFERED);
-                let mut told = Vec::new();
-                let mut due = every * place as u32 / CALLERS as u32;
-                while due < LASTS {
-                    thread::sleep(due.saturating_sub(begins.elapsed()));
-                    let nth = ((place + 1) << 32) + told.len() as u64;
-                    let front = fronts[nth as usize % fronts.len()];
-                    let at = begins.elapsed();
-                    let ask = Ask::new(nth, "/svc/look", b"berth");
-                    let seen = ask
-                        .try_send(front, Protocol::FastCgi)
-                        .ok()
-                        .map(|waits| waits.seen());
-                    let good = matches!(seen, Some(Seen::Completed(_)))
-                        && begins.elapsed() - at <= IN_TIME;
-                    told.push((at, good));
-                    due = (due + every).max(begins.elapsed());
-                }
-                told
-            })
+        .map(|index| {
+            let listeners = listeners.clone();
+            thread::spawn(move || call(index, &listeners))
         })
         .collect();
-    let told: Vec<(Duration, bool)> = callers
+    let sent: Vec<Sent> = callers
         .into_iter()
-        .filter_map(|of| of.join().ok())
+        .filter_map(|caller| caller.join().ok())
         .flatten()
         .collect();
-    let share = |from: Duration, till: Duration| {
-        let good = told
-            .iter()
-            .filter(|(at, good)| *good && (from..till).contains(at))
-            .count();
-        good as f64 / (OFFERED as f64 * (till - from).as_secs_f64())
-    };
-    let runs = runs.load(Ordering::Relaxed);
-    Came {
-        before: share(Duration::from_secs(1), STALL.0),
-        after: share(STALL.1, LASTS),
-        runs,
+    Outcome {
+        before: completed_fraction(&sent, WARM_UP, STALL.0),
+        after: completed_fraction(&sent, STALL.1, DURATION),
+        runs: work.runs.load(Ordering::Relaxed),
     }
 }
 
+/// Sends requests at a fixed interval, or later if the one before takes longer.
+fn call(index: u64, listeners: &[SocketAddr]) -> Vec<Sent> {
+    let began = Instant::now();
+    let interval = Duration::from_micros(1_000_000 * CALLERS / OFFERED_RATE);
+    let mut sent = Vec::new();
+    let mut due = interval * index as u32 / CALLERS as u32;
+    while due < DURATION {
+        thread::sleep(due.saturating_sub(began.elapsed()));
+        let attempt = ((index + 1) << 32) + sent.len() as u64;
+        let listener = listeners[attempt as usize % listeners.len()];
+        let at = began.elapsed();
+        let answer = Ask::new(attempt, "/svc/look", b"berth")
+            .try_send(listener, Protocol::FastCgi)
+            .ok()
+            .map(|pending| pending.seen());
+        let is_completed = matches!(answer, Some(Seen::Completed(_)));
+        let in_time = is_completed && began.elapsed() - at <= OBJECTIVE;
+        sent.push(Sent { at, in_time });
+        due = (due + interval).max(began.elapsed());
+    }
+    sent
+}
+
+fn completed_fraction(sent: &[Sent], from: Duration, until: Duration) -> f64 {
+    let completed = sent
+        .iter()
+        .filter(|request| request.in_time && (from..until).contains(&request.at))
+        .count();
+    completed as f64 / (OFFERED_RATE as f64 * (until - from).as_secs_f64())
+}
+
 fn main() {
     for round in 1..=2 {
-        for (what, tries, fleets) in [
-            ("no retries", 1, None),
-            ("each node's own bound", 4, None),
-            ("the fleet's budget of 10 a second beside it", 4, Some(10)),
-        ] {
-            let came = play(tries, fleets);
+        for policy in &POLICIES {
+            let outcome = run(policy);
             println!(
-                "round {round}, {what}: in time {:.3} of offered before the stall, {:.3} after; {} runs",
-                came.before, came.after, came.runs
+                "round {round}, {}: in time {:.3} of offered before the stall, {:.3} after; {} runs",
+                policy.title, outcome.before, outcome.after, outcome.runs
             );
         }
     }
--- a/crates/bench/src/typical.rs
+++ b/crates/bench/src/typical.rs
@@ -1,5 +1,6 @@
-//! Ten typical expressions; `LiteralRequest::example` is the request that they are meant for.
+//! Ten typical expressions, for the request of `LiteralRequest::example`.
 
+/// Names and sources of the expressions.
 pub const TYPICAL: [(&str, &str); 10] = [
     ("prefix", "path.starts_with(\"/book/\")"),
     (
--- a/crates/simulation/tests/theory.rs
+++ b/crates/simulation/tests/theory.rs
@@ -26,6 +26,53 @@
     time: Micros,
 }
 
+/// Arrivals at a station, and what it has observed of them.
+struct Simulation {
+    station: ProcessorSharingStation,
+    queue: EventQueue<Event>,
+    started_at: BTreeMap<JobId, Micros>,
+    /// Grows as jobs start or end: completions predicted before are void.
+    version: u64,
+    observed: Observed,
+}
+
+impl Simulation {
+    fn new(cores: f64) -> Simulation {
+        Simulation {
+            station: ProcessorSharingStation::new(ServiceRate {
+                cores,
+                speed: 1.0,
+                overload_threshold: 1e9,
+                overload_slowdown: 0.0,
+            }),
+            queue: EventQueue::default(),
+            started_at: BTreeMap::new(),
+            version: 0,
+            observed: Observed::default(),
+        }
+    }
+
+    fn observe(&mut self, now: Micros) {
+        let elapsed = (now - self.observed.time) as f64;
+        self.observed.job_time += self.station.job_count() as f64 * elapsed;
+        self.observed.time = now;
+    }
+
+    fn take_completed(&mut self, now: Micros) {
+        while let Some(job) = self.station.take_completed(now) {
+            let started_at = self.started_at.remove(&job).unwrap();
+            self.observed.sojourns.push((now - started_at) as f64);
+        }
+    }
+
+    fn predict_completion(&mut self) {
+        self.version += 1;
+        if let Some(at) = self.station.next_completion() {
+            self.queue.schedule(at, Event::Completion(self.version));
+        }
+    }
+}
+
 /// Poisson arrivals of `count` jobs at a station with room for `max_jobs`.
 fn simulate(
     load: f64,
@@ -39,58 +86,34 @@
     let interarrival = Distribution::Exponential {
         mean: MEAN / (load * cores),
     };
-    let mut station = ProcessorSharingStation::new(ServiceRate {
-        cores,
-        speed: 1.0,
-        overload_threshold: 1e9,
-        overload_slowdown: 0.0,
-    });
-    let (mut queue, mut observed, mut started_at) = (
-        EventQueue::default(),
-        Observed::default(),
-        BTreeMap::<JobId, Micros>::new(),
-    );
-    let mut version = 0;
-    queue.schedule(interarrival.sample(&mut arrival_random), Event::Arrival);
-    while let Some((now, event)) = queue.pop() {
-        observed.job_time += station.job_count() as f64 * (now - observed.time) as f64;
-        observed.time = now;
+    let mut simulation = Simulation::new(cores);
+    let first = interarrival.sample(&mut arrival_random);
+    simulation.queue.schedule(first, Event::Arrival);
+    while let Some((now, event)) = simulation.queue.pop() {
+        simulation.observe(now);
         match event {
             Event::Arrival => {
-                observed.arrived += 1;
-                if station.job_count() < max_jobs {
-                    started_at.insert(station.start_job(work.sample(&mut work_random), now), now);
+                simulation.observed.arrived += 1;
+                if simulation.station.job_count() < max_jobs {
+                    let work = work.sample(&mut work_random);
+                    let job = simulation.station.start_job(work, now);
+                    simulation.started_at.insert(job, now);
                 } else {
-                    observed.lost += 1;
-                }
-                if observed.arrived < count {
-                    queue.schedule(
-                        now + interarrival.sample(&mut arrival_random),
-                        Event::Arrival,
-                    );
+                    simulation.observed.lost += 1;
                 }
-            }
-            // A job started or ended since this was predicted.
-            Event::Completion(number) if number != version => continue,
-            Event::Completion(_) => {
-                while let Some(job) = station.take_completed(now) {
-                    observed
-                        .sojourns
-                        .push((now - started_at.remove(&job).unwrap()) as f64);
+                if simulation.observed.arrived < count {
+                    let next = now + interarrival.sample(&mut arrival_random);
+                    simulation.queue.schedule(next, Event::Arrival);
                 }
             }
+            Event::Completion(version) if version != simulation.version => continue,
+            Event::Completion(_) => simulation.take_completed(now),
         }
-        version += 1;
-        if let Some(end) = station.next_completion() {
-            queue.schedule(end, Event::Completion(version));
-        }
+        simulation.predict_completion();
     }
-    assert_eq!(
-        (station.job_count(), started_at.len()),
-        (0, 0),
-        "all jobs have ended"
-    );
-    observed
+    let jobs_left = (simulation.station.job_count(), simulation.started_at.len());
+    assert_eq!(jobs_left, (0, 0), "all jobs have ended");
+    simulation.observed
 }
 
 /// The mean and the half width of its 99.9% confidence interval, by the means of forty batches.
@@ -273,6 +296,10 @@
     assert_eq!(station.take_completed(5499), None);
     let completed: Vec<JobId> = std::iter::from_fn(|| station.take_completed(5500)).collect();
     assert_eq!(completed, [jobs[2], jobs[3]]);
+}
+
+#[test]
+fn parameters_out_of_range_are_errors() {
     for distribution in [
         Distribution::Fixed(0.0),
         Distribution::Pareto {
