--- a/crates/bench/benches/codecs.rs
+++ b/crates/bench/benches/codecs.rs
@@ -1,64 +1,79 @@
 //! Parsers and writers of both protocols: one request read, one answer written and read.
 
-use criterion::{Criterion, Throughput, criterion_group, criterion_main};
+use criterion::measurement::WallTime;
+use criterion::{BenchmarkGroup, Criterion, Throughput, criterion_group, criterion_main};
 use doortrack_fakes::caller::Ask;
 use doortrack_protocols::{AnswerReader, Head, Piece, Protocol, RequestReader, write_answer};
 
+const BODY: [u8; 512] = [b'x'; 512];
+/// Bound of an answer's body, in bytes.
+const MAX_BODY_BYTES: usize = 4096;
+const HEADERS: [(&str, &str); 2] = [
+    ("Content-Type", "application/octet-stream"),
+    ("X-Load-Signal", "0.25"),
+];
+
 fn codecs(criterion: &mut Criterion) {
     for protocol in Protocol::ALL {
-        let body = [b'x'; 512];
-        let request = Ask::new(1, "/svc/look", &body).bytes(protocol);
         let mut group = criterion.benchmark_group(protocol.name());
         group.throughput(Throughput::Elements(1));
-        group.bench_function("read a request", |bencher| {
-            bencher.iter(|| {
-                let mut reader = RequestReader::new(protocol);
-                let (mut input, mut byte_count) = (&request[..], 0);
-                while let Ok(Some(piece)) = reader.next(&mut input) {
-                    if let Piece::Params { bytes, .. } | Piece::Stdin { bytes, .. } = piece {
-                        byte_count += bytes.len();
-                    }
-                }
-                byte_count
-            })
-        });
-        let block: Vec<u8> = {
-            let (mut reader, mut input, mut block) =
-                (RequestReader::new(protocol), &request[..], Vec::new());
+        requests(&mut group, protocol);
+        answers(&mut group, protocol);
+        group.finish();
+    }
+}
+
+fn requests(group: &mut BenchmarkGroup<WallTime>, protocol: Protocol) {
+    let request = Ask::new(1, "/svc/look", &BODY).bytes(protocol);
+    group.bench_function("read a request", |bencher| {
+        bencher.iter(|| {
+            let mut reader = RequestReader::new(protocol);
+            let (mut input, mut byte_count) = (&request[..], 0);
             while let Ok(Some(piece)) = reader.next(&mut input) {
-                if let Piece::Params { bytes, .. } = piece {
-                    block.extend(bytes);
+                if let Piece::Params { bytes, .. } | Piece::Stdin { bytes, .. } = piece {
+                    byte_count += bytes.len();
                 }
             }
-            block
-        };
-        group.bench_function("find the variables", |bencher| {
-            bencher.iter(|| protocol.pairs(&block).map(|pairs| pairs.len()))
-        });
-        let mut out = Vec::with_capacity(4096);
-        let headers = [
-            ("Content-Type", "application/octet-stream"),
-            ("X-Load-Signal", "0.25"),
-        ];
-        let head = || Head {
-            status: "200 OK",
-            headers: &headers,
-            more: b"",
-        };
-        group.bench_function("write an answer", |bencher| {
-            bencher.iter(|| {
-                out.clear();
-                write_answer(protocol, &mut out, 1, head(), &body);
-                out.len()
-            })
-        });
-        let mut answer = Vec::new();
-        write_answer(protocol, &mut answer, 1, head(), &body);
-        group.bench_function("read an answer", |bencher| {
-            bencher.iter(|| AnswerReader::new(protocol, 1, 4096).take(&mut &answer[..]))
-        });
-        group.finish();
+            byte_count
+        })
+    });
+    let variables = variable_block(protocol, &request);
+    group.bench_function("find the variables", |bencher| {
+        bencher.iter(|| protocol.pairs(&variables).map(|pairs| pairs.len()))
+    });
+}
+
+/// The variables of a request as encoded.
+fn variable_block(protocol: Protocol, mut request: &[u8]) -> Vec<u8> {
+    let mut reader = RequestReader::new(protocol);
+    let mut block = Vec::new();
+    while let Ok(Some(piece)) = reader.next(&mut request) {
+        if let Piece::Params { bytes, .. } = piece {
+            block.extend(bytes);
+        }
     }
+    block
+}
+
+fn answers(group: &mut BenchmarkGroup<WallTime>, protocol: Protocol) {
+    let head = || Head {
+        status: "200 OK",
+        headers: &HEADERS,
+        more: b"",
+    };
+    let mut out = Vec::with_capacity(4096);
+    group.bench_function("write an answer", |bencher| {
+        bencher.iter(|| {
+            out.clear();
+            write_answer(protocol, &mut out, 1, head(), &BODY);
+            out.len()
+        })
+    });
+    let mut answer = Vec::new();
+    write_answer(protocol, &mut answer, 1, head(), &BODY);
+    group.bench_function("read an answer", |bencher| {
+        bencher.iter(|| AnswerReader::new(protocol, 1, MAX_BODY_BYTES).take(&mut &answer[..]))
+    });
 }
 
 criterion_group!(benches, codecs);
