--- a/crates/demo/src/engine.rs
+++ b/crates/demo/src/engine.rs
@@ -1,7 +1,7 @@
-//! A toy engine: two cores, on which each run takes a second, or longer the more run at once.
+//! A toy engine with two cores: a run takes a second, or longer if more than two run at once.
 
 use std::collections::BTreeMap;
-use std::io::{self, BufRead, BufReader, Write};
+use std::io::{self, BufRead, BufReader, ErrorKind, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
 
@@ -10,167 +10,209 @@
 use serde_json::{Value, json};
 
 const CORES: f64 = 2.0;
-/// Work of each run, in seconds on one core.
-const WORK: f64 = 1.0;
-const TURN: Duration = Duration::from_millis(10);
-/// Notices kept for a link that is taken up again.
-const KEPT: usize = 4000;
+/// Work of each run, in seconds of one core.
+const WORK_S: f64 = 1.0;
+/// Interval at which the runs advance while no command arrives.
+const TICK: Duration = Duration::from_millis(10);
+/// Notices kept for a node that attaches again.
+const MAX_NOTICES: usize = 4000;
+/// Bound of a load report to the registry, in bytes.
+const MAX_REPORT_BYTES: usize = 200;
 
+/// A run in progress.
 struct Run {
     group: String,
     body: Vec<u8>,
-    began: Instant,
-    left: f64,
+    started_at: Instant,
+    work_left_s: f64,
 }
 
-#[derive(Default)]
+/// The end of a run, as sent to the node.
+struct Notice {
+    serial: u64,
+    message: Value,
+}
+
+/// The engine's state, which outlives its connections.
 struct Engine {
+    started_at: Instant,
     runs: BTreeMap<String, Run>,
-    notices: Vec<(u64, Value)>,
-    serial: u64,
+    notices: Vec<Notice>,
+    last_serial: u64,
 }
 
-pub fn serve(at: &str, registry: &str) -> io::Result<()> {
-    let door = TcpListener::bind(at)?;
-    let registry = UdpSocket::bind(registry)?;
-    registry.set_nonblocking(true)?;
+/// Serves one node after the other, and prints what they send to the engine and the registry.
+///
+/// # Errors
+/// Those of binding the sockets and of accepting connections.
+pub fn serve(engine_address: &str, registry_address: &str) -> io::Result<()> {
+    let listener = TcpListener::bind(engine_address)?;
+    let mut registry = Registry::bind(registry_address)?;
     println!(
-        "engine at {at}, registry at {}; waiting for a node",
-        registry.local_addr()?
+        "engine at {engine_address}, registry at {}; waiting for a node",
+        registry.socket.local_addr()?
     );
-    let (mut engine, up) = (Engine::default(), Instant::now());
-    for link in door.incoming() {
-        if let Err(e) = engine.speak(link?, &registry, up) {
+    let mut engine = Engine {
+        started_at: Instant::now(),
+        runs: BTreeMap::new(),
+        notices: Vec::new(),
+        last_serial: 0,
+    };
+    for stream in listener.incoming() {
+        registry.last_report.clear();
+        if let Err(e) = engine.serve_node(stream?, &mut registry) {
             println!("link ended: {e}");
         }
     }
     Ok(())
 }
 
+/// The registry: prints each load report that differs from the one before.
+struct Registry {
+    socket: UdpSocket,
+    last_report: String,
+}
+
+impl Registry {
+    fn bind(address: &str) -> io::Result<Registry> {
+        let socket = UdpSocket::bind(address)?;
+        socket.set_nonblocking(true)?;
+        Ok(Registry {
+            socket,
+            last_report: String::new(),
+        })
+    }
+
+    fn print_reports(&mut self) {
+        let mut buffer = [0; MAX_REPORT_BYTES];
+        while let Ok(length) = self.socket.recv(&mut buffer) {
+            let report = String::from_utf8_lossy(&buffer[..length]);
+            if report != self.last_report {
+                println!("registry: {report}");
+                self.last_report = report.into_owned();
+            }
+        }
+    }
+}
+
 impl Engine {
-    /// One link, until it ends. Runs go on without one, but stand still here until the next.
-    fn speak(&mut self, link: TcpStream, registry: &UdpSocket, up: Instant) -> io::Result<()> {
-        link.set_read_timeout(Some(TURN))?;
-        let (mut lines, mut out) = (BufReader::new(link.try_clone()?), link);
-        let (mut line, mut last, mut told) = (Vec::new(), Instant::now(), 0);
-        let mut seen = String::new();
+    /// Serves one connection until it ends. Runs only advance while there is one.
+    fn serve_node(&mut self, stream: TcpStream, registry: &mut Registry) -> io::Result<()> {
+        stream.set_read_timeout(Some(TICK))?;
+        let (mut input, mut output) = (BufReader::new(stream.try_clone()?), stream);
+        let (mut line, mut advanced_at) = (Vec::new(), Instant::now());
+        let mut last_sent = 0;
         loop {
-            match lines.read_until(b'\n', &mut line) {
-                Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(_) if line.ends_with(b"\n") => {
-                    let command: Value = serde_json::from_slice(&line)?;
-                    line.clear();
-                    if let Some(serial) = self.carry_out(&command, up, &mut out)? {
-                        told = serial;
-                    }
-                }
-                Ok(_) => {}
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
-                    ) => {}
-                Err(e) => return Err(e),
-            }
-            self.work(last.elapsed().as_secs_f64());
-            last = Instant::now();
-            let from = self.notices.partition_point(|(serial, _)| *serial <= told);
-            for (serial, notice) in &self.notices[from..] {
-                writeln!(out, "{notice}")?;
-                told = *serial;
-            }
-            let mut report = [0; 200];
-            while let Ok(n) = registry.recv(&mut report) {
-                let report = String::from_utf8_lossy(&report[..n]).into_owned();
-                if report != seen {
-                    println!("registry: {report}");
-                    seen = report;
-                }
+            if let Some(command) = read_command(&mut input, &mut line)?
+                && let Some(serial) = self.execute(&command, &mut output)?
+            {
+                last_sent = serial;
             }
+            self.advance(advanced_at.elapsed().as_secs_f64());
+            advanced_at = Instant::now();
+            last_sent = self.send_notices(last_sent, &mut output)?;
+            registry.print_reports();
         }
     }
 
-    /// Carries out one command; after ATTACH, the number of the last notice that the node has read.
-    fn carry_out(
-        &mut self,
-        command: &Value,
-        up: Instant,
-        out: &mut TcpStream,
-    ) -> io::Result<Option<u64>> {
-        let word = |key: &str| command[key].as_str().unwrap_or_default().to_string();
-        match &*word("msg") {
+    /// Executes one command. Returns the serial of the last notice that the node has read if it attaches.
+    fn execute(&mut self, command: &Value, output: &mut TcpStream) -> io::Result<Option<u64>> {
+        let call = text(command, "call");
+        match command["msg"].as_str().unwrap_or_default() {
             "ATTACH" => {
                 println!("a node attached");
-                let age = up.elapsed().as_millis() as u64;
-                writeln!(
-                    out,
-                    "{}",
-                    json!({"msg": "HELLO", "how": "WARM", "duration": age})
-                )?;
+                let age_ms = self.started_at.elapsed().as_millis() as u64;
+                let hello = json!({"msg": "HELLO", "how": "WARM", "duration": age_ms});
+                writeln!(output, "{hello}")?;
                 return Ok(command["serial"].as_u64());
             }
-            "RUN" => {
-                let body = STANDARD.decode(word("blob")).unwrap_or_default();
-                let (group, began, left) = (word("service"), Instant::now(), WORK);
-                println!(
-                    "run {} ({group}): {}",
-                    word("call"),
-                    String::from_utf8_lossy(&body)
-                );
-                self.runs.entry(word("call")).or_insert(Run {
-                    group,
-                    body,
-                    began,
-                    left,
-                });
-            }
+            "RUN" => self.start_run(call, command),
             "HALT" => {
-                if let Some(run) = self.runs.remove(&word("call")) {
-                    println!("halted {}", word("call"));
-                    self.done(&word("call"), "STOPPED", &run, b"");
+                if let Some(run) = self.runs.remove(call) {
+                    println!("halted {call}");
+                    self.notify(call, "STOPPED", &run, b"");
                 }
             }
             "STAT" => {
-                let wanted = self.runs.len() as f64;
-                let stats = [(wanted / CORES).min(1.0), wanted];
-                writeln!(
-                    out,
-                    "{}",
-                    json!({"msg": "STATS", "cookie": command["cookie"], "stats": stats})
-                )?;
+                let load = self.runs.len() as f64;
+                let stats = [(load / CORES).min(1.0), load];
+                let reply = json!({"msg": "STATS", "cookie": command["cookie"], "stats": stats});
+                writeln!(output, "{reply}")?;
             }
             _ => return Err(io::Error::other(format!("not a command: {command}"))),
         }
         Ok(None)
     }
 
-    /// Lets time pass on the cores, which all runs share.
-    fn work(&mut self, passed: f64) {
-        let each = passed * (CORES / self.runs.len().max(1) as f64).min(1.0);
-        self.runs.values_mut().for_each(|run| run.left -= each);
-        while let Some(call) = self
-            .runs
-            .iter()
-            .find(|(_, run)| run.left <= 0.0)
-            .map(|(call, _)| call.clone())
-            && let Some(run) = self.runs.remove(&call)
-        {
+    fn start_run(&mut self, call: &str, command: &Value) {
+        let group = text(command, "service").to_string();
+        let body = STANDARD.decode(text(command, "blob")).unwrap_or_default();
+        println!("run {call} ({group}): {}", String::from_utf8_lossy(&body));
+        self.runs.entry(call.to_string()).or_insert(Run {
+            group,
+            body,
+            started_at: Instant::now(),
+            work_left_s: WORK_S,
+        });
+    }
+
+    /// Advances all runs, which share the cores, and ends those that are done.
+    fn advance(&mut self, elapsed_s: f64) {
+        let work_s = elapsed_s * (CORES / self.runs.len().max(1) as f64).min(1.0);
+        for run in self.runs.values_mut() {
+            run.work_left_s -= work_s;
+        }
+        let done = self.runs.extract_if(.., |_, run| run.work_left_s <= 0.0);
+        let done: Vec<(String, Run)> = done.collect();
+        for (call, run) in done {
             let result = [run.group.as_bytes(), b" done: ", &run.body].concat();
-            self.done(&call, "OK", &run, &result);
+            self.notify(&call, "OK", &run, &result);
         }
     }
 
-    fn done(&mut self, call: &str, how: &str, run: &Run, result: &[u8]) {
-        self.serial += 1;
-        let (took, blob) = (
-            run.began.elapsed().as_millis() as u64,
-            STANDARD.encode(result),
-        );
-        let notice = json!({"msg": "DONE", "serial": self.serial, "call": call, "how": how,
-            "duration": took, "blob": blob});
-        self.notices.push((self.serial, notice));
-        if self.notices.len() > KEPT {
+    /// Appends a notice of the end of a run.
+    fn notify(&mut self, call: &str, how: &str, run: &Run, result: &[u8]) {
+        self.last_serial += 1;
+        let run_time_ms = run.started_at.elapsed().as_millis() as u64;
+        let message = json!({"msg": "DONE", "serial": self.last_serial, "call": call, "how": how,
+            "duration": run_time_ms, "blob": STANDARD.encode(result)});
+        self.notices.push(Notice {
+            serial: self.last_serial,
+            message,
+        });
+        if self.notices.len() > MAX_NOTICES {
             self.notices.remove(0);
         }
     }
+
+    /// Sends the notices after `last_sent`. Returns the serial of the last one sent.
+    fn send_notices(&self, last_sent: u64, output: &mut TcpStream) -> io::Result<u64> {
+        let first = self
+            .notices
+            .partition_point(|notice| notice.serial <= last_sent);
+        let unsent = &self.notices[first..];
+        for notice in unsent {
+            writeln!(output, "{}", notice.message)?;
+        }
+        Ok(unsent.last().map_or(last_sent, |notice| notice.serial))
+    }
+}
+
+/// Reads a command if its line is complete within the read timeout. `line` holds what was read of it.
+fn read_command(input: &mut impl BufRead, line: &mut Vec<u8>) -> io::Result<Option<Value>> {
+    match input.read_until(b'\n', line) {
+        Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
+        Ok(_) if line.ends_with(b"\n") => {
+            let command = serde_json::from_slice(line)?;
+            line.clear();
+            Ok(Some(command))
+        }
+        Ok(_) => Ok(None),
+        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Ok(None),
+        Err(e) => Err(e),
+    }
+}
+
+fn text<'a>(command: &'a Value, key: &str) -> &'a str {
+    command[key].as_str().unwrap_or_default()
 }
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,8 +1,12 @@
-//! What a doortrack node talks to, as a toy: its engine and registry, an application server, a caller.
+//! `doortrack-demo`: toy counterparts of a node, to try one by hand: an engine and a registry, an application
+//! server, and a caller.
+
+#![warn(missing_docs)]
 
-mod ask;
 mod engine;
+mod request;
 
+use std::io;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -11,15 +15,21 @@
 use doortrack_fakes::server::{Act, Server};
 use doortrack_protocols::Protocol;
 
-use crate::ask::Wish;
+use crate::request::Request;
 
+/// Addresses in `examples/node.json`.
 const ENGINE: &str = "127.0.0.1:4400";
 const REGISTRY: &str = "127.0.0.1:2379";
+/// Ports of the node's listeners in the files of `examples/`.
+const FASTCGI_PORT: u16 = 9090;
+const UWSGI_PORT: u16 = 9091;
+/// Run time of a request at the application server.
+const RUN_TIME: Duration = Duration::from_secs(1);
 
 /// Plays what a node talks to, so that one can be tried by hand with the files of `examples/`.
 #[derive(Parser)]
 #[command(version)]
-struct Words {
+struct Cli {
     #[command(subcommand)]
     command: Command,
 }
@@ -31,14 +41,14 @@
     /// Plays an application server that takes a second for each run
     Work {
         #[arg(long, value_enum, default_value = "uwsgi")]
-        protocol: Spoken,
+        protocol: ProtocolArgument,
         #[arg(long, default_value = "127.0.0.1:7001")]
         listen: SocketAddr,
     },
     /// Sends one request to the node and prints the answer
     Ask {
         #[arg(long, value_enum, default_value = "fastcgi")]
-        protocol: Spoken,
+        protocol: ProtocolArgument,
         /// Absent: 127.0.0.1:9090 over FastCGI, 127.0.0.1:9091 over uwsgi
         #[arg(long)]
         node: Option<SocketAddr>,
@@ -52,24 +62,34 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Spoken {
+enum ProtocolArgument {
     Fastcgi,
     Uwsgi,
 }
 
-impl From<Spoken> for Protocol {
-    fn from(spoken: Spoken) -> Protocol {
-        match spoken {
-            Spoken::Fastcgi => Protocol::FastCgi,
-            Spoken::Uwsgi => Protocol::Uwsgi,
+impl From<ProtocolArgument> for Protocol {
+    fn from(argument: ProtocolArgument) -> Protocol {
+        match argument {
+            ProtocolArgument::Fastcgi => Protocol::FastCgi,
+            ProtocolArgument::Uwsgi => Protocol::Uwsgi,
         }
     }
 }
 
 fn main() -> ExitCode {
-    let done = match Words::parse().command {
+    match run(Cli::parse().command) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(e) => {
+            eprintln!("doortrack-demo: {e}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn run(command: Command) -> io::Result<()> {
+    match command {
         Command::Serve => engine::serve(ENGINE, REGISTRY),
-        Command::Work { protocol, listen } => work(protocol.into(), listen),
+        Command::Work { protocol, listen } => serve_requests(protocol.into(), listen),
         Command::Ask {
             protocol,
             node,
@@ -78,40 +98,39 @@
             tenant,
             idempotency_key,
         } => {
-            let port = if matches!(protocol, Spoken::Uwsgi) {
-                9091
-            } else {
-                9090
-            };
-            let node = node.unwrap_or(SocketAddr::from(([127, 0, 0, 1], port)));
-            let wish = Wish {
+            let protocol = protocol.into();
+            let request = Request {
                 group: &group,
                 text: &text,
                 tenant: &tenant,
                 idempotency_key: idempotency_key.as_deref(),
             };
-            ask::ask(node, protocol.into(), wish)
-        }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("doortrack-demo: {e}");
-            ExitCode::FAILURE
+            request::send(
+                node.unwrap_or_else(|| default_listener(protocol)),
+                protocol,
+                &request,
+            )
         }
     }
 }
 
-/// Serves until it is killed.
-fn work(protocol: Protocol, listen: SocketAddr) -> std::io::Result<()> {
-    let _server = Server::start_at(listen, protocol, |got| {
-        let body = String::from_utf8_lossy(&got.body).into_owned();
+fn default_listener(protocol: Protocol) -> SocketAddr {
+    let port = match protocol {
+        Protocol::FastCgi => FASTCGI_PORT,
+        Protocol::Uwsgi => UWSGI_PORT,
+    };
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+/// Runs an application server until the process is killed.
+fn serve_requests(protocol: Protocol, listen: SocketAddr) -> io::Result<()> {
+    let _server = Server::start_at(listen, protocol, |request| {
+        let body = String::from_utf8_lossy(&request.body);
         println!("run: {body}");
-        let body = format!("done: {body}").into_bytes();
         Act::Answer {
             status: "200 OK",
-            body,
-            after: Duration::from_secs(1),
+            body: format!("done: {body}").into_bytes(),
+            after: RUN_TIME,
         }
     });
     println!("{protocol} server at {listen}");
