--- a/crates/node/src/network/backend.rs
+++ b/crates/node/src/network/backend.rs
@@ -48,7 +48,7 @@
 /// Asks whether a retry may be sent.
 pub type RetryGate = Box<dyn FnMut() -> bool>;
 /// Asks for a token of a slow start.
-pub type RampGate = Box<dyn FnMut() -> TokenResponse>;
+pub type SlowStartTokens = Box<dyn FnMut() -> TokenResponse>;
 
 /// A pool of servers and its name.
 pub type NamedPool = (String, Servers);
@@ -101,19 +101,19 @@
     }
 
     /// Has pools ask before they retry; `gate` gives each pool's gate by its index, if it has one.
-    pub fn gate_retries(&mut self, mut gate: impl FnMut(u16) -> Option<RetryGate>) {
+    pub fn set_retry_gates(&mut self, mut gate: impl FnMut(u16) -> Option<RetryGate>) {
         for (index, (_, pool)) in self.pools_mut().iter_mut().enumerate() {
             if let Some(gate) = gate(index as u16) {
-                pool.gate_retries(gate);
+                pool.set_retry_gate(gate);
             }
         }
     }
 
     /// Has pools ask for tokens of their slow starts; `gate` gives each pool's gate by its index, if it has one.
-    pub fn gate_ramps(&mut self, mut gate: impl FnMut(u16) -> Option<RampGate>) {
+    pub fn set_slow_start_tokens(&mut self, mut gate: impl FnMut(u16) -> Option<SlowStartTokens>) {
         for (index, (_, pool)) in self.pools_mut().iter_mut().enumerate() {
             if let Some(gate) = gate(index as u16) {
-                pool.gate_ramps(gate);
+                pool.set_slow_start_tokens(gate);
             }
         }
     }
--- a/crates/node/src/network/engine/messages.rs
+++ b/crates/node/src/network/engine/messages.rs
@@ -40,7 +40,7 @@
         let message = match engine_protocol::read(line) {
             Ok(message) => message,
             Err(error) => {
-                warn!(self.log, "engine line ignored"; "what" => %error);
+                warn!(self.log, "engine line ignored"; "why" => %error);
                 return self.doubt(LinkError::UnreadableLine);
             }
         };
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -20,7 +20,7 @@
 use slog::Logger;
 
 use self::connection::ServerConnection;
-use super::backend::{BackendEvent, RampGate, RetryGate};
+use super::backend::{BackendEvent, RetryGate, SlowStartTokens};
 use super::bounds::READ_BUFFER_BYTES;
 use super::listeners::RawVariables;
 
@@ -151,12 +151,12 @@
     }
 
     /// Has the pool ask before it retries.
-    pub fn gate_retries(&mut self, gate: RetryGate) {
+    pub fn set_retry_gate(&mut self, gate: RetryGate) {
         self.pool.set_retry_gate(gate);
     }
 
     /// Has the pool ask for tokens of its slow starts.
-    pub fn gate_ramps(&mut self, gate: RampGate) {
+    pub fn set_slow_start_tokens(&mut self, gate: SlowStartTokens) {
         self.pool.set_slow_start_tokens(gate);
     }
 
--- a/crates/node/src/serve/start.rs
+++ b/crates/node/src/serve/start.rs
@@ -203,8 +203,8 @@
             &log,
         )?;
         for part in &parts {
-            work.gate_retries(|pool| part.retry_gate(pool));
-            work.gate_ramps(|pool| part.ramp_gate(pool));
+            work.set_retry_gates(|pool| part.retry_gate(pool));
+            work.set_slow_start_tokens(|pool| part.ramp_gate(pool));
         }
         let started = Started {
             config: Arc::clone(&orders),
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -21,11 +21,11 @@
 /// The table and its callers, on a clock that stands still unless it is moved.
 struct Table {
     poller: Arc<Poller>,
-    fronts: Listeners,
+    listeners: Listeners,
     at: SocketAddr,
     now: u64,
     /// Requests read so far.
-    exchanges: Vec<Caller>,
+    requests: Vec<Caller>,
 }
 
 impl Table {
@@ -44,23 +44,23 @@
             idempotency_keyed: vec![false],
             tenants: Vec::new(),
         };
-        let mut fronts = Listeners::new(poller.clone(), names, room, 10 * S);
+        let mut listeners = Listeners::new(poller.clone(), names, room, 10 * S);
         let at = fresh_address();
-        fronts.listen(at, Protocol::FastCgi, None).unwrap();
+        listeners.listen(at, Protocol::FastCgi, None).unwrap();
         // Stamps of requests are of this time, so they are not far off.
         let now = doortrack_fakes::unix_ms() * 10;
         Table {
             poller,
-            fronts,
+            listeners,
             at,
             now,
-            exchanges: Vec::new(),
+            requests: Vec::new(),
         }
     }
 
     /// Takes in and reads what is ready, and writes; it waits for something to be.
     fn turn(&mut self) {
-        let (mut events, mut front_events) = (Events::new(), Vec::new());
+        let (mut events, mut listener_events) = (Events::new(), Vec::new());
         assert!(
             self.poller.wait(&mut events, Some(LONG)).unwrap() > 0,
             "nothing comes"
@@ -68,16 +68,20 @@
         for event in events.iter() {
             match event.key {
                 LISTEN_KEY..FIRST_KEY => {
-                    _ = self
-                        .fronts
-                        .accept(event.key - LISTEN_KEY, self.now, &mut front_events)
+                    _ = self.listeners.accept(
+                        event.key - LISTEN_KEY,
+                        self.now,
+                        &mut listener_events,
+                    )
                 }
-                _ => self.fronts.on_event(event, self.now, &mut front_events),
+                _ => self
+                    .listeners
+                    .on_event(event, self.now, &mut listener_events),
             }
         }
-        self.fronts.flush(self.now, &mut front_events);
-        self.exchanges
-            .extend(front_events.into_iter().filter_map(|came| match came {
+        self.listeners.flush(self.now, &mut listener_events);
+        self.requests
+            .extend(listener_events.into_iter().filter_map(|event| match event {
                 ListenerEvent::Request { caller, .. } => Some(caller),
                 ListenerEvent::Ended { .. } => None,
             }));
@@ -92,9 +96,9 @@
     /// Lets time pass, and looks over what lay idle meanwhile.
     fn pass(&mut self, time: u64) {
         self.now += time;
-        let mut front_events = Vec::new();
-        self.fronts.close_idle(self.now, &mut front_events);
-        self.fronts.flush(self.now, &mut front_events);
+        let mut listener_events = Vec::new();
+        self.listeners.close_idle(self.now, &mut listener_events);
+        self.listeners.flush(self.now, &mut listener_events);
     }
 
     fn connect(&self, at: SocketAddr) -> Client {
@@ -105,44 +109,44 @@
 
     /// One more connection that was taken in.
     fn caller(&mut self) -> Client {
-        let accepted = self.fronts.counts().accepted;
+        let accepted = self.listeners.counts().accepted;
         let client = self.connect(self.at);
-        self.until(|table| table.fronts.counts().accepted > accepted);
+        self.until(|table| table.listeners.counts().accepted > accepted);
         client
     }
 
     /// One that has a request open.
     fn busy_caller(&mut self, nth: u64) -> Client {
-        let (mut client, open) = (self.caller(), self.exchanges.len());
+        let (mut client, open) = (self.caller(), self.requests.len());
         client.look(1, nth);
-        self.until(|table| table.exchanges.len() > open);
+        self.until(|table| table.requests.len() > open);
         client
     }
 
     fn checks(&mut self, client: &mut Client, nth: u64) {
-        let checks = self.fronts.counts().health_checks;
+        let checks = self.listeners.counts().health_checks;
         client.send(&request(9, nth, "/status/live", &[], b""));
-        self.until(|table| table.fronts.counts().health_checks > checks);
+        self.until(|table| table.listeners.counts().health_checks > checks);
         assert_eq!(client.reply().status, 200);
     }
 
     /// Sends one more request on a connection that is about to end, which is refused as never run.
     fn refuses(&mut self, client: &mut Client, id: u16, nth: u64) {
-        let refused = self.fronts.counts().no_capacity;
+        let refused = self.listeners.counts().no_capacity;
         client.look(id, nth);
-        self.until(|table| table.fronts.counts().no_capacity > refused);
+        self.until(|table| table.listeners.counts().no_capacity > refused);
         let reply = client.reply();
         assert_eq!((reply.id, reply.status), (id, 2));
     }
 
-    fn serves(&mut self, exchange: usize, client: &mut Client) {
-        let made = RunOutput {
+    fn serves(&mut self, index: usize, client: &mut Client) {
+        let output = RunOutput {
             headers: b"",
             body: b"made",
         };
-        self.fronts
-            .answer(self.exchanges[exchange], Answer::Completed(made));
-        self.fronts.flush(self.now, &mut Vec::new());
+        self.listeners
+            .answer(self.requests[index], Answer::Completed(output));
+        self.listeners.flush(self.now, &mut Vec::new());
         assert_eq!(client.reply().body, b"made");
     }
 }
@@ -172,13 +176,16 @@
         "it was reset"
     );
     assert!(
-        table.exchanges.is_empty(),
+        table.requests.is_empty(),
         "what came after the end was taken in"
     );
     table.checks(&mut newest, 21);
     drop(callers.remove(0));
-    table.until(|table| table.fronts.connection_count() == 15);
-    assert_eq!(table.fronts.counts().terminations.get("evicted"), Some(&1));
+    table.until(|table| table.listeners.connection_count() == 15);
+    assert_eq!(
+        table.listeners.counts().terminations.get("evicted"),
+        Some(&1)
+    );
     callers
         .iter_mut()
         .zip(22..)
@@ -193,11 +200,11 @@
     let mut ninth = table.connect(table.at);
     // The listener is looked at, and there is nobody to let go of.
     table.turn();
-    assert_eq!(table.fronts.connection_count(), 8);
+    assert_eq!(table.listeners.connection_count(), 8);
     table.checks(&mut eighth, 10);
     // With nothing more from it, it is the one that makes room.
     table.pass(EVICTION_GRACE);
-    table.until(|table| table.fronts.counts().accepted == 9);
+    table.until(|table| table.listeners.counts().accepted == 9);
     table.checks(&mut ninth, 11);
     assert!(has_ended(&mut eighth));
 }
@@ -213,10 +220,13 @@
     let mut check = table.connect(table.at);
     // Something moved on all of them just now, so there is nobody to let go of.
     table.turn();
-    assert_eq!(table.fronts.connection_count(), 8);
+    assert_eq!(table.listeners.connection_count(), 8);
     table.pass(EVICTION_GRACE);
     table.checks(&mut check, 1);
-    assert_eq!(table.fronts.counts().terminations.get("evicted"), Some(&8));
+    assert_eq!(
+        table.listeners.counts().terminations.get("evicted"),
+        Some(&8)
+    );
 }
 
 #[test]
@@ -238,12 +248,15 @@
         "one that is idle goes before a part of a request"
     );
     first.look(1, 12);
-    table.until(|table| table.exchanges.len() == 1);
+    table.until(|table| table.requests.len() == 1);
     table.pass(EVICTION_GRACE);
     let mut second = table.caller();
     table.checks(&mut second, 13);
     table.serves(0, &mut first);
-    assert_eq!(table.fronts.counts().terminations.get("evicted"), Some(&2));
+    assert_eq!(
+        table.listeners.counts().terminations.get("evicted"),
+        Some(&2)
+    );
 }
 
 #[test]
@@ -252,7 +265,7 @@
     let mut client = table.caller();
     client.send(&record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0]));
     client.look(1, 1);
-    table.until(|table| table.exchanges.len() == 1);
+    table.until(|table| table.requests.len() == 1);
     table.pass(3 * S);
     let slow = client.reply();
     assert_eq!((slow.id, slow.status), (2, 400));
@@ -262,25 +275,28 @@
     table.pass(3 * S);
     table.serves(0, &mut client);
     assert!(has_ended(&mut client));
-    assert_eq!(table.exchanges.len(), 1);
+    assert_eq!(table.requests.len(), 1);
 }
 
 #[test]
 fn what_comes_to_a_front_that_was_withdrawn_is_refused_and_never_left_unread() {
     let mut table = Table::new(8);
     let front = SocketAddr::new(table.at.ip(), 9091);
-    table.fronts.listen(front, Protocol::FastCgi, None).unwrap();
+    table
+        .listeners
+        .listen(front, Protocol::FastCgi, None)
+        .unwrap();
     let mut client = table.connect(front);
     client.look(1, 1);
-    table.until(|table| table.exchanges.len() == 1);
+    table.until(|table| table.requests.len() == 1);
     table
-        .fronts
+        .listeners
         .drain_listener(front, table.now, &mut Vec::new());
     table.refuses(&mut client, 2, 2);
     table.serves(0, &mut client);
     assert!(has_ended(&mut client));
     drop(client);
-    table.until(|table| table.fronts.iter().count() == 1);
+    table.until(|table| table.listeners.iter().count() == 1);
 }
 
 #[test]
@@ -289,20 +305,20 @@
     let mut client = table.busy_caller(1);
     // More than the system takes for a peer that does not read.
     let body = vec![7; 32_000_000];
-    let made = RunOutput {
+    let output = RunOutput {
         headers: b"",
         body: &body,
     };
     table
-        .fronts
-        .answer(table.exchanges[0], Answer::Completed(made));
-    table.fronts.flush(table.now, &mut Vec::new());
+        .listeners
+        .answer(table.requests[0], Answer::Completed(output));
+    table.listeners.flush(table.now, &mut Vec::new());
     assert!(
-        table.fronts.unread_answer_bytes() > 0,
+        table.listeners.unread_answer_bytes() > 0,
         "all of it was taken"
     );
-    table.fronts.drain_all(table.now, &mut Vec::new());
+    table.listeners.drain_all(table.now, &mut Vec::new());
     let reader = std::thread::spawn(move || (client.reply().body, has_ended(&mut client)));
-    table.until(|table| table.fronts.connection_count() == 0);
+    table.until(|table| table.listeners.connection_count() == 0);
     assert!(reader.join().unwrap() == (body, true));
 }
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -14,8 +14,8 @@
 use polling::{Events, Poller};
 
 /// Reads what is ready and writes nothing, as the loop does between two readings: the requests that came.
-fn reads(poller: &Poller, fronts: &mut Listeners, now: u64) -> Vec<Caller> {
-    let (mut events, mut front_events) = (Events::new(), Vec::new());
+fn reads(poller: &Poller, listeners: &mut Listeners, now: u64) -> Vec<Caller> {
+    let (mut events, mut listener_events) = (Events::new(), Vec::new());
     assert!(
         poller.wait(&mut events, Some(LONG)).unwrap() > 0,
         "nothing comes"
@@ -23,16 +23,19 @@
     for event in events.iter() {
         match event.key {
             LISTEN_KEY..FIRST_KEY => {
-                _ = fronts.accept(event.key - LISTEN_KEY, now, &mut front_events)
+                _ = listeners.accept(event.key - LISTEN_KEY, now, &mut listener_events)
             }
-            _ => fronts.on_event(event, now, &mut front_events),
+            _ => listeners.on_event(event, now, &mut listener_events),
         }
     }
-    let exchange = |came| match came {
+    let request_caller = |event| match event {
         ListenerEvent::Request { caller, .. } => Some(caller),
         ListenerEvent::Ended { .. } => None,
     };
-    front_events.into_iter().filter_map(exchange).collect()
+    listener_events
+        .into_iter()
+        .filter_map(request_caller)
+        .collect()
 }
 
 #[test]
@@ -51,9 +54,9 @@
         idempotency_keyed: vec![false],
         tenants: Vec::new(),
     };
-    let mut fronts = Listeners::new(poller.clone(), names, room, 100_000);
+    let mut listeners = Listeners::new(poller.clone(), names, room, 100_000);
     let at: SocketAddr = fresh_address();
-    fronts.listen(at, Protocol::FastCgi, None).unwrap();
+    listeners.listen(at, Protocol::FastCgi, None).unwrap();
     let now = doortrack_fakes::unix_ms() * 10;
     let mut client = Client {
         sock: TcpStream::connect(at).unwrap(),
@@ -62,25 +65,25 @@
     client.send(&request(1, 1, "/svc/look", &[], b"body"));
     client.sock.shutdown(Shutdown::Write).unwrap();
     let caller = loop {
-        if let Some(caller) = reads(&poller, &mut fronts, now).pop() {
+        if let Some(caller) = reads(&poller, &mut listeners, now).pop() {
             break caller;
         }
     };
     // The end of what it had to say, read and read again before anything is written.
-    reads(&poller, &mut fronts, now);
-    reads(&poller, &mut fronts, now);
+    reads(&poller, &mut listeners, now);
+    reads(&poller, &mut listeners, now);
     assert!(
-        fronts.is_pending(caller),
+        listeners.is_pending(caller),
         "it was taken for one that is gone"
     );
-    fronts.answer(
+    listeners.answer(
         caller,
         Answer::Completed(RunOutput {
             headers: b"",
             body: b"yours",
         }),
     );
-    fronts.flush(now, &mut Vec::new());
+    listeners.flush(now, &mut Vec::new());
     assert_eq!(client.reply().body, b"yours");
     assert!(client.is_closed());
 }
