--- a/crates/node/src/network/classified.rs
+++ b/crates/node/src/network/classified.rs
@@ -152,10 +152,8 @@
         };
         let memory_kb = fields.find_number("HTTP_X_MEMORY_KB")?;
         let start_ms: Option<u64> = fields.find_number("HTTP_X_REQUEST_START")?;
-        let attempt_id = match fields.find_hex("HTTP_X_REQUEST_ID")? {
-            Some(id) => id,
-            None => self.generate_id(),
-        };
+        let attempt_id = fields.find_hex("HTTP_X_REQUEST_ID")?;
+        let attempt_id = attempt_id.unwrap_or_else(|| self.generate_id());
         Ok(IncomingRequest {
             attempt_id,
             arrived_at: start_ms.map_or(now, |ms| ms.saturating_mul(MILLISECOND)),
@@ -165,10 +163,7 @@
             retry: fields.is_retry()?,
             memory_kb: checked_memory_kb(memory_kb.unwrap_or(default_memory_kb))?,
             rank: checked_rank(rank)?,
-            idempotency_key: match names.idempotency_keyed[usize::from(group)] {
-                true => Some(idempotency_key(class, fields)?),
-                false => None,
-            },
+            idempotency_key: idempotency_key(names, group, class, fields)?,
             session_key: match class.and_then(|class| class.session_key) {
                 Some(session_key) => session_key,
                 None => fields.session_key()?,
@@ -208,10 +203,18 @@
     }
 }
 
-/// The key of a request of a group whose requests carry one: the rule's, or that of the variable.
-fn idempotency_key(class: Option<&Class>, fields: &Fields) -> Result<IdempotencyKey, Unreadable> {
+/// The rule's key or that of the variable, where requests of the group carry one.
+fn idempotency_key(
+    names: &Names,
+    group: u8,
+    class: Option<&Class>,
+    fields: &Fields,
+) -> Result<Option<IdempotencyKey>, Unreadable> {
+    if !names.idempotency_keyed[usize::from(group)] {
+        return Ok(None);
+    }
     match class.and_then(|class| class.idempotency_key) {
-        Some(key) => Ok(key),
-        None => fields.required_hex("HTTP_IDEMPOTENCY_KEY"),
+        Some(key) => Ok(Some(key)),
+        None => fields.required_hex("HTTP_IDEMPOTENCY_KEY").map(Some),
     }
 }
