--- a/crates/node/src/network/server_log.rs
+++ b/crates/node/src/network/server_log.rs
@@ -1,10 +1,10 @@
-//! What the log tells of one application server.
+//! Log lines on the state of application servers.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 use doortrack_upstream::ServerState;
 use slog::{Logger, info, warn};
 
-/// Tells what is thought of the server at this address from now on; `in_use` counts servers of its pool.
+/// Logs a change of the state of the server at `address`; `in_use` is how many servers of its pool get requests.
 pub fn log_server_state(
     log: &Logger,
     address: &str,
@@ -12,25 +12,25 @@
     state: ServerState,
     now: TenthMillis,
 ) {
-    let left_ms = |until: TenthMillis| until.saturating_sub(now) / MILLISECOND;
+    let remaining_ms = |until: TenthMillis| until.saturating_sub(now) / MILLISECOND;
     match state {
         ServerState::Ejected { until } => {
-            warn!(log, "server put aside"; "address" => address, "for_ms" => left_ms(until),
+            warn!(log, "server ejected"; "address" => address, "for_ms" => remaining_ms(until),
                 "in_use" => in_use);
         }
         ServerState::HealthCheck => {
-            info!(log, "server probed"; "address" => address, "in_use" => in_use)
+            info!(log, "server health check"; "address" => address, "in_use" => in_use);
         }
         ServerState::Recovered => {
-            info!(log, "server fit again"; "address" => address, "in_use" => in_use)
+            info!(log, "server recovered"; "address" => address, "in_use" => in_use);
         }
         ServerState::Down { until } => {
-            warn!(log, "server down"; "address" => address, "probed_after_ms" => left_ms(until),
+            warn!(log, "server down"; "address" => address, "health_check_after_ms" => remaining_ms(until),
                 "in_use" => in_use);
         }
         ServerState::SlowStart { until } => {
-            info!(log, "server ramps up"; "address" => address, "for_ms" => left_ms(until));
+            info!(log, "server slow start"; "address" => address, "for_ms" => remaining_ms(until));
         }
-        ServerState::WarmedUp => info!(log, "server warm"; "address" => address),
+        ServerState::WarmedUp => info!(log, "server warmed up"; "address" => address),
     }
 }
