--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -200,9 +200,10 @@
             .iter()
             .map(|listener| format!("{} on {}", listener.protocol.name(), listener.listen))
             .collect();
-        let listeners = match listeners.is_empty() {
-            true => "no fronts".to_string(),
-            false => listeners.join(", "),
+        let listeners = if listeners.is_empty() {
+            "no fronts".to_string()
+        } else {
+            listeners.join(", ")
         };
         let pools: String = self
             .named_pools()
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -163,9 +163,10 @@
             overload_window: time_floor(safety, safety::OVERLOAD_WINDOW)?,
             drain_grace: time_floor(safety, safety::DRAIN_GRACE)?,
             idle_timeout: time_floor(node, node::IDLE_TIMEOUT)?,
-            max_retry_after: match passes_retry_after {
-                true => time_floor(site, site::MAX_RETRY_AFTER)?,
-                false => 0,
+            max_retry_after: if passes_retry_after {
+                time_floor(site, site::MAX_RETRY_AFTER)?
+            } else {
+                0
             },
             tick: time_ceil(root, top::TICK)?,
         })
