--- a/crates/bench/benches/codecs.rs
+++ b/crates/bench/benches/codecs.rs
@@ -2,7 +2,9 @@
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use doortrack_fakes::caller::Ask;
-use doortrack_protocols::{AnswerReader, Head, Piece, Protocol, RequestReader, write_answer};
+use doortrack_protocols::{
+    Protocol, RequestEvent, RequestReader, ResponseHead, ResponseReader, write_response,
+};
 
 fn codecs(criterion: &mut Criterion) {
     for protocol in Protocol::ALL {
@@ -15,8 +17,8 @@
                 let (mut reader, mut input, mut bytes) =
                     (RequestReader::new(protocol), &request[..], 0);
                 while let Ok(Some(piece)) = reader.next(&mut input) {
-                    if let Piece::Params { bytes: part, .. } | Piece::Stdin { bytes: part, .. } =
-                        piece
+                    if let RequestEvent::Params { bytes: part, .. }
+                    | RequestEvent::Stdin { bytes: part, .. } = piece
                     {
                         bytes += part.len();
                     }
@@ -28,36 +30,36 @@
             let (mut reader, mut input, mut block) =
                 (RequestReader::new(protocol), &request[..], Vec::new());
             while let Ok(Some(piece)) = reader.next(&mut input) {
-                if let Piece::Params { bytes, .. } = piece {
+                if let RequestEvent::Params { bytes, .. } = piece {
                     block.extend(bytes);
                 }
             }
             block
         };
         group.bench_function("find the variables", |bencher| {
-            bencher.iter(|| protocol.pairs(&block).map(|pairs| pairs.len()))
+            bencher.iter(|| protocol.read_variables(&block).map(|pairs| pairs.len()))
         });
         let mut out = Vec::with_capacity(4096);
         let headers = [
             ("Content-Type", "application/octet-stream"),
             ("X-Load-Signal", "0.25"),
         ];
-        let head = || Head {
+        let head = || ResponseHead {
             status: "200 OK",
             headers: &headers,
-            more: b"",
+            extra_lines: b"",
         };
         group.bench_function("write an answer", |bencher| {
             bencher.iter(|| {
                 out.clear();
-                write_answer(protocol, &mut out, 1, head(), &body);
+                write_response(protocol, &mut out, 1, head(), &body);
                 out.len()
             })
         });
         let mut answer = Vec::new();
-        write_answer(protocol, &mut answer, 1, head(), &body);
+        write_response(protocol, &mut answer, 1, head(), &body);
         group.bench_function("read an answer", |bencher| {
-            bencher.iter(|| AnswerReader::new(protocol, 1, 4096).take(&mut &answer[..]))
+            bencher.iter(|| ResponseReader::new(protocol, 1, 4096).read(&mut &answer[..]))
         });
         group.finish();
     }
--- a/crates/bench/src/bin/reload.rs
+++ b/crates/bench/src/bin/reload.rs
@@ -15,7 +15,7 @@
 use doortrack_fakes::bed::{Bed, Plan, connect};
 use doortrack_fakes::caller::{Pending, Seen};
 use doortrack_fakes::server::{Act, Server};
-use doortrack_protocols::{Pair, Protocol, write_request};
+use doortrack_protocols::{Protocol, Variable, write_request};
 use hdrhistogram::Histogram;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -152,7 +152,7 @@
 }
 
 fn ask(front: SocketAddr, path: &str) -> Seen {
-    let pairs: [Pair; 3] = [
+    let pairs: [Variable; 3] = [
         (b"REQUEST_METHOD", b"GET"),
         (b"PATH_INFO", path.as_bytes()),
         (b"HTTP_X_TENANT", b"customer-00001"),
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use doortrack_fakes::unix_ms;
-use doortrack_protocols::fastcgi::{Reply, ReplySplitter};
+use doortrack_protocols::fastcgi::{ResponseRecord, ResponseSplitter};
 use doortrack_protocols::{Protocol, fastcgi};
 use fastrand::Rng;
 use hdrhistogram::Histogram;
@@ -94,7 +94,7 @@
     written: usize,
     /// Requests in hand: id, when it was due, and the start of its answer.
     hand: Vec<(u16, Instant, Vec<u8>)>,
-    reader: ReplySplitter,
+    reader: ResponseSplitter,
     next_id: u16,
     watches_writes: bool,
 }
@@ -293,14 +293,14 @@
                 };
                 while let Some(reply) = conn.reader.next(&mut input).map_err(io::Error::other)? {
                     match reply {
-                        Reply::Stdout { id, bytes } => {
+                        ResponseRecord::Stdout { id, bytes } => {
                             if let Some(place) = find(&conn.hand, id) {
                                 let start = &mut conn.hand[place].2;
                                 let room = 16usize.saturating_sub(start.len());
                                 start.extend(&bytes[..bytes.len().min(room)]);
                             }
                         }
-                        Reply::End { id, status } => {
+                        ResponseRecord::End { id, status } => {
                             if let Some(place) = find(&conn.hand, id) {
                                 let (_, due, start) = conn.hand.swap_remove(place);
                                 let whole = status == Some(fastcgi::ProtocolStatus::Complete);
--- a/crates/fakes/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -4,7 +4,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-use doortrack_protocols::{AnswerReader, Answered, Protocol, write_request};
+use doortrack_protocols::{Protocol, ResponseOutcome, ResponseReader, write_request};
 
 use crate::bed::connect;
 use crate::{LONG, try_id, unix_ms};
@@ -126,15 +126,15 @@
 
 /// What the bytes of one connection say.
 pub fn read(protocol: Protocol, bytes: &[u8]) -> (Seen, BTreeMap<String, String>) {
-    let mut reader = AnswerReader::new(protocol, 1, usize::MAX);
+    let mut reader = ResponseReader::new(protocol, 1, usize::MAX);
     let mut input = bytes;
-    let answered = match reader.take(&mut input) {
+    let answered = match reader.read(&mut input) {
         Ok(Some(answered)) => answered,
         Ok(None) | Err(_) => return (Seen::Nothing, BTreeMap::new()),
     };
     assert!(input.is_empty(), "{} bytes follow the answer", input.len());
     let answer = match answered {
-        Answered::Refused(_) => {
+        ResponseOutcome::Refused(_) => {
             return (
                 Seen::Rejected {
                     retry_after: None,
@@ -143,7 +143,7 @@
                 BTreeMap::new(),
             );
         }
-        Answered::Whole(answer) => answer,
+        ResponseOutcome::Complete(answer) => answer,
     };
     let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
     let headers: BTreeMap<_, _> = answer
--- a/crates/fakes/src/instant.rs
+++ b/crates/fakes/src/instant.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 
-use doortrack_protocols::{Head, Piece, Protocol, RequestReader, write_answer};
+use doortrack_protocols::{Protocol, RequestEvent, RequestReader, ResponseHead, write_response};
 
 const RUN: &[u8] = b"{\"msg\":\"RUN\",\"call\":\"";
 const STAT: &[u8] = b"{\"msg\":\"STAT\",\"cookie\":\"";
@@ -100,14 +100,17 @@
         let mut input = &buffer[..n];
         while let Ok(Some(piece)) = reader.next(&mut input) {
             match piece {
-                Piece::Begin { keep, .. } => keeps = keep,
-                Piece::StdinEnd { id } => {
-                    let head = Head {
+                RequestEvent::Begin {
+                    keep_connection: keep,
+                    ..
+                } => keeps = keep,
+                RequestEvent::StdinEnd { id } => {
+                    let head = ResponseHead {
                         status: "200 OK",
                         headers: &[],
-                        more: b"",
+                        extra_lines: b"",
                     };
-                    write_answer(protocol, &mut out, id, head, b"done");
+                    write_response(protocol, &mut out, id, head, b"done");
                     sock.write_all(&out)?;
                     out.clear();
                     if !keeps {
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-use doortrack_protocols::{Head, Piece, Protocol, RequestReader, write_answer};
+use doortrack_protocols::{Protocol, RequestEvent, RequestReader, ResponseHead, write_response};
 use socket2::SockRef;
 
 use crate::unix_ms;
@@ -231,7 +231,11 @@
                 Err(_) => return sock,
             };
             match piece {
-                Piece::Begin { id, keep, .. } => {
+                RequestEvent::Begin {
+                    id,
+                    keep_connection: keep,
+                    ..
+                } => {
                     (got, block) = (
                         Got {
                             id,
@@ -242,10 +246,10 @@
                         Vec::new(),
                     )
                 }
-                Piece::Params { bytes, .. } => block.extend(bytes),
-                Piece::Stdin { bytes, .. } => got.body.extend(bytes),
-                Piece::StdinEnd { .. } => {
-                    let Ok(pairs) = protocol.pairs(&block) else {
+                RequestEvent::Params { bytes, .. } => block.extend(bytes),
+                RequestEvent::Stdin { bytes, .. } => got.body.extend(bytes),
+                RequestEvent::StdinEnd { .. } => {
+                    let Ok(pairs) = protocol.read_variables(&block) else {
                         return sock;
                     };
                     let word = |name| String::from_utf8_lossy(name).into_owned();
@@ -280,28 +284,28 @@
                 ("X-From", "a server"),
                 ("X-Load-Signal", "9"),
             ];
-            write_answer(
+            write_response(
                 protocol,
                 &mut out,
                 got.id,
-                Head {
+                ResponseHead {
                     status,
                     headers: &headers,
-                    more: b"",
+                    extra_lines: b"",
                 },
                 &body,
             );
             sock.write_all(&out).is_ok() && got.keep && protocol == Protocol::FastCgi
         }
         Act::Cut { body, at, how } => {
-            write_answer(
+            write_response(
                 protocol,
                 &mut out,
                 got.id,
-                Head {
+                ResponseHead {
                     status: "200 OK",
                     headers: &[],
-                    more: b"",
+                    extra_lines: b"",
                 },
                 &body,
             );
--- a/crates/fault-harness/src/scale/node_cost/caller.rs
+++ b/crates/fault-harness/src/scale/node_cost/caller.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use doortrack_fakes::unix_ms;
-use doortrack_protocols::{AnswerReader, Answered, Protocol, write_request};
+use doortrack_protocols::{Protocol, ResponseOutcome, ResponseReader, write_request};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
@@ -169,24 +169,24 @@
         )
         .map_err(io::Error::other)?;
         self.socket.write_all(&bytes)?;
-        let mut reader = AnswerReader::new(Protocol::FastCgi, REQUEST_ID, MOST_ANSWER);
+        let mut reader = ResponseReader::new(Protocol::FastCgi, REQUEST_ID, MOST_ANSWER);
         loop {
             let count = self.socket.read(&mut self.buffer)?;
             if count == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             let mut input = &self.buffer[..count];
-            if let Some(answered) = reader.take(&mut input).map_err(io::Error::other)? {
+            if let Some(answered) = reader.read(&mut input).map_err(io::Error::other)? {
                 return Ok(outcome(&answered));
             }
         }
     }
 }
 
-fn outcome(answered: &Answered) -> Outcome {
+fn outcome(answered: &ResponseOutcome) -> Outcome {
     match answered {
-        Answered::Refused(_) => Outcome::Refused,
-        Answered::Whole(answer) => match answer.status {
+        ResponseOutcome::Refused(_) => Outcome::Refused,
+        ResponseOutcome::Complete(answer) => match answer.status {
             200 => Outcome::Completed,
             429 | 503 => Outcome::Rejected,
             500 => Outcome::Failed,
--- a/crates/node/src/network/classified.rs
+++ b/crates/node/src/network/classified.rs
@@ -114,7 +114,7 @@
     ) -> Result<Inbound, Unreadable> {
         let pairs = origin
             .protocol
-            .pairs(variables)
+            .read_variables(variables)
             .map_err(|broken| Unreadable::Field(broken.0))?;
         let view = RequestView::new(&pairs, body, origin)?;
         if view.path() == HEALTH_CHECK_PATH {
--- a/crates/node/src/network/classified/view.rs
+++ b/crates/node/src/network/classified/view.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 
 use doortrack_expr::Request;
-use doortrack_protocols::Pair;
+use doortrack_protocols::Variable;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
 use super::Origin;
@@ -14,7 +14,7 @@
 
 /// A request that has been read, without copies.
 pub(super) struct RequestView<'r> {
-    pairs: &'r [Pair<'r>],
+    pairs: &'r [Variable<'r>],
     method: &'r str,
     path: &'r str,
     query: &'r str,
@@ -26,7 +26,7 @@
     /// # Errors
     /// A variable that has a part in the path, the query or the method is doubled or not UTF-8.
     pub(super) fn new(
-        pairs: &'r [Pair<'r>],
+        pairs: &'r [Variable<'r>],
         body: &'r [u8],
         origin: Origin,
     ) -> Result<RequestView<'r>, Unreadable> {
--- a/crates/node/src/network/headers.rs
+++ b/crates/node/src/network/headers.rs
@@ -1,6 +1,6 @@
 //! Headers of a server's answer that go on to its caller.
 
-use doortrack_protocols::Answer;
+use doortrack_protocols::Response;
 
 /// What a connection says of itself or to its next hop, and what this node says in its own words.
 const NOT_PASSED_ON: [&str; 12] = [
@@ -19,7 +19,7 @@
 ];
 
 /// The headers of an answer that are its caller's, as lines.
-pub(super) fn passed_on(answer: &Answer) -> Vec<u8> {
+pub(super) fn passed_on(answer: &Response) -> Vec<u8> {
     let mut lines = Vec::new();
     for (name, value) in &answer.headers {
         if !NOT_PASSED_ON
--- a/crates/node/src/network/listeners/reading.rs
+++ b/crates/node/src/network/listeners/reading.rs
@@ -1,7 +1,7 @@
 //! Reads the clients' connections and assembles requests from what arrives.
 
 use doortrack_protocols::fastcgi::{self, RESPONDER};
-use doortrack_protocols::{Piece, uwsgi};
+use doortrack_protocols::{RequestEvent, uwsgi};
 use doortrack_time::TenthMillis;
 use polling::Event;
 
@@ -101,24 +101,34 @@
     fn on_piece(
         &mut self,
         slot: usize,
-        piece: Piece,
+        piece: RequestEvent,
         now: TenthMillis,
         events: &mut Vec<ListenerEvent>,
     ) {
         match piece {
-            Piece::Begin { id, role, keep } => self.begin(slot, id, role, keep),
-            Piece::Abort { id } => self.abort(slot, id, events),
-            Piece::Params { id, bytes } => self.append(slot, id, Stream::Params, bytes),
-            Piece::Stdin { id, bytes } => self.append(slot, id, Stream::Body, bytes),
-            Piece::ParamsEnd { id } => self.end_stream(slot, id, Stream::Params, now, events),
-            Piece::StdinEnd { id } => self.end_stream(slot, id, Stream::Body, now, events),
-            Piece::BodyOf { id, length } => self.check_body_length(slot, id, length),
-            Piece::Ping => self.answer_ping(slot),
-            Piece::GetValues => {
+            RequestEvent::Begin {
+                id,
+                role,
+                keep_connection: keep,
+            } => self.begin(slot, id, role, keep),
+            RequestEvent::Abort { id } => self.abort(slot, id, events),
+            RequestEvent::Params { id, bytes } => self.append(slot, id, Stream::Params, bytes),
+            RequestEvent::Stdin { id, bytes } => self.append(slot, id, Stream::Body, bytes),
+            RequestEvent::ParamsEnd { id } => {
+                self.end_stream(slot, id, Stream::Params, now, events)
+            }
+            RequestEvent::StdinEnd { id } => self.end_stream(slot, id, Stream::Body, now, events),
+            RequestEvent::BodyLength { id, length } => self.check_body_length(slot, id, length),
+            RequestEvent::Ping => self.answer_ping(slot),
+            RequestEvent::GetValues => {
                 let (connections, requests) = (self.limits.connections, self.limits.open_requests);
-                self.write(slot, |out| fastcgi::values(out, connections, requests));
+                self.write(slot, |out| {
+                    fastcgi::write_values(out, connections, requests)
+                });
+            }
+            RequestEvent::UnknownType { record_type } => {
+                self.write(slot, |out| fastcgi::write_unknown_type(out, record_type))
             }
-            Piece::Unknown { kind } => self.write(slot, |out| fastcgi::unknown_type(out, kind)),
         }
     }
 
@@ -184,7 +194,7 @@
         let (connection, healthy) = (&mut self.connections[slot], self.healthy);
         connection.finish_with_ping();
         self.listeners[connection.listener].counts.health_checks += 1;
-        self.write(slot, |out| uwsgi::pong(out, healthy));
+        self.write(slot, |out| uwsgi::write_pong(out, healthy));
     }
 
     fn end_stream(
--- a/crates/node/src/network/request.rs
+++ b/crates/node/src/network/request.rs
@@ -129,7 +129,7 @@
 /// The first variable that is absent, doubled or malformed.
 pub fn read(protocol: Protocol, variables: &[u8], names: &Names) -> Result<Inbound, Unreadable> {
     let pairs = protocol
-        .pairs(variables)
+        .read_variables(variables)
         .map_err(|broken| Unreadable::Field(broken.0))?;
     let fields = Fields(&pairs);
     let path = fields.required("SCRIPT_NAME")?;
--- a/crates/node/src/network/request/answer.rs
+++ b/crates/node/src/network/request/answer.rs
@@ -1,7 +1,7 @@
 //! Answers to requests, and their encoding.
 
 use doortrack_protocols::fastcgi::{self, ProtocolStatus};
-use doortrack_protocols::{Head, Protocol};
+use doortrack_protocols::{Protocol, ResponseHead};
 use doortrack_time::{MILLISECOND, TenthMillis};
 
 use super::Unreadable;
@@ -112,7 +112,7 @@
     backpressure: Option<f32>,
 ) {
     if let (Some(status), Protocol::FastCgi) = (answer.protocol_status(), protocol) {
-        return fastcgi::end(out, wire_id, status);
+        return fastcgi::write_end_request(out, wire_id, status);
     }
     let (status, body) = answer.status_and_body();
     let more = answer.server_headers();
@@ -131,10 +131,10 @@
     if answer.forbids_retry_elsewhere() {
         headers.push(("X-Dont-Retry", "1"));
     }
-    let head = Head {
+    let head = ResponseHead {
         status,
         headers: &headers,
-        more,
+        extra_lines: more,
     };
-    doortrack_protocols::write_answer(protocol, out, wire_id, head, body);
+    doortrack_protocols::write_response(protocol, out, wire_id, head, body);
 }
--- a/crates/node/src/network/request/fields.rs
+++ b/crates/node/src/network/request/fields.rs
@@ -2,12 +2,12 @@
 
 use std::str::FromStr;
 
-use doortrack_protocols::Pair;
+use doortrack_protocols::Variable;
 
 use super::Unreadable;
 
 /// The variables of a request.
-pub(in crate::network) struct Fields<'a>(pub(in crate::network) &'a [Pair<'a>]);
+pub(in crate::network) struct Fields<'a>(pub(in crate::network) &'a [Variable<'a>]);
 
 impl<'a> Fields<'a> {
     /// A variable, if it is there. A doubled one is an error, as two readers could take different ones.
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -10,7 +10,7 @@
 
 use doortrack_admission::{RequestId, RunOutcome};
 use doortrack_config::ServerPool as Asked;
-use doortrack_protocols::{Answer, AnswerReader, Pair, Protocol, write_request};
+use doortrack_protocols::{Protocol, Response, ResponseReader, Variable, write_request};
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{Action, Admission, ConnId, Pool, RunEnd, RunId, ServerId, TokenResponse};
 use polling::{Event, PollMode, Poller};
@@ -35,7 +35,7 @@
     run: Option<RunId>,
     /// Bytes of the run's request that were handed to the system.
     written: usize,
-    reader: AnswerReader,
+    reader: ResponseReader,
     /// Whether the poller tells when it can be written.
     watches_writes: bool,
 }
@@ -53,7 +53,7 @@
     socks: Vec<Option<Sock>>,
     /// What is to be sent for each run in hand, kept until it has ended, as it may be tried again.
     requests: FxHashMap<RunId, Vec<u8>>,
-    results: FxHashMap<RunId, Answer>,
+    results: FxHashMap<RunId, Response>,
     actions: Vec<Action>,
     backend_events: Vec<BackendEvent>,
     scratch: Vec<u8>,
@@ -202,8 +202,8 @@
     ) {
         let pairs = block
             .as_ref()
-            .and_then(|block| block.protocol.pairs(&block.bytes).ok());
-        let mut variables: Vec<Pair> = pairs.unwrap_or_default();
+            .and_then(|block| block.protocol.read_variables(&block.bytes).ok());
+        let mut variables: Vec<Variable> = pairs.unwrap_or_default();
         variables.retain(|(name, _)| *name != b"CONTENT_LENGTH");
         let mut request = Vec::with_capacity(
             body.len() + block.as_ref().map_or(0, |block| block.bytes.len()) + 256,
@@ -328,7 +328,7 @@
         if self.socks.len() <= conn {
             self.socks.resize_with(conn + 1, || None);
         }
-        let reader = AnswerReader::new(self.protocol, ID, self.most_answer);
+        let reader = ResponseReader::new(self.protocol, ID, self.most_answer);
         let (opening, run, written, watches_writes) = (true, None, 0, true);
         self.socks[conn] = Some(Sock {
             sock,
--- a/crates/node/src/network/servers/transfer.rs
+++ b/crates/node/src/network/servers/transfer.rs
@@ -2,7 +2,7 @@
 
 use std::io::{ErrorKind, Read, Write};
 
-use doortrack_protocols::{AnswerReader, Answered, Protocol};
+use doortrack_protocols::{Protocol, ResponseOutcome, ResponseReader};
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{ConnId, ResponseEnd, RunId};
 use polling::{Event, PollMode};
@@ -29,7 +29,7 @@
             return self.lost(conn, now);
         }
         (sock.run, sock.written) = (Some(run), 0);
-        sock.reader = AnswerReader::new(self.protocol, ID, self.most_answer);
+        sock.reader = ResponseReader::new(self.protocol, ID, self.most_answer);
         self.write(conn, now);
     }
 
@@ -92,20 +92,20 @@
             return self.lost(conn, now);
         }
         if n == 0 {
-            return match sock.reader.closed() {
-                Ok(answer) => self.over(conn, Answered::Whole(answer), false, now),
+            return match sock.reader.on_close() {
+                Ok(answer) => self.over(conn, ResponseOutcome::Complete(answer), false, now),
                 Err(_) => self.lost(conn, now),
             };
         }
         let mut input = &scratch[..n];
-        match sock.reader.take(&mut input) {
+        match sock.reader.read(&mut input) {
             Ok(Some(answered)) => self.over(conn, answered, input.is_empty(), now),
             Ok(None) => {}
             Err(_) => self.lost(conn, now),
         }
     }
 
-    fn over(&mut self, conn: ConnId, answered: Answered, clean: bool, now: TenthMillis) {
+    fn over(&mut self, conn: ConnId, answered: ResponseOutcome, clean: bool, now: TenthMillis) {
         let Some(sock) = self.socks.get_mut(conn).and_then(Option::as_mut) else {
             return;
         };
@@ -116,7 +116,7 @@
             .is_some_and(|request| request.len() == sock.written);
         let keep = clean && whole && self.keep && self.protocol == Protocol::FastCgi;
         let over = match answered {
-            Answered::Whole(answer) => {
+            ResponseOutcome::Complete(answer) => {
                 let keep = keep && !answer.excess;
                 if (200..300).contains(&answer.status) {
                     self.results.insert(run, answer);
@@ -125,7 +125,7 @@
                     ResponseEnd::Failed { reusable: keep }
                 }
             }
-            Answered::Refused(_) => ResponseEnd::Refused { reusable: keep },
+            ResponseOutcome::Refused(_) => ResponseEnd::Refused { reusable: keep },
         };
         self.pool.response_ended(conn, over, now, &mut self.actions);
         self.forget_gone();
--- a/crates/node/tests/node/conformance.rs
+++ b/crates/node/tests/node/conformance.rs
@@ -500,12 +500,12 @@
     assert_eq!(server.connections(), 1);
     // Answered, and then closed by the server: the next run, which may not run twice, is not lost with it.
     let mut answer = Vec::new();
-    let head = doortrack_protocols::Head {
+    let head = doortrack_protocols::ResponseHead {
         status: "200 OK",
         headers: &[],
-        more: b"",
+        extra_lines: b"",
     };
-    doortrack_protocols::write_answer(FastCgi, &mut answer, 1, head, b"last");
+    doortrack_protocols::write_response(FastCgi, &mut answer, 1, head, b"last");
     assert_eq!(pay(Act::Garbage(answer)), Seen::Completed(b"last".into()));
     std::thread::sleep(std::time::Duration::from_millis(20));
     assert!((0..3).all(|_| pay(Act::ok("")) == Seen::Completed(Vec::new())));
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -16,8 +16,8 @@
 use doortrack_node::network::termination::{Outcome, Termination};
 use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
 use doortrack_node::state::results::{Found, NoResult, Repeats, Results};
-use doortrack_protocols::fastcgi::{self, Splitter};
-use doortrack_protocols::{Piece, Protocol};
+use doortrack_protocols::fastcgi::{self, RequestSplitter};
+use doortrack_protocols::{Protocol, RequestEvent};
 use doortrack_time::MILLISECOND;
 use polling::{Events, Poller};
 use proptest::prelude::*;
@@ -37,15 +37,15 @@
 
 /// What a stream comes to, with the pieces of one content joined; the fault, if it broke.
 fn pieces(parts: &[&[u8]]) -> (Vec<(String, Vec<u8>)>, Option<&'static str>) {
-    let (mut splitter, mut found) = (Splitter::default(), Vec::<(String, Vec<u8>)>::new());
+    let (mut splitter, mut found) = (RequestSplitter::default(), Vec::<(String, Vec<u8>)>::new());
     for part in parts {
         let mut input = *part;
         loop {
             let (name, bytes): (String, &[u8]) = match splitter.next(&mut input) {
                 Ok(None) => break,
                 Err(broken) => return (found, Some(broken.0)),
-                Ok(Some(Piece::Params { id, bytes })) => (format!("params {id}"), bytes),
-                Ok(Some(Piece::Stdin { id, bytes })) => (format!("stdin {id}"), bytes),
+                Ok(Some(RequestEvent::Params { id, bytes })) => (format!("params {id}"), bytes),
+                Ok(Some(RequestEvent::Stdin { id, bytes })) => (format!("stdin {id}"), bytes),
                 Ok(Some(other)) => (format!("{other:?}"), &[]),
             };
             match found.last_mut() {
@@ -134,12 +134,12 @@
         cut in any::<Index>(),
     ) {
         let stream = pairs(&fields, long);
-        let read = fastcgi::pairs(&stream).unwrap();
+        let read = fastcgi::read_variables(&stream).unwrap();
         prop_assert_eq!(read.len(), fields.len());
         prop_assert!(read.iter().zip(&fields).all(|(a, b)| *a.0 == b.0 && *a.1 == b.1));
         if !stream.is_empty() {
             let short = &stream[..cut.index(stream.len())];
-            prop_assert!(fastcgi::pairs(short).map_or(true, |read| read.len() < fields.len()));
+            prop_assert!(fastcgi::read_variables(short).map_or(true, |read| read.len() < fields.len()));
         }
     }
 
@@ -196,9 +196,9 @@
 
 #[test]
 fn a_parameter_may_not_be_longer_than_its_stream() {
-    assert!(fastcgi::pairs(&[3, 1, b'a']).is_err());
-    assert!(fastcgi::pairs(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]).is_err());
-    assert!(fastcgi::pairs(&[0x80, 0, 0]).is_err());
+    assert!(fastcgi::read_variables(&[3, 1, b'a']).is_err());
+    assert!(fastcgi::read_variables(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]).is_err());
+    assert!(fastcgi::read_variables(&[0x80, 0, 0]).is_err());
 }
 
 fn names() -> Names {
--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -10,7 +10,7 @@
 use doortrack_fakes::bed::{Bed, Plan, connect};
 use doortrack_fakes::caller::{Pending, Seen};
 use doortrack_fakes::server::{Act, Server};
-use doortrack_protocols::{Pair, Protocol, write_request};
+use doortrack_protocols::{Protocol, Variable, write_request};
 use serde_json::{Value, json};
 
 use super::notices::rewrite;
@@ -115,7 +115,7 @@
 
     /// Asks once: the place of the pool that answered.
     fn ask(&self, path: &str) -> usize {
-        let pairs: [Pair; 3] = [
+        let pairs: [Variable; 3] = [
             (b"REQUEST_METHOD", b"GET"),
             (b"PATH_INFO", path.as_bytes()),
             (b"HTTP_X_TENANT", b"customer-00001"),
--- a/crates/node/tests/node/rules.rs
+++ b/crates/node/tests/node/rules.rs
@@ -5,7 +5,7 @@
 use doortrack_fakes::bed::{Bed, Plan};
 use doortrack_fakes::caller::{Pending, Seen};
 use doortrack_fakes::engine::Engine;
-use doortrack_protocols::{Pair, Protocol, write_request};
+use doortrack_protocols::{Protocol, Variable, write_request};
 use serde_json::{Value, json};
 
 /// What a front end that knows nothing of the platform sends.
@@ -16,7 +16,7 @@
     more: &[(&str, &str)],
     body: &[u8],
 ) -> Pending {
-    let mut pairs: Vec<Pair> = vec![
+    let mut pairs: Vec<Variable> = vec![
         (b"REQUEST_METHOD", b"POST"),
         (b"PATH_INFO", path.as_bytes()),
     ];
--- a/crates/protocols/src/fastcgi.rs
+++ b/crates/protocols/src/fastcgi.rs
@@ -1,17 +1,23 @@
-//! Records of FastCGI 1.0, split and written without sockets.
+//! Records of FastCGI 1.0, read and written without sockets.
 
-mod frames;
+mod record_reader;
+mod request_splitter;
+mod response_splitter;
 
-pub(crate) use self::frames::cut;
-use self::frames::{Frames, Step};
-use crate::{Broken, Pair, Piece};
+pub(crate) use self::record_reader::split_front;
+pub use self::request_splitter::RequestSplitter;
+pub use self::response_splitter::{ResponseRecord, ResponseSplitter};
+use crate::{ProtocolError, Variable};
 
+/// The role of an application that answers requests, `FCGI_RESPONDER`.
 pub const RESPONDER: u16 = 1;
 
 const VERSION: u8 = 1;
-const BEGIN: u8 = 1;
-const ABORT: u8 = 2;
-const END: u8 = 3;
+
+// Types of records, `FCGI_BEGIN_REQUEST` and so on.
+const BEGIN_REQUEST: u8 = 1;
+const ABORT_REQUEST: u8 = 2;
+const END_REQUEST: u8 = 3;
 const PARAMS: u8 = 4;
 const STDIN: u8 = 5;
 const STDOUT: u8 = 6;
@@ -20,91 +26,34 @@
 const GET_VALUES: u8 = 9;
 const GET_VALUES_RESULT: u8 = 10;
 const UNKNOWN_TYPE: u8 = 11;
-const KEEP_CONN: u8 = 1;
-
-/// Cuts a stream of bytes, split at any place, into pieces.
-#[derive(Debug, Default)]
-pub struct Splitter {
-    frames: Frames,
-    begin: [u8; 8],
-    begin_have: usize,
-}
-
-impl Splitter {
-    /// Whether the last record was read to its end.
-    pub fn at_boundary(&self) -> bool {
-        self.frames.at_boundary()
-    }
-
-    /// The next piece of `input`, which is moved past it; none once the input is used up.
-    pub fn next<'a>(&mut self, input: &mut &'a [u8]) -> Result<Option<Piece<'a>>, Broken> {
-        while let Some(step) = self.frames.next(input) {
-            let piece = match step {
-                Step::Opened => self.open()?,
-                Step::Content(bytes) => self.content(bytes),
-            };
-            if piece.is_some() {
-                return Ok(piece);
-            }
-        }
-        Ok(None)
-    }
 
-    /// A header is whole; what it says by itself.
-    fn open(&mut self) -> Result<Option<Piece<'static>>, Broken> {
-        let (kind, id, left) = (self.frames.kind(), self.frames.id(), self.frames.left());
-        self.begin_have = 0;
-        if self.frames.version() != VERSION {
-            return Err(Broken("another version than 1"));
-        }
-        Ok(match (kind, id) {
-            (GET_VALUES, 0) => Some(Piece::GetValues),
-            (_, 0) if kind > UNKNOWN_TYPE => Some(Piece::Unknown { kind }),
-            (BEGIN..=DATA, 0) => return Err(Broken("a record of an application with the id 0")),
-            (BEGIN, _) if left != 8 => {
-                return Err(Broken("a BEGIN_REQUEST that is not 8 bytes long"));
-            }
-            (BEGIN | DATA, _) => None,
-            (ABORT, _) => Some(Piece::Abort { id }),
-            (PARAMS, _) if left == 0 => Some(Piece::ParamsEnd { id }),
-            (STDIN, _) if left == 0 => Some(Piece::StdinEnd { id }),
-            (PARAMS | STDIN, _) => None,
-            _ => {
-                return Err(Broken(
-                    "a record that only an application sends, or of an unknown kind",
-                ));
-            }
-        })
-    }
-
-    fn content<'a>(&mut self, bytes: &'a [u8]) -> Option<Piece<'a>> {
-        let id = self.frames.id();
-        match self.frames.kind() {
-            PARAMS => Some(Piece::Params { id, bytes }),
-            STDIN => Some(Piece::Stdin { id, bytes }),
-            BEGIN => {
-                self.begin[self.begin_have..self.begin_have + bytes.len()].copy_from_slice(bytes);
-                self.begin_have += bytes.len();
-                let [high, low, flags, ..] = self.begin;
-                let (role, keep) = (u16::from_be_bytes([high, low]), flags & KEEP_CONN != 0);
-                (self.frames.left() == 0).then_some(Piece::Begin { id, role, keep })
-            }
-            _ => None,
-        }
-    }
-}
-
-/// How a request ended, in the protocol's own terms.
+/// The request id of management records.
+const MANAGEMENT_ID: u16 = 0;
+/// Bytes of the content of `BEGIN_REQUEST` and `END_REQUEST`.
+const BODY_BYTES: usize = 8;
+/// The flag of `BEGIN_REQUEST` by which the connection stays open after the response.
+const KEEP_CONNECTION: u8 = 1;
+/// The longest name or value whose length takes one byte.
+const MAX_SHORT_LENGTH: u8 = 0x7f;
+/// Marks a length of four bytes.
+const LONG_LENGTH_FLAG: u32 = 1 << 31;
+
+/// How a request ended, `protocolStatus` of `END_REQUEST`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolStatus {
+    /// The response is complete.
     Complete = 0,
+    /// The application does not take several requests on one connection.
     CantMultiplex = 1,
+    /// The application has no capacity for the request.
     Overloaded = 2,
+    /// The application does not have the role of the request.
     UnknownRole = 3,
 }
 
 impl ProtocolStatus {
-    pub fn read(byte: u8) -> Option<ProtocolStatus> {
+    /// The status of this number, if there is one.
+    pub fn from_byte(byte: u8) -> Option<ProtocolStatus> {
         [
             Self::Complete,
             Self::CantMultiplex,
@@ -116,179 +65,127 @@
     }
 }
 
-pub(crate) fn record(out: &mut Vec<u8>, kind: u8, id: u16, content: &[u8]) {
-    let [a, b] = id.to_be_bytes();
-    let [c, d] = (content.len() as u16).to_be_bytes();
-    out.extend([VERSION, kind, a, b, c, d, 0, 0]);
+fn write_record(out: &mut Vec<u8>, record_type: u8, id: u16, content: &[u8]) {
+    let [id_high, id_low] = id.to_be_bytes();
+    let [length_high, length_low] = (content.len() as u16).to_be_bytes();
+    out.extend([
+        VERSION,
+        record_type,
+        id_high,
+        id_low,
+        length_high,
+        length_low,
+        0,
+        0,
+    ]);
     out.extend(content);
 }
 
-/// Standard output of a request, in as many records as it needs, with the stream's end.
-pub fn stdout(out: &mut Vec<u8>, id: u16, content: &[u8]) {
-    content
-        .chunks(u16::MAX.into())
-        .for_each(|part| record(out, STDOUT, id, part));
-    record(out, STDOUT, id, &[]);
+/// Writes a stream in as many records as it needs, with the empty one that ends it.
+fn write_stream(out: &mut Vec<u8>, record_type: u8, id: u16, content: &[u8]) {
+    for chunk in content.chunks(u16::MAX.into()) {
+        write_record(out, record_type, id, chunk);
+    }
+    write_record(out, record_type, id, &[]);
 }
 
-pub fn end(out: &mut Vec<u8>, id: u16, status: ProtocolStatus) {
-    record(out, END, id, &[0, 0, 0, 0, status as u8, 0, 0, 0]);
+/// Writes the complete standard output of a request.
+pub fn write_stdout(out: &mut Vec<u8>, id: u16, content: &[u8]) {
+    write_stream(out, STDOUT, id, content);
 }
 
-/// Answers a request for values. All that are known go out; the peer passes over those it did not name.
-pub fn values(out: &mut Vec<u8>, connections: usize, requests: usize) {
+/// Writes the end of a request.
+pub fn write_end_request(out: &mut Vec<u8>, id: u16, status: ProtocolStatus) {
+    write_record(out, END_REQUEST, id, &[0, 0, 0, 0, status as u8, 0, 0, 0]);
+}
+
+/// Answers a request for values. All known ones are sent; the peer ignores those that it did not name.
+pub fn write_values(out: &mut Vec<u8>, max_connections: usize, max_requests: usize) {
+    let max_connections = max_connections.to_string();
+    let max_requests = max_requests.to_string();
     let mut content = Vec::new();
-    let (connections, requests) = (connections.to_string(), requests.to_string());
     for (name, value) in [
-        ("FCGI_MAX_CONNS", &*connections),
-        ("FCGI_MAX_REQS", &*requests),
+        ("FCGI_MAX_CONNS", &*max_connections),
+        ("FCGI_MAX_REQS", &*max_requests),
         ("FCGI_MPXS_CONNS", "1"),
     ] {
         content.extend([name.len() as u8, value.len() as u8]);
         content.extend(name.bytes().chain(value.bytes()));
     }
-    record(out, GET_VALUES_RESULT, 0, &content);
+    write_record(out, GET_VALUES_RESULT, MANAGEMENT_ID, &content);
 }
 
-pub fn unknown_type(out: &mut Vec<u8>, kind: u8) {
-    record(out, UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0]);
+/// Answers a management record of an unknown type.
+pub fn write_unknown_type(out: &mut Vec<u8>, record_type: u8) {
+    let content = [record_type, 0, 0, 0, 0, 0, 0, 0];
+    write_record(out, UNKNOWN_TYPE, MANAGEMENT_ID, &content);
 }
 
-/// Names and values of a whole parameter stream; an error where a length leads past its end.
-pub fn pairs(mut stream: &[u8]) -> Result<Vec<Pair<'_>>, Broken> {
-    let mut found = Vec::with_capacity(16);
-    while !stream.is_empty() {
-        let (name, value) = (length(&mut stream)?, length(&mut stream)?);
-        if name.saturating_add(value) > stream.len() {
-            return Err(Broken("a parameter that is longer than its stream"));
-        }
-        found.push((cut(&mut stream, name), cut(&mut stream, value)));
-    }
-    Ok(found)
-}
-
-/// A length in one byte, or in four with the highest bit set.
-fn length(stream: &mut &[u8]) -> Result<usize, Broken> {
-    let short = Broken("a parameter's length that is cut short");
-    match *cut(stream, 1) {
-        [one] if one < 0x80 => Ok(one.into()),
-        [one] => match *cut(stream, 3) {
-            [b, c, d] => Ok(u32::from_be_bytes([one & 0x7f, b, c, d]) as usize),
-            _ => Err(short),
-        },
-        _ => Err(short),
-    }
-}
-
-/// A whole request with its records. A name or value over 127 bytes has a length of four bytes.
-pub fn request<'a>(
+/// Writes a complete request, without bounds on its variables.
+pub fn write_request<'a>(
     out: &mut Vec<u8>,
     id: u16,
-    keep: bool,
-    variables: impl Iterator<Item = Pair<'a>>,
+    keep_connection: bool,
+    variables: impl Iterator<Item = Variable<'a>>,
     body: &[u8],
 ) {
-    let mut block = Vec::with_capacity(512);
+    let mut params = Vec::with_capacity(512);
     for (name, value) in variables {
-        for word in [name, value] {
-            match u8::try_from(word.len())
-                .ok()
-                .filter(|length| *length < 0x80)
-            {
-                Some(length) => block.push(length),
-                None => block.extend((word.len() as u32 | 1 << 31).to_be_bytes()),
-            }
-        }
-        block.extend(name);
-        block.extend(value);
+        write_length(&mut params, name.len());
+        write_length(&mut params, value.len());
+        params.extend(name);
+        params.extend(value);
     }
-    record(
-        out,
-        BEGIN,
-        id,
-        &[
-            0,
-            RESPONDER as u8,
-            if keep { KEEP_CONN } else { 0 },
-            0,
-            0,
-            0,
-            0,
-            0,
-        ],
-    );
-    for (kind, content) in [(PARAMS, &block[..]), (STDIN, body)] {
-        content
-            .chunks(u16::MAX.into())
-            .for_each(|part| record(out, kind, id, part));
-        record(out, kind, id, &[]);
+    let flags = if keep_connection { KEEP_CONNECTION } else { 0 };
+    let begin = [0, RESPONDER as u8, flags, 0, 0, 0, 0, 0];
+    write_record(out, BEGIN_REQUEST, id, &begin);
+    write_stream(out, PARAMS, id, &params);
+    write_stream(out, STDIN, id, body);
+}
+
+/// Writes the length of a name or value, in one byte up to 127, in four beyond.
+fn write_length(out: &mut Vec<u8>, length: usize) {
+    match u8::try_from(length) {
+        Ok(short) if short <= MAX_SHORT_LENGTH => out.push(short),
+        _ => out.extend((length as u32 | LONG_LENGTH_FLAG).to_be_bytes()),
     }
 }
 
-/// Word that request `id` is not waited for any more.
-pub fn abort(out: &mut Vec<u8>, id: u16) {
-    record(out, ABORT, id, &[]);
-}
-
-/// What comes back from who was asked.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reply<'a> {
-    Stdout {
-        id: u16,
-        bytes: &'a [u8],
-    },
-    /// The request is over; none where its status is of no known kind.
-    End {
-        id: u16,
-        status: Option<ProtocolStatus>,
-    },
-}
-
-/// Cuts what an application sends, split at any place. What it says on standard error and in answer to
-/// questions of management is passed over.
-#[derive(Debug, Default)]
-pub struct ReplySplitter {
-    frames: Frames,
-    end: [u8; 8],
-    end_have: usize,
+/// Writes that the response to a request is no longer awaited.
+pub fn write_abort(out: &mut Vec<u8>, id: u16) {
+    write_record(out, ABORT_REQUEST, id, &[]);
 }
 
-impl ReplySplitter {
-    pub fn at_boundary(&self) -> bool {
-        self.frames.at_boundary()
-    }
-
-    pub fn next<'a>(&mut self, input: &mut &'a [u8]) -> Result<Option<Reply<'a>>, Broken> {
-        while let Some(step) = self.frames.next(input) {
-            let id = self.frames.id();
-            match (step, self.frames.kind()) {
-                (Step::Opened, _) => self.open()?,
-                (Step::Content(bytes), STDOUT) => return Ok(Some(Reply::Stdout { id, bytes })),
-                (Step::Content(bytes), END) => {
-                    self.end[self.end_have..self.end_have + bytes.len()].copy_from_slice(bytes);
-                    self.end_have += bytes.len();
-                    if self.frames.left() == 0 {
-                        return Ok(Some(Reply::End {
-                            id,
-                            status: ProtocolStatus::read(self.end[4]),
-                        }));
-                    }
-                }
-                _ => {}
-            }
+/// Reads the variables of a complete parameter stream.
+///
+/// # Errors
+/// A length leads past the end of the stream.
+pub fn read_variables(mut stream: &[u8]) -> Result<Vec<Variable<'_>>, ProtocolError> {
+    let mut variables = Vec::with_capacity(16);
+    while !stream.is_empty() {
+        let name_length = read_length(&mut stream)?;
+        let value_length = read_length(&mut stream)?;
+        if name_length.saturating_add(value_length) > stream.len() {
+            return Err(ProtocolError("a parameter that is longer than its stream"));
         }
-        Ok(None)
+        let name = split_front(&mut stream, name_length);
+        variables.push((name, split_front(&mut stream, value_length)));
     }
-
-    fn open(&mut self) -> Result<(), Broken> {
-        self.end_have = 0;
-        match (self.frames.version(), self.frames.kind()) {
-            (VERSION, END) if self.frames.left() != self.end.len() => {
-                Err(Broken("an end of another length than 8"))
+    Ok(variables)
+}
+
+/// Reads a length of one byte, or of four with the highest bit set.
+fn read_length(stream: &mut &[u8]) -> Result<usize, ProtocolError> {
+    const CUT_SHORT: ProtocolError = ProtocolError("a parameter's length that is cut short");
+    match *split_front(stream, 1) {
+        [short] if short <= MAX_SHORT_LENGTH => Ok(short.into()),
+        [first] => match *split_front(stream, 3) {
+            [second, third, fourth] => {
+                let length = u32::from_be_bytes([first, second, third, fourth]);
+                Ok((length & !LONG_LENGTH_FLAG) as usize)
             }
-            (VERSION, END | STDOUT | STDERR | GET_VALUES_RESULT | UNKNOWN_TYPE) => Ok(()),
-            (VERSION, _) => Err(Broken("a record that only a web server sends")),
-            _ => Err(Broken("another version than 1")),
-        }
+            _ => Err(CUT_SHORT),
+        },
+        _ => Err(CUT_SHORT),
     }
 }
--- a/crates/protocols/tests/codecs.rs
+++ b/crates/protocols/tests/codecs.rs
@@ -1,26 +1,27 @@
-//! Both protocols on both sides: known bytes, any cuts, any bytes.
+//! Both protocols on both sides: known bytes, any bytes, split into any parts.
 
 use doortrack_fakes::cut_at;
 use doortrack_protocols::fastcgi::ProtocolStatus;
 use doortrack_protocols::{
-    Answer, AnswerReader, Answered, Broken, Head, Pair, Piece, Protocol, RequestReader, uwsgi,
+    Protocol, ProtocolError, RequestEvent, RequestReader, Response, ResponseHead, ResponseOutcome,
+    ResponseReader, Variable, uwsgi,
 };
-use doortrack_protocols::{write_answer, write_request};
+use doortrack_protocols::{write_request, write_response};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const PACKET: &[u8] =
     b"\x00\x1d\x00\x00\x0e\x00CONTENT_LENGTH\x01\x003\x01\x00A\x05\x00value...and more";
 
-fn packet(variables: &[Pair], body: &[u8]) -> Vec<u8> {
+fn packet(variables: &[Variable], body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
-    uwsgi::request(&mut out, variables.iter().copied(), body).unwrap();
+    uwsgi::write_request(&mut out, variables.iter().copied(), body).unwrap();
     out
 }
 
-/// What a stream is read as, fed in these parts: contents joined, so that cuts do not show.
-fn pieces(protocol: Protocol, parts: &[&[u8]]) -> (Vec<(String, Vec<u8>)>, Option<Broken>) {
-    let (mut reader, mut found) = (
+/// The events of a stream that arrives in these parts, with contents joined so that the parts do not show.
+fn events(protocol: Protocol, parts: &[&[u8]]) -> (Vec<(String, Vec<u8>)>, Option<ProtocolError>) {
+    let (mut reader, mut events_read) = (
         RequestReader::new(protocol),
         Vec::<(String, Vec<u8>)>::new(),
     );
@@ -28,28 +29,28 @@
         let mut input = *part;
         loop {
             let (name, bytes) = match reader.next(&mut input) {
-                Ok(Some(Piece::Params { id, bytes })) => (format!("params {id}"), bytes),
-                Ok(Some(Piece::Stdin { id, bytes })) => (format!("stdin {id}"), bytes),
-                Ok(Some(other)) => (format!("{other:?}"), &b""[..]),
+                Ok(Some(RequestEvent::Params { id, bytes })) => (format!("params {id}"), bytes),
+                Ok(Some(RequestEvent::Stdin { id, bytes })) => (format!("stdin {id}"), bytes),
+                Ok(Some(event)) => (format!("{event:?}"), &b""[..]),
                 Ok(None) => break,
-                Err(broken) => return (found, Some(broken)),
+                Err(error) => return (events_read, Some(error)),
             };
-            match found
+            match events_read
                 .last_mut()
                 .filter(|(last, _)| *last == name && !bytes.is_empty())
             {
-                Some((_, so_far)) => so_far.extend(bytes),
-                None => found.push((name, bytes.to_vec())),
+                Some((_, joined)) => joined.extend(bytes),
+                None => events_read.push((name, bytes.to_vec())),
             }
         }
     }
-    (found, None)
+    (events_read, None)
 }
 
 #[test]
 fn a_known_packet_is_read_and_written() {
-    let (found, broken) = pieces(Protocol::Uwsgi, &[PACKET]);
-    let names: Vec<&str> = found
+    let (events_read, error) = events(Protocol::Uwsgi, &[PACKET]);
+    let names: Vec<&str> = events_read
         .iter()
         .map(|(name, _)| name.split(' ').next().unwrap())
         .collect();
@@ -59,27 +60,27 @@
             "Begin",
             "params",
             "ParamsEnd",
-            "BodyOf",
+            "BodyLength",
             "stdin",
             "StdinEnd"
         ]
     );
     assert_eq!(
-        (found[1].1.len(), &found[4].1[..], broken),
+        (events_read[1].1.len(), &events_read[4].1[..], error),
         (29, &b"..."[..], None)
     );
-    let variables: [Pair; 2] = [(b"CONTENT_LENGTH", b"3"), (b"A", b"value")];
-    assert_eq!(uwsgi::pairs(&found[1].1).unwrap(), variables);
+    let variables: [Variable; 2] = [(b"CONTENT_LENGTH", b"3"), (b"A", b"value")];
+    assert_eq!(uwsgi::read_variables(&events_read[1].1).unwrap(), variables);
     assert_eq!(packet(&variables, b"...and more"), PACKET);
     let mut out = Vec::new();
-    write_answer(
+    write_response(
         Protocol::Uwsgi,
         &mut out,
         0,
-        Head {
+        ResponseHead {
             status: "200 OK",
             headers: &[("A", "b")],
-            more: b"",
+            extra_lines: b"",
         },
         b"xy",
     );
@@ -90,26 +91,26 @@
 }
 
 #[test]
-fn a_ping_is_one_and_is_answered_with_what_is_wrong() {
+fn a_ping_is_recognized_and_answered_with_a_warning() {
     assert_eq!(
-        pieces(Protocol::Uwsgi, &[&[100, 0, 0, 0, 9, 9]]).0,
+        events(Protocol::Uwsgi, &[&[100, 0, 0, 0, 9, 9]]).0,
         [("Ping".to_string(), vec![])]
     );
-    assert!(pieces(Protocol::Uwsgi, &[&[100, 1, 0, 0, 9]]).1.is_some());
-    let (mut good, mut bad) = (Vec::new(), Vec::new());
-    uwsgi::pong(&mut good, true);
-    uwsgi::pong(&mut bad, false);
+    assert!(events(Protocol::Uwsgi, &[&[100, 1, 0, 0, 9]]).1.is_some());
+    let (mut healthy, mut unhealthy) = (Vec::new(), Vec::new());
+    uwsgi::write_pong(&mut healthy, true);
+    uwsgi::write_pong(&mut unhealthy, false);
     assert_eq!(
-        (&good[..], &bad[..4], &bad[4..]),
+        (&healthy[..], &unhealthy[..4], &unhealthy[4..]),
         (&[100, 0, 0, 1][..], &[100, 9, 0, 1][..], &b"not ready"[..])
     );
 }
 
 #[test]
-fn lengths_that_do_not_add_up_and_other_modifiers_are_told_apart() {
+fn bad_lengths_and_other_modifiers_are_refused() {
     for modifier in (1..=255).filter(|m| *m != uwsgi::PING) {
         assert!(
-            pieces(Protocol::Uwsgi, &[&[modifier, 0, 0, 0]]).1.is_some(),
+            events(Protocol::Uwsgi, &[&[modifier, 0, 0, 0]]).1.is_some(),
             "modifier {modifier}"
         );
     }
@@ -122,28 +123,28 @@
         b"\xff\xff",           // the longest name there is, and nothing of it
     ] {
         let bytes = [&[0, block.len() as u8, 0, 0], block, &[0; 70_000]].concat();
-        let (found, broken) = pieces(Protocol::Uwsgi, &[&bytes]);
-        assert!(broken.is_some(), "{block:?}: {found:?}");
-        assert!(uwsgi::pairs(block).is_err(), "{block:?}");
+        let (events_read, error) = events(Protocol::Uwsgi, &[&bytes]);
+        assert!(error.is_some(), "{block:?}: {events_read:?}");
+        assert!(uwsgi::read_variables(block).is_err(), "{block:?}");
     }
-    // An empty packet is sound: no variables, no body.
-    let (found, broken) = pieces(Protocol::Uwsgi, &[&[0; 4]]);
-    assert_eq!((found.len(), broken), (4, None), "{found:?}");
+    // An empty packet is valid: no variables, no body.
+    let (events_read, error) = events(Protocol::Uwsgi, &[&[0; 4]]);
+    assert_eq!((events_read.len(), error), (4, None), "{events_read:?}");
 }
 
 #[test]
-fn a_length_of_the_body_is_a_number_said_once_or_nothing() {
-    let body_of = |values: &[&str]| {
-        let variables: Vec<Pair> = values
+fn a_body_length_is_one_number_or_absent() {
+    let body_length = |values: &[&str]| {
+        let variables: Vec<Variable> = values
             .iter()
             .map(|v| (&b"CONTENT_LENGTH"[..], v.as_bytes()))
             .collect();
-        let (found, broken) = pieces(Protocol::Uwsgi, &[&packet(&variables, b"")]);
-        let told = found
+        let (events_read, error) = events(Protocol::Uwsgi, &[&packet(&variables, b"")]);
+        let reported = events_read
             .iter()
-            .find(|(name, _)| name.starts_with("BodyOf"))
+            .find(|(name, _)| name.starts_with("BodyLength"))
             .map(|(name, _)| name.clone());
-        (told, broken)
+        (reported, error)
     };
     for (values, wanted) in [
         (&[][..], "0"),
@@ -153,15 +154,18 @@
         (&["2048"], "2048"),
     ] {
         assert_eq!(
-            body_of(values),
-            (Some(format!("BodyOf {{ id: 0, length: {wanted} }}")), None)
+            body_length(values),
+            (
+                Some(format!("BodyLength {{ id: 0, length: {wanted} }}")),
+                None
+            )
         );
     }
     assert!(
-        body_of(&["999999999999999999"]).0.is_some(),
-        "told, and for its reader to refuse"
+        body_length(&["999999999999999999"]).0.is_some(),
+        "reported, for the caller to refuse"
     );
-    for bad in [
+    for invalid in [
         &["-1"][..],
         &["+1"],
         &["1 "],
@@ -170,19 +174,23 @@
         &["9999999999999999999"],
         &["1", "1"],
     ] {
-        assert_eq!(body_of(bad).1, Some(Broken("CONTENT_LENGTH")), "{bad:?}");
+        assert_eq!(
+            body_length(invalid).1,
+            Some(ProtocolError("CONTENT_LENGTH")),
+            "{invalid:?}"
+        );
     }
-    // Only the whole name is it.
-    let near: [Pair; 3] = [
+    // Only the exact name counts.
+    let near: [Variable; 3] = [
         (b"CONTENT_LENGT", b"x"),
         (b"CONTENT_LENGTHS", b"x"),
         (b"content_length", b"x"),
     ];
-    assert_eq!(pieces(Protocol::Uwsgi, &[&packet(&near, b"")]).1, None);
+    assert_eq!(events(Protocol::Uwsgi, &[&packet(&near, b"")]).1, None);
 }
 
 #[test]
-fn what_no_packet_holds_is_not_written() {
+fn variables_larger_than_a_packet_are_not_written() {
     let long = vec![b'x'; 65_530];
     let mut out = b"before".to_vec();
     for variables in [&[(&long[..], &long[..])][..], &[(&[0; 70_000][..], b"")]] {
@@ -202,76 +210,80 @@
     );
 }
 
-fn answered(protocol: Protocol, bytes: &[u8]) -> Result<Option<Answered>, Broken> {
-    AnswerReader::new(protocol, 1, 4096).take(&mut &bytes[..])
+fn read_response(
+    protocol: Protocol,
+    bytes: &[u8],
+) -> Result<Option<ResponseOutcome>, ProtocolError> {
+    ResponseReader::new(protocol, 1, 4096).read(&mut &bytes[..])
 }
 
 #[test]
-fn answers_are_whole_cut_or_refused() {
-    let mut sound = Vec::new();
-    write_answer(
+fn responses_are_complete_truncated_or_refused() {
+    let mut valid = Vec::new();
+    write_response(
         Protocol::Uwsgi,
-        &mut sound,
+        &mut valid,
         1,
-        Head {
+        ResponseHead {
             status: "200 OK",
             headers: &[],
-            more: b"",
+            extra_lines: b"",
         },
         b"body",
     );
-    for cut in 0..sound.len() {
-        let mut reader = AnswerReader::new(Protocol::Uwsgi, 1, 4096);
-        assert_eq!(reader.take(&mut &sound[..cut]), Ok(None));
-        assert!(reader.closed().is_err(), "cut at {cut}");
+    for cut in 0..valid.len() {
+        let mut reader = ResponseReader::new(Protocol::Uwsgi, 1, 4096);
+        assert_eq!(reader.read(&mut &valid[..cut]), Ok(None));
+        assert!(reader.on_close().is_err(), "cut at {cut}");
         assert_eq!(reader.has_begun(), cut > 0);
     }
-    // With no length its end is that of the connection.
-    let mut reader = AnswerReader::new(Protocol::Uwsgi, 1, 4096);
+    // Without a length it ends with the connection.
+    let mut reader = ResponseReader::new(Protocol::Uwsgi, 1, 4096);
     assert_eq!(
-        reader.take(&mut &b"HTTP/1.0 404 Not Found\nA:  b \n\nbo"[..]),
+        reader.read(&mut &b"HTTP/1.0 404 Not Found\nA:  b \n\nbo"[..]),
         Ok(None)
     );
-    assert_eq!(reader.take(&mut &b"dy"[..]), Ok(None));
-    let answer = reader.closed().unwrap();
+    assert_eq!(reader.read(&mut &b"dy"[..]), Ok(None));
+    let response = reader.on_close().unwrap();
     assert_eq!(
-        (answer.status, &answer.body[..], answer.header("a")),
+        (response.status, &response.body[..], response.header("a")),
         (404, &b"body"[..], Some(&b"b"[..]))
     );
-    // More than announced: what was announced counts, and the rest is told.
+    // More than announced: what was announced counts, and the rest is reported.
     let more = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nbody";
-    let Ok(Some(Answered::Whole(answer))) = answered(Protocol::Uwsgi, more) else {
+    let Ok(Some(ResponseOutcome::Complete(response))) = read_response(Protocol::Uwsgi, more) else {
         panic!()
     };
-    assert_eq!((&answer.body[..], answer.excess), (&b"bo"[..], true));
+    assert_eq!((&response.body[..], response.excess), (&b"bo"[..], true));
     let mut fast = Vec::new();
-    write_answer(
+    write_response(
         Protocol::FastCgi,
         &mut fast,
         1,
-        Head {
+        ResponseHead {
             status: "201 Made",
             headers: &[],
-            more: b"",
+            extra_lines: b"",
         },
         b"body",
     );
     for cut in 0..fast.len() {
-        let mut reader = AnswerReader::new(Protocol::FastCgi, 1, 4096);
-        assert_eq!(reader.take(&mut &fast[..cut]), Ok(None));
-        assert!(reader.closed().is_err(), "no end record at {cut}");
+        let mut reader = ResponseReader::new(Protocol::FastCgi, 1, 4096);
+        assert_eq!(reader.read(&mut &fast[..cut]), Ok(None));
+        assert!(reader.on_close().is_err(), "no end record at {cut}");
     }
-    let Ok(Some(Answered::Whole(answer))) = answered(Protocol::FastCgi, &fast) else {
+    let Ok(Some(ResponseOutcome::Complete(response))) = read_response(Protocol::FastCgi, &fast)
+    else {
         panic!()
     };
-    assert_eq!((answer.status, &answer.body[..]), (201, &b"body"[..]));
+    assert_eq!((response.status, &response.body[..]), (201, &b"body"[..]));
     let overloaded = [1, 3, 0, 1, 0, 8, 0, 0, 0, 0, 0, 0, 2, 0, 0, 0];
-    let refused = Ok(Some(Answered::Refused(ProtocolStatus::Overloaded)));
-    assert_eq!(answered(Protocol::FastCgi, &overloaded), refused);
+    let refused = Ok(Some(ResponseOutcome::Refused(ProtocolStatus::Overloaded)));
+    assert_eq!(read_response(Protocol::FastCgi, &overloaded), refused);
 }
 
 #[test]
-fn what_is_no_answer_is_a_fault() {
+fn invalid_responses_are_errors() {
     for bytes in [
         &b"SSH-2.0-OpenSSH\r\n\r\n"[..],
         b"HTTP/1.1 99 Low\r\n\r\n",
@@ -284,65 +296,67 @@
         &[b"HTTP/1.1 200 OK\r\n\r\n".to_vec(), vec![b'x'; 5000]].concat(),
     ] {
         assert!(
-            answered(Protocol::Uwsgi, bytes).is_err(),
+            read_response(Protocol::Uwsgi, bytes).is_err(),
             "{}",
             String::from_utf8_lossy(bytes)
         );
     }
-    assert!(answered(Protocol::FastCgi, b"HTTP/1.1 200 OK\r\n\r\n").is_err());
+    assert!(read_response(Protocol::FastCgi, b"HTTP/1.1 200 OK\r\n\r\n").is_err());
     assert!(
-        answered(Protocol::FastCgi, &[1, 1, 0, 1, 0, 0, 0, 0]).is_err(),
+        read_response(Protocol::FastCgi, &[1, 1, 0, 1, 0, 0, 0, 0]).is_err(),
         "a record of a web server"
     );
 }
 
-fn without_excess(read: Answered) -> Answered {
+fn without_excess(read: ResponseOutcome) -> ResponseOutcome {
     match read {
-        Answered::Whole(answer) => Answered::Whole(Answer {
+        ResponseOutcome::Complete(response) => ResponseOutcome::Complete(Response {
             excess: false,
-            ..answer
+            ..response
         }),
         refused => refused,
     }
 }
 
-fn bytes(most: usize) -> impl Strategy<Value = Vec<u8>> {
-    prop::collection::vec(any::<u8>(), 0..most)
+fn bytes(max_len: usize) -> impl Strategy<Value = Vec<u8>> {
+    prop::collection::vec(any::<u8>(), 0..max_len)
 }
 
-/// A byte stream that one side may send: sound, or sound but for a change, or anything.
+/// A byte stream that one side may send: valid, valid but for one byte, or random.
 fn streams() -> impl Strategy<Value = (Protocol, Vec<u8>)> {
     let protocol = prop_oneof![Just(Protocol::FastCgi), Just(Protocol::Uwsgi)];
-    let words = prop::collection::vec(
+    let fields = prop::collection::vec(
         (prop::collection::vec(any::<u8>(), 0..40), any::<u8>()),
         0..6,
     );
     let body = prop::collection::vec(any::<u8>(), 0..300);
-    let noise = prop::collection::vec(any::<u8>(), 0..300);
+    let random_bytes = prop::collection::vec(any::<u8>(), 0..300);
     (
         protocol,
-        words,
+        fields,
         body,
-        noise,
+        random_bytes,
         any::<Option<(u16, u8)>>(),
         0..4u8,
     )
-        .prop_map(|(protocol, words, body, noise, change, kind)| {
-            if kind == 0 {
-                return (protocol, noise);
-            }
-            let variables: Vec<Pair> = words
-                .iter()
-                .map(|(name, byte)| (&name[..], std::slice::from_ref(byte)))
-                .collect();
-            let mut out = Vec::new();
-            write_request(protocol, &mut out, 7, true, &variables, &body).unwrap();
-            if let Some((place, byte)) = change.filter(|_| kind == 1) {
-                let place = usize::from(place) % out.len();
-                out[place] = byte;
-            }
-            (protocol, out)
-        })
+        .prop_map(
+            |(protocol, fields, body, random_bytes, change, stream_kind)| {
+                if stream_kind == 0 {
+                    return (protocol, random_bytes);
+                }
+                let variables: Vec<Variable> = fields
+                    .iter()
+                    .map(|(name, byte)| (&name[..], std::slice::from_ref(byte)))
+                    .collect();
+                let mut out = Vec::new();
+                write_request(protocol, &mut out, 7, true, &variables, &body).unwrap();
+                if let Some((offset, byte)) = change.filter(|_| stream_kind == 1) {
+                    let offset = usize::from(offset) % out.len();
+                    out[offset] = byte;
+                }
+                (protocol, out)
+            },
+        )
 }
 
 proptest! {
@@ -352,18 +366,18 @@
     })]
 
     #[test]
-    fn any_bytes_in_any_cuts_read_the_same(
+    fn any_bytes_in_any_parts_read_the_same(
         (protocol, stream) in streams(),
-        places in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
+        cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
     ) {
-        let whole = pieces(protocol, &[&stream]);
-        let places = places.iter().map(|place| place.index(stream.len() + 1)).collect();
-        let parts = cut_at(&stream, places);
-        let cut = pieces(protocol, &parts);
+        let whole = events(protocol, &[&stream]);
+        let cuts = cuts.iter().map(|offset| offset.index(stream.len() + 1)).collect();
+        let parts = cut_at(&stream, cuts);
+        let cut = events(protocol, &parts);
         prop_assert_eq!(&cut.1, &whole.1);
-        // Before a fault a part of its own piece may have been handed on already, or not.
-        let sound = whole.0.len() - usize::from(whole.1.is_some() && !whole.0.is_empty());
-        prop_assert_eq!(&cut.0[..sound.min(cut.0.len())], &whole.0[..sound]);
+        // Before an error a part of its own event may have been passed on already, or not.
+        let valid = whole.0.len() - usize::from(whole.1.is_some() && !whole.0.is_empty());
+        prop_assert_eq!(&cut.0[..valid.min(cut.0.len())], &whole.0[..valid]);
         prop_assert!(whole.1.is_some() || cut.0 == whole.0);
     }
 
@@ -374,52 +388,52 @@
     ) {
         for protocol in Protocol::ALL {
             let names = names.iter().filter(|name| *name != b"CONTENT_LENGTH");
-            let variables: Vec<Pair> = names.map(|name| (&name[..], &name[..name.len() / 2])).collect();
+            let variables: Vec<Variable> = names.map(|name| (&name[..], &name[..name.len() / 2])).collect();
             let mut out = Vec::new();
             write_request(protocol, &mut out, 7, true, &variables, &body).unwrap();
-            let (found, broken) = pieces(protocol, &[&out]);
-            prop_assert_eq!(broken, None);
-            let of = |kind: &str| -> Vec<u8> {
-                let of_kind = found.iter().filter(|(name, _)| name.starts_with(kind));
-                of_kind.flat_map(|(_, bytes)| bytes.clone()).collect()
+            let (events_read, error) = events(protocol, &[&out]);
+            prop_assert_eq!(error, None);
+            let contents = |stream_kind: &str| -> Vec<u8> {
+                let matching = events_read.iter().filter(|(name, _)| name.starts_with(stream_kind));
+                matching.flat_map(|(_, bytes)| bytes.clone()).collect()
             };
-            let block = of("params");
-            let read = protocol.pairs(&block).unwrap();
+            let block = contents("params");
+            let read = protocol.read_variables(&block).unwrap();
             let length = body.len().to_string();
             prop_assert_eq!(&read[..variables.len()], &variables[..]);
             prop_assert_eq!(read[variables.len()], (&b"CONTENT_LENGTH"[..], length.as_bytes()));
-            prop_assert_eq!(of("stdin"), body.clone());
+            prop_assert_eq!(contents("stdin"), body.clone());
         }
     }
 
     #[test]
-    fn any_answer_in_any_cuts_reads_the_same(
-        noise in bytes(200),
+    fn any_response_in_any_parts_reads_the_same(
+        random_bytes in bytes(200),
         body in bytes(200),
         change in any::<Option<(u16, u8)>>(),
-        place in any::<prop::sample::Index>(),
+        offset in any::<prop::sample::Index>(),
     ) {
         for protocol in Protocol::ALL {
-            let mut sound = Vec::new();
-            let head = Head { status: "200 OK", headers: &[("A", "b")], more: b"" };
-            write_answer(protocol, &mut sound, 1, head, &body);
-            if let Some((place, byte)) = change {
-                let place = usize::from(place) % sound.len();
-                sound[place] = byte;
+            let mut valid = Vec::new();
+            let head = ResponseHead { status: "200 OK", headers: &[("A", "b")], extra_lines: b"" };
+            write_response(protocol, &mut valid, 1, head, &body);
+            if let Some((offset, byte)) = change {
+                let offset = usize::from(offset) % valid.len();
+                valid[offset] = byte;
             }
-            for stream in [&noise, &sound] {
-                let whole = answered(protocol, stream);
-                let (first, second) = stream.split_at(place.index(stream.len() + 1));
-                let mut reader = AnswerReader::new(protocol, 1, 4096);
-                let cut = match reader.take(&mut &first[..]) {
-                    Ok(None) => reader.take(&mut &second[..]),
-                    over => over,
+            for stream in [&random_bytes, &valid] {
+                let whole = read_response(protocol, stream);
+                let (first, second) = stream.split_at(offset.index(stream.len() + 1));
+                let mut reader = ResponseReader::new(protocol, 1, 4096);
+                let cut = match reader.read(&mut &first[..]) {
+                    Ok(None) => reader.read(&mut &second[..]),
+                    ended => ended,
                 };
-                // Bytes past an announced length show only if they come with it.
-                let plain = |read: Result<Option<Answered>, Broken>| {
+                // Bytes past an announced length show only if they arrive with it.
+                let comparable = |read: Result<Option<ResponseOutcome>, ProtocolError>| {
                     read.map(|read| read.map(without_excess))
                 };
-                prop_assert_eq!(plain(cut), plain(whole));
+                prop_assert_eq!(comparable(cut), comparable(whole));
             }
         }
     }
