--- a/crates/node/src/network/headers.rs
+++ b/crates/node/src/network/headers.rs
@@ -1,6 +1,6 @@
 //! Headers of a server's answer that go on to the caller.
 
-use doortrack_protocols::Answer;
+use doortrack_protocols::Response;
 
 /// Headers that concern the server's connection alone (RFC 9110, 7.6.1), and those that this node sets itself.
 const NOT_FORWARDED: [&str; 12] = [
@@ -19,7 +19,7 @@
 ];
 
 /// The headers of an answer that go on to the caller, as lines.
-pub(super) fn forwarded_headers(answer: &Answer) -> Vec<u8> {
+pub(super) fn forwarded_headers(answer: &Response) -> Vec<u8> {
     let mut lines = Vec::new();
     for (name, value) in &answer.headers {
         if is_forwarded(name) {
--- a/crates/node/src/network/servers/connection.rs
+++ b/crates/node/src/network/servers/connection.rs
@@ -3,7 +3,7 @@
 use std::io::{self, ErrorKind};
 use std::net::TcpStream;
 
-use doortrack_protocols::AnswerReader;
+use doortrack_protocols::ResponseReader;
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{ConnId, RunId, ServerId};
 use polling::{Event, PollMode};
@@ -20,7 +20,7 @@
     pub(super) run: Option<RunId>,
     /// Bytes of the run's request that the system has taken.
     pub(super) written: usize,
-    pub(super) reader: AnswerReader,
+    pub(super) reader: ResponseReader,
     /// The poller reports when it can be written.
     pub(super) watching_writes: bool,
 }
@@ -47,7 +47,7 @@
             connecting: true,
             run: None,
             written: 0,
-            reader: AnswerReader::new(self.protocol, WIRE_ID, self.max_answer_bytes),
+            reader: ResponseReader::new(self.protocol, WIRE_ID, self.max_answer_bytes),
             watching_writes: true,
         });
         Ok(())
