--- a/crates/bench/benches/codecs.rs
+++ b/crates/bench/benches/codecs.rs
@@ -3,7 +3,9 @@
 use criterion::measurement::WallTime;
 use criterion::{BenchmarkGroup, Criterion, Throughput, criterion_group, criterion_main};
 use doortrack_fakes::caller::Ask;
-use doortrack_protocols::{AnswerReader, Head, Piece, Protocol, RequestReader, write_answer};
+use doortrack_protocols::{
+    Protocol, RequestEvent, RequestReader, ResponseHead, ResponseReader, write_response,
+};
 
 const BODY: [u8; 512] = [b'x'; 512];
 /// Bound of an answer's body, in bytes.
@@ -29,8 +31,10 @@
         bencher.iter(|| {
             let mut reader = RequestReader::new(protocol);
             let (mut input, mut byte_count) = (&request[..], 0);
-            while let Ok(Some(piece)) = reader.next(&mut input) {
-                if let Piece::Params { bytes, .. } | Piece::Stdin { bytes, .. } = piece {
+            while let Ok(Some(event)) = reader.next(&mut input) {
+                if let RequestEvent::Params { bytes, .. } | RequestEvent::Stdin { bytes, .. } =
+                    event
+                {
                     byte_count += bytes.len();
                 }
             }
@@ -39,7 +43,11 @@
     });
     let variables = variable_block(protocol, &request);
     group.bench_function("find the variables", |bencher| {
-        bencher.iter(|| protocol.pairs(&variables).map(|pairs| pairs.len()))
+        bencher.iter(|| {
+            protocol
+                .read_variables(&variables)
+                .map(|variables| variables.len())
+        })
     });
 }
 
@@ -47,8 +55,8 @@
 fn variable_block(protocol: Protocol, mut request: &[u8]) -> Vec<u8> {
     let mut reader = RequestReader::new(protocol);
     let mut block = Vec::new();
-    while let Ok(Some(piece)) = reader.next(&mut request) {
-        if let Piece::Params { bytes, .. } = piece {
+    while let Ok(Some(event)) = reader.next(&mut request) {
+        if let RequestEvent::Params { bytes, .. } = event {
             block.extend(bytes);
         }
     }
@@ -56,23 +64,23 @@
 }
 
 fn answers(group: &mut BenchmarkGroup<WallTime>, protocol: Protocol) {
-    let head = || Head {
+    let head = || ResponseHead {
         status: "200 OK",
         headers: &HEADERS,
-        more: b"",
+        extra_lines: b"",
     };
     let mut out = Vec::with_capacity(4096);
     group.bench_function("write an answer", |bencher| {
         bencher.iter(|| {
             out.clear();
-            write_answer(protocol, &mut out, 1, head(), &BODY);
+            write_response(protocol, &mut out, 1, head(), &BODY);
             out.len()
         })
     });
     let mut answer = Vec::new();
-    write_answer(protocol, &mut answer, 1, head(), &BODY);
+    write_response(protocol, &mut answer, 1, head(), &BODY);
     group.bench_function("read an answer", |bencher| {
-        bencher.iter(|| AnswerReader::new(protocol, 1, MAX_BODY_BYTES).take(&mut &answer[..]))
+        bencher.iter(|| ResponseReader::new(protocol, 1, MAX_BODY_BYTES).read(&mut &answer[..]))
     });
 }
 
--- a/crates/bench/src/bin/reload/load.rs
+++ b/crates/bench/src/bin/reload/load.rs
@@ -9,7 +9,7 @@
 
 use doortrack_fakes::bed::connect;
 use doortrack_fakes::caller::{Pending, Seen};
-use doortrack_protocols::{Pair, Protocol, write_request};
+use doortrack_protocols::{Protocol, Variable, write_request};
 use hdrhistogram::Histogram;
 
 use crate::site::Site;
@@ -101,13 +101,13 @@
 
 /// Sends one request and waits for its answer.
 pub(crate) fn send(listener: SocketAddr, path: &str) -> Seen {
-    let pairs: [Pair; 3] = [
+    let variables: [Variable; 3] = [
         (b"REQUEST_METHOD", b"GET"),
         (b"PATH_INFO", path.as_bytes()),
         (b"HTTP_X_TENANT", b"customer-00001"),
     ];
     let mut request = Vec::new();
-    write_request(PROTOCOL, &mut request, 1, false, &pairs, b"").unwrap();
+    write_request(PROTOCOL, &mut request, 1, false, &variables, b"").unwrap();
     let mut sock = connect(listener);
     sock.write_all(&request).unwrap();
     Pending {
--- a/crates/bench/src/load/connection.rs
+++ b/crates/bench/src/load/connection.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-use doortrack_protocols::fastcgi::{ProtocolStatus, Reply, ReplySplitter};
+use doortrack_protocols::fastcgi::{ProtocolStatus, ResponseRecord, ResponseSplitter};
 
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Request identifiers of a connection run from 1 to this, then start over.
@@ -18,7 +18,7 @@
     output: Vec<u8>,
     written: usize,
     in_flight: Vec<InFlight>,
-    records: ReplySplitter,
+    records: ResponseSplitter,
     last_id: u16,
     polls_writable: bool,
 }
@@ -44,7 +44,7 @@
             output: Vec::new(),
             written: 0,
             in_flight: Vec::new(),
-            records: ReplySplitter::default(),
+            records: ResponseSplitter::default(),
             last_id: 0,
             polls_writable: false,
         }
@@ -118,14 +118,14 @@
         }
         let mut input = &buffer[..count];
         let mut finished = Vec::new();
-        while let Some(reply) = self.records.next(&mut input).map_err(io::Error::other)? {
-            match reply {
-                Reply::Stdout { id, bytes } => {
+        while let Some(record) = self.records.next(&mut input).map_err(io::Error::other)? {
+            match record {
+                ResponseRecord::Stdout { id, bytes } => {
                     if let Some(index) = position(&self.in_flight, id) {
                         self.in_flight[index].keep_start(bytes);
                     }
                 }
-                Reply::End { id, status } => {
+                ResponseRecord::End { id, status } => {
                     if let Some(index) = position(&self.in_flight, id) {
                         finished.push(self.in_flight.swap_remove(index).finish(status));
                     }
