--- a/crates/bench/src/bin/budgets.rs
+++ b/crates/bench/src/bin/budgets.rs
@@ -9,7 +9,7 @@
 use doortrack_budgets::{Budget, Kind, Parameters};
 use doortrack_fault_harness::divided::{self, Options, Outcome};
 use doortrack_fault_harness::history::name;
-use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 use doortrack_membership::Name;
 use doortrack_simulation::Distribution;
 
@@ -39,7 +39,7 @@
     nodes: usize,
     end_ms: u64,
     count_from_ms: u64,
-    faults: Vec<Timed>,
+    faults: Vec<TimedFault>,
     demand: Demand<'a>,
 }
 
@@ -47,7 +47,7 @@
     fn outcome(&self) -> Outcome {
         let script = Script {
             nodes: self.nodes,
-            ms: self.end_ms,
+            duration_ms: self.end_ms,
             seed: 7,
             faults: self.faults.clone(),
         };
@@ -94,7 +94,7 @@
 struct Restarts(Vec<(usize, u64)>);
 
 impl Restarts {
-    fn new(faults: &[Timed]) -> Restarts {
+    fn new(faults: &[TimedFault]) -> Restarts {
         let starts = faults.iter().filter_map(|timed| match &timed.fault {
             Fault::Start { nodes, .. } => Some((nodes[0], timed.at_ms)),
             _ => None,
@@ -137,7 +137,7 @@
     }
 }
 
-fn print_utilization(title: &str, nodes: usize, faults: Vec<Timed>, demand: Demand) {
+fn print_utilization(title: &str, nodes: usize, faults: Vec<TimedFault>, demand: Demand) {
     let baseline = Baseline::new(nodes, &Restarts::new(&faults), demand);
     let outcome = Run {
         nodes,
@@ -169,15 +169,15 @@
 }
 
 /// Six in ten nodes are restarted one after the other within 7 s.
-fn rolling_restart(nodes: usize) -> Vec<Timed> {
+fn rolling_restart(nodes: usize) -> Vec<TimedFault> {
     let restarted = nodes * 6 / 10;
     let restart = |node: usize| {
         let leave_ms = 12_000 + 7_000 * node as u64 / restarted as u64;
-        let leave = Timed {
+        let leave = TimedFault {
             at_ms: leave_ms,
             fault: Fault::Leave { nodes: vec![node] },
         };
-        let start = Timed {
+        let start = TimedFault {
             at_ms: leave_ms + RESTART_MS,
             fault: Fault::Start {
                 nodes: vec![node],
@@ -256,7 +256,7 @@
         ("a voter", 3),
         ("a voter", 4),
     ] {
-        let death = Timed {
+        let death = TimedFault {
             at_ms: EVENT_MS,
             fault: Fault::Kill { nodes: vec![node] },
         };
--- a/crates/bench/src/bin/membership/detection.rs
+++ b/crates/bench/src/bin/membership/detection.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use doortrack_fault_harness::history::{History, What, name};
-use doortrack_fault_harness::script::{Fault, Timed};
+use doortrack_fault_harness::history::{History, HistoryEvent, name};
+use doortrack_fault_harness::script::{Fault, TimedFault};
 
 /// Kills of one run and their interval.
 pub(crate) const KILLS: usize = 5;
@@ -19,8 +19,8 @@
 }
 
 /// Kills of the last nodes, one after the other.
-pub(crate) fn kills(nodes: usize) -> Vec<Timed> {
-    let kill = |index: usize| Timed {
+pub(crate) fn kills(nodes: usize) -> Vec<TimedFault> {
+    let kill = |index: usize| TimedFault {
         at_ms: CALM_MS + KILL_INTERVAL_MS * index as u64,
         fault: Fault::Kill {
             nodes: vec![nodes - 1 - index],
@@ -30,17 +30,17 @@
 }
 
 /// A partition between the two halves of a fleet.
-pub(crate) fn partition(nodes: usize, from_ms: u64, until_ms: u64) -> Vec<Timed> {
+pub(crate) fn partition(nodes: usize, from_ms: u64, until_ms: u64) -> Vec<TimedFault> {
     let first: Vec<usize> = (0..nodes / 2).collect();
     let second: Vec<usize> = (nodes / 2..nodes).collect();
     let directions = [(first.clone(), second.clone()), (second, first)];
-    let cuts = directions.clone().map(|(from, to)| Timed {
+    let cuts = directions.clone().map(|(from, to)| TimedFault {
         at_ms: from_ms,
         fault: Fault::Cut { from, to },
     });
-    let mends = directions.map(|(from, to)| Timed {
+    let mends = directions.map(|(from, to)| TimedFault {
         at_ms: until_ms,
-        fault: Fault::Mend { from, to },
+        fault: Fault::Heal { from, to },
     });
     cuts.into_iter().chain(mends).collect()
 }
@@ -50,8 +50,8 @@
     let kills = history
         .entries
         .iter()
-        .filter_map(|entry| match &entry.what {
-            What::Fault {
+        .filter_map(|entry| match &entry.event {
+            HistoryEvent::Fault {
                 fault: Fault::Kill { nodes },
             } => Some((entry.at_ms, nodes[0])),
             _ => None,
@@ -74,8 +74,8 @@
     let mut delays: Vec<u64> = history
         .entries
         .iter()
-        .filter_map(|entry| match &entry.what {
-            What::MemberChange {
+        .filter_map(|entry| match &entry.event {
+            HistoryEvent::MemberChange {
                 change,
                 member: Some(member),
                 ..
@@ -91,7 +91,7 @@
 pub(crate) fn rejoin_time(history: &History, healed_ms: u64) -> u64 {
     let mut last_changes: BTreeMap<usize, (u64, usize)> = BTreeMap::new();
     for entry in &history.entries {
-        if let What::MemberChange { node, members, .. } = entry.what {
+        if let HistoryEvent::MemberChange { node, members, .. } = entry.event {
             let members_before = last_changes.get(&node).map_or(0, |(_, members)| *members);
             if members != members_before {
                 last_changes.insert(node, (entry.at_ms, members));
--- a/crates/bench/src/bin/membership/processes.rs
+++ b/crates/bench/src/bin/membership/processes.rs
@@ -6,7 +6,7 @@
 
 use doortrack_bench::process::cpu_ms;
 use doortrack_fault_harness::processes::Rig;
-use doortrack_fault_harness::script::{Fault, Timed};
+use doortrack_fault_harness::script::{Fault, TimedFault};
 use serde_json::Value;
 
 use crate::detection::{
@@ -47,7 +47,7 @@
 /// Measures cost, detection and rejoining of a fleet, and prints them.
 pub(crate) fn measure(nodes: usize) {
     let mut rig = Rig::new(Path::new(PROGRAM), nodes, 1).expect("a rig");
-    rig.begin();
+    rig.start_clock();
     let began = Instant::now();
     (0..nodes).for_each(|node| rig.start(node, node, &Value::Null).expect("a process"));
     sleep_until(began, CALM_COST_FROM_MS);
@@ -60,7 +60,7 @@
         .iter()
         .flat_map(|timed| timed.fault.nodes())
         .collect();
-    let restart = Timed {
+    let restart = TimedFault {
         at_ms: restart_ms,
         fault: Fault::Start {
             nodes: killed,
@@ -94,10 +94,10 @@
 }
 
 /// Injects faults at their times.
-fn inject(rig: &mut Rig, began: Instant, faults: &[Timed]) {
+fn inject(rig: &mut Rig, began: Instant, faults: &[TimedFault]) {
     let settings = |_: usize| Value::Null;
     for timed in faults {
         sleep_until(began, timed.at_ms);
-        rig.take_up(&timed.fault, &settings).expect("a fault");
+        rig.inject(&timed.fault, &settings).expect("a fault");
     }
 }
--- a/crates/bench/src/bin/membership/simulated.rs
+++ b/crates/bench/src/bin/membership/simulated.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use doortrack_fault_harness::history::What;
-use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_fault_harness::history::HistoryEvent;
+use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 use doortrack_fault_harness::simulated::{Cost, Options, run};
 
 use crate::detection::{
@@ -29,7 +29,7 @@
         .flat_map(|seed| {
             let script = Script {
                 nodes,
-                ms: CALM_MS + KILL_INTERVAL_MS * (KILLS as u64 + 1),
+                duration_ms: CALM_MS + KILL_INTERVAL_MS * (KILLS as u64 + 1),
                 seed,
                 faults: kills(nodes),
             };
@@ -74,7 +74,7 @@
 fn calm_cost(nodes: usize, ms: u64) -> Cost {
     let script = Script {
         nodes,
-        ms,
+        duration_ms: ms,
         seed: 1,
         faults: Vec::new(),
     };
@@ -88,7 +88,7 @@
 fn simulated_rejoin_time(nodes: usize, seed: u64) -> u64 {
     let script = Script {
         nodes,
-        ms: PARTITION_RUN_MS,
+        duration_ms: PARTITION_RUN_MS,
         seed,
         faults: partition(nodes, PARTITION_START_MS, PARTITION_END_MS),
     };
@@ -97,7 +97,7 @@
 
 /// Counts members wrongly suspected and declared dead while a twentieth of all datagrams is lost.
 pub(crate) fn measure_loss(nodes: usize, seconds: u64) {
-    let loss = Timed {
+    let loss = TimedFault {
         at_ms: LOSS_START_MS,
         fault: Fault::Links {
             loss: 0.05,
@@ -108,18 +108,17 @@
     };
     let script = Script {
         nodes,
-        ms: seconds * 1_000,
+        duration_ms: seconds * 1_000,
         seed: 1,
         faults: vec![loss],
     };
     let (history, _) = run(&script, &recording_from(LOSS_START_MS));
     let count = |kind: &str| {
-        let is_of_kind =
-            |what: &What| matches!(what, What::MemberChange { change, .. } if change == kind);
+        let is_of_kind = |what: &HistoryEvent| matches!(what, HistoryEvent::MemberChange { change, .. } if change == kind);
         history
             .entries
             .iter()
-            .filter(|entry| is_of_kind(&entry.what))
+            .filter(|entry| is_of_kind(&entry.event))
             .count()
     };
     println!(
--- a/crates/bench/src/bin/storm.rs
+++ b/crates/bench/src/bin/storm.rs
@@ -140,7 +140,7 @@
     (0..NODES).for_each(|node| rig.start(node, node, &installation).expect("a process"));
     thread::sleep(START_TIME);
     work.began.set(Instant::now()).expect("set once");
-    let listeners: Arc<[SocketAddr]> = (0..NODES).map(|node| rig.front(node)).collect();
+    let listeners: Arc<[SocketAddr]> = (0..NODES).map(|node| rig.listener_address(node)).collect();
     let callers: Vec<_> = (0..CALLERS)
         .map(|index| {
             let listeners = listeners.clone();
--- a/crates/fault-harness/src/checks.rs
+++ b/crates/fault-harness/src/checks.rs
@@ -6,14 +6,17 @@
 use std::collections::BTreeMap;
 
 use crate::ground_truth::{GroundTruth, Span};
-use crate::history::{History, What, name};
+use crate::history::{History, HistoryEvent, Member, name};
 
 /// One violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
+    /// Name of the invariant.
     pub rule: &'static str,
+    /// Time since the start of the run, in ms.
     pub at_ms: u64,
-    pub what: String,
+    /// What violates it.
+    pub description: String,
 }
 
 /// A rule that must hold in every history.
@@ -39,14 +42,14 @@
 
 /// All violations of these invariants in a history, by time.
 pub fn judge(history: &History, invariants: &[Box<dyn Invariant>]) -> Vec<Violation> {
-    let truth = GroundTruth::of(history);
+    let truth = GroundTruth::from_history(history);
     let mut violations = Vec::new();
     for invariant in invariants {
         let found = invariant.judge(history, &truth).into_iter();
-        violations.extend(found.map(|(at_ms, what)| Violation {
+        violations.extend(found.map(|(at_ms, description)| Violation {
             rule: invariant.name(),
             at_ms,
-            what,
+            description,
         }));
     }
     violations.sort_by_key(|violation| violation.at_ms);
@@ -77,8 +80,8 @@
     let declared = history
         .entries
         .iter()
-        .filter_map(|entry| match &entry.what {
-            What::MemberChange {
+        .filter_map(|entry| match &entry.event {
+            HistoryEvent::MemberChange {
                 node,
                 change,
                 member: Some(member),
@@ -122,7 +125,7 @@
     }
 }
 
-/// A node that was told to leave, and not killed at once, is never declared dead.
+/// A node that shut down gracefully, and was not killed at once, is never declared dead.
 pub struct LeftIsNotDead;
 
 /// Time in which a node that leaves, or is isolated, makes it known, in ms.
@@ -165,9 +168,9 @@
     fn judge(&self, history: &History, _: &GroundTruth) -> Vec<(u64, String)> {
         let (mut seen, mut violations) = (BTreeMap::new(), Vec::new());
         for entry in &history.entries {
-            match &entry.what {
-                What::Began { node } => seen.retain(|(observer, _), _| observer != node),
-                What::MemberChange {
+            match &entry.event {
+                HistoryEvent::Began { node } => seen.retain(|(observer, _), _| observer != node),
+                HistoryEvent::MemberChange {
                     node,
                     change,
                     member: Some(member),
@@ -177,11 +180,11 @@
                     let incarnation = u64::from_str_radix(incarnation, 16).unwrap_or_default();
                     let last = seen.entry((*node, member.clone())).or_insert(incarnation);
                     if incarnation < *last {
-                        let what = format!(
+                        let description = format!(
                             "{} went back from incarnation {last:x} of {member} to {incarnation:x}",
                             name(*node)
                         );
-                        violations.push((entry.at_ms, what));
+                        violations.push((entry.at_ms, description));
                     }
                     *last = incarnation.max(*last);
                 }
@@ -230,15 +233,16 @@
 
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let is_wrong = |Declaration { at, node, member }: Declaration| {
-            let just_resumed = |stop: &&Span| {
-                let long = stop.end != u64::MAX && stop.end >= stop.start + MIN_PAUSE;
-                long && at >= stop.end && at < stop.end + RESUMPTION
+            let just_resumed = |suspension: &&Span| {
+                let is_long =
+                    suspension.end != u64::MAX && suspension.end >= suspension.start + MIN_PAUSE;
+                is_long && at >= suspension.end && at < suspension.end + RESUMPTION
             };
-            let Some(stop) = truth.stops[node].iter().find(just_resumed) else {
+            let Some(suspension) = truth.suspensions[node].iter().find(just_resumed) else {
                 return false;
             };
             // A member that died meanwhile is rightly declared dead: others say so.
-            !truth.was_unhealthy(member, stop.start.saturating_sub(MAX_REASON_AGE), at)
+            !truth.was_unhealthy(member, suspension.start.saturating_sub(MAX_REASON_AGE), at)
         };
         let describe = |node, member| format!("{node}, just resumed, declared {member} dead");
         wrong_declarations(history, is_wrong, describe)
@@ -260,37 +264,20 @@
             .collect();
         let (mut violations, mut digests) = (Vec::new(), BTreeMap::new());
         for entry in &history.entries {
-            let What::Status {
+            let HistoryEvent::Status {
                 node,
                 members,
                 digest,
                 ..
-            } = &entry.what
+            } = &entry.event
             else {
                 continue;
             };
             if !truth.running[*node] {
                 continue;
             }
-            let present = members
-                .iter()
-                .filter(|member| matches!(&*member.state, "alive" | "suspected"));
-            let mut present: Vec<String> = present.map(|member| member.name.clone()).collect();
-            present.sort_by_key(|name| node_number(name));
-            if present != running {
-                let missing: Vec<_> = running
-                    .iter()
-                    .filter(|name| !present.contains(name))
-                    .collect();
-                let extra: Vec<_> = present
-                    .iter()
-                    .filter(|name| !running.contains(name))
-                    .collect();
-                let what = format!(
-                    "{} lacks {missing:?} and has {extra:?} besides",
-                    name(*node)
-                );
-                violations.push((entry.at_ms, what));
+            if let Some(difference) = difference(&present(members), &running) {
+                violations.push((entry.at_ms, format!("{} {difference}", name(*node))));
             }
             digests
                 .entry(digest.clone())
@@ -303,3 +290,30 @@
         violations
     }
 }
+
+/// Names of the members that count as present, by node number.
+fn present(members: &[Member]) -> Vec<String> {
+    let mut present: Vec<String> = members
+        .iter()
+        .filter(|member| member.is_present())
+        .map(|member| member.name.clone())
+        .collect();
+    present.sort_by_key(|name| node_number(name));
+    present
+}
+
+/// Describes how a view differs from the running nodes, if it does.
+fn difference(present: &[String], running: &[String]) -> Option<String> {
+    if present == running {
+        return None;
+    }
+    let missing: Vec<_> = running
+        .iter()
+        .filter(|name| !present.contains(name))
+        .collect();
+    let extra: Vec<_> = present
+        .iter()
+        .filter(|name| !running.contains(name))
+        .collect();
+    Some(format!("lacks {missing:?} and has {extra:?} besides"))
+}
--- a/crates/fault-harness/src/divided.rs
+++ b/crates/fault-harness/src/divided.rs
@@ -138,7 +138,7 @@
         let faults = links::schedule_faults(&mut self.network, script);
         (0..script.nodes).for_each(|node| self.start(node));
         self.announce_members();
-        while let Some(next) = self.network.next_event(script.ms * MS) {
+        while let Some(next) = self.network.next_event(script.duration_ms * MS) {
             match next {
                 NetworkEvent::Timer(u64::MAX) => self.announce_members(),
                 NetworkEvent::Timer(index) => self.inject(faults[index as usize].fault.clone()),
--- a/crates/fault-harness/src/ground_truth.rs
+++ b/crates/fault-harness/src/ground_truth.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::history::{History, What};
+use crate::history::{History, HistoryEvent};
 use crate::script::Fault;
 
 /// Loss, and delay in ms, from which all links count as degraded.
@@ -13,7 +13,9 @@
 /// A span of time in ms, both ends included. The end is `u64::MAX` while it is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
+    /// First ms.
     pub start: u64,
+    /// Last ms.
     pub end: u64,
 }
 
@@ -62,24 +64,24 @@
 
 /// What a history implies of the true state. Vectors are indexed by node; times are in ms.
 pub struct GroundTruth {
-    /// When a node itself was at fault: not running, just started, stopped, resumed or leaving.
+    /// When a node itself was at fault: not running, just started, suspended, resumed or leaving.
     unhealthy: Vec<Vec<Span>>,
     cuts: Vec<Cut>,
     /// When all links were degraded, by [`DEGRADED_LOSS`], [`DEGRADED_DELAY_MS`] or a throttle.
     degraded: Vec<Span>,
-    /// When each node was told to leave.
+    /// When the graceful shutdown of each node began.
     pub left: BTreeMap<usize, Vec<u64>>,
     /// When each process of a node began.
     pub began: Vec<Vec<u64>>,
-    /// When each node was stopped by a signal.
-    pub stops: Vec<Vec<Span>>,
-    /// Whether a node runs at the end, and was not told to leave.
+    /// When each node was suspended.
+    pub suspensions: Vec<Vec<Span>>,
+    /// Whether a node runs at the end, and is not shutting down.
     pub running: Vec<bool>,
 }
 
 impl GroundTruth {
     /// The true state that a history implies.
-    pub fn of(history: &History) -> GroundTruth {
+    pub fn from_history(history: &History) -> GroundTruth {
         let nodes = history.nodes;
         let mut truth = GroundTruth {
             unhealthy: vec![Vec::new(); nodes],
@@ -87,67 +89,53 @@
             degraded: Vec::new(),
             left: BTreeMap::new(),
             began: vec![Vec::new(); nodes],
-            stops: vec![Vec::new(); nodes],
+            suspensions: vec![Vec::new(); nodes],
             running: vec![false; nodes],
         };
         let mut since = DegradedSince::default();
         for entry in &history.entries {
-            truth.record(entry.at_ms, &entry.what, &mut since);
+            truth.record(entry.at_ms, &entry.event, &mut since);
         }
         let open = [since.links, since.throttle].into_iter().flatten();
         truth.degraded.extend(open.map(Span::open));
         truth
     }
 
-    fn record(&mut self, at: u64, what: &What, since: &mut DegradedSince) {
-        match what {
-            What::Fault { fault } => self.record_fault(at, fault, since),
-            What::Began { node } => {
+    fn record(&mut self, at: u64, event: &HistoryEvent, since: &mut DegradedSince) {
+        match event {
+            HistoryEvent::Fault { fault } => self.record_fault(at, fault, since),
+            HistoryEvent::Began { node } => {
                 close(&mut self.unhealthy[*node], at);
                 self.unhealthy[*node].push(Span::instant(at));
                 self.began[*node].push(at);
                 self.running[*node] = true;
             }
-            What::Ended { node } => {
+            HistoryEvent::Ended { node } => {
                 self.running[*node] = false;
                 self.unhealthy[*node].push(Span::open(at));
             }
-            What::MemberChange { node, change, .. } if change == "resumed" => {
+            HistoryEvent::MemberChange { node, change, .. } if change == "resumed" => {
                 self.unhealthy[*node].push(Span::instant(at));
             }
-            What::MemberChange { .. } | What::Status { .. } => {}
+            HistoryEvent::MemberChange { .. } | HistoryEvent::Status { .. } => {}
         }
     }
 
     fn record_fault(&mut self, at: u64, fault: &Fault, since: &mut DegradedSince) {
         match fault {
             Fault::Kill { nodes } => nodes.iter().for_each(|node| self.record_exit(*node, at)),
-            Fault::Leave { nodes } => {
-                for node in nodes {
-                    self.record_exit(*node, at);
-                    self.left.entry(*node).or_default().push(at);
-                }
-            }
-            Fault::Stop { nodes } => {
-                for node in nodes {
-                    self.unhealthy[*node].push(Span::open(at));
-                    self.stops[*node].push(Span::open(at));
-                }
-            }
-            Fault::GoOn { nodes } => {
-                for node in nodes {
-                    close(&mut self.unhealthy[*node], at);
-                    close(&mut self.stops[*node], at);
-                }
-            }
-            Fault::Cut { from, to } => {
-                self.cuts.push(Cut {
-                    from: from.clone(),
-                    to: to.clone(),
-                    span: Span::open(at),
-                });
-            }
-            Fault::Mend { from, to } => self.record_mend(at, from, to),
+            Fault::Leave { nodes } => nodes.iter().for_each(|node| {
+                self.record_exit(*node, at);
+                self.left.entry(*node).or_default().push(at);
+            }),
+            Fault::Suspend { nodes } => nodes
+                .iter()
+                .for_each(|node| self.record_suspension(*node, at)),
+            Fault::Resume { nodes } => nodes
+                .iter()
+                .for_each(|node| self.record_resumption(*node, at)),
+            Fault::Cut { from, to } => self.record_cut(at, from, to),
+            Fault::Heal { from, to } => self.record_heal(at, from, to),
             Fault::Links {
                 loss,
                 garbled,
@@ -173,10 +161,28 @@
         self.running[node] = false;
     }
 
+    fn record_suspension(&mut self, node: usize, at: u64) {
+        self.unhealthy[node].push(Span::open(at));
+        self.suspensions[node].push(Span::open(at));
+    }
+
+    fn record_resumption(&mut self, node: usize, at: u64) {
+        close(&mut self.unhealthy[node], at);
+        close(&mut self.suspensions[node], at);
+    }
+
+    fn record_cut(&mut self, at: u64, from: &[usize], to: &[usize]) {
+        self.cuts.push(Cut {
+            from: from.to_vec(),
+            to: to.to_vec(),
+            span: Span::open(at),
+        });
+    }
+
     /// Ends the earliest open cut between exactly these nodes.
-    fn record_mend(&mut self, at: u64, from: &[usize], to: &[usize]) {
-        let mended = |cut: &&mut Cut| cut.from == from && cut.to == to && cut.span.is_open();
-        if let Some(cut) = self.cuts.iter_mut().find(mended) {
+    fn record_heal(&mut self, at: u64, from: &[usize], to: &[usize]) {
+        let is_healed = |cut: &&mut Cut| cut.from == from && cut.to == to && cut.span.is_open();
+        if let Some(cut) = self.cuts.iter_mut().find(is_healed) {
             cut.span.end = at;
         }
     }
--- a/crates/fault-harness/src/history.rs
+++ b/crates/fault-harness/src/history.rs
@@ -1,41 +1,55 @@
-//! The joint history of a run: what the rig did and what each node reported, by time. In a file, one JSON
-//! object a line.
+//! The joint history of a run: what the harness did and what each node reported, by time. In a file, one
+//! JSON object a line.
 
 use std::fmt::Write as _;
 
+use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 use crate::script::Fault;
 
-/// One event of a run.
+/// One event of a run and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// Time since the start of the run.
     pub at_ms: u64,
+    /// What happened.
     #[serde(flatten)]
-    pub what: What,
+    pub event: HistoryEvent,
 }
 
-/// What happened. Nodes are numbers; names are those of [`name`].
+/// An event of a run. Nodes are numbers; names are those of [`name`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum What {
-    /// The rig injected this fault.
-    Fault { fault: Fault },
+pub enum HistoryEvent {
+    /// The harness injected this fault.
+    Fault {
+        /// The fault.
+        fault: Fault,
+    },
     /// A process of this node began.
-    Began { node: usize },
+    Began {
+        /// The node.
+        node: usize,
+    },
     /// The process of this node ended.
-    Ended { node: usize },
+    Ended {
+        /// The node.
+        node: usize,
+    },
     /// A node reported a change of a member, or of itself where `member` is absent. Earlier builds wrote it
     /// as `news`, with `word` and `of`.
     #[serde(alias = "news")]
     MemberChange {
+        /// The reporting node.
         node: usize,
         /// As in the node's log: `alive`, `suspected`, `dead`, `left` and so on.
         #[serde(alias = "word")]
         change: String,
+        /// Name of the member that changed.
         #[serde(default, skip_serializing_if = "Option::is_none", alias = "of")]
         member: Option<String>,
+        /// Incarnation of the member, in hexadecimal.
         #[serde(default, skip_serializing_if = "Option::is_none", alias = "life")]
         incarnation: Option<String>,
         /// Number of the node's view at that time.
@@ -45,30 +59,62 @@
     },
     /// A node's answer to a query of its view.
     Status {
+        /// The node that answered.
         node: usize,
+        /// Whether it takes itself for isolated.
         #[serde(alias = "cut_off")]
         isolated: bool,
+        /// Digest of its view; equal for equal views.
         digest: String,
+        /// The members that it knows.
         members: Vec<Member>,
     },
 }
 
-/// A member in a [`What::Status`].
+/// A member in a [`HistoryEvent::Status`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
+    /// Name of the node.
     pub name: String,
+    /// Its incarnation, in hexadecimal.
     #[serde(alias = "life")]
     pub incarnation: String,
+    /// `alive`, `suspected`, `dead` or `left`.
     pub state: String,
 }
 
+impl Member {
+    /// Whether the member counts as present.
+    pub fn is_present(&self) -> bool {
+        matches!(&*self.state, "alive" | "suspected")
+    }
+}
+
 /// The history of one run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
+    /// Number of nodes.
     pub nodes: usize,
+    /// Events, by time once sorted.
     pub entries: Vec<Entry>,
 }
 
+/// A history file that cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub enum HistoryError {
+    /// The first line does not say the number of nodes.
+    #[error("line 1: the number of nodes is wanted")]
+    NodeCountMissing,
+    /// A line is no valid entry.
+    #[error("line {line}: {source}")]
+    InvalidLine {
+        /// Number of the line, from 1.
+        line: usize,
+        /// Why it can't be read.
+        source: serde_json::Error,
+    },
+}
+
 /// The present name of a change or state that earlier builds wrote in logs and histories; others unchanged.
 ///
 /// Nodes of an earlier build may run beside newer ones, and their reports are judged alike.
@@ -91,14 +137,16 @@
 impl Entry {
     /// The entry, with names of earlier builds replaced by the present ones.
     fn with_current_names(mut self) -> Entry {
-        match &mut self.what {
-            What::MemberChange { change, .. } => *change = current_name(change).to_string(),
-            What::Status { members, .. } => {
+        match &mut self.event {
+            HistoryEvent::MemberChange { change, .. } => *change = current_name(change).to_string(),
+            HistoryEvent::Status { members, .. } => {
                 for member in members {
                     member.state = current_name(&member.state).to_string();
                 }
             }
-            What::Fault { .. } | What::Began { .. } | What::Ended { .. } => {}
+            HistoryEvent::Fault { .. }
+            | HistoryEvent::Began { .. }
+            | HistoryEvent::Ended { .. } => {}
         }
         self
     }
@@ -106,8 +154,8 @@
 
 impl History {
     /// Appends an event.
-    pub fn put(&mut self, at_ms: u64, what: What) {
-        self.entries.push(Entry { at_ms, what });
+    pub fn record(&mut self, at_ms: u64, event: HistoryEvent) {
+        self.entries.push(Entry { at_ms, event });
     }
 
     /// Sorts entries, which several threads recorded, by time.
@@ -116,7 +164,7 @@
     }
 
     /// The text of a history file; its first line is the number of nodes.
-    pub fn lines(&self) -> String {
+    pub fn to_lines(&self) -> String {
         let mut text = format!("{{\"nodes\":{}}}\n", self.nodes);
         for entry in &self.entries {
             _ = writeln!(text, "{}", serde_json::to_string(entry).unwrap_or_default());
@@ -128,24 +176,20 @@
     ///
     /// # Errors
     /// The first line that can't be read, by its number.
-    pub fn parse(text: &str) -> Result<History, String> {
-        let mut lines = text.lines().enumerate();
-        let (_, first) = lines
-            .next()
-            .ok_or("line 1: the number of nodes is wanted")?;
-        let first: serde_json::Value =
-            serde_json::from_str(first).map_err(|e| format!("line 1: {e}"))?;
-        let nodes = first["nodes"]
+    pub fn parse(text: &str) -> Result<History, HistoryError> {
+        let mut lines = text.lines().zip(1..);
+        let (header, _) = lines.next().ok_or(HistoryError::NodeCountMissing)?;
+        let header: serde_json::Value = parse_line(header, 1)?;
+        let nodes = header["nodes"]
             .as_u64()
-            .ok_or("line 1: the number of nodes is wanted")? as usize;
-        let entry = |(nth, line): (usize, &str)| {
-            let entry: Entry =
-                serde_json::from_str(line).map_err(|e| format!("line {}: {e}", nth + 1))?;
-            Ok(entry.with_current_names())
-        };
-        Ok(History {
-            nodes,
-            entries: lines.map(entry).collect::<Result<_, String>>()?,
-        })
+            .ok_or(HistoryError::NodeCountMissing)? as usize;
+        let entries = lines
+            .map(|(text, line)| parse_line(text, line).map(Entry::with_current_names))
+            .collect::<Result<_, _>>()?;
+        Ok(History { nodes, entries })
     }
 }
+
+fn parse_line<T: DeserializeOwned>(text: &str, line: usize) -> Result<T, HistoryError> {
+    serde_json::from_str(text).map_err(|source| HistoryError::InvalidLine { line, source })
+}
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! A [`Script`] says which faults occur and when. It is run by [`processes::run`] on real `doortrack`
 //! processes with a relay between every pair of them, or by [`simulated::run`] in simulated time on the same
-//! decisions. Both give one [`History`]: what the rig did, and what each node reported. [`checks`] judge a
+//! decisions. Both give one [`History`]: the faults injected, and what each node reported. [`checks`] judge a
 //! history and know nothing of a node's code; [`shrink`] reduces a script that fails.
 //!
-//! Safety is judged at all times. Liveness is judged by the nodes' final views, for which the rig waits long
-//! enough that a slow machine changes no verdict.
+//! Safety is judged at all times. Liveness is judged by the nodes' final views, for which the harness waits
+//! long enough that a slow machine changes no verdict.
 
 pub mod checks;
 pub mod divided;
@@ -25,5 +25,5 @@
 pub mod traffic;
 pub mod usage;
 
-pub use history::{Entry, History, What};
-pub use script::{Fault, Script, Timed};
+pub use history::{Entry, History, HistoryEvent};
+pub use script::{Fault, Script, TimedFault};
--- a/crates/fault-harness/src/links.rs
+++ b/crates/fault-harness/src/links.rs
@@ -2,13 +2,16 @@
 
 use doortrack_simulation::{Distribution, Network};
 
-use crate::script::{Fault, Script, Timed};
+use crate::script::{Fault, Script, TimedFault};
 
 /// Microseconds in a ms.
 pub(crate) const MS: u64 = 1_000;
 
 /// The faults of a script by time. Sets a timer at the time of each, with its index as the identifier.
-pub(crate) fn schedule_faults<M: Clone>(network: &mut Network<M>, script: &Script) -> Vec<Timed> {
+pub(crate) fn schedule_faults<M: Clone>(
+    network: &mut Network<M>,
+    script: &Script,
+) -> Vec<TimedFault> {
     let faults = script.in_order();
     for (index, timed) in faults.iter().enumerate() {
         network.set_timer(timed.at_ms * MS, index as u64);
@@ -24,14 +27,14 @@
 pub(crate) fn inject<M: Clone>(network: &mut Network<M>, latency: Distribution, fault: &Fault) {
     match fault {
         Fault::Replay { nodes } => nodes.iter().for_each(|node| network.replay(*node)),
-        Fault::Stop { nodes } => nodes.iter().for_each(|node| network.suspend(*node)),
-        Fault::GoOn { nodes } => nodes.iter().for_each(|node| network.resume(*node)),
+        Fault::Suspend { nodes } => nodes.iter().for_each(|node| network.suspend(*node)),
+        Fault::Resume { nodes } => nodes.iter().for_each(|node| network.resume(*node)),
         Fault::Cut { from, to } => {
             for (from, to) in pairs(from, to) {
                 network.partition(from, to);
             }
         }
-        Fault::Mend { from, to } => {
+        Fault::Heal { from, to } => {
             for (from, to) in pairs(from, to) {
                 network.heal(from, to);
             }
--- a/crates/fault-harness/src/main.rs
+++ b/crates/fault-harness/src/main.rs
@@ -1,13 +1,16 @@
-//! `doortrack-harness`: plays scripts of faults on fleets, and judges what came of them.
+//! `doortrack-harness`: runs scripts of faults on fleets, and judges the joint history.
 
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
 use doortrack_fault_harness::checks::{Violation, judge, membership};
+use doortrack_fault_harness::history::HistoryError;
 use doortrack_fault_harness::scale::command::{self, HollowArgs, ScaleArgs};
 use doortrack_fault_harness::scale::node_cost;
 use doortrack_fault_harness::scale::simulated::command::{Options, scale_simulated};
+use doortrack_fault_harness::script::ScriptError;
 use doortrack_fault_harness::shrink::shrink;
 use doortrack_fault_harness::simulated;
 use doortrack_fault_harness::{History, Script, processes, script};
@@ -27,22 +30,10 @@
         #[arg(long, value_name = "FILE")]
         script: PathBuf,
         #[command(flatten)]
-        on: On,
+        options: RunOptions,
     },
     /// Plays scripts drawn from seeds, and tells the smallest script that still fails of the first that does
-    Seeds {
-        #[arg(long, default_value = "1")]
-        from: u64,
-        #[arg(long, default_value = "10")]
-        count: u64,
-        #[arg(long, default_value = "5")]
-        nodes: usize,
-        /// Troubles of each play
-        #[arg(long, default_value = "4")]
-        troubles: usize,
-        #[command(flatten)]
-        on: On,
-    },
+    Seeds(SeedOptions),
     /// Judges a history that was kept
     Judge {
         #[arg(value_name = "FILE")]
@@ -60,8 +51,24 @@
     Hollow(HollowArgs),
 }
 
+/// Which scripts are generated, and how they run.
+#[derive(Args)]
+struct SeedOptions {
+    #[arg(long, default_value = "1")]
+    from: u64,
+    #[arg(long, default_value = "10")]
+    count: u64,
+    #[arg(long, default_value = "5")]
+    nodes: usize,
+    /// Troubles of each play
+    #[arg(long, default_value = "4")]
+    troubles: usize,
+    #[command(flatten)]
+    options: RunOptions,
+}
+
 #[derive(Args)]
-struct On {
+struct RunOptions {
     /// In simulated time instead of on processes
     #[arg(long)]
     simulated: bool,
@@ -79,43 +86,28 @@
     history: Option<PathBuf>,
 }
 
-impl On {
-    /// The history of a play, and its violations.
-    fn play(&self, script: &Script) -> Result<(History, Vec<Violation>), String> {
-        if self.simulated {
-            let history = simulated::run(script, &simulated::Options::default()).0;
-            let violations = judge(&history, &membership());
-            return Ok((history, violations));
-        }
-        if script.nodes > script::MAX_PROCESSES {
-            return Err(format!(
-                "script.nodes: at most {} processes are played",
-                script::MAX_PROCESSES
-            ));
-        }
-        let older = self.older.as_deref();
-        let played = processes::run_with_older(&self.program, older, script, self.callers);
-        let played = played.map_err(|e| format!("{}: {e}", self.program.display()))?;
-        let mut violations = judge(&played.history, &membership());
-        let found = played.violations.into_iter();
-        violations.extend(found.map(|what| Violation {
-            rule: "the four rules",
-            at_ms: script.ms,
-            what,
-        }));
-        let served = played.served;
-        println!(
-            "{} exchanges, {} completed, {} asked of processes that were ended",
-            served.asked, served.completed, served.unanswered
-        );
-        Ok((played.history, violations))
-    }
+/// Runs to reduce a failing script, in simulated time and on processes.
+const MAX_SHRINK_RUNS_SIMULATED: usize = 200;
+const MAX_SHRINK_RUNS_PROCESSES: usize = 12;
+
+/// Why a command could not be carried out.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error("{}: {source}", path.display())]
+    Io { path: PathBuf, source: io::Error },
+    #[error(transparent)]
+    Script(#[from] ScriptError),
+    #[error(transparent)]
+    History(#[from] HistoryError),
+    /// Of the measurements of scale.
+    #[error("{0}")]
+    Scale(String),
+}
 
-    fn keep(&self, history: &History) -> Result<(), String> {
-        let Some(file) = &self.history else {
-            return Ok(());
-        };
-        std::fs::write(file, history.lines()).map_err(|e| format!("{}: {e}", file.display()))
+fn io_error(path: &Path) -> impl FnOnce(io::Error) -> CommandError {
+    move |source| CommandError::Io {
+        path: path.to_path_buf(),
+        source,
     }
 }
 
@@ -123,85 +115,132 @@
     match run(Cli::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("doortrack-harness: {why}");
+        Err(e) => {
+            eprintln!("doortrack-harness: {e}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn text(file: &Path) -> Result<String, String> {
-    std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))
+/// Carries out a command. Returns whether nothing was violated.
+fn run(command: Command) -> Result<bool, CommandError> {
+    match command {
+        Command::Schema => {
+            println!("{}", script::schema());
+            Ok(true)
+        }
+        Command::ScaleNode(options) => node_cost::run(&options).map_err(CommandError::Scale),
+        Command::Scale(args) => command::run(&args).map_err(CommandError::Scale),
+        Command::Hollow(args) => command::run_hollow(&args)
+            .map(|()| true)
+            .map_err(CommandError::Scale),
+        Command::ScaleSimulated(options) => scale_simulated(&options).map_err(CommandError::Scale),
+        Command::Judge { history } => judge_file(&history),
+        Command::Play { script, options } => run_file(&script, &options),
+        Command::Seeds(options) => run_seeds(&options),
+    }
+}
+
+fn read(path: &Path) -> Result<String, CommandError> {
+    std::fs::read_to_string(path).map_err(io_error(path))
+}
+
+fn judge_file(path: &Path) -> Result<bool, CommandError> {
+    let history = History::parse(&read(path)?)?;
+    let violations = judge(&history, &membership());
+    print_verdict(&path.display().to_string(), &history, &violations);
+    Ok(violations.is_empty())
 }
 
-/// Prints what was broken; whether nothing was.
-fn verdict(of: &str, history: &History, violations: &[Violation]) -> bool {
+fn run_file(path: &Path, options: &RunOptions) -> Result<bool, CommandError> {
+    let script = Script::parse(&read(path)?)?;
+    let (history, violations) = options.run(&script)?;
+    options.write_history(&history)?;
+    print_verdict(&path.display().to_string(), &history, &violations);
+    Ok(violations.is_empty())
+}
+
+/// Runs scripts until one fails, which is then reduced.
+fn run_seeds(seeds: &SeedOptions) -> Result<bool, CommandError> {
+    for seed in seeds.from..seeds.from + seeds.count {
+        let script = Script::seeded(seed, seeds.nodes, seeds.troubles);
+        let (history, violations) = seeds.options.run(&script)?;
+        print_verdict(&format!("seed {seed}"), &history, &violations);
+        if !violations.is_empty() {
+            seeds.options.write_history(&history)?;
+            print_smallest(&script, &seeds.options);
+            return Ok(false);
+        }
+    }
+    Ok(true)
+}
+
+fn print_smallest(script: &Script, options: &RunOptions) {
+    let max_runs = if options.simulated {
+        MAX_SHRINK_RUNS_SIMULATED
+    } else {
+        MAX_SHRINK_RUNS_PROCESSES
+    };
+    let fails = |candidate: &Script| {
+        options
+            .run(candidate)
+            .is_ok_and(|(_, violations)| !violations.is_empty())
+    };
+    let smallest = shrink(script, max_runs, fails);
+    println!("the smallest script that still fails:");
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&smallest).unwrap_or_default()
+    );
+}
+
+fn print_verdict(title: &str, history: &History, violations: &[Violation]) {
     println!(
-        "{of}: {} entries, {} broken",
+        "{title}: {} entries, {} broken",
         history.entries.len(),
         violations.len()
     );
-    violations
-        .iter()
-        .for_each(|found| println!("  {} ms: {}: {}", found.at_ms, found.rule, found.what));
-    violations.is_empty()
+    for violation in violations {
+        println!(
+            "  {} ms: {}: {}",
+            violation.at_ms, violation.rule, violation.description
+        );
+    }
 }
 
-fn run(command: Command) -> Result<bool, String> {
-    match command {
-        Command::Schema => {
-            println!("{}", script::schema());
-            Ok(true)
-        }
-        Command::ScaleNode(options) => node_cost::run(&options),
-        Command::Scale(args) => command::run(&args),
-        Command::Hollow(args) => command::run_hollow(&args).map(|()| true),
-        Command::ScaleSimulated(options) => scale_simulated(&options),
-        Command::Judge { history } => {
-            let kept = History::parse(&text(&history)?)?;
-            Ok(verdict(
-                &history.display().to_string(),
-                &kept,
-                &judge(&kept, &membership()),
-            ))
+impl RunOptions {
+    /// Runs a script. Returns its history and violations.
+    fn run(&self, script: &Script) -> Result<(History, Vec<Violation>), CommandError> {
+        if self.simulated {
+            let history = simulated::run(script, &simulated::Options::default()).0;
+            let violations = judge(&history, &membership());
+            return Ok((history, violations));
         }
-        Command::Play { script, on } => {
-            let (history, violations) = on.play(&Script::parse(&text(&script)?)?)?;
-            on.keep(&history)?;
-            Ok(verdict(
-                &script.display().to_string(),
-                &history,
-                &violations,
-            ))
+        if script.nodes > script::MAX_PROCESSES {
+            return Err(ScriptError::TooManyProcesses.into());
         }
-        Command::Seeds {
-            from,
-            count,
-            nodes,
-            troubles,
-            on,
-        } => {
-            for seed in from..from + count {
-                let script = Script::seeded(seed, nodes, troubles);
-                let (history, violations) = on.play(&script)?;
-                if verdict(&format!("seed {seed}"), &history, &violations) {
-                    continue;
-                }
-                on.keep(&history)?;
-                let plays = if on.simulated { 200 } else { 12 };
-                let fails = |tried: &Script| {
-                    on.play(tried)
-                        .is_ok_and(|(_, violations)| !violations.is_empty())
-                };
-                let least = shrink(&script, plays, fails);
-                println!("the smallest script that still fails:");
-                println!(
-                    "{}",
-                    serde_json::to_string_pretty(&least).unwrap_or_default()
-                );
-                return Ok(false);
-            }
-            Ok(true)
+        let older = self.older.as_deref();
+        let result = processes::run_with_older(&self.program, older, script, self.callers)
+            .map_err(io_error(&self.program))?;
+        let mut violations = judge(&result.history, &membership());
+        let of_rules = result.violations.into_iter();
+        violations.extend(of_rules.map(|description| Violation {
+            rule: "the four rules",
+            at_ms: script.duration_ms,
+            description,
+        }));
+        let served = result.served;
+        println!(
+            "{} exchanges, {} completed, {} asked of processes that were ended",
+            served.sent, served.completed, served.unanswered
+        );
+        Ok((result.history, violations))
+    }
+
+    fn write_history(&self, history: &History) -> Result<(), CommandError> {
+        match &self.history {
+            Some(path) => std::fs::write(path, history.to_lines()).map_err(io_error(path)),
+            None => Ok(()),
         }
     }
 }
--- a/crates/fault-harness/src/processes/faults.rs
+++ b/crates/fault-harness/src/processes/faults.rs
@@ -5,71 +5,84 @@
 use doortrack_fakes::unix_ms;
 use rustix::process::Signal;
 
-use super::{LAST_MOMENTS, More, Rig, STOP_MS};
-use crate::history::What;
+use super::lifecycle::SHUTDOWN_MS;
+use super::{ExtraSettings, Rig};
+use crate::history::HistoryEvent;
 use crate::script::{Fault, NetworkConditions};
 use crate::streams::Stream;
-use crate::traffic::Death;
+use crate::traffic::ProcessExit;
+
+/// The end of a graceful shutdown, in ms, in which a node may read no more requests.
+const UNREAD_MS: u64 = 300;
 
 impl Rig {
-    /// Injects a fault and records it.
+    /// Injects a fault and records it. `extra` gives the settings of nodes that it starts.
     ///
     /// # Errors
     /// A process can't be started.
-    pub fn take_up(&mut self, fault: &Fault, more: More) -> io::Result<()> {
-        self.put(What::Fault {
+    pub fn inject(&mut self, fault: &Fault, extra: ExtraSettings) -> io::Result<()> {
+        self.record(HistoryEvent::Fault {
             fault: fault.clone(),
         });
-        self.relay.take_up(fault);
+        self.relay.inject(fault);
         match fault {
-            Fault::Kill { nodes } => nodes.iter().for_each(|node| self.kill(*node)),
             Fault::Start { nodes, clock_ms } => {
                 for node in nodes {
-                    self.kill_leaving(*node);
-                    self.start_off(*node, *node, *clock_ms, &more(*node))?;
+                    self.kill_if_shutting_down(*node);
+                    self.start_with_clock(*node, *node, *clock_ms, &extra(*node))?;
                 }
             }
             Fault::StartOlder { nodes } => {
                 for node in nodes {
-                    self.kill_leaving(*node);
-                    self.start_older(*node, &more(*node))?;
+                    self.kill_if_shutting_down(*node);
+                    self.start_older(*node, &extra(*node))?;
                 }
             }
-            Fault::Stop { nodes } => nodes.iter().for_each(|node| {
-                self.nodes[*node].stopped = true;
-                self.nodes[*node].signal(Signal::STOP);
-            }),
-            Fault::GoOn { nodes } => nodes.iter().for_each(|node| {
-                self.nodes[*node].stopped = false;
-                self.nodes[*node].signal(Signal::CONT);
-            }),
-            Fault::Leave { nodes } => nodes.iter().for_each(|node| {
-                self.nodes[*node].signal(Signal::TERM);
-                // A request in its last moments may arrive and not be read before the exit.
-                let gone = unix_ms() + STOP_MS - LAST_MOMENTS;
-                self.deaths.push(Death {
-                    front: self.door(*node),
-                    at: gone,
-                    owed_before: gone,
-                });
-            }),
+            Fault::Kill { nodes } => nodes.iter().for_each(|node| self.kill(*node)),
+            Fault::Suspend { nodes } => nodes.iter().for_each(|node| self.suspend(*node)),
+            Fault::Resume { nodes } => nodes.iter().for_each(|node| self.resume(*node)),
+            Fault::Leave { nodes } => nodes.iter().for_each(|node| self.shut_down(*node)),
             Fault::Server { nodes, conditions } => {
-                set_conditions(&self.streams, nodes, *conditions)
+                set_conditions(&self.server_proxies, nodes, *conditions);
             }
-            Fault::Callers { nodes, conditions } => set_conditions(&self.doors, nodes, *conditions),
+            Fault::Callers { nodes, conditions } => {
+                set_conditions(&self.caller_proxies, nodes, *conditions);
+            }
+            // The relay's.
             Fault::Cut { .. }
-            | Fault::Mend { .. }
+            | Fault::Heal { .. }
             | Fault::Links { .. }
             | Fault::Throttle { .. }
             | Fault::Replay { .. } => {}
         }
         Ok(())
     }
+
+    fn suspend(&mut self, node: usize) {
+        self.nodes[node].is_suspended = true;
+        self.nodes[node].signal(Signal::STOP);
+    }
+
+    fn resume(&mut self, node: usize) {
+        self.nodes[node].is_suspended = false;
+        self.nodes[node].signal(Signal::CONT);
+    }
+
+    fn shut_down(&mut self, node: usize) {
+        self.nodes[node].signal(Signal::TERM);
+        // A request that arrives in the last moments may not be read before the exit.
+        let last_read = unix_ms() + SHUTDOWN_MS - UNREAD_MS;
+        self.exits.push(ProcessExit {
+            listener: self.caller_address(node),
+            at: last_read,
+            answers_due_before: last_read,
+        });
+    }
 }
 
-fn set_conditions(streams: &[Stream], nodes: &[usize], conditions: NetworkConditions) {
+fn set_conditions(proxies: &[Stream], nodes: &[usize], conditions: NetworkConditions) {
     nodes
         .iter()
-        .filter_map(|node| streams.get(*node))
-        .for_each(|stream| stream.change(conditions));
+        .filter_map(|node| proxies.get(*node))
+        .for_each(|proxy| proxy.set_conditions(conditions));
 }
--- /dev/null
+++ b/crates/fault-harness/src/processes/log.rs
@@ -0,0 +1,53 @@
+//! Reads the log of a process.
+
+use std::io::{BufRead, BufReader, Read};
+use std::sync::{Mutex, PoisonError};
+use std::time::Instant;
+
+use serde_json::Value;
+
+use crate::history::{History, HistoryEvent, current_name};
+
+/// Message of the line that reports a member change.
+const MEMBER_MESSAGE: &str = "member";
+
+/// Records the member changes that a process logs in the history, until its output ends.
+pub(super) fn record_member_changes(
+    node: usize,
+    output: impl Read,
+    history: &Mutex<History>,
+    began: Instant,
+) {
+    for line in BufReader::new(output).lines().map_while(Result::ok) {
+        if let Some(event) = member_change(node, &line) {
+            let at_ms = began.elapsed().as_millis() as u64;
+            history
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .record(at_ms, event);
+        }
+    }
+}
+
+/// The member change that a line of JSON reports, also one of an earlier build.
+fn member_change(node: usize, line: &str) -> Option<HistoryEvent> {
+    let line: Value = serde_json::from_str(line).ok()?;
+    if line["msg"] != MEMBER_MESSAGE {
+        return None;
+    }
+    // The key of today's builds, then those of earlier ones.
+    let text = |keys: &[&str]| {
+        let value = keys.iter().find_map(|key| line[*key].as_str());
+        value.map(str::to_string)
+    };
+    let number = |key: &str| line[key].as_u64().unwrap_or_default();
+    Some(HistoryEvent::MemberChange {
+        node,
+        change: text(&["change", "what"])
+            .map_or(String::new(), |change| current_name(&change).to_string()),
+        member: text(&["member", "of"]),
+        incarnation: text(&["incarnation", "life"]),
+        view: number("view"),
+        members: number("members") as usize,
+    })
+}
--- a/crates/fault-harness/src/processes/querying.rs
+++ b/crates/fault-harness/src/processes/querying.rs
@@ -4,8 +4,8 @@
 
 use doortrack_node::commands::fleet::ask;
 
-use super::{KEY_BYTE, Rig};
-use crate::history::{Member, What};
+use super::{KEY_BYTE, KEY_BYTES, Rig};
+use crate::history::{HistoryEvent, Member};
 
 /// How long nodes have to reach an expected state. Generous, so that a slow machine changes no verdict.
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -13,21 +13,20 @@
 const QUERY_INTERVAL: Duration = Duration::from_millis(50);
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Members that a status counts as present.
-fn present(status: &What) -> usize {
+/// Number of members that are present in a status.
+fn present_count(status: &HistoryEvent) -> usize {
     match status {
-        What::Status { members, .. } => members
-            .iter()
-            .filter(|member| matches!(&*member.state, "alive" | "suspected"))
-            .count(),
+        HistoryEvent::Status { members, .. } => {
+            members.iter().filter(|member| member.is_present()).count()
+        }
         _ => 0,
     }
 }
 
 impl Rig {
     /// A node's view of its fleet; `None` if it does not answer.
-    pub fn status(&self, node: usize) -> Option<What> {
-        let answer = ask(self.fleet(node), Some([KEY_BYTE; 32])).ok()?;
+    pub fn status(&self, node: usize) -> Option<HistoryEvent> {
+        let answer = ask(self.fleet_address(node), Some([KEY_BYTE; KEY_BYTES])).ok()?;
         let members = answer.members.iter().map(|member| Member {
             name: member.name.to_string(),
             incarnation: member.incarnation.to_string(),
@@ -36,7 +35,7 @@
                 .and_then(|state| state.as_str().map(str::to_string))
                 .unwrap_or_default(),
         });
-        Some(What::Status {
+        Some(HistoryEvent::Status {
             node,
             isolated: answer.first.isolated,
             digest: format!("{:016x}", answer.first.digest),
@@ -48,7 +47,7 @@
     pub fn wait_for(&self, node: usize, accepts: impl Fn(&[Member]) -> bool) -> bool {
         let until = Instant::now() + TIMEOUT;
         while Instant::now() < until {
-            if let Some(What::Status { members, .. }) = self.status(node)
+            if let Some(HistoryEvent::Status { members, .. }) = self.status(node)
                 && accepts(&members)
             {
                 return true;
@@ -63,25 +62,25 @@
     pub fn query_until_agreed(&mut self, expected: usize) {
         let until = Instant::now() + TIMEOUT;
         loop {
-            let statuses: Vec<What> = self
+            let statuses: Vec<HistoryEvent> = self
                 .running()
                 .filter_map(|node| self.status(node))
                 .collect();
             let agreed = statuses
                 .iter()
-                .filter(|status| present(status) == expected)
+                .filter(|status| present_count(status) == expected)
                 .count()
                 >= expected;
             if agreed || Instant::now() > until {
-                return statuses.into_iter().for_each(|status| self.put(status));
+                return statuses.into_iter().for_each(|status| self.record(status));
             }
             std::thread::sleep(ROUND_INTERVAL);
         }
     }
 
-    /// Nodes whose process runs and is not stopped by a signal.
+    /// Nodes whose process runs and is not suspended.
     fn running(&self) -> impl Iterator<Item = usize> {
         (0..self.nodes.len())
-            .filter(|node| self.nodes[*node].process.is_some() && !self.nodes[*node].stopped)
+            .filter(|node| self.nodes[*node].process.is_some() && !self.nodes[*node].is_suspended)
     }
 }
--- a/crates/fault-harness/src/processes/run.rs
+++ b/crates/fault-harness/src/processes/run.rs
@@ -7,7 +7,7 @@
 
 use super::{Rig, RunResult};
 use crate::script::{Fault, Script};
-use crate::traffic::{Behind, Traffic};
+use crate::traffic::{Backend, Traffic};
 
 /// Runs a script while `callers` send requests to the nodes and one server does their work.
 ///
@@ -27,47 +27,49 @@
     script: &Script,
     callers: usize,
 ) -> io::Result<RunResult> {
-    let server = Behind::start();
+    let backend = Backend::start();
     let mut rig = Rig::new(program, script.nodes, script.seed)?;
     rig.older = older.map(Path::to_path_buf);
-    if script
+    let has_caller_faults = script
         .faults
         .iter()
-        .any(|timed| matches!(timed.fault, Fault::Callers { .. }))
-    {
-        rig.open_doors()?;
+        .any(|timed| matches!(timed.fault, Fault::Callers { .. }));
+    if has_caller_faults {
+        rig.open_caller_proxies()?;
     }
-    let installations = rig.behind(&server)?;
-    let more = &|node: usize| installations[node].clone();
-    rig.begin();
+    let installations = rig.connect_backend(&backend)?;
+    let extra = &|node: usize| installations[node].clone();
+    rig.start_clock();
     for node in 0..script.nodes {
-        rig.start(node, node, &more(node))?;
+        rig.start(node, node, &extra(node))?;
     }
-    let addresses: Vec<SocketAddr> = (0..script.nodes).map(|node| rig.door(node)).collect();
+    let addresses: Vec<SocketAddr> = (0..script.nodes)
+        .map(|node| rig.caller_address(node))
+        .collect();
     let traffic = Traffic::start(callers, &addresses, script.seed);
     let mut running = vec![true; script.nodes];
     for timed in script.in_order() {
         sleep_until(&rig, timed.at_ms);
-        rig.take_up(&timed.fault, more)?;
-        note_running(&mut running, &timed.fault);
+        rig.inject(&timed.fault, extra)?;
+        update_running(&mut running, &timed.fault);
     }
-    sleep_until(&rig, script.ms);
-    rig.query_until_agreed(running.iter().filter(|runs| **runs).count());
-    Ok(rig.finish_with(Some((traffic, &server))))
+    sleep_until(&rig, script.duration_ms);
+    rig.query_until_agreed(running.iter().filter(|is_running| **is_running).count());
+    Ok(rig.finish_with(Some((traffic, &backend))))
 }
 
 fn sleep_until(rig: &Rig, at_ms: u64) {
     std::thread::sleep(Duration::from_millis(at_ms.saturating_sub(rig.now_ms())));
 }
 
-/// Notes which nodes are expected to run after a fault.
-fn note_running(running: &mut [bool], fault: &Fault) {
-    let runs = match fault {
+/// Updates which nodes are expected to run after a fault.
+fn update_running(running: &mut [bool], fault: &Fault) {
+    let is_running = match fault {
         Fault::Kill { .. } | Fault::Leave { .. } => false,
         Fault::Start { .. } | Fault::StartOlder { .. } => true,
         _ => return,
     };
     for node in fault.nodes() {
-        running[node] = runs;
+        running[node] = is_running;
     }
 }
--- a/crates/fault-harness/src/relay.rs
+++ b/crates/fault-harness/src/relay.rs
@@ -131,7 +131,7 @@
     }
 
     /// Injects a fault, if it is one of links between nodes.
-    pub fn take_up(&self, fault: &Fault) {
+    pub fn inject(&self, fault: &Fault) {
         let mut rules = self.rules.lock().unwrap_or_else(PoisonError::into_inner);
         match fault {
             Fault::Cut { from, to } => {
@@ -139,7 +139,7 @@
                     *rules.cuts.entry(pair).or_default() += 1;
                 }
             }
-            Fault::Mend { from, to } => {
+            Fault::Heal { from, to } => {
                 for pair in pairs(from, to) {
                     let left = rules
                         .cuts
--- a/crates/fault-harness/src/scale/faults.rs
+++ b/crates/fault-harness/src/scale/faults.rs
@@ -17,7 +17,7 @@
 use super::protocol::{HollowCommand, Loss};
 use super::settle::settle;
 use super::sweep::{PlayTerms, Size};
-use crate::traffic::{Behind, Death, Traffic};
+use crate::traffic::{Backend, ProcessExit, Traffic};
 
 /// Single nodes that die; every fifth is a real one, and the middle one is the leader.
 const KILLS: usize = 15;
@@ -40,7 +40,7 @@
     parted: BTreeSet<usize>,
     outages: Vec<Outage>,
     events: Vec<FaultEvent>,
-    deaths: Vec<Death>,
+    deaths: Vec<ProcessExit>,
     losses: Vec<Loss>,
     /// Hollow nodes that nothing has happened to yet: one that comes back twice is held back by design.
     fresh: std::ops::Range<usize>,
@@ -58,8 +58,8 @@
     progress: &ProgressBar,
 ) -> Result<FaultReport, ScaleError> {
     let ports = Ports::hold()?;
-    let behind = Behind::start();
-    let servers = behind.installation(behind.at())["servers"].clone();
+    let behind = Backend::start();
+    let servers = behind.installation(behind.address())["servers"].clone();
     let plan = terms.plan(size, &ports);
     let fresh = plan.hollow_nodes();
     let fleet = RunningFleet::start(&terms.programs, plan, &servers, |_| true)?;
@@ -88,7 +88,7 @@
         losses: play.losses.len(),
         wrongly_lost,
         never_killed,
-        asked: served.asked,
+        asked: served.sent,
         completed: served.completed,
         unanswered_by_killed: served.unanswered,
         broken_rules,
@@ -222,10 +222,10 @@
         let real = self.fleet.plan.real_nodes();
         for node in nodes.iter().filter(|node| real.contains(node)) {
             let front = self.fleet.plan.front_address(*node);
-            self.deaths.push(Death {
-                front,
+            self.deaths.push(ProcessExit {
+                listener: front,
                 at: from_unix_ms,
-                owed_before: 0,
+                answers_due_before: 0,
             });
             self.fleet.kill_real(*node);
         }
--- a/crates/fault-harness/src/scale/simulated/scenario.rs
+++ b/crates/fault-harness/src/scale/simulated/scenario.rs
@@ -240,7 +240,7 @@
                 from: from.clone(),
                 to: to.clone(),
             });
-            let mend = Incident::Fault(Fault::Mend { from, to });
+            let mend = Incident::Fault(Fault::Heal { from, to });
             let watch = |watch: Watch| Some(watch).filter(|_| nth == 1);
             steps.list.push(Step {
                 at_ms: parting.from_ms,
--- a/crates/fault-harness/src/scale/simulated/verdict.rs
+++ b/crates/fault-harness/src/scale/simulated/verdict.rs
@@ -9,7 +9,7 @@
 use super::world::{Played, Watched, play};
 use crate::checks::{Invariant, judge, membership};
 use crate::ground_truth::GroundTruth;
-use crate::history::{History, What, name};
+use crate::history::{History, HistoryEvent, name};
 use crate::scale::series::Role;
 
 const MS: Micros = 1_000;
@@ -206,7 +206,12 @@
     let found = judge(&played.history, &rules);
     let mut breaches: Vec<String> = found
         .into_iter()
-        .map(|breach| format!("{} ms: {}: {}", breach.at_ms, breach.rule, breach.what))
+        .map(|breach| {
+            format!(
+                "{} ms: {}: {}",
+                breach.at_ms, breach.rule, breach.description
+            )
+        })
         .collect();
     breaches.extend(
         played
@@ -299,12 +304,12 @@
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let mut breaches = Vec::new();
         for entry in &history.entries {
-            let What::MemberChange {
+            let HistoryEvent::MemberChange {
                 node,
                 change,
                 member: Some(member),
                 ..
-            } = &entry.what
+            } = &entry.event
             else {
                 continue;
             };
--- a/crates/fault-harness/src/scale/simulated/world.rs
+++ b/crates/fault-harness/src/scale/simulated/world.rs
@@ -11,7 +11,7 @@
 use super::topology::Topology;
 use super::traffic::Traffic;
 use super::usage::Usage;
-use crate::history::{History, Member, What};
+use crate::history::{History, HistoryEvent, Member};
 use crate::links;
 use crate::script::Fault;
 
@@ -182,7 +182,7 @@
         let at_ms = self.now_ms();
         self.played
             .history
-            .put(at_ms, What::Began { node: machine });
+            .record(at_ms, HistoryEvent::Began { node: machine });
         let shown = self.network.clock_reading(machine);
         let started = Machine::new(Start {
             machine,
@@ -315,9 +315,9 @@
 
     fn fault(&mut self, fault: Fault) {
         let at_ms = self.now_ms();
-        self.played.history.put(
+        self.played.history.record(
             at_ms,
-            What::Fault {
+            HistoryEvent::Fault {
                 fault: fault.clone(),
             },
         );
@@ -352,7 +352,7 @@
         self.played.agreement.put(now, machine, None);
         self.played
             .history
-            .put(at_ms, What::Ended { node: machine });
+            .record(at_ms, HistoryEvent::Ended { node: machine });
     }
 
     fn leave(&mut self, machine: MachineId) {
@@ -381,9 +381,9 @@
             format!("{:016x}", own.fleet.view().digest),
         );
         let at_ms = self.now_ms();
-        self.played.history.put(
+        self.played.history.record(
             at_ms,
-            What::Status {
+            HistoryEvent::Status {
                 node: machine,
                 isolated,
                 digest,
--- a/crates/fault-harness/src/scale/simulated/world/carrying.rs
+++ b/crates/fault-harness/src/scale/simulated/world/carrying.rs
@@ -5,7 +5,7 @@
 use doortrack_simulation::MachineId;
 
 use super::{QUIET, World};
-use crate::history::What;
+use crate::history::HistoryEvent;
 use crate::scale::simulated::machine::{Content, Machine, Parcel, machine_at};
 
 impl World<'_> {
@@ -80,7 +80,7 @@
             return;
         }
         let (about, view) = (change.member(), own.fleet.view());
-        let what = What::MemberChange {
+        let what = HistoryEvent::MemberChange {
             node: machine,
             change: change.name().to_string(),
             member: about.map(|(name, _)| name.to_string()),
@@ -89,6 +89,6 @@
             members: view.members.len(),
         };
         let at_ms = self.now_ms();
-        self.played.history.put(at_ms, what);
+        self.played.history.record(at_ms, what);
     }
 }
--- a/crates/fault-harness/src/scale/sweep.rs
+++ b/crates/fault-harness/src/scale/sweep.rs
@@ -14,7 +14,7 @@
 use super::series::{Dimension, Point, Series};
 use super::serving::RealNode;
 use super::settle::{SettleTerms, Settled, settle};
-use crate::traffic::{Behind, Served, Traffic};
+use crate::traffic::{Backend, Traffic, TrafficCounts};
 
 /// A node writes its counters to the log so often; a little more is waited.
 const SUMMARY_EVERY: Duration = Duration::from_millis(10_500);
@@ -96,8 +96,8 @@
     progress: &ProgressBar,
 ) -> Result<PlayReport, ScaleError> {
     let ports = Ports::hold()?;
-    let behind = Behind::start();
-    let servers = behind.installation(behind.at())["servers"].clone();
+    let behind = Backend::start();
+    let servers = behind.installation(behind.address())["servers"].clone();
     let plan = terms.plan(size, &ports);
     let label = format!("{} nodes, {} budgets", size.nodes, size.budgets);
     progress.set_message(format!("{label}: start"));
@@ -197,7 +197,7 @@
     size: Size,
     agreed: Option<Duration>,
     measured: Measured,
-    served: Served,
+    served: TrafficCounts,
     broken_rules: Vec<String>,
 ) -> PlayReport {
     PlayReport {
@@ -212,7 +212,7 @@
         declared_dead: measured.declared_dead,
         unsent: measured.unsent,
         refused: measured.refused,
-        asked: served.asked,
+        asked: served.sent,
         completed: served.completed,
         broken_rules,
         figures: measured.figures,
--- a/crates/fault-harness/src/script.rs
+++ b/crates/fault-harness/src/script.rs
@@ -5,8 +5,9 @@
 use schemars::{JsonSchema, schema_for};
 use serde::{Deserialize, Serialize};
 
-/// Bounds of the nodes of a run on real processes, and in simulated time.
+/// Bound of the nodes of a run on real processes.
 pub const MAX_PROCESSES: usize = 50;
+/// Bound of the nodes of a run in simulated time.
 pub const MAX_SIMULATED: usize = 5_000;
 /// Bound of a script's faults.
 const MAX_FAULTS: usize = 10_000;
@@ -20,21 +21,24 @@
     pub nodes: usize,
     /// Duration of the run in ms, after which the nodes are queried for their final views.
     #[schemars(range(max = 86_400_000))]
-    pub ms: u64,
+    #[serde(rename = "ms")]
+    pub duration_ms: u64,
     /// Seed of everything random.
     #[serde(default)]
     pub seed: u64,
     /// In any order.
     #[serde(default)]
-    pub faults: Vec<Timed>,
+    pub faults: Vec<TimedFault>,
 }
 
 /// One fault at its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-pub struct Timed {
+#[schemars(rename = "Timed")]
+pub struct TimedFault {
     /// Time since the start of the run, in ms.
     pub at_ms: u64,
     #[serde(flatten)]
+    #[allow(missing_docs, reason = "a doc comment would be printed in the schema")]
     pub fault: Fault,
 }
 
@@ -55,6 +59,10 @@
 /// A fault that the rig injects. Nodes are named by their numbers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "do", rename_all = "snake_case")]
+#[allow(
+    missing_docs,
+    reason = "doc comments of these fields would be printed in the schema, which stays as it is"
+)]
 pub enum Fault {
     /// SIGKILL.
     Kill { nodes: Vec<usize> },
@@ -65,15 +73,18 @@
         clock_ms: i64,
     },
     /// SIGSTOP.
-    Stop { nodes: Vec<usize> },
+    #[serde(rename = "stop")]
+    Suspend { nodes: Vec<usize> },
     /// SIGCONT.
-    GoOn { nodes: Vec<usize> },
+    #[serde(rename = "go_on")]
+    Resume { nodes: Vec<usize> },
     /// SIGTERM.
     Leave { nodes: Vec<usize> },
     /// Nothing that the nodes `from` send reaches the nodes `to`. Cuts of one link are counted.
     Cut { from: Vec<usize>, to: Vec<usize> },
     /// Ends one such cut of each link.
-    Mend { from: Vec<usize>, to: Vec<usize> },
+    #[serde(rename = "mend")]
+    Heal { from: Vec<usize>, to: Vec<usize> },
     /// The last datagrams that reached these nodes, of any incarnation, are delivered again.
     Replay { nodes: Vec<usize> },
     /// As `start`, of the older build that was given to the rig.
@@ -109,6 +120,40 @@
     },
 }
 
+/// A script that cannot be run. Each message starts with the path of the key.
+#[derive(Debug, thiserror::Error)]
+pub enum ScriptError {
+    /// The text is no JSON of a script.
+    #[error("script.{}: {}", .0.path(), .0.inner())]
+    Syntax(#[from] serde_path_to_error::Error<serde_json::Error>),
+    /// The number of nodes is out of range.
+    #[error("script.nodes: 1 to {MAX_SIMULATED} are wanted, found {found}")]
+    NodeCount {
+        /// The number found.
+        found: usize,
+    },
+    /// Too many nodes for a run on processes.
+    #[error("script.nodes: at most {MAX_PROCESSES} processes are played")]
+    TooManyProcesses,
+    /// There are more faults than a script may have.
+    #[error("script.faults: at most {MAX_FAULTS} are wanted")]
+    TooManyFaults,
+    /// A fault names a node that there is not.
+    #[error("script.faults[{index}]: there is no node {node}")]
+    UnknownNode {
+        /// Index of the fault.
+        index: usize,
+        /// The node named.
+        node: usize,
+    },
+    /// A probability of a fault is out of range.
+    #[error("script.faults[{index}]: shares from 0 to 1 are wanted")]
+    Probability {
+        /// Index of the fault.
+        index: usize,
+    },
+}
+
 impl Fault {
     /// The nodes that the fault names.
     pub fn nodes(&self) -> Vec<usize> {
@@ -119,13 +164,29 @@
             | Fault::Replay { nodes }
             | Fault::Server { nodes, .. }
             | Fault::Callers { nodes, .. }
-            | Fault::Stop { nodes }
-            | Fault::GoOn { nodes }
+            | Fault::Suspend { nodes }
+            | Fault::Resume { nodes }
             | Fault::Leave { nodes } => nodes.clone(),
-            Fault::Cut { from, to } | Fault::Mend { from, to } => [&from[..], to].concat(),
+            Fault::Cut { from, to } | Fault::Heal { from, to } => [&from[..], to].concat(),
             Fault::Links { .. } | Fault::Throttle { .. } => Vec::new(),
         }
     }
+
+    /// The probabilities among its parameters.
+    fn probabilities(&self) -> Vec<f64> {
+        match self {
+            Fault::Links {
+                loss,
+                doubled,
+                garbled,
+                ..
+            } => vec![*loss, *doubled, *garbled],
+            Fault::Server { conditions, .. } | Fault::Callers { conditions, .. } => {
+                vec![conditions.broken]
+            }
+            _ => Vec::new(),
+        }
+    }
 }
 
 impl Script {
@@ -133,55 +194,35 @@
     ///
     /// # Errors
     /// The first error, with the path of its key.
-    pub fn parse(text: &str) -> Result<Script, String> {
+    pub fn parse(text: &str) -> Result<Script, ScriptError> {
         let reader = &mut serde_json::Deserializer::from_str(text);
-        let script: Script = serde_path_to_error::deserialize(reader)
-            .map_err(|e| format!("script.{}: {}", e.path(), e.inner()))?;
-        script.check()?;
+        let script: Script = serde_path_to_error::deserialize(reader)?;
+        script.validate()?;
         Ok(script)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), ScriptError> {
         if !(1..=MAX_SIMULATED).contains(&self.nodes) {
-            return Err(format!(
-                "script.nodes: 1 to {MAX_SIMULATED} are wanted, found {}",
-                self.nodes
-            ));
+            return Err(ScriptError::NodeCount { found: self.nodes });
         }
         if self.faults.len() > MAX_FAULTS {
-            return Err(format!("script.faults: at most {MAX_FAULTS} are wanted"));
+            return Err(ScriptError::TooManyFaults);
         }
         for (index, timed) in self.faults.iter().enumerate() {
-            let at = |what: String| Err(format!("script.faults[{index}]: {what}"));
-            if let Some(node) = timed
-                .fault
-                .nodes()
-                .into_iter()
-                .find(|node| *node >= self.nodes)
-            {
-                return at(format!("there is no node {node}"));
+            let nodes = timed.fault.nodes();
+            if let Some(node) = nodes.into_iter().find(|node| *node >= self.nodes) {
+                return Err(ScriptError::UnknownNode { index, node });
             }
-            let shares = match timed.fault {
-                Fault::Links {
-                    loss,
-                    doubled,
-                    garbled,
-                    ..
-                } => vec![loss, doubled, garbled],
-                Fault::Server { conditions, .. } | Fault::Callers { conditions, .. } => {
-                    vec![conditions.broken]
-                }
-                _ => Vec::new(),
-            };
-            if shares.iter().any(|share| !(0.0..=1.0).contains(share)) {
-                return at("shares from 0 to 1 are wanted".into());
+            let mut probabilities = timed.fault.probabilities().into_iter();
+            if probabilities.any(|probability| !(0.0..=1.0).contains(&probability)) {
+                return Err(ScriptError::Probability { index });
             }
         }
         Ok(())
     }
 
     /// The faults by time; those of one time in the script's order.
-    pub fn in_order(&self) -> Vec<Timed> {
+    pub fn in_order(&self) -> Vec<TimedFault> {
         let mut faults = self.faults.clone();
         faults.sort_by_key(|timed| timed.at_ms);
         faults
--- a/crates/fault-harness/src/script/seeded.rs
+++ b/crates/fault-harness/src/script/seeded.rs
@@ -2,7 +2,7 @@
 
 use fastrand::Rng;
 
-use super::{Fault, NetworkConditions, Script, Timed};
+use super::{Fault, NetworkConditions, Script, TimedFault};
 
 /// Time before the first trouble, and after the last, in ms.
 const FIRST_AT: u64 = 3_000;
@@ -15,7 +15,7 @@
 /// The faults generated so far.
 struct Generator {
     random: Rng,
-    faults: Vec<Timed>,
+    faults: Vec<TimedFault>,
 }
 
 /// When a trouble begins and ends, in ms, and the nodes it concerns.
@@ -43,7 +43,7 @@
         }
         Script {
             nodes,
-            ms: at + CALM_AT_END,
+            duration_ms: at + CALM_AT_END,
             seed,
             faults: generator.faults,
         }
@@ -52,7 +52,7 @@
 
 impl Generator {
     fn put(&mut self, at_ms: u64, fault: Fault) {
-        self.faults.push(Timed { at_ms, fault });
+        self.faults.push(TimedFault { at_ms, fault });
     }
 
     /// Up to half of the nodes, and the others.
@@ -104,8 +104,8 @@
             start, end, few, ..
         }: Trouble,
     ) {
-        self.put(start, Fault::Stop { nodes: few.clone() });
-        self.put(end, Fault::GoOn { nodes: few });
+        self.put(start, Fault::Suspend { nodes: few.clone() });
+        self.put(end, Fault::Resume { nodes: few });
     }
 
     fn partition(
@@ -133,14 +133,14 @@
         );
         self.put(
             end,
-            Fault::Mend {
+            Fault::Heal {
                 from: few.clone(),
                 to: rest.clone(),
             },
         );
         self.put(
             end,
-            Fault::Mend {
+            Fault::Heal {
                 from: rest,
                 to: few,
             },
@@ -165,7 +165,7 @@
         );
         self.put(
             end,
-            Fault::Mend {
+            Fault::Heal {
                 from: few,
                 to: rest,
             },
--- a/crates/fault-harness/src/simulated.rs
+++ b/crates/fault-harness/src/simulated.rs
@@ -14,7 +14,7 @@
     Distribution, LinkModel, MachineClock, MachineId, Micros, Network, NetworkEvent,
 };
 
-use crate::history::{History, Member, What, name};
+use crate::history::{History, HistoryEvent, Member, name};
 use crate::links::{self, MS};
 use crate::script::{Fault, Script};
 
@@ -155,7 +155,7 @@
     fn run(&mut self, script: &Script) {
         let faults = links::schedule_faults(&mut self.network, script);
         (0..script.nodes).for_each(|node| self.start(node));
-        while let Some(next) = self.network.next_event(script.ms * MS) {
+        while let Some(next) = self.network.next_event(script.duration_ms * MS) {
             match next {
                 NetworkEvent::Timer(index) => self.inject(faults[index as usize].fault.clone()),
                 NetworkEvent::Woken { machine: node } => self.handle(node, Event::Tick),
@@ -172,7 +172,7 @@
         let step = script.nodes.div_ceil(MAX_QUERIED).max(1);
         (0..script.nodes)
             .step_by(step)
-            .for_each(|node| self.record_status(node, script.ms));
+            .for_each(|node| self.record_status(node, script.duration_ms));
     }
 
     fn now_ms(&self) -> u64 {
@@ -185,7 +185,7 @@
         }
         self.network.start(node);
         let at_ms = self.now_ms();
-        self.history.put(at_ms, What::Began { node });
+        self.history.record(at_ms, HistoryEvent::Began { node });
         let shown = self.network.clock_reading(node);
         let me = MemberUpdate {
             name: name(node).into(),
@@ -252,7 +252,7 @@
             return;
         }
         let (member, view) = (change.member(), fleet.view());
-        let what = What::MemberChange {
+        let what = HistoryEvent::MemberChange {
             node,
             change: change.name().to_string(),
             member: member.map(|(name, _)| name.to_string()),
@@ -260,14 +260,14 @@
             view: view.number,
             members: view.members.len(),
         };
-        self.history.put(at_ms, what);
+        self.history.record(at_ms, what);
     }
 
     fn inject(&mut self, fault: Fault) {
         let at_ms = self.now_ms();
-        self.history.put(
+        self.history.record(
             at_ms,
-            What::Fault {
+            HistoryEvent::Fault {
                 fault: fault.clone(),
             },
         );
@@ -281,7 +281,7 @@
                 {
                     self.network.kill(node);
                     self.fleets[node] = None;
-                    self.history.put(at_ms, What::Ended { node });
+                    self.history.record(at_ms, HistoryEvent::Ended { node });
                 }
             }
             Fault::Start { nodes, clock_ms } => self.start_all(nodes, clock_ms),
@@ -302,7 +302,7 @@
                 .is_some_and(|fleet| fleet.me().state == MemberState::Left)
             {
                 self.network.kill(node);
-                self.history.put(at_ms, What::Ended { node });
+                self.history.record(at_ms, HistoryEvent::Ended { node });
             }
             if self.network.is_down(node) {
                 let clock = MachineClock {
@@ -336,9 +336,9 @@
         };
         let members = reports.into_iter().map(member).collect();
         let (isolated, digest) = (fleet.is_isolated(), format!("{:016x}", fleet.view().digest));
-        self.history.put(
+        self.history.record(
             at_ms,
-            What::Status {
+            HistoryEvent::Status {
                 node,
                 isolated,
                 digest,
--- a/crates/fault-harness/src/streams.rs
+++ b/crates/fault-harness/src/streams.rs
@@ -86,7 +86,7 @@
     }
 
     /// Replaces the conditions of all connections, also of open ones.
-    pub fn change(&self, conditions: NetworkConditions) {
+    pub fn set_conditions(&self, conditions: NetworkConditions) {
         *self
             .conditions
             .lock()
--- /dev/null
+++ b/crates/fault-harness/src/traffic/caller.rs
@@ -0,0 +1,108 @@
+//! One caller.
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::rules::Tried;
+use doortrack_fakes::unix_ms;
+use doortrack_protocols::Protocol;
+
+use super::CallerRecords;
+
+/// Pause after each request, so that callers leave the machine to the nodes.
+const PAUSE: Duration = Duration::from_millis(40);
+/// Listeners to which a request is sent, until it may have run.
+const MAX_LISTENERS: usize = 2;
+/// Attempts of one caller are numbered from its index shifted by this, so that no two callers share one.
+const ATTEMPT_CALLER_SHIFT: u32 = 32;
+
+/// A caller, which sends to one node after the other. A request that is rejected or finds no listener is sent
+/// once more, to the next node, under the same idempotency key.
+pub(super) struct Caller {
+    last_attempt: u64,
+    random: fastrand::Rng,
+    listeners: Vec<SocketAddr>,
+    /// Named in each request, where the nodes know tenants.
+    tenant: Option<&'static str>,
+    /// Requests, each with the listener.
+    requests: Vec<(SocketAddr, Tried)>,
+    refused: Vec<(SocketAddr, u64)>,
+}
+
+impl Caller {
+    pub(super) fn new(
+        index: u64,
+        seed: u64,
+        listeners: &[SocketAddr],
+        tenant: Option<&'static str>,
+    ) -> Caller {
+        Caller {
+            last_attempt: (index + 1) << ATTEMPT_CALLER_SHIFT,
+            random: fastrand::Rng::with_seed(seed ^ (index << 7)),
+            listeners: listeners.to_vec(),
+            tenant,
+            requests: Vec::new(),
+            refused: Vec::new(),
+        }
+    }
+
+    /// Sends requests until `is_over`.
+    pub(super) fn run(mut self, is_over: &AtomicBool) -> Caller {
+        while !is_over.load(Ordering::Relaxed) {
+            let key = self
+                .random
+                .bool()
+                .then(|| format!("{:032x}", self.random.u128(..)));
+            let first = self.random.usize(..self.listeners.len());
+            for offset in 0..MAX_LISTENERS.min(self.listeners.len()) {
+                let listener = self.listeners[(first + offset) % self.listeners.len()];
+                match self.send(listener, key.as_deref()) {
+                    None | Some(Seen::Rejected { .. }) => {}
+                    // It may have run, and nodes share no idempotency keys.
+                    Some(_) => break,
+                }
+            }
+            std::thread::sleep(PAUSE);
+        }
+        self
+    }
+
+    /// Sends one request. Returns its end, or `None` without a connection.
+    fn send(&mut self, listener: SocketAddr, key: Option<&str>) -> Option<Seen> {
+        self.last_attempt += 1;
+        let path = if key.is_some() {
+            "/svc/pay"
+        } else {
+            "/svc/look"
+        };
+        let mut request = Ask::new(self.last_attempt, path, b"berth");
+        if let Some(key) = key {
+            request = request.with("HTTP_IDEMPOTENCY_KEY", key);
+        }
+        if let Some(tenant) = self.tenant {
+            request = request.with("HTTP_X_TENANT", tenant);
+        }
+        let sent = unix_ms();
+        let Ok(pending) = request.try_send(listener, Protocol::FastCgi) else {
+            self.refused.push((listener, sent));
+            return None;
+        };
+        let answer = pending.seen();
+        let record = Tried {
+            nth: self.last_attempt,
+            idempotency_key: key.map(str::to_string),
+            sent,
+            told: Some((answer.clone(), unix_ms())),
+        };
+        self.requests.push((listener, record));
+        Some(answer)
+    }
+
+    /// Appends what the caller recorded.
+    pub(super) fn add_to(self, records: &mut CallerRecords) {
+        records.requests.extend(self.requests);
+        records.refused.extend(self.refused);
+    }
+}
--- /dev/null
+++ b/crates/fault-harness/src/traffic/records.rs
@@ -0,0 +1,122 @@
+//! What the callers recorded, and its judgement by the four rules.
+
+use std::net::SocketAddr;
+
+use doortrack_fakes::caller::Seen;
+use doortrack_fakes::rules::{Bounds, Ran, Tried, broken};
+
+use super::expected_body;
+use crate::serving::Offer;
+
+/// The deadline of both endpoint groups of the fixture's configuration, and what a slow machine may add, in ms.
+const MAX_ANSWER_MS: u64 = 30_000 + 10_000;
+/// Attempts that a node may make of one request.
+const MAX_ATTEMPTS: usize = 3;
+/// A request sent this long before an exit, in ms, may have been written to the process that exited.
+const EXIT_MARGIN_MS: u64 = 1_000;
+
+/// What the callers recorded.
+#[derive(Debug, Default)]
+pub struct CallerRecords {
+    /// Requests, each with the listener that it was sent to.
+    pub requests: Vec<(SocketAddr, Tried)>,
+    /// Listeners that took no connection, and when, in Unix ms.
+    pub refused: Vec<(SocketAddr, u64)>,
+    /// Callers whose connection did not end within their long timeout.
+    pub stalled: usize,
+}
+
+/// Counts of the callers' requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TrafficCounts {
+    /// All requests that found a connection.
+    pub sent: usize,
+    /// Requests that were completed.
+    pub completed: usize,
+    /// Requests to a process that exited before it answered.
+    pub unanswered: usize,
+}
+
+/// The exit of a process that the harness caused. A request that was sent before it and not answered by then
+/// needs no answer.
+#[derive(Clone, Copy, Debug)]
+pub struct ProcessExit {
+    /// The listener to which callers sent.
+    pub listener: SocketAddr,
+    /// When, in Unix ms.
+    pub at: u64,
+    /// Requests sent before this, in Unix ms, need an answer all the same: a process that shuts down
+    /// gracefully answers what it has read.
+    pub answers_due_before: u64,
+}
+
+impl CallerRecords {
+    /// What was offered to each listener, for [`crate::serving`].
+    pub fn offers(&self) -> Vec<Offer> {
+        let requests = self.requests.iter().map(|(listener, request)| Offer {
+            listener: *listener,
+            at: request.sent,
+            completed_at: completed_at(request),
+        });
+        let refused = self.refused.iter().map(|(listener, at)| Offer {
+            listener: *listener,
+            at: *at,
+            completed_at: None,
+        });
+        requests.chain(refused).collect()
+    }
+
+    /// Judges by the four rules. Returns the violations, described. Requests to processes that exited need no
+    /// answer.
+    pub fn judge(self, ran: &[Ran], exits: &[ProcessExit]) -> (TrafficCounts, Vec<String>) {
+        let requests: Vec<Tried> = self
+            .requests
+            .into_iter()
+            .map(|(listener, request)| excuse_unanswered(listener, request, exits))
+            .collect();
+        let completed = requests
+            .iter()
+            .filter(|request| completed_at(request).is_some());
+        let unanswered = requests.iter().filter(|request| request.told.is_none());
+        let counts = TrafficCounts {
+            sent: requests.len(),
+            completed: completed.count(),
+            unanswered: unanswered.count(),
+        };
+        let bounds = Bounds {
+            within: MAX_ANSWER_MS,
+            closed: None,
+            tries: MAX_ATTEMPTS,
+        };
+        let mut violations = broken(&requests, ran, bounds, expected_body);
+        if self.stalled > 0 {
+            violations.push(format!(
+                "rule 1: {} callers saw no end of a connection",
+                self.stalled
+            ));
+        }
+        (counts, violations)
+    }
+}
+
+fn completed_at(request: &Tried) -> Option<u64> {
+    match request.told {
+        Some((Seen::Completed(_), at)) => Some(at),
+        _ => None,
+    }
+}
+
+/// Treats a request as abandoned by its caller if its process exited before the answer.
+fn excuse_unanswered(listener: SocketAddr, mut request: Tried, exits: &[ProcessExit]) -> Tried {
+    let has_exited = |until: u64| {
+        exits.iter().any(|exit| {
+            exit.listener == listener
+                && request.sent >= exit.answers_due_before
+                && exit.at + EXIT_MARGIN_MS >= request.sent
+                && exit.at <= until
+        })
+    };
+    let is_excused = matches!(request.told, Some((Seen::Nothing, at)) if has_exited(at));
+    request.told = request.told.filter(|_| !is_excused);
+    request
+}
--- a/crates/fault-harness/tests/checkers.rs
+++ b/crates/fault-harness/tests/checkers.rs
@@ -1,14 +1,14 @@
 //! A checker that cannot fail is none: each is shown a good history, and the same one tampered with.
 
 use doortrack_fault_harness::checks::{judge, membership};
-use doortrack_fault_harness::history::{History, Member, What, name};
-use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_fault_harness::history::{History, HistoryEvent, Member, name};
+use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 use doortrack_fault_harness::shrink::shrink;
 use doortrack_fault_harness::usage::{Admitted, concurrency_exceeded, rate_exceeded, used};
 
-fn reported(node: usize, change: &str, member: usize, incarnation: u64) -> What {
+fn reported(node: usize, change: &str, member: usize, incarnation: u64) -> HistoryEvent {
     let (member, incarnation) = (Some(name(member)), Some(format!("{incarnation:x}")));
-    What::MemberChange {
+    HistoryEvent::MemberChange {
         node,
         change: change.into(),
         member,
@@ -18,14 +18,14 @@
     }
 }
 
-fn status(node: usize, there: &[usize]) -> What {
+fn status(node: usize, there: &[usize]) -> HistoryEvent {
     let member = |of: &usize| Member {
         name: name(*of),
         incarnation: "1".into(),
         state: "alive".into(),
     };
     let digest = format!("{there:?}");
-    What::Status {
+    HistoryEvent::Status {
         node,
         isolated: false,
         digest,
@@ -39,11 +39,11 @@
         nodes: 3,
         entries: Vec::new(),
     };
-    (0..3).for_each(|node| history.put(0, What::Began { node }));
+    (0..3).for_each(|node| history.record(0, HistoryEvent::Began { node }));
     for node in 0..3 {
         (0..3)
             .filter(|of| *of != node)
-            .for_each(|of| history.put(500, reported(node, "alive", of, 0x10)));
+            .for_each(|of| history.record(500, reported(node, "alive", of, 0x10)));
     }
     history
 }
@@ -51,7 +51,7 @@
 fn ended(mut history: History, there: &[usize]) -> History {
     there
         .iter()
-        .for_each(|node| history.put(60_000, status(*node, there)));
+        .for_each(|node| history.record(60_000, status(*node, there)));
     history.sort();
     history
 }
@@ -64,23 +64,23 @@
 }
 
 fn fault(history: &mut History, at_ms: u64, fault: Fault) {
-    history.put(at_ms, What::Fault { fault });
+    history.record(at_ms, HistoryEvent::Fault { fault });
 }
 
 #[test]
 fn a_good_history_passes_and_reads_back() {
     let history = ended(good(), &[0, 1, 2]);
     assert_eq!(violated(&history), Vec::<&str>::new());
-    assert_eq!(History::parse(&history.lines()), Ok(history.clone()));
-    let torn = history.lines().replacen("kind", "knid", 1);
-    assert!(History::parse(&torn).is_err_and(|why| why.starts_with("line 2")));
+    assert_eq!(History::parse(&history.to_lines()).unwrap(), history);
+    let torn = history.to_lines().replacen("kind", "knid", 1);
+    assert!(History::parse(&torn).is_err_and(|error| error.to_string().starts_with("line 2")));
 }
 
 #[test]
 fn a_loss_without_a_reason_is_found() {
     let mut history = good();
-    history.put(30_000, reported(0, "dead", 1, 0x10));
-    history.put(30_200, reported(0, "back", 1, 0x10));
+    history.record(30_000, reported(0, "dead", 1, 0x10));
+    history.record(30_200, reported(0, "back", 1, 0x10));
     assert_eq!(
         violated(&ended(history, &[0, 1, 2])),
         ["nobody wrongly declared dead"]
@@ -98,15 +98,15 @@
             to: vec![1],
         },
     );
-    history.put(25_000, reported(0, "dead", 1, 0x10));
+    history.record(25_000, reported(0, "dead", 1, 0x10));
     assert_eq!(
         violated(&ended(history, &[0, 1, 2])),
         ["nobody wrongly declared dead"]
     );
     let mut history = good();
-    fault(&mut history, 20_000, Fault::Stop { nodes: vec![1] });
-    history.put(25_000, reported(0, "dead", 1, 0x10));
-    fault(&mut history, 26_000, Fault::GoOn { nodes: vec![1] });
+    fault(&mut history, 20_000, Fault::Suspend { nodes: vec![1] });
+    history.record(25_000, reported(0, "dead", 1, 0x10));
+    fault(&mut history, 26_000, Fault::Resume { nodes: vec![1] });
     assert_eq!(violated(&ended(history, &[0, 1, 2])), Vec::<&str>::new());
 }
 
@@ -114,15 +114,15 @@
 fn one_that_left_and_is_declared_dead_is_found() {
     let mut history = good();
     fault(&mut history, 20_000, Fault::Leave { nodes: vec![2] });
-    history.put(20_100, reported(0, "left", 2, 0x10));
-    history.put(24_000, reported(1, "dead", 2, 0x10));
+    history.record(20_100, reported(0, "left", 2, 0x10));
+    history.record(24_000, reported(1, "dead", 2, 0x10));
     assert_eq!(violated(&ended(history, &[0, 1])), ["left is not dead"]);
 }
 
 #[test]
 fn an_earlier_incarnation_is_found() {
     let mut history = good();
-    history.put(20_000, reported(0, "alive", 2, 0x9));
+    history.record(20_000, reported(0, "alive", 2, 0x9));
     assert_eq!(
         violated(&ended(history, &[0, 1, 2])),
         ["incarnations go forward"]
@@ -148,11 +148,11 @@
             to: vec![0],
         },
     );
-    history.put(24_000, reported(0, "dead", 1, 0x10));
+    history.record(24_000, reported(0, "dead", 1, 0x10));
     fault(
         &mut history,
         30_000,
-        Fault::Mend {
+        Fault::Heal {
             from: vec![0],
             to: vec![1, 2],
         },
@@ -160,7 +160,7 @@
     fault(
         &mut history,
         30_000,
-        Fault::Mend {
+        Fault::Heal {
             from: vec![1, 2],
             to: vec![0],
         },
@@ -174,9 +174,9 @@
 #[test]
 fn a_death_declared_by_one_that_just_woke_is_found() {
     let mut history = good();
-    fault(&mut history, 20_000, Fault::Stop { nodes: vec![0] });
-    fault(&mut history, 25_000, Fault::GoOn { nodes: vec![0] });
-    history.put(25_050, reported(0, "dead", 1, 0x10));
+    fault(&mut history, 20_000, Fault::Suspend { nodes: vec![0] });
+    fault(&mut history, 25_000, Fault::Resume { nodes: vec![0] });
+    history.record(25_050, reported(0, "dead", 1, 0x10));
     assert_eq!(
         violated(&ended(history, &[0, 1, 2])),
         ["resumed, declares nobody dead"]
@@ -187,13 +187,13 @@
 fn views_that_differ_from_who_runs_or_from_one_another_are_found() {
     let mut history = good();
     fault(&mut history, 20_000, Fault::Kill { nodes: vec![2] });
-    history.put(20_001, What::Ended { node: 2 });
-    history.put(60_000, status(0, &[0, 1]));
-    history.put(60_000, status(1, &[0, 1, 2]));
+    history.record(20_001, HistoryEvent::Ended { node: 2 });
+    history.record(60_000, status(0, &[0, 1]));
+    history.record(60_000, status(1, &[0, 1, 2]));
     assert_eq!(violated(&history), ["in the end all agree"]);
     let mut history = ended(good(), &[0, 1, 2]);
-    if let Some(What::Status { digest, .. }) =
-        history.entries.last_mut().map(|entry| &mut entry.what)
+    if let Some(HistoryEvent::Status { digest, .. }) =
+        history.entries.last_mut().map(|entry| &mut entry.event)
     {
         *digest = "another".into();
     }
@@ -202,9 +202,9 @@
 
 #[test]
 fn the_smallest_script_keeps_what_makes_it_fail() {
-    let put = |at_ms, fault| Timed { at_ms, fault };
-    let mut faults: Vec<Timed> = (0..20)
-        .map(|nth| put(nth, Fault::Stop { nodes: vec![1] }))
+    let put = |at_ms, fault| TimedFault { at_ms, fault };
+    let mut faults: Vec<TimedFault> = (0..20)
+        .map(|nth| put(nth, Fault::Suspend { nodes: vec![1] }))
         .collect();
     faults.insert(7, put(7, Fault::Kill { nodes: vec![0] }));
     faults.insert(
@@ -219,7 +219,7 @@
     );
     let script = Script {
         nodes: 3,
-        ms: 100,
+        duration_ms: 100,
         seed: 1,
         faults,
     };
@@ -251,12 +251,12 @@
         ),
     ];
     for (text, path) in wrong {
-        let why = Script::parse(text).unwrap_err();
-        assert!(why.starts_with(path), "{text}: {why}");
+        let error = Script::parse(text).unwrap_err();
+        assert!(error.to_string().starts_with(path), "{text}: {error}");
     }
     let seeded = Script::seeded(3, 5, 4);
     let text = serde_json::to_string(&seeded).unwrap();
-    assert_eq!(Script::parse(&text), Ok(seeded));
+    assert_eq!(Script::parse(&text).unwrap(), seeded);
 }
 
 #[test]
@@ -286,7 +286,7 @@
 #[test]
 fn a_history_in_the_words_of_an_earlier_build_is_judged_alike() {
     let mut history = good();
-    history.put(25_000, reported(0, "dead", 1, 0x10));
+    history.record(25_000, reported(0, "dead", 1, 0x10));
     let history = ended(history, &[0, 1, 2]);
     let earlier_words = [
         ("\"incarnation\":", "\"life\":"),
@@ -295,7 +295,7 @@
         ("\"change\":", "\"word\":"),
         ("\"member\":", "\"of\":"),
     ];
-    let mut earlier = history.lines();
+    let mut earlier = history.to_lines();
     for (present, before) in earlier_words {
         let replaced = earlier.replace(present, before);
         assert_ne!(replaced, earlier, "{present} is not written");
--- a/crates/fault-harness/tests/divided.rs
+++ b/crates/fault-harness/tests/divided.rs
@@ -6,7 +6,7 @@
 use doortrack_budgets::{Budget, Kind, Parameters, Safeguards};
 use doortrack_fault_harness::divided::{self, Options, Outcome};
 use doortrack_fault_harness::history::name;
-use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 use doortrack_membership::Name;
 use doortrack_simulation::Distribution;
 
@@ -105,11 +105,11 @@
 fn script(ms: u64, seed: u64, faults: Vec<(u64, Fault)>) -> Script {
     let faults = faults
         .into_iter()
-        .map(|(at_ms, fault)| Timed { at_ms, fault })
+        .map(|(at_ms, fault)| TimedFault { at_ms, fault })
         .collect();
     Script {
         nodes: NODES,
-        ms,
+        duration_ms: ms,
         seed,
         faults,
     }
@@ -165,7 +165,7 @@
 fn scripts() -> Vec<Script> {
     let all: Vec<usize> = (0..NODES).collect();
     let cut = |from: Vec<usize>, to: Vec<usize>| Fault::Cut { from, to };
-    let mend = |from: Vec<usize>, to: Vec<usize>| Fault::Mend { from, to };
+    let mend = |from: Vec<usize>, to: Vec<usize>| Fault::Heal { from, to };
     let mut scripts: Vec<Script> = (1..=12)
         .map(|seed| Script::seeded(seed, NODES, 6))
         .collect();
@@ -225,13 +225,13 @@
             vec![
                 (
                     6_000,
-                    Fault::Stop {
+                    Fault::Suspend {
                         nodes: vec![5, 6, 7],
                     },
                 ),
                 (
                     9_500,
-                    Fault::GoOn {
+                    Fault::Resume {
                         nodes: vec![5, 6, 7],
                     },
                 ),
--- a/crates/fault-harness/tests/serving.rs
+++ b/crates/fault-harness/tests/serving.rs
@@ -2,20 +2,20 @@
 
 use std::net::SocketAddr;
 
-use doortrack_fault_harness::serving::{Life, Offer, Patience, ServesNobody, serves_nobody};
+use doortrack_fault_harness::serving::{Offer, ProcessLifetime, ProgressBounds, Stall, stalls};
 
-const PATIENCE: Patience = Patience {
+const PATIENCE: ProgressBounds = ProgressBounds {
     window_ms: 3_000,
-    least_offers: 10,
+    min_offers: 10,
 };
 
 fn front(nth: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9_000 + nth))
 }
 
-fn life(nth: u16, ready_at: u64, ended_at: u64) -> Life {
-    Life {
-        front: front(nth),
+fn life(nth: u16, ready_at: u64, ended_at: u64) -> ProcessLifetime {
+    ProcessLifetime {
+        listener: front(nth),
         ready_at,
         ended_at,
     }
@@ -24,7 +24,7 @@
 /// Offered every 100 ms, each completed 20 ms later.
 fn served(nth: u16, from: u64, till: u64) -> Vec<Offer> {
     let one = |at| Offer {
-        front: front(nth),
+        listener: front(nth),
         at,
         completed_at: Some(at + 20),
     };
@@ -43,8 +43,8 @@
     offers.iter().map(tampered).collect()
 }
 
-fn found(lives: &[Life], offers: &[Offer]) -> Vec<ServesNobody> {
-    serves_nobody(lives, offers, PATIENCE)
+fn found(lives: &[ProcessLifetime], offers: &[Offer]) -> Vec<Stall> {
+    stalls(lives, offers, PATIENCE)
 }
 
 #[test]
@@ -75,7 +75,7 @@
         .concat();
         let broken = found(&lives, &tampered);
         assert_eq!(broken.len(), 1, "{from} to {till}: {broken:?}");
-        assert_eq!(broken[0].front, front(1));
+        assert_eq!(broken[0].listener, front(1));
         assert!(broken[0].offers >= 30, "{broken:?}");
         assert!(
             broken[0].to_string().contains("completed none of"),
@@ -93,7 +93,7 @@
 #[test]
 fn one_that_takes_no_connection_is_found() {
     let refused = (0..10_000).step_by(100).map(|at| Offer {
-        front: front(0),
+        listener: front(0),
         at,
         completed_at: None,
     });
--- a/crates/fault-harness/tests/simulated.rs
+++ b/crates/fault-harness/tests/simulated.rs
@@ -2,19 +2,19 @@
 //! processes.
 
 use doortrack_fault_harness::checks::{judge, membership};
-use doortrack_fault_harness::history::{History, What};
-use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_fault_harness::history::{History, HistoryEvent};
+use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 use doortrack_fault_harness::simulated::{Options, run};
 use doortrack_membership::Parameters;
 
 fn script(nodes: usize, ms: u64, faults: Vec<(u64, Fault)>) -> Script {
     let faults = faults
         .into_iter()
-        .map(|(at_ms, fault)| Timed { at_ms, fault })
+        .map(|(at_ms, fault)| TimedFault { at_ms, fault })
         .collect();
     Script {
         nodes,
-        ms,
+        duration_ms: ms,
         seed: 11,
         faults,
     }
@@ -28,11 +28,11 @@
 }
 
 fn deaths(history: &History) -> usize {
-    let dead = |what: &What| matches!(what, What::MemberChange { change, .. } if change == "dead");
+    let dead = |what: &HistoryEvent| matches!(what, HistoryEvent::MemberChange { change, .. } if change == "dead");
     history
         .entries
         .iter()
-        .filter(|entry| dead(&entry.what))
+        .filter(|entry| dead(&entry.event))
         .count()
 }
 
@@ -57,7 +57,7 @@
         run(&script, &Options::default()).0,
         run(&script, &Options::default()).0,
     );
-    assert_eq!(one.lines(), other.lines());
+    assert_eq!(one.to_lines(), other.to_lines());
 }
 
 #[test]
@@ -89,7 +89,7 @@
         from: from.clone(),
         to: to.clone(),
     };
-    let mend = |from: &Vec<usize>, to: &Vec<usize>| Fault::Mend {
+    let mend = |from: &Vec<usize>, to: &Vec<usize>| Fault::Heal {
         from: from.clone(),
         to: to.clone(),
     };
@@ -142,14 +142,14 @@
             ),
             (
                 26_000,
-                Fault::Mend {
+                Fault::Heal {
                     from: vec![0],
                     to: rest.clone(),
                 },
             ),
             (
                 26_000,
-                Fault::Mend {
+                Fault::Heal {
                     from: rest,
                     to: vec![0],
                 },
@@ -219,11 +219,11 @@
                     to: vec![0],
                 },
             ),
-            (12_100, Fault::Stop { nodes: vec![0] }),
-            (17_000, Fault::GoOn { nodes: vec![0] }),
+            (12_100, Fault::Suspend { nodes: vec![0] }),
+            (17_000, Fault::Resume { nodes: vec![0] }),
             (
                 17_300,
-                Fault::Mend {
+                Fault::Heal {
                     from: rest,
                     to: vec![0],
                 },
--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -53,7 +53,7 @@
 }
 
 fn standing(rig: &Rig, of: usize) -> Vec<BudgetStatus> {
-    ask_budgets(rig.fleet(of), key()).unwrap().0
+    ask_budgets(rig.fleet_address(of), key()).unwrap().0
 }
 
 /// Waits until what a node says of the first budget is as wanted.
@@ -85,16 +85,18 @@
     }
     let more = with(own.clone(), load.installation());
     let more = |_: usize| more.clone();
-    rig.begin();
+    rig.start_clock();
     (0..script.nodes).for_each(|of| rig.start(of, of, &more(of)).unwrap());
-    let fronts: Vec<_> = (0..script.nodes).map(|of| rig.front(of)).collect();
+    let fronts: Vec<_> = (0..script.nodes)
+        .map(|of| rig.listener_address(of))
+        .collect();
     load.start(&fronts, script.seed);
     let began = std::time::Instant::now();
     for timed in script.in_order() {
         std::thread::sleep(Duration::from_millis(timed.at_ms).saturating_sub(began.elapsed()));
-        rig.take_up(&timed.fault, &more).unwrap();
+        rig.inject(&timed.fault, &more).unwrap();
     }
-    std::thread::sleep(Duration::from_millis(script.ms).saturating_sub(began.elapsed()));
+    std::thread::sleep(Duration::from_millis(script.duration_ms).saturating_sub(began.elapsed()));
     load.finish()
 }
 
@@ -117,8 +119,8 @@
         (5_000, Fault::Kill { nodes: vec![0] }),
         (5_600, Fault::Kill { nodes: vec![1] }),
         (6_200, start(vec![0, 1])),
-        (8_500, Fault::Stop { nodes: vec![2] }),
-        (11_200, Fault::GoOn { nodes: vec![2] }),
+        (8_500, Fault::Suspend { nodes: vec![2] }),
+        (11_200, Fault::Resume { nodes: vec![2] }),
         (
             16_500,
             Fault::Kill {
@@ -167,7 +169,7 @@
         ),
         (
             8_000,
-            Fault::Mend {
+            Fault::Heal {
                 from: others,
                 to: vec![0],
             },
@@ -228,7 +230,7 @@
 fn allocations_are_granted_run_out_to_the_reserved_minimums_and_follow_a_lower_limit() {
     let mut rig = Rig::new(program(), NODES, 3).unwrap();
     let more = |_: usize| budgets(LIMIT);
-    rig.begin();
+    rig.start_clock();
     (0..NODES).for_each(|of| rig.start(of, of, &more(of)).unwrap());
     // All alike: a fifth each, and 4 of it set aside.
     (0..NODES).for_each(|of| {
@@ -255,7 +257,7 @@
         })
     });
     // Most voters gone: the reserved minimums are left.
-    rig.take_up(
+    rig.inject(
         &Fault::Kill {
             nodes: vec![0, 1, 2],
         },
@@ -267,7 +269,7 @@
             of.allocation == 4_000 && of.until_ms.is_none()
         })
     });
-    rig.take_up(
+    rig.inject(
         &Fault::Start {
             nodes: vec![0],
             clock_ms: 0,
@@ -284,7 +286,7 @@
             "status",
             "--json",
             "--peer",
-            &rig.fleet(3).to_string(),
+            &rig.fleet_address(3).to_string(),
             "--key-file",
         ])
         .arg(rig.key_file())
@@ -313,9 +315,9 @@
         {"name": "looks", "kind": "rate", "limit": 20, "burst": 10, "reserved": 20,
             "for": {"pool": "servers"}}]});
     rig.start(0, 0, &with(own, load.installation())).unwrap();
-    drop(doortrack_fakes::bed::connect(rig.front(0)));
+    drop(doortrack_fakes::bed::connect(rig.listener_address(0)));
     let began = doortrack_fakes::unix_ms();
-    load.start(&[rig.front(0)], 1);
+    load.start(&[rig.listener_address(0)], 1);
     std::thread::sleep(ms(2_000));
     let report = load.finish();
     let all: Vec<_> = report
@@ -367,7 +369,12 @@
         pause: Duration::from_millis(5),
         ..profile()
     });
-    load.start(&(0..3).map(|of| rig.front(of)).collect::<Vec<_>>(), 2);
+    load.start(
+        &(0..3)
+            .map(|of| rig.listener_address(of))
+            .collect::<Vec<_>>(),
+        2,
+    );
     std::thread::sleep(Duration::from_millis(4_000));
     let requests = load.finish().requests.len();
     let lasted = doortrack_fakes::unix_ms() - began;
@@ -400,7 +407,7 @@
         b"berth",
     );
     let ask = key.map_or(ask.clone(), |key| ask.with("HTTP_IDEMPOTENCY_KEY", key));
-    ask.send(rig.front(0), Protocol::FastCgi).seen()
+    ask.send(rig.listener_address(0), Protocol::FastCgi).seen()
 }
 
 /// Asks under new ids until one is completed; the id.
@@ -422,7 +429,7 @@
         "servers": {"protocol": "fastcgi", "addresses": [server.at.to_string()], "at_once": 8,
             "answer_within_ms": answer_within_ms, "aside": {"failures": 1000}, "retries": {"tries": 1}}});
     rig.start(0, 0, &own).unwrap();
-    drop(doortrack_fakes::bed::connect(rig.front(0)));
+    drop(doortrack_fakes::bed::connect(rig.listener_address(0)));
     rig
 }
 
--- a/crates/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/link.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use doortrack_fakes::bed::Plan;
-use doortrack_fault_harness::history::{History, What};
+use doortrack_fault_harness::history::{History, HistoryEvent};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::Fault;
 use doortrack_membership::{
@@ -35,8 +35,8 @@
 }
 
 fn told(history: &History, node: usize, wanted: &str) -> bool {
-    history.entries.iter().any(|entry| match &entry.what {
-        What::MemberChange {
+    history.entries.iter().any(|entry| match &entry.event {
+        HistoryEvent::MemberChange {
             node: observer,
             change,
             ..
@@ -75,7 +75,7 @@
 #[test]
 fn garbage_and_unknown_peers_cost_a_counter() {
     let mut rig = rig(3);
-    rig.begin();
+    rig.start_clock();
     (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
     (0..3).for_each(|of| all_there(&rig, of, 3));
     let sock = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -96,14 +96,14 @@
         if nth % 4 == 0 {
             bytes = (0..chance.usize(..600)).map(|_| chance.u8(..)).collect();
         }
-        _ = sock.send_to(&bytes, rig.fleet(0));
+        _ = sock.send_to(&bytes, rig.fleet_address(0));
     }
     (0..3).for_each(|of| all_there(&rig, of, 3));
     let result = rig.finish();
     assert!(
         !(0..3).any(|of| told(&result.history, of, "dead")),
         "{}",
-        result.history.lines()
+        result.history.to_lines()
     );
 }
 
@@ -273,13 +273,13 @@
 #[test]
 fn a_name_used_by_two_processes_stays_with_the_later_one() {
     let mut rig = rig(4);
-    rig.begin();
+    rig.start_clock();
     (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
     (0..3).for_each(|of| all_there(&rig, of, 3));
     // The fourth process goes by the name of the third.
     rig.start(3, 2, &Value::Null).unwrap();
-    let superseded = |what: Option<What>| {
-        matches!(what, Some(What::Status { members, .. }) if
+    let superseded = |what: Option<HistoryEvent>| {
+        matches!(what, Some(HistoryEvent::Status { members, .. }) if
         members.iter().any(|member| member.name == "n2" && member.state == "dead"))
     };
     let until = Instant::now() + Duration::from_secs(20);
@@ -291,14 +291,14 @@
     assert!(
         told(&result.history, 2, "superseded"),
         "{}",
-        result.history.lines()
+        result.history.to_lines()
     );
 }
 
 #[test]
 fn with_all_seeds_down_a_node_serves_alone_and_joins_later() {
     let mut rig = rig(5);
-    rig.begin();
+    rig.start_clock();
     [3, 4]
         .iter()
         .for_each(|of| rig.start(*of, *of, &Value::Null).unwrap());
@@ -313,10 +313,10 @@
 #[test]
 fn the_command_line_tells_how_a_node_sees_its_fleet() {
     let mut rig = rig(3);
-    rig.begin();
+    rig.start_clock();
     (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
     (0..3).for_each(|of| all_there(&rig, of, 3));
-    rig.take_up(&Fault::Kill { nodes: vec![1] }, &|_| Value::Null)
+    rig.inject(&Fault::Kill { nodes: vec![1] }, &|_| Value::Null)
         .unwrap();
     let dead = |members: &[doortrack_fault_harness::history::Member]| {
         members.iter().any(|member| member.state == "dead")
@@ -325,7 +325,12 @@
     let ask = |words: &[&str]| {
         let mut command = Command::new(program());
         command
-            .args(["fleet", "status", "--peer", &rig.fleet(0).to_string()])
+            .args([
+                "fleet",
+                "status",
+                "--peer",
+                &rig.fleet_address(0).to_string(),
+            ])
             .args(words);
         command.output().unwrap()
     };
@@ -353,7 +358,7 @@
         String::from_utf8_lossy(&refused.stderr).contains("no answer"),
         "{refused:?}"
     );
-    let at = rig.fleet(0).to_string();
+    let at = rig.fleet_address(0).to_string();
     let words = [
         "fleet",
         "watch",
--- a/crates/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -15,7 +15,7 @@
 
 use doortrack_fault_harness::checks::{judge, membership};
 use doortrack_fault_harness::processes::RunResult;
-use doortrack_fault_harness::script::{Fault, Script, Timed};
+use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_doortrack"))
@@ -24,11 +24,11 @@
 fn script(nodes: usize, ms: u64, faults: Vec<(u64, Fault)>) -> Script {
     let faults = faults
         .into_iter()
-        .map(|(at_ms, fault)| Timed { at_ms, fault })
+        .map(|(at_ms, fault)| TimedFault { at_ms, fault })
         .collect();
     Script {
         nodes,
-        ms,
+        duration_ms: ms,
         seed: 5,
         faults,
     }
@@ -39,7 +39,7 @@
     assert!(
         violations.is_empty(),
         "{violations:#?}\n{}",
-        result.history.lines()
+        result.history.to_lines()
     );
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
     assert!(result.served.completed > 0, "{:?}", result.served);
@@ -65,14 +65,14 @@
         ),
         (
             till,
-            Fault::Mend {
+            Fault::Heal {
                 from: one.clone(),
                 to: other.clone(),
             },
         ),
         (
             till,
-            Fault::Mend {
+            Fault::Heal {
                 from: other,
                 to: one,
             },
--- a/crates/node/tests/fleet/ramp.rs
+++ b/crates/node/tests/fleet/ramp.rs
@@ -174,7 +174,7 @@
 
 /// Has the server of these nodes go and come back under load, and counts what reaches it.
 fn come_back(rig: &mut Rig, nodes: usize, first: Server) -> Returned {
-    let fronts: Vec<SocketAddr> = (0..nodes).map(|of| rig.front(of)).collect();
+    let fronts: Vec<SocketAddr> = (0..nodes).map(|of| rig.listener_address(of)).collect();
     fronts
         .iter()
         .for_each(|front| drop(doortrack_fakes::bed::connect(*front)));
@@ -245,7 +245,7 @@
     let server = server("127.0.0.1:0".parse().unwrap());
     let own = more(server.at);
     let mut rig = Rig::new(program(), nodes, 3).unwrap();
-    rig.begin();
+    rig.start_clock();
     (0..nodes).for_each(|of| rig.start(of, of, &own).unwrap());
     (rig, server)
 }
@@ -289,7 +289,9 @@
 fn wait_for_allocation(rig: &Rig, of: usize) {
     let until = Instant::now() + LONGEST;
     loop {
-        let standing = ask_budgets(rig.fleet(of), Some([0x5a; 32])).unwrap().0;
+        let standing = ask_budgets(rig.fleet_address(of), Some([0x5a; 32]))
+            .unwrap()
+            .0;
         if standing
             .first()
             .is_some_and(|budget| budget.until_ms.is_some())
@@ -316,13 +318,13 @@
         b"berth",
     );
     let ask = key.map_or(ask.clone(), |key| ask.with("HTTP_IDEMPOTENCY_KEY", key));
-    ask.send(rig.front(0), Protocol::FastCgi).seen()
+    ask.send(rig.listener_address(0), Protocol::FastCgi).seen()
 }
 
 #[test]
 fn while_the_server_is_down_a_repeat_is_answered_and_all_else_is_told_when_to_come_back() {
     let (rig, server) = started(1, |at| installation(at, ramp(RUNS)));
-    drop(doortrack_fakes::bed::connect(rig.front(0)));
+    drop(doortrack_fakes::bed::connect(rig.listener_address(0)));
     let (key, other) = (
         "00112233445566778899aabbccddeeff",
         "ffeeddccbbaa99887766554433221100",
@@ -363,8 +365,8 @@
 #[test]
 fn a_server_that_is_added_under_way_ramps_up_beside_one_that_takes_the_rest() {
     let (mut rig, first) = started(1, |at| installation(at, ramp(RUNS)));
-    drop(doortrack_fakes::bed::connect(rig.front(0)));
-    let fronts = vec![rig.front(0); 4];
+    drop(doortrack_fakes::bed::connect(rig.listener_address(0)));
+    let fronts = vec![rig.listener_address(0); 4];
     let mut callers = Callers::start(&fronts);
     callers.wait_for("served before", |tally| {
         tally.completed.load(Ordering::Relaxed) >= 10
--- a/crates/node/tests/fleet/rolling.rs
+++ b/crates/node/tests/fleet/rolling.rs
@@ -10,8 +10,8 @@
 use doortrack_fakes::{LONG, unix_ms};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::Fault;
-use doortrack_fault_harness::serving::{Life, Patience, serves_nobody};
-use doortrack_fault_harness::traffic::{Death, Traffic, result};
+use doortrack_fault_harness::serving::{ProcessLifetime, ProgressBounds, stalls};
+use doortrack_fault_harness::traffic::{ProcessExit, Traffic, expected_body};
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
@@ -23,9 +23,9 @@
 const BETWEEN: Duration = Duration::from_millis(250);
 /// How long all serve on after the last turn: longer than the window of `PATIENCE`.
 const AFTERWARDS: Duration = Duration::from_millis(4_500);
-const PATIENCE: Patience = Patience {
+const PATIENCE: ProgressBounds = ProgressBounds {
     window_ms: 3_000,
-    least_offers: 10,
+    min_offers: 10,
 };
 const CALLERS: usize = 16;
 const SERVERS: usize = 3;
@@ -35,7 +35,7 @@
 fn servers() -> Vec<Server> {
     let script = |got: &_| Act::Answer {
         status: "200 OK",
-        body: result(&Ran::from(got).try_id),
+        body: expected_body(&Ran::from(got).try_id),
         after: WORK,
     };
     (0..SERVERS)
@@ -68,9 +68,9 @@
     let servers = servers();
     let more = installation(&servers);
     let mut rig = Rig::new(program(), NODES, 7).unwrap();
-    rig.begin();
+    rig.start_clock();
     (0..NODES).for_each(|node| rig.start(node, node, &more).unwrap());
-    let fronts: Vec<SocketAddr> = (0..NODES).map(|node| rig.front(node)).collect();
+    let fronts: Vec<SocketAddr> = (0..NODES).map(|node| rig.listener_address(node)).collect();
     let mut ready: Vec<u64> = fronts.iter().map(|front| ready_at(*front)).collect();
     let traffic = Traffic::start(CALLERS, &fronts, 11);
     let (mut lives, mut deaths) = (Vec::new(), Vec::new());
@@ -78,7 +78,7 @@
     for nodes in in_turns.chunks(AT_ONCE) {
         std::thread::sleep(BETWEEN);
         let ended_at = unix_ms();
-        rig.take_up(
+        rig.inject(
             &Fault::Kill {
                 nodes: nodes.to_vec(),
             },
@@ -89,29 +89,34 @@
             .iter()
             .for_each(|node| rig.start(*node, *node, &more).unwrap());
         for node in nodes {
-            lives.push(Life {
-                front: fronts[*node],
+            lives.push(ProcessLifetime {
+                listener: fronts[*node],
                 ready_at: ready[*node],
                 ended_at,
             });
-            deaths.push(Death {
-                front: fronts[*node],
+            deaths.push(ProcessExit {
+                listener: fronts[*node],
                 at: ended_at,
-                owed_before: 0,
+                answers_due_before: 0,
             });
             ready[*node] = ready_at(fronts[*node]);
         }
     }
     std::thread::sleep(AFTERWARDS);
     let ended_at = unix_ms();
-    lives.extend(fronts.iter().zip(ready).map(|(front, ready_at)| Life {
-        front: *front,
-        ready_at,
-        ended_at,
-    }));
+    lives.extend(
+        fronts
+            .iter()
+            .zip(ready)
+            .map(|(front, ready_at)| ProcessLifetime {
+                listener: *front,
+                ready_at,
+                ended_at,
+            }),
+    );
     // None has ended by itself.
     fronts.iter().for_each(|front| _ = ready_at(*front));
-    let asked = traffic.end();
+    let asked = traffic.stop();
     let offers = asked.offers();
     let ran: Vec<Ran> = servers
         .iter()
@@ -120,12 +125,12 @@
         .collect();
     let (served, broken) = asked.judge(&ran, &deaths);
     assert!(broken.is_empty(), "{broken:#?}");
-    let idle = serves_nobody(&lives, &offers, PATIENCE);
+    let idle = stalls(&lives, &offers, PATIENCE);
     assert!(idle.is_empty(), "{idle:#?}");
     // What was asked of a process that was then killed, and nothing else, has no answer.
-    assert!(served.unanswered * 10 < served.asked, "{served:?}");
+    assert!(served.unanswered * 10 < served.sent, "{served:?}");
     assert!(
-        served.asked > 500 && served.completed * 10 > served.asked * 8,
+        served.sent > 500 && served.completed * 10 > served.sent * 8,
         "{served:?}"
     );
 }
--- a/crates/node/tests/fleet/served.rs
+++ b/crates/node/tests/fleet/served.rs
@@ -5,22 +5,22 @@
 
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::Fault;
-use doortrack_fault_harness::traffic::{Behind, Traffic};
+use doortrack_fault_harness::traffic::{Backend, Traffic};
 
 use crate::program;
 
 #[test]
 fn a_flood_on_the_link_while_all_is_rough_costs_no_exchange() {
-    let behind = Behind::start();
+    let behind = Backend::start();
     let mut rig = Rig::new(program(), 3, 2).unwrap();
-    let files = rig.behind(&behind).unwrap();
+    let files = rig.connect_backend(&behind).unwrap();
     let more = |of: usize| files[of].clone();
-    rig.begin();
+    rig.start_clock();
     (0..3).for_each(|of| rig.start(of, of, &more(of)).unwrap());
-    let fronts: Vec<_> = (0..3).map(|of| rig.front(of)).collect();
+    let fronts: Vec<_> = (0..3).map(|of| rig.listener_address(of)).collect();
     // Answers come only once a node has read of its server; asked before, it rejects.
     let traffic = Traffic::start(4, &fronts, 9);
-    rig.take_up(
+    rig.inject(
         &Fault::Links {
             loss: 0.2,
             doubled: 0.2,
@@ -34,7 +34,7 @@
     let mut chance = fastrand::Rng::with_seed(1);
     for nth in 0..60_000 {
         let bytes: Vec<u8> = (0..chance.usize(1..1_400)).map(|_| chance.u8(..)).collect();
-        _ = sock.send_to(&bytes, rig.fleet(nth % 3));
+        _ = sock.send_to(&bytes, rig.fleet_address(nth % 3));
         if nth % 200 == 0 {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -43,7 +43,7 @@
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
     let served = result.served;
     assert!(
-        served.completed * 10 >= served.asked * 8 && served.asked > 100,
+        served.completed * 10 >= served.sent * 8 && served.sent > 100,
         "{served:?}"
     );
 }
--- a/crates/node/tests/fleet/troubles.rs
+++ b/crates/node/tests/fleet/troubles.rs
@@ -1,6 +1,6 @@
 //! Processes that die, stop, leave and come back, and links that break.
 
-use doortrack_fault_harness::history::What;
+use doortrack_fault_harness::history::HistoryEvent;
 use doortrack_fault_harness::processes::{RunResult, run, run_with_older};
 use doortrack_fault_harness::script::{Fault, NetworkConditions, Script};
 
@@ -13,12 +13,12 @@
 }
 
 fn told(result: &RunResult, wanted: &str) -> usize {
-    let is = |what: &What| matches!(what, What::MemberChange { change, .. } if change == wanted);
+    let is = |what: &HistoryEvent| matches!(what, HistoryEvent::MemberChange { change, .. } if change == wanted);
     result
         .history
         .entries
         .iter()
-        .filter(|entry| is(&entry.what))
+        .filter(|entry| is(&entry.event))
         .count()
 }
 
@@ -44,7 +44,7 @@
     assert!(
         told(&result, "dead") >= 9,
         "each of three declared three dead\n{}",
-        result.history.lines()
+        result.history.to_lines()
     );
 }
 
@@ -93,7 +93,7 @@
         ));
     }
     let result = run_and_judge(&script(5, 12_000, faults));
-    assert!(told(&result, "left") >= 10, "{}", result.history.lines());
+    assert!(told(&result, "left") >= 10, "{}", result.history.to_lines());
     assert!(result.relay.garbled > 0 && result.relay.lost > 0);
 }
 
@@ -109,18 +109,18 @@
         ),
         (
             10_000,
-            Fault::Mend {
+            Fault::Heal {
                 from: vec![1, 2, 3, 4],
                 to: vec![0],
             },
         ),
     ];
     let result = run_and_judge(&script(5, 12_000, faults));
-    let own = |what: &What| matches!(what, What::MemberChange { node: 0, change, .. } if change == "dead");
+    let own = |what: &HistoryEvent| matches!(what, HistoryEvent::MemberChange { node: 0, change, .. } if change == "dead");
     assert!(
-        !result.history.entries.iter().any(|entry| own(&entry.what)),
+        !result.history.entries.iter().any(|entry| own(&entry.event)),
         "{}",
-        result.history.lines()
+        result.history.to_lines()
     );
     assert!(told(&result, "isolated") >= 1 && told(&result, "reconnected") >= 1);
 }
@@ -132,13 +132,13 @@
         11_000,
         parted((vec![0, 1, 2], vec![3, 4, 5]), 2_000, 9_000),
     ));
-    assert!(told(&result, "dead") >= 18, "{}", result.history.lines());
+    assert!(told(&result, "dead") >= 18, "{}", result.history.to_lines());
     assert_eq!(
         result
             .history
             .entries
             .iter()
-            .filter(|e| matches!(e.what, What::Began { .. }))
+            .filter(|e| matches!(e.event, HistoryEvent::Began { .. }))
             .count(),
         6
     );
@@ -148,7 +148,7 @@
 fn a_node_stopped_for_five_seconds_wakes_and_believes_nothing_unchecked() {
     // Meanwhile another left and a third came anew: its old view is wrong twice.
     let faults = vec![
-        (2_000, Fault::Stop { nodes: vec![0] }),
+        (2_000, Fault::Suspend { nodes: vec![0] }),
         (3_000, Fault::Leave { nodes: vec![3] }),
         (3_500, Fault::Kill { nodes: vec![4] }),
         (
@@ -158,18 +158,18 @@
                 clock_ms: 0,
             },
         ),
-        (7_000, Fault::GoOn { nodes: vec![0] }),
+        (7_000, Fault::Resume { nodes: vec![0] }),
     ];
     let result = run_and_judge(&script(5, 9_000, faults));
-    let still = |what: &What| matches!(what, What::MemberChange { node: 0, change, .. } if change == "resumed");
+    let still = |what: &HistoryEvent| matches!(what, HistoryEvent::MemberChange { node: 0, change, .. } if change == "resumed");
     assert!(
         result
             .history
             .entries
             .iter()
-            .any(|entry| still(&entry.what)),
+            .any(|entry| still(&entry.event)),
         "{}",
-        result.history.lines()
+        result.history.to_lines()
     );
 }
 
@@ -215,7 +215,7 @@
     assert!(
         told(&result, "superseded") == 0,
         "{}",
-        result.history.lines()
+        result.history.to_lines()
     );
 }
 
@@ -236,7 +236,12 @@
         (5_500, server(vec![0, 1], false, 0.0)),
     ];
     let result = run_and_judge(&script(3, 6_500, faults));
-    assert_eq!(told(&result, "suspected"), 0, "{}", result.history.lines());
+    assert_eq!(
+        told(&result, "suspected"),
+        0,
+        "{}",
+        result.history.to_lines()
+    );
 }
 
 #[test]
@@ -290,7 +295,7 @@
     // Some were broken off, and most went through.
     let served = result.served;
     assert!(
-        served.unanswered > 0 && served.completed * 10 > served.asked * 5,
+        served.unanswered > 0 && served.completed * 10 > served.sent * 5,
         "{served:?}"
     );
 }
@@ -320,7 +325,7 @@
     for seed in [3, 8] {
         let script = Script::seeded(seed, 5, 3);
         run_and_judge(&Script {
-            ms: script.ms - 10_000,
+            duration_ms: script.duration_ms - 10_000,
             ..script
         });
     }
