--- a/crates/bench/src/bin/bad-servers.rs
+++ b/crates/bench/src/bin/bad-servers.rs
@@ -185,7 +185,7 @@
     let (_, log) = bed.end();
     let line = log
         .lines()
-        .rfind(|line| line.contains("so far of servers"))
+        .rfind(|line| line.contains("servers summary"))
         .unwrap_or_default()
         .to_string();
     let find = |key: &str| {
@@ -196,7 +196,7 @@
         "retries {} of {} begun, put aside {}",
         find("retries"),
         find("begun"),
-        find("put_aside")
+        find("ejected")
     )
 }
 
--- a/crates/bench/src/bin/reload.rs
+++ b/crates/bench/src/bin/reload.rs
@@ -307,7 +307,7 @@
     };
     // How runs ended at the servers tells why requests were not completed.
     log.lines()
-        .filter(|line| line.contains("so far of servers"))
+        .filter(|line| line.contains("servers summary"))
         .for_each(|line| println!("{line}"));
     println!(
         "by its log: held_us {:?}, built_ms {:?}",
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -1,5 +1,5 @@
 //! What a new configuration changes while a node serves, and what it can't: decided here from the old and
-//! the new one, without I/O or a clock. The node carries it out (`node/src/serve/reload.rs`).
+//! the new one, without I/O or a clock. The node carries it out (`node/src/event_loop/reload.rs`).
 
 mod builds;
 mod keys;
--- a/crates/fault-harness/src/scale/hollow.rs
+++ b/crates/fault-harness/src/scale/hollow.rs
@@ -17,7 +17,7 @@
 use doortrack_fakes::unix_ms;
 use doortrack_membership::Change;
 use doortrack_node::peers::{Peers, Registration, Tap};
-use doortrack_node::subsystem::{AdmissionRequest, Subsystem, Use};
+use doortrack_node::subsystem::{AdmissionRequest, PermitOutcome, Subsystem};
 use doortrack_time::TenthMillis;
 use polling::{Event, Events, PollMode, Poller};
 use slog::{Discard, Logger, o};
@@ -178,7 +178,7 @@
                 .get_mut(place)
                 .and_then(|slot| slot.peers.as_mut())
             {
-                peers.ready();
+                peers.on_readable();
                 touched.insert(place);
             }
         }
@@ -215,8 +215,8 @@
             book_one(peers, tenants);
             slot.use_at = Some(now + Duration::from_secs(1) / uses_per_second.max(1));
         }
-        peers.turn();
-        let wait = match peers.wait() {
+        peers.poll();
+        let wait = match peers.time_to_next_poll() {
             TenthMillis::MAX => LONGEST_SLEEP,
             tenths => TENTH.saturating_mul(u32::try_from(tenths).unwrap_or(u32::MAX)),
         };
@@ -247,7 +247,8 @@
             unix_ms(),
             registration,
             log,
-        )?;
+        )
+        .map_err(|error| error.to_string())?;
         let (plan, shared) = (self.plan.clone(), self.shared.clone());
         peers.set_tap(Box::new(HollowTap { node, plan, shared }));
         let books = self.plan.uses_per_second > 0 && !self.plan.is_voter(node);
@@ -340,7 +341,7 @@
         tenant,
         pool: 0,
     }) {
-        peers.release(permit, Use::Over);
+        peers.release(permit, PermitOutcome::RunEnded);
     }
 }
 
--- a/crates/fault-harness/src/scale/serving.rs
+++ b/crates/fault-harness/src/scale/serving.rs
@@ -15,8 +15,9 @@
 use super::child::{ScaleError, end_with_parent};
 use super::plan::{FLEET_KEY, FleetPlan};
 
-/// The line of the log with the counters of the link, which a node writes every 10 s.
-const SUMMARY: &str = "so far of the fleet";
+/// The line of the log with the counters of the link, which a node writes every 10 s; former builds write the
+/// second one.
+const SUMMARIES: [&str; 2] = ["fleet summary", "so far of the fleet"];
 const LOG_LINES_PER_SECOND: &str = "1000";
 /// An answer about a view is waited for so long, and asked for so often.
 const PATIENCE: Duration = Duration::from_millis(200);
@@ -34,7 +35,7 @@
 /// The counters that a line of a node's JSON log tells; none for any other line.
 pub fn link_counts(line: &str) -> Option<LinkCounts> {
     let line: Value = serde_json::from_str(line).ok()?;
-    if line["msg"] != SUMMARY {
+    if !SUMMARIES.iter().any(|summary| line["msg"] == *summary) {
         return None;
     }
     let number = |key: &str| line[key].as_u64();
--- a/crates/fault-harness/tests/scale.rs
+++ b/crates/fault-harness/tests/scale.rs
@@ -144,9 +144,11 @@
 
 #[test]
 fn counters_are_read_off_the_log_and_made_rates() {
-    let line = r#"{"msg":"so far of the fleet","level":"INFO","received":40,"received_bytes":4000,"sent":20,
+    let line = r#"{"msg":"fleet summary","level":"INFO","received":40,"received_bytes":4000,"sent":20,
         "sent_bytes":1000,"unsent":0}"#;
     let after = link_counts(line).unwrap();
+    let former = line.replace("fleet summary", "so far of the fleet");
+    assert_eq!(link_counts(&former), Some(after));
     assert_eq!(
         after,
         LinkCounts {
@@ -156,7 +158,12 @@
             bytes_out: 1_000
         }
     );
+    assert_eq!(link_counts(r#"{"msg":"summary","received":40}"#), None);
     assert_eq!(link_counts(r#"{"msg":"so far","received":40}"#), None);
+    assert_eq!(
+        link_counts(r#"{"msg":"fleet summary","received":40}"#),
+        None
+    );
     assert_eq!(
         link_counts(r#"{"msg":"so far of the fleet","received":40}"#),
         None
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -84,7 +84,7 @@
             let mut key = [0; 32];
             key[..8].copy_from_slice(&nth.to_le_bytes());
             results.record(nth as u32, (1, key), b"{}", 0, 600_000, 0);
-            results.ended(nth as u32, Ok(result));
+            results.complete(nth as u32, Ok(result));
         }
         results
     });
@@ -104,7 +104,7 @@
         pool: 0,
         caller: None,
         stage: Stage::Queued,
-        repeats: None,
+        duplicate_of: None,
         hold: Default::default(),
     }
 }
@@ -114,7 +114,7 @@
     const COUNT: usize = 10_000;
     let bytes = bytes_each(COUNT, || {
         let mut exchanges = InFlight::default();
-        (0..COUNT).for_each(|nth| _ = exchanges.take_in(exchange(nth)));
+        (0..COUNT).for_each(|nth| _ = exchanges.insert(exchange(nth)));
         exchanges
     });
     within(
@@ -125,7 +125,7 @@
     let bytes = bytes_each(COUNT, || {
         let mut exchanges = InFlight::default();
         for nth in 0..COUNT {
-            let id = exchanges.take_in(exchange(nth)).unwrap();
+            let id = exchanges.insert(exchange(nth)).unwrap();
             exchanges.remove(id).unwrap();
         }
         exchanges
--- /dev/null
+++ b/crates/node/src/event_loop.rs
@@ -0,0 +1,290 @@
+//! The node's event loop, on one thread: it reads what is ready, hands it to the admission controller in one
+//! batch, executes the actions that come back, and writes what they leave to be sent.
+//!
+//! [`Node`] owns every socket and all state of the node. The only call that blocks is the poller's wait; files
+//! are read and configurations built on a thread of their own (`reloader`), but for nodes without an
+//! installation file and at the start.
+
+mod actions;
+mod admission_driver;
+mod arrivals;
+mod completions;
+mod config_build;
+mod error;
+mod gauge_readings;
+mod reload;
+mod reloader;
+mod running_config;
+mod shutdown;
+mod start;
+mod summary;
+mod timers;
+
+use std::time::Duration;
+
+use std::sync::Arc;
+
+use doortrack_time::{MICROSECONDS_PER_UNIT, MILLISECOND, TenthMillis};
+use polling::{Event as Readiness, Events, Poller};
+use slog::Logger;
+
+use self::admission_driver::AdmissionDriver;
+pub use self::error::{ServeError, StartError};
+use self::gauge_readings::GaugeReadings;
+use self::reloader::Reloader;
+use self::running_config::RunningConfig;
+use self::shutdown::Shutdown;
+use self::summary::SummarySchedule;
+use self::timers::Timers;
+use crate::network::backend::Backend;
+use crate::network::engine::BackendEvent;
+use crate::network::listeners::{FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
+use crate::network::registry::Registry;
+use crate::state::in_flight::InFlight;
+use crate::state::results::Results;
+use crate::subsystem::{SUBSYSTEM_KEYS, Subsystem};
+use crate::system::clock::Clock;
+use crate::system::signals::{DRAIN_KEY, RELOAD_KEY, Signals};
+
+/// Interval between two checks for idle connections and expired results.
+const MAINTENANCE_INTERVAL: TenthMillis = 25 * MILLISECOND;
+/// Woken so much later than it was due, the process has been suspended.
+const STALL: TenthMillis = 10 * MILLISECOND;
+
+/// One node of a fleet: its sockets, the admission controller and the requests in flight.
+pub struct Node {
+    config: RunningConfig,
+    reloader: Reloader,
+    log: Logger,
+    clock: Clock,
+    /// The time of the last wake-up, which all of a turn goes by.
+    now: TenthMillis,
+    poller: Arc<Poller>,
+    signals: Signals,
+    listeners: Listeners,
+    /// Read from callers' connections and not handled yet.
+    listener_events: Vec<ListenerEvent>,
+    backend: Backend,
+    /// Read from the backend and not handled yet.
+    backend_events: Vec<BackendEvent>,
+    registry: Registry,
+    admission: AdmissionDriver,
+    in_flight: InFlight,
+    results: Results,
+    timers: Timers,
+    gauges: GaugeReadings,
+    /// When connections and results are next checked for expiry.
+    maintenance_at: TenthMillis,
+    summaries: SummarySchedule,
+    shutdown: Shutdown,
+    subsystems: Vec<Box<dyn Subsystem>>,
+}
+
+impl Node {
+    /// Serves until a graceful shutdown is over.
+    ///
+    /// The order within a turn matters in four places. What ended is handled before what arrived, since the
+    /// capacity that it frees is there for the new requests. Timers fire once everything that was read before
+    /// them is in the batch. The last reading before the stop comes after a decision, since what that answers
+    /// makes room for callers who still wait. Writing is last, so that a turn costs one write a connection.
+    ///
+    /// # Errors
+    /// The poller failed.
+    pub fn serve(mut self) -> Result<(), ServeError> {
+        let mut ready = Events::new();
+        self.now = self.clock.now();
+        self.summaries.schedule_next(self.now);
+        // Servers count as up from the start: the first request must not find the controller missing.
+        self.backend.maintain(self.now);
+        self.flush();
+        loop {
+            self.backend.maintain(self.now);
+            self.registry.heartbeat(self.now);
+            self.wait_and_read(&mut ready)?;
+            self.close_idle_if_due();
+            self.handle_backend_events();
+            self.handle_listener_events();
+            self.fire_timers();
+            self.decide();
+            self.close_listeners_if_due();
+            self.poll_subsystems();
+            self.flush();
+            self.log_summary_if_due();
+            if self.is_finished() {
+                self.log_summary();
+                return Ok(());
+            }
+        }
+    }
+
+    // --- Waiting and reading ---
+
+    /// Waits until something is ready or due, and reads it.
+    fn wait_and_read(&mut self, ready: &mut Events) -> Result<(), ServeError> {
+        let due = self.next_due();
+        self.read_ready(due, ready)?;
+        if self.now > due + STALL {
+            // The process was suspended: what arrived meanwhile counts before timers that ran out.
+            self.read_ready(due, ready)?;
+        }
+        Ok(())
+    }
+
+    /// When the next turn is due at the latest; never before this one, as what is overdue is due now.
+    fn next_due(&self) -> TenthMillis {
+        let timer = self
+            .gauges
+            .pending_until()
+            .unwrap_or_else(|| self.timers.next_due());
+        let maintenance = if self.listeners.has_idle() {
+            self.maintenance_at
+        } else {
+            TenthMillis::MAX
+        };
+        let subsystems = self
+            .subsystems
+            .iter()
+            .map(|subsystem| self.now.saturating_add(subsystem.time_to_next_poll()))
+            .min()
+            .unwrap_or(TenthMillis::MAX);
+        timer
+            .min(self.backend.next_due())
+            .min(self.shutdown.next_due())
+            .min(maintenance)
+            .min(self.registry.next)
+            .min(self.summaries.next_at)
+            .min(subsystems)
+            .max(self.now)
+    }
+
+    /// Waits until `due` at the longest, then reads every socket that is ready and applies a configuration
+    /// that has been built.
+    fn read_ready(&mut self, due: TenthMillis, ready: &mut Events) -> Result<(), ServeError> {
+        ready.clear();
+        let wait = Duration::from_micros(due.saturating_sub(self.now) * MICROSECONDS_PER_UNIT);
+        match self.poller.wait(ready, Some(wait)) {
+            Err(e) if e.kind() != std::io::ErrorKind::Interrupted => {
+                return Err(ServeError::Poller(e));
+            }
+            _ => self.now = self.clock.now(),
+        }
+        let was_draining = self.shutdown.is_draining();
+        let mut reload = false;
+        for readiness in ready.iter() {
+            match readiness.key {
+                // Last, since whatever else is ready came over links that the reload may close.
+                RELOAD_KEY => reload = true,
+                _ => self.read_socket(readiness, due),
+            }
+        }
+        if reload {
+            self.request_reload();
+            // Which of two signals was sent first can't be known where both are read in one turn.
+            if !was_draining && self.shutdown.is_draining() {
+                self.shutdown.expect_reload();
+            }
+        }
+        self.apply_built_configs();
+        Ok(())
+    }
+
+    /// Reads one socket by its key in the poller.
+    fn read_socket(&mut self, readiness: Readiness, due: TenthMillis) {
+        match readiness.key {
+            // Woken late, the process was suspended, and the signal may be as old as that.
+            DRAIN_KEY => self.drain(self.now.min(due)),
+            key if SUBSYSTEM_KEYS.contains(&key) => {
+                let owners = self.subsystems.iter_mut();
+                owners
+                    .filter(|subsystem| subsystem.key() == key)
+                    .for_each(|subsystem| subsystem.on_readable());
+            }
+            key if self.backend.has(key) => {
+                self.backend
+                    .ready(readiness, self.now, &mut self.backend_events);
+            }
+            key @ LISTEN_KEY..FIRST_KEY => {
+                _ = self
+                    .listeners
+                    .accept(key - LISTEN_KEY, self.now, &mut self.listener_events);
+            }
+            _ => self
+                .listeners
+                .ready(readiness, self.now, &mut self.listener_events),
+        }
+    }
+
+    // --- The other steps ---
+
+    /// Closes connections that lay idle and drops expired results, once each interval.
+    fn close_idle_if_due(&mut self) {
+        if self.now >= self.maintenance_at {
+            self.maintenance_at = self.now + MAINTENANCE_INTERVAL;
+            self.listeners.sweep(self.now, &mut self.listener_events);
+            self.results.remove_expired(self.now);
+        }
+    }
+
+    fn handle_backend_events(&mut self) {
+        let mut events = std::mem::take(&mut self.backend_events);
+        for event in events.drain(..) {
+            self.on_backend_event(event);
+        }
+        self.backend_events = events;
+    }
+
+    fn handle_listener_events(&mut self) {
+        let mut events = std::mem::take(&mut self.listener_events);
+        for event in events.drain(..) {
+            self.on_listener_event(event);
+        }
+        self.listener_events = events;
+    }
+
+    /// Shortly before the stop: answers what can be answered, then reads each connection a last time and
+    /// takes no more requests.
+    fn close_listeners_if_due(&mut self) {
+        if self.shutdown.begins_flushing(self.now) {
+            self.flush();
+            self.listeners
+                .last_reading(self.now, &mut self.listener_events);
+            self.handle_listener_events();
+            self.decide();
+        }
+    }
+
+    fn poll_subsystems(&mut self) {
+        for subsystem in &mut self.subsystems {
+            subsystem.poll();
+        }
+    }
+
+    /// Writes what there is to send, until writing brings nothing new. What broke meanwhile is handled at
+    /// once, since nothing may come to wake the next turn.
+    fn flush(&mut self) {
+        loop {
+            self.listeners.flush(self.now, &mut self.listener_events);
+            self.backend.flush(self.now, &mut self.backend_events);
+            if self.listener_events.is_empty() && self.backend_events.is_empty() {
+                return;
+            }
+            self.handle_backend_events();
+            self.handle_listener_events();
+            self.decide();
+        }
+    }
+
+    fn log_summary_if_due(&mut self) {
+        let turn = self.clock.now().saturating_sub(self.now);
+        self.summaries.slowest.record_turn(turn);
+        if self.now >= self.summaries.next_at {
+            self.log_summary();
+        }
+    }
+
+    /// Whether the stop has come, or the last connection has closed since the listeners did.
+    fn is_finished(&self) -> bool {
+        self.shutdown.is_over(self.now)
+            || (self.shutdown.is_flushing() && self.listeners.connections() == 0)
+    }
+}
--- /dev/null
+++ b/crates/node/src/event_loop/actions.rs
@@ -0,0 +1,154 @@
+//! Decisions: the batch of events goes to the admission controller, and the actions that come back are
+//! executed.
+
+use doortrack_admission::{Action, AdmissionController, Event, RequestId};
+use doortrack_time::TenthMillis;
+use slog::{error, info};
+
+use super::Node;
+use crate::network::request::{Answer, RunOutput};
+use crate::network::termination::Termination;
+use crate::state::in_flight::Stage;
+
+impl Node {
+    /// The backend is up, and with it the node. Its `age` counts towards the slow start of a cold one.
+    pub(super) fn start_admission(&mut self, cold: bool, age: TenthMillis) {
+        if self.admission.is_started() {
+            return;
+        }
+        let mut config = self.config.node.settings.admission.clone();
+        config.cold = cold;
+        let mut controller = AdmissionController::new(config, self.config.platform.seed);
+        let mut actions = Vec::new();
+        controller.handle(
+            self.now.saturating_sub(age),
+            &[Event::Started],
+            &mut actions,
+        );
+        self.admission.start(controller);
+        for action in actions {
+            self.execute(action);
+        }
+        self.announce_drain();
+    }
+
+    /// Hands the batch over and executes the actions, until those bring no new events.
+    pub(super) fn decide(&mut self) {
+        let mut actions = Vec::new();
+        while self.admission.handle_batch(self.now, &mut actions) {
+            for action in actions.drain(..) {
+                self.execute(action);
+            }
+        }
+        self.admission.clear_keys();
+    }
+
+    fn execute(&mut self, action: Action) {
+        match action {
+            Action::Run { id } => self.start_run(id),
+            Action::Reject {
+                id,
+                no_retry_elsewhere,
+                retry_after,
+            } => {
+                let rejected = Answer::Rejected {
+                    not_elsewhere: no_retry_elsewhere,
+                    retry_after,
+                };
+                self.answer(id, rejected);
+            }
+            Action::Fail { id } => self.answer(id, Answer::Failed),
+            Action::Cancel { id } => self.cancel(id),
+            Action::Record { id, ttl } => self.record(id, ttl),
+            Action::Forget { id } => {
+                self.results.forget(id);
+                self.settle(id);
+            }
+            Action::Attach { id } => self.attach(id),
+            Action::Health { healthy, .. } => self.set_health(healthy),
+            Action::Backpressure { value } => self.listeners.level = Some(value),
+            Action::IdleTimeout { timeout } => self.listeners.idle_limit = timeout,
+            Action::SetTimer { at, token } => self.timers.set(at, token),
+            // Refused at the start, as this node can't make downstream calls.
+            Action::Call { id, .. } | Action::SkipCall { id } => {
+                error!(self.log, "unsupported downstream call"; "request" => id);
+            }
+        }
+    }
+
+    /// Sends a request to the backend to be run.
+    pub(super) fn start_run(&mut self, id: RequestId) {
+        let Some(request) = self.in_flight.get(id) else {
+            return;
+        };
+        let idempotent = self.config.is_idempotent(request.group);
+        let group_name = &self.config.group_names_json[usize::from(request.group)];
+        // The run itself uses up the reservation, at once.
+        let reserved = std::mem::take(&mut request.hold.admission);
+        self.backend.release(request.pool, reserved);
+        let sent = self
+            .backend
+            .run(id, request, group_name, idempotent, self.now);
+        request.stage = Stage::Running { sent };
+    }
+
+    /// Gives a request its one answer, unless nobody waits for it.
+    fn answer(&mut self, id: RequestId, answer: Answer) {
+        let request = self.in_flight.get(id);
+        let Some(caller) = request.and_then(|request| request.caller.take()) else {
+            return;
+        };
+        self.listeners.answer(caller, answer);
+        self.drop_if_queued(id);
+    }
+
+    /// Stops a run, as far as it may have begun.
+    fn cancel(&mut self, id: RequestId) {
+        let Some(request) = self.in_flight.get(id) else {
+            return;
+        };
+        match request.stage {
+            Stage::Running { sent: None } => {
+                self.on_terminated(id, Termination::Unsent, RunOutput::default());
+            }
+            // Cancelled for the second time, so it was answered some time ago: to a RUN the engine now says
+            // that it runs, or that nothing is begun for a request that is over.
+            Stage::InDoubt { cancelled: true } if self.backend.is_up() => self.start_run(id),
+            Stage::Running { .. } => self.backend.stop(id, request, self.now),
+            Stage::InDoubt { .. } => {
+                self.backend.stop(id, request, self.now);
+                request.stage = Stage::InDoubt {
+                    cancelled: self.backend.is_up(),
+                };
+            }
+            Stage::Queued | Stage::Attached { .. } => {}
+        }
+    }
+
+    /// Keeps the result of a request for its duplicates.
+    fn record(&mut self, id: RequestId, ttl: TenthMillis) {
+        let Some(request) = self.in_flight.get(id) else {
+            return;
+        };
+        if let Some(key) = request.key {
+            self.results
+                .record(id, key, &request.body, request.stamp, ttl, self.now);
+        }
+    }
+
+    /// Answers a duplicate with what the request that it repeats comes to.
+    fn attach(&mut self, id: RequestId) {
+        let request = self.in_flight.get(id);
+        if let Some(original) = request.and_then(|request| request.duplicate_of) {
+            self.answer_from(id, original);
+        }
+    }
+
+    fn set_health(&mut self, healthy: bool) {
+        self.listeners.good = healthy;
+        let follows_health = self.config.node.settings.list_follows_health;
+        self.registry
+            .tell(self.shutdown.is_draining() || (follows_health && !healthy));
+        info!(self.log, "health"; "healthy" => healthy);
+    }
+}
--- /dev/null
+++ b/crates/node/src/event_loop/arrivals.rs
@@ -0,0 +1,192 @@
+//! Requests that callers sent: each is given its reservations and put before the admission controller.
+
+use doortrack_admission::{Event, Request, RequestId};
+use doortrack_time::TenthMillis;
+
+use super::Node;
+use crate::network::listeners::{Block, Caller, ListenerEvent};
+use crate::network::request::{Answer, IncomingRequest, RunOutput, Unreadable};
+use crate::state::in_flight::{Hold, InFlightRequest, Stage};
+use crate::state::results::{Key, Repeats};
+use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome};
+
+impl Node {
+    pub(super) fn on_listener_event(&mut self, event: ListenerEvent) {
+        match event {
+            ListenerEvent::Request {
+                caller,
+                request,
+                block,
+                body,
+            } => self.on_request(caller, request, block, body),
+            ListenerEvent::Ended { ex, end } => {
+                self.on_terminated(ex, end, RunOutput::default());
+            }
+        }
+    }
+
+    fn on_request(
+        &mut self,
+        caller: Caller,
+        request: IncomingRequest,
+        block: Block,
+        body: Vec<u8>,
+    ) {
+        if !self.listeners.waits(caller) {
+            return; // Cancelled in the turn in which it came.
+        }
+        if !self.admission.is_started() {
+            return self.listeners.answer(caller, Answer::NoRoom);
+        }
+        let key = request.idempotency_key.map(|key| (request.group, key));
+        self.decide_before_duplicate(key);
+        match self.find_original(key, &body, request.stamp) {
+            Ok(original) => self.take_request(caller, &request, block, body, original),
+            Err(answer) => self.listeners.answer(caller, answer),
+        }
+    }
+
+    /// Reserves what the request needs, enters it in the table of requests in flight and submits it.
+    fn take_request(
+        &mut self,
+        caller: Caller,
+        request: &IncomingRequest,
+        block: Block,
+        body: Vec<u8>,
+        duplicate_of: Option<RequestId>,
+    ) {
+        let pool = request.pool.map_or(0, |index| index + 1);
+        // A duplicate takes the result of the original: it uses nothing more.
+        let (hold, retry_after) = match duplicate_of {
+            None => self.reserve(AdmissionRequest {
+                group: request.group,
+                tenant: request.tenant,
+                pool,
+            }),
+            Some(_) => (Hold::default(), None),
+        };
+        let entry = InFlightRequest {
+            try_id: request.try_id,
+            group: request.group,
+            key: request.idempotency_key.map(|key| (request.group, key)),
+            stamp: request.stamp,
+            body,
+            block: Some(block).filter(|_| self.backend.wants_variables()),
+            pool,
+            caller: Some(caller),
+            stage: Stage::Queued,
+            duplicate_of,
+            hold,
+        };
+        let Some(id) = self.in_flight.insert(entry) else {
+            self.release_unused(pool, hold);
+            let same_id = Answer::Unreadable(Unreadable::Field("HTTP_X_REQUEST_ID"));
+            return self.listeners.answer(caller, same_id);
+        };
+        self.listeners.bind_request(caller, id);
+        self.submit(id, request, duplicate_of, retry_after);
+    }
+
+    /// Has the batch decided first if it holds a request with the same key, so that the duplicate sees what
+    /// became of that one.
+    fn decide_before_duplicate(&mut self, key: Option<Key>) {
+        if let Some(key) = key
+            && !self.admission.insert_key(key)
+        {
+            self.decide();
+            self.admission.insert_key(key);
+        }
+    }
+
+    /// The request that one with this key repeats, if it has a key and repeats any.
+    ///
+    /// # Errors
+    /// The answer to one that can't be taken: only where there is no entry for its key, as a duplicate of a
+    /// request that has run is never refused.
+    fn find_original(
+        &self,
+        key: Option<Key>,
+        body: &[u8],
+        stamp: TenthMillis,
+    ) -> Result<Option<RequestId>, Answer<'static>> {
+        let Some(key) = key else { return Ok(None) };
+        match self.results.repeats(&key, body, stamp.min(self.now)) {
+            Repeats::Nothing => Ok(None),
+            Repeats::Request(original) => Ok(Some(original)),
+            Repeats::TableFull => Err(Answer::NoRoom),
+            Repeats::OtherBody => Err(Answer::Unreadable(Unreadable::Field(
+                "HTTP_IDEMPOTENCY_KEY",
+            ))),
+        }
+    }
+
+    /// Reserves what a request needs of its pool's servers and of the fleet's budgets, or says how long its
+    /// caller is to wait before a retry.
+    fn reserve(&mut self, request: AdmissionRequest) -> (Hold, Option<TenthMillis>) {
+        let admission = match self.backend.admit(request.pool, self.now) {
+            Ok(admission) => admission,
+            Err(retry_after) => return (Hold::default(), Some(retry_after)),
+        };
+        let mut hold = Hold {
+            permit: Permit::default(),
+            admission,
+        };
+        for subsystem in &mut self.subsystems {
+            match subsystem.admit(request) {
+                // One subsystem at the most has budgets.
+                Ok(permit) if permit == Permit::default() => {}
+                Ok(permit) => hold.permit = permit,
+                Err(retry_after) => {
+                    self.release_unused(request.pool, hold);
+                    return (Hold::default(), Some(retry_after));
+                }
+            }
+        }
+        (hold, None)
+    }
+
+    /// Releases what a request holds that will not be run.
+    pub(super) fn release_unused(&mut self, pool: u16, hold: Hold) {
+        self.release_permit(hold.permit, PermitOutcome::Unused);
+        self.backend.release(pool, hold.admission);
+    }
+
+    pub(super) fn release_permit(&mut self, permit: Permit, outcome: PermitOutcome) {
+        if permit != Permit::default() {
+            for subsystem in &mut self.subsystems {
+                subsystem.release(permit, outcome);
+            }
+        }
+    }
+
+    /// Puts a request into the batch for the admission controller.
+    fn submit(
+        &mut self,
+        id: RequestId,
+        request: &IncomingRequest,
+        duplicate_of: Option<RequestId>,
+        budget_retry_after: Option<TenthMillis>,
+    ) {
+        // Stamps are whole ms, rounded down: the age is never too small, so no answer comes late.
+        let age = self.now.saturating_sub(request.stamp);
+        self.summaries.slowest.record_arrival(age);
+        let longest_wait = self.config.deadline(request.group);
+        self.admission.push(Event::Arrived(Request {
+            id,
+            group: request.group,
+            tenant: request.tenant,
+            session_key: request.subject,
+            deadline: request
+                .wait
+                .map(|wait| request.stamp + wait.min(longest_wait)),
+            work_hint: None,
+            memory_kb: request.kb,
+            rank: request.rank,
+            retry: request.retry,
+            caller: request.caller,
+            age,
+            duplicate_of,
+            budget_retry_after,
+        }));
+    }
+}
--- /dev/null
+++ b/crates/node/src/event_loop/completions.rs
@@ -0,0 +1,196 @@
+//! How requests end: what the backend says of runs, callers that leave, and duplicates that wait for a result.
+
+use doortrack_admission::{Cancellation, Event, RequestId, RunOutcome};
+use slog::warn;
+
+use super::Node;
+use crate::network::engine::BackendEvent;
+use crate::network::engine_protocol::EngineMessage;
+use crate::network::listeners::Caller;
+use crate::network::request::{Answer, RunOutput, TryId};
+use crate::network::termination::{Outcome, Termination};
+use crate::state::in_flight::Stage;
+use crate::state::results::{NoResult, StoredResult};
+use crate::subsystem::PermitOutcome;
+
+impl Node {
+    pub(super) fn on_backend_event(&mut self, event: BackendEvent) {
+        match event {
+            BackendEvent::Hello { cold, age } => self.start_admission(cold, age),
+            BackendEvent::CaughtUp { proven } => self.resend_lost(proven),
+            BackendEvent::EngineMessage(message) => self.on_engine_message(message),
+            BackendEvent::RunEnded {
+                id,
+                end,
+                headers,
+                body,
+            } => {
+                let output = RunOutput {
+                    headers: &headers,
+                    body: &body,
+                };
+                self.on_terminated(id, end, output);
+            }
+            BackendEvent::Ended(end) => {
+                let running: Vec<RequestId> = self.in_flight.running().map(|(id, _)| id).collect();
+                for id in running {
+                    self.on_terminated(id, end, RunOutput::default());
+                }
+            }
+        }
+    }
+
+    fn on_engine_message(&mut self, message: EngineMessage) {
+        match message {
+            EngineMessage::Done {
+                try_id,
+                outcome,
+                result,
+                ..
+            } => {
+                if let Some(id) = self.in_flight.find(&try_id) {
+                    let output = RunOutput::from(&result[..]);
+                    self.on_terminated(id, Termination::Run(outcome), output);
+                }
+            }
+            EngineMessage::Not { command, try_id } => self.on_refused_command(&command, try_id),
+            EngineMessage::Stats { cookie, values } => self.on_gauges(cookie, &values),
+            _ => {}
+        }
+    }
+
+    /// The engine would not execute a command, as it knows no such request.
+    fn on_refused_command(&mut self, command: &str, try_id: Option<TryId>) {
+        warn!(self.log, "engine refused command"; "command" => command);
+        let end = if command == "RUN" {
+            Termination::RunRefused
+        } else {
+            Termination::StopRefused
+        };
+        if let Some(id) = try_id.and_then(|try_id| self.in_flight.find(&try_id)) {
+            self.on_terminated(id, end, RunOutput::default());
+        }
+    }
+
+    /// A connection or a run ended, with all that this means for the request it concerns.
+    pub(super) fn on_terminated(&mut self, id: RequestId, end: Termination, output: RunOutput) {
+        match end.outcome() {
+            Outcome::StillOwed => {}
+            Outcome::CallerGone => self.on_caller_gone(id),
+            Outcome::RunEnded(outcome) => self.on_run_ended(id, outcome, output),
+        }
+    }
+
+    fn on_caller_gone(&mut self, id: RequestId) {
+        let request = self.in_flight.get(id);
+        if request.is_some_and(|request| request.caller.take().is_some()) {
+            self.admission.push(Event::CallerGone { id });
+            self.drop_if_queued(id);
+        }
+    }
+
+    /// Removes a request that never ran and is owed no answer, its result entry included, so that a later
+    /// attempt may run.
+    pub(super) fn drop_if_queued(&mut self, id: RequestId) {
+        if !self.in_flight.is_waiting(id) {
+            return;
+        }
+        if let Some(request) = self.in_flight.remove(id) {
+            self.release_unused(request.pool, request.hold);
+        }
+        self.results.forget(id);
+        self.settle(id);
+    }
+
+    /// Releases what the request held, answers its caller, and then its duplicates from the result.
+    fn on_run_ended(&mut self, id: RequestId, outcome: RunOutcome, output: RunOutput) {
+        let Some(request) = self.in_flight.remove(id) else {
+            return;
+        };
+        self.backend.release(request.pool, request.hold.admission);
+        let permit_outcome = match outcome {
+            RunOutcome::Completed => PermitOutcome::RunEnded,
+            RunOutcome::Failed | RunOutcome::Cancelled => PermitOutcome::MayStillRun,
+            RunOutcome::NotStarted => PermitOutcome::Unused,
+        };
+        self.release_permit(request.hold.permit, permit_outcome);
+        self.admission.push(Event::RunEnded { id, outcome });
+        if let Some(caller) = request.caller {
+            self.answer_with_run(caller, outcome, output);
+        }
+        match outcome {
+            RunOutcome::Completed => self.results.complete(id, Ok(output)),
+            RunOutcome::Failed | RunOutcome::Cancelled => self.results.complete(id, Err(NoResult)),
+            RunOutcome::NotStarted => self.results.forget(id),
+        }
+        self.settle(id);
+    }
+
+    fn answer_with_run(&mut self, caller: Caller, outcome: RunOutcome, output: RunOutput) {
+        let answer = if outcome == RunOutcome::Completed {
+            Answer::Completed(output)
+        } else {
+            Answer::Failed
+        };
+        self.listeners.answer(caller, answer);
+    }
+
+    /// Answers the duplicates that wait for the result of this request.
+    pub(super) fn settle(&mut self, id: RequestId) {
+        for duplicate in self.in_flight.take_attached(id) {
+            self.answer_from(duplicate, id);
+        }
+    }
+
+    /// Ends a duplicate with the result of the original, or attaches it if that is still running.
+    pub(super) fn answer_from(&mut self, id: RequestId, original: RequestId) {
+        let (headers, body) = match self.results.result(original) {
+            StoredResult::Pending => return self.in_flight.attach(id, original),
+            StoredResult::Output(output) => (output.headers.to_vec(), output.body.to_vec()),
+            StoredResult::None => {
+                let failed = Termination::Run(RunOutcome::Failed);
+                return self.on_terminated(id, failed, RunOutput::default());
+            }
+        };
+        let output = RunOutput {
+            headers: &headers,
+            body: &body,
+        };
+        self.on_terminated(id, Termination::Run(RunOutcome::Completed), output);
+    }
+
+    /// The link to the engine is up again, and everything that it missed has been read. What was sent before
+    /// the reading `proven` has arrived. Of the rest, what was never sent is sent now, and what may have
+    /// arrived is sent again only where it may run twice.
+    fn resend_lost(&mut self, proven: u64) {
+        let is_unproven = |sent: Option<u64>| sent.is_none_or(|sent| sent >= proven);
+        let unproven = self
+            .in_flight
+            .running()
+            .filter(|(_, sent)| is_unproven(*sent));
+        let mut lost: Vec<RequestId> = unproven.map(|(id, _)| id).collect();
+        lost.sort_unstable();
+        for id in lost {
+            self.resend(id);
+        }
+    }
+
+    fn resend(&mut self, id: RequestId) {
+        let Some(request) = self.in_flight.get(id) else {
+            return;
+        };
+        let never_sent = request.stage == Stage::Running { sent: None };
+        if never_sent && request.caller.is_none() {
+            return self.on_terminated(id, Termination::Unsent, RunOutput::default());
+        }
+        let cancellation = self.config.node.settings.admission.cancellation;
+        let may_run_twice = self.config.is_idempotent(request.group);
+        if never_sent || may_run_twice || cancellation == Cancellation::Unsupported {
+            self.start_run(id);
+        } else {
+            // If it runs, it may end before a second RUN is read, and that one would run it again: so its end
+            // is waited for like that of any run. Where runs can't be stopped that could be forever.
+            request.stage = Stage::InDoubt { cancelled: false };
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/event_loop/config_build.rs
@@ -0,0 +1,125 @@
+//! A configuration that was read from its files and made ready to come into force. Nothing here touches the
+//! state of the loop, so that it may run on another thread; it blocks on reading the files.
+
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use doortrack_config::node_config::{self, Digest};
+use doortrack_config::reload::{NeedsStart, Plan, PlatformRead, Started, plan};
+use doortrack_config::{ConfigErrors, Installation, file};
+use doortrack_routes::Table;
+
+use crate::network::classified::RuleTable;
+
+/// What is in force when a build begins.
+pub(super) struct BuildBase {
+    pub(super) installation: Arc<Installation>,
+    /// None where the installation has no rules.
+    pub(super) rule_table: Option<Arc<Table>>,
+}
+
+/// A configuration that can come into force.
+pub(super) struct Candidate {
+    pub(super) plan: Plan,
+    /// None where the installation has no rules.
+    pub(super) rules: Option<RuleTable>,
+    /// How long it took to read and build.
+    pub(super) build_time: Duration,
+}
+
+/// Why a configuration can't come into force.
+pub(super) struct Rejected {
+    pub(super) errors: ConfigErrors,
+    /// What only a start can change in any case: an error may be due to it.
+    pub(super) needs_start: Vec<NeedsStart>,
+}
+
+impl From<ConfigErrors> for Rejected {
+    fn from(errors: ConfigErrors) -> Rejected {
+        Rejected {
+            errors,
+            needs_start: Vec::new(),
+        }
+    }
+}
+
+/// The result of a build.
+pub(super) type BuildResult = Result<Candidate, Rejected>;
+
+/// Where configurations are read, and what they are read against.
+#[derive(Clone)]
+pub(super) struct Sources {
+    pub(super) started: Started,
+    /// The operators' own file, if there is one.
+    pub(super) installation_path: Option<PathBuf>,
+}
+
+/// Reads and builds configurations, one after the other.
+pub(super) struct Builder {
+    sources: Sources,
+    /// The platform's configuration that was read last, with the digest of its text.
+    last_read: (Digest, PlatformRead),
+}
+
+impl Builder {
+    pub(super) fn new(sources: Sources) -> Builder {
+        let node_config = &sources.started.orders;
+        let last_read = (
+            node_config.source,
+            PlatformRead::new(node_config, node_config),
+        );
+        Builder { sources, last_read }
+    }
+
+    /// Reads both files and builds what they say. Rules that are in force already are shared.
+    ///
+    /// # Errors
+    /// Every error, each with the path of its key.
+    pub(super) fn build(&mut self, base: &BuildBase) -> BuildResult {
+        let begun = Instant::now();
+        let platform = self.read_platform()?;
+        let installation = match &self.sources.installation_path {
+            Some(path) => file::read(path)?,
+            None => Installation::default(),
+        };
+        let plan = plan(
+            &self.sources.started,
+            &base.installation,
+            platform,
+            installation,
+        )?;
+        let settings = &self.sources.started.orders.settings;
+        let table = match plan
+            .installation
+            .table_from(base.rule_table.as_deref(), settings)
+        {
+            Ok(table) => table,
+            Err(errors) => {
+                return Err(Rejected {
+                    errors,
+                    needs_start: plan.needs_start,
+                });
+            }
+        };
+        let rules = table.map(|table| RuleTable::new(table, &plan.installation, settings));
+        Ok(Candidate {
+            plan,
+            rules,
+            build_time: begun.elapsed(),
+        })
+    }
+
+    /// Reads the platform's configuration; the same bytes as before are not parsed again.
+    fn read_platform(&mut self) -> Result<PlatformRead, ConfigErrors> {
+        let path = node_config::path()?;
+        let bytes = node_config::read_bytes(&path)?;
+        let digest = node_config::digest(&bytes);
+        if digest != self.last_read.0 {
+            let read = node_config::parse_file(&path, &bytes)?;
+            let platform = PlatformRead::new(&self.sources.started.orders, &read);
+            self.last_read = (digest, platform);
+        }
+        Ok(self.last_read.1)
+    }
+}
--- /dev/null
+++ b/crates/node/src/event_loop/reload.rs
@@ -0,0 +1,225 @@
+//! Reload: replaces the configuration while the node serves. What changes is planned beforehand
+//! (`doortrack_config::reload`) and built beside the loop; here it comes into force at once, between two turns.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use doortrack_config::reload::{FrontChanges, KeyMeanings, NeedsStart, Plan, PlatformRead};
+use doortrack_config::{ConfigError, ConfigErrors, Front, Installation};
+use doortrack_time::{MILLISECOND, TenthMillis};
+use slog::{debug, info, warn};
+
+use super::Node;
+use super::config_build::{BuildBase, BuildResult, Candidate, Rejected};
+use super::reloader::Retired;
+use super::running_config::longest_deadline;
+use super::start::log_rules;
+use crate::network::backend::Backend;
+use crate::network::classified::{RuleTable, Rules};
+use crate::system::signals::RELOAD_KEY;
+
+impl Node {
+    /// SIGHUP came: both files are to be read again.
+    pub(super) fn request_reload(&mut self) {
+        self.signals.acknowledge(RELOAD_KEY);
+        if self.reloader.notice() {
+            self.begin_build();
+        }
+    }
+
+    fn begin_build(&mut self) {
+        debug!(self.log, "configuration being read");
+        let rules = self.listeners.rules.as_ref();
+        let base = BuildBase {
+            installation: Arc::clone(&self.config.installation),
+            rule_table: rules.map(|rules| Arc::clone(rules.table())),
+        };
+        self.reloader.begin(base);
+    }
+
+    /// Brings into force what has been built, if anything has.
+    pub(super) fn apply_built_configs(&mut self) {
+        while let Some((result, next_begins)) = self.reloader.poll() {
+            let retired = self.apply(result);
+            self.reloader.retire(retired);
+            if self.shutdown.take_reload(next_begins) {
+                self.keep_earlier_stop();
+            }
+            if next_begins {
+                self.begin_build();
+            }
+        }
+    }
+
+    /// Brings a configuration into force, unless it is invalid or idempotency keys would change their meaning:
+    /// the node then goes on as it was, since ending would lose all that is in flight. Returns what is no
+    /// longer in force, or never was.
+    fn apply(&mut self, result: BuildResult) -> Retired {
+        let candidate = match result {
+            Ok(candidate) => candidate,
+            Err(rejected) => {
+                self.log_rejected(&rejected);
+                return Box::new(rejected);
+            }
+        };
+        self.log_needs_start(&candidate.plan.needs_start);
+        if let Err(errors) = self.check_key_meanings(&candidate.plan.keys) {
+            warn!(self.log, "configuration rejected"; "error" => %errors);
+            return Box::new(candidate);
+        }
+        let Candidate {
+            plan,
+            rules,
+            build_time,
+        } = candidate;
+        self.bring_into_force(plan, rules, build_time)
+    }
+
+    fn log_rejected(&self, rejected: &Rejected) {
+        self.log_needs_start(&rejected.needs_start);
+        warn!(self.log, "configuration rejected"; "error" => %rejected.errors);
+    }
+
+    fn log_needs_start(&self, changes: &[NeedsStart]) {
+        for change in changes {
+            warn!(self.log, "{}", change.subject(); "why" => %change);
+        }
+    }
+
+    /// What an idempotency key means may not change while keys of before are within their window: the same
+    /// request could come again under another key, and run twice.
+    ///
+    /// # Errors
+    /// One for each endpoint group whose keys can't change their meaning yet.
+    fn check_key_meanings(&self, new: &KeyMeanings) -> Result<(), ConfigErrors> {
+        let errors: Vec<ConfigError> = self
+            .config
+            .key_meanings
+            .changed(new)
+            .into_iter()
+            .filter_map(|group| self.key_conflict(group))
+            .collect();
+        if errors.is_empty() {
+            Ok(())
+        } else {
+            Err(ConfigErrors(errors))
+        }
+    }
+
+    /// Why keys of this endpoint group can't change their meaning, if they can't.
+    fn key_conflict(&self, group: usize) -> Option<ConfigError> {
+        let wait = match self.results.last_expiry(group as u8)? {
+            Some(expires_at) => {
+                let wait = expires_at.saturating_sub(self.now);
+                format!("in {} ms none is", wait.div_ceil(MILLISECOND))
+            }
+            None => "one of them is in hand".to_string(),
+        };
+        let name = &self.config.node.settings.group_names[group];
+        let conflict = format!(
+            "keys of '{name}' would mean something else while some are within their window; {wait}"
+        );
+        Some(ConfigError::new("installation.rules", conflict))
+    }
+
+    /// Changes everything at once and returns what is no longer in force. Requests in flight keep what they
+    /// began under.
+    fn bring_into_force(
+        &mut self,
+        plan: Plan,
+        rules: Option<RuleTable>,
+        build_time: Duration,
+    ) -> Retired {
+        let begun = Instant::now();
+        self.change_platform(plan.platform, plan.installation.fronts.len());
+        self.change_servers(&plan.installation);
+        let mut fleet = plan.fleet;
+        for subsystem in &mut self.subsystems {
+            subsystem.reload(&mut fleet);
+        }
+        let old_rules = self.change_rules(rules);
+        let old_keys = std::mem::replace(&mut self.config.key_meanings, plan.keys);
+        self.change_listeners(&plan.installation);
+        let old_installation = std::mem::replace(&mut self.config.installation, plan.installation);
+        info!(self.log, "configuration in force"; "built_ms" => build_time.as_millis() as u64,
+            "held_us" => begun.elapsed().as_micros() as u64);
+        Box::new((old_rules, old_keys, old_installation, fleet))
+    }
+
+    /// Changes the addresses of engine and registry, and the time from the notice to drain to the stop. What
+    /// runs goes on, as the engine keeps runs and their ids.
+    fn change_platform(&mut self, read: PlatformRead, listeners: usize) {
+        let (engine, registry) = (read.platform.engine, read.platform.registry);
+        info!(self.log, "configuration read again"; "engine" => %engine, "registry" => %registry,
+            "listeners" => listeners, "rest_needs_start" => read.rest_needs_start);
+        self.config.platform = read.platform;
+        self.backend
+            .move_to(engine, self.now, &mut self.backend_events);
+        if let Err(e) = self.registry.move_to(registry) {
+            warn!(self.log, "registry unreachable"; "why" => %e);
+        }
+    }
+
+    /// Changes the servers of each pool and the pool's settings.
+    fn change_servers(&mut self, installation: &Installation) {
+        let longest: TenthMillis = longest_deadline(&self.config.node);
+        if let Backend::Servers(pools) = &mut self.backend {
+            for ((_, pool), (_, servers)) in pools.iter_mut().zip(installation.named_pools()) {
+                pool.take_up(servers, longest, self.now);
+            }
+        }
+    }
+
+    /// Replaces the rules for what is read from here on, and returns the old ones.
+    fn change_rules(&mut self, new: Option<RuleTable>) -> Retired {
+        if let Some(table) = &new {
+            log_rules(&self.log, table);
+        }
+        match (&mut self.listeners.rules, new) {
+            (Some(rules), Some(new)) => Box::new(rules.replace(new)),
+            (rules, new) => Box::new(std::mem::replace(rules, new.map(Rules::new))),
+        }
+    }
+
+    /// Opens the listeners that are new and drains those that are gone. A draining node opens none.
+    fn change_listeners(&mut self, installation: &Installation) {
+        let changes = FrontChanges::between(&self.config.listening, &installation.fronts);
+        for closed in &changes.withdrawn {
+            info!(self.log, "listener closed"; "address" => %closed.listen);
+            self.listeners
+                .drain_listener(closed.listen, self.now, &mut self.listener_events);
+        }
+        for kept in &changes.kept {
+            self.listeners.bound(kept.listen, connection_limit(kept));
+        }
+        self.config.listening = changes.kept;
+        if self.shutdown.is_draining() {
+            return;
+        }
+        for listener in changes.opened {
+            match self.open_listener(&listener) {
+                Ok(()) => self.config.listening.push(listener),
+                // The others go on; the next SIGHUP tries it again.
+                Err(e) => {
+                    warn!(self.log, "listener not opened"; "address" => %listener.listen, "why" => %e);
+                }
+            }
+        }
+    }
+
+    /// Opens a listener of the installation.
+    pub(super) fn open_listener(&mut self, listener: &Front) -> std::io::Result<()> {
+        let address: SocketAddr = listener.listen;
+        let limit = connection_limit(listener);
+        self.listeners
+            .listen(address, listener.protocol.into(), limit)?;
+        info!(self.log, "listener opened"; "address" => %address, "protocol" => listener.protocol.name());
+        Ok(())
+    }
+}
+
+/// Connections that a listener may have at once, if it bounds them.
+fn connection_limit(listener: &Front) -> Option<usize> {
+    listener.connections.map(|limit| limit as usize)
+}
--- /dev/null
+++ b/crates/node/src/event_loop/reloader.rs
@@ -0,0 +1,170 @@
+//! Builds of configurations beside the loop, on a thread of their own that lives from the first build on.
+//! A node without an installation file, as the platform starts it, builds on the loop's thread.
+
+use std::any::Any;
+use std::io;
+use std::sync::Arc;
+use std::sync::mpsc::{self, Receiver, Sender, TryRecvError};
+use std::thread;
+
+use doortrack_config::ConfigErrors;
+use doortrack_config::reload::Builds;
+use polling::Poller;
+
+use super::config_build::{BuildBase, BuildResult, Builder, Rejected, Sources};
+
+/// Something that is no longer in force. Dropping it takes long where it is large.
+pub(super) type Retired = Box<dyn Any + Send>;
+
+enum Job {
+    Build(BuildBase),
+    Drop(Retired),
+}
+
+/// Where builds are done.
+enum Executor {
+    Inline(Box<Builder>),
+    /// On a thread, which is started with the first build and owns the builder from then on.
+    Thread {
+        sources: Sources,
+        worker: Option<Worker>,
+    },
+}
+
+struct Worker {
+    jobs: Sender<Job>,
+    results: Receiver<BuildResult>,
+}
+
+/// Builds configurations, one at a time, and drops those that are retired.
+pub(super) struct Reloader {
+    builds: Builds,
+    executor: Executor,
+    /// What was built inline, or why no build could begin.
+    result: Option<BuildResult>,
+    poller: Arc<Poller>,
+}
+
+impl Reloader {
+    pub(super) fn new(sources: Sources, poller: Arc<Poller>) -> Reloader {
+        let executor = if sources.installation_path.is_some() {
+            Executor::Thread {
+                sources,
+                worker: None,
+            }
+        } else {
+            Executor::Inline(Box::new(Builder::new(sources)))
+        };
+        Reloader {
+            builds: Builds::default(),
+            executor,
+            result: None,
+            poller,
+        }
+    }
+
+    /// The files may have changed; whether [`Reloader::begin`] is to be called.
+    pub(super) fn notice(&mut self) -> bool {
+        self.builds.notice()
+    }
+
+    /// Whether a build has begun and not finished.
+    pub(super) fn is_under_way(&self) -> bool {
+        self.builds.is_under_way()
+    }
+
+    /// Begins a build.
+    pub(super) fn begin(&mut self, base: BuildBase) {
+        match &mut self.executor {
+            Executor::Inline(builder) => self.result = Some(builder.build(&base)),
+            Executor::Thread { sources, worker } => {
+                let begun = Worker::begin(worker, sources, &self.poller, base);
+                self.result = begun.err().map(|e| Err(no_thread(&e.to_string())));
+            }
+        }
+    }
+
+    /// The result of the build under way, once it is there, and whether the files changed since they were
+    /// read, so that [`Reloader::begin`] is to be called.
+    pub(super) fn poll(&mut self) -> Option<(BuildResult, bool)> {
+        if !self.builds.is_under_way() {
+            return None;
+        }
+        let result = self.result.take().or_else(|| self.receive())?;
+        Some((result, self.builds.finished()))
+    }
+
+    fn receive(&mut self) -> Option<BuildResult> {
+        let Executor::Thread { worker, .. } = &mut self.executor else {
+            return None;
+        };
+        match worker.as_ref()?.results.try_recv() {
+            Ok(result) => Some(result),
+            Err(TryRecvError::Empty) => None,
+            Err(TryRecvError::Disconnected) => {
+                // The next notice starts another.
+                *worker = None;
+                Some(Err(no_thread("it ended before the build did")))
+            }
+        }
+    }
+
+    /// Has something dropped on the thread, if there is one.
+    pub(super) fn retire(&self, retired: Retired) {
+        if let Executor::Thread {
+            worker: Some(worker),
+            ..
+        } = &self.executor
+        {
+            // Where the thread has ended it is dropped here.
+            _ = worker.jobs.send(Job::Drop(retired));
+        }
+    }
+}
+
+fn no_thread(why: &str) -> Rejected {
+    ConfigErrors::one("thread that builds configurations", why).into()
+}
+
+impl Worker {
+    /// Hands a build to the thread, which is started if there is none.
+    fn begin(
+        worker: &mut Option<Worker>,
+        sources: &Sources,
+        poller: &Arc<Poller>,
+        base: BuildBase,
+    ) -> io::Result<()> {
+        let worker = match worker {
+            Some(worker) => worker,
+            None => {
+                let builder = Builder::new(sources.clone());
+                worker.insert(Worker::start(builder, Arc::clone(poller))?)
+            }
+        };
+        // If the thread has ended meanwhile, `receive` finds out.
+        _ = worker.jobs.send(Job::Build(base));
+        Ok(())
+    }
+
+    fn start(mut builder: Builder, poller: Arc<Poller>) -> io::Result<Worker> {
+        let (jobs, job_queue) = mpsc::channel();
+        let (result_sender, results) = mpsc::channel();
+        let work = move || {
+            for job in job_queue {
+                match job {
+                    Job::Build(base) => {
+                        let result = builder.build(&base);
+                        // The last reference to any of it must not be left to the loop.
+                        drop(base);
+                        if result_sender.send(result).is_err() || poller.notify().is_err() {
+                            return;
+                        }
+                    }
+                    Job::Drop(retired) => drop(retired),
+                }
+            }
+        };
+        thread::Builder::new().name("reload".into()).spawn(work)?;
+        Ok(Worker { jobs, results })
+    }
+}
--- /dev/null
+++ b/crates/node/src/event_loop/timers.rs
@@ -0,0 +1,40 @@
+//! The admission controller's timers.
+
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+use doortrack_time::TenthMillis;
+
+/// Timers that the admission controller has set and that have not fired.
+#[derive(Default)]
+pub(super) struct Timers {
+    /// Due time and token, the earliest first.
+    queue: BinaryHeap<Reverse<(TenthMillis, u64)>>,
+}
+
+impl Timers {
+    /// Sets a timer; the token comes back when it fires.
+    pub(super) fn set(&mut self, at: TenthMillis, token: u64) {
+        self.queue.push(Reverse((at, token)));
+    }
+
+    /// When the earliest is due; [`TenthMillis::MAX`] if there is none.
+    pub(super) fn next_due(&self) -> TenthMillis {
+        self.queue
+            .peek()
+            .map_or(TenthMillis::MAX, |Reverse((at, _))| *at)
+    }
+
+    /// Takes out the earliest timer if it is due, and returns its token.
+    pub(super) fn pop_due(&mut self, now: TenthMillis) -> Option<u64> {
+        if self.queue.is_empty() || self.next_due() > now {
+            return None;
+        }
+        self.queue.pop().map(|Reverse((_, token))| token)
+    }
+
+    /// Whether any timer is due.
+    pub(super) fn is_due(&self, now: TenthMillis) -> bool {
+        !self.queue.is_empty() && self.next_due() <= now
+    }
+}
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -10,7 +10,7 @@
 use doortrack_node::commands::expr::{self, ExprCommand};
 use doortrack_node::commands::fleet::{self, FleetCommand};
 use doortrack_node::commands::routes::{self, RoutesCommand};
-use doortrack_node::serve::Node;
+use doortrack_node::event_loop::Node;
 use doortrack_node::system::clock::Clock;
 use doortrack_node::system::log::{self, Format};
 use doortrack_node::system::signals::Signals;
@@ -204,5 +204,6 @@
         clock,
         log,
     );
-    node.and_then(Node::serve).map_err(|fault| vec![fault])
+    let node = node.map_err(|error| vec![error.to_string()])?;
+    node.serve().map_err(|error| vec![error.to_string()])
 }
--- a/crates/node/src/network/backend.rs
+++ b/crates/node/src/network/backend.rs
@@ -138,18 +138,20 @@
     pub fn run(
         &mut self,
         id: RequestId,
-        ex: &mut InFlightRequest,
+        request: &mut InFlightRequest,
         group: &str,
         repeatable: bool,
         now: TenthMillis,
     ) -> Option<u64> {
         match self {
-            Backend::Engine(link) => link.is_up().then(|| link.run(&ex.try_id, group, &ex.body)),
+            Backend::Engine(link) => link
+                .is_up()
+                .then(|| link.run(&request.try_id, group, &request.body)),
             Backend::Servers(pools) => {
-                let block = ex.block.take();
-                ex.pool = pool_place(ex.pool, pools.len()) as u16;
-                if let Some((_, pool)) = pools.get_mut(usize::from(ex.pool)) {
-                    pool.run(id, block, &ex.body, repeatable, now);
+                let block = request.block.take();
+                request.pool = pool_place(request.pool, pools.len()) as u16;
+                if let Some((_, pool)) = pools.get_mut(usize::from(request.pool)) {
+                    pool.run(id, block, &request.body, repeatable, now);
                 }
                 Some(0)
             }
@@ -157,12 +159,12 @@
     }
 
     /// Stops a run that was begun.
-    pub fn stop(&mut self, id: RequestId, ex: &InFlightRequest, now: TenthMillis) {
+    pub fn stop(&mut self, id: RequestId, request: &InFlightRequest, now: TenthMillis) {
         match self {
-            Backend::Engine(link) if link.is_up() => link.halt(&ex.try_id),
+            Backend::Engine(link) if link.is_up() => link.halt(&request.try_id),
             Backend::Engine(_) => {}
             Backend::Servers(pools) => {
-                if let Some((_, pool)) = pools.get_mut(usize::from(ex.pool)) {
+                if let Some((_, pool)) = pools.get_mut(usize::from(request.pool)) {
                     pool.stop(id, now);
                 }
             }
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -11,7 +11,7 @@
 use slog::{Logger, info, warn};
 
 use super::peer_message::{BUDGET_PAGE, BudgetPage, BudgetStatus};
-use crate::subsystem::{AdmissionRequest, Permit, Use};
+use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome};
 
 /// Between reading the clock and the use that follows lie some hundred ns. A use after a longer pause of the
 /// process is counted as late.
@@ -191,17 +191,17 @@
         }
     }
 
-    pub fn release(&mut self, permit: Permit, came: Use, now: TenthMillis) {
+    pub fn release(&mut self, permit: Permit, outcome: PermitOutcome, now: TenthMillis) {
         for index in permit.0.into_iter().flatten() {
             let held = self
                 .budgets
                 .list()
                 .nth(usize::from(index))
                 .map_or(0, Budget::max_hold);
-            if came == Use::MayGoOn && held > 0 {
+            if outcome == PermitOutcome::MayStillRun && held > 0 {
                 self.lingering.push(Reverse((now + held, index)));
             } else {
-                self.release_one(usize::from(index), came != Use::None);
+                self.release_one(usize::from(index), outcome != PermitOutcome::Unused);
             }
         }
     }
@@ -296,7 +296,7 @@
 
     pub fn summary(&self, log: &Logger) {
         let leader = self.budgets.leader().map_or("", |who| &who.name);
-        info!(log, "so far of budgets"; "leader" => leader, "passed" => self.used.iter().sum::<u64>(),
+        info!(log, "budgets summary"; "leader" => leader, "passed" => self.used.iter().sum::<u64>(),
             "late_looks" => self.late);
     }
 }
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -28,7 +28,7 @@
 use super::budgets::FleetBudgets;
 use super::peer_message::PeerMessage;
 use super::seal::Seal;
-use crate::subsystem::{AdmissionRequest, Permit, SUBSYSTEM_KEYS, Subsystem, Use};
+use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome, SUBSYSTEM_KEYS, Subsystem};
 
 /// The poller's key of the link in a node's own loop.
 pub const KEY: usize = SUBSYSTEM_KEYS.start;
@@ -48,6 +48,15 @@
     ((micros + gained) / 100) as TenthMillis
 }
 
+/// The link's socket can't be opened.
+#[derive(Debug, thiserror::Error)]
+#[error("installation.fleet.listen: {address}: {source}")]
+pub struct OpenLinkError {
+    /// The address that the operators' file gives.
+    address: SocketAddr,
+    source: std::io::Error,
+}
+
 /// The link, with the decisions on membership and budgets.
 pub struct Peers {
     socket: SealedSocket,
@@ -70,7 +79,7 @@
     /// Opens the link that the operators' file configures. `unix_ms` is the start time of this process.
     ///
     /// # Errors
-    /// The address can't be bound; the message names the path of its key.
+    /// The address can't be bound.
     pub fn open(
         installation: &Installation,
         file: &FleetFile,
@@ -79,10 +88,14 @@
         unix_ms: u64,
         registration: Registration,
         log: Logger,
-    ) -> Result<Peers, String> {
-        let at = |e: std::io::Error| format!("installation.fleet.listen: {}: {e}", file.listen);
+    ) -> Result<Peers, OpenLinkError> {
         let seal = Seal::new(key, &file.name);
-        let socket = SealedSocket::bind(file.listen, registration, seal).map_err(at)?;
+        let socket = SealedSocket::bind(file.listen, registration, seal).map_err(|source| {
+            OpenLinkError {
+                address: file.listen,
+                source,
+            }
+        })?;
         let chance = fastrand::u64(..);
         let weight = file
             .weight
@@ -219,11 +232,11 @@
         self.socket.key
     }
 
-    fn ready(&mut self) {
+    fn on_readable(&mut self) {
         self.unread = (0..MAX_READS).all(|_| self.read_one());
     }
 
-    fn turn(&mut self) {
+    fn poll(&mut self) {
         let now = self.now();
         // Unread datagrams came before the timer: an answer among them is not missing.
         let waits = std::mem::take(&mut self.unread) && self.waited < MAX_WAITS;
@@ -279,14 +292,14 @@
         }))
     }
 
-    fn release(&mut self, permit: Permit, came: Use) {
+    fn release(&mut self, permit: Permit, outcome: PermitOutcome) {
         let now = self.now();
         if let Some(budgets) = &self.budgets {
-            budgets.borrow_mut().release(permit, came, now);
+            budgets.borrow_mut().release(permit, outcome, now);
         }
     }
 
-    fn wait(&self) -> TenthMillis {
+    fn time_to_next_poll(&self) -> TenthMillis {
         let budgets = self.budgets.as_ref().map_or(TenthMillis::MAX, |budgets| {
             budgets.borrow().budgets.next_due()
         });
@@ -296,14 +309,14 @@
         }
     }
 
-    fn leave(&mut self) {
+    fn drain(&mut self) {
         self.tell_budgets(Some(doortrack_budgets::Event::Leave));
         self.fleet
             .handle(self.now(), Event::Leave, &mut self.actions);
         self.carry_out();
     }
 
-    fn take_up(&mut self, change: &mut FleetChange) {
+    fn reload(&mut self, change: &mut FleetChange) {
         let Some(file) = change.file.take() else {
             return warn!(self.log, "fleet needs a start"; "why" => "it can't be left under way");
         };
@@ -353,7 +366,7 @@
 
     fn summary(&self, log: &Logger) {
         let counts = &self.socket.counts;
-        info!(log, "so far of the fleet"; "view" => self.fleet.view().number,
+        info!(log, "fleet summary"; "view" => self.fleet.view().number,
             "members" => self.fleet.view().members.len(), "isolated" => self.fleet.is_isolated(),
             "received" => counts.received, "received_bytes" => counts.received_bytes,
             "sent" => counts.sent, "sent_bytes" => counts.sent_bytes,
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -6,4 +6,4 @@
 pub mod peer_message;
 pub mod seal;
 
-pub use link::{Counts, KEY, Peers, Registration, Tap};
+pub use link::{Counts, KEY, OpenLinkError, Peers, Registration, Tap};
--- a/crates/node/src/state/in_flight.rs
+++ b/crates/node/src/state/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in hand: those that are owed an answer, and those whose run has yet to end.
+//! The table of requests in flight: those that are owed an answer, and those whose run has yet to end.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -12,25 +12,28 @@
 use crate::network::request::TryId;
 use crate::subsystem::Permit;
 
-/// Tries remembered after their end, so that a doubled id is known as one.
-const ENDED: usize = 16_384;
+/// Attempts remembered after their end, so that an id that is sent twice is known.
+const MAX_ENDED_ATTEMPTS: usize = 16_384;
 
+/// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
+    /// Its run has not begun.
     Queued,
-    /// Waits for the result of another.
+    /// A duplicate that waits for the result of the original.
     Attached {
+        /// The original.
         to: RequestId,
     },
-    /// DeploymentSettings to the engine or the servers; the number of the last STAT before it, or none while the link is
-    /// down.
+    /// Handed to the backend.
     Running {
+        /// Number of the last gauge query sent before it; none while the link is down.
         sent: Option<u64>,
     },
-    /// Sent on a link that was lost then, and not told of since: it runs, or never arrived. Whether it was
-    /// asked to be stopped.
+    /// Sent on a link that was lost, and not heard of since: it runs, or never arrived.
     InDoubt {
-        stopped: bool,
+        /// Whether its cancellation was sent.
+        cancelled: bool,
     },
 }
 
@@ -41,111 +44,150 @@
     }
 }
 
+/// A request in flight.
 pub struct InFlightRequest {
+    /// The caller's id of this attempt.
     pub try_id: TryId,
+    /// Index of its endpoint group.
     pub group: u8,
-    /// By what a repeat of it is known, if it is deduplicated.
+    /// By what a duplicate of it is known, if its group has idempotency keys.
     pub key: Option<Key>,
+    /// When its caller sent it, by the caller's clock.
     pub stamp: TenthMillis,
+    /// Its body.
     pub body: Vec<u8>,
-    /// Its variables as they came, where a server is to have them.
+    /// Its variables as received, where a server is to have them.
     pub block: Option<Block>,
-    /// The place of its pool of servers; 0 is the one without a name.
+    /// Index of its pool of servers; 0 is the one without a name.
     pub pool: u16,
-    /// Where its answer goes; none once it is given, or nobody waits for it.
+    /// Where its answer goes; none once it is answered or its caller has gone.
     pub caller: Option<Caller>,
+    /// How far it has come.
     pub stage: Stage,
-    /// The one that it repeats.
-    pub repeats: Option<RequestId>,
+    /// The request that it duplicates.
+    pub duplicate_of: Option<RequestId>,
+    /// What is reserved for it.
     pub hold: Hold,
 }
 
 /// What a request holds until it ends, or until its run begins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Hold {
-    /// Of the fleet's budgets.
+    /// Units of the fleet's budgets, until it ends.
     pub permit: Permit,
-    /// Of what its pool's servers may be sent; used up once its run begins.
+    /// A reservation with its pool's servers, which its run uses up.
     pub admission: Admission,
 }
 
+/// The table of requests in flight.
 #[derive(Default)]
 pub struct InFlight {
-    /// The next name to be given.
-    next: RequestId,
+    /// The next id, unless it is in use.
+    next_id: RequestId,
     by_id: FxHashMap<RequestId, InFlightRequest>,
-    by_try: HashMap<TryId, RequestId>,
-    waiting: FxHashMap<RequestId, Vec<RequestId>>,
-    ended: HashSet<TryId>,
-    order: VecDeque<TryId>,
+    by_attempt: HashMap<TryId, RequestId>,
+    /// Duplicates by the original whose result they wait for.
+    attached: FxHashMap<RequestId, Vec<RequestId>>,
+    ended_attempts: HashSet<TryId>,
+    /// The same, the oldest first.
+    ended_order: VecDeque<TryId>,
 }
 
 impl InFlight {
-    /// Takes one in under a name that was never used before; none if its try was seen already.
-    pub fn take_in(&mut self, ex: InFlightRequest) -> Option<RequestId> {
-        if self.by_try.contains_key(&ex.try_id) || self.ended.contains(&ex.try_id) {
+    /// Inserts a request under an id that is not in use; none if its attempt has been seen before.
+    pub fn insert(&mut self, request: InFlightRequest) -> Option<RequestId> {
+        let attempt = request.try_id;
+        if self.by_attempt.contains_key(&attempt) || self.ended_attempts.contains(&attempt) {
             return None;
         }
-        // After all the names there are, the first ones are long forgotten everywhere.
-        while self.next == 0 || self.by_id.contains_key(&self.next) {
-            self.next = self.next.wrapping_add(1);
+        // By the time ids wrap around, the first ones are forgotten everywhere.
+        while self.next_id == 0 || self.by_id.contains_key(&self.next_id) {
+            self.next_id = self.next_id.wrapping_add(1);
         }
-        self.by_try.insert(ex.try_id, self.next);
-        self.by_id.insert(self.next, ex);
-        let id = self.next;
-        self.next = self.next.wrapping_add(1);
+        let id = self.next_id;
+        self.by_attempt.insert(attempt, id);
+        self.by_id.insert(id, request);
+        self.next_id = id.wrapping_add(1);
         Some(id)
     }
 
+    /// The request with this id.
     pub fn get(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
         self.by_id.get_mut(&id)
     }
 
-    pub fn of_try(&self, try_id: &TryId) -> Option<RequestId> {
-        self.by_try.get(try_id).copied()
+    /// The id of the request that was sent as this attempt.
+    pub fn find(&self, attempt: &TryId) -> Option<RequestId> {
+        self.by_attempt.get(attempt).copied()
     }
 
-    pub fn attach(&mut self, id: RequestId, to: RequestId) {
-        if let Some(ex) = self.by_id.get_mut(&id) {
-            ex.stage = Stage::Attached { to };
-            self.waiting.entry(to).or_default().push(id);
+    /// Whether this request is in flight and its run has not begun.
+    pub fn is_waiting(&self, id: RequestId) -> bool {
+        let request = self.by_id.get(&id);
+        request.is_some_and(|request| !request.stage.may_run())
+    }
+
+    /// Has a duplicate wait for the result of its original.
+    pub fn attach(&mut self, id: RequestId, original: RequestId) {
+        if let Some(request) = self.by_id.get_mut(&id) {
+            request.stage = Stage::Attached { to: original };
+            self.attached.entry(original).or_default().push(id);
         }
     }
 
-    /// Those that wait for the result of this one, which has come to its end.
-    pub fn waiting_for(&mut self, id: RequestId) -> Vec<RequestId> {
-        self.waiting.remove(&id).unwrap_or_default()
+    /// Takes out the list of duplicates that wait for the result of this request.
+    pub fn take_attached(&mut self, original: RequestId) -> Vec<RequestId> {
+        self.attached.remove(&original).unwrap_or_default()
     }
 
+    /// Removes a request and remembers its attempt as ended.
     pub fn remove(&mut self, id: RequestId) -> Option<InFlightRequest> {
-        let ex = self.by_id.remove(&id)?;
-        self.by_try.remove(&ex.try_id);
-        if let Stage::Attached { to } = ex.stage
-            && let Some(waiting) = self.waiting.get_mut(&to)
-        {
-            waiting.retain(|other| *other != id);
-            if waiting.is_empty() {
-                self.waiting.remove(&to);
+        let request = self.by_id.remove(&id)?;
+        self.by_attempt.remove(&request.try_id);
+        if let Stage::Attached { to } = request.stage {
+            self.detach(id, to);
+        }
+        self.remember_ended(request.try_id);
+        Some(request)
+    }
+
+    fn detach(&mut self, id: RequestId, original: RequestId) {
+        if let Some(duplicates) = self.attached.get_mut(&original) {
+            duplicates.retain(|duplicate| *duplicate != id);
+            if duplicates.is_empty() {
+                self.attached.remove(&original);
             }
         }
-        self.ended.insert(ex.try_id);
-        self.order.push_back(ex.try_id);
-        if self.order.len() > ENDED
-            && let Some(oldest) = self.order.pop_front()
+    }
+
+    fn remember_ended(&mut self, attempt: TryId) {
+        self.ended_attempts.insert(attempt);
+        self.ended_order.push_back(attempt);
+        if self.ended_order.len() > MAX_ENDED_ATTEMPTS
+            && let Some(oldest) = self.ended_order.pop_front()
         {
-            self.ended.remove(&oldest);
+            self.ended_attempts.remove(&oldest);
         }
-        Some(ex)
     }
 
-    pub fn in_flight_count(&self) -> usize {
+    /// Requests in flight.
+    pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
+    /// Whether no request is in flight.
+    pub fn is_empty(&self) -> bool {
+        self.by_id.is_empty()
+    }
+
+    /// Requests whose run was handed to the backend and is not in doubt, with the number of the last gauge
+    /// query before each.
     pub fn running(&self) -> impl Iterator<Item = (RequestId, Option<u64>)> {
-        self.by_id.iter().filter_map(|(id, ex)| match ex.stage {
-            Stage::Running { sent } => Some((*id, sent)),
-            _ => None,
-        })
+        self.by_id
+            .iter()
+            .filter_map(|(id, request)| match request.stage {
+                Stage::Running { sent } => Some((*id, sent)),
+                _ => None,
+            })
     }
 }
--- a/crates/node/src/state/results.rs
+++ b/crates/node/src/state/results.rs
@@ -1,228 +1,258 @@
-//! The table of deduplicated requests: which idempotency key was taken in when, and what its run brought.
+//! The table of results by idempotency key: what became of each key's first request, for its duplicates.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
 
 use doortrack_admission::RequestId;
-use doortrack_time::TenthMillis;
+use doortrack_time::{MILLISECOND, TenthMillis};
 use rustc_hash::FxHashMap;
 
 use crate::network::request::{IdempotencyKey, RunOutput};
 
-/// Stamps are whole ms and every limit on sockets is 50 ms longer; a window is held open for a little more
-/// than both, as a repeat taken for one too long is merely answered from the table.
-const WINDOW_SLACK: TenthMillis = 1_000;
+/// Stamps are whole ms and every timeout on sockets is 50 ms longer than stated; a window is kept open for a
+/// little more than both, since a request that is taken for a duplicate for too long is merely answered from
+/// the table.
+const WINDOW_SLACK: TenthMillis = 100 * MILLISECOND;
 
-const TIDY: TenthMillis = 5_000;
+/// Least interval between two removals of expired entries.
+const EXPIRY_INTERVAL: TenthMillis = 500 * MILLISECOND;
 
-/// Endpoint group and idempotency key.
+/// The table keeps capacity for this many entries at least.
+const MIN_CAPACITY: usize = 64;
+/// Capacity is kept for so many times the entries.
+const SPARE_CAPACITY: usize = 4;
+
+/// Index of the endpoint group, and the caller's idempotency key.
 pub type Key = (u8, IdempotencyKey);
 
 struct Entry {
-    ex: RequestId,
-    /// Tells the body that it came with from others.
-    tag: u64,
-    /// The last stamp that is within the window.
-    until: TenthMillis,
-    kept_till: TenthMillis,
-    end: Option<Result<Kept, NoResult>>,
+    request: RequestId,
+    /// A keyed hash of the body, to tell it from another body under the same key.
+    body_hash: u64,
+    /// The last stamp within the window.
+    window_ends: TenthMillis,
+    /// When no duplicate can arrive any more.
+    expires_at: TenthMillis,
+    /// None while the request is in flight.
+    result: Option<Result<StoredOutput, NoResult>>,
+}
+
+impl Entry {
+    fn is_expired(&self, now: TenthMillis) -> bool {
+        self.result.is_some() && self.expires_at < now
+    }
+
+    /// Bytes of the stored output.
+    fn size(&self) -> usize {
+        match &self.result {
+            Some(Ok(output)) => output.bytes.len(),
+            Some(Err(NoResult)) | None => 0,
+        }
+    }
 }
 
-/// What a run brought, kept.
-pub struct Kept {
+/// The output of a run, kept for duplicates.
+struct StoredOutput {
+    /// Headers and body, one after the other.
     bytes: Box<[u8]>,
-    body_from: usize,
+    body_start: usize,
 }
 
-impl Kept {
-    fn of(made: RunOutput) -> Kept {
-        Kept {
-            bytes: [made.headers, made.body].concat().into(),
-            body_from: made.headers.len(),
+impl StoredOutput {
+    fn new(output: RunOutput) -> StoredOutput {
+        StoredOutput {
+            bytes: [output.headers, output.body].concat().into(),
+            body_start: output.headers.len(),
         }
     }
 
-    pub fn made(&self) -> RunOutput<'_> {
-        let (headers, body) = self.bytes.split_at(self.body_from);
+    fn output(&self) -> RunOutput<'_> {
+        let (headers, body) = self.bytes.split_at(self.body_start);
         RunOutput { headers, body }
     }
 }
 
-/// It ran, or may have, and there is nothing to answer a repeat with.
+/// The request ran, or may have, and there is no output for its duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoResult;
 
-/// What one with an idempotency key is to those that came before.
+/// What a request with an idempotency key is to those that came before.
 #[derive(Debug, PartialEq)]
 pub enum Repeats {
+    /// The first with its key.
     Nothing,
-    Of(RequestId),
-    /// It repeats nothing and finds no place for an entry, without which its own repeats would not be known.
-    NoRoom,
-    /// The key is in use for another body, by a mistake or by design: what that one brings is not for it.
-    Misused,
+    /// A duplicate of this request.
+    Request(RequestId),
+    /// The first with its key, without room for the entry by which its own duplicates would be known.
+    TableFull,
+    /// The key is in use for another body, whose result is not for this one.
+    OtherBody,
 }
 
-/// What a repeat may be answered with.
+/// What a duplicate may be answered with.
 #[derive(Debug, PartialEq)]
-pub enum Found<'a> {
+pub enum StoredResult<'a> {
+    /// The original is in flight.
     Pending,
-    Result(RunOutput<'a>),
+    /// The output of the original.
+    Output(RunOutput<'a>),
+    /// The original left no output, or is not known.
     None,
 }
 
+/// The results by idempotency key, bounded in entries and in bytes.
 pub struct Results {
     entries: HashMap<Key, Entry>,
-    /// Keyed by chance, so that nobody can make a body that passes for another.
-    tags: RandomState,
+    /// Randomly keyed, so that nobody can craft a body with the hash of another.
+    body_hasher: RandomState,
     keys: FxHashMap<RequestId, Key>,
+    /// Bytes of all stored outputs.
     bytes: usize,
-    most_entries: usize,
-    most_bytes: usize,
-    /// A repeat may be read so long after it came.
+    max_entries: usize,
+    max_bytes: usize,
+    /// A duplicate may be read so long after its stamp.
     longest_deadline: TenthMillis,
-    tidied: TenthMillis,
+    /// When expired entries were last removed.
+    cleaned_at: TenthMillis,
 }
 
 impl Results {
-    pub fn new(most_entries: usize, most_bytes: usize, longest_deadline: TenthMillis) -> Self {
-        let (entries, tags, keys) = Default::default();
+    /// An empty table.
+    pub fn new(max_entries: usize, max_bytes: usize, longest_deadline: TenthMillis) -> Self {
         Results {
-            entries,
-            tags,
-            keys,
+            entries: HashMap::default(),
+            body_hasher: RandomState::default(),
+            keys: FxHashMap::default(),
             bytes: 0,
-            most_entries,
-            most_bytes,
+            max_entries,
+            max_bytes,
             longest_deadline,
-            tidied: 0,
+            cleaned_at: 0,
         }
     }
 
+    /// Bytes of all stored outputs.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// What one with this key and body repeats. The window counts from stamp to stamp, so it does not matter
-    /// how late a repeat is read. `stamp` is never later than now: whatever its caller's clock says, it came
-    /// no later than that, and one that came within the window may not pass for a new one.
+    /// What a request with this key and body repeats. The window counts from stamp to stamp, so it does not
+    /// matter how late a duplicate is read. `stamp` must not be later than now: whatever the caller's clock
+    /// says, it came no later, and a duplicate within the window must not pass for a new request.
     pub fn repeats(&self, key: &Key, body: &[u8], stamp: TenthMillis) -> Repeats {
         let Some(entry) = self.entries.get(key) else {
-            return if self.entries.len() < self.most_entries {
+            return if self.entries.len() < self.max_entries {
                 Repeats::Nothing
             } else {
-                Repeats::NoRoom
+                Repeats::TableFull
             };
         };
-        let within = stamp <= entry.until.saturating_add(WINDOW_SLACK);
-        match within || entry.end.is_none() {
-            false => Repeats::Nothing,
-            true if entry.tag == self.tags.hash_one(body) => Repeats::Of(entry.ex),
-            true => Repeats::Misused,
+        let within_window = stamp <= entry.window_ends.saturating_add(WINDOW_SLACK);
+        if !within_window && entry.result.is_some() {
+            Repeats::Nothing
+        } else if entry.body_hash == self.body_hasher.hash_one(body) {
+            Repeats::Request(entry.request)
+        } else {
+            Repeats::OtherBody
         }
     }
 
-    /// Enters a request that came at `stamp`, for a window that has `lasting` left. Where the stamp is of a
-    /// clock ahead of this one, nothing of the window is used up yet, and all of it counts from the stamp.
+    /// Enters a request that was sent at `stamp`, for a window of which `ttl` is left. If the stamp is ahead
+    /// of this node's clock, nothing of the window is used up yet, and all of it counts from the stamp.
     pub fn record(
         &mut self,
-        ex: RequestId,
+        request: RequestId,
         key: Key,
         body: &[u8],
         stamp: TenthMillis,
-        lasting: TenthMillis,
+        ttl: TenthMillis,
         now: TenthMillis,
     ) {
-        let until = stamp.max(now).saturating_add(lasting);
-        let kept_till = until.saturating_add(WINDOW_SLACK + self.longest_deadline);
-        let tag = self.tags.hash_one(body);
+        let window_ends = stamp.max(now).saturating_add(ttl);
         let entry = Entry {
-            ex,
-            tag,
-            until,
-            kept_till,
-            end: None,
+            request,
+            body_hash: self.body_hasher.hash_one(body),
+            window_ends,
+            expires_at: window_ends.saturating_add(WINDOW_SLACK + self.longest_deadline),
+            result: None,
         };
         if let Some(old) = self.entries.insert(key, entry) {
-            self.bytes -= size(&old);
-            self.keys.remove(&old.ex);
+            self.bytes -= old.size();
+            self.keys.remove(&old.request);
         }
-        self.keys.insert(ex, key);
+        self.keys.insert(request, key);
     }
 
-    /// Takes out one that never ran, so that a later try may.
-    pub fn forget(&mut self, ex: RequestId) {
-        if let Some(key) = self.keys.remove(&ex)
+    /// Removes the entry of a request that never ran, so that a later attempt may run.
+    pub fn forget(&mut self, request: RequestId) {
+        if let Some(key) = self.keys.remove(&request)
             && let Some(old) = self.entries.remove(&key)
         {
-            self.bytes -= size(&old);
+            self.bytes -= old.size();
         }
     }
 
-    /// A run has ended. Where its result finds no room, repeats are told that there is none.
-    pub fn ended(&mut self, ex: RequestId, result: Result<RunOutput, NoResult>) {
-        let Some(entry) = self.keys.get(&ex).and_then(|key| self.entries.get_mut(key)) else {
+    /// A run has ended. An output that there is no room for is not kept: duplicates find no result.
+    pub fn complete(&mut self, request: RequestId, result: Result<RunOutput, NoResult>) {
+        let key = self.keys.get(&request);
+        let Some(entry) = key.and_then(|key| self.entries.get_mut(key)) else {
             return;
         };
-        let room = self.most_bytes.saturating_sub(self.bytes);
-        let size = |made: &RunOutput| made.headers.len() + made.body.len();
-        let kept = result.ok().filter(|made| size(made) <= room);
-        self.bytes += kept.as_ref().map_or(0, size);
-        entry.end = Some(kept.map(Kept::of).ok_or(NoResult));
+        let available = self.max_bytes.saturating_sub(self.bytes);
+        let size = |output: &RunOutput| output.headers.len() + output.body.len();
+        let output = result.ok().filter(|output| size(output) <= available);
+        self.bytes += output.as_ref().map_or(0, size);
+        entry.result = Some(output.map(StoredOutput::new).ok_or(NoResult));
     }
 
-    pub fn result(&self, ex: RequestId) -> Found<'_> {
-        match self
-            .keys
-            .get(&ex)
-            .and_then(|key| self.entries.get(key))
-            .map(|entry| &entry.end)
-        {
-            Some(None) => Found::Pending,
-            Some(Some(Ok(kept))) => Found::Result(kept.made()),
-            Some(Some(Err(NoResult))) | None => Found::None,
+    /// What duplicates of this request may be answered with.
+    pub fn result(&self, request: RequestId) -> StoredResult<'_> {
+        let key = self.keys.get(&request);
+        let Some(entry) = key.and_then(|key| self.entries.get(key)) else {
+            return StoredResult::None;
+        };
+        match &entry.result {
+            None => StoredResult::Pending,
+            Some(Ok(stored)) => StoredResult::Output(stored.output()),
+            Some(Err(NoResult)) => StoredResult::None,
         }
     }
 
-    /// When the last entry of a group that is there now can be named by no repeat any more; none where
-    /// there is none, and no time where one is in hand. It looks at every entry.
-    pub fn last_of(&self, group: u8) -> Option<Option<TenthMillis>> {
-        let of = self
-            .entries
+    /// When the last of this endpoint group's entries expires: `None` if the group has no entries, `Some(None)`
+    /// if one of them is of a request in flight. It scans all entries.
+    pub fn last_expiry(&self, group: u8) -> Option<Option<TenthMillis>> {
+        self.entries
             .iter()
-            .filter(|((other, _), _)| *other == group);
-        of.map(|(_, entry)| entry.end.as_ref().map(|_| entry.kept_till))
-            .reduce(|one, other| Some(one?.max(other?)))
+            .filter(|((entry_group, _), _)| *entry_group == group)
+            .map(|(_, entry)| entry.result.as_ref().map(|_| entry.expires_at))
+            .reduce(|latest, expiry| Some(latest?.max(expiry?)))
     }
 
-    /// Lets go of what no repeat can name any more; now and then, as it looks at every entry.
-    pub fn tidy(&mut self, now: TenthMillis) {
-        if now < self.tidied + TIDY {
+    /// Removes entries that no duplicate can refer to any more, unless that was done a moment ago, as it scans
+    /// all entries.
+    pub fn remove_expired(&mut self, now: TenthMillis) {
+        if now < self.cleaned_at + EXPIRY_INTERVAL {
             return;
         }
-        self.tidied = now;
+        self.cleaned_at = now;
         let (keys, bytes) = (&mut self.keys, &mut self.bytes);
         self.entries.retain(|_, entry| {
-            let keep = entry.end.is_none() || entry.kept_till >= now;
-            if !keep {
-                keys.remove(&entry.ex);
-                *bytes -= size(entry);
+            let expired = entry.is_expired(now);
+            if expired {
+                keys.remove(&entry.request);
+                *bytes -= entry.size();
             }
-            keep
+            !expired
         });
-        // After a peak they take no more than a few times what they hold.
-        let enough = 4 * self.entries.len().max(64);
+        self.shrink();
+    }
+
+    /// Gives back memory that a peak of entries took.
+    fn shrink(&mut self) {
+        let enough = SPARE_CAPACITY * self.entries.len().max(MIN_CAPACITY);
         if self.entries.capacity() > 2 * enough {
             self.entries.shrink_to(enough);
             self.keys.shrink_to(enough);
         }
     }
 }
-
-fn size(entry: &Entry) -> usize {
-    entry
-        .end
-        .as_ref()
-        .and_then(|end| end.as_ref().ok())
-        .map_or(0, |kept| kept.bytes.len())
-}
--- a/crates/node/src/subsystem.rs
+++ b/crates/node/src/subsystem.rs
@@ -1,8 +1,8 @@
-//! What plugs into the loop beside fronts, work and registry, each in a folder of its own: the loop does not
-//! know what they are.
+//! What plugs into the event loop beside listeners, backend and registry: the loop does not know what it is.
 //!
-//! A part has a clock of its own and says how long it can wait. It may own some of the poller's keys from
-//! [`SUBSYSTEM_KEYS`]. Where an installation asks for none, there is none: no socket, no line in the log.
+//! A subsystem has a clock of its own and says when it is to be polled next. It may own one of the poller's
+//! keys in [`SUBSYSTEM_KEYS`]. Where an installation asks for none, there is none: no socket, no line in the
+//! log.
 
 use std::ops::Range;
 
@@ -11,74 +11,77 @@
 use doortrack_upstream::Token;
 use slog::Logger;
 
-/// Keys of the poller that parts have, one each.
+/// Keys of the poller for subsystems, one each.
 pub const SUBSYSTEM_KEYS: Range<usize> = 4..8;
 
-/// What a part is told of a request that was read and repeats no other.
+/// What a subsystem is told of a request that was read and duplicates no other.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
+    /// Index of its endpoint group.
     pub group: u8,
+    /// Index of its tenant.
     pub tenant: u16,
-    /// The place of its pool of servers; 0 is the one without a name.
+    /// Index of its pool of servers; 0 is the one without a name.
     pub pool: u16,
 }
 
-/// What a request has taken of a part's budgets, by their places; it goes back when the request ends.
+/// Indices of the budgets of which a request holds a unit each, until it ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Permit(pub [Option<u16>; 3]);
 
-/// What became of a request that holds a permit.
+/// How far a request had come when it released its permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum PermitOutcome {
     /// It was never run.
-    None,
-    Over,
-    /// Whoever ran it may still be at it, though nobody waits for it here.
-    MayGoOn,
+    Unused,
+    /// Its run is over.
+    RunEnded,
+    /// Nobody waits for its run any more, which may still go on.
+    MayStillRun,
 }
 
-/// A part of the node. All calls return at once.
+/// A subsystem of the event loop. No call blocks.
 pub trait Subsystem {
-    /// The key of the poller under which it is told that something is ready.
+    /// The key of the poller under which its socket is watched.
     fn key(&self) -> usize;
 
-    /// Reads what is ready, up to a bound for each turn of the loop.
-    fn ready(&mut self);
+    /// Its socket is readable: reads it, up to a bound for each turn of the loop.
+    fn on_readable(&mut self);
 
-    /// Does what is due. Called with each turn of the loop, after what is ready was read.
-    fn turn(&mut self);
+    /// Does what is due. Called once each turn of the loop, after everything that was ready has been read.
+    fn poll(&mut self);
 
-    /// How long it can wait, in tenths of a ms; [`TenthMillis::MAX`] for ever.
-    fn wait(&self) -> TenthMillis;
+    /// Time until it must be polled, in tenths of a ms; [`TenthMillis::MAX`] if nothing is scheduled.
+    fn time_to_next_poll(&self) -> TenthMillis;
 
-    /// The node was told to leave.
-    fn leave(&mut self);
+    /// The node begins a graceful shutdown.
+    fn drain(&mut self);
 
     /// A new configuration comes into force. What is no longer used may be left in `change`, which is dropped
     /// beside the loop.
-    fn take_up(&mut self, change: &mut FleetChange);
+    fn reload(&mut self, change: &mut FleetChange);
 
-    /// Whether a request may be taken as far as this part goes; the decisions have the last word.
+    /// Whether a request may be admitted as far as this subsystem goes; the admission controller decides.
     ///
     /// # Errors
-    /// Nothing is left for it; how long to wait before it comes back, in tenths of a ms.
+    /// Nothing is left for it: how long its caller is to wait before a retry, in tenths of a ms.
     fn admit(&mut self, _: AdmissionRequest) -> Result<Permit, TenthMillis> {
         Ok(Permit::default())
     }
 
-    /// What retries to the pool at this place are to pass, if this part bounds them.
+    /// What each retry to the pool at this index has to pass, if this subsystem bounds retries.
     fn retry_gate(&self, _pool: u16) -> Option<Box<dyn FnMut() -> bool>> {
         None
     }
 
-    /// Where tokens for ramps in the pool at this place are asked for, if this part shares them.
+    /// Where the pool at this index gets tokens for slow starts, if this subsystem shares them.
     fn ramp_gate(&self, _pool: u16) -> Option<Box<dyn FnMut() -> Token>> {
         None
     }
 
-    /// A request that was let in has come to its end.
-    fn release(&mut self, _: Permit, _: Use) {}
+    /// An admitted request has ended.
+    fn release(&mut self, _: Permit, _: PermitOutcome) {}
 
-    /// A line for the log now and then.
+    /// Logs a line on its state; called at an interval.
     fn summary(&self, log: &Logger);
 }
--- a/crates/node/src/system/signals.rs
+++ b/crates/node/src/system/signals.rs
@@ -7,7 +7,7 @@
 use signal_hook::consts::{SIGHUP, SIGTERM};
 
 /// SIGTERM, the notice to leave, and SIGHUP, the word that the configuration was replaced.
-pub(crate) const LEAVE_KEY: usize = 2;
+pub(crate) const DRAIN_KEY: usize = 2;
 pub(crate) const RELOAD_KEY: usize = 3;
 
 /// The signals that came, kept until the loop reads them.
@@ -37,7 +37,7 @@
 
     /// Has the poller tell of them, those included that came before.
     pub(crate) fn watch(&self, poller: &Poller) -> io::Result<()> {
-        for (heard, key) in [(&self.leave, LEAVE_KEY), (&self.reload, RELOAD_KEY)] {
+        for (heard, key) in [(&self.leave, DRAIN_KEY), (&self.reload, RELOAD_KEY)] {
             // SAFETY: the node keeps the sockets as long as the poller.
             unsafe { poller.add_with_mode(heard, Event::readable(key), PollMode::Level)? };
         }
@@ -46,7 +46,7 @@
 
     /// Takes note of one, however often it was sent meanwhile.
     pub(crate) fn acknowledge(&mut self, key: usize) {
-        let signal = if key == LEAVE_KEY {
+        let signal = if key == DRAIN_KEY {
             &mut self.leave
         } else {
             &mut self.reload
--- a/crates/node/tests/node/conformance.rs
+++ b/crates/node/tests/node/conformance.rs
@@ -475,7 +475,7 @@
         let (code, log) = bed.end();
         assert_eq!(code, Some(0), "{log}");
         assert!(
-            log.contains("server put aside") && log.contains("so far of servers"),
+            log.contains("server put aside") && log.contains("servers summary"),
             "{log}"
         );
     }
--- a/crates/node/tests/node/early_signals.rs
+++ b/crates/node/tests/node/early_signals.rs
@@ -109,5 +109,5 @@
     starting.is_handed_its_configuration();
     let (code, log) = starting.end();
     assert_eq!(code, Some(0), "{log}");
-    assert!(log.contains("told to leave"), "{log}");
+    assert!(log.contains("draining"), "{log}");
 }
--- a/crates/node/tests/node/fronts.rs
+++ b/crates/node/tests/node/fronts.rs
@@ -530,7 +530,7 @@
     let (code, log) = bed.end();
     assert_eq!(code, Some(0), "{log}");
     assert!(
-        log.contains("taken by installation.fronts[0]") && log.contains("front withdrawn"),
+        log.contains("taken by installation.fronts[0]") && log.contains("listener closed"),
         "{log}"
     );
 }
@@ -595,7 +595,7 @@
     assert_eq!(code, Some(0), "{log}");
     let tells = |what: &str| {
         log.lines()
-            .any(|line| line.contains("so far of a front") && line.contains(what))
+            .any(|line| line.contains("listener summary") && line.contains(what))
     };
     assert!(
         tells("protocol=uwsgi") && tells("protocol=fastcgi"),
@@ -775,7 +775,7 @@
             .or_default() += 1;
     }
     assert!(a_second.values().all(|count| *count <= 21), "{a_second:?}");
-    let last = lines.iter().rfind(|line| line["msg"] == "so far").unwrap();
+    let last = lines.iter().rfind(|line| line["msg"] == "summary").unwrap();
     assert!(
         last["completed"].is_u64() && last["ends"].is_object(),
         "{last}"
--- a/crates/node/tests/node/idle.rs
+++ b/crates/node/tests/node/idle.rs
@@ -239,7 +239,7 @@
         bed.signal("-TERM");
         let (code, log) = bed.end();
         assert_eq!(code, Some(0), "{log}");
-        assert!(log.contains("few descriptors"), "{log}");
+        assert!(log.contains("low descriptor limit"), "{log}");
         assert!(
             !log.contains("server put aside") && !log.contains("out of reach"),
             "{log}"
--- a/crates/node/tests/node/notices.rs
+++ b/crates/node/tests/node/notices.rs
@@ -87,7 +87,7 @@
             );
         }
         let log = ends_well(bed);
-        let left_out = log.matches("configuration left out").count();
+        let left_out = log.matches("configuration rejected").count();
         assert!(left_out == 1 || order[0] == LEAVE, "{log}");
     }
 }
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -15,7 +15,7 @@
 use doortrack_node::network::request::{self, Answer, Inbound, Names, RunOutput, Unreadable};
 use doortrack_node::network::termination::{Outcome, Termination};
 use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
-use doortrack_node::state::results::{Found, NoResult, Repeats, Results};
+use doortrack_node::state::results::{NoResult, Repeats, Results, StoredResult};
 use doortrack_protocols::fastcgi::{self, Splitter};
 use doortrack_protocols::{Piece, Protocol};
 use doortrack_time::MILLISECOND;
@@ -572,12 +572,12 @@
         window - 20 * MILLISECOND,
         stamp + 20 * MILLISECOND,
     );
-    assert_eq!(results.result(1), Found::Pending);
-    results.ended(1, Ok(RunOutput::from(&b"done"[..])));
-    results.tidy(stamp + window + 4000 * MILLISECOND);
+    assert_eq!(results.result(1), StoredResult::Pending);
+    results.complete(1, Ok(RunOutput::from(&b"done"[..])));
+    results.remove_expired(stamp + window + 4000 * MILLISECOND);
     assert_eq!(
         results.repeats(&KEY, b"", stamp + window),
-        Repeats::Of(1),
+        Repeats::Request(1),
         "read 4 s after the window ran out"
     );
     assert_eq!(
@@ -592,7 +592,7 @@
     );
     assert_eq!(
         results.repeats(&KEY, b"another body", stamp),
-        Repeats::Misused
+        Repeats::OtherBody
     );
     assert_eq!(
         results.repeats(&KEY, b"another body", stamp + window + 200 * MILLISECOND),
@@ -600,9 +600,9 @@
     );
     assert_eq!(
         results.result(1),
-        Found::Result(RunOutput::from(&b"done"[..]))
+        StoredResult::Output(RunOutput::from(&b"done"[..]))
     );
-    results.tidy(stamp + window + 5000 * MILLISECOND);
+    results.remove_expired(stamp + window + 5000 * MILLISECOND);
     assert_eq!(
         (results.repeats(&KEY, b"", stamp), results.bytes()),
         (Repeats::Nothing, 0)
@@ -613,10 +613,10 @@
 fn one_in_hand_is_repeated_even_past_its_window() {
     let mut results = Results::new(10, 100, 0);
     results.record(1, KEY, b"", 0, 10 * MILLISECOND, 0);
-    results.tidy(60_000 * MILLISECOND);
+    results.remove_expired(60_000 * MILLISECOND);
     assert_eq!(
         results.repeats(&KEY, b"", 60_000 * MILLISECOND),
-        Repeats::Of(1)
+        Repeats::Request(1)
     );
 }
 
@@ -629,30 +629,30 @@
             Repeats::Nothing
         );
         results.record(ex, (0, [ex as u8; 32]), b"", 0, 1000 * MILLISECOND, 0);
-        results.ended(ex, Ok(RunOutput::from(&b"123456"[..])));
+        results.complete(ex, Ok(RunOutput::from(&b"123456"[..])));
     }
     assert_eq!(
         results.repeats(&(0, [4; 32]), b"", 0),
-        Repeats::NoRoom,
+        Repeats::TableFull,
         "a new one"
     );
     assert_eq!(
         results.repeats(&(0, [1; 32]), b"", 0),
-        Repeats::Of(1),
+        Repeats::Request(1),
         "one that ran is never refused"
     );
     assert_eq!(
         results.result(1),
-        Found::Result(RunOutput::from(&b"123456"[..]))
+        StoredResult::Output(RunOutput::from(&b"123456"[..]))
     );
     assert_eq!(
         results.result(2),
-        Found::None,
+        StoredResult::None,
         "it ran, but there was no room for its result"
     );
     assert_eq!(
         results.repeats(&(0, [2; 32]), b"", 0),
-        Repeats::Of(2),
+        Repeats::Request(2),
         "so it must not run again"
     );
     results.forget(1);
@@ -670,11 +670,11 @@
     );
     assert_eq!(
         (results.result(3), results.result(4)),
-        (Found::None, Found::Pending),
+        (StoredResult::None, StoredResult::Pending),
         "a new try holds it"
     );
-    results.ended(4, Err(NoResult));
-    assert_eq!(results.result(4), Found::None);
+    results.complete(4, Err(NoResult));
+    assert_eq!(results.result(4), StoredResult::None);
 }
 
 #[test]
@@ -688,28 +688,34 @@
         1000 * MILLISECOND,
         500 * MILLISECOND,
     );
-    results.ended(1, Ok(RunOutput::from(&b"1"[..])));
+    results.complete(1, Ok(RunOutput::from(&b"1"[..])));
     assert_eq!(
         results.repeats(&KEY, b"", 500 * MILLISECOND),
-        Repeats::Of(1)
+        Repeats::Request(1)
     );
     assert_eq!(
         results.repeats(&KEY, b"", 3500 * MILLISECOND),
-        Repeats::Of(1)
+        Repeats::Request(1)
     );
     assert_eq!(
         results.repeats(&KEY, b"", 3700 * MILLISECOND),
         Repeats::Nothing
     );
-    results.tidy(3500 * MILLISECOND);
-    assert_eq!(results.result(1), Found::Result(RunOutput::from(&b"1"[..])));
-    results.tidy(4000 * MILLISECOND);
-    assert_eq!((results.result(1), results.bytes()), (Found::None, 0));
+    results.remove_expired(3500 * MILLISECOND);
+    assert_eq!(
+        results.result(1),
+        StoredResult::Output(RunOutput::from(&b"1"[..]))
+    );
+    results.remove_expired(4000 * MILLISECOND);
+    assert_eq!(
+        (results.result(1), results.bytes()),
+        (StoredResult::None, 0)
+    );
     // However far ahead, nothing runs over.
     results.record(2, KEY, b"", u64::MAX, 1000 * MILLISECOND, 500 * MILLISECOND);
     assert_eq!(
         results.repeats(&KEY, b"", 500 * MILLISECOND),
-        Repeats::Of(2)
+        Repeats::Request(2)
     );
 }
 
@@ -724,7 +730,7 @@
         body: Vec::new(),
         caller: None,
         stage: Stage::Queued,
-        repeats: None,
+        duplicate_of: None,
         hold: Default::default(),
     }
 }
@@ -732,22 +738,22 @@
 #[test]
 fn a_doubled_id_is_known_while_in_hand_and_after_and_names_are_new() {
     let mut in_flight = InFlight::default();
-    let first = in_flight.take_in(ex(1)).unwrap();
-    assert_eq!(in_flight.take_in(ex(1)), None);
+    let first = in_flight.insert(ex(1)).unwrap();
+    assert_eq!(in_flight.insert(ex(1)), None);
     in_flight.remove(first);
-    assert_eq!(in_flight.take_in(ex(1)), None);
-    assert_ne!(in_flight.take_in(ex(2)), Some(first));
+    assert_eq!(in_flight.insert(ex(1)), None);
+    assert_ne!(in_flight.insert(ex(2)), Some(first));
 }
 
 #[test]
 fn a_repeat_that_went_away_is_waited_for_no_more() {
     let mut in_flight = InFlight::default();
-    let ids: Vec<_> = (1..=3).map(|n| in_flight.take_in(ex(n)).unwrap()).collect();
+    let ids: Vec<_> = (1..=3).map(|n| in_flight.insert(ex(n)).unwrap()).collect();
     in_flight.attach(ids[1], ids[0]);
     in_flight.attach(ids[2], ids[0]);
     in_flight.remove(ids[1]);
-    assert_eq!(in_flight.waiting_for(ids[0]), [ids[2]]);
-    assert!(in_flight.waiting_for(ids[0]).is_empty());
+    assert_eq!(in_flight.take_attached(ids[0]), [ids[2]]);
+    assert!(in_flight.take_attached(ids[0]).is_empty());
 }
 
 fn fault(change: impl FnOnce(&mut Value)) -> String {
--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -277,7 +277,7 @@
         begun <= in_force + 1 && begun < NOTICES / 2,
         "{begun} builds for {NOTICES} notices"
     );
-    assert_eq!(count("configuration left out"), begun - in_force);
+    assert_eq!(count("configuration rejected"), begun - in_force);
 }
 
 #[test]
@@ -287,7 +287,7 @@
     bad["rules"][7]["when"] = json!("pth == \"/x\"");
     bad["servers"]["at_once"] = json!(16);
     site.bed.install(&bad);
-    site.until_logged("configuration left out", 1);
+    site.until_logged("configuration rejected", 1);
     assert!(
         site.seen
             .last()
@@ -301,7 +301,7 @@
     site.until_logged("config.json: config: needed key 'name' is missing", 1);
     std::fs::remove_file(site.bed.folder.join("installation.json")).unwrap();
     site.bed.signal("-HUP");
-    site.until_logged("configuration left out", 4);
+    site.until_logged("configuration rejected", 4);
     assert_eq!(
         (
             site.ask("/first"),
@@ -324,7 +324,7 @@
     rewrite(&site.bed, |config| config["stop_ms"] = json!(1_000));
     site.bed.install(&site.version(2));
     site.bed.signal("-TERM");
-    site.until_logged("told to leave ", 1);
+    site.until_logged("draining ", 1);
     assert_eq!(
         site.count("configuration in force"),
         1,
@@ -334,7 +334,7 @@
     let log = site.end();
     assert!(
         !log.iter()
-            .any(|line| line.contains("configuration left out")),
+            .any(|line| line.contains("configuration rejected")),
         "{log:#?}"
     );
 }
--- a/crates/node/tests/node/rules.rs
+++ b/crates/node/tests/node/rules.rs
@@ -135,7 +135,7 @@
     bed.signal("-TERM");
     let (_, log) = bed.end();
     assert!(
-        log.contains("\"no_rule\":1") && log.contains("rules=2 asked_in_order=0"),
+        log.contains("\"no_rule\":1") && log.contains("rules=2 unindexed=0"),
         "{log}"
     );
 }
@@ -188,7 +188,7 @@
     bed.signal("-TERM");
     let (_, log) = bed.end();
     assert!(
-        log.contains("configuration left out") && log.contains("installation.rules["),
+        log.contains("configuration rejected") && log.contains("installation.rules["),
         "{log}"
     );
 }
--- a/crates/node/tests/node/sockets.rs
+++ b/crates/node/tests/node/sockets.rs
@@ -879,7 +879,7 @@
     assert!(client.is_closed());
     let (code, log) = bed.end();
     assert_eq!(code, Some(0), "{log}");
-    assert!(log.contains("told to leave"), "{log}");
+    assert!(log.contains("draining"), "{log}");
 }
 
 #[test]
