--- a/crates/node/src/event_loop/config_build.rs
+++ b/crates/node/src/event_loop/config_build.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use doortrack_config::node_config::{self, Digest};
-use doortrack_config::reload::{NeedsStart, Plan, PlatformRead, Started, plan};
-use doortrack_config::{ConfigErrors, Installation, file};
+use doortrack_config::reload::{Plan, PlatformRead, RestartRequired, Started, plan};
+use doortrack_config::{ConfigErrors, Installation, installation};
 use doortrack_routes::Table;
 
 use crate::network::classified::RuleTable;
@@ -31,15 +31,15 @@
 /// Why a configuration can't come into force.
 pub(super) struct Rejected {
     pub(super) errors: ConfigErrors,
-    /// What only a start can change in any case: an error may be due to it.
-    pub(super) needs_start: Vec<NeedsStart>,
+    /// What only a restart can change in any case: an error may be due to it.
+    pub(super) restart_required: Vec<RestartRequired>,
 }
 
 impl From<ConfigErrors> for Rejected {
     fn from(errors: ConfigErrors) -> Rejected {
         Rejected {
             errors,
-            needs_start: Vec::new(),
+            restart_required: Vec::new(),
         }
     }
 }
@@ -64,7 +64,7 @@
 
 impl Builder {
     pub(super) fn new(sources: Sources) -> Builder {
-        let node_config = &sources.started.orders;
+        let node_config = &sources.started.config;
         let last_read = (
             node_config.source,
             PlatformRead::new(node_config, node_config),
@@ -80,7 +80,7 @@
         let begun = Instant::now();
         let platform = self.read_platform()?;
         let installation = match &self.sources.installation_path {
-            Some(path) => file::read(path)?,
+            Some(path) => installation::read(path)?,
             None => Installation::default(),
         };
         let plan = plan(
@@ -89,7 +89,7 @@
             platform,
             installation,
         )?;
-        let settings = &self.sources.started.orders.settings;
+        let settings = &self.sources.started.config.settings;
         let table = match plan
             .installation
             .table_from(base.rule_table.as_deref(), settings)
@@ -98,7 +98,7 @@
             Err(errors) => {
                 return Err(Rejected {
                     errors,
-                    needs_start: plan.needs_start,
+                    restart_required: plan.restart_required,
                 });
             }
         };
@@ -117,7 +117,7 @@
         let digest = node_config::digest(&bytes);
         if digest != self.last_read.0 {
             let read = node_config::parse_file(&path, &bytes)?;
-            let platform = PlatformRead::new(&self.sources.started.orders, &read);
+            let platform = PlatformRead::new(&self.sources.started.config, &read);
             self.last_read = (digest, platform);
         }
         Ok(self.last_read.1)
--- a/crates/node/src/event_loop/gauge_readings.rs
+++ b/crates/node/src/event_loop/gauge_readings.rs
@@ -105,7 +105,7 @@
             |position: Option<usize>| position.and_then(|index| values.get(index).copied());
         let gauges = Gauges {
             busy_cores: value_at(positions.busy_cores),
-            runnable_tasks: value_at(positions.on_cores),
+            runnable_tasks: value_at(positions.runnable_tasks),
             memory: value_at(positions.memory),
             connections: value_at(positions.connections),
         };
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doortrack_config::reload::{FrontChanges, KeyMeanings, NeedsStart, Plan, PlatformRead};
-use doortrack_config::{ConfigError, ConfigErrors, Front, Installation};
+use doortrack_config::reload::{KeyMeanings, ListenerChanges, Plan, PlatformRead, RestartRequired};
+use doortrack_config::{ConfigError, ConfigErrors, Installation, ListenerConfig};
 use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::{debug, info, warn};
 
@@ -63,7 +63,7 @@
                 return Box::new(rejected);
             }
         };
-        self.log_needs_start(&candidate.plan.needs_start);
+        self.log_restart_required(&candidate.plan.restart_required);
         if let Err(errors) = self.check_key_meanings(&candidate.plan.keys) {
             warn!(self.log, "configuration rejected"; "error" => %errors);
             return Box::new(candidate);
@@ -77,11 +77,11 @@
     }
 
     fn log_rejected(&self, rejected: &Rejected) {
-        self.log_needs_start(&rejected.needs_start);
+        self.log_restart_required(&rejected.restart_required);
         warn!(self.log, "configuration rejected"; "error" => %rejected.errors);
     }
 
-    fn log_needs_start(&self, changes: &[NeedsStart]) {
+    fn log_restart_required(&self, changes: &[RestartRequired]) {
         for change in changes {
             warn!(self.log, "{}", change.subject(); "why" => %change);
         }
@@ -132,7 +132,7 @@
         build_time: Duration,
     ) -> Retired {
         let begun = Instant::now();
-        self.change_platform(plan.platform, plan.installation.fronts.len());
+        self.change_platform(plan.platform, plan.installation.listeners.len());
         self.change_servers(&plan.installation);
         let mut fleet = plan.fleet;
         for subsystem in &mut self.subsystems {
@@ -152,7 +152,7 @@
     fn change_platform(&mut self, read: PlatformRead, listeners: usize) {
         let (engine, registry) = (read.platform.engine, read.platform.registry);
         info!(self.log, "configuration read again"; "engine" => %engine, "registry" => %registry,
-            "listeners" => listeners, "rest_needs_start" => read.rest_needs_start);
+            "listeners" => listeners, "rest_requires_restart" => read.requires_restart);
         self.config.platform = read.platform;
         self.backend
             .move_to(engine, self.now, &mut self.backend_events);
@@ -184,16 +184,16 @@
 
     /// Opens the listeners that are new and drains those that are gone. A draining node opens none.
     fn change_listeners(&mut self, installation: &Installation) {
-        let changes = FrontChanges::between(&self.config.listening, &installation.fronts);
-        for closed in &changes.withdrawn {
+        let changes = ListenerChanges::between(&self.config.listening, &installation.listeners);
+        for closed in &changes.closed {
             info!(self.log, "listener closed"; "address" => %closed.listen);
             self.listeners
                 .drain_listener(closed.listen, self.now, &mut self.listener_events);
         }
-        for kept in &changes.kept {
+        for kept in &changes.retained {
             self.listeners.bound(kept.listen, connection_limit(kept));
         }
-        self.config.listening = changes.kept;
+        self.config.listening = changes.retained;
         if self.shutdown.is_draining() {
             return;
         }
@@ -209,7 +209,7 @@
     }
 
     /// Opens a listener of the installation.
-    pub(super) fn open_listener(&mut self, listener: &Front) -> std::io::Result<()> {
+    pub(super) fn open_listener(&mut self, listener: &ListenerConfig) -> std::io::Result<()> {
         let address: SocketAddr = listener.listen;
         let limit = connection_limit(listener);
         self.listeners
@@ -220,6 +220,6 @@
 }
 
 /// Connections that a listener may have at once, if it bounds them.
-fn connection_limit(listener: &Front) -> Option<usize> {
+fn connection_limit(listener: &ListenerConfig) -> Option<usize> {
     listener.connections.map(|limit| limit as usize)
 }
--- a/crates/node/src/event_loop/running_config.rs
+++ b/crates/node/src/event_loop/running_config.rs
@@ -4,7 +4,7 @@
 
 use doortrack_admission::{Effect, EndpointGroup};
 use doortrack_config::reload::{KeyMeanings, Platform};
-use doortrack_config::{Front, Installation, NodeConfig};
+use doortrack_config::{Installation, ListenerConfig, NodeConfig};
 use doortrack_time::TenthMillis;
 use serde_json::Value;
 
@@ -19,7 +19,7 @@
     /// What idempotency keys mean by the installation's rules.
     pub(super) key_meanings: KeyMeanings,
     /// The installation's listeners that could be opened.
-    pub(super) listening: Vec<Front>,
+    pub(super) listening: Vec<ListenerConfig>,
     /// Names of the endpoint groups, by index, as JSON strings.
     pub(super) group_names_json: Vec<String>,
 }
@@ -32,7 +32,7 @@
         RunningConfig {
             platform: Platform::new(&node),
             key_meanings: KeyMeanings::new(&installation, group_names),
-            listening: installation.fronts.clone(),
+            listening: installation.listeners.clone(),
             group_names_json: group_names.iter().map(as_json).collect(),
             installation: Arc::new(installation),
             node,
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -8,7 +8,7 @@
 
 use doortrack_admission::{Backpressure, Effect, EndpointGroup};
 use doortrack_config::reload::Started;
-use doortrack_config::{Installation, NodeConfig, ResourceLimits, Servers as ServerSettings};
+use doortrack_config::{Installation, NodeConfig, ResourceLimits, ServerPool};
 use doortrack_protocols::Protocol;
 use doortrack_time::{MILLISECOND, TenthMillis};
 use polling::Poller;
@@ -103,7 +103,7 @@
         let mut limits = self.config.limits;
         let wanted = limits.connections;
         let available = wanted.min(descriptors::connections());
-        let servers = self.installation.server_connections();
+        let servers = self.installation.max_server_connections();
         if available < wanted {
             let limit = descriptors::limit();
             if servers > available / 2 {
@@ -139,7 +139,7 @@
         )))
     }
 
-    fn pool(&self, index: usize, name: &str, settings: &ServerSettings) -> Servers {
+    fn pool(&self, index: usize, name: &str, settings: &ServerPool) -> Servers {
         Servers::new(
             self.poller.clone(),
             self.log.new(o!("pool" => name.to_string())),
@@ -292,7 +292,7 @@
 
     fn open_installation_listeners(&mut self) -> Result<(), StartError> {
         let installation = Arc::clone(&self.config.installation);
-        for (index, listener) in installation.fronts.iter().enumerate() {
+        for (index, listener) in installation.listeners.iter().enumerate() {
             let key = format!("installation.fronts[{index}].listen");
             once_free(|| self.open_listener(listener))
                 .map_err(socket_error(&key, listener.listen))?;
@@ -307,7 +307,7 @@
     poller: &Arc<Poller>,
 ) -> Reloader {
     let started = Started {
-        orders: Arc::clone(&config.node),
+        config: Arc::clone(&config.node),
         in_fleet: config.installation.fleet.is_some(),
     };
     let sources = Sources {
--- a/crates/node/src/event_loop/summary.rs
+++ b/crates/node/src/event_loop/summary.rs
@@ -94,14 +94,14 @@
     }
 
     fn log_pool(&self, name: &str, servers: &Servers) {
-        let (pool, counts) = (servers.pool(), servers.pool().counts);
-        info!(self.log, "servers summary"; "pool" => name, "servers" => pool.servers(),
+        let (pool, counters) = (servers.pool(), servers.pool().counters);
+        info!(self.log, "servers summary"; "pool" => name, "servers" => pool.members(),
             "in_use" => pool.in_use(),
-            "connections" => pool.connections(), "in_flight" => pool.in_hand(), "begun" => counts.begun,
-            "ends" => Serde(servers.ends.clone()), "retries" => counts.retries,
-            "unbudgeted" => counts.unbudgeted, "failures" => counts.failures,
-            "ejected" => counts.put_aside, "opened" => counts.opened, "stale" => counts.stale,
-            "warming_up" => pool.cold(), "slow_starts" => counts.ramps, "held_back" => counts.held_back);
+            "connections" => pool.connections(), "in_flight" => pool.in_flight(), "begun" => counters.begun,
+            "ends" => Serde(servers.ends.clone()), "retries" => counters.retries,
+            "unbudgeted" => counters.retries_over_budget, "failures" => counters.failures,
+            "ejected" => counters.ejections, "opened" => counters.connections_opened, "stale" => counters.stale_connections,
+            "warming_up" => pool.cold_servers(), "slow_starts" => counters.slow_starts, "held_back" => counters.held_back);
     }
 
     fn log_listener(&self, listener: &Listener) {
--- a/crates/node/src/subsystem.rs
+++ b/crates/node/src/subsystem.rs
@@ -8,7 +8,7 @@
 
 use doortrack_config::reload::FleetChange;
 use doortrack_time::TenthMillis;
-use doortrack_upstream::Token;
+use doortrack_upstream::TokenResponse;
 use slog::Logger;
 
 /// Keys of the poller for subsystems, one each.
@@ -75,7 +75,7 @@
     }
 
     /// Where the pool at this index gets tokens for slow starts, if this subsystem shares them.
-    fn ramp_gate(&self, _pool: u16) -> Option<Box<dyn FnMut() -> Token>> {
+    fn ramp_gate(&self, _pool: u16) -> Option<Box<dyn FnMut() -> TokenResponse>> {
         None
     }
 
