--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -14,7 +14,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-pub use key::{FleetKey, read_key};
+pub use key::{FleetKey, KeyError, read_key};
 pub(crate) use validate::NAME_RULE;
 
 use crate::{ConfigErrors, LeaseTimes};
--- a/crates/fault-harness/src/processes.rs
+++ b/crates/fault-harness/src/processes.rs
@@ -413,8 +413,11 @@
         let number = |key: &str| line[key].as_u64().unwrap_or_default();
         let what = What::MemberChange {
             node,
-            change: text("what").map_or(String::new(), |change| current_name(&change).to_string()),
-            member: text("of"),
+            // Former builds log the change as `what` and the member as `of`.
+            change: text("change")
+                .or_else(|| text("what"))
+                .map_or(String::new(), |change| current_name(&change).to_string()),
+            member: text("member").or_else(|| text("of")),
             // Builds before the renaming log it as `life`.
             incarnation: text("incarnation").or_else(|| text("life")),
             view: number("view"),
--- a/crates/fault-harness/src/processes/querying.rs
+++ b/crates/fault-harness/src/processes/querying.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use doortrack_node::commands::fleet::ask;
+use doortrack_node::commands::fleet::query_members;
 
 use super::{KEY_BYTE, Rig};
 use crate::history::{Member, What};
@@ -27,7 +27,7 @@
 impl Rig {
     /// A node's view of its fleet; `None` if it does not answer.
     pub fn status(&self, node: usize) -> Option<What> {
-        let answer = ask(self.fleet(node), Some([KEY_BYTE; 32])).ok()?;
+        let answer = query_members(self.fleet(node), Some([KEY_BYTE; 32])).ok()?;
         let members = answer.members.iter().map(|member| Member {
             name: member.name.to_string(),
             incarnation: member.incarnation.to_string(),
@@ -38,8 +38,8 @@
         });
         Some(What::Status {
             node,
-            isolated: answer.first.isolated,
-            digest: format!("{:016x}", answer.first.digest),
+            isolated: answer.status.isolated,
+            digest: format!("{:016x}", answer.status.digest),
             members: members.collect(),
         })
     }
--- a/crates/fault-harness/src/scale/serving.rs
+++ b/crates/fault-harness/src/scale/serving.rs
@@ -8,8 +8,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use doortrack_node::peers::peer_message::{Ask, PeerMessage};
-use doortrack_node::peers::seal::{LONGEST, Seal};
+use doortrack_node::peers::peer_message::{PeerMessage, StatusQuery};
+use doortrack_node::peers::seal::{MAX_DATAGRAM_LEN, Seal};
 use serde_json::{Value, json};
 
 use super::child::{ScaleError, end_with_parent};
@@ -186,11 +186,14 @@
     let seal = Seal::new(Some(FLEET_KEY), "");
     let socket = UdpSocket::bind("127.0.0.1:0")?;
     socket.set_read_timeout(Some(PATIENCE))?;
-    let mut bytes = [0; LONGEST];
+    let mut bytes = [0; MAX_DATAGRAM_LEN];
     for _ in 0..TRIES {
         let nonce = fastrand::u64(..);
         let question = seal
-            .close(&PeerMessage::Ask(Ask { nonce, after: None }))
+            .seal(&PeerMessage::StatusQuery(StatusQuery {
+                nonce,
+                after: None,
+            }))
             .unwrap_or_default();
         socket.send_to(&question, address)?;
         let Ok((len, _)) = socket.recv_from(&mut bytes) else {
--- a/crates/fault-harness/src/simulated.rs
+++ b/crates/fault-harness/src/simulated.rs
@@ -239,7 +239,7 @@
             return;
         };
         if self.options.count_bytes {
-            let sealed = self.seal.close(&PeerMessage::Fleet(datagram.clone()));
+            let sealed = self.seal.seal(&PeerMessage::Fleet(datagram.clone()));
             self.cost.bytes += sealed.map_or(0, |bytes| bytes.len() as u64) + HEADER_BYTES;
         }
         self.net.send(node, to, datagram);
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -10,17 +10,19 @@
 use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::{Logger, info, warn};
 
-use super::peer_message::{BUDGET_PAGE, BudgetPage, BudgetStatus};
+use super::link::weight;
+use super::peer_message::{BUDGETS_PER_PAGE, BudgetPage, BudgetStatus};
 use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome};
 
-/// Between reading the clock and the use that follows lie some hundred ns. A use after a longer pause of the
-/// process is counted as late.
-const LATE: TenthMillis = 5 * MILLISECOND;
+/// A use that follows the reading of the clock after a longer pause of the process is counted as late.
+const LATE_AFTER: TenthMillis = 5 * MILLISECOND;
 
 /// The decisions on budgets, and which budgets apply to which requests.
 pub struct FleetBudgets {
+    /// The decisions on budgets.
     pub budgets: Budgets,
     indices: BudgetIndices,
+    /// Left by the decisions, to be executed.
     pub actions: Vec<Action>,
     /// By index: units used and not cancelled.
     used: Vec<u64>,
@@ -29,7 +31,7 @@
     /// Uses after a pause of the process, between reading the clock and the use.
     late: u64,
     /// Budgets held by abandoned runs, and until when those may go on.
-    lingering: BinaryHeap<Reverse<(TenthMillis, u16)>>,
+    abandoned: BinaryHeap<Reverse<(TenthMillis, u16)>>,
 }
 
 impl FleetBudgets {
@@ -37,46 +39,38 @@
     pub fn open(
         file: &FleetFile,
         installation: &Installation,
-        orders: &NodeConfig,
+        config: &NodeConfig,
         me: NodeId,
     ) -> Option<FleetBudgets> {
         if installation.budgets.is_empty() {
             return None;
         }
-        let list = installation.budget_list(orders);
-        let weight = file
-            .weight
-            .unwrap_or(orders.settings.admission.cores)
-            .max(1);
+        let list = installation.budget_list(config);
         let budgets = Budgets::new(
             me,
-            weight,
+            weight(file, config),
             file.budget_parameters(),
             &list,
             fastrand::u64(..),
             0,
         );
-        let (indices, used, logged) = (
-            installation.budget_indices(orders),
-            vec![0; list.len()],
-            vec![0; list.len()],
-        );
         Some(FleetBudgets {
             budgets,
-            indices,
+            indices: installation.budget_indices(config),
             actions: Vec::new(),
-            used,
-            logged,
+            used: vec![0; list.len()],
+            logged: vec![0; list.len()],
             late: 0,
-            lingering: BinaryHeap::new(),
+            abandoned: BinaryHeap::new(),
         })
     }
 
+    /// Hands an event to the decisions.
     pub fn handle(&mut self, now: TenthMillis, event: Event) {
         self.budgets.handle(now, event, &mut self.actions);
     }
 
-    /// Takes over changed budgets from a reload; [`FleetBudgets::needs_a_start`] says which can't be.
+    /// Takes over changed budgets from a reload; [`FleetBudgets::restart_reason`] says which can't be.
     pub fn change(&mut self, now: TenthMillis, change: &mut FleetChange) {
         let list = std::mem::take(&mut change.budgets);
         let names: Vec<_> = self
@@ -93,9 +87,9 @@
         self.handle(now, Event::Changed { list });
     }
 
-    /// Why budgets of this file can't be taken up under way, if they can't: what requests in hand hold is
-    /// known by its index, and votes under two lists of voters, or of two lengths, would not meet.
-    pub fn needs_a_start(&self, file: &FleetFile, list: &[Budget]) -> Option<&str> {
+    /// Why a change to the budgets of this file takes a restart, if it does: what requests in flight hold is known
+    /// by its index, and votes under two lists of voters, or of two durations, would not count together.
+    pub fn restart_reason(&self, file: &FleetFile, list: &[Budget]) -> Option<&str> {
         let (old, new) = (self.budgets.parameters(), file.budget_parameters());
         let times = |parameters: &Parameters| {
             (
@@ -127,32 +121,32 @@
     /// One of them has none left; how long to wait, in tenths of a ms.
     pub fn admit(
         &mut self,
-        asked: AdmissionRequest,
+        request: AdmissionRequest,
         now: impl Fn() -> TenthMillis,
     ) -> Result<Permit, TenthMillis> {
-        let by = &self.indices;
-        let under = |list: &[Option<u16>], index: usize| list.get(index).copied().flatten();
+        let budgets_of = &self.indices;
+        let at = |list: &[Option<u16>], index: usize| list.get(index).copied().flatten();
         let indices = [
-            under(&by.groups, usize::from(asked.group)),
-            under(&by.tenants, usize::from(asked.tenant)),
-            under(&by.pools, usize::from(asked.pool)),
+            at(&budgets_of.groups, usize::from(request.group)),
+            at(&budgets_of.tenants, usize::from(request.tenant)),
+            at(&budgets_of.pools, usize::from(request.pool)),
         ];
         if indices == [None; 3] {
             return Ok(Permit::default());
         }
-        let looked = now();
+        let read_at = now();
         for (nth, index) in indices.iter().enumerate() {
             let Some(index) = index.map(usize::from) else {
                 continue;
             };
-            if let Err(wait) = self.budgets.acquire(index, looked) {
-                let taken = indices[..nth].iter().flatten();
-                taken.for_each(|index| self.release_one(usize::from(*index), false));
+            if let Err(wait) = self.budgets.acquire(index, read_at) {
+                let acquired = indices[..nth].iter().flatten();
+                acquired.for_each(|index| self.release_one(usize::from(*index), false));
                 return Err(wait);
             }
             self.used[index] += 1;
         }
-        self.late += u64::from(now() > looked + LATE);
+        self.late += u64::from(now() > read_at + LATE_AFTER);
         Ok(Permit(indices))
     }
 
@@ -165,21 +159,16 @@
             .flatten()
     }
 
-    /// Acquires one retry; false if there is none left.
-    pub fn retry(&mut self, index: u16, now: TenthMillis) -> bool {
-        self.acquire_one(index, now)
-    }
-
     /// The budget of the ramps in the pool at this index.
     pub fn ramp(&self, pool: u16) -> Option<u16> {
         self.indices.ramps.get(usize::from(pool)).copied().flatten()
     }
 
-    /// Takes one token of the budget at this index, if there is one.
+    /// Acquires one unit of the budget at this index; false if none is left.
     pub fn acquire_one(&mut self, index: u16, now: TenthMillis) -> bool {
-        let taken = self.budgets.acquire(usize::from(index), now).is_ok();
-        self.used[usize::from(index)] += u64::from(taken);
-        taken
+        let acquired = self.budgets.acquire(usize::from(index), now).is_ok();
+        self.used[usize::from(index)] += u64::from(acquired);
+        acquired
     }
 
     fn release_one(&mut self, index: usize, ran: bool) {
@@ -191,6 +180,7 @@
         }
     }
 
+    /// Releases what a request held, or keeps it for the maximum hold time if its run may still go on.
     pub fn release(&mut self, permit: Permit, outcome: PermitOutcome, now: TenthMillis) {
         for index in permit.0.into_iter().flatten() {
             let held = self
@@ -199,7 +189,7 @@
                 .nth(usize::from(index))
                 .map_or(0, Budget::max_hold);
             if outcome == PermitOutcome::MayStillRun && held > 0 {
-                self.lingering.push(Reverse((now + held, index)));
+                self.abandoned.push(Reverse((now + held, index)));
             } else {
                 self.release_one(usize::from(index), outcome != PermitOutcome::Unused);
             }
@@ -207,21 +197,23 @@
     }
 
     /// Releases what abandoned runs held, once their maximum hold time is over.
-    pub fn free(&mut self, now: TenthMillis) {
+    pub fn release_abandoned(&mut self, now: TenthMillis) {
         while let Some(Reverse((_, index))) = self
-            .lingering
+            .abandoned
             .peek()
             .copied()
             .filter(|Reverse((till, _))| *till <= now)
         {
-            self.lingering.pop();
+            self.abandoned.pop();
             self.release_one(usize::from(index), true);
         }
     }
 
+    /// The status of one page of budgets, from an index on.
     pub fn page(&mut self, nonce: u64, from: u16, now: TenthMillis) -> BudgetPage {
         let count = self.used.len();
-        let indices = usize::from(from).min(count)..(usize::from(from) + BUDGET_PAGE).min(count);
+        let indices =
+            usize::from(from).min(count)..(usize::from(from) + BUDGETS_PER_PAGE).min(count);
         let more = indices.end < count;
         let kinds: Vec<_> = self
             .budgets
@@ -246,7 +238,7 @@
         let budgets = budgets.collect();
         BudgetPage {
             nonce,
-            leader: self.budgets.leader().map(|who| who.name.clone()),
+            leader: self.budgets.leader().map(|leader| leader.name.clone()),
             budgets,
             more,
         }
@@ -265,7 +257,7 @@
             }
             *logged = *allocation;
         }
-        let word = change.word();
+        let event = change.word();
         let name = |index: usize| {
             self.budgets
                 .list()
@@ -274,29 +266,34 @@
         };
         match change {
             Change::Elected { grants_after } => {
-                info!(log, "budget"; "what" => word, "grants_after_ms" => grants_after / MILLISECOND);
+                info!(log, "budget"; "change" => event, "grants_after_ms" => grants_after / MILLISECOND);
+            }
+            Change::SteppedDown => info!(log, "budget"; "change" => event),
+            Change::Leader(leader) => {
+                info!(log, "budget"; "change" => event, "leader" => &*leader.name)
+            }
+            Change::LeaderSilent(leader) => {
+                warn!(log, "budget"; "change" => event, "leader" => &*leader.name)
             }
-            Change::SteppedDown => info!(log, "budget"; "what" => word),
-            Change::Leader(who) => info!(log, "budget"; "what" => word, "of" => &*who.name),
-            Change::LeaderSilent(who) => warn!(log, "budget"; "what" => word, "of" => &*who.name),
             Change::Allocation {
                 index,
                 was,
                 allocation,
                 lasts,
             } => {
-                info!(log, "budget"; "what" => word, "budget" => name(*index), "was" => was,
+                info!(log, "budget"; "change" => event, "budget" => name(*index), "was" => was,
                     "allocation" => allocation, "lasts_ms" => lasts / MILLISECOND);
             }
             Change::RanOut { index, allocation } => {
-                warn!(log, "budget"; "what" => word, "budget" => name(*index), "was" => allocation);
+                warn!(log, "budget"; "change" => event, "budget" => name(*index), "was" => allocation);
             }
         }
     }
 
+    /// Logs a line on the budgets.
     pub fn summary(&self, log: &Logger) {
-        let leader = self.budgets.leader().map_or("", |who| &who.name);
-        info!(log, "budgets summary"; "leader" => leader, "passed" => self.used.iter().sum::<u64>(),
-            "late_looks" => self.late);
+        let leader = self.budgets.leader().map_or("", |leader| &leader.name);
+        info!(log, "budgets summary"; "leader" => leader, "used" => self.used.iter().sum::<u64>(),
+            "late_uses" => self.late);
     }
 }
--- a/crates/node/src/peers/link/budget_actions.rs
+++ b/crates/node/src/peers/link/budget_actions.rs
@@ -1,4 +1,5 @@
-//! Events of the fleet's budgets, and the actions that follow from them.
+//! Events of the fleet's budgets, and the actions that follow from them. Nothing is done where the fleet has
+//! no budgets.
 
 use doortrack_budgets::{Action, Envelope, Event, NodeId};
 
@@ -6,14 +7,20 @@
 use crate::peers::peer_message::PeerMessage;
 
 impl Peers {
-    /// Hands an event to the budgets, or the present members if there is none, and carries out what follows.
-    /// Does nothing where the fleet has no budgets.
-    pub(super) fn tell_budgets(&mut self, event: Option<Event>) {
+    /// Hands an event to the decisions on budgets and executes the actions that follow.
+    pub(super) fn handle_budget_event(&mut self, event: Event) {
         let now = self.now();
-        let Some(budgets) = &self.budgets else { return };
-        let event = event.unwrap_or_else(|| Event::Members(self.fleet.view().clone()));
-        budgets.borrow_mut().handle(now, event);
-        self.carry_out_budget_actions();
+        if let Some(budgets) = &self.budgets {
+            budgets.borrow_mut().handle(now, event);
+            self.execute_budget_actions();
+        }
+    }
+
+    /// Hands the present members to the decisions on budgets.
+    pub(super) fn announce_members(&mut self) {
+        if self.budgets.is_some() {
+            self.handle_budget_event(Event::Members(self.fleet.view().clone()));
+        }
     }
 
     /// Whether this incarnation of a node is a member in this node's view.
@@ -25,7 +32,8 @@
             .is_some_and(|member| member.incarnation == id.incarnation)
     }
 
-    pub(super) fn carry_out_budget_actions(&mut self) {
+    /// Executes the actions that the decisions on budgets left.
+    pub(super) fn execute_budget_actions(&mut self) {
         let Some(budgets) = self.budgets.clone() else {
             return;
         };
--- a/crates/node/src/peers/link/logging.rs
+++ b/crates/node/src/peers/link/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines about members and about unknown peers.
+//! Log lines on changes of members, and on datagrams that were refused.
 
 use std::net::SocketAddr;
 
@@ -20,36 +20,36 @@
         *self.socket.counts.refused.entry(name).or_default() += 1;
         let now = self.now();
         let due = self
-            .told_at
+            .refusal_logged_at
             .get(name)
             .is_none_or(|at| now >= at + REFUSAL_LOG_INTERVAL);
         if due {
-            self.told_at.insert(name, now);
+            self.refusal_logged_at.insert(name, now);
             warn!(self.log, "unknown peer on the fleet's link"; "from" => %from, "why" => %refused);
         }
     }
 
-    /// Logs a change of a member or of this node's own standing.
+    /// Logs a change of a member or of this node's own state.
     pub(super) fn log(&self, change: &Change) {
         let view = self.fleet.view();
         let digest = format!("{:016x}", view.digest);
-        let word = change.name();
+        let name = change.name();
         match change.member() {
-            Some((name, incarnation)) => {
-                info!(self.log, "member"; "what" => word, "of" => &**name, "incarnation" => %incarnation,
+            Some((member, incarnation)) => {
+                info!(self.log, "member"; "change" => name, "member" => &**member, "incarnation" => %incarnation,
                     "view" => view.number, "members" => view.members.len(), "digest" => digest);
             }
             None if needs_attention(change) => {
-                warn!(self.log, "member"; "what" => word, "why" => ?change, "view" => view.number);
+                warn!(self.log, "member"; "change" => name, "why" => ?change, "view" => view.number);
             }
             None => {
-                info!(self.log, "member"; "what" => word, "why" => ?change, "view" => view.number)
+                info!(self.log, "member"; "change" => name, "why" => ?change, "view" => view.number)
             }
         }
     }
 }
 
-/// Whether a change of this node's own standing calls for an operator.
+/// Whether a change of this node's own state calls for an operator.
 fn needs_attention(change: &Change) -> bool {
     matches!(
         change,
--- a/crates/node/src/peers/link/socket.rs
+++ b/crates/node/src/peers/link/socket.rs
@@ -1,4 +1,4 @@
-//! The link's UDP socket: datagrams are sealed and opened, counted, and passed by a test rig's tap.
+//! The link's UDP socket: datagrams are sealed and opened, counted, and passed by a test's tap.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -9,30 +9,36 @@
 use polling::{Event, PollMode, Poller};
 
 use crate::peers::peer_message::PeerMessage;
-use crate::peers::seal::{LONGEST, Refused, Seal};
+use crate::peers::seal::{MAX_DATAGRAM_LEN, Refused, Seal};
 use crate::system::addresses::once_free;
 
 /// Counts of datagrams and their bytes, without IP and UDP headers.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
+    /// Datagrams received.
     pub received: u64,
+    /// Their bytes.
     pub received_bytes: u64,
+    /// Datagrams sent.
     pub sent: u64,
+    /// Their bytes.
     pub sent_bytes: u64,
     /// Could not be sent: the system had no room, or the message was too long.
     pub unsent: u64,
-    /// Received and not listened to, by reason.
+    /// Received and refused, by reason.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
 /// The poller that watches a link, and the link's key: several links of one process have a key each.
 #[derive(Clone, Copy)]
 pub struct Registration<'a> {
+    /// The poller.
     pub poller: &'a Arc<Poller>,
+    /// The link's key in it.
     pub key: usize,
 }
 
-/// What a test rig puts between a link and its network.
+/// What a test puts between a link and its network.
 pub trait Tap {
     /// Whether datagrams to and from this address pass.
     fn passes(&self, peer: SocketAddr) -> bool;
@@ -47,9 +53,13 @@
     Empty,
     /// The read gave nothing to handle; there may be more.
     Nothing,
-    Datagram {
+    Message {
         from: SocketAddr,
-        opened: Result<PeerMessage, Refused>,
+        message: PeerMessage,
+    },
+    Refused {
+        from: SocketAddr,
+        reason: Refused,
     },
 }
 
@@ -91,7 +101,7 @@
 
     /// Reads and opens one datagram.
     pub(super) fn receive(&mut self) -> Received {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         let (len, from) = match self.socket.recv_from(&mut bytes) {
             Ok(read) => read,
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Received::Empty,
@@ -103,20 +113,23 @@
         }
         self.counts.received += 1;
         self.counts.received_bytes += len as u64;
-        let opened = if len > LONGEST {
+        let opened = if len > MAX_DATAGRAM_LEN {
             Err(Refused::Unreadable)
         } else {
             self.seal.open(&bytes[..len])
         };
-        Received::Datagram { from, opened }
+        match opened {
+            Ok(message) => Received::Message { from, message },
+            Err(reason) => Received::Refused { from, reason },
+        }
     }
 
     /// Seals and sends a message. A failure is counted, as the datagram may be lost on its way as well.
-    pub(super) fn send(&mut self, to: SocketAddr, spoken: &PeerMessage) {
+    pub(super) fn send(&mut self, to: SocketAddr, message: &PeerMessage) {
         if !self.passes(to) {
             return;
         }
-        let Some(datagram) = self.seal.close(spoken) else {
+        let Some(datagram) = self.seal.seal(message) else {
             self.counts.unsent += 1;
             return;
         };
--- a/crates/node/src/peers/link/status.rs
+++ b/crates/node/src/peers/link/status.rs
@@ -3,15 +3,17 @@
 use std::net::SocketAddr;
 
 use super::Peers;
-use crate::peers::peer_message::{Ask, BudgetPage, PAGE, PeerMessage, Status};
+use crate::peers::peer_message::{BudgetPage, MEMBERS_PER_PAGE, PeerMessage, Status, StatusQuery};
 
 impl Peers {
     /// Answers with the node's own state and one page of its members.
-    pub(super) fn answer_status(&mut self, ask: Ask, to: SocketAddr) {
-        let (members, more) = self.fleet.report(ask.after.as_ref(), PAGE, self.now());
+    pub(super) fn answer_status(&mut self, query: StatusQuery, to: SocketAddr) {
+        let (members, more) = self
+            .fleet
+            .report(query.after.as_ref(), MEMBERS_PER_PAGE, self.now());
         let view = self.fleet.view();
         let status = Status {
-            nonce: ask.nonce,
+            nonce: query.nonce,
             fleet: self.file.name.clone(),
             name: self.fleet.me().name.clone(),
             incarnation: self.fleet.me().incarnation,
--- /dev/null
+++ b/crates/node/src/peers/link/subsystem.rs
@@ -0,0 +1,185 @@
+//! The link as a subsystem of the event loop.
+
+use doortrack_config::FleetFile;
+use doortrack_config::reload::FleetChange;
+use doortrack_membership::Event;
+use doortrack_time::TenthMillis;
+use doortrack_upstream::TokenResponse;
+use slog::{Logger, info, warn};
+
+use super::Peers;
+use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome, Subsystem};
+
+/// Datagrams read in one turn of the loop, so that a flood does not starve other work.
+const MAX_READS: usize = 64;
+/// Turns of the loop for which due timers wait for unread datagrams, so that a flood does not stop them.
+const MAX_DEFERRED_TURNS: u32 = 4;
+
+impl Subsystem for Peers {
+    fn key(&self) -> usize {
+        self.socket.key
+    }
+
+    fn on_readable(&mut self) {
+        self.may_have_unread = (0..MAX_READS).all(|_| self.read_one());
+    }
+
+    fn poll(&mut self) {
+        let now = self.now();
+        self.tick_membership(now);
+        self.tick_budgets(now);
+    }
+
+    fn time_to_next_poll(&self) -> TenthMillis {
+        let budgets = self.budgets.as_ref().map_or(TenthMillis::MAX, |budgets| {
+            budgets.borrow().budgets.next_due()
+        });
+        match self.fleet.next_due().min(budgets) {
+            TenthMillis::MAX => TenthMillis::MAX,
+            due => due.saturating_sub(self.now()),
+        }
+    }
+
+    fn drain(&mut self) {
+        self.handle_budget_event(doortrack_budgets::Event::Leave);
+        self.fleet
+            .handle(self.now(), Event::Leave, &mut self.actions);
+        self.execute_actions();
+    }
+
+    fn reload(&mut self, change: &mut FleetChange) {
+        let Some(file) = change.file.take() else {
+            warn!(self.log, "fleet needs a start"; "why" => "it can't be left under way");
+            return;
+        };
+        if restart_keys(&file) != restart_keys(&self.file) {
+            warn!(self.log, "fleet needs a start"; "why" => "its name, addresses, key or weight changed");
+        }
+        // What needs a restart stays as it was.
+        self.file = FleetFile {
+            seeds: file.seeds.clone(),
+            voters: file.voters.clone(),
+            times: file.times,
+            ..self.file.clone()
+        };
+        self.reload_budgets(&file, change);
+        let parameters = Box::new(self.file.fleet_parameters());
+        self.fleet
+            .handle(self.now(), Event::Changed { parameters }, &mut self.actions);
+        self.execute_actions();
+    }
+
+    fn admit(&mut self, request: AdmissionRequest) -> Result<Permit, TenthMillis> {
+        let clock = self.clock();
+        match &self.budgets {
+            Some(budgets) => budgets.borrow_mut().admit(request, || clock.now()),
+            None => Ok(Permit::default()),
+        }
+    }
+
+    fn retry_gate(&self, pool: u16) -> Option<Box<dyn FnMut() -> bool>> {
+        let clock = self.clock();
+        let budgets = self.budgets.clone()?;
+        // Looked up each time: a reload may add or remove it.
+        Some(Box::new(move || {
+            let mut budgets = budgets.borrow_mut();
+            let index = budgets.retries(pool);
+            index.is_none_or(|index| budgets.acquire_one(index, clock.now()))
+        }))
+    }
+
+    fn ramp_gate(&self, pool: u16) -> Option<Box<dyn FnMut() -> TokenResponse>> {
+        let clock = self.clock();
+        let budgets = self.budgets.clone()?;
+        // Looked up each time, as for retries.
+        Some(Box::new(move || {
+            let mut budgets = budgets.borrow_mut();
+            match budgets.ramp(pool) {
+                None => TokenResponse::Unshared,
+                Some(index) if budgets.acquire_one(index, clock.now()) => TokenResponse::Granted,
+                Some(_) => TokenResponse::Refused,
+            }
+        }))
+    }
+
+    fn release(&mut self, permit: Permit, outcome: PermitOutcome) {
+        let now = self.now();
+        if let Some(budgets) = &self.budgets {
+            budgets.borrow_mut().release(permit, outcome, now);
+        }
+    }
+
+    fn summary(&self, log: &Logger) {
+        let counts = &self.socket.counts;
+        let view = self.fleet.view();
+        info!(log, "fleet summary"; "view" => view.number,
+            "members" => view.members.len(), "isolated" => self.fleet.is_isolated(),
+            "received" => counts.received, "received_bytes" => counts.received_bytes,
+            "sent" => counts.sent, "sent_bytes" => counts.sent_bytes,
+            "unsent" => counts.unsent, "refused" => slog::Serde(counts.refused.clone()),
+            "out_of_place" => self.fleet.refused());
+        if let Some(budgets) = &self.budgets {
+            budgets.borrow().summary(log);
+        }
+    }
+}
+
+/// What of the file can change only with a restart.
+fn restart_keys(file: &FleetFile) -> impl PartialEq + use<'_> {
+    (
+        &file.name,
+        file.listen,
+        file.advertise,
+        &file.key_file,
+        file.weight,
+    )
+}
+
+impl Peers {
+    /// Fires the timers of membership that are due. Unread datagrams arrived before them: an acknowledgement
+    /// among those is not missing.
+    fn tick_membership(&mut self, now: TenthMillis) {
+        let may_have_unread = std::mem::take(&mut self.may_have_unread);
+        if now < self.fleet.next_due() {
+            return;
+        }
+        if may_have_unread && self.deferred_turns < MAX_DEFERRED_TURNS {
+            self.deferred_turns += 1;
+            return;
+        }
+        self.deferred_turns = 0;
+        self.fleet.handle(now, Event::Tick, &mut self.actions);
+        self.execute_actions();
+    }
+
+    fn tick_budgets(&mut self, now: TenthMillis) {
+        let Some(budgets) = &self.budgets else { return };
+        budgets.borrow_mut().release_abandoned(now);
+        let is_due = now >= budgets.borrow().budgets.next_due();
+        if is_due {
+            self.handle_budget_event(doortrack_budgets::Event::Tick);
+        }
+    }
+
+    /// Takes over changed budgets, unless only a restart can.
+    fn reload_budgets(&mut self, file: &FleetFile, change: &mut FleetChange) {
+        let now = self.now();
+        let obstacle = match &self.budgets {
+            None if change.budgets.is_empty() => None,
+            None => Some("there were none".to_string()),
+            Some(budgets) => {
+                let mut budgets = budgets.borrow_mut();
+                let obstacle = budgets.restart_reason(file, &change.budgets);
+                let obstacle = obstacle.map(str::to_string);
+                if obstacle.is_none() {
+                    budgets.change(now, change);
+                }
+                obstacle
+            }
+        };
+        match obstacle {
+            Some(why) => warn!(self.log, "budgets need a start"; "why" => why),
+            None => self.execute_budget_actions(),
+        }
+    }
+}
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! The link to the other nodes of the fleet: one UDP socket. Membership is decided by `doortrack-membership`, the
-//! division of budgets by `doortrack-budgets`.
+//! The link to the other nodes of the fleet: one UDP socket, which never blocks. Membership is decided by
+//! `doortrack-membership`, the division of budgets by `doortrack-budgets`.
 
 pub mod budgets;
 mod link;
--- a/crates/node/src/peers/seal.rs
+++ b/crates/node/src/peers/seal.rs
@@ -10,11 +10,12 @@
 
 use super::peer_message::PeerMessage;
 
-/// The version that this build speaks. Fields are only ever added at the end of a message within one version.
+/// The version of this build. Fields are only ever added at the end of a message within one version.
 pub const VERSION: u8 = 1;
-const HASH: usize = 16;
+/// Bytes of the hash.
+const HASH_LEN: usize = 16;
 /// Maximum bytes of a datagram, sent or received: an Ethernet frame without IP and UDP headers.
-pub const LONGEST: usize = 1_472;
+pub const MAX_DATAGRAM_LEN: usize = 1_472;
 
 /// Seals and opens the datagrams of one fleet.
 #[derive(Clone)]
@@ -37,7 +38,7 @@
 }
 
 impl Refused {
-    /// Its name in counts.
+    /// Its name in counters.
     pub fn name(self) -> &'static str {
         match self {
             Refused::Version(_) => "version",
@@ -67,7 +68,7 @@
 struct Body<'a, T> {
     /// Empty in a status query.
     fleet: &'a str,
-    what: T,
+    message: T,
 }
 
 impl Seal {
@@ -83,26 +84,26 @@
         }
     }
 
-    fn hash(&self, version: u8, body: &[u8]) -> [u8; HASH] {
+    fn hash(&self, version: u8, body: &[u8]) -> [u8; HASH_LEN] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&[version]).update(body);
-        let mut first = [0; HASH];
-        first.copy_from_slice(&hasher.finalize().as_bytes()[..HASH]);
+        let mut first = [0; HASH_LEN];
+        first.copy_from_slice(&hasher.finalize().as_bytes()[..HASH_LEN]);
         first
     }
 
-    /// Encodes and seals a message; `None` if the datagram would be longer than [`LONGEST`].
-    pub fn close(&self, what: &PeerMessage) -> Option<Vec<u8>> {
+    /// Encodes and seals a message; `None` if the datagram would be longer than [`MAX_DATAGRAM_LEN`].
+    pub fn seal(&self, message: &PeerMessage) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(&Body {
             fleet: &self.fleet,
-            what,
+            message,
         })
         .ok()?;
-        let mut datagram = Vec::with_capacity(1 + HASH + body.len());
+        let mut datagram = Vec::with_capacity(1 + HASH_LEN + body.len());
         datagram.push(VERSION);
         datagram.extend(self.hash(VERSION, &body));
         datagram.extend(body);
-        (datagram.len() <= LONGEST).then_some(datagram)
+        (datagram.len() <= MAX_DATAGRAM_LEN).then_some(datagram)
     }
 
     /// Verifies and decodes a datagram.
@@ -114,13 +115,13 @@
         if *version != VERSION {
             return Err(Refused::Version(*version));
         }
-        let (hash, body) = rest.split_at_checked(HASH).ok_or(Refused::Unreadable)?;
+        let (hash, body) = rest.split_at_checked(HASH_LEN).ok_or(Refused::Unreadable)?;
         // Compared in constant time.
-        let wrong = hash
+        let difference = hash
             .iter()
             .zip(self.hash(*version, body))
-            .fold(0, |wrong, (a, b)| wrong | (a ^ b));
-        if wrong != 0 {
+            .fold(0, |difference, (a, b)| difference | (a ^ b));
+        if difference != 0 {
             return Err(Refused::Hash);
         }
         // Fields that a later build of this version adds at the end are ignored.
@@ -128,12 +129,12 @@
             .map_err(|_| Refused::Unreadable)?;
         let is_query = body.fleet.is_empty()
             && matches!(
-                body.what,
-                PeerMessage::Ask(_) | PeerMessage::AskBudgets { .. }
+                body.message,
+                PeerMessage::StatusQuery(_) | PeerMessage::BudgetQuery { .. }
             );
-        let sent_query = self.fleet.is_empty();
-        if body.fleet == self.fleet || is_query || sent_query {
-            Ok(body.what)
+        let is_answer = self.fleet.is_empty();
+        if body.fleet == self.fleet || is_query || is_answer {
+            Ok(body.message)
         } else {
             Err(Refused::Fleet)
         }
--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -9,7 +9,7 @@
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::{Fault, Script};
 use doortrack_fault_harness::usage::{concurrency_exceeded, rate_exceeded, used};
-use doortrack_node::commands::fleet::ask_budgets;
+use doortrack_node::commands::fleet::query_budgets;
 use doortrack_node::peers::peer_message::BudgetStatus;
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
@@ -53,7 +53,7 @@
 }
 
 fn standing(rig: &Rig, of: usize) -> Vec<BudgetStatus> {
-    ask_budgets(rig.fleet(of), key()).unwrap().0
+    query_budgets(rig.fleet(of), key()).unwrap().budgets
 }
 
 /// Waits until what a node says of the first budget is as wanted.
--- a/crates/node/tests/fleet/encoding.rs
+++ b/crates/node/tests/fleet/encoding.rs
@@ -5,7 +5,9 @@
 use doortrack_membership::{
     Datagram, Head, Incarnation, MemberReport, MemberState, MemberUpdate, Message, ReportedState,
 };
-use doortrack_node::peers::peer_message::{Ask, BudgetPage, BudgetStatus, PeerMessage, Status};
+use doortrack_node::peers::peer_message::{
+    BudgetPage, BudgetStatus, PeerMessage, Status, StatusQuery,
+};
 
 const INCARNATION: Incarnation = Incarnation(300);
 
@@ -213,14 +215,14 @@
 #[test]
 fn questions_and_answers_keep_their_bytes() {
     assert_eq!(
-        hex(&PeerMessage::Ask(Ask {
+        hex(&PeerMessage::StatusQuery(StatusQuery {
             nonce: 1,
             after: None
         })),
         "010100"
     );
     assert_eq!(
-        hex(&PeerMessage::AskBudgets { nonce: 1, from: 2 }),
+        hex(&PeerMessage::BudgetQuery { nonce: 1, from: 2 }),
         "040102"
     );
     assert_eq!(
--- a/crates/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/link.rs
@@ -13,7 +13,7 @@
     Action, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message,
     Parameters,
 };
-use doortrack_node::peers::peer_message::{PAGE, PeerMessage, Status};
+use doortrack_node::peers::peer_message::{MEMBERS_PER_PAGE, PeerMessage, Status};
 use doortrack_node::peers::seal::{Refused, Seal};
 use serde_json::{Value, json};
 
@@ -68,7 +68,7 @@
         updates: Vec::new(),
     };
     Seal::new(key, fleet)
-        .close(&PeerMessage::Fleet(datagram))
+        .seal(&PeerMessage::Fleet(datagram))
         .unwrap()
 }
 
@@ -114,7 +114,7 @@
     let whole = strange(key, "rig");
     assert!(seal.open(&whole).is_ok());
     let longer = Seal::new(key, "rig")
-        .close(&seal.open(&whole).unwrap())
+        .seal(&seal.open(&whole).unwrap())
         .unwrap();
     assert_eq!(longer, whole, "the same each time");
     assert_eq!(seal.open(&strange(None, "rig")), Err(Refused::Hash));
@@ -169,7 +169,7 @@
         updates,
     };
     let seal = Seal::new(None, &"x".repeat(64));
-    assert!(seal.close(&PeerMessage::Fleet(datagram)).is_some());
+    assert!(seal.seal(&PeerMessage::Fleet(datagram)).is_some());
     // So do the pages of a table of them, and the answers to those who ask.
     let mut fleet = Fleet::new(update(0), Parameters::default(), 1, 0);
     let mut out = Vec::new();
@@ -216,9 +216,9 @@
     assert!(full(|message| matches!(message, Message::Updates)));
     assert!(
         sent.into_iter()
-            .all(|datagram| seal.close(&PeerMessage::Fleet(datagram)).is_some())
+            .all(|datagram| seal.seal(&PeerMessage::Fleet(datagram)).is_some())
     );
-    let (members, more) = fleet.report(None, PAGE, 0);
+    let (members, more) = fleet.report(None, MEMBERS_PER_PAGE, 0);
     let status = Status {
         nonce: u64::MAX,
         fleet: "x".repeat(64),
@@ -232,7 +232,7 @@
         members,
         more,
     };
-    assert!(more && seal.close(&PeerMessage::Status(Box::new(status))).is_some());
+    assert!(more && seal.seal(&PeerMessage::Status(Box::new(status))).is_some());
 }
 
 /// Sockets of a process, and its threads.
--- a/crates/node/tests/fleet/ramp.rs
+++ b/crates/node/tests/fleet/ramp.rs
@@ -11,7 +11,7 @@
 use doortrack_fakes::server::{Act, Server};
 use doortrack_fakes::unix_ms;
 use doortrack_fault_harness::processes::Rig;
-use doortrack_node::commands::fleet::ask_budgets;
+use doortrack_node::commands::fleet::query_budgets;
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
@@ -289,7 +289,9 @@
 fn wait_for_allocation(rig: &Rig, of: usize) {
     let until = Instant::now() + LONGEST;
     loop {
-        let standing = ask_budgets(rig.fleet(of), Some([0x5a; 32])).unwrap().0;
+        let standing = query_budgets(rig.fleet(of), Some([0x5a; 32]))
+            .unwrap()
+            .budgets;
         if standing
             .first()
             .is_some_and(|budget| budget.until_ms.is_some())
