--- a/crates/node/src/commands/check.rs
+++ b/crates/node/src/commands/check.rs
@@ -1,10 +1,13 @@
-//! `doortrack check`: every error of an installation file, and of a configuration.
+//! `doortrack check`: every error of an installation file, and of a configuration. It blocks on reading them.
 
 use std::path::Path;
 
 use doortrack_config::{ConfigErrors, ErrorCollector, installation, node_config};
 
-/// What a good file says in one line, or every error of both.
+/// What a valid installation says, in one line.
+///
+/// # Errors
+/// Every error of both files.
 pub fn check(installation: &Path, config: Option<&Path>) -> Result<String, ConfigErrors> {
     let mut errors = ErrorCollector::default();
     let read = errors.collect(installation::read(installation));
--- a/crates/node/src/commands/input.rs
+++ b/crates/node/src/commands/input.rs
@@ -1,4 +1,4 @@
-//! A request as operators write it down in JSON, to try expressions and rules on it.
+//! A request as operators write it in JSON, to try expressions and rules on it.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -9,14 +9,16 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// What is not said is as in a request with nothing in it.
+const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
+
+/// A request in JSON. What is absent is as in an empty request.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestFile {
     method: String,
     path: String,
     query: String,
-    /// Named as in HTTP.
+    /// By their HTTP names.
     headers: BTreeMap<String, String>,
     /// By their CGI names.
     variables: BTreeMap<String, String>,
@@ -29,54 +31,46 @@
 
 impl Default for RequestFile {
     fn default() -> Self {
-        let text = String::new;
-        let (method, path, front) = ("POST".into(), "/".into(), "uwsgi".into());
-        let (headers, variables, peer) =
-            (BTreeMap::new(), BTreeMap::new(), Ipv4Addr::LOCALHOST.into());
-        let (query, body, time_of_day) = (text(), text(), "00:00:00".into());
         RequestFile {
-            method,
-            path,
-            query,
-            headers,
-            variables,
-            body,
-            front,
-            peer,
-            time_of_day,
+            method: "POST".into(),
+            path: "/".into(),
+            query: String::new(),
+            headers: BTreeMap::new(),
+            variables: BTreeMap::new(),
+            body: String::new(),
+            front: "uwsgi".into(),
+            peer: Ipv4Addr::LOCALHOST.into(),
+            time_of_day: "00:00:00".into(),
         }
     }
 }
 
 impl RequestFile {
-    pub fn request(&self, at: &str) -> Result<LiteralRequest, ConfigErrors> {
-        let parts: Vec<Option<i64>> = self
-            .time_of_day
-            .split(':')
-            .map(|part| part.parse().ok())
-            .collect();
-        let (Some(Some(hours)), Some(Some(minutes)), seconds, None) =
-            (parts.first(), parts.get(1), parts.get(2), parts.get(3))
-        else {
-            return Err(ConfigErrors::one(
-                format!("{at}.time_of_day"),
+    /// The request; `path` is that of this value in its file.
+    ///
+    /// # Errors
+    /// The time of day is none.
+    pub fn request(&self, path: &str) -> Result<LiteralRequest, ConfigErrors> {
+        let seconds = seconds_since_midnight(&self.time_of_day).ok_or_else(|| {
+            ConfigErrors::one(
+                format!("{path}.time_of_day"),
                 "a time as 09:30 or 09:30:00 is wanted",
-            ));
-        };
-        let seconds = seconds.copied().flatten().unwrap_or(0);
+            )
+        })?;
+        let variables = self
+            .variables
+            .iter()
+            .map(|(name, value)| (name.clone(), value.clone().into()))
+            .collect();
         let request = LiteralRequest {
             method: self.method.clone(),
             path: self.path.clone(),
             query: self.query.clone(),
-            variables: self
-                .variables
-                .iter()
-                .map(|(name, value)| (name.clone(), value.clone().into()))
-                .collect(),
+            variables,
             body: self.body.clone().into(),
             front: self.front.clone(),
             peer: self.peer,
-            time_of_day: ((hours * 60 + minutes) * 60 + seconds) * 1_000_000,
+            time_of_day: seconds * MICROSECONDS_PER_SECOND,
         };
         Ok(self.headers.iter().fold(request, |request, (name, value)| {
             request.header(name, value.as_str())
@@ -84,13 +78,33 @@
     }
 }
 
-/// A JSON file; `name` stands for it in faults.
+/// Reads `09:30` or `09:30:00`.
+fn seconds_since_midnight(time: &str) -> Option<i64> {
+    let parts: Vec<Option<i64>> = time.split(':').map(|part| part.parse().ok()).collect();
+    let (Some(hours), Some(minutes), seconds) = (match parts[..] {
+        [hours, minutes] => (hours, minutes, None),
+        [hours, minutes, seconds] => (hours, minutes, seconds),
+        _ => return None,
+    }) else {
+        return None;
+    };
+    Some((hours * 60 + minutes) * 60 + seconds.unwrap_or(0))
+}
+
+/// A JSON file; `name` stands for it in errors.
+///
+/// # Errors
+/// It can't be read, or is not JSON.
 pub fn json(path: &Path, name: &str) -> Result<Value, ConfigErrors> {
     let text = std::fs::read(path)
         .map_err(|e| ConfigErrors::one(path.display().to_string(), e.to_string()))?;
     serde_json::from_slice(&text).map_err(|e| ConfigErrors::one(name, format!("not JSON: {e}")))
 }
 
+/// Reads a request from its file.
+///
+/// # Errors
+/// Every error, each with the path of its key.
 pub fn read(path: &Path) -> Result<LiteralRequest, ConfigErrors> {
     let file: RequestFile = deserialize::all_errors(&json(path, "request")?, "request")?;
     file.request("request")
--- a/crates/node/src/system/clock.rs
+++ b/crates/node/src/system/clock.rs
@@ -1,30 +1,33 @@
 //! The Unix clock, in tenths of a ms.
 
-use doortrack_time::TenthMillis;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-const MICROS: u128 = 100;
+use doortrack_time::{MICROSECONDS_PER_UNIT, MILLISECOND, TenthMillis};
 
-/// Never goes back: where the system's clock does, time stands still until it has caught up.
+/// A clock that never goes back: where the system's clock does, time stands still until that has caught up.
 #[derive(Clone, Copy, Default)]
 pub struct Clock {
+    /// What it showed last.
     last: TenthMillis,
-    /// How far it is set off, in ms: for tests alone.
-    off: i64,
+    /// How far it is ahead of the system's clock, in ms: for tests alone.
+    offset_ms: i64,
 }
 
 impl Clock {
-    /// A clock that is so many ms off.
-    pub fn set_off(off: i64) -> Clock {
-        Clock { last: 0, off }
+    /// A clock that is so many ms ahead of the system's; behind it, if they are negative.
+    pub fn with_offset(offset_ms: i64) -> Clock {
+        Clock { last: 0, offset_ms }
     }
 
+    /// Time since the Unix epoch.
     pub fn now(&mut self) -> TenthMillis {
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let shown = (since.as_micros() / MICROS) as TenthMillis;
-        self.last = self.last.max(shown.saturating_add_signed(self.off * 10));
+        let system_time =
+            (since_epoch.as_micros() / u128::from(MICROSECONDS_PER_UNIT)) as TenthMillis;
+        let offset = self.offset_ms * MILLISECOND as i64;
+        self.last = self.last.max(system_time.saturating_add_signed(offset));
         self.last
     }
 }
--- a/crates/node/src/system/descriptors.rs
+++ b/crates/node/src/system/descriptors.rs
@@ -4,12 +4,12 @@
 
 use rustix::process::{Resource, getrlimit};
 
-/// Descriptors that connections of callers and to servers leave to all else that the node opens after this
-/// was asked: 3 of the poller, 4 of the signals, 9 listeners, the engine's link, 2 to the registry while it
-/// moves, 2 of files that are read at a reload or for the log.
-const OWN: usize = 21;
-/// A node that is allowed fewer still tries for so many connections.
-const LEAST_CONNECTIONS: usize = 8;
+/// Descriptors that are not for connections of callers and to servers: 3 of the poller, 4 of the signals, 9
+/// listeners, the link to the engine, 2 to the registry while it moves, 2 of files that are read at a reload or
+/// for the log.
+const RESERVED: usize = 21;
+/// A node with a lower limit still tries for so many connections.
+const MIN_CONNECTIONS: usize = 8;
 
 /// The soft limit on descriptors (RLIMIT_NOFILE).
 pub fn limit() -> usize {
@@ -25,7 +25,9 @@
     fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count().saturating_sub(1))
 }
 
-/// Connections for which there are descriptors, asked at the start before anything is opened.
+/// Connections for which there are descriptors. To be asked at the start, before anything is opened.
 pub fn connections() -> usize {
-    limit().saturating_sub(open() + OWN).max(LEAST_CONNECTIONS)
+    limit()
+        .saturating_sub(open() + RESERVED)
+        .max(MIN_CONNECTIONS)
 }
--- a/crates/node/src/system/log.rs
+++ b/crates/node/src/system/log.rs
@@ -1,4 +1,5 @@
-//! The log: lines on standard error, plain or one JSON object each, a bounded number of them a second.
+//! The log: lines on standard error, plain or one JSON object each, a bounded number of them a second. It never
+//! blocks: a line that nobody takes is dropped and counted.
 
 use std::fmt::{Arguments, Write as _};
 use std::io::{self, Write as _};
@@ -14,29 +15,34 @@
 use slog::{Serializer, o};
 use slog_json::Json;
 
-/// Lines a second: a trouble that repeats itself must not slow the node down or fill the log.
-pub const MOST_LINES: u32 = 20;
-/// Bytes of a line: a pipe that is ready takes 4 kB without waiting.
-const LONGEST: usize = 4000;
+/// Lines a second: an error that repeats itself must not slow the node down or fill the log.
+pub const DEFAULT_LINES_PER_SECOND: u32 = 20;
+/// Bytes of a line: a pipe that is ready takes 4 kB without blocking.
+const MAX_LINE_LEN: usize = 4000;
+/// Bytes of a line that are kept free for the count of dropped lines.
+const DROPPED_COUNT_LEN: usize = 40;
 
+/// How a line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
+    #[allow(missing_docs, reason = "a doc comment would be printed by --help")]
     Text,
+    #[allow(missing_docs, reason = "a doc comment would be printed by --help")]
     Json,
 }
 
-/// `most` are the lines of a second.
-pub fn open(name: &str, format: Format, level: Level, most: u32) -> Logger {
+/// Opens the log of the node `name`, which drops lines below `level` and those beyond `lines_per_second`.
+pub fn open(name: &str, format: Format, level: Level, lines_per_second: u32) -> Logger {
     let writer = match format {
         Format::Text => Writer::Text,
         Format::Json => {
-            let line = Line::default();
+            let line = LineBuffer::default();
             Writer::Json(line.clone(), Box::new(json_writer(line)))
         }
     };
-    let lines = Lines {
-        most,
-        held: Mutex::new((Second::default(), writer)),
+    let lines = RateLimited {
+        lines_per_second,
+        state: Mutex::new((CurrentSecond::default(), writer)),
     };
     Logger::root(
         lines.filter_level(level).fuse(),
@@ -51,22 +57,22 @@
         .as_millis() as u64
 }
 
-fn json_writer(line: Line) -> Json<Line> {
+fn json_writer(line: LineBuffer) -> Json<LineBuffer> {
     let time = FnValue(|_| unix_ms());
     let level = FnValue(|record: &Record| record.level().as_str());
-    let text = PushFnValue(|record: &Record, to| to.emit(record.msg()));
-    let first = o!("time" => time, "level" => level, "msg" => text);
+    let message = PushFnValue(|record: &Record, serializer| serializer.emit(record.msg()));
+    let first = o!("time" => time, "level" => level, "msg" => message);
     Json::new(line)
         .set_newlines(false)
         .add_key_value(first)
         .build()
 }
 
-/// One line under way.
+/// The line that is being written.
 #[derive(Clone, Default)]
-struct Line(Arc<Mutex<Vec<u8>>>);
+struct LineBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl io::Write for Line {
+impl io::Write for LineBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if let Ok(mut line) = self.0.lock() {
             line.extend(bytes);
@@ -81,103 +87,111 @@
 
 enum Writer {
     Text,
-    Json(Line, Box<Json<Line>>),
+    Json(LineBuffer, Box<Json<LineBuffer>>),
 }
 
 impl Writer {
-    fn line(&self, record: &Record, values: &OwnedKVList, left_out: u32) -> String {
+    fn line(&self, record: &Record, values: &OwnedKVList, dropped: u32) -> String {
         match self {
-            Writer::Text => text(record, values, left_out),
-            Writer::Json(line, json) => {
-                _ = json.log(record, values);
-                let bytes = line
-                    .0
-                    .lock()
-                    .map(|mut line| std::mem::take(&mut *line))
-                    .unwrap_or_default();
-                let mut line = String::from_utf8(bytes).unwrap_or_default();
-                if line.len() > LONGEST - 40 || !line.ends_with('}') {
-                    // An object that is cut would be none.
-                    let (level, msg) = (record.level().as_str(), record.msg().to_string());
-                    line = json!({"time": unix_ms(), "level": level, "msg": msg, "cut": true})
-                        .to_string();
-                }
-                if left_out > 0 {
-                    line.truncate(line.len() - 1);
-                    _ = write!(line, ",\"lines_left_out\":{left_out}}}");
-                }
-                line
-            }
+            Writer::Text => text_line(record, values, dropped),
+            Writer::Json(buffer, json) => json_line(buffer, json, record, values, dropped),
         }
     }
 }
 
-fn text(record: &Record, values: &OwnedKVList, left_out: u32) -> String {
+fn json_line(
+    buffer: &LineBuffer,
+    json: &Json<LineBuffer>,
+    record: &Record,
+    values: &OwnedKVList,
+    dropped: u32,
+) -> String {
+    _ = json.log(record, values);
+    let bytes = buffer.0.lock().map(|mut bytes| std::mem::take(&mut *bytes));
+    let mut line = String::from_utf8(bytes.unwrap_or_default()).unwrap_or_default();
+    if line.len() > MAX_LINE_LEN - DROPPED_COUNT_LEN || !line.ends_with('}') {
+        // A truncated object would not parse.
+        let (level, msg) = (record.level().as_str(), record.msg().to_string());
+        line = json!({"time": unix_ms(), "level": level, "msg": msg, "cut": true}).to_string();
+    }
+    if dropped > 0 {
+        line.truncate(line.len() - 1);
+        _ = write!(line, ",\"lines_left_out\":{dropped}}}");
+    }
+    line
+}
+
+fn text_line(record: &Record, values: &OwnedKVList, dropped: u32) -> String {
     let mut pairs = Pairs(Vec::new());
     _ = record.kv().serialize(record, &mut pairs);
     _ = values.serialize(record, &mut pairs);
     let mut line = format!("{} {} {}", unix_ms(), record.level(), record.msg());
-    // They are handed over last one first.
+    // slog hands them over last one first.
     pairs.0.iter().rev().for_each(|pair| line.push_str(pair));
-    if left_out > 0 {
-        _ = write!(line, " lines_left_out={left_out}");
+    if dropped > 0 {
+        _ = write!(line, " lines_left_out={dropped}");
     }
-    // What others wrote into it must not look like a line of its own, nor be more than a pipe takes.
+    // A value from elsewhere must not look like a line of its own, nor make the line longer than a pipe takes.
     line.retain(|c| !c.is_control());
-    line.truncate(line.floor_char_boundary(LONGEST));
+    line.truncate(line.floor_char_boundary(MAX_LINE_LEN));
     line
 }
 
+/// Lines written and dropped.
 #[derive(Default)]
-struct Second {
+struct CurrentSecond {
+    /// The second, since the Unix epoch, in which `written` counts.
     at: u64,
     written: u32,
-    left_out: u32,
+    /// Dropped since the last line that was written.
+    dropped: u32,
 }
 
-struct Lines {
-    most: u32,
-    held: Mutex<(Second, Writer)>,
+/// Writes a bounded number of lines a second to standard error.
+struct RateLimited {
+    lines_per_second: u32,
+    state: Mutex<(CurrentSecond, Writer)>,
 }
 
-impl Drain for Lines {
+impl Drain for RateLimited {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, record: &Record, values: &OwnedKVList) -> Result<(), Never> {
         let now = unix_ms() / 1000;
-        let Ok(mut held) = self.held.lock() else {
+        let Ok(mut state) = self.state.lock() else {
             return Ok(());
         };
-        let (second, writer) = &mut *held;
+        let (second, writer) = &mut *state;
         if second.at != now {
             (second.at, second.written) = (now, 0);
         }
         second.written += 1;
-        if second.written > self.most {
-            second.left_out += 1;
+        if second.written > self.lines_per_second {
+            second.dropped += 1;
             return Ok(());
         }
-        let mut line = writer.line(record, values, std::mem::take(&mut second.left_out));
+        let mut line = writer.line(record, values, std::mem::take(&mut second.dropped));
         line.push('\n');
-        if !takes_a_line() || std::io::stderr().write_all(line.as_bytes()).is_err() {
-            second.left_out += 1;
+        if !stderr_is_writable() || io::stderr().write_all(line.as_bytes()).is_err() {
+            second.dropped += 1;
         }
         Ok(())
     }
 }
 
-/// Whether standard error takes a line at once. Nobody may be reading it: that must not stop the node.
-fn takes_a_line() -> bool {
-    let stderr = std::io::stderr();
-    let mut asked = [PollFd::new(&stderr, PollFlags::OUT)];
-    let at_once = Timespec {
+/// Whether standard error takes a line without blocking: nobody may be reading it.
+fn stderr_is_writable() -> bool {
+    let stderr = io::stderr();
+    let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    rustix::event::poll(&mut asked, Some(&at_once)).is_ok_and(|ready| ready > 0)
+    rustix::event::poll(&mut polled, Some(&no_wait)).is_ok_and(|ready| ready > 0)
 }
 
+/// Collects the values of a record as ` key=value`.
 struct Pairs(Vec<String>);
 
 impl Serializer for Pairs {
--- a/crates/node/src/system/mod.rs
+++ b/crates/node/src/system/mod.rs
@@ -1,4 +1,4 @@
-//! What the node needs of the system it lives on: its clock, its log, the signals it heeds.
+//! What the node needs of the operating system: clock, log, signals, descriptors and addresses.
 
 pub(crate) mod addresses;
 pub mod clock;
--- a/crates/node/src/system/signals.rs
+++ b/crates/node/src/system/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the node heeds, each by a socket of its own in the poller.
+//! SIGTERM and SIGHUP, each by a socket of its own in the poller.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -6,51 +6,54 @@
 use polling::{Event, PollMode, Poller};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 
-/// SIGTERM, the notice to leave, and SIGHUP, the word that the configuration was replaced.
+/// Key in the poller of SIGTERM: the node is to drain and stop.
 pub(crate) const DRAIN_KEY: usize = 2;
+/// Key in the poller of SIGHUP: the configuration is to be read again.
 pub(crate) const RELOAD_KEY: usize = 3;
 
-/// The signals that came, kept until the loop reads them.
+/// The signals that arrived, kept until the loop reads them.
 pub struct Signals {
-    leave: UnixStream,
+    drain: UnixStream,
     reload: UnixStream,
 }
 
 impl Signals {
-    /// Heeds them from here on. Before this either signal ends the process, so it is the first thing that a
-    /// start does: reading a large configuration takes a while.
+    /// Handles the signals from here on. Before this either of them ends the process, so it is the first thing
+    /// that a start does: reading a large configuration takes a while.
     ///
     /// # Errors
-    /// No socket can be had.
-    pub fn heed() -> io::Result<Signals> {
-        let heed = |signal| {
-            let (heard, sender) = UnixStream::pair()?;
-            heard.set_nonblocking(true)?;
-            signal_hook::low_level::pipe::register(signal, sender)?;
-            io::Result::Ok(heard)
-        };
+    /// The system gives no socket.
+    pub fn register() -> io::Result<Signals> {
         Ok(Signals {
-            leave: heed(SIGTERM)?,
-            reload: heed(SIGHUP)?,
+            drain: register(SIGTERM)?,
+            reload: register(SIGHUP)?,
         })
     }
 
-    /// Has the poller tell of them, those included that came before.
+    /// Has the poller watch them; those that came before count.
     pub(crate) fn watch(&self, poller: &Poller) -> io::Result<()> {
-        for (heard, key) in [(&self.leave, DRAIN_KEY), (&self.reload, RELOAD_KEY)] {
+        for (receiver, key) in [(&self.drain, DRAIN_KEY), (&self.reload, RELOAD_KEY)] {
             // SAFETY: the node keeps the sockets as long as the poller.
-            unsafe { poller.add_with_mode(heard, Event::readable(key), PollMode::Level)? };
+            unsafe { poller.add_with_mode(receiver, Event::readable(key), PollMode::Level)? };
         }
         Ok(())
     }
 
-    /// Takes note of one, however often it was sent meanwhile.
+    /// Clears a signal, however often it was sent meanwhile.
     pub(crate) fn acknowledge(&mut self, key: usize) {
-        let signal = if key == DRAIN_KEY {
-            &mut self.leave
+        let receiver = if key == DRAIN_KEY {
+            &mut self.drain
         } else {
             &mut self.reload
         };
-        _ = signal.read(&mut [0; 64]);
+        _ = receiver.read(&mut [0; 64]);
     }
 }
+
+/// A socket that becomes readable when the signal arrives.
+fn register(signal: i32) -> io::Result<UnixStream> {
+    let (receiver, sender) = UnixStream::pair()?;
+    receiver.set_nonblocking(true)?;
+    signal_hook::low_level::pipe::register(signal, sender)?;
+    Ok(receiver)
+}
