--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -20,9 +20,8 @@
 mod summary;
 mod timers;
 
-use std::time::Duration;
-
 use std::sync::Arc;
+use std::time::Duration;
 
 use doortrack_time::{MICROSECONDS_PER_UNIT, MILLISECOND, TenthMillis};
 use polling::{Event as Readiness, Events, Poller};
