--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -16,7 +16,7 @@
     Datagram, Event as FleetEvent, Fleet, Head, Incarnation, MAX_UPDATES, MemberState,
     MemberUpdate, Parameters,
 };
-use doortrack_node::network::connection::{Connection, Open};
+use doortrack_node::network::connection::{Connection, PendingRequest};
 use doortrack_node::network::request::RunOutput;
 use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
 use doortrack_node::state::results::Results;
@@ -92,15 +92,15 @@
 }
 
 fn exchange(nth: usize) -> InFlightRequest {
-    let mut try_id = [0; 16];
-    try_id[..8].copy_from_slice(&nth.to_le_bytes());
+    let mut attempt_id = [0; 16];
+    attempt_id[..8].copy_from_slice(&nth.to_le_bytes());
     InFlightRequest {
-        try_id,
+        attempt_id,
         group: 0,
         key: None,
-        stamp: 0,
+        arrived_at: 0,
         body: vec![0; 2],
-        block: None,
+        variables: None,
         pool: 0,
         caller: None,
         stage: Stage::Queued,
@@ -146,7 +146,7 @@
     );
     within(
         "an open request without its parameters and body",
-        size_of::<Open>() as f64,
+        size_of::<PendingRequest>() as f64,
         200.0,
     );
 }
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -160,7 +160,7 @@
                 };
                 format!("rules[{rule}], refused: {reason}")
             }
-            Classification::NoRule => match &self.installation.otherwise {
+            Classification::NoRule => match &self.installation.fallback_group {
                 Some(group) => format!("no rule, group {group}"),
                 None => "no rule, 404".into(),
             },
@@ -172,7 +172,7 @@
         match classification {
             Classification::As(class) => Some(&self.group_names[usize::from(class.group)]),
             Classification::Rejected { .. } => None,
-            Classification::NoRule => self.installation.otherwise.as_ref(),
+            Classification::NoRule => self.installation.fallback_group.as_ref(),
         }
     }
 
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -35,8 +35,7 @@
 use self::shutdown::Shutdown;
 use self::summary::SummarySchedule;
 use self::timers::Timers;
-use crate::network::backend::Backend;
-use crate::network::engine::BackendEvent;
+use crate::network::backend::{Backend, BackendEvent};
 use crate::network::listeners::{FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
 use crate::network::registry::Registry;
 use crate::state::in_flight::InFlight;
@@ -135,7 +134,7 @@
             .gauges
             .pending_until()
             .unwrap_or_else(|| self.timers.next_due());
-        let maintenance = if self.listeners.has_idle() {
+        let maintenance = if self.listeners.needs_sweep() {
             self.maintenance_at
         } else {
             TenthMillis::MAX
@@ -198,9 +197,9 @@
                     .filter(|subsystem| subsystem.key() == key)
                     .for_each(|subsystem| subsystem.on_readable());
             }
-            key if self.backend.has(key) => {
+            key if self.backend.has_key(key) => {
                 self.backend
-                    .ready(readiness, self.now, &mut self.backend_events);
+                    .on_event(readiness, self.now, &mut self.backend_events);
             }
             key @ LISTEN_KEY..FIRST_KEY => {
                 _ = self
@@ -209,7 +208,7 @@
             }
             _ => self
                 .listeners
-                .ready(readiness, self.now, &mut self.listener_events),
+                .on_event(readiness, self.now, &mut self.listener_events),
         }
     }
 
@@ -219,7 +218,8 @@
     fn close_idle_if_due(&mut self) {
         if self.now >= self.maintenance_at {
             self.maintenance_at = self.now + MAINTENANCE_INTERVAL;
-            self.listeners.sweep(self.now, &mut self.listener_events);
+            self.listeners
+                .close_idle(self.now, &mut self.listener_events);
             self.results.remove_expired(self.now);
         }
     }
@@ -246,7 +246,7 @@
         if self.shutdown.begins_flushing(self.now) {
             self.flush();
             self.listeners
-                .last_reading(self.now, &mut self.listener_events);
+                .drain_all(self.now, &mut self.listener_events);
             self.handle_listener_events();
             self.decide();
         }
@@ -284,6 +284,6 @@
     /// Whether the stop has come, or the last connection has closed since the listeners did.
     fn is_finished(&self) -> bool {
         self.shutdown.is_over(self.now)
-            || (self.shutdown.is_flushing() && self.listeners.connections() == 0)
+            || (self.shutdown.is_flushing() && self.listeners.connection_count() == 0)
     }
 }
--- a/crates/node/src/event_loop/actions.rs
+++ b/crates/node/src/event_loop/actions.rs
@@ -52,7 +52,7 @@
                 retry_after,
             } => {
                 let rejected = Answer::Rejected {
-                    not_elsewhere: no_retry_elsewhere,
+                    no_retry_elsewhere,
                     retry_after,
                 };
                 self.answer(id, rejected);
@@ -66,8 +66,8 @@
             }
             Action::Attach { id } => self.attach(id),
             Action::Health { healthy, .. } => self.set_health(healthy),
-            Action::Backpressure { value } => self.listeners.level = Some(value),
-            Action::IdleTimeout { timeout } => self.listeners.idle_limit = timeout,
+            Action::Backpressure { value } => self.listeners.backpressure = Some(value),
+            Action::IdleTimeout { timeout } => self.listeners.idle_timeout = timeout,
             Action::SetTimer { at, token } => self.timers.set(at, token),
             // Refused at the start, as this node can't make downstream calls.
             Action::Call { id, .. } | Action::SkipCall { id } => {
@@ -114,9 +114,9 @@
             // Cancelled for the second time, so it was answered some time ago: to a RUN the engine now says
             // that it runs, or that nothing is begun for a request that is over.
             Stage::InDoubt { cancelled: true } if self.backend.is_up() => self.start_run(id),
-            Stage::Running { .. } => self.backend.stop(id, request, self.now),
+            Stage::Running { .. } => self.backend.cancel(id, request, self.now),
             Stage::InDoubt { .. } => {
-                self.backend.stop(id, request, self.now);
+                self.backend.cancel(id, request, self.now);
                 request.stage = Stage::InDoubt {
                     cancelled: self.backend.is_up(),
                 };
@@ -132,7 +132,7 @@
         };
         if let Some(key) = request.key {
             self.results
-                .record(id, key, &request.body, request.stamp, ttl, self.now);
+                .record(id, key, &request.body, request.arrived_at, ttl, self.now);
         }
     }
 
@@ -145,10 +145,10 @@
     }
 
     fn set_health(&mut self, healthy: bool) {
-        self.listeners.good = healthy;
+        self.listeners.healthy = healthy;
         let follows_health = self.config.node.settings.list_follows_health;
         self.registry
-            .tell(self.shutdown.is_draining() || (follows_health && !healthy));
+            .set_draining(self.shutdown.is_draining() || (follows_health && !healthy));
         info!(self.log, "health"; "healthy" => healthy);
     }
 }
--- a/crates/node/src/event_loop/arrivals.rs
+++ b/crates/node/src/event_loop/arrivals.rs
@@ -4,7 +4,7 @@
 use doortrack_time::TenthMillis;
 
 use super::Node;
-use crate::network::listeners::{Block, Caller, ListenerEvent};
+use crate::network::listeners::{Caller, ListenerEvent, RawVariables};
 use crate::network::request::{Answer, IncomingRequest, RunOutput, Unreadable};
 use crate::state::in_flight::{Hold, InFlightRequest, Stage};
 use crate::state::results::{Key, Repeats};
@@ -16,11 +16,11 @@
             ListenerEvent::Request {
                 caller,
                 request,
-                block,
+                variables,
                 body,
-            } => self.on_request(caller, request, block, body),
-            ListenerEvent::Ended { ex, end } => {
-                self.on_terminated(ex, end, RunOutput::default());
+            } => self.on_request(caller, request, variables, body),
+            ListenerEvent::Ended { id, termination } => {
+                self.on_terminated(id, termination, RunOutput::default());
             }
         }
     }
@@ -29,19 +29,19 @@
         &mut self,
         caller: Caller,
         request: IncomingRequest,
-        block: Block,
+        variables: RawVariables,
         body: Vec<u8>,
     ) {
-        if !self.listeners.waits(caller) {
+        if !self.listeners.is_pending(caller) {
             return; // Cancelled in the turn in which it came.
         }
         if !self.admission.is_started() {
-            return self.listeners.answer(caller, Answer::NoRoom);
+            return self.listeners.answer(caller, Answer::NoCapacity);
         }
         let key = request.idempotency_key.map(|key| (request.group, key));
         self.decide_before_duplicate(key);
-        match self.find_original(key, &body, request.stamp) {
-            Ok(original) => self.take_request(caller, &request, block, body, original),
+        match self.find_original(key, &body, request.arrived_at) {
+            Ok(original) => self.take_request(caller, &request, variables, body, original),
             Err(answer) => self.listeners.answer(caller, answer),
         }
     }
@@ -51,7 +51,7 @@
         &mut self,
         caller: Caller,
         request: &IncomingRequest,
-        block: Block,
+        variables: RawVariables,
         body: Vec<u8>,
         duplicate_of: Option<RequestId>,
     ) {
@@ -66,12 +66,12 @@
             Some(_) => (Hold::default(), None),
         };
         let entry = InFlightRequest {
-            try_id: request.try_id,
+            attempt_id: request.attempt_id,
             group: request.group,
             key: request.idempotency_key.map(|key| (request.group, key)),
-            stamp: request.stamp,
+            arrived_at: request.arrived_at,
             body,
-            block: Some(block).filter(|_| self.backend.wants_variables()),
+            variables: Some(variables).filter(|_| self.backend.needs_variables()),
             pool,
             caller: Some(caller),
             stage: Stage::Queued,
@@ -107,13 +107,13 @@
         &self,
         key: Option<Key>,
         body: &[u8],
-        stamp: TenthMillis,
+        arrived_at: TenthMillis,
     ) -> Result<Option<RequestId>, Answer<'static>> {
         let Some(key) = key else { return Ok(None) };
-        match self.results.repeats(&key, body, stamp.min(self.now)) {
+        match self.results.repeats(&key, body, arrived_at.min(self.now)) {
             Repeats::Nothing => Ok(None),
             Repeats::Request(original) => Ok(Some(original)),
-            Repeats::TableFull => Err(Answer::NoRoom),
+            Repeats::TableFull => Err(Answer::NoCapacity),
             Repeats::OtherBody => Err(Answer::Unreadable(Unreadable::Field(
                 "HTTP_IDEMPOTENCY_KEY",
             ))),
@@ -167,20 +167,20 @@
         duplicate_of: Option<RequestId>,
         budget_retry_after: Option<TenthMillis>,
     ) {
-        // Stamps are whole ms, rounded down: the age is never too small, so no answer comes late.
-        let age = self.now.saturating_sub(request.stamp);
+        // Times of arrival are whole ms, rounded down: the age is never too small, so no answer comes late.
+        let age = self.now.saturating_sub(request.arrived_at);
         self.summaries.slowest.record_arrival(age);
-        let longest_wait = self.config.deadline(request.group);
+        let max_timeout = self.config.deadline(request.group);
         self.admission.push(Event::Arrived(Request {
             id,
             group: request.group,
             tenant: request.tenant,
-            session_key: request.subject,
+            session_key: request.session_key,
             deadline: request
-                .wait
-                .map(|wait| request.stamp + wait.min(longest_wait)),
+                .timeout
+                .map(|timeout| request.arrived_at + timeout.min(max_timeout)),
             work_hint: None,
-            memory_kb: request.kb,
+            memory_kb: request.memory_kb,
             rank: request.rank,
             retry: request.retry,
             caller: request.caller,
--- a/crates/node/src/event_loop/completions.rs
+++ b/crates/node/src/event_loop/completions.rs
@@ -4,10 +4,10 @@
 use slog::warn;
 
 use super::Node;
-use crate::network::engine::BackendEvent;
-use crate::network::engine_protocol::EngineMessage;
+use crate::network::backend::BackendEvent;
+use crate::network::engine_protocol::{EngineMessage, RefusedCommand};
 use crate::network::listeners::Caller;
-use crate::network::request::{Answer, RunOutput, TryId};
+use crate::network::request::{Answer, AttemptId, RunOutput};
 use crate::network::termination::{Outcome, Termination};
 use crate::state::in_flight::Stage;
 use crate::state::results::{NoResult, StoredResult};
@@ -16,12 +16,12 @@
 impl Node {
     pub(super) fn on_backend_event(&mut self, event: BackendEvent) {
         match event {
-            BackendEvent::Hello { cold, age } => self.start_admission(cold, age),
-            BackendEvent::CaughtUp { proven } => self.resend_lost(proven),
+            BackendEvent::Up { cold, uptime } => self.start_admission(cold, uptime),
+            BackendEvent::CaughtUp { answered_cookie } => self.resend_lost(answered_cookie),
             BackendEvent::EngineMessage(message) => self.on_engine_message(message),
             BackendEvent::RunEnded {
                 id,
-                end,
+                termination,
                 headers,
                 body,
             } => {
@@ -29,12 +29,12 @@
                     headers: &headers,
                     body: &body,
                 };
-                self.on_terminated(id, end, output);
+                self.on_terminated(id, termination, output);
             }
-            BackendEvent::Ended(end) => {
+            BackendEvent::LinkEnded(termination) => {
                 let running: Vec<RequestId> = self.in_flight.running().map(|(id, _)| id).collect();
                 for id in running {
-                    self.on_terminated(id, end, RunOutput::default());
+                    self.on_terminated(id, termination, RunOutput::default());
                 }
             }
         }
@@ -43,39 +43,47 @@
     fn on_engine_message(&mut self, message: EngineMessage) {
         match message {
             EngineMessage::Done {
-                try_id,
+                attempt_id,
                 outcome,
                 result,
                 ..
             } => {
-                if let Some(id) = self.in_flight.find(&try_id) {
+                if let Some(id) = self.in_flight.find(&attempt_id) {
                     let output = RunOutput::from(&result[..]);
                     self.on_terminated(id, Termination::Run(outcome), output);
                 }
             }
-            EngineMessage::Not { command, try_id } => self.on_refused_command(&command, try_id),
+            EngineMessage::Refused {
+                command,
+                attempt_id,
+            } => self.on_refused_command(command, attempt_id),
             EngineMessage::Stats { cookie, values } => self.on_gauges(cookie, &values),
             _ => {}
         }
     }
 
     /// The engine would not execute a command, as it knows no such request.
-    fn on_refused_command(&mut self, command: &str, try_id: Option<TryId>) {
-        warn!(self.log, "engine refused command"; "command" => command);
-        let end = if command == "RUN" {
+    fn on_refused_command(&mut self, command: RefusedCommand, attempt_id: Option<AttemptId>) {
+        warn!(self.log, "engine refused command"; "command" => %command);
+        let termination = if command == RefusedCommand::Run {
             Termination::RunRefused
         } else {
             Termination::StopRefused
         };
-        if let Some(id) = try_id.and_then(|try_id| self.in_flight.find(&try_id)) {
-            self.on_terminated(id, end, RunOutput::default());
+        if let Some(id) = attempt_id.and_then(|attempt_id| self.in_flight.find(&attempt_id)) {
+            self.on_terminated(id, termination, RunOutput::default());
         }
     }
 
     /// A connection or a run ended, with all that this means for the request it concerns.
-    pub(super) fn on_terminated(&mut self, id: RequestId, end: Termination, output: RunOutput) {
-        match end.outcome() {
-            Outcome::StillOwed => {}
+    pub(super) fn on_terminated(
+        &mut self,
+        id: RequestId,
+        termination: Termination,
+        output: RunOutput,
+    ) {
+        match termination.outcome() {
+            Outcome::AnswerPending => {}
             Outcome::CallerGone => self.on_caller_gone(id),
             Outcome::RunEnded(outcome) => self.on_run_ended(id, outcome, output),
         }
@@ -160,10 +168,10 @@
     }
 
     /// The link to the engine is up again, and everything that it missed has been read. What was sent before
-    /// the reading `proven` has arrived. Of the rest, what was never sent is sent now, and what may have
+    /// the gauge query that was answered has arrived. Of the rest, what was never sent is sent now, and what may have
     /// arrived is sent again only where it may run twice.
-    fn resend_lost(&mut self, proven: u64) {
-        let is_unproven = |sent: Option<u64>| sent.is_none_or(|sent| sent >= proven);
+    fn resend_lost(&mut self, answered_cookie: u64) {
+        let is_unproven = |sent: Option<u64>| sent.is_none_or(|sent| sent >= answered_cookie);
         let unproven = self
             .in_flight
             .running()
--- a/crates/node/src/event_loop/gauge_readings.rs
+++ b/crates/node/src/event_loop/gauge_readings.rs
@@ -87,7 +87,7 @@
                 false
             }
             None if flushing => false,
-            None => match self.backend.stat() {
+            None => match self.backend.query_gauges() {
                 Some(cookie) => {
                     self.gauges.wait_for(cookie, self.now);
                     true
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -166,7 +166,7 @@
         let longest: TenthMillis = longest_deadline(&self.config.node);
         if let Backend::Servers(pools) = &mut self.backend {
             for ((_, pool), (_, servers)) in pools.iter_mut().zip(installation.named_pools()) {
-                pool.take_up(servers, longest, self.now);
+                pool.reload(servers, longest, self.now);
             }
         }
     }
@@ -191,7 +191,8 @@
                 .drain_listener(closed.listen, self.now, &mut self.listener_events);
         }
         for kept in &changes.retained {
-            self.listeners.bound(kept.listen, connection_limit(kept));
+            self.listeners
+                .set_max_connections(kept.listen, connection_limit(kept));
         }
         self.config.listening = changes.retained;
         if self.shutdown.is_draining() {
--- a/crates/node/src/event_loop/shutdown.rs
+++ b/crates/node/src/event_loop/shutdown.rs
@@ -126,7 +126,7 @@
             self.config.platform.stop_after,
             self.reloader.is_under_way(),
         );
-        self.registry.tell(true);
+        self.registry.set_draining(true);
         for subsystem in &mut self.subsystems {
             subsystem.drain();
         }
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -45,11 +45,11 @@
 
 /// Logs how many rules there are, and the first of those that can never match.
 pub(super) fn log_rules(log: &Logger, rules: &RuleTable) {
-    for note in rules.notes.iter().take(MAX_LOGGED_RULES) {
-        warn!(log, "rule without effect"; "why" => %note);
+    for rule in rules.shadowed.iter().take(MAX_LOGGED_RULES) {
+        warn!(log, "rule without effect"; "why" => %rule);
     }
     info!(log, "rules"; "rules" => rules.table.len(), "unindexed" => rules.table.unindexed(),
-        "without_effect" => rules.notes.len(), "reused" => rules.reused);
+        "without_effect" => rules.shadowed.len(), "reused" => rules.reused);
 }
 
 /// What a node serves with, once it is open.
@@ -160,7 +160,7 @@
             .map_err(socket_error("config.listen", address))?;
         // Until the controller says more: nothing, or the least rank, at which no request is held back.
         let backpressure = self.config.settings.admission.backpressure;
-        listeners.level = (backpressure == Backpressure::MinRank).then_some(0.0);
+        listeners.backpressure = (backpressure == Backpressure::MinRank).then_some(0.0);
         Ok(listeners)
     }
 
@@ -230,7 +230,7 @@
     let has_keys = |group: &EndpointGroup| group.effect == Effect::Deduplicated;
     Names {
         groups: settings.group_names.clone(),
-        keyed: settings.admission.groups.iter().map(has_keys).collect(),
+        idempotency_keyed: settings.admission.groups.iter().map(has_keys).collect(),
         tenants: settings.tenant_names.clone(),
     }
 }
--- a/crates/node/src/event_loop/summary.rs
+++ b/crates/node/src/event_loop/summary.rs
@@ -50,7 +50,7 @@
         self.reading = self.reading.max(wait);
     }
 
-    /// A request was read so long after its caller's stamp.
+    /// A request was read so long after it arrived.
     pub(super) fn record_arrival(&mut self, age: TenthMillis) {
         self.arrival = self.arrival.max(age);
     }
@@ -71,8 +71,8 @@
             }
         }
         // With the platform's listener alone, the node's line says it all.
-        if self.listeners.each().count() > 1 {
-            for listener in self.listeners.each() {
+        if self.listeners.iter().count() > 1 {
+            for listener in self.listeners.iter() {
                 self.log_listener(listener);
             }
         }
@@ -83,10 +83,10 @@
         let slowest = &self.summaries.slowest;
         info!(self.log, "summary"; "completed" => counts.completed, "rejected" => counts.rejected,
             "failed" => counts.failed,
-            "in_flight" => self.in_flight.len(), "connections" => self.listeners.connections(),
+            "in_flight" => self.in_flight.len(), "connections" => self.listeners.connection_count(),
             "accepted" => counts.accepted, "unreadable" => Serde(counts.unreadable.clone()),
-            "no_room" => counts.no_room, "checks" => counts.checks, "ends" => Serde(counts.ends.clone()),
-            "unread_bytes" => self.listeners.unread(),
+            "no_room" => counts.no_capacity, "checks" => counts.health_checks, "ends" => Serde(counts.terminations.clone()),
+            "unread_bytes" => self.listeners.unread_answer_bytes(),
             "result_bytes" => self.results.bytes(), "link_losses" => self.backend.link_losses(),
             "turn_ms" => slowest.turn / MILLISECOND, "reading_ms" => slowest.reading / MILLISECOND,
             "read_after_ms" => slowest.arrival / MILLISECOND, "memory_kb" => peak_memory_kb(),
@@ -98,7 +98,7 @@
         info!(self.log, "servers summary"; "pool" => name, "servers" => pool.members(),
             "in_use" => pool.in_use(),
             "connections" => pool.connections(), "in_flight" => pool.in_flight(), "begun" => counters.begun,
-            "ends" => Serde(servers.ends.clone()), "retries" => counters.retries,
+            "ends" => Serde(servers.terminations.clone()), "retries" => counters.retries,
             "unbudgeted" => counters.retries_over_budget, "failures" => counters.failures,
             "ejected" => counters.ejections, "opened" => counters.connections_opened, "stale" => counters.stale_connections,
             "warming_up" => pool.cold_servers(), "slow_starts" => counters.slow_starts, "held_back" => counters.held_back);
@@ -107,11 +107,11 @@
     fn log_listener(&self, listener: &Listener) {
         let counts = &listener.counts;
         info!(self.log, "listener summary"; "protocol" => listener.protocol.name(),
-            "address" => %listener.at,
+            "address" => %listener.address,
             "completed" => counts.completed, "rejected" => counts.rejected,
             "failed" => counts.failed, "connections" => listener.connections,
             "accepted" => counts.accepted, "unreadable" => Serde(counts.unreadable.clone()),
-            "no_room" => counts.no_room, "checks" => counts.checks, "ends" => Serde(counts.ends.clone()));
+            "no_room" => counts.no_capacity, "checks" => counts.health_checks, "ends" => Serde(counts.terminations.clone()));
     }
 }
 
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -161,7 +161,11 @@
 
     /// The budget of the ramps in the pool at this index.
     pub fn ramp(&self, pool: u16) -> Option<u16> {
-        self.indices.ramps.get(usize::from(pool)).copied().flatten()
+        self.indices
+            .slow_starts
+            .get(usize::from(pool))
+            .copied()
+            .flatten()
     }
 
     /// Acquires one unit of the budget at this index; false if none is left.
@@ -231,7 +235,9 @@
                 rejected: status.rejected,
                 need: status.need,
                 in_use: status.in_use,
-                until_ms: status.lasts.map(|lasts| lasts / MILLISECOND),
+                until_ms: status
+                    .lease_remaining
+                    .map(|remaining| remaining / MILLISECOND),
                 granted: status.granted,
             }
         });
@@ -257,7 +263,7 @@
             }
             *logged = *allocation;
         }
-        let event = change.word();
+        let event = change.name();
         let name = |index: usize| {
             self.budgets
                 .list()
@@ -277,14 +283,14 @@
             }
             Change::Allocation {
                 index,
-                was,
+                previous,
                 allocation,
-                lasts,
+                lease_remaining,
             } => {
-                info!(log, "budget"; "change" => event, "budget" => name(*index), "was" => was,
-                    "allocation" => allocation, "lasts_ms" => lasts / MILLISECOND);
+                info!(log, "budget"; "change" => event, "budget" => name(*index), "was" => previous,
+                    "allocation" => allocation, "lasts_ms" => lease_remaining / MILLISECOND);
             }
-            Change::RanOut { index, allocation } => {
+            Change::LeaseExpired { index, allocation } => {
                 warn!(log, "budget"; "change" => event, "budget" => name(*index), "was" => allocation);
             }
         }
--- a/crates/node/src/state/in_flight.rs
+++ b/crates/node/src/state/in_flight.rs
@@ -8,8 +8,8 @@
 use rustc_hash::FxHashMap;
 
 use super::results::Key;
-use crate::network::listeners::{Block, Caller};
-use crate::network::request::TryId;
+use crate::network::listeners::{Caller, RawVariables};
+use crate::network::request::AttemptId;
 use crate::subsystem::Permit;
 
 /// Attempts remembered after their end, so that an id that is sent twice is known.
@@ -47,17 +47,17 @@
 /// A request in flight.
 pub struct InFlightRequest {
     /// The caller's id of this attempt.
-    pub try_id: TryId,
+    pub attempt_id: AttemptId,
     /// Index of its endpoint group.
     pub group: u8,
     /// By what a duplicate of it is known, if its group has idempotency keys.
     pub key: Option<Key>,
-    /// When its caller sent it, by the caller's clock.
-    pub stamp: TenthMillis,
+    /// When it arrived at the machine, on the Unix clock.
+    pub arrived_at: TenthMillis,
     /// Its body.
     pub body: Vec<u8>,
     /// Its variables as received, where a server is to have them.
-    pub block: Option<Block>,
+    pub variables: Option<RawVariables>,
     /// Index of its pool of servers; 0 is the one without a name.
     pub pool: u16,
     /// Where its answer goes; none once it is answered or its caller has gone.
@@ -85,18 +85,18 @@
     /// The next id, unless it is in use.
     next_id: RequestId,
     by_id: FxHashMap<RequestId, InFlightRequest>,
-    by_attempt: HashMap<TryId, RequestId>,
+    by_attempt: HashMap<AttemptId, RequestId>,
     /// Duplicates by the original whose result they wait for.
     attached: FxHashMap<RequestId, Vec<RequestId>>,
-    ended_attempts: HashSet<TryId>,
+    ended_attempts: HashSet<AttemptId>,
     /// The same, the oldest first.
-    ended_order: VecDeque<TryId>,
+    ended_order: VecDeque<AttemptId>,
 }
 
 impl InFlight {
     /// Inserts a request under an id that is not in use; none if its attempt has been seen before.
     pub fn insert(&mut self, request: InFlightRequest) -> Option<RequestId> {
-        let attempt = request.try_id;
+        let attempt = request.attempt_id;
         if self.by_attempt.contains_key(&attempt) || self.ended_attempts.contains(&attempt) {
             return None;
         }
@@ -117,7 +117,7 @@
     }
 
     /// The id of the request that was sent as this attempt.
-    pub fn find(&self, attempt: &TryId) -> Option<RequestId> {
+    pub fn find(&self, attempt: &AttemptId) -> Option<RequestId> {
         self.by_attempt.get(attempt).copied()
     }
 
@@ -143,11 +143,11 @@
     /// Removes a request and remembers its attempt as ended.
     pub fn remove(&mut self, id: RequestId) -> Option<InFlightRequest> {
         let request = self.by_id.remove(&id)?;
-        self.by_attempt.remove(&request.try_id);
+        self.by_attempt.remove(&request.attempt_id);
         if let Stage::Attached { to } = request.stage {
             self.detach(id, to);
         }
-        self.remember_ended(request.try_id);
+        self.remember_ended(request.attempt_id);
         Some(request)
     }
 
@@ -160,7 +160,7 @@
         }
     }
 
-    fn remember_ended(&mut self, attempt: TryId) {
+    fn remember_ended(&mut self, attempt: AttemptId) {
         self.ended_attempts.insert(attempt);
         self.ended_order.push_back(attempt);
         if self.ended_order.len() > MAX_ENDED_ATTEMPTS
--- a/crates/node/src/state/results.rs
+++ b/crates/node/src/state/results.rs
@@ -9,8 +9,8 @@
 
 use crate::network::request::{IdempotencyKey, RunOutput};
 
-/// Stamps are whole ms and every timeout on sockets is 50 ms longer than stated; a window is kept open for a
-/// little more than both, since a request that is taken for a duplicate for too long is merely answered from
+/// Times of arrival are whole ms and every timeout on sockets is 50 ms longer than stated; a window is kept open
+/// for a little more than both, since a request that is taken for a duplicate for too long is merely answered from
 /// the table.
 const WINDOW_SLACK: TenthMillis = 100 * MILLISECOND;
 
@@ -29,7 +29,7 @@
     request: RequestId,
     /// A keyed hash of the body, to tell it from another body under the same key.
     body_hash: u64,
-    /// The last stamp within the window.
+    /// The last time of arrival within the window.
     window_ends: TenthMillis,
     /// When no duplicate can arrive any more.
     expires_at: TenthMillis,
@@ -110,7 +110,7 @@
     bytes: usize,
     max_entries: usize,
     max_bytes: usize,
-    /// A duplicate may be read so long after its stamp.
+    /// A duplicate may be read so long after it arrived.
     longest_deadline: TenthMillis,
     /// When expired entries were last removed.
     cleaned_at: TenthMillis,
@@ -136,10 +136,10 @@
         self.bytes
     }
 
-    /// What a request with this key and body repeats. The window counts from stamp to stamp, so it does not
-    /// matter how late a duplicate is read. `stamp` must not be later than now: whatever the caller's clock
+    /// What a request with this key and body repeats. The window counts from arrival to arrival, so it does
+    /// not matter how late a duplicate is read. `arrived_at` must not be later than now: whatever another clock
     /// says, it came no later, and a duplicate within the window must not pass for a new request.
-    pub fn repeats(&self, key: &Key, body: &[u8], stamp: TenthMillis) -> Repeats {
+    pub fn repeats(&self, key: &Key, body: &[u8], arrived_at: TenthMillis) -> Repeats {
         let Some(entry) = self.entries.get(key) else {
             return if self.entries.len() < self.max_entries {
                 Repeats::Nothing
@@ -147,7 +147,7 @@
                 Repeats::TableFull
             };
         };
-        let within_window = stamp <= entry.window_ends.saturating_add(WINDOW_SLACK);
+        let within_window = arrived_at <= entry.window_ends.saturating_add(WINDOW_SLACK);
         if !within_window && entry.result.is_some() {
             Repeats::Nothing
         } else if entry.body_hash == self.body_hasher.hash_one(body) {
@@ -157,18 +157,18 @@
         }
     }
 
-    /// Enters a request that was sent at `stamp`, for a window of which `ttl` is left. If the stamp is ahead
-    /// of this node's clock, nothing of the window is used up yet, and all of it counts from the stamp.
+    /// Enters a request for a window of which `ttl` is left. If `arrived_at` is ahead of this node's clock,
+    /// nothing of the window is used up yet, and all of it counts from then.
     pub fn record(
         &mut self,
         request: RequestId,
         key: Key,
         body: &[u8],
-        stamp: TenthMillis,
+        arrived_at: TenthMillis,
         ttl: TenthMillis,
         now: TenthMillis,
     ) {
-        let window_ends = stamp.max(now).saturating_add(ttl);
+        let window_ends = arrived_at.max(now).saturating_add(ttl);
         let entry = Entry {
             request,
             body_hash: self.body_hasher.hash_one(body),
