--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -4,8 +4,8 @@
 use crate::{Budget, Grant, Kind, Parameters, ReportItem, Units};
 use doortrack_time::TenthMillis;
 
-/// Fractions of one token: a rate of one thousandth of a unit a second adds one fraction in a tenth of a
-/// millisecond.
+/// Fractions of one token: a rate of one thousandth of a unit a second adds one fraction in a tenth
+/// of a millisecond.
 const TOKEN: u64 = 10_000_000;
 
 /// How use is counted.
@@ -26,7 +26,8 @@
 pub(crate) struct Allocation {
     pub budget: Budget,
     reserved: Units,
-    /// When the reserved minimum may be used: what an earlier incarnation held may be in use until then.
+    /// When the reserved minimum may be used: what an earlier incarnation held may be in use until
+    /// then.
     reserved_from: TenthMillis,
     leased: Units,
     lease_until: TenthMillis,
@@ -231,8 +232,8 @@
         }
     }
 
-    /// Applies the leader's answer to report `seq`, whose lease expires at `until`. Returns what was leased
-    /// and what is now.
+    /// Applies the leader's answer to report `seq`, whose lease expires at `until`. Returns what
+    /// was leased and what is now.
     pub fn apply_grant(
         &mut self,
         now: TenthMillis,
@@ -243,7 +244,8 @@
     ) -> (Units, Units) {
         self.settle(now, parameters);
         let previous = self.leased;
-        // A leader that prolongs may not know that this has been granted to another since it was over here.
+        // A leader that prolongs may not know that this has been granted to another since it was
+        // over here.
         let max = if grant.prolongs && parameters.safeguards.prolong {
             previous
         } else {
--- a/crates/budgets/src/budgets.rs
+++ b/crates/budgets/src/budgets.rs
@@ -11,7 +11,8 @@
 use crate::voter::Voter;
 use crate::{Action, Budget, Change, Envelope, Event, Id, NodeId, Parameters};
 
-/// Rounds without an answer after which the leader is given up and the voters are asked for another.
+/// Rounds without an answer after which the leader is given up and the voters are asked for
+/// another.
 const MAX_UNANSWERED_ROUNDS: u32 = 3;
 
 /// One node's budgets. The crate's documentation says how to drive them.
@@ -57,9 +58,9 @@
 }
 
 impl Budgets {
-    /// The budgets of a node that has just started. `weight` is its capacity, in a unit that all nodes share;
-    /// `list` has at most [`crate::MAX_BUDGETS`], each with an id of its own; `now` is in tenths of a
-    /// millisecond.
+    /// The budgets of a node that has just started. `weight` is its capacity, in a unit that all
+    /// nodes share; `list` has at most [`crate::MAX_BUDGETS`], each with an id of its own; `now` is
+    /// in tenths of a millisecond.
     pub fn new(
         me: NodeId,
         weight: u32,
@@ -105,8 +106,8 @@
         budgets
     }
 
-    /// Nodes that start at the same instant must neither request votes at the same instant nor report at the
-    /// same instants ever after.
+    /// Nodes that start at the same instant must neither request votes at the same instant nor
+    /// report at the same instants ever after.
     fn set_first_deadlines(&mut self, now: TenthMillis) {
         let jitter = self.random(self.parameters.round);
         if let Some(voter) = &self.voter {
@@ -134,7 +135,8 @@
             .min(self.leadership.next_due(&self.parameters))
     }
 
-    /// Handles one event at the time `now`, which must not go back. Actions are added to `actions`, in order.
+    /// Handles one event at the time `now`, which must not go back. Actions are added to `actions`,
+    /// in order.
     pub fn handle(&mut self, now: TenthMillis, event: Event, actions: &mut Vec<Action>) {
         if self.superseded {
             return;
--- a/crates/budgets/src/divide.rs
+++ b/crates/budgets/src/divide.rs
@@ -1,5 +1,5 @@
-//! Weighted max-min fair division: no holder gets more than it needs while another that gets less in
-//! proportion to its weight goes short.
+//! Weighted max-min fair division: no holder gets more than it needs while another that gets less
+//! in proportion to its weight goes short.
 
 use std::cmp::Ordering;
 
@@ -22,9 +22,10 @@
     }
 }
 
-/// The allocations in the order of `demands`: multiples of `step` whose sum is at most `limit`. What exceeds
-/// all needs is divided by weight, up to the maxima. Single steps that can't be divided go to one holder
-/// after the other as `rotation` grows, so that over time they are divided as well.
+/// The allocations in the order of `demands`: multiples of `step` whose sum is at most `limit`.
+/// What exceeds all needs is divided by weight, up to the maxima. Single steps that can't be
+/// divided go to one holder after the other as `rotation` grows, so that over time they are divided
+/// as well.
 pub fn divide(limit: Units, step: Units, demands: &[HolderDemand], rotation: u64) -> Vec<Units> {
     let step = step.max(1);
     let steps = limit / step;
@@ -53,7 +54,8 @@
     allocations
 }
 
-/// Fills all holders to one level in proportion to weight (water-filling), each at most to its bound.
+/// Fills all holders to one level in proportion to weight (water-filling), each at most to its
+/// bound.
 fn fill(limit: Units, demands: &[HolderDemand], bounds: &[Units], rotation: u64) -> Vec<Units> {
     let order = fill_order(demands, bounds);
     let mut allocations = vec![0; demands.len()];
@@ -101,7 +103,8 @@
     (u128::from(remaining) * demand.weight() / weights.max(1)) as Units
 }
 
-/// Gives one step each to holders below their bounds, beginning with one that moves on with `rotation`.
+/// Gives one step each to holders below their bounds, beginning with one that moves on with
+/// `rotation`.
 fn distribute_single_steps(
     remaining: Units,
     bounds: &[Units],
--- a/crates/budgets/src/envelope.rs
+++ b/crates/budgets/src/envelope.rs
@@ -1,5 +1,5 @@
-//! The messages between nodes about budgets. They are encoded by position (postcard): the order of fields and
-//! variants is part of the wire format, their names are not.
+//! The messages between nodes about budgets. They are encoded by position (postcard): the order of
+//! fields and variants is part of the wire format, their names are not.
 
 use doortrack_membership::{Incarnation, Name};
 use serde::{Deserialize, Serialize};
@@ -61,8 +61,8 @@
         /// One for each budget; at most [`MAX_ITEMS`].
         items: Vec<ReportItem>,
     },
-    /// The leader's answer to a report: what the holder may use, on a lease that runs from when it sent the
-    /// report.
+    /// The leader's answer to a report: what the holder may use, on a lease that runs from when it
+    /// sent the report.
     Grant {
         /// The number of the report.
         seq: u64,
--- a/crates/budgets/src/holder.rs
+++ b/crates/budgets/src/holder.rs
@@ -1,4 +1,5 @@
-//! The node's part as a holder of allocations: its reports, the leader's answers, and the use of units.
+//! The node's part as a holder of allocations: its reports, the leader's answers, and the use of
+//! units.
 
 use doortrack_time::TenthMillis;
 
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Applies one grant in answer to report `seq`. Returns the index of its budget if less is leased than
-    /// before.
+    /// Applies one grant in answer to report `seq`. Returns the index of its budget if less is
+    /// leased than before.
     fn apply_grant(
         &mut self,
         now: TenthMillis,
--- a/crates/budgets/src/leadership.rs
+++ b/crates/budgets/src/leadership.rs
@@ -77,8 +77,8 @@
     pub election: Election,
     /// When votes are requested again.
     pub renew_at: TenthMillis,
-    /// When the term began. A lease of an earlier leader has expired one lease later; what a budget's units
-    /// may be held beyond that is added.
+    /// When the term began. A lease of an earlier leader has expired one lease later; what a
+    /// budget's units may be held beyond that is added.
     pub since: TenthMillis,
     /// When the budgets are divided next.
     pub divide_at: TenthMillis,
--- a/crates/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -5,8 +5,8 @@
 use crate::{Budget, Grant, HolderDemand, Id, NodeId, Parameters, ReportItem, Units, divide};
 use doortrack_time::TenthMillis;
 
-/// Unconfirmed allocations of a holder that are kept one by one; beyond that the two oldest are merged into
-/// the greater.
+/// Unconfirmed allocations of a holder that are kept one by one; beyond that the two oldest are
+/// merged into the greater.
 const MAX_SENT: usize = 6;
 /// Divisions after which single steps that can't be divided go to the next holder.
 const ROTATE_AFTER: u64 = 5;
@@ -14,7 +14,8 @@
 /// What one holder has of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct HolderAccount {
-    /// The latest report on it. The reports of one round on different budgets may arrive in any order.
+    /// The latest report on it. The reports of one round on different budgets may arrive in any
+    /// order.
     last_seq: u64,
     need: Units,
     /// What the holder reported that it may have in use.
@@ -52,8 +53,8 @@
 struct BudgetAccount {
     budget: Budget,
     granted: Units,
-    /// What can be granted at all: by the lowest limit and the greatest reserved minimum that any holder is
-    /// configured with.
+    /// What can be granted at all: by the lowest limit and the greatest reserved minimum that any
+    /// holder is configured with.
     grantable: Units,
 }
 
@@ -113,7 +114,8 @@
         self.expires_at = now + parameters.lease + parameters.max_hold_after_lease(budget);
     }
 
-    /// What the holder is to get: what it has in use, if that is only prolonged, or else its target.
+    /// What the holder is to get: what it has in use, if that is only prolonged, or else its
+    /// target.
     fn wanted(&self, prolongs: bool) -> Units {
         if prolongs { self.in_use } else { self.target }
     }
@@ -185,8 +187,8 @@
         self.rotation = old.rotation;
     }
 
-    /// Applies a report and returns what the holder may use; none if the report is outdated. `settled` says of
-    /// a budget whether all that an earlier leader granted of it has expired.
+    /// Applies a report and returns what the holder may use; none if the report is outdated.
+    /// `settled` says of a budget whether all that an earlier leader granted of it has expired.
     pub fn apply_report(
         &mut self,
         now: TenthMillis,
@@ -279,7 +281,8 @@
         demands
     }
 
-    /// Computes what can be granted by the lowest limit and the greatest reserved minimum of all holders.
+    /// Computes what can be granted by the lowest limit and the greatest reserved minimum of all
+    /// holders.
     fn update_grantable(&mut self) {
         let mut bounds: Vec<(Units, Units)> = self
             .accounts
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,9 +1,9 @@
-//! Fleet-wide budgets: decides how much of each budget this node may use, so that all nodes together never
-//! use more than its limit.
+//! Fleet-wide budgets: decides how much of each budget this node may use, so that all nodes
+//! together never use more than its limit.
 //!
-//! Every node holds one [`Budgets`]. It is driven by [`Event`]s with the time of each, returns [`Action`]s to
-//! execute, and is asked before each use ([`Budgets::acquire`]). There are neither sockets nor a clock
-//! here, and the same events with the same seed give the same actions.
+//! Every node holds one [`Budgets`]. It is driven by [`Event`]s with the time of each, returns
+//! [`Action`]s to execute, and is asked before each use ([`Budgets::acquire`]). There are neither
+//! sockets nor a clock here, and the same events with the same seed give the same actions.
 //!
 //! ```text
 //! let mut budgets = Budgets::new(me, weight, parameters, list, seed, now);
@@ -11,30 +11,32 @@
 //! if let Err(retry_after) = budgets.acquire(index, now) { .. }  // with the clock read just before
 //! ```
 //!
-//! A **leader**, one of the fleet's voters, grants allocations to all nodes on leases. Nothing is written to
-//! disk:
-//! - **Votes.** A voter gives its vote to one candidate for [`Parameters::vote_duration`] and to no other
-//!   meanwhile; a candidate with the votes of a majority is the leader, by its own clock from when it
-//!   *asked*. A voter that has just started may have forgotten a vote, and gives none for as long as one
-//!   lasts.
-//! - **Leases.** A lease runs, for its holder, from when it *asked*, and for the leader from when it
-//!   *answered*, so that under any delay the holder's lease ends first. It is shortened for the holder by
-//!   what two clocks may drift apart.
-//! - **Moved allocations.** What one holder is to give up is granted to another only once the first has
-//!   confirmed that it uses no more, or its lease has expired. Whatever was sent and not confirmed counts as
-//!   granted.
-//! - **A new leader** knows nothing of what was granted. Until every lease of an earlier leader has expired,
-//!   it only prolongs what holders report, and only where they still hold it when its answer arrives.
+//! A **leader**, one of the fleet's voters, grants allocations to all nodes on leases. Nothing is
+//! written to disk:
+//! - **Votes.** A voter gives its vote to one candidate for [`Parameters::vote_duration`] and to no
+//!   other meanwhile; a candidate with the votes of a majority is the leader, by its own clock from
+//!   when it *asked*. A voter that has just started may have forgotten a vote, and gives none for
+//!   as long as one lasts.
+//! - **Leases.** A lease runs, for its holder, from when it *asked*, and for the leader from when
+//!   it *answered*, so that under any delay the holder's lease ends first. It is shortened for the
+//!   holder by what two clocks may drift apart.
+//! - **Moved allocations.** What one holder is to give up is granted to another only once the first
+//!   has confirmed that it uses no more, or its lease has expired. Whatever was sent and not
+//!   confirmed counts as granted.
+//! - **A new leader** knows nothing of what was granted. Until every lease of an earlier leader has
+//!   expired, it only prolongs what holders report, and only where they still hold it when its
+//!   answer arrives.
 //! - **Reserved minimums** are set aside from the limit, for named nodes, and need no leader.
 //!
 //! Assumptions: each process's time goes forward, and drifts from true time by no more than
-//! [`Parameters::drift`]. Datagrams may be lost, duplicated, delayed without bound and reordered. Any process
-//! may die (and restart with nothing), pause and resume. One process at a time uses a name; nodes do not lie
-//! about what they hold. `docs/budgets.md` says what a broken assumption costs.
+//! [`Parameters::drift`]. Datagrams may be lost, duplicated, delayed without bound and reordered.
+//! Any process may die (and restart with nothing), pause and resume. One process at a time uses a
+//! name; nodes do not lie about what they hold. `docs/budgets.md` says what a broken assumption
+//! costs.
 //!
-//! Bounds: budgets ([`MAX_BUDGETS`]), items in a datagram, unconfirmed allocations of a holder. A check takes
-//! constant time; a report costs the leader the logarithm of the holders, and a division, twice a round, as
-//! much for each holder.
+//! Bounds: budgets ([`MAX_BUDGETS`]), items in a datagram, unconfirmed allocations of a holder. A
+//! check takes constant time; a report costs the leader the logarithm of the holders, and a
+//! division, twice a round, as much for each holder.
 
 #![warn(missing_docs)]
 
@@ -73,7 +75,8 @@
     Members(View),
     /// The node is to leave: it asks for nothing more, and steps down as the leader.
     Leave,
-    /// A later process uses this node's name: this one uses nothing more, reserved minimums included.
+    /// A later process uses this node's name: this one uses nothing more, reserved minimums
+    /// included.
     Superseded,
     /// The budgets were changed. Use of those that remain is kept.
     Changed {
--- a/crates/budgets/src/parameters.rs
+++ b/crates/budgets/src/parameters.rs
@@ -8,8 +8,8 @@
 /// An amount of a budget: units held at once, or thousandths of a unit a second.
 pub type Units = u64;
 
-/// Identifies a budget between nodes: a hash of its name and kind, the same in every build. Nodes configured
-/// with another kind under the same name do not mistake one another's units.
+/// Identifies a budget between nodes: a hash of its name and kind, the same in every build. Nodes
+/// configured with another kind under the same name do not mistake one another's units.
 pub type Id = u32;
 
 /// The id of a budget; unique within an installation, which is checked when its file is read.
@@ -26,14 +26,16 @@
 /// What a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// Units a second. In any span the fleet uses at most `limit` times the span, and `burst` beyond.
+    /// Units a second. In any span the fleet uses at most `limit` times the span, and `burst`
+    /// beyond.
     Rate {
         /// Units.
         burst: u32,
     },
     /// Units held at once.
     Concurrency {
-        /// The longest that a unit is held, in tenths of a millisecond, also by a node that is isolated or has died.
+        /// The longest that a unit is held, in tenths of a millisecond, also by a node that is
+        /// isolated or has died.
         max_hold: TenthMillis,
     },
 }
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Allocations are multiples of this: a smaller one holds less than one unit of the burst, and is
-    /// useless.
+    /// Allocations are multiples of this: a smaller one holds less than one unit of the burst, and
+    /// is useless.
     pub fn step(&self) -> Units {
         match self.kind {
             Kind::Rate { burst } => self.limit().div_ceil(Units::from(burst.max(1))).max(1),
@@ -190,12 +192,13 @@
     pub lease_expiry: bool,
     /// Leases are shortened for their holders by what clocks may drift.
     pub drift: bool,
-    /// A holder accepts only answers to its reports to the present leader, and none older than the last.
+    /// A holder accepts only answers to its reports to the present leader, and none older than the
+    /// last.
     pub in_order: bool,
     /// Only what is still in force is prolonged.
     pub prolong: bool,
-    /// Units of a concurrency count as in use for as long as they may be held, beyond a lease and after a
-    /// start.
+    /// Units of a concurrency count as in use for as long as they may be held, beyond a lease and
+    /// after a start.
     pub held: bool,
 }
 
--- a/crates/budgets/src/reporting.rs
+++ b/crates/budgets/src/reporting.rs
@@ -41,7 +41,10 @@
 
     /// Whether this node holds the votes of a majority at `now`.
     pub fn is_leader(&self, now: TenthMillis) -> bool {
-        matches!(&self.leadership, Leadership::Leader(term) if term.election.held_until(&self.parameters) > now)
+        match &self.leadership {
+            Leadership::Leader(term) => term.election.held_until(&self.parameters) > now,
+            Leadership::Follower { .. } | Leadership::Candidate { .. } => false,
+        }
     }
 
     /// The budgets, in the order of their indices.
@@ -67,7 +70,8 @@
         }
     }
 
-    /// What may be in use at most at `now`, without changing anything: for tests of the sum over all nodes.
+    /// What may be in use at most at `now`, without changing anything: for tests of the sum over
+    /// all nodes.
     pub fn exposed(&self, index: usize, now: TenthMillis) -> Units {
         let mut allocation = self.allocations[index].clone();
         let usable = allocation.usable(now, &self.parameters);
--- a/crates/budgets/src/voter.rs
+++ b/crates/budgets/src/voter.rs
@@ -3,8 +3,8 @@
 use crate::{NodeId, Parameters};
 use doortrack_time::TenthMillis;
 
-/// One voter's state. It does not outlast the process, so a voter that has just started gives no vote for as
-/// long as one of its predecessor may last.
+/// One voter's state. It does not outlast the process, so a voter that has just started gives no
+/// vote for as long as one of its predecessor may last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Voter {
     silent_until: TenthMillis,
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Handles a request for the vote; whether the candidate has it from now on, for `vote_duration`.
+    /// Handles a request for the vote; whether the candidate has it from now on, for
+    /// `vote_duration`.
     pub fn request_vote(
         &mut self,
         now: TenthMillis,
@@ -61,8 +62,8 @@
         true
     }
 
-    /// Takes the vote of this ballot back from the candidate; a late release of an earlier one changes
-    /// nothing.
+    /// Takes the vote of this ballot back from the candidate; a late release of an earlier one
+    /// changes nothing.
     pub fn release(&mut self, from: &NodeId, ballot: u64) -> bool {
         self.vote
             .take_if(|vote| vote.to == *from && vote.ballot == ballot)
--- a/crates/budgets/tests/holder.rs
+++ b/crates/budgets/tests/holder.rs
@@ -112,8 +112,8 @@
     }
 }
 
-/// A leader that stepped down and was elected again knows nothing of what another granted in between. Its
-/// answer to a report that was delayed must not bring back what has expired meanwhile.
+/// A leader that stepped down and was elected again knows nothing of what another granted in
+/// between. Its answer to a report that was delayed must not bring back what has expired meanwhile.
 fn late_prolongation(safeguards: Safeguards) -> u64 {
     let mut holder = Holder::with_ten_units(safeguards);
     let granted_at = holder.now;
--- a/crates/budgets/tests/model.rs
+++ b/crates/budgets/tests/model.rs
@@ -1,7 +1,7 @@
-//! Leaders, votes and leases as a state machine, searched exhaustively within small bounds: whatever node
-//! restarts or pauses, and whatever message is lost, duplicated or reordered, the allocations that may be
-//! used never exceed the limit. The model drives the package that the node runs. Without any one of the
-//! safeguards it must fail.
+//! Leaders, votes and leases as a state machine, searched exhaustively within small bounds:
+//! whatever node restarts or pauses, and whatever message is lost, duplicated or reordered, the
+//! allocations that may be used never exceed the limit. The model drives the package that the node
+//! runs. Without any one of the safeguards it must fail.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
--- a/crates/membership/src/applying.rs
+++ b/crates/membership/src/applying.rs
@@ -7,8 +7,8 @@
 use doortrack_time::TenthMillis;
 
 impl Fleet {
-    /// Applies an update that takes precedence over what was known. Returns the member's index, or none if
-    /// the table is full.
+    /// Applies an update that takes precedence over what was known. Returns the member's index, or
+    /// none if the table is full.
     pub(crate) fn apply(
         &mut self,
         now: TenthMillis,
@@ -74,8 +74,8 @@
         Some(index)
     }
 
-    /// Updates the view and the log after a change of state. `previous` is the state before in the same
-    /// incarnation, if the member was present.
+    /// Updates the view and the log after a change of state. `previous` is the state before in the
+    /// same incarnation, if the member was present.
     fn publish_state(
         &mut self,
         now: TenthMillis,
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Counts the suspicion of another node on a member that is suspected already; `false` if it is not new.
+    /// Counts the suspicion of another node on a member that is suspected already; `false` if it is
+    /// not new.
     pub(crate) fn confirm_suspicion(
         &mut self,
         now: TenthMillis,
@@ -174,8 +175,8 @@
         true
     }
 
-    /// Schedules the end of a suspicion, and two final probes before it: an update that cleared it may not
-    /// have reached this node, as dissemination is not certain.
+    /// Schedules the end of a suspicion, and two final probes before it: an update that cleared it
+    /// may not have reached this node, as dissemination is not certain.
     pub(crate) fn schedule_suspicion_end(&mut self, now: TenthMillis, index: MemberIndex) {
         let (members, resumed_at) = (self.view.members.len(), self.resumed_at);
         let Some(suspicion) = self.table.get(index).and_then(|record| record.suspicion) else {
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -1,4 +1,5 @@
-//! Evaluates updates: direct evidence of a datagram's sender, and indirect evidence of other members.
+//! Evaluates updates: direct evidence of a datagram's sender, and indirect evidence of other
+//! members.
 
 use crate::fleet::Fleet;
 use crate::table::MemberIndex;
@@ -9,8 +10,8 @@
 const DECLARED_DEAD_MARK: u32 = 0;
 
 impl Fleet {
-    /// Applies the sender's update on itself. Returns its index if the rest of the datagram is to be
-    /// handled: it is not replayed, and not of an earlier incarnation or a member that left.
+    /// Applies the sender's update on itself. Returns its index if the rest of the datagram is to
+    /// be handled: it is not replayed, and not of an earlier incarnation or a member that left.
     pub(crate) fn direct_evidence(
         &mut self,
         now: TenthMillis,
@@ -40,16 +41,16 @@
         if state == MemberState::Left {
             return None;
         }
-        // It is alive, but only its own later version convinces the others. The answer to a ping carries the
-        // suspicion anyway.
+        // It is alive, but only its own later version convinces the others. The answer to a ping
+        // carries the suspicion anyway.
         if state != MemberState::Alive && !matches!(message, Message::Ping { .. }) {
             self.send(index, Message::Updates, actions);
         }
         Some(index)
     }
 
-    /// Refuses a datagram of an earlier process of the name, or a late one, whose sender learns which process
-    /// came after it.
+    /// Refuses a datagram of an earlier process of the name, or a late one, whose sender learns
+    /// which process came after it.
     fn refuse_earlier(&mut self, head: &Head, known: MemberUpdate, actions: &mut Vec<Action>) {
         self.refused += 1;
         let (to, incarnation) = (head.sender.address, head.sender.incarnation);
@@ -95,9 +96,10 @@
         }
     }
 
-    /// Other nodes declared a member dead that is present here, as two halves of a split fleet do once they
-    /// find together. The member is notified and suspected for the shortest time, in which it can refute it.
-    /// Where it was suspected for longer already, there is time for the final probes.
+    /// Other nodes declared a member dead that is present here, as two halves of a split fleet do
+    /// once they find together. The member is notified and suspected for the shortest time, in
+    /// which it can refute it. Where it was suspected for longer already, there is time for the
+    /// final probes.
     fn reported_dead(
         &mut self,
         now: TenthMillis,
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -27,7 +27,8 @@
     Superseded,
 }
 
-/// What is due at a time. A timer is never cancelled: what it was set for may be over when it fires.
+/// What is due at a time. A timer is never cancelled: what it was set for may be over when it
+/// fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// The next period begins: probe the next member.
@@ -87,7 +88,8 @@
     pub(crate) isolated: bool,
     /// The process resumed after a pause and has had no answer since.
     pub(crate) resumed: bool,
-    /// When the first answer came after a pause or isolation: suspicions count from here at the earliest.
+    /// When the first answer came after a pause or isolation: suspicions count from here at the
+    /// earliest.
     pub(crate) resumed_at: TenthMillis,
     /// Rounds of join requests sent.
     pub(crate) join_requests: u32,
@@ -101,8 +103,8 @@
 }
 
 impl Fleet {
-    /// The membership of a node that has just started. `me.state` and `me.version` are set here; `now` is in
-    /// tenths of a ms from any zero.
+    /// The membership of a node that has just started. `me.state` and `me.version` are set here;
+    /// `now` is in tenths of a ms from any zero.
     pub fn new(me: MemberUpdate, parameters: Parameters, seed: u64, now: TenthMillis) -> Fleet {
         let me = MemberUpdate {
             version: 0,
@@ -160,7 +162,8 @@
             .map_or(TenthMillis::MAX, |Reverse((at, _))| *at)
     }
 
-    /// Handles one event at the time `now`, which must not go back. Actions are added to `actions`, in order.
+    /// Handles one event at the time `now`, which must not go back. Actions are added to `actions`,
+    /// in order.
     pub fn handle(&mut self, now: TenthMillis, event: Event, actions: &mut Vec<Action>) {
         if self.stage == Stage::Superseded {
             return;
@@ -224,7 +227,8 @@
     pub(crate) fn schedule_updates(&mut self, now: TenthMillis) {
         if !self.updates_scheduled {
             self.updates_scheduled = true;
-            // Jitter keeps nodes that received the same update from sending it on at the same instant.
+            // Jitter keeps nodes that received the same update from sending it on at the same
+            // instant.
             let wait = self.rng.u64(0..self.parameters.gossip_interval.max(1));
             self.set_timer(now + wait, Timer::PendingUpdates);
         }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -5,19 +5,19 @@
 use crate::MAX_UPDATES;
 use crate::table::MemberIndex;
 
-/// Entries that wait at once: several times the members of a table, as outdated ones are dropped only when
-/// they come up.
+/// Entries that wait at once: several times the members of a table, as outdated ones are dropped
+/// only when they come up.
 const MAX_QUEUED: usize = 20_000;
-/// Updates of one datagram while no more than [`BACKLOG`] wait, so that less depends on each datagram that
-/// is lost.
+/// Updates of one datagram while no more than [`BACKLOG`] wait, so that less depends on each
+/// datagram that is lost.
 const FEW_UPDATES: usize = 10;
 /// Waiting updates above which datagrams are filled, as hundreds would take seconds otherwise.
 const BACKLOG: usize = 100;
 /// Upper bound of [`transmissions`], however large the fleet.
 const MAX_TRANSMISSIONS: usize = 20;
 
-/// How often each node sends an update in a fleet of this size, so that it reaches everyone with near
-/// certainty: it grows with the logarithm of the members.
+/// How often each node sends an update in a fleet of this size, so that it reaches everyone with
+/// near certainty: it grows with the logarithm of the members.
 fn transmissions(members: usize) -> usize {
     let digits = (members + 1).ilog2() as usize + 1;
     (digits + 2).min(MAX_TRANSMISSIONS)
@@ -34,8 +34,8 @@
     pub updates: usize,
 }
 
-/// Members whose latest update is still to be sent, by how often it was sent. A member has at most one entry
-/// of its current revision; entries of earlier ones are dropped when they come up.
+/// Members whose latest update is still to be sent, by how often it was sent. A member has at most
+/// one entry of its current revision; entries of earlier ones are dropped when they come up.
 #[derive(Default)]
 pub struct Gossip {
     by_transmissions: Vec<VecDeque<QueueEntry>>,
@@ -67,9 +67,9 @@
         self.queued == 0
     }
 
-    /// Chooses updates for one datagram until it is full, few of them unless many wait, and returns their
-    /// members. `members` is the size of the fleet; `size` is the size in bytes of an entry's update, and none
-    /// if the entry is outdated.
+    /// Chooses updates for one datagram until it is full, few of them unless many wait, and returns
+    /// their members. `members` is the size of the fleet; `size` is the size in bytes of an entry's
+    /// update, and none if the entry is outdated.
     pub fn next_updates(
         &mut self,
         mut fill: DatagramFill,
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -16,8 +16,8 @@
 const MAX_SEEDS_AT_ONCE: usize = 3;
 
 impl Fleet {
-    /// Sends one round of join requests to nodes that may be present though not in the view: a dead member,
-    /// and seeds, more of them while nobody answers.
+    /// Sends one round of join requests to nodes that may be present though not in the view: a dead
+    /// member, and seeds, more of them while nobody answers.
     pub(crate) fn send_join_requests(&mut self, actions: &mut Vec<Action>) {
         self.join_requests = self.join_requests.saturating_add(1);
         let alone = self.stage == Stage::Joining || self.isolated || self.table.present() == 0;
@@ -43,8 +43,9 @@
         }
     }
 
-    /// Sends a page of the table, in answer to a join request or for a fetch. A join request alone makes no
-    /// member, as it may be replayed: the sender is one once it addresses this incarnation.
+    /// Sends a page of the table, in answer to a join request or for a fetch. A join request alone
+    /// makes no member, as it may be replayed: the sender is one once it addresses this
+    /// incarnation.
     pub(crate) fn send_page(
         &mut self,
         to: &MemberUpdate,
@@ -101,8 +102,8 @@
         }));
     }
 
-    /// Counts a return from being dead, and holds the member back if it returns repeatedly. The first return
-    /// is free, as after a restart or a broken link.
+    /// Counts a return from being dead, and holds the member back if it returns repeatedly. The
+    /// first return is free, as after a restart or a broken link.
     pub(crate) fn note_return(
         &mut self,
         now: TenthMillis,
@@ -166,7 +167,8 @@
             || !update.state.is_present()
             || update.address == self.me.address
         {
-            // That incarnation is over, as only this process is where it was, or this one joins after it.
+            // That incarnation is over, as only this process is where it was, or this one joins
+            // after it.
             self.start_incarnation(now, update.incarnation, actions);
         } else {
             self.stage = Stage::Superseded;
@@ -192,7 +194,8 @@
         self.schedule_updates(now);
     }
 
-    /// Notifies an earlier process of this node's name, which learns of this incarnation by the head.
+    /// Notifies an earlier process of this node's name, which learns of this incarnation by the
+    /// head.
     fn supersede(&mut self, update: &MemberUpdate, actions: &mut Vec<Action>) {
         let (address, incarnation) = (update.address, update.incarnation);
         self.send_to(address, incarnation, Message::Updates, Vec::new(), actions);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,9 @@
 //! Membership: decides which nodes of a fleet are present.
 //!
-//! Every node holds a [`Fleet`]. It is driven by [`Event`]s with the time of each, and returns [`Action`]s to
-//! execute. There are neither sockets nor a clock here, and the same events with the same seed give the
-//! same actions, so that the node, the simulation and the tests drive the same code.
+//! Every node holds a [`Fleet`]. It is driven by [`Event`]s with the time of each, and returns
+//! [`Action`]s to execute. There are neither sockets nor a clock here, and the same events with the
+//! same seed give the same actions, so that the node, the simulation and the tests drive the same
+//! code.
 //!
 //! ```text
 //! let mut fleet = Fleet::new(me, parameters, seed, now);
@@ -10,31 +11,33 @@
 //! fleet.handle(now, Event::Received { from, datagram }, &mut actions);
 //! ```
 //!
-//! The protocol is SWIM: each node probes one other in each period, asks indirect probers to try before it
-//! suspects the member, and updates travel on the datagrams that are sent anyway. Additions, and why:
-//! - **Incarnations.** A node is identified by its name and an [`Incarnation`], a number that is never used
-//!   twice. Updates on an earlier incarnation are ignored, and a datagram names the incarnation that it is
-//!   meant for, so that replays change nothing.
+//! The protocol is SWIM: each node probes one other in each period, asks indirect probers to try
+//! before it suspects the member, and updates travel on the datagrams that are sent anyway.
+//! Additions, and why:
+//! - **Incarnations.** A node is identified by its name and an [`Incarnation`], a number that is
+//!   never used twice. Updates on an earlier incarnation are ignored, and a datagram names the
+//!   incarnation that it is meant for, so that replays change nothing.
 //! - **A process that was paused suspects nobody.** A tick that comes late by more than
-//!   [`Parameters::max_lateness`] drops all probes and restarts all suspicions; until another node has
-//!   answered, nobody is suspected.
+//!   [`Parameters::max_lateness`] drops all probes and restarts all suspicions; until another node
+//!   has answered, nobody is suspected.
 //! - **A node that nobody answers considers itself isolated**, and declares nobody dead.
-//! - **Confirmations.** Some of the nodes that hear of a suspicion probe the member themselves. Each probe
-//!   that fails shortens the suspicion; an unconfirmed one lasts longest.
+//! - **Confirmations.** Some of the nodes that hear of a suspicion probe the member themselves.
+//!   Each probe that fails shortens the suspicion; an unconfirmed one lasts longest.
 //! - **Left is not dead**, and a member that comes back repeatedly is held back longer each time.
-//! - **[`View`]s.** The members on which decisions may rest, in order, with a number that grows by one with
-//!   each change and a digest that is equal in two nodes exactly when their members are.
+//! - **[`View`]s.** The members on which decisions may rest, in order, with a number that grows by
+//!   one with each change and a digest that is equal in two nodes exactly when their members are.
 //!
-//! Assumptions: the time of events does not go back within one process; it need not agree between two. Any
-//! datagram may be lost, delayed, duplicated or replayed. A member may die, pause and resume at any point.
-//! Two processes may use the same name: the incarnation that joined later stays. Members of one fleet do not
-//! lie; whoever does not hold the key is kept out before anything gets here.
+//! Assumptions: the time of events does not go back within one process; it need not agree between
+//! two. Any datagram may be lost, delayed, duplicated or replayed. A member may die, pause and
+//! resume at any point. Two processes may use the same name: the incarnation that joined later
+//! stays. Members of one fleet do not lie; whoever does not hold the key is kept out before
+//! anything gets here.
 //!
-//! Not guaranteed: that two nodes have the same view at the same time. A decision that needs this has to rest
-//! on leases or a majority, not on a view.
+//! Not guaranteed: that two nodes have the same view at the same time. A decision that needs this
+//! has to rest on leases or a majority, not on a view.
 //!
-//! Bounds: members ([`Parameters::max_members`]), probes under way, updates in a datagram, datagrams in a
-//! period. The cost of an event grows at most with the logarithm of the members.
+//! Bounds: members ([`Parameters::max_members`]), probes under way, updates in a datagram,
+//! datagrams in a period. The cost of an event grows at most with the logarithm of the members.
 
 #![warn(missing_docs)]
 
@@ -77,8 +80,8 @@
 /// The longest name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// One run of a node's process. Of two incarnations of one name the greater one is the later; 0 stands for
-/// none.
+/// One run of a node's process. Of two incarnations of one name the greater one is the later; 0
+/// stands for none.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -94,8 +97,8 @@
 }
 
 impl Incarnation {
-    /// The incarnation of a process started at this Unix time in ms. Its low 16 bits are random, so that two
-    /// processes started in the same ms differ.
+    /// The incarnation of a process started at this Unix time in ms. Its low 16 bits are random, so
+    /// that two processes started in the same ms differ.
     pub fn started(unix_ms: u64, random: u64) -> Incarnation {
         Incarnation((unix_ms << 16) | (random & 0xffff))
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between nodes. They are encoded by position (postcard): the order of fields and variants is
-//! part of the wire format, their names are not.
+//! The messages between nodes. They are encoded by position (postcard): the order of fields and
+//! variants is part of the wire format, their names are not.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,8 +7,8 @@
 
 /// Updates that one datagram carries at most; builds of this version read 64.
 pub const MAX_UPDATES: usize = 40;
-/// Bytes of updates past which a datagram takes no more: with the longest update (110) that comes last, and
-/// all else in the datagram (at most 300), it is below 1,472.
+/// Bytes of updates past which a datagram takes no more: with the longest update (110) that comes
+/// last, and all else in the datagram (at most 300), it is below 1,472.
 pub const UPDATE_BYTES: usize = 1_000;
 
 /// The sender of a datagram, and the incarnation that it is meant for.
@@ -18,7 +18,8 @@
     pub sender: MemberUpdate,
     /// The receiver's incarnation; 0 where the sender does not know it.
     pub to: Incarnation,
-    /// The number of the datagram, which grows within the sender's incarnation: replays are recognized by it.
+    /// The number of the datagram, which grows within the sender's incarnation: replays are
+    /// recognized by it.
     pub sequence: u64,
     /// The digest of the sender's [`View`](crate::View).
     pub digest: u64,
--- a/crates/membership/src/parameters.rs
+++ b/crates/membership/src/parameters.rs
@@ -3,11 +3,12 @@
 use doortrack_time::{MILLISECOND, TenthMillis};
 use std::net::SocketAddr;
 
-/// Timing and bounds. All times are in tenths of a millisecond. The reader of the operators' file checks their ranges;
-/// nothing here does.
+/// Timing and bounds. All times are in tenths of a millisecond. The reader of the operators' file
+/// checks their ranges; nothing here does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameters {
-    /// Addresses that join requests go to, at start and now and then later, so that a split fleet heals.
+    /// Addresses that join requests go to, at start and now and then later, so that a split fleet
+    /// heals.
     pub seeds: Vec<SocketAddr>,
     /// One member is probed in each period.
     pub period: TenthMillis,
@@ -27,8 +28,8 @@
     pub max_lateness: TenthMillis,
     /// Periods without any answer after which this node considers itself isolated.
     pub silent_periods: u32,
-    /// How long a member that came back for the second time is kept out of the view; doubled with each
-    /// further return.
+    /// How long a member that came back for the second time is kept out of the view; doubled with
+    /// each further return.
     pub hold_first: TenthMillis,
     /// The longest time that a member is kept out of the view.
     pub hold_max: TenthMillis,
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -1,4 +1,5 @@
-//! Bookkeeping of probes: those under way, those that failed lately, and those made for other nodes.
+//! Bookkeeping of probes: those under way, those that failed lately, and those made for other
+//! nodes.
 
 use std::collections::VecDeque;
 
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -36,8 +36,8 @@
             return self.on_join(&head, actions);
         }
         if head.to != self.me.incarnation {
-            // Meant for an earlier incarnation, or very old: the sender learns of this one, nothing else is
-            // done.
+            // Meant for an earlier incarnation, or very old: the sender learns of this one, nothing
+            // else is done.
             self.refused += 1;
             return self.reply(&head, Message::Updates, actions);
         }
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Sends a message without updates to the sender of a datagram, whether it is in the table or not.
+    /// Sends a message without updates to the sender of a datagram, whether it is in the table or
+    /// not.
     fn reply(&mut self, head: &Head, message: Message, actions: &mut Vec<Action>) {
         let (to, incarnation) = (head.sender.address, head.sender.incarnation);
         self.send_to(to, incarnation, message, Vec::new(), actions);
--- a/crates/membership/src/report.rs
+++ b/crates/membership/src/report.rs
@@ -9,7 +9,8 @@
 use crate::table::MemberRecord;
 use crate::{Incarnation, MemberState, Name};
 
-/// The state of a member as operators read it. The order of the variants is part of the wire format.
+/// The state of a member as operators read it. The order of the variants is part of the wire
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReportedState {
@@ -67,8 +68,8 @@
 }
 
 impl Fleet {
-    /// Up to `max` members behind a name, the node itself among them, in the order of names; and whether
-    /// there are more.
+    /// Up to `max` members behind a name, the node itself among them, in the order of names; and
+    /// whether there are more.
     pub fn report(
         &self,
         after: Option<&Name>,
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Datagrams refused since the start: replayed, meant for another incarnation, or out of bounds.
+    /// Datagrams refused since the start: replayed, meant for another incarnation, or out of
+    /// bounds.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/membership/src/sending.rs
+++ b/crates/membership/src/sending.rs
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Sends to a member, with pending updates; if it is not known as alive, that comes first, so that it can
-    /// refute it.
+    /// Sends to a member, with pending updates; if it is not known as alive, that comes first, so
+    /// that it can refute it.
     pub(crate) fn send(&mut self, index: MemberIndex, message: Message, actions: &mut Vec<Action>) {
         let Some(record) = self.table.get(index) else {
             return;
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -18,8 +18,8 @@
     /// The marks of those that confirmed it.
     confirmed_by: [u32; MAX_CONFIRMATIONS],
     confirmations: usize,
-    /// It ends no earlier: one that began long ago must not end at a report of others before the member was
-    /// probed once more.
+    /// It ends no earlier: one that began long ago must not end at a report of others before the
+    /// member was probed once more.
     not_before: TenthMillis,
 }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Counts all confirmations at once, as other nodes have already declared the member dead; it still ends
-    /// no earlier than `not_before`. Returns whether any were still missing.
+    /// Counts all confirmations at once, as other nodes have already declared the member dead; it
+    /// still ends no earlier than `not_before`. Returns whether any were still missing.
     pub fn confirm_fully(&mut self, not_before: TenthMillis) -> bool {
         let missing =
             std::mem::replace(&mut self.confirmations, MAX_CONFIRMATIONS) < MAX_CONFIRMATIONS;
@@ -61,12 +61,14 @@
         missing
     }
 
-    /// When the member is declared dead, in tenths of a millisecond, given the members in the node's view.
+    /// When the member is declared dead, in tenths of a millisecond, given the members in the
+    /// node's view.
     ///
-    /// The suspicion lasts `suspicion_max`, less in proportion to the confirmations, down to `suspicion_min`
-    /// once all that can be expected are there. Fewer than [`MAX_CONFIRMATIONS`] are expected of a small
-    /// view, and none of a view of two, where it always lasts `suspicion_max`. Time before `resumed_at`,
-    /// when this process was paused or isolated, does not count.
+    /// The suspicion lasts `suspicion_max`, less in proportion to the confirmations, down to
+    /// `suspicion_min` once all that can be expected are there. Fewer than [`MAX_CONFIRMATIONS`]
+    /// are expected of a small view, and none of a view of two, where it always lasts
+    /// `suspicion_max`. Time before `resumed_at`, when this process was paused or isolated, does
+    /// not count.
     pub fn ends_at(
         &self,
         parameters: &Parameters,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -90,8 +90,8 @@
     }
 }
 
-/// The table. Present and dead members are listed apart, so that one of either can be drawn at random in
-/// constant time; members that left are found by name only.
+/// The table. Present and dead members are listed apart, so that one of either can be drawn at
+/// random in constant time; members that left are found by name only.
 #[derive(Default)]
 pub struct Table {
     slots: Vec<Option<MemberRecord>>,
@@ -205,7 +205,8 @@
             return;
         };
         if state.is_present() && list_index < self.probed {
-            // Replaced by the last one probed in this round, so that the others keep their positions.
+            // Replaced by the last one probed in this round, so that the others keep their
+            // positions.
             self.probed -= 1;
             self.swap(list_index, self.probed);
             return self.unlist_at(self.probed, state);
@@ -237,7 +238,8 @@
         }
     }
 
-    /// The next member to probe: each present member once a round, in an order drawn as the round goes.
+    /// The next member to probe: each present member once a round, in an order drawn as the round
+    /// goes.
     pub fn next_probe(&mut self, rng: &mut fastrand::Rng) -> Option<MemberIndex> {
         if self.present.is_empty() {
             return None;
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Asks other members to probe one that did not answer directly, as only the link to it may be broken.
+    /// Asks other members to probe one that did not answer directly, as only the link to it may be
+    /// broken.
     fn ask_indirect_probers(&mut self, nonce: u32, actions: &mut Vec<Action>) {
         let Some(probe) = self.probes.get(nonce) else {
             return;
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Probes a member once more before its suspicion ends: its answer carries its version, which clears the
-    /// suspicion if it was refuted.
+    /// Probes a member once more before its suspicion ends: its answer carries its version, which
+    /// clears the suspicion if it was refuted.
     fn final_probe(&mut self, index: MemberIndex, since: TenthMillis, actions: &mut Vec<Action>) {
         let suspicion = self.table.get(index).and_then(|record| record.suspicion);
         if suspicion.is_some_and(|suspicion| suspicion.since == since) {
--- a/crates/membership/src/update.rs
+++ b/crates/membership/src/update.rs
@@ -9,15 +9,16 @@
 /// The greatest [`MemberUpdate::weight`] that is accepted.
 pub const MAX_WEIGHT: u32 = 1_000_000;
 
-/// The state of a member, as one node sees it. The order of the variants is part of the wire format.
+/// The state of a member, as one node sees it. The order of the variants is part of the wire
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
     /// It answers probes.
     Alive,
     /// A probe of it failed; it is declared dead unless it refutes this in time.
     Suspected {
-        /// A random mark of the node that suspects it, so that a suspicion which is passed on is not taken
-        /// for a second, independent one.
+        /// A random mark of the node that suspects it, so that a suspicion which is passed on is
+        /// not taken for a second, independent one.
         by: u32,
     },
     /// Its suspicion was not refuted in time. Undone by a later version or incarnation.
@@ -97,8 +98,8 @@
             && (1..=MAX_WEIGHT).contains(&self.weight)
     }
 
-    /// Whether this update takes precedence over another on the same name. In order: the later incarnation,
-    /// having left, the later version, the graver state.
+    /// Whether this update takes precedence over another on the same name. In order: the later
+    /// incarnation, having left, the later version, the graver state.
     pub fn overrides(&self, other: &MemberUpdate) -> bool {
         let left = |update: &MemberUpdate| update.state == MemberState::Left;
         let key = |update: &MemberUpdate| {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -17,14 +17,14 @@
     pub weight: u32,
 }
 
-/// The present members as one node sees them, itself among them, in the order of their names. A copy is
-/// cheap, as it shares what has not changed since.
+/// The present members as one node sees them, itself among them, in the order of their names. A
+/// copy is cheap, as it shares what has not changed since.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// Grows by one with each change in this node; not comparable between nodes.
     pub number: u64,
-    /// Equal in two nodes exactly when their members, incarnations and weights are, but for a chance of
-    /// 2^-64.
+    /// Equal in two nodes exactly when their members, incarnations and weights are, but for a
+    /// chance of 2^-64.
     pub digest: u64,
     /// The members by name.
     pub members: OrdMap<Name, Member>,
@@ -58,7 +58,8 @@
     }
 }
 
-/// What a member adds to the digest. The same in every build, as nodes of two builds compare theirs.
+/// What a member adds to the digest. The same in every build, as nodes of two builds compare
+/// theirs.
 fn mark(name: &str, member: Member) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(name.as_bytes());
--- a/crates/membership/src/view_sync.rs
+++ b/crates/membership/src/view_sync.rs
@@ -8,11 +8,13 @@
 /// Gossip rounds without a change of the view after which updates on their way no longer explain a
 /// difference.
 const STABLE_ROUNDS: u64 = 4;
-/// Gossip rounds within which each page of a fetch is expected, and between the starts of two fetches.
+/// Gossip rounds within which each page of a fetch is expected, and between the starts of two
+/// fetches.
 const FETCH_ROUNDS: u64 = 20;
 
 impl Fleet {
-    /// Fetches the table of a member whose view differs while this node's has not changed for a while.
+    /// Fetches the table of a member whose view differs while this node's has not changed for a
+    /// while.
     pub(crate) fn compare_views(
         &mut self,
         now: TenthMillis,
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -597,8 +597,8 @@
     );
 }
 
-/// Two halves find together: of a member that is suspected for long already, another says that it is dead,
-/// and its refutation has not come by yet.
+/// Two halves find together: of a member that is suspected for long already, another says that it
+/// is dead, and its refutation has not come by yet.
 #[test]
 fn a_member_that_others_declared_dead_is_probed_before_it_is_dead_here() {
     let mut cluster = Cluster::new(6);
@@ -628,7 +628,8 @@
             },
         );
     };
-    // Nothing reaches it for a while, so that nobody clears the suspicion; too short for it to be isolated.
+    // Nothing reaches it for a while, so that nobody clears the suspicion; too short for it to be
+    // isolated.
     cluster.cut = Box::new(|from, to| from == 0 || to == 0);
     send_update(&mut cluster, 1, 10_000, MemberState::Suspected { by: 0 });
     assert_eq!(cluster.state(0, 2), Some(ReportedState::Suspected));
@@ -649,7 +650,8 @@
     assert_eq!(cluster.state(0, 2), Some(ReportedState::Alive));
 }
 
-/// Updates of the fullest datagram of updates that a node sends once it has learnt of this many members at once.
+/// Updates of the fullest datagram of updates that a node sends once it has learnt of this many
+/// members at once.
 fn fullest_datagram(members: usize) -> usize {
     let mut fleet = Cluster::node(0, 100, 0);
     let mut actions = Vec::new();
--- a/crates/membership/tests/random.rs
+++ b/crates/membership/tests/random.rs
@@ -134,7 +134,8 @@
                 if let Action::Send { datagram, .. } = action {
                     let page = matches!(datagram.message, Message::Page { .. });
                     prop_assert!(page || datagram.updates.len() <= MAX_UPDATES);
-                    // All but the last fit; beside its name an update with an address of IPv4 takes up to 33.
+                    // All but the last fit; beside its name an update with an address of IPv4 takes
+                    // up to 33.
                     let bytes = datagram.updates.iter().rev().skip(1).map(|update| update.name.len() + 33);
                     prop_assert!(bytes.sum::<usize>() <= UPDATE_BYTES);
                     let sender = &datagram.head.sender;
--- a/crates/protocols/src/fastcgi.rs
+++ b/crates/protocols/src/fastcgi.rs
@@ -99,7 +99,8 @@
     write_record(out, END_REQUEST, id, &[0, 0, 0, 0, status as u8, 0, 0, 0]);
 }
 
-/// Answers a request for values. All known ones are sent; the peer ignores those that it did not name.
+/// Answers a request for values. All known ones are sent; the peer ignores those that it did not
+/// name.
 pub fn write_values(out: &mut Vec<u8>, max_connections: usize, max_requests: usize) {
     let max_connections = max_connections.to_string();
     let max_requests = max_requests.to_string();
--- a/crates/protocols/src/fastcgi/record_reader.rs
+++ b/crates/protocols/src/fastcgi/record_reader.rs
@@ -1,5 +1,5 @@
-//! Reads FastCGI records whichever side sent them: a header of eight bytes, content, and padding that is
-//! skipped.
+//! Reads FastCGI records whichever side sent them: a header of eight bytes, content, and padding
+//! that is skipped.
 
 const HEADER_BYTES: usize = 8;
 
--- a/crates/protocols/src/fastcgi/response_splitter.rs
+++ b/crates/protocols/src/fastcgi/response_splitter.rs
@@ -29,8 +29,8 @@
     },
 }
 
-/// Splits what an application sends, in parts of any length. Standard error and answers to management
-/// records are skipped.
+/// Splits what an application sends, in parts of any length. Standard error and answers to
+/// management records are skipped.
 #[derive(Debug, Default)]
 pub struct ResponseSplitter {
     records: RecordReader,
--- a/crates/protocols/src/lib.rs
+++ b/crates/protocols/src/lib.rs
@@ -1,19 +1,21 @@
-//! FastCGI and uwsgi without sockets: bytes are read into events and responses, and written from them.
+//! FastCGI and uwsgi without sockets: bytes are read into events and responses, and written from
+//! them.
 //!
-//! Two protocols, [`fastcgi`] 1.0 and [`uwsgi`], each for both sides. The side that responds reads with a
-//! [`RequestReader`], which yields the same [`RequestEvent`]s for both, and writes with [`write_response`].
-//! The side that requests writes with [`write_request`] and reads with a [`ResponseReader`], which yields one
-//! complete [`Response`]. Variables are pairs of bytes, whose meaning is left to the caller.
+//! Two protocols, [`fastcgi`] 1.0 and [`uwsgi`], each for both sides. The side that responds reads
+//! with a [`RequestReader`], which yields the same [`RequestEvent`]s for both, and writes with
+//! [`write_response`]. The side that requests writes with [`write_request`] and reads with a
+//! [`ResponseReader`], which yields one complete [`Response`]. Variables are pairs of bytes, whose
+//! meaning is left to the caller.
 //!
-//! No length that a peer announces ever sizes a buffer: contents are passed on in the parts they came in,
-//! and every reader keeps a small, fixed state of its own. Sizes are in bytes. A reader that returned a
-//! [`ProtocolError`] can't continue; its connection is to be closed.
+//! No length that a peer announces ever sizes a buffer: contents are passed on in the parts they
+//! came in, and every reader keeps a small, fixed state of its own. Sizes are in bytes. A reader
+//! that returned a [`ProtocolError`] can't continue; its connection is to be closed.
 
 #![warn(missing_docs)]
 
 pub mod fastcgi;
 mod request_event;
-pub mod response;
+mod response;
 pub mod uwsgi;
 
 use std::fmt;
@@ -78,8 +80,9 @@
 /// Name and value of a variable, as they came.
 pub type Variable<'a> = (&'a [u8], &'a [u8]);
 
-/// Writes a complete request. On FastCGI it has the id `id`, and the connection stays open after it if
-/// `keep_connection` is set; uwsgi has neither. `CONTENT_LENGTH` is added; the variables must not hold one.
+/// Writes a complete request. On FastCGI it has the id `id`, and the connection stays open after it
+/// if `keep_connection` is set; uwsgi has neither. `CONTENT_LENGTH` is added; the variables must
+/// not hold one.
 ///
 /// # Errors
 /// A block of variables that the protocol can't carry: with uwsgi over 65,535 bytes in all.
--- a/crates/protocols/src/request_event.rs
+++ b/crates/protocols/src/request_event.rs
@@ -2,8 +2,8 @@
 
 use crate::{Protocol, ProtocolError, fastcgi, uwsgi};
 
-/// What one connection carried from the side that sends requests, in order. Contents come in parts as they
-/// are read. `id` is that of the request; 0 with uwsgi.
+/// What one connection carried from the side that sends requests, in order. Contents come in parts
+/// as they are read. `id` is that of the request; 0 with uwsgi.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEvent<'a> {
     /// A request begins.
--- /dev/null
+++ b/crates/protocols/src/response/head.rs
@@ -0,0 +1,77 @@
+//! Parses the head of a response.
+
+use super::Response;
+use crate::{Protocol, ProtocolError};
+
+/// Headers that a response may have.
+const MAX_HEADERS: usize = 64;
+/// The status of a CGI response that names none.
+const DEFAULT_STATUS: u16 = 200;
+
+const UNREADABLE_HEAD: ProtocolError = ProtocolError("a head that can't be read");
+
+/// Where the head ends, if it does; the first `searched` bytes were searched before. Lines may end
+/// as CGI programs write them, with or without a carriage return.
+pub(super) fn find_head_end(head: &[u8], searched: usize) -> Option<usize> {
+    // The empty line may have begun among the bytes that were searched.
+    let from = searched.saturating_sub(3);
+    (from..head.len())
+        .filter(|at| head[*at] == b'\n')
+        .find_map(|at| match &head[at + 1..] {
+            [b'\n', ..] => Some(at + 2),
+            [b'\r', b'\n', ..] => Some(at + 3),
+            _ => None,
+        })
+}
+
+/// Parses a head into a response without body. A uwsgi head begins with a status line, a CGI one
+/// has its status among the headers, or means 200.
+pub(super) fn parse_head(protocol: Protocol, raw: &[u8]) -> Result<Response, ProtocolError> {
+    let mut status = None;
+    let mut lines = raw;
+    if protocol == Protocol::Uwsgi || raw.starts_with(b"HTTP/") {
+        let line_end = raw
+            .iter()
+            .position(|byte| *byte == b'\n')
+            .ok_or(UNREADABLE_HEAD)?;
+        status = Some(parse_status_line(&raw[..line_end])?);
+        lines = &raw[line_end + 1..];
+    }
+    let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let parsed = match httparse::parse_headers(lines, &mut parsed) {
+        Ok(httparse::Status::Complete((_, headers))) => headers,
+        _ => return Err(UNREADABLE_HEAD),
+    };
+    let mut headers = Vec::with_capacity(parsed.len());
+    for header in parsed {
+        if status.is_none() && header.name.eq_ignore_ascii_case("Status") {
+            let text = std::str::from_utf8(header.value).map_err(|_| UNREADABLE_HEAD)?;
+            let number = text.split_ascii_whitespace().next().unwrap_or_default();
+            status = Some(parse_status(number)?);
+        } else {
+            headers.push((header.name.to_string(), header.value.to_vec()));
+        }
+    }
+    Ok(Response {
+        status: status.unwrap_or(DEFAULT_STATUS),
+        headers,
+        ..Response::default()
+    })
+}
+
+fn parse_status_line(line: &[u8]) -> Result<u16, ProtocolError> {
+    const NO_STATUS_LINE: ProtocolError = ProtocolError("no status line");
+    let line = std::str::from_utf8(line).map_err(|_| UNREADABLE_HEAD)?;
+    let rest = line.strip_prefix("HTTP/").ok_or(NO_STATUS_LINE)?;
+    let number = rest.split_ascii_whitespace().nth(1);
+    parse_status(number.ok_or(NO_STATUS_LINE)?)
+}
+
+fn parse_status(number: &str) -> Result<u16, ProtocolError> {
+    let three_digits = number.len() == 3 && number.bytes().all(|byte| byte.is_ascii_digit());
+    number
+        .parse()
+        .ok()
+        .filter(|status| three_digits && (100..600).contains(status))
+        .ok_or(ProtocolError("a status that is no number of three digits"))
+}
--- a/crates/protocols/src/uwsgi.rs
+++ b/crates/protocols/src/uwsgi.rs
@@ -1,8 +1,9 @@
 //! Packets of uwsgi, read and written without sockets.
 //!
-//! A packet is a header of four bytes (modifier 1, the size of what follows in 16 bits with the low byte
-//! first, modifier 2) and a block of variables, each name and value behind its length in 16 bits of the same
-//! order. A body of `CONTENT_LENGTH` bytes follows outside the packet. A connection carries one request.
+//! A packet is a header of four bytes (modifier 1, the size of what follows in 16 bits with the low
+//! byte first, modifier 2) and a block of variables, each name and value behind its length in 16
+//! bits of the same order. A body of `CONTENT_LENGTH` bytes follows outside the packet. A
+//! connection carries one request.
 
 mod block_scanner;
 mod request_splitter;
--- a/crates/protocols/src/uwsgi/block_scanner.rs
+++ b/crates/protocols/src/uwsgi/block_scanner.rs
@@ -19,7 +19,8 @@
     Value,
 }
 
-/// Scans the variables as they arrive, only to check that their lengths add up and to read `CONTENT_LENGTH`.
+/// Scans the variables as they arrive, only to check that their lengths add up and to read
+/// `CONTENT_LENGTH`.
 #[derive(Debug)]
 pub(super) struct BlockScanner {
     kind: StringKind,
--- a/crates/protocols/src/uwsgi/request_splitter.rs
+++ b/crates/protocols/src/uwsgi/request_splitter.rs
@@ -22,8 +22,8 @@
     /// The block is complete; the length of the body is reported next.
     BlockEnd,
     Body,
-    /// A header that begins no request. It is reported as one all the same, so that its sender gets a
-    /// response.
+    /// A header that begins no request. It is reported as one all the same, so that its sender gets
+    /// a response.
     Refused(ProtocolError),
     /// Nothing more is expected; further input is skipped.
     Done,
--- a/crates/protocols/tests/codecs.rs
+++ b/crates/protocols/tests/codecs.rs
@@ -19,7 +19,8 @@
     out
 }
 
-/// The events of a stream that arrives in these parts, with contents joined so that the parts do not show.
+/// The events of a stream that arrives in these parts, with contents joined so that the parts do
+/// not show.
 fn events(protocol: Protocol, parts: &[&[u8]]) -> (Vec<(String, Vec<u8>)>, Option<ProtocolError>) {
     let (mut reader, mut events_read) = (
         RequestReader::new(protocol),
--- a/crates/upstream/src/action.rs
+++ b/crates/upstream/src/action.rs
@@ -1,4 +1,5 @@
-//! What a pool asks of its caller, and the terms in which runs, responses and servers are described.
+//! What a pool asks of its caller, and the terms in which runs, responses and servers are
+//! described.
 
 use doortrack_time::TenthMillis;
 
--- a/crates/upstream/src/config.rs
+++ b/crates/upstream/src/config.rs
@@ -28,8 +28,8 @@
     pub consecutive_failures: u32,
     /// How long the first ejection lasts; each further one in a row twice as long.
     pub base_ejection: TenthMillis,
-    /// The longest ejection. Up to half of each is left off at random, so that servers do not all return
-    /// at once.
+    /// The longest ejection. Up to half of each is left off at random, so that servers do not all
+    /// return at once.
     pub max_ejection: TenthMillis,
     /// Share of the servers that stay in use however they fail, and at least one; 0 to 1.
     pub in_use_floor: f32,
--- a/crates/upstream/src/health.rs
+++ b/crates/upstream/src/health.rs
@@ -114,8 +114,8 @@
     }
 }
 
-/// How long an ejection lasts after `earlier_ejections` in a row, in tenths of a millisecond. `jitter` in 0
-/// to 1 takes off up to half.
+/// How long an ejection lasts after `earlier_ejections` in a row, in tenths of a millisecond.
+/// `jitter` in 0 to 1 takes off up to half.
 pub(crate) fn ejection_time(
     config: &OutlierConfig,
     earlier_ejections: u32,
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -34,7 +34,8 @@
     pub retries: u64,
     /// Retries that were wanted and not in the budget.
     pub retries_over_budget: u64,
-    /// Failures of servers: connections refused or broken, responses that fail, can't be read or come late.
+    /// Failures of servers: connections refused or broken, responses that fail, can't be read or
+    /// come late.
     pub failures: u64,
     /// Ejections of servers.
     pub ejections: u64,
@@ -174,7 +175,8 @@
         }
     }
 
-    /// Sets a gate that each retry must pass beside the pool's own budget; it is asked just before a retry.
+    /// Sets a gate that each retry must pass beside the pool's own budget; it is asked just before
+    /// a retry.
     pub fn set_retry_gate(&mut self, gate: Box<dyn FnMut() -> bool>) {
         self.retry_budget.set_gate(gate);
     }
--- a/crates/upstream/src/pool/admission.rs
+++ b/crates/upstream/src/pool/admission.rs
@@ -39,8 +39,8 @@
 }
 
 impl Pool {
-    /// Admits one more request to this pool, unless every server is down or in slow start and may get no
-    /// more runs now.
+    /// Admits one more request to this pool, unless every server is down or in slow start and may
+    /// get no more runs now.
     ///
     /// # Errors
     /// How long to wait before trying again, in tenths of a millisecond.
@@ -109,8 +109,8 @@
         self.reservations.ready_runs >= wanted
     }
 
-    /// Takes one run of what the server may get, if it is bounded; one without credit gets no more requests
-    /// for a while.
+    /// Takes one run of what the server may get, if it is bounded; one without credit gets no more
+    /// requests for a while.
     pub(super) fn take_ready_run(&mut self, server: ServerId, now: TenthMillis) -> bool {
         let Some(warmup) = &self.servers[server].warmup else {
             return true;
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Updates the count of warm servers and readiness for a health check; called after each change of a
-    /// server.
+    /// Updates the count of warm servers and readiness for a health check; called after each change
+    /// of a server.
     pub(super) fn update_warm_count(&mut self, server_id: ServerId) {
         let server = &mut self.servers[server_id];
         let in_use = !server.removed && !server.health.is_ejected();
@@ -177,7 +177,8 @@
         self.allow_health_check(server_id);
     }
 
-    /// Makes a server that is down ready for one health check at a time, once earlier runs on it are over.
+    /// Makes a server that is down ready for one health check at a time, once earlier runs on it
+    /// are over.
     fn allow_health_check(&mut self, server_id: ServerId) {
         let server = &mut self.servers[server_id];
         if server.busy_connections > 0 {
--- a/crates/upstream/src/pool/connections.rs
+++ b/crates/upstream/src/pool/connections.rs
@@ -23,7 +23,8 @@
             self.begin_slow_start_if_down(server, now, actions);
             return self.send(conn, run, now, actions);
         }
-        // Its server has gone down since: it is no health check, and its run is outside of slow start.
+        // Its server has gone down since: it is no health check, and its run is outside of slow
+        // start.
         self.close(conn, actions);
         self.retry_or_end(run, RunEnd::NotRun, actions);
         self.dispatch(now, actions);
@@ -60,7 +61,8 @@
         self.dispatch(now, actions);
     }
 
-    /// Some of the run on this connection was handed to the system, so that it may reach the server.
+    /// Some of the run on this connection was handed to the system, so that it may reach the
+    /// server.
     pub fn request_sent(&mut self, conn: ConnId) {
         let state = self
             .connections
@@ -144,9 +146,9 @@
         self.dispatch(now, actions);
     }
 
-    /// The server closed an idle connection before it was used again, as is its right: neither a failure nor
-    /// a retry that would have to be in the budget. Each such attempt uses up an idle connection, so their
-    /// number is bounded.
+    /// The server closed an idle connection before it was used again, as is its right: neither a
+    /// failure nor a retry that would have to be in the budget. Each such attempt uses up an idle
+    /// connection, so their number is bounded.
     fn requeue_from_stale(&mut self, conn: ConnId, run: RunId) {
         self.counters.stale_connections += 1;
         self.remove_connection(conn);
--- a/crates/upstream/src/pool/dispatch.rs
+++ b/crates/upstream/src/pool/dispatch.rs
@@ -68,8 +68,9 @@
         })
     }
 
-    /// Of two servers drawn at random the one with the lower load for what its health allows. Before that
-    /// counts that it is not the one tried last, and that a run which can't be retried is no health check.
+    /// Of two servers drawn at random the one with the lower load for what its health allows.
+    /// Before that counts that it is not the one tried last, and that a run which can't be retried
+    /// is no health check.
     fn choose_server(&mut self, run: RunId) -> ServerId {
         let count = self.available.len();
         let first = self.rng.usize(0..count);
--- a/crates/upstream/src/pool/ejection.rs
+++ b/crates/upstream/src/pool/ejection.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Nothing answers there: it gets a health check now and then and nothing else, whatever the floor, and
-    /// a slow start when it returns.
+    /// Nothing answers there: it gets a health check now and then and nothing else, whatever the
+    /// floor, and a slow start when it returns.
     fn server_down(
         &mut self,
         server_id: ServerId,
--- a/crates/upstream/src/pool/members.rs
+++ b/crates/upstream/src/pool/members.rs
@@ -31,8 +31,8 @@
         self.insert_server(Server::new(Health::HEALTHY, None), now, actions)
     }
 
-    /// Adds a server that came later than the others: with slow start it gets a health check first, and then
-    /// a slow start.
+    /// Adds a server that came later than the others: with slow start it gets a health check first,
+    /// and then a slow start.
     pub fn add_cold_server(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> ServerId {
         if self.config.slow_start.is_none() {
             return self.add_server(now, actions);
--- a/crates/upstream/src/pool/runs.rs
+++ b/crates/upstream/src/pool/runs.rs
@@ -56,7 +56,8 @@
         }
     }
 
-    /// No complete response came. What may have reached the server is retried only if it is idempotent.
+    /// No complete response came. What may have reached the server is retried only if it is
+    /// idempotent.
     pub(super) fn run_lost(
         &mut self,
         run: RunId,
--- a/crates/upstream/src/retry_budget.rs
+++ b/crates/upstream/src/retry_budget.rs
@@ -1,5 +1,5 @@
-//! The retry budget: each run begun adds a fraction of a retry, each retry takes one. A gate may restrict
-//! retries further, for example to a budget of the whole fleet.
+//! The retry budget: each run begun adds a fraction of a retry, each retry takes one. A gate may
+//! restrict retries further, for example to a budget of the whole fleet.
 
 use std::fmt;
 
--- a/crates/upstream/src/slow_start.rs
+++ b/crates/upstream/src/slow_start.rs
@@ -1,10 +1,10 @@
 //! Slow start: how many runs a server that was down may get by when.
 //!
-//! A server that was down has empty caches and, often, workers that are still to be started. In the first
-//! `T` after its return it gets at most `N` runs, at a rate that grows linearly: `N * (t / T)^2` by the time
-//! `t`. A pool that shares this with others (one budget of the whole fleet) is granted tokens at an even
-//! rate of `2 * N / T` instead, each of which is worth `t / T` of a run: the sum over all pools is the same
-//! curve, and a pool that is granted nothing sends nothing.
+//! A server that was down has empty caches and, often, workers that are still to be started. In the
+//! first `T` after its return it gets at most `N` runs, at a rate that grows linearly: `N * (t /
+//! T)^2` by the time `t`. A pool that shares this with others (one budget of the whole fleet) is
+//! granted tokens at an even rate of `2 * N / T` instead, each of which is worth `t / T` of a run:
+//! the sum over all pools is the same curve, and a pool that is granted nothing sends nothing.
 
 use std::fmt;
 
@@ -63,7 +63,8 @@
     started_at: TenthMillis,
     /// Up to when the pool's own credit is counted.
     counted_until: TenthMillis,
-    /// Runs that the server may get, as a fraction; below 0 while the health check is not made up for.
+    /// Runs that the server may get, as a fraction; below 0 while the health check is not made up
+    /// for.
     credit: f64,
     /// A run was wanted and there was no credit; none is requested again before `review_at`.
     pub exhausted: bool,
@@ -167,8 +168,8 @@
             .max(now + 1);
     }
 
-    /// Allows credit to be requested again. The health check is made up for also while no run is waiting:
-    /// the others that share the slow start would send as much without it.
+    /// Allows credit to be requested again. The health check is made up for also while no run is
+    /// waiting: the others that share the slow start would send as much without it.
     pub(crate) fn review(&mut self, tokens: &mut TokenSource, now: TenthMillis) {
         let debt_paid = self.gather(0.0, tokens, now);
         let next = if debt_paid {
--- a/crates/upstream/tests/pool.rs
+++ b/crates/upstream/tests/pool.rs
@@ -1,4 +1,5 @@
-//! The pool against a scripted world: what must hold after every event, and what each failure comes to.
+//! The pool against a scripted world: what must hold after every event, and what each failure comes
+//! to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -241,7 +242,8 @@
         self.ended.get(&run).map(|(end, _)| *end)
     }
 
-    /// A run every `every` for so long; the share of them that completed, of those begun from `since` on.
+    /// A run every `every` for so long; the share of them that completed, of those begun from
+    /// `since` on.
     fn load(
         &mut self,
         from: RunId,
--- a/crates/upstream/tests/slow_start.rs
+++ b/crates/upstream/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Servers that go down and return cold: what they are sent by when, what the others take, and that nothing
-//! waits for credit that does not come.
+//! Servers that go down and return cold: what they are sent by when, what the others take, and that
+//! nothing waits for credit that does not come.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -256,7 +256,8 @@
             .count()
     }
 
-    /// Of each slow start: no more than its curve at any time, the health check apart, and no more than its runs in all.
+    /// Of each slow start: no more than its curve at any time, the health check apart, and no more
+    /// than its runs in all.
     fn check_slow_starts(&self) {
         for (server, since) in &self.slow_starts {
             let next = self
@@ -373,7 +374,8 @@
     assert_eq!(simulation.slow_starts.len(), 1);
     simulation.advance(DURATION - 500 * MILLISECOND);
     let before = simulation.sent[&0].len();
-    // Nothing was wanted for most of the slow start: what comes now gets the rate of now, about 20 a second.
+    // Nothing was wanted for most of the slow start: what comes now gets the rate of now, about 20
+    // a second.
     simulation.load(MILLISECOND, 400 * MILLISECOND);
     let sent = simulation.sent[&0].len() - before;
     assert!((6..=11).contains(&sent), "{sent}");
@@ -691,7 +693,8 @@
     pool.connected(first, MILLISECOND, &mut actions);
     pool.request_sent(first);
     pool.connect_refused(second, MILLISECOND, &mut actions);
-    // The run that was under way ends well after the server is to be health checkd: it says nothing of a return.
+    // The run that was under way ends well after the server is to be health checkd: it says nothing
+    // of a return.
     pool.tick(600 * MILLISECOND, &mut actions);
     actions.clear();
     pool.response_ended(
@@ -841,7 +844,8 @@
             Step::Add | Step::Remove(_) => {}
         }
         simulation.execute(actions);
-        // Whoever waits has a server to wait for: one that is in use and not cold, or a place on credit.
+        // Whoever waits has a server to wait for: one that is in use and not cold, or a place on
+        // credit.
         let served = simulation.pool.connections() > 0 || simulation.pool.in_use() > 0;
         assert!(
             simulation.pool.in_flight() == 0 || served,
