--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -1,22 +1,15 @@
 //! The allocation of one budget at this node, and what of it is in use.
 
 use crate::need::NeedEstimate;
+use crate::token_bucket::TokenBucket;
 use crate::{Budget, Grant, Kind, Parameters, ReportItem, Units};
 use doortrack_time::TenthMillis;
 
-/// Fractions of one token: a rate of one thousandth of a unit a second adds one fraction in a tenth
-/// of a millisecond.
-const TOKEN: u64 = 10_000_000;
-
 /// How use is counted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Usage {
-    /// A token bucket: `tokens` as of `counted_until`, at most `cap`, in fractions of [`TOKEN`].
-    Rate {
-        tokens: u64,
-        cap: u64,
-        counted_until: TenthMillis,
-    },
+    /// Each use takes a token.
+    Rate(TokenBucket),
     /// Units held.
     Concurrency { in_use: Units },
 }
@@ -50,11 +43,7 @@
         parameters: &Parameters,
     ) -> Allocation {
         let usage = match budget.kind {
-            Kind::Rate { .. } => Usage::Rate {
-                tokens: 0,
-                cap: 0,
-                counted_until: now,
-            },
+            Kind::Rate { .. } => Usage::Rate(TokenBucket::new(now)),
             Kind::Concurrency { .. } => Usage::Concurrency { in_use: 0 },
         };
         let mut allocation = Allocation {
@@ -69,7 +58,7 @@
             expired_lease: None,
             rejected: 0,
         };
-        allocation.apply_cap();
+        allocation.update_capacity();
         allocation
     }
 
@@ -81,67 +70,49 @@
             .leased
             .min(budget.grantable(budget.limit(), budget.reserved()));
         self.budget = budget;
-        self.apply_cap();
+        self.update_capacity();
     }
 
     /// Takes back everything: nothing may be used any more.
     pub fn close(&mut self) {
         (self.reserved, self.leased, self.lease_until) = (0, 0, 0);
-        self.apply_cap();
+        self.update_capacity();
     }
 
     /// Adapts the token bucket to what is allocated.
-    fn apply_cap(&mut self) {
-        let (usable, limit) = (self.reserved + self.leased, self.budget.limit());
-        if let (Usage::Rate { tokens, cap, .. }, Kind::Rate { burst }) =
-            (&mut self.usage, self.budget.kind)
-        {
-            let full_cap = u128::from(burst) * u128::from(TOKEN);
-            *cap = (full_cap * u128::from(usable.min(limit)) / u128::from(limit.max(1))) as u64;
-            *tokens = (*tokens).min(*cap);
+    fn update_capacity(&mut self) {
+        let rate = self.reserved + self.leased;
+        if let (Usage::Rate(bucket), Kind::Rate { burst }) = (&mut self.usage, self.budget.kind) {
+            bucket.set_capacity(burst, rate, self.budget.limit());
         }
     }
 
-    /// Counts up to now, and ends a lease that has expired.
-    fn settle(&mut self, now: TenthMillis, parameters: &Parameters) {
+    /// Accounts for the time up to now, and ends a lease that has expired.
+    fn advance(&mut self, now: TenthMillis, parameters: &Parameters) {
         if self.leased > 0 && self.lease_until <= now && parameters.safeguards.lease_expiry {
-            self.count(self.lease_until, parameters);
+            self.refill(self.lease_until, parameters);
             self.expired_lease = Some(self.leased);
             self.leased = 0;
-            self.apply_cap();
+            self.update_capacity();
         }
-        self.count(now, parameters);
+        self.refill(now, parameters);
     }
 
-    /// Adds the tokens of the time since the last count.
-    fn count(&mut self, now: TenthMillis, parameters: &Parameters) {
+    fn refill(&mut self, now: TenthMillis, parameters: &Parameters) {
         let rate = self.reserved + self.leased;
-        if let Usage::Rate {
-            tokens,
-            cap,
-            counted_until,
-        } = &mut self.usage
-        {
-            let elapsed = now.saturating_sub(*counted_until);
-            let mut added = rate.saturating_mul(elapsed);
-            if parameters.safeguards.drift {
-                // A clock that is too fast must not make more of a second than there is.
-                added = added.saturating_mul(1_000) / (1_000 + parameters.drift);
-            }
-            *tokens = tokens.saturating_add(added).min(*cap);
-            *counted_until = now.max(*counted_until);
+        if let Usage::Rate(bucket) = &mut self.usage {
+            bucket.refill(now, rate, parameters);
         }
     }
 
     /// What may be used now, the reserved minimum included.
     pub fn usable(&mut self, now: TenthMillis, parameters: &Parameters) -> Units {
-        self.settle(now, parameters);
-        self.leased
-            + if now >= self.reserved_from {
-                self.reserved
-            } else {
-                0
-            }
+        self.advance(now, parameters);
+        if now >= self.reserved_from {
+            self.leased + self.reserved
+        } else {
+            self.leased
+        }
     }
 
     /// Acquires one unit.
@@ -155,37 +126,27 @@
     ) -> Result<(), TenthMillis> {
         let usable = self.usable(now, parameters);
         let rate = self.reserved + self.leased;
-        let (taken, in_use) = match &mut self.usage {
-            Usage::Rate { tokens, cap, .. } => {
-                if *tokens >= TOKEN {
-                    *tokens -= TOKEN;
-                    (Ok(()), 0)
-                } else if *cap >= TOKEN && rate > 0 {
-                    (Err((TOKEN - *tokens).div_ceil(rate).max(1)), 0)
-                } else {
-                    (Err(parameters.round), 0)
-                }
+        let (acquired, in_use) = match &mut self.usage {
+            Usage::Rate(bucket) => {
+                let taken = bucket.try_take(rate);
+                (taken.map_err(|wait| wait.unwrap_or(parameters.round)), 0)
             }
-            Usage::Concurrency { in_use } => {
-                let taken = if *in_use < usable {
-                    Ok(())
-                } else {
-                    Err(parameters.round)
-                };
-                *in_use += Units::from(taken.is_ok());
-                (taken, *in_use)
+            Usage::Concurrency { in_use } if *in_use < usable => {
+                *in_use += 1;
+                (Ok(()), *in_use)
             }
+            Usage::Concurrency { in_use } => (Err(parameters.round), *in_use),
         };
-        self.rejected += u64::from(taken.is_err());
-        self.need.on_request(taken.is_ok(), in_use);
-        taken
+        self.rejected += u64::from(acquired.is_err());
+        self.need.on_request(acquired.is_ok(), in_use);
+        acquired
     }
 
     /// Gives back a unit: of a concurrency always, of a rate only if it was not used.
     pub fn release(&mut self, used: bool) {
         match &mut self.usage {
-            Usage::Rate { tokens, cap, .. } if !used => *tokens = (*tokens + TOKEN).min(*cap),
-            Usage::Rate { .. } => {}
+            Usage::Rate(_) if used => {}
+            Usage::Rate(bucket) => bucket.put_back(),
             Usage::Concurrency { in_use } => *in_use = in_use.saturating_sub(1),
         }
     }
@@ -198,7 +159,7 @@
     /// Units held; 0 for a rate.
     pub fn in_use(&self) -> Units {
         match self.usage {
-            Usage::Rate { .. } => 0,
+            Usage::Rate(_) => 0,
             Usage::Concurrency { in_use } => in_use,
         }
     }
@@ -211,7 +172,7 @@
         round: bool,
         leaving: bool,
     ) -> ReportItem {
-        self.settle(now, parameters);
+        self.advance(now, parameters);
         let in_use = self.in_use();
         let need = if round {
             self.need.end_round(now, &self.budget, in_use)
@@ -242,7 +203,7 @@
         until: TenthMillis,
         parameters: &Parameters,
     ) -> (Units, Units) {
-        self.settle(now, parameters);
+        self.advance(now, parameters);
         let previous = self.leased;
         // A leader that prolongs may not know that this has been granted to another since it was
         // over here.
@@ -256,7 +217,7 @@
                 .grantable(self.budget.limit(), self.budget.reserved()),
         );
         (self.lease_until, self.accepted, self.expired_lease) = (until, seq, None);
-        self.apply_cap();
+        self.update_capacity();
         (previous, self.leased)
     }
 
@@ -266,7 +227,7 @@
         now: TenthMillis,
         parameters: &Parameters,
     ) -> Option<Units> {
-        self.settle(now, parameters);
+        self.advance(now, parameters);
         self.expired_lease.take()
     }
 
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -43,6 +43,7 @@
 mod allocation;
 mod budgets;
 mod divide;
+mod election;
 mod envelope;
 mod holder;
 mod leadership;
@@ -50,6 +51,7 @@
 mod need;
 mod parameters;
 mod reporting;
+mod token_bucket;
 mod voter;
 
 use doortrack_membership::View;
