--- a/crates/bench/src/log_line.rs
+++ b/crates/bench/src/log_line.rs
@@ -1,7 +1,7 @@
 //! Figures in the log lines of a node, in the text format.
 
 /// Messages of the line that sums up a server pool; earlier builds write the second.
-const POOL_SUMMARY: [&str; 2] = ["server summary", "so far of servers"];
+const POOL_SUMMARY: [&str; 2] = ["servers summary", "so far of servers"];
 
 /// Whether a line sums up a server pool.
 pub fn is_pool_summary(line: &str) -> bool {
--- a/crates/fault-harness/src/processes/querying.rs
+++ b/crates/fault-harness/src/processes/querying.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use doortrack_node::commands::fleet::ask;
+use doortrack_node::commands::fleet::query_members;
 
 use super::{KEY_BYTE, KEY_BYTES, Rig};
 use crate::history::{HistoryEvent, Member};
@@ -26,7 +26,7 @@
 impl Rig {
     /// A node's view of its fleet; `None` if it does not answer.
     pub fn status(&self, node: usize) -> Option<HistoryEvent> {
-        let answer = ask(self.fleet_address(node), Some([KEY_BYTE; KEY_BYTES])).ok()?;
+        let answer = query_members(self.fleet_address(node), Some([KEY_BYTE; KEY_BYTES])).ok()?;
         let members = answer.members.iter().map(|member| Member {
             name: member.name.to_string(),
             incarnation: member.incarnation.to_string(),
@@ -37,8 +37,8 @@
         });
         Some(HistoryEvent::Status {
             node,
-            isolated: answer.first.isolated,
-            digest: format!("{:016x}", answer.first.digest),
+            isolated: answer.status.isolated,
+            digest: format!("{:016x}", answer.status.digest),
             members: members.collect(),
         })
     }
--- a/crates/fault-harness/src/scale/serving.rs
+++ b/crates/fault-harness/src/scale/serving.rs
@@ -8,15 +8,16 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use doortrack_node::peers::peer_message::{Ask, PeerMessage};
-use doortrack_node::peers::seal::{LONGEST, Seal};
+use doortrack_node::peers::peer_message::{PeerMessage, StatusQuery};
+use doortrack_node::peers::seal::{MAX_DATAGRAM_LEN, Seal};
 use serde_json::{Value, json};
 
 use super::child::{ScaleError, end_with_parent};
 use super::plan::{FLEET_KEY, FleetPlan};
 
-/// The line of the log with the counters of the link, which a node writes every 10 s.
-const SUMMARY: &str = "so far of the fleet";
+/// The line of the log with the counters of the link, which a node writes every 10 s; former builds write the
+/// second one.
+const SUMMARIES: [&str; 2] = ["fleet summary", "so far of the fleet"];
 const LOG_LINES_PER_SECOND: &str = "1000";
 /// An answer about a view is waited for so long, and asked for so often.
 const PATIENCE: Duration = Duration::from_millis(200);
@@ -34,7 +35,7 @@
 /// The counters that a line of a node's JSON log tells; none for any other line.
 pub fn link_counts(line: &str) -> Option<LinkCounts> {
     let line: Value = serde_json::from_str(line).ok()?;
-    if line["msg"] != SUMMARY {
+    if !SUMMARIES.iter().any(|summary| line["msg"] == *summary) {
         return None;
     }
     let number = |key: &str| line[key].as_u64();
@@ -185,11 +186,14 @@
     let seal = Seal::new(Some(FLEET_KEY), "");
     let socket = UdpSocket::bind("127.0.0.1:0")?;
     socket.set_read_timeout(Some(PATIENCE))?;
-    let mut bytes = [0; LONGEST];
+    let mut bytes = [0; MAX_DATAGRAM_LEN];
     for _ in 0..TRIES {
         let nonce = fastrand::u64(..);
         let question = seal
-            .close(&PeerMessage::Ask(Ask { nonce, after: None }))
+            .seal(&PeerMessage::StatusQuery(StatusQuery {
+                nonce,
+                after: None,
+            }))
             .unwrap_or_default();
         socket.send_to(&question, address)?;
         let Ok((len, _)) = socket.recv_from(&mut bytes) else {
