--- a/crates/bench/src/bin/budgets.rs
+++ b/crates/bench/src/bin/budgets.rs
@@ -149,7 +149,7 @@
     .outcome();
     println!(
         "{title}, {nodes} nodes: {:.3} of what one who knows all puts to use; fixed shares {:.3}",
-        outcome.used[0] as f64 / baseline.omniscient,
+        outcome.admitted[0] as f64 / baseline.omniscient,
         baseline.fixed_shares / baseline.omniscient
     );
 }
@@ -290,7 +290,7 @@
         println!(
             "equal need, {nodes} nodes: Jain's index {:.4}, {:.3} of the limit used",
             jain_index(&outcome.by_node),
-            outcome.used[0] as f64 / (LIMIT_PER_S * 30.0)
+            outcome.admitted[0] as f64 / (LIMIT_PER_S * 30.0)
         );
     }
 }
@@ -333,7 +333,7 @@
             per_node_and_second(cost.bytes),
             outcome.max_bytes as f64 / 10.0,
             cost.decisions_ns as f64 / cost.events.max(1) as f64,
-            outcome.used[0] as f64 / outcome.asked[0].max(1) as f64,
+            outcome.admitted[0] as f64 / outcome.requested[0].max(1) as f64,
         );
     }
 }
--- a/crates/fault-harness/tests/divided.rs
+++ b/crates/fault-harness/tests/divided.rs
@@ -120,10 +120,10 @@
     let one = holds(&script(20_000, 1, vec![]));
     // All but what went before there was a leader that grants: 3 s of the 20.
     assert!(
-        one.used[0] > 17 * 600 * 85 / 100,
+        one.admitted[0] > 17 * 600 * 85 / 100,
         "{} of {}",
-        one.used[0],
-        one.asked[0]
+        one.admitted[0],
+        one.requested[0]
     );
     assert_eq!(one.leaders, 1);
     assert_eq!(one.digest, holds(&script(20_000, 1, vec![])).digest);
@@ -302,7 +302,7 @@
         (20_000, 20_000),
         &|_, _, _| 200.0,
     );
-    assert!(!without.violations.is_empty(), "{}", without.used[0]);
+    assert!(!without.violations.is_empty(), "{}", without.admitted[0]);
 }
 
 /// Two hundred budgets go in pages; one node's need is absurd, and takes no more than its fair part.
@@ -342,5 +342,5 @@
         "{:?}",
         out.by_node
     );
-    assert!(out.used[199] > 700, "{}", out.used[199]);
+    assert!(out.admitted[199] > 700, "{}", out.admitted[199]);
 }
--- a/crates/fault-harness/tests/simulated.rs
+++ b/crates/fault-harness/tests/simulated.rs
@@ -43,7 +43,7 @@
             offset_ms: 2_000,
             drift_ppm: 20_000,
             zones: 3,
-            between_zones: 2_000,
+            inter_zone_latency: 2_000,
             ..Options::default()
         };
         holds(&Script::seeded(seed, 7, 5), &options);
