--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -8,6 +8,8 @@
 //! Safety is judged at all times. Liveness is judged by the nodes' final views, for which the harness waits
 //! long enough that a slow machine changes no verdict.
 
+#![warn(missing_docs)]
+
 pub mod checks;
 pub mod divided;
 pub mod ground_truth;
@@ -16,6 +18,10 @@
 pub mod load;
 pub mod processes;
 pub mod relay;
+#[allow(
+    missing_docs,
+    reason = "the measurements of scale are not documented throughout yet"
+)]
 pub mod scale;
 pub mod script;
 pub mod serving;
--- a/crates/fault-harness/src/load.rs
+++ b/crates/fault-harness/src/load.rs
@@ -19,12 +19,13 @@
 
 /// Share of requests that go to the preferred node, where there is one.
 const PREFERRED_SHARE: f64 = 0.6;
-/// The server's concurrency, as the operators' file says it.
+/// The server's concurrency, as the installation file says it.
 const SERVER_CONCURRENCY: u32 = 64;
 
 /// How callers send requests, and how long the server runs them.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadProfile {
+    /// Number of callers.
     pub callers: usize,
     /// Pause between two requests of a caller.
     pub pause: Duration,
@@ -37,14 +38,17 @@
 /// One request as its caller knows it. Times are in Unix ms.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
+    /// Identifier of the attempt.
     pub id: u64,
     /// Index of the node that it was sent to.
     pub node: usize,
     /// Whether it had an idempotency key.
     pub keyed: bool,
+    /// When it was sent.
     pub sent: u64,
     /// `None`: the connection failed.
     pub answer: Option<Seen>,
+    /// When the answer ended, or the connection failed.
     pub answered: u64,
 }
 
@@ -52,15 +56,17 @@
 pub struct Load {
     server: Server,
     profile: LoadProfile,
-    stop: Arc<AtomicBool>,
+    is_over: Arc<AtomicBool>,
     callers: Vec<JoinHandle<Vec<RequestRecord>>>,
 }
 
 /// What callers and server recorded.
 pub struct LoadReport {
+    /// All requests.
     pub requests: Vec<RequestRecord>,
-    /// Requests that ran, without an idempotency key (`/svc/look`) and with one (`/svc/pay`).
+    /// Requests without an idempotency key (`/svc/look`) that ran.
     pub unkeyed: Vec<Admitted>,
+    /// Requests with an idempotency key (`/svc/pay`) that ran.
     pub keyed: Vec<Admitted>,
     /// Start and end of the runs of keyed requests by the server's clock, in Unix ms.
     pub runs: Vec<(u64, u64)>,
@@ -87,12 +93,12 @@
         Load {
             server,
             profile,
-            stop: Arc::default(),
+            is_over: Arc::default(),
             callers: Vec::new(),
         }
     }
 
-    /// The part of a node's operators' file that names the server.
+    /// The part of a node's installation file that names the server.
     pub fn installation(&self) -> Value {
         let addresses = [self.server.at.to_string()];
         json!({"servers": {"protocol": "fastcgi", "addresses": addresses, "at_once": SERVER_CONCURRENCY}})
@@ -109,29 +115,29 @@
                 next_id: ((index + 1) << 32) + 1,
                 requests: Vec::new(),
             };
-            let stop = self.stop.clone();
+            let is_over = self.is_over.clone();
             self.callers
-                .push(std::thread::spawn(move || caller.run(started, &stop)));
+                .push(std::thread::spawn(move || caller.run(started, &is_over)));
         }
     }
 
     /// Stops the callers, once each has the answer to its last request.
     pub fn finish(mut self) -> LoadReport {
-        self.stop.store(true, Ordering::Relaxed);
+        self.is_over.store(true, Ordering::Relaxed);
         let callers = std::mem::take(&mut self.callers).into_iter();
         let requests: Vec<RequestRecord> = callers
             .filter_map(|caller| caller.join().ok())
             .flatten()
             .collect();
-        let by_try_id: BTreeMap<String, &RequestRecord> = requests
+        let by_attempt: BTreeMap<String, &RequestRecord> = requests
             .iter()
             .map(|request| (doortrack_fakes::try_id(request.id), request))
             .collect();
         let run_ms = self.profile.run_time.as_millis() as u64;
         let (mut unkeyed, mut keyed, mut runs) = (Vec::new(), Vec::new(), Vec::new());
-        for got in self.server.got() {
-            let ran = Ran::from(&got);
-            let Some(request) = by_try_id.get(&ran.try_id) else {
+        for received in self.server.got() {
+            let ran = Ran::from(&received);
+            let Some(request) = by_attempt.get(&ran.try_id) else {
                 continue;
             };
             let admitted = Admitted {
@@ -155,8 +161,8 @@
 }
 
 impl Caller {
-    fn run(mut self, started: Instant, stop: &AtomicBool) -> Vec<RequestRecord> {
-        while !stop.load(Ordering::Relaxed) {
+    fn run(mut self, started: Instant, is_over: &AtomicBool) -> Vec<RequestRecord> {
+        while !is_over.load(Ordering::Relaxed) {
             let node = self.choose_node(started.elapsed());
             let keyed = self.random.bool();
             self.send(node, keyed);
@@ -180,15 +186,16 @@
     fn send(&mut self, node: usize, keyed: bool) {
         let id = self.next_id;
         self.next_id += 1;
-        let ask = Ask::new(id, if keyed { "/svc/pay" } else { "/svc/look" }, b"berth");
         let key = format!("{id:032x}");
-        let ask = if keyed {
-            ask.with("HTTP_IDEMPOTENCY_KEY", &key)
+        let request = if keyed {
+            Ask::new(id, "/svc/pay", b"berth").with("HTTP_IDEMPOTENCY_KEY", &key)
         } else {
-            ask
+            Ask::new(id, "/svc/look", b"berth")
         };
         let sent = unix_ms();
-        let answer = ask.try_send(self.addresses[node], Protocol::FastCgi).ok();
+        let answer = request
+            .try_send(self.addresses[node], Protocol::FastCgi)
+            .ok();
         let answer = answer.map(|pending| pending.seen());
         self.requests.push(RequestRecord {
             id,
--- a/crates/fault-harness/src/script/seeded.rs
+++ b/crates/fault-harness/src/script/seeded.rs
@@ -212,37 +212,13 @@
             bytes_a_second: 0,
         };
         let calm = NetworkConditions::default();
-        if self.random.bool() {
-            self.put(
-                start,
-                Fault::Server {
-                    nodes: few.clone(),
-                    conditions,
-                },
-            );
-            self.put(
-                end,
-                Fault::Server {
-                    nodes: few,
-                    conditions: calm,
-                },
-            );
+        let fault: fn(Vec<usize>, NetworkConditions) -> Fault = if self.random.bool() {
+            |nodes, conditions| Fault::Server { nodes, conditions }
         } else {
-            self.put(
-                start,
-                Fault::Callers {
-                    nodes: few.clone(),
-                    conditions,
-                },
-            );
-            self.put(
-                end,
-                Fault::Callers {
-                    nodes: few,
-                    conditions: calm,
-                },
-            );
-        }
+            |nodes, conditions| Fault::Callers { nodes, conditions }
+        };
+        self.put(start, fault(few.clone(), conditions));
+        self.put(end, fault(few, calm));
     }
 
     /// Old datagrams are replayed once the nodes that left have started again.
--- a/crates/fault-harness/src/usage.rs
+++ b/crates/fault-harness/src/usage.rs
@@ -4,7 +4,9 @@
 /// One admitted request. It was admitted at some time between these two, in ms of one clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Admitted {
+    /// When it was sent.
     pub sent: u64,
+    /// When it ran.
     pub ran: u64,
 }
 
