--- a/crates/node/src/network/classified.rs
+++ b/crates/node/src/network/classified.rs
@@ -115,7 +115,7 @@
         let pairs = origin
             .protocol
             .read_variables(variables)
-            .map_err(|broken| Unreadable::Field(broken.0))?;
+            .map_err(|malformed| Unreadable::Field(malformed.0))?;
         let view = RequestView::new(&pairs, body, origin)?;
         if view.path() == HEALTH_CHECK_PATH {
             return Ok(Inbound::Health);
--- a/crates/node/src/network/connection.rs
+++ b/crates/node/src/network/connection.rs
@@ -183,12 +183,12 @@
         }
     }
 
-    /// Splits what was read into pieces of requests.
+    /// Splits what was read into events of requests.
     pub fn reader(&mut self) -> &mut RequestReader {
         &mut self.input.reader
     }
 
-    /// Accounts for bytes that were read and split into pieces; whether too many have come without completing
+    /// Accounts for bytes that were read and split; whether too many have come without completing
     /// a request.
     pub fn account_read(&mut self, bytes: usize, now: TenthMillis) -> bool {
         let between_requests = self.input.reader.at_boundary() && !self.pending.any_incomplete();
--- a/crates/node/src/network/headers.rs
+++ b/crates/node/src/network/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of a server's answer that go on to the caller.
+//! Headers of a server's response that go on to the caller.
 
 use doortrack_protocols::Response;
 
@@ -18,10 +18,10 @@
     "X-Dont-Retry",
 ];
 
-/// The headers of an answer that go on to the caller, as lines.
-pub(super) fn forwarded_headers(answer: &Response) -> Vec<u8> {
+/// The headers of a response that go on to the caller, as lines.
+pub(super) fn forwarded_headers(response: &Response) -> Vec<u8> {
     let mut lines = Vec::new();
-    for (name, value) in &answer.headers {
+    for (name, value) in &response.headers {
         if is_forwarded(name) {
             for part in [name.as_bytes(), b": ", value, b"\r\n"] {
                 lines.extend(part);
--- a/crates/node/src/network/listeners/reading.rs
+++ b/crates/node/src/network/listeners/reading.rs
@@ -76,7 +76,7 @@
         let size = input.len();
         while self.connections[slot].is_reading() {
             match self.connections[slot].reader().next(&mut input) {
-                Ok(Some(piece)) => self.on_piece(slot, piece, now, events),
+                Ok(Some(request_event)) => self.on_request_event(slot, request_event, now, events),
                 Ok(None) => break,
                 Err(_) => self.give_up(slot),
             }
@@ -98,19 +98,19 @@
         self.queue_flush(slot);
     }
 
-    fn on_piece(
+    fn on_request_event(
         &mut self,
         slot: usize,
-        piece: RequestEvent,
+        request_event: RequestEvent,
         now: TenthMillis,
         events: &mut Vec<ListenerEvent>,
     ) {
-        match piece {
+        match request_event {
             RequestEvent::Begin {
                 id,
                 role,
-                keep_connection: keep,
-            } => self.begin(slot, id, role, keep),
+                keep_connection,
+            } => self.begin(slot, id, role, keep_connection),
             RequestEvent::Abort { id } => self.abort(slot, id, events),
             RequestEvent::Params { id, bytes } => self.append(slot, id, Stream::Params, bytes),
             RequestEvent::Stdin { id, bytes } => self.append(slot, id, Stream::Body, bytes),
@@ -132,13 +132,13 @@
         }
     }
 
-    fn begin(&mut self, slot: usize, wire_id: u16, role: u16, keep_open: bool) {
+    fn begin(&mut self, slot: usize, wire_id: u16, role: u16, keep_connection: bool) {
         let connection = &mut self.connections[slot];
         if connection.pending.find_wire_id(wire_id).is_some() {
             return self.give_up(slot);
         }
         let is_closing = connection.is_closing();
-        if !keep_open && !is_closing {
+        if !keep_connection && !is_closing {
             connection.close_when_answered(Termination::Closed);
         }
         self.requests_begun += 1;
--- a/crates/node/src/network/request.rs
+++ b/crates/node/src/network/request.rs
@@ -130,7 +130,7 @@
 pub fn read(protocol: Protocol, variables: &[u8], names: &Names) -> Result<Inbound, Unreadable> {
     let pairs = protocol
         .read_variables(variables)
-        .map_err(|broken| Unreadable::Field(broken.0))?;
+        .map_err(|malformed| Unreadable::Field(malformed.0))?;
     let fields = Fields(&pairs);
     let path = fields.required("SCRIPT_NAME")?;
     if path == HEALTH_CHECK_PATH {
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -43,14 +43,14 @@
     protocol: Protocol,
     /// Whether connections may be kept for the next run.
     keep_alive: bool,
-    max_answer_bytes: usize,
+    max_response_bytes: usize,
     addresses: BTreeMap<ServerId, SocketAddr>,
     /// By the pool's id of the connection.
     connections: Vec<Option<ServerConnection>>,
     /// The encoded request of each run that has not ended, as it may be retried.
     requests: FxHashMap<RunId, Vec<u8>>,
-    /// The answer of each run that has completed, until the pool reports its end.
-    answers: FxHashMap<RunId, Response>,
+    /// The response of each run that has completed, until the pool reports its end.
+    responses: FxHashMap<RunId, Response>,
     /// What the pool has decided and is still to be carried out.
     actions: Vec<Action>,
     /// What is still to be passed on.
@@ -80,11 +80,11 @@
             pool: Pool::new(settings.pool_config(longest_deadline), seed),
             protocol: settings.protocol.into(),
             keep_alive: false,
-            max_answer_bytes: 0,
+            max_response_bytes: 0,
             addresses: BTreeMap::new(),
             connections: Vec::new(),
             requests: FxHashMap::default(),
-            answers: FxHashMap::default(),
+            responses: FxHashMap::default(),
             actions: Vec::new(),
             events: Vec::new(),
             read_buffer: vec![0; READ_BUFFER_BYTES],
@@ -104,7 +104,7 @@
     ) {
         let config = settings.pool_config(longest_deadline);
         self.keep_alive = config.idle_timeout > 0;
-        self.max_answer_bytes = settings.max_response_bytes as usize;
+        self.max_response_bytes = settings.max_response_bytes as usize;
         self.pool.reconfigure(config, now, &mut self.actions);
         self.execute_actions(now);
         let members = self.members();
--- a/crates/node/src/network/servers/actions.rs
+++ b/crates/node/src/network/servers/actions.rs
@@ -45,13 +45,13 @@
 
     fn on_run_ended(&mut self, run: RunId, termination: Termination) {
         self.requests.remove(&run);
-        let answer = self.answers.remove(&run).unwrap_or_default();
+        let response = self.responses.remove(&run).unwrap_or_default();
         *self.terminations.entry(termination.name()).or_default() += 1;
         self.events.push(BackendEvent::RunEnded {
             id: run,
             termination,
-            headers: forwarded_headers(&answer),
-            body: answer.body,
+            headers: forwarded_headers(&response),
+            body: response.body,
         });
     }
 }
--- a/crates/node/src/network/servers/connection.rs
+++ b/crates/node/src/network/servers/connection.rs
@@ -47,7 +47,7 @@
             connecting: true,
             run: None,
             written: 0,
-            reader: ResponseReader::new(self.protocol, WIRE_ID, self.max_answer_bytes),
+            reader: ResponseReader::new(self.protocol, WIRE_ID, self.max_response_bytes),
             watching_writes: true,
         });
         Ok(())
--- a/crates/node/src/network/servers/transfer.rs
+++ b/crates/node/src/network/servers/transfer.rs
@@ -1,4 +1,4 @@
-//! Writes requests to servers and reads their answers.
+//! Writes requests to servers and reads their responses.
 
 use std::io::{ErrorKind, Read, Write};
 
@@ -12,7 +12,7 @@
 impl Servers {
     /// Sends a run on an idle connection.
     pub(super) fn send(&mut self, id: ConnId, run: RunId, now: TenthMillis) {
-        let reader = ResponseReader::new(self.protocol, WIRE_ID, self.max_answer_bytes);
+        let reader = ResponseReader::new(self.protocol, WIRE_ID, self.max_response_bytes);
         let Some(connection) = self.connection_mut(id) else {
             return;
         };
@@ -96,13 +96,15 @@
         }
         if count == 0 {
             return match connection.reader.on_close() {
-                Ok(answer) => self.on_answer(id, ResponseOutcome::Complete(answer), false, now),
+                Ok(response) => {
+                    self.on_response(id, ResponseOutcome::Complete(response), false, now)
+                }
                 Err(_) => self.on_lost(id, now),
             };
         }
         let mut input = &buffer[..count];
         match connection.reader.read(&mut input) {
-            Ok(Some(answered)) => self.on_answer(id, answered, input.is_empty(), now),
+            Ok(Some(outcome)) => self.on_response(id, outcome, input.is_empty(), now),
             Ok(None) => {}
             Err(_) => self.on_lost(id, now),
         }
@@ -113,11 +115,11 @@
         self.pool.connection_lost(id, now, &mut self.actions);
     }
 
-    /// Handles the answer of a run; `nothing_left` tells that the server sent nothing after it.
-    fn on_answer(
+    /// Handles the response of a run; `nothing_left` tells that the server sent nothing after it.
+    fn on_response(
         &mut self,
         id: ConnId,
-        answered: ResponseOutcome,
+        outcome: ResponseOutcome,
         nothing_left: bool,
         now: TenthMillis,
     ) {
@@ -132,22 +134,22 @@
         let all_written = request.is_some_and(|request| request.len() == written);
         let may_keep = self.keep_alive && self.protocol == Protocol::FastCgi;
         let reusable = nothing_left && all_written && may_keep;
-        let end = match answered {
-            ResponseOutcome::Complete(answer) => self.store_answer(run, answer, reusable),
+        let end = match outcome {
+            ResponseOutcome::Complete(response) => self.store_response(run, response, reusable),
             ResponseOutcome::Refused(_) => ResponseEnd::Refused { reusable },
         };
         self.pool.response_ended(id, end, now, &mut self.actions);
         self.forget_removed();
     }
 
-    /// Stores the answer of a run that has completed, until the pool reports its end.
-    fn store_answer(&mut self, run: RunId, answer: Response, reusable: bool) -> ResponseEnd {
-        let reusable = reusable && !answer.excess;
-        let succeeded = (200..300).contains(&answer.status);
+    /// Stores the response of a run that has completed, until the pool reports its end.
+    fn store_response(&mut self, run: RunId, response: Response, reusable: bool) -> ResponseEnd {
+        let reusable = reusable && !response.excess;
+        let succeeded = (200..300).contains(&response.status);
         if !succeeded {
             return ResponseEnd::Failed { reusable };
         }
-        self.answers.insert(run, answer);
+        self.responses.insert(run, response);
         ResponseEnd::Completed { reusable }
     }
 }
