--- a/crates/bench/src/load/connection.rs
+++ b/crates/bench/src/load/connection.rs
@@ -118,8 +118,8 @@
         }
         let mut input = &buffer[..count];
         let mut finished = Vec::new();
-        while let Some(reply) = self.records.next(&mut input).map_err(io::Error::other)? {
-            match reply {
+        while let Some(record) = self.records.next(&mut input).map_err(io::Error::other)? {
+            match record {
                 ResponseRecord::Stdout { id, bytes } => {
                     if let Some(index) = position(&self.in_flight, id) {
                         self.in_flight[index].keep_start(bytes);
