--- a/crates/fault-harness/src/scale/node_cost.rs
+++ b/crates/fault-harness/src/scale/node_cost.rs
@@ -1,6 +1,7 @@
 //! What one real node costs as its settings and callers grow, each dimension alone at fixed others.
 
 pub mod alone;
+pub mod bench;
 pub mod caller;
 pub mod full_table;
 pub mod keys;
@@ -10,6 +11,7 @@
 pub mod reload;
 pub mod report;
 pub mod settings;
+pub mod units;
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -19,7 +21,8 @@
 use doortrack_config::installation::MAX_POOLS;
 use indicatif::{ProgressBar, ProgressStyle};
 
-use self::measure::{Bench, Spans, measure};
+use self::bench::Bench;
+use self::measure::{Spans, measure};
 use self::process::Fault;
 use self::report::{Report, Swept, Taken};
 use self::settings::Size;
--- a/crates/fault-harness/src/scale/node_cost/alone.rs
+++ b/crates/fault-harness/src/scale/node_cost/alone.rs
@@ -7,10 +7,12 @@
 use serde::Serialize;
 use serde_json::json;
 
+use super::bench::{Bench, Started};
 use super::caller::{Connection, Outcome, Outcomes, Request, paced};
-use super::measure::{Bench, PEAK_RATE, Started, thousandths};
+use super::measure::PEAK_RATE;
 use super::process::{Fault, fresh_addresses};
 use super::settings::{Addresses, Size, request_path, tenant};
+use super::units::thousandths;
 
 const NAMES: [&str; 3] = ["n1", "n2", "n3"];
 /// Requests a second of a budget's whole, and what is set aside for the node that stays.
--- a/crates/fault-harness/src/scale/node_cost/full_table.rs
+++ b/crates/fault-harness/src/scale/node_cost/full_table.rs
@@ -5,8 +5,9 @@
 
 use serde::Serialize;
 
+use super::bench::{Bench, Started};
 use super::caller::{Connection, Outcomes, Request, histogram, paced};
-use super::measure::{Bench, Callers, Latency, PEAK_RATE, Started};
+use super::measure::{Callers, Latency, PEAK_RATE};
 use super::process::Fault;
 use super::settings::{Size, request_path, tenant};
 
--- a/crates/fault-harness/src/scale/node_cost/keys.rs
+++ b/crates/fault-harness/src/scale/node_cost/keys.rs
@@ -4,8 +4,9 @@
 
 use serde::Serialize;
 
+use super::bench::Bench;
 use super::caller::{Connection, Outcome, Request, paced};
-use super::measure::{Bench, PEAK_RATE};
+use super::measure::PEAK_RATE;
 use super::process::Fault;
 use super::settings::{KEYED_PATH, Size, tenant};
 use crate::scale::series::Point;
--- a/crates/fault-harness/src/scale/node_cost/log_volume.rs
+++ b/crates/fault-harness/src/scale/node_cost/log_volume.rs
@@ -7,8 +7,9 @@
 use serde::Serialize;
 use serde_json::json;
 
+use super::bench::{Bench, Started};
 use super::caller::{Outcomes, paced};
-use super::measure::{Bench, Callers, PEAK_RATE, Started};
+use super::measure::{Callers, PEAK_RATE};
 use super::process::Fault;
 use super::settings::{Size, tenant};
 
--- a/crates/fault-harness/src/scale/node_cost/measure.rs
+++ b/crates/fault-harness/src/scale/node_cost/measure.rs
@@ -1,25 +1,20 @@
 //! One size measured on one real process: its start, its cost at rest and under load, and a changed rule.
 
-use std::net::{SocketAddr, UdpSocket};
-use std::path::Path;
+use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::bed::open_registry;
-use doortrack_fakes::instant;
-use doortrack_protocols::Protocol;
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use serde_json::Value;
 
+use super::bench::{Bench, Started};
 use super::caller::{Connection, Outcome, Outcomes, Request, histogram, paced};
-use super::process::{Fault, NodeProcess, fresh_addresses};
+use super::process::Fault;
 use super::reload::{self, Reload};
-use super::settings::{Addresses, Size, configuration, installation, request_path, tenant};
+use super::settings::{Size, request_path, tenant};
+use super::units::{milliseconds, thousandths};
 
 /// Requests a second that a node gets at the peak: 85,000 over 770 nodes.
 pub const PEAK_RATE: f64 = 110.0;
-/// Threads of the stand-in server; each serves one kept connection.
-const SERVER_THREADS: usize = 400;
 /// Between a change of what the node holds and the look at its memory.
 const SETTLES: Duration = Duration::from_millis(200);
 /// Until the node has a share of its budgets, at the longest.
@@ -27,77 +22,6 @@
 const RETRY_EVERY: Duration = Duration::from_millis(10);
 /// Distance between two tenants that ask one after the other; a prime, so that all have their turn.
 const TENANT_STRIDE: usize = 7_919;
-const NAME: &str = "n1";
-
-/// What every measurement needs: the program, a registry and an application server that answers at once.
-pub struct Bench<'a> {
-    pub program: &'a Path,
-    pub registry: UdpSocket,
-    pub server: SocketAddr,
-}
-
-impl<'a> Bench<'a> {
-    /// # Errors
-    /// No socket can be had.
-    pub fn open(program: &'a Path) -> Result<Bench<'a>, Fault> {
-        let server = instant::server(Protocol::FastCgi, SERVER_THREADS)?;
-        Ok(Bench {
-            program,
-            registry: open_registry(),
-            server,
-        })
-    }
-
-    /// Starts a process with generated settings of a size.
-    ///
-    /// # Errors
-    /// It can't be started.
-    pub fn start(&self, size: &Size) -> Result<Started, Fault> {
-        self.start_changed(size, |_| {})
-    }
-
-    /// The same with its installation changed.
-    ///
-    /// # Errors
-    /// It can't be started.
-    pub fn start_changed(
-        &self,
-        size: &Size,
-        change: impl FnOnce(&mut Value),
-    ) -> Result<Started, Fault> {
-        let addresses = fresh_addresses(&self.registry, self.server)?;
-        self.start_at(NAME, size, addresses, change)
-    }
-
-    /// The same under a name and at addresses of the caller's choice.
-    ///
-    /// # Errors
-    /// It can't be started.
-    pub fn start_at(
-        &self,
-        name: &str,
-        size: &Size,
-        addresses: Addresses,
-        change: impl FnOnce(&mut Value),
-    ) -> Result<Started, Fault> {
-        let mut installation = installation(name, size, &addresses);
-        change(&mut installation);
-        let configuration = configuration(name, size, &addresses);
-        let process = NodeProcess::start(self.program, &addresses, &configuration, &installation)?;
-        Ok(Started {
-            process,
-            addresses,
-            installation,
-        })
-    }
-}
-
-/// A process that was started with generated settings.
-pub struct Started {
-    pub process: NodeProcess,
-    pub addresses: Addresses,
-    pub installation: Value,
-}
 
 /// What was measured at one size.
 #[derive(Clone, Debug, Serialize)]
@@ -207,15 +131,6 @@
     })
 }
 
-pub fn milliseconds(duration: Duration) -> f64 {
-    duration.as_secs_f64() * 1_000.0
-}
-
-/// A share of one core in thousandths.
-pub fn thousandths(processor: Duration, of: Duration) -> f64 {
-    processor.as_secs_f64() / of.as_secs_f64() * 1_000.0
-}
-
 /// A node that has just started gives no vote for a while, so it has no share of any budget.
 fn wait_for_budgets(started: &Started, size: &Size) -> Result<(), Fault> {
     let Some(1..) = size.budgets else {
--- a/crates/fault-harness/src/scale/node_cost/reload.rs
+++ b/crates/fault-harness/src/scale/node_cost/reload.rs
@@ -5,10 +5,11 @@
 
 use serde::Serialize;
 
+use super::bench::Started;
 use super::caller::{Connection, Outcome, Request};
-use super::measure::{Started, milliseconds};
 use super::process::Fault;
 use super::settings::{Size, installation_changed, probe_path, tenant, unchanged_path};
+use super::units::milliseconds;
 use crate::scale::series::Point;
 
 /// The caller asks so often.
--- a/crates/node/tests/scale_node.rs
+++ b/crates/node/tests/scale_node.rs
@@ -3,7 +3,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use doortrack_fault_harness::scale::node_cost::measure::{Bench, Spans, measure};
+use doortrack_fault_harness::scale::node_cost::bench::Bench;
+use doortrack_fault_harness::scale::node_cost::measure::{Spans, measure};
 use doortrack_fault_harness::scale::node_cost::process::Fault;
 use doortrack_fault_harness::scale::node_cost::settings::Size;
 
