--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -149,7 +149,7 @@
             .min(self.backend.next_due())
             .min(self.shutdown.next_due())
             .min(maintenance)
-            .min(self.registry.next)
+            .min(self.registry.next_due())
             .min(self.summaries.next_at)
             .min(subsystems)
             .max(self.now)
--- a/crates/node/src/network/listeners/accept.rs
+++ b/crates/node/src/network/listeners/accept.rs
@@ -116,7 +116,7 @@
         };
         match socket.accept() {
             Ok((sock, peer)) => {
-                // This fails only for a connection that is broken already, which has carried nothing.
+                // If this fails, the connection is dropped before anything was read from it.
                 _ = self.insert(sock, peer.ip(), listener, now);
                 self.evict_ahead(listener, inactive_since, now, events);
                 ControlFlow::Continue(())
--- a/crates/node/src/network/registry.rs
+++ b/crates/node/src/network/registry.rs
@@ -15,8 +15,7 @@
     sock: UdpSocket,
     own_address: SocketAddr,
     name: String,
-    /// When the next heartbeat is due.
-    pub next: TenthMillis,
+    next_heartbeat: TenthMillis,
     draining: bool,
 }
 
@@ -30,7 +29,7 @@
             sock: connect(own_address, registry)?,
             own_address,
             name,
-            next: 0,
+            next_heartbeat: 0,
             draining: false,
         })
     }
@@ -41,7 +40,7 @@
     /// The system refuses the socket; heartbeats go where they went before.
     pub fn move_to(&mut self, registry: SocketAddr) -> io::Result<()> {
         self.sock = connect(self.own_address, registry)?;
-        self.next = 0;
+        self.next_heartbeat = 0;
         Ok(())
     }
 
@@ -49,16 +48,21 @@
     pub fn set_draining(&mut self, draining: bool) {
         if draining != self.draining {
             self.draining = draining;
-            self.next = 0;
+            self.next_heartbeat = 0;
         }
     }
 
+    /// When the next heartbeat is due.
+    pub fn next_due(&self) -> TenthMillis {
+        self.next_heartbeat
+    }
+
     /// Sends a heartbeat if one is due.
     pub fn heartbeat(&mut self, now: TenthMillis) {
-        if now < self.next {
+        if now < self.next_heartbeat {
             return;
         }
-        self.next = now + HEARTBEAT_INTERVAL;
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let datagram = encode(&self.name, self.draining);
         // The system reports that an earlier datagram was refused in place of sending this one. The report
         // clears that, so the second attempt sends.
