--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -124,23 +124,22 @@
         request: AdmissionRequest,
         now: impl Fn() -> TenthMillis,
     ) -> Result<Permit, TenthMillis> {
-        let budgets_of = &self.indices;
-        let at = |list: &[Option<u16>], index: usize| list.get(index).copied().flatten();
+        let budget_at = |list: &[Option<u16>], index: usize| list.get(index).copied().flatten();
         let indices = [
-            at(&budgets_of.groups, usize::from(request.group)),
-            at(&budgets_of.tenants, usize::from(request.tenant)),
-            at(&budgets_of.pools, usize::from(request.pool)),
+            budget_at(&self.indices.groups, usize::from(request.group)),
+            budget_at(&self.indices.tenants, usize::from(request.tenant)),
+            budget_at(&self.indices.pools, usize::from(request.pool)),
         ];
         if indices == [None; 3] {
             return Ok(Permit::default());
         }
         let read_at = now();
-        for (nth, index) in indices.iter().enumerate() {
+        for (position, index) in indices.iter().enumerate() {
             let Some(index) = index.map(usize::from) else {
                 continue;
             };
             if let Err(wait) = self.budgets.acquire(index, read_at) {
-                let acquired = indices[..nth].iter().flatten();
+                let acquired = indices[..position].iter().flatten();
                 acquired.for_each(|index| self.release_one(usize::from(*index), false));
                 return Err(wait);
             }
@@ -250,18 +249,25 @@
         }
     }
 
-    /// Logs a change. An allocation is logged only after a change of over an eighth: it follows the load, and
-    /// the log is bounded.
+    /// Whether a new allocation differs by over an eighth from the one that was logged last, which it then
+    /// replaces. Allocations follow the load, and the log is bounded.
+    fn is_worth_logging(&mut self, index: usize, allocation: Units) -> bool {
+        let logged = &mut self.logged[index];
+        let differs = allocation.abs_diff(*logged) > (*logged).max(allocation) / 8;
+        if differs {
+            *logged = allocation;
+        }
+        differs
+    }
+
+    /// Logs a change; an allocation only if it differs enough from the last one.
     pub fn log(&mut self, log: &Logger, change: &Change) {
         if let Change::Allocation {
             index, allocation, ..
         } = change
+            && !self.is_worth_logging(*index, *allocation)
         {
-            let logged = &mut self.logged[*index];
-            if allocation.abs_diff(*logged) <= (*logged).max(*allocation) / 8 {
-                return;
-            }
-            *logged = *allocation;
+            return;
         }
         let event = change.name();
         let name = |index: usize| {
--- a/crates/node/src/peers/link/subsystem.rs
+++ b/crates/node/src/peers/link/subsystem.rs
@@ -8,6 +8,7 @@
 use slog::{Logger, info, warn};
 
 use super::Peers;
+use crate::network::backend::{RampGate, RetryGate};
 use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome, Subsystem};
 
 /// Datagrams read in one turn of the loop, so that a flood does not starve other work.
@@ -77,7 +78,7 @@
         }
     }
 
-    fn retry_gate(&self, pool: u16) -> Option<Box<dyn FnMut() -> bool>> {
+    fn retry_gate(&self, pool: u16) -> Option<RetryGate> {
         let clock = self.clock();
         let budgets = self.budgets.clone()?;
         // Looked up each time: a reload may add or remove it.
@@ -88,7 +89,7 @@
         }))
     }
 
-    fn ramp_gate(&self, pool: u16) -> Option<Box<dyn FnMut() -> TokenResponse>> {
+    fn ramp_gate(&self, pool: u16) -> Option<RampGate> {
         let clock = self.clock();
         let budgets = self.budgets.clone()?;
         // Looked up each time, as for retries.
--- a/crates/node/src/subsystem.rs
+++ b/crates/node/src/subsystem.rs
@@ -8,9 +8,10 @@
 
 use doortrack_config::reload::FleetChange;
 use doortrack_time::TenthMillis;
-use doortrack_upstream::TokenResponse;
 use slog::Logger;
 
+use crate::network::backend::{RampGate, RetryGate};
+
 /// Keys of the poller for subsystems, one each.
 pub const SUBSYSTEM_KEYS: Range<usize> = 4..8;
 
@@ -70,12 +71,12 @@
     }
 
     /// What each retry to the pool at this index has to pass, if this subsystem bounds retries.
-    fn retry_gate(&self, _pool: u16) -> Option<Box<dyn FnMut() -> bool>> {
+    fn retry_gate(&self, _pool: u16) -> Option<RetryGate> {
         None
     }
 
     /// Where the pool at this index gets tokens for slow starts, if this subsystem shares them.
-    fn ramp_gate(&self, _pool: u16) -> Option<Box<dyn FnMut() -> TokenResponse>> {
+    fn ramp_gate(&self, _pool: u16) -> Option<RampGate> {
         None
     }
 
