--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::{Args, Subcommand};
-use doortrack_config::rules::RuleFile;
+use doortrack_config::rules::RuleConfig;
 use doortrack_config::{ConfigErrors, Installation, deserialize, installation, node_config};
 use doortrack_expr::{Kind, Limits, LiteralRequest, Scratch, Span, infer, parse};
 use doortrack_routes::{Classification, Rejection, Table};
@@ -278,7 +278,7 @@
 }
 
 /// The first part of a rule's condition that does not hold, as it is written.
-fn mismatch(rule: &RuleFile, request: &LiteralRequest, limits: Limits) -> String {
+fn mismatch(rule: &RuleConfig, request: &LiteralRequest, limits: Limits) -> String {
     let Ok(condition) = parse(&rule.when) else {
         return String::new();
     };
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -82,8 +82,8 @@
             "connections" => limits.connections, "open" => limits.open_requests);
         let subsystems = self.open_subsystems(clock)?;
         for subsystem in &subsystems {
-            backend.gate_retries(|pool| subsystem.retry_gate(pool));
-            backend.gate_ramps(|pool| subsystem.ramp_gate(pool));
+            backend.set_retry_gates(|pool| subsystem.retry_gate(pool));
+            backend.set_slow_start_tokens(|pool| subsystem.slow_start_tokens(pool));
         }
         let (entries, bytes) = (limits.dedup_entries, limits.result_bytes);
         Ok(Opened {
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -12,7 +12,7 @@
 
 use doortrack_admission::RequestId;
 use doortrack_config::ServerPool as ServerSettings;
-use doortrack_protocols::{Answer, Pair, Protocol, write_request};
+use doortrack_protocols::{Protocol, Response, Variable, write_request};
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{Action, Admission, Pool, RunId, ServerId};
 use polling::{Event, Poller};
@@ -20,7 +20,7 @@
 use slog::Logger;
 
 use self::connection::ServerConnection;
-use super::backend::{BackendEvent, RampGate, RetryGate};
+use super::backend::{BackendEvent, RetryGate, SlowStartTokens};
 use super::bounds::READ_BUFFER_BYTES;
 use super::listeners::RawVariables;
 
@@ -50,7 +50,7 @@
     /// The encoded request of each run that has not ended, as it may be retried.
     requests: FxHashMap<RunId, Vec<u8>>,
     /// The answer of each run that has completed, until the pool reports its end.
-    answers: FxHashMap<RunId, Answer>,
+    answers: FxHashMap<RunId, Response>,
     /// What the pool has decided and is still to be carried out.
     actions: Vec<Action>,
     /// What is still to be passed on.
@@ -151,12 +151,12 @@
     }
 
     /// Has the pool ask before it retries.
-    pub fn gate_retries(&mut self, gate: RetryGate) {
+    pub fn set_retry_gate(&mut self, gate: RetryGate) {
         self.pool.set_retry_gate(gate);
     }
 
     /// Has the pool ask for tokens of its slow starts.
-    pub fn gate_ramps(&mut self, gate: RampGate) {
+    pub fn set_slow_start_tokens(&mut self, gate: SlowStartTokens) {
         self.pool.set_slow_start_tokens(gate);
     }
 
@@ -220,8 +220,8 @@
     }
 
     fn encode(&self, variables: Option<&RawVariables>, body: &[u8]) -> Vec<u8> {
-        let pairs = variables.and_then(|raw| raw.protocol.pairs(&raw.bytes).ok());
-        let mut pairs: Vec<Pair> = pairs.unwrap_or_default();
+        let pairs = variables.and_then(|raw| raw.protocol.read_variables(&raw.bytes).ok());
+        let mut pairs: Vec<Variable> = pairs.unwrap_or_default();
         pairs.retain(|(name, _)| *name != b"CONTENT_LENGTH");
         let variable_bytes = variables.map_or(0, |raw| raw.bytes.len());
         let mut request = Vec::with_capacity(body.len() + variable_bytes + EXPECTED_FRAMING_BYTES);
--- a/crates/node/src/network/servers/transfer.rs
+++ b/crates/node/src/network/servers/transfer.rs
@@ -2,7 +2,7 @@
 
 use std::io::{ErrorKind, Read, Write};
 
-use doortrack_protocols::{Answer, AnswerReader, Answered, Protocol};
+use doortrack_protocols::{Protocol, Response, ResponseOutcome, ResponseReader};
 use doortrack_time::TenthMillis;
 use doortrack_upstream::{ConnId, ResponseEnd, RunId};
 use polling::{Event, PollMode};
@@ -12,7 +12,7 @@
 impl Servers {
     /// Sends a run on an idle connection.
     pub(super) fn send(&mut self, id: ConnId, run: RunId, now: TenthMillis) {
-        let reader = AnswerReader::new(self.protocol, WIRE_ID, self.max_answer_bytes);
+        let reader = ResponseReader::new(self.protocol, WIRE_ID, self.max_answer_bytes);
         let Some(connection) = self.connection_mut(id) else {
             return;
         };
@@ -95,13 +95,13 @@
             return self.on_lost(id, now);
         }
         if count == 0 {
-            return match connection.reader.closed() {
-                Ok(answer) => self.on_answer(id, Answered::Whole(answer), false, now),
+            return match connection.reader.on_close() {
+                Ok(answer) => self.on_answer(id, ResponseOutcome::Complete(answer), false, now),
                 Err(_) => self.on_lost(id, now),
             };
         }
         let mut input = &buffer[..count];
-        match connection.reader.take(&mut input) {
+        match connection.reader.read(&mut input) {
             Ok(Some(answered)) => self.on_answer(id, answered, input.is_empty(), now),
             Ok(None) => {}
             Err(_) => self.on_lost(id, now),
@@ -114,7 +114,13 @@
     }
 
     /// Handles the answer of a run; `nothing_left` tells that the server sent nothing after it.
-    fn on_answer(&mut self, id: ConnId, answered: Answered, nothing_left: bool, now: TenthMillis) {
+    fn on_answer(
+        &mut self,
+        id: ConnId,
+        answered: ResponseOutcome,
+        nothing_left: bool,
+        now: TenthMillis,
+    ) {
         let Some(connection) = self.connection_mut(id) else {
             return;
         };
@@ -127,15 +133,15 @@
         let may_keep = self.keep_alive && self.protocol == Protocol::FastCgi;
         let reusable = nothing_left && all_written && may_keep;
         let end = match answered {
-            Answered::Whole(answer) => self.store_answer(run, answer, reusable),
-            Answered::Refused(_) => ResponseEnd::Refused { reusable },
+            ResponseOutcome::Complete(answer) => self.store_answer(run, answer, reusable),
+            ResponseOutcome::Refused(_) => ResponseEnd::Refused { reusable },
         };
         self.pool.response_ended(id, end, now, &mut self.actions);
         self.forget_removed();
     }
 
     /// Stores the answer of a run that has completed, until the pool reports its end.
-    fn store_answer(&mut self, run: RunId, answer: Answer, reusable: bool) -> ResponseEnd {
+    fn store_answer(&mut self, run: RunId, answer: Response, reusable: bool) -> ResponseEnd {
         let reusable = reusable && !answer.excess;
         let succeeded = (200..300).contains(&answer.status);
         if !succeeded {
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -6,7 +6,7 @@
 
 use doortrack_budgets::{Action, Budget, Budgets, Change, Event, Kind, NodeId, Parameters, Units};
 use doortrack_config::reload::FleetChange;
-use doortrack_config::{BudgetIndices, FleetFile, Installation, NodeConfig};
+use doortrack_config::{BudgetIndices, FleetConfig, Installation, NodeConfig};
 use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::{Logger, info, warn};
 
@@ -37,7 +37,7 @@
 impl FleetBudgets {
     /// `None` where the installation has no budgets.
     pub fn open(
-        file: &FleetFile,
+        fleet_config: &FleetConfig,
         installation: &Installation,
         config: &NodeConfig,
         me: NodeId,
@@ -48,8 +48,8 @@
         let list = installation.budget_list(config);
         let budgets = Budgets::new(
             me,
-            weight(file, config),
-            file.budget_parameters(),
+            weight(fleet_config, config),
+            fleet_config.budget_parameters(),
             &list,
             fastrand::u64(..),
             0,
@@ -89,8 +89,8 @@
 
     /// Why a change to the budgets of this file takes a restart, if it does: what requests in flight hold is known
     /// by its index, and votes under two lists of voters, or of two durations, would not count together.
-    pub fn restart_reason(&self, file: &FleetFile, list: &[Budget]) -> Option<&str> {
-        let (old, new) = (self.budgets.parameters(), file.budget_parameters());
+    pub fn restart_reason(&self, fleet_config: &FleetConfig, list: &[Budget]) -> Option<&str> {
+        let (old, new) = (self.budgets.parameters(), fleet_config.budget_parameters());
         let times = |parameters: &Parameters| {
             (
                 parameters.round,
@@ -158,8 +158,8 @@
             .flatten()
     }
 
-    /// The budget of the ramps in the pool at this index.
-    pub fn ramp(&self, pool: u16) -> Option<u16> {
+    /// The budget of slow starts in the pool at this index.
+    pub fn slow_start(&self, pool: u16) -> Option<u16> {
         self.indices
             .slow_starts
             .get(usize::from(pool))
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 use doortrack_budgets::NodeId;
-use doortrack_config::{FleetFile, Installation, NodeConfig};
+use doortrack_config::{FleetConfig, Installation, NodeConfig};
 use doortrack_membership::{
     Action, Change, Event, Fleet, Incarnation, MemberState, MemberUpdate, Name,
 };
@@ -58,8 +58,9 @@
 }
 
 /// The node's weight in its fleet: as the operators' file says, else its cores.
-pub(super) fn weight(file: &FleetFile, config: &NodeConfig) -> u32 {
-    file.weight
+pub(super) fn weight(fleet_config: &FleetConfig, config: &NodeConfig) -> u32 {
+    fleet_config
+        .weight
         .unwrap_or(config.settings.admission.cores)
         .max(1)
 }
@@ -69,7 +70,7 @@
     socket: SealedSocket,
     log: Logger,
     zero: Instant,
-    file: FleetFile,
+    config: FleetConfig,
     fleet: Fleet,
     /// Left by the decisions on membership, to be executed.
     actions: Vec<Action>,
@@ -90,43 +91,44 @@
     /// The address can't be bound.
     pub fn open(
         installation: &Installation,
-        file: &FleetFile,
+        fleet_config: &FleetConfig,
         key: Option<[u8; 32]>,
         config: &NodeConfig,
         unix_ms: u64,
         registration: Registration,
         log: Logger,
     ) -> Result<Peers, OpenLinkError> {
-        let seal = Seal::new(key, &file.name);
-        let socket = SealedSocket::bind(file.listen, registration, seal).map_err(|source| {
-            OpenLinkError {
-                address: file.listen,
-                source,
-            }
-        })?;
+        let seal = Seal::new(key, &fleet_config.name);
+        let socket =
+            SealedSocket::bind(fleet_config.listen, registration, seal).map_err(|source| {
+                OpenLinkError {
+                    address: fleet_config.listen,
+                    source,
+                }
+            })?;
         let random = fastrand::u64(..);
         let me = MemberUpdate {
             name: config.name.as_str().into(),
             incarnation: Incarnation::started(unix_ms, random),
             version: 0,
             state: MemberState::Alive,
-            address: file.address(),
-            weight: weight(file, config),
+            address: fleet_config.address(),
+            weight: weight(fleet_config, config),
         };
-        info!(log, "fleet"; "fleet" => &file.name, "listen" => %file.listen, "incarnation" => %me.incarnation,
-            "sealed" => key.is_some(), "seeds" => file.seeds.len());
+        info!(log, "fleet"; "fleet" => &fleet_config.name, "listen" => %fleet_config.listen, "incarnation" => %me.incarnation,
+            "sealed" => key.is_some(), "seeds" => fleet_config.seeds.len());
         let zero = Instant::now();
         let id = NodeId {
             name: me.name.clone(),
             incarnation: me.incarnation,
         };
-        let budgets = FleetBudgets::open(file, installation, config, id);
+        let budgets = FleetBudgets::open(fleet_config, installation, config, id);
         let mut peers = Peers {
             socket,
             log,
             zero,
-            fleet: Fleet::new(me, file.fleet_parameters(), config.seed ^ random, 0),
-            file: file.clone(),
+            fleet: Fleet::new(me, fleet_config.fleet_parameters(), config.seed ^ random, 0),
+            config: fleet_config.clone(),
             actions: Vec::new(),
             budgets: budgets.map(|budgets| Rc::new(RefCell::new(budgets))),
             refusal_logged_at: BTreeMap::new(),
@@ -161,7 +163,7 @@
     fn clock(&self) -> LinkClock {
         LinkClock {
             zero: self.zero,
-            drift_ppm: self.file.tests.drift_ppm,
+            drift_ppm: self.config.tests.drift_ppm,
         }
     }
 
--- a/crates/node/src/peers/link/subsystem.rs
+++ b/crates/node/src/peers/link/subsystem.rs
@@ -1,6 +1,6 @@
 //! The link as a subsystem of the event loop.
 
-use doortrack_config::FleetFile;
+use doortrack_config::FleetConfig;
 use doortrack_config::reload::FleetChange;
 use doortrack_membership::Event;
 use doortrack_time::TenthMillis;
@@ -8,7 +8,7 @@
 use slog::{Logger, info, warn};
 
 use super::Peers;
-use crate::network::backend::{RampGate, RetryGate};
+use crate::network::backend::{RetryGate, SlowStartTokens};
 use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome, Subsystem};
 
 /// Datagrams read in one turn of the loop, so that a flood does not starve other work.
@@ -49,22 +49,22 @@
     }
 
     fn reload(&mut self, change: &mut FleetChange) {
-        let Some(file) = change.file.take() else {
+        let Some(fleet_config) = change.file.take() else {
             warn!(self.log, "fleet needs a start"; "why" => "it can't be left under way");
             return;
         };
-        if restart_keys(&file) != restart_keys(&self.file) {
+        if restart_keys(&fleet_config) != restart_keys(&self.config) {
             warn!(self.log, "fleet needs a start"; "why" => "its name, addresses, key or weight changed");
         }
         // What needs a restart stays as it was.
-        self.file = FleetFile {
-            seeds: file.seeds.clone(),
-            voters: file.voters.clone(),
-            times: file.times,
-            ..self.file.clone()
+        self.config = FleetConfig {
+            seeds: fleet_config.seeds.clone(),
+            voters: fleet_config.voters.clone(),
+            times: fleet_config.times,
+            ..self.config.clone()
         };
-        self.reload_budgets(&file, change);
-        let parameters = Box::new(self.file.fleet_parameters());
+        self.reload_budgets(&fleet_config, change);
+        let parameters = Box::new(self.config.fleet_parameters());
         self.fleet
             .handle(self.now(), Event::Changed { parameters }, &mut self.actions);
         self.execute_actions();
@@ -89,13 +89,13 @@
         }))
     }
 
-    fn ramp_gate(&self, pool: u16) -> Option<RampGate> {
+    fn slow_start_tokens(&self, pool: u16) -> Option<SlowStartTokens> {
         let clock = self.clock();
         let budgets = self.budgets.clone()?;
         // Looked up each time, as for retries.
         Some(Box::new(move || {
             let mut budgets = budgets.borrow_mut();
-            match budgets.ramp(pool) {
+            match budgets.slow_start(pool) {
                 None => TokenResponse::Unshared,
                 Some(index) if budgets.acquire_one(index, clock.now()) => TokenResponse::Granted,
                 Some(_) => TokenResponse::Refused,
@@ -126,13 +126,13 @@
 }
 
 /// What of the file can change only with a restart.
-fn restart_keys(file: &FleetFile) -> impl PartialEq + use<'_> {
+fn restart_keys(fleet_config: &FleetConfig) -> impl PartialEq + use<'_> {
     (
-        &file.name,
-        file.listen,
-        file.advertise,
-        &file.key_file,
-        file.weight,
+        &fleet_config.name,
+        fleet_config.listen,
+        fleet_config.advertise,
+        &fleet_config.key_file,
+        fleet_config.weight,
     )
 }
 
@@ -163,14 +163,14 @@
     }
 
     /// Takes over changed budgets, unless only a restart can.
-    fn reload_budgets(&mut self, file: &FleetFile, change: &mut FleetChange) {
+    fn reload_budgets(&mut self, fleet_config: &FleetConfig, change: &mut FleetChange) {
         let now = self.now();
         let obstacle = match &self.budgets {
             None if change.budgets.is_empty() => None,
             None => Some("there were none".to_string()),
             Some(budgets) => {
                 let mut budgets = budgets.borrow_mut();
-                let obstacle = budgets.restart_reason(file, &change.budgets);
+                let obstacle = budgets.restart_reason(fleet_config, &change.budgets);
                 let obstacle = obstacle.map(str::to_string);
                 if obstacle.is_none() {
                     budgets.change(now, change);
--- a/crates/node/src/subsystem.rs
+++ b/crates/node/src/subsystem.rs
@@ -10,7 +10,7 @@
 use doortrack_time::TenthMillis;
 use slog::Logger;
 
-use crate::network::backend::{RampGate, RetryGate};
+use crate::network::backend::{RetryGate, SlowStartTokens};
 
 /// Keys of the poller for subsystems, one each.
 pub const SUBSYSTEM_KEYS: Range<usize> = 4..8;
@@ -76,7 +76,7 @@
     }
 
     /// Where the pool at this index gets tokens for slow starts, if this subsystem shares them.
-    fn ramp_gate(&self, _pool: u16) -> Option<RampGate> {
+    fn slow_start_tokens(&self, _pool: u16) -> Option<SlowStartTokens> {
         None
     }
 
