--- /dev/null
+++ b/crates/membership/tests/cases/datagrams.rs
@@ -0,0 +1,143 @@
+//! Invalid datagrams, and how updates fill datagrams.
+
+use std::net::SocketAddr;
+
+use doortrack_membership::{
+    Action, Datagram, Event, Head, Incarnation, MemberState, MemberUpdate, Message,
+};
+use doortrack_time::MILLISECOND;
+
+use crate::cluster::*;
+
+#[test]
+fn invalid_datagrams_are_counted_and_change_nothing() {
+    let mut cluster = Cluster::new(3);
+    cluster.advance(2_000);
+    let view = cluster.fleets[0].view().clone();
+    let sound = update(9, 5);
+    let odd = [
+        MemberUpdate {
+            name: "".into(),
+            ..sound.clone()
+        },
+        MemberUpdate {
+            name: "x".repeat(65).into(),
+            ..sound.clone()
+        },
+        MemberUpdate {
+            incarnation: Incarnation(0),
+            ..sound.clone()
+        },
+        MemberUpdate {
+            address: SocketAddr::from(([0, 0, 0, 0], 1)),
+            ..sound.clone()
+        },
+        MemberUpdate {
+            weight: 0,
+            ..sound.clone()
+        },
+        MemberUpdate {
+            state: MemberState::Dead,
+            ..sound.clone()
+        },
+    ];
+    for sender in odd {
+        let head = Head {
+            sender,
+            to: Incarnation(100),
+            sequence: 1,
+            digest: 0,
+            view: 0,
+        };
+        let datagram = Datagram {
+            head,
+            message: Message::Updates,
+            updates: Vec::new(),
+        };
+        cluster.handle(
+            0,
+            Event::Received {
+                from: address(9),
+                datagram,
+            },
+        );
+    }
+    let head = Head {
+        sender: update(1, 100),
+        to: Incarnation(100),
+        sequence: 1 << 40,
+        digest: view.digest,
+        view: 0,
+    };
+    let updates = vec![sound.clone(); 65];
+    cluster.handle(
+        0,
+        Event::Received {
+            from: address(1),
+            datagram: Datagram {
+                head,
+                message: Message::Updates,
+                updates,
+            },
+        },
+    );
+    assert_eq!(cluster.fleets[0].view().number, view.number);
+    assert_eq!(cluster.fleets[0].refused(), 7);
+}
+
+/// Updates of the fullest datagram of updates that a node sends once it has learnt of this many
+/// members at once.
+fn fullest_datagram(members: usize) -> usize {
+    let mut fleet = Cluster::node(0, 100, 0);
+    let mut actions = Vec::new();
+    for index in 0..members {
+        let name = format!("m{index}").into();
+        let sender = MemberUpdate {
+            name,
+            address: address(index % 200 + 1),
+            ..update(0, 100)
+        };
+        let head = Head {
+            sender,
+            to: Incarnation(100),
+            sequence: 1,
+            digest: 0,
+            view: 0,
+        };
+        let datagram = Datagram {
+            head,
+            message: Message::Updates,
+            updates: Vec::new(),
+        };
+        fleet.handle(
+            0,
+            Event::Received {
+                from: address(1),
+                datagram,
+            },
+            &mut actions,
+        );
+    }
+    actions.clear();
+    while fleet.next_due() < 60 * MILLISECOND {
+        fleet.handle(fleet.next_due(), Event::Tick, &mut actions);
+    }
+    let news = actions.iter().filter_map(|action| match action {
+        Action::Send { datagram, .. } if datagram.message == Message::Updates => {
+            Some(datagram.updates.len())
+        }
+        _ => None,
+    });
+    news.max().unwrap_or(0)
+}
+
+/// Where hundreds die or come back at once, ten updates a datagram take seconds to go round.
+#[test]
+fn many_pending_updates_fill_datagrams_and_few_do_not() {
+    assert_eq!(fullest_datagram(50), 10);
+    assert!(
+        (20..=40).contains(&fullest_datagram(300)),
+        "{}",
+        fullest_datagram(300)
+    );
+}
