--- /dev/null
+++ b/crates/protocols/tests/codecs/main.rs
@@ -0,0 +1,6 @@
+//! Both protocols on both sides.
+
+mod any_bytes;
+mod fixture;
+mod requests;
+mod responses;
