--- a/crates/node/src/network/backend.rs
+++ b/crates/node/src/network/backend.rs
@@ -164,11 +164,11 @@
     ) -> Option<u64> {
         match self {
             Backend::Engine(link) if link.is_up() => {
-                Some(link.run(&request.try_id, group, &request.body))
+                Some(link.run(&request.attempt_id, group, &request.body))
             }
             Backend::Engine(_) => None,
             Backend::Servers(pools) => {
-                let variables = request.block.take();
+                let variables = request.variables.take();
                 request.pool = existing_or_default(request.pool, pools.len());
                 if let Some((_, pool)) = pools.get_mut(usize::from(request.pool)) {
                     pool.run(id, variables, &request.body, idempotent, now);
@@ -181,7 +181,7 @@
     /// Cancels a run that was begun.
     pub fn cancel(&mut self, id: RequestId, request: &InFlightRequest, now: TenthMillis) {
         match self {
-            Backend::Engine(link) if link.is_up() => link.cancel(&request.try_id),
+            Backend::Engine(link) if link.is_up() => link.cancel(&request.attempt_id),
             Backend::Engine(_) => {}
             Backend::Servers(pools) => {
                 if let Some((_, pool)) = pools.get_mut(usize::from(request.pool)) {
