--- a/crates/membership/tests/cases/datagrams.rs
+++ b/crates/membership/tests/cases/datagrams.rs
@@ -9,39 +9,52 @@
 
 use crate::cluster::*;
 
-#[test]
-fn invalid_datagrams_are_counted_and_change_nothing() {
-    let mut cluster = Cluster::new(3);
-    cluster.advance(2_000);
-    let view = cluster.fleets[0].view().clone();
-    let sound = update(9, 5);
-    let odd = [
+/// Updates of a sender on itself that are invalid, one field each.
+fn invalid_senders(valid: &MemberUpdate) -> [MemberUpdate; 6] {
+    [
         MemberUpdate {
             name: "".into(),
-            ..sound.clone()
+            ..valid.clone()
         },
         MemberUpdate {
             name: "x".repeat(65).into(),
-            ..sound.clone()
+            ..valid.clone()
         },
         MemberUpdate {
             incarnation: Incarnation(0),
-            ..sound.clone()
+            ..valid.clone()
         },
         MemberUpdate {
             address: SocketAddr::from(([0, 0, 0, 0], 1)),
-            ..sound.clone()
+            ..valid.clone()
         },
         MemberUpdate {
             weight: 0,
-            ..sound.clone()
+            ..valid.clone()
         },
         MemberUpdate {
             state: MemberState::Dead,
-            ..sound.clone()
+            ..valid.clone()
         },
-    ];
-    for sender in odd {
+    ]
+}
+
+#[test]
+fn invalid_datagrams_are_counted_and_change_nothing() {
+    let mut cluster = Cluster::new(3);
+    cluster.advance(2_000);
+    let view = cluster.fleets[0].view().clone();
+    let receive = |cluster: &mut Cluster, from: usize, head: Head, updates: Vec<MemberUpdate>| {
+        let datagram = Datagram {
+            head,
+            message: Message::Updates,
+            updates,
+        };
+        let from = address(from);
+        cluster.handle(0, Event::Received { from, datagram });
+    };
+    let valid = update(9, 5);
+    for sender in invalid_senders(&valid) {
         let head = Head {
             sender,
             to: Incarnation(100),
@@ -49,18 +62,7 @@
             digest: 0,
             view: 0,
         };
-        let datagram = Datagram {
-            head,
-            message: Message::Updates,
-            updates: Vec::new(),
-        };
-        cluster.handle(
-            0,
-            Event::Received {
-                from: address(9),
-                datagram,
-            },
-        );
+        receive(&mut cluster, 9, head, Vec::new());
     }
     let head = Head {
         sender: update(1, 100),
@@ -69,18 +71,7 @@
         digest: view.digest,
         view: 0,
     };
-    let updates = vec![sound.clone(); 65];
-    cluster.handle(
-        0,
-        Event::Received {
-            from: address(1),
-            datagram: Datagram {
-                head,
-                message: Message::Updates,
-                updates,
-            },
-        },
-    );
+    receive(&mut cluster, 1, head, vec![valid; 65]);
     assert_eq!(cluster.fleets[0].view().number, view.number);
     assert_eq!(cluster.fleets[0].refused(), 7);
 }
--- a/crates/upstream/tests/pool/servers.rs
+++ b/crates/upstream/tests/pool/servers.rs
@@ -3,13 +3,42 @@
 use std::collections::BTreeSet;
 
 use doortrack_time::{MILLISECOND, TenthMillis};
-use doortrack_upstream::{OutlierConfig, PoolConfig, RunEnd};
+use doortrack_upstream::{OutlierConfig, PoolConfig, RunEnd, ServerId};
 use fastrand::Rng;
 
 use crate::simulation::*;
 
+/// The server that misbehaves among the four.
+const OUTLIER: ServerId = 2;
+
+/// The share of runs that complete with one outlier of four servers, once it had time to be found.
+fn load_with_outlier(config: PoolConfig, behavior: Behavior) -> (f64, Simulation) {
+    let mut simulation = Simulation::new(config, 4, 2);
+    simulation.behaviors.insert(OUTLIER, behavior);
+    let (every, lasts, since) = (5 * MILLISECOND, 20_000 * MILLISECOND, 4_000 * MILLISECOND);
+    let share = simulation.load(0, every, lasts, since);
+    (share, simulation)
+}
+
+fn sent_to_outlier(simulation: &Simulation) -> usize {
+    simulation
+        .sent
+        .values()
+        .flatten()
+        .filter(|server| **server == OUTLIER)
+        .count()
+}
+
 #[test]
 fn one_outlier_of_four_costs_little_and_recovers_gradually() {
+    let never_ejected = OutlierConfig {
+        consecutive_failures: u32::MAX,
+        ..config().outlier
+    };
+    let without_ejection = PoolConfig {
+        outlier: never_ejected,
+        ..config()
+    };
     for behavior in [
         Behavior::Refuses,
         Behavior::Breaks,
@@ -17,73 +46,21 @@
         Behavior::Hangs,
         Behavior::Slow(2_000 * MILLISECOND),
     ] {
-        let mut simulation = Simulation::new(config(), 4, 2);
-        simulation.behaviors.insert(2, behavior);
-        // The first seconds are for finding out.
-        let share = simulation.load(
-            0,
-            5 * MILLISECOND,
-            20_000 * MILLISECOND,
-            4_000 * MILLISECOND,
-        );
-        assert!(
-            share > 0.985,
-            "{behavior:?}: {share}, {:?}",
-            simulation.pool.counters
-        );
+        let (share, mut simulation) = load_with_outlier(config(), behavior);
+        let counters = simulation.pool.counters;
+        assert!(share > 0.985, "{behavior:?}: {share}, {counters:?}");
         assert!(simulation.in_use <= 4, "{behavior:?}");
-        let without = Simulation::load(
-            &mut {
-                let outlier = OutlierConfig {
-                    consecutive_failures: u32::MAX,
-                    ..config().outlier
-                };
-                let mut simulation = Simulation::new(
-                    PoolConfig {
-                        outlier,
-                        ..config()
-                    },
-                    4,
-                    2,
-                );
-                simulation.behaviors.insert(2, behavior);
-                simulation
-            },
-            0,
-            5 * MILLISECOND,
-            20_000 * MILLISECOND,
-            4_000 * MILLISECOND,
-        );
+        let (without, _) = load_with_outlier(without_ejection, behavior);
         assert!(
             share > without,
             "{behavior:?}: {share} with, {without} without"
         );
-        simulation.behaviors.insert(2, Behavior::Healthy);
-        let before = simulation
-            .sent
-            .values()
-            .flatten()
-            .filter(|server| **server == 2)
-            .count();
-        assert_eq!(
-            simulation.load(
-                100_000,
-                5 * MILLISECOND,
-                12_000 * MILLISECOND,
-                9_000 * MILLISECOND
-            ),
-            1.0
-        );
+        simulation.behaviors.insert(OUTLIER, Behavior::Healthy);
+        let before = sent_to_outlier(&simulation);
+        let (every, lasts, since) = (5 * MILLISECOND, 12_000 * MILLISECOND, 9_000 * MILLISECOND);
+        assert_eq!(simulation.load(100_000, every, lasts, since), 1.0);
         assert_eq!(simulation.pool.in_use(), 4);
-        assert!(
-            simulation
-                .sent
-                .values()
-                .flatten()
-                .filter(|server| **server == 2)
-                .count()
-                > before + 200
-        );
+        assert!(sent_to_outlier(&simulation) > before + 200);
     }
 }
 
