--- a/crates/bench/src/bin/bad-servers.rs
+++ b/crates/bench/src/bin/bad-servers.rs
@@ -227,12 +227,14 @@
         .lines()
         .rfind(|line| log_line::is_pool_summary(line))
         .unwrap_or_default();
-    let figure = |key| log_line::value(line, key).unwrap_or_default();
+    let figure = |key| log_line::value(line, key);
+    // Former builds log ejections as `put_aside`.
+    let ejected = figure("ejected").or_else(|| figure("put_aside"));
     format!(
         "retries {} of {} begun, put aside {}",
-        figure("retries"),
-        figure("begun"),
-        figure("ejected")
+        figure("retries").unwrap_or_default(),
+        figure("begun").unwrap_or_default(),
+        ejected.unwrap_or_default()
     )
 }
 
