--- a/crates/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/link.rs
@@ -6,14 +6,14 @@
 use std::time::{Duration, Instant};
 
 use doortrack_fakes::bed::Plan;
-use doortrack_fault_harness::history::{History, What};
+use doortrack_fault_harness::history::{History, HistoryEvent};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::Fault;
 use doortrack_membership::{
     Action, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message,
     Parameters,
 };
-use doortrack_node::peers::peer_message::{PAGE, PeerMessage, Status};
+use doortrack_node::peers::peer_message::{MEMBERS_PER_PAGE, PeerMessage, Status};
 use doortrack_node::peers::seal::{Refused, Seal};
 use serde_json::{Value, json};
 
@@ -35,8 +35,8 @@
 }
 
 fn told(history: &History, node: usize, wanted: &str) -> bool {
-    history.entries.iter().any(|entry| match &entry.what {
-        What::MemberChange {
+    history.entries.iter().any(|entry| match &entry.event {
+        HistoryEvent::MemberChange {
             node: observer,
             change,
             ..
@@ -68,14 +68,14 @@
         updates: Vec::new(),
     };
     Seal::new(key, fleet)
-        .close(&PeerMessage::Fleet(datagram))
+        .seal(&PeerMessage::Fleet(datagram))
         .unwrap()
 }
 
 #[test]
 fn garbage_and_unknown_peers_cost_a_counter() {
     let mut rig = rig(3);
-    rig.begin();
+    rig.start_clock();
     (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
     (0..3).for_each(|of| all_there(&rig, of, 3));
     let sock = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -96,14 +96,14 @@
         if nth % 4 == 0 {
             bytes = (0..chance.usize(..600)).map(|_| chance.u8(..)).collect();
         }
-        _ = sock.send_to(&bytes, rig.fleet(0));
+        _ = sock.send_to(&bytes, rig.fleet_address(0));
     }
     (0..3).for_each(|of| all_there(&rig, of, 3));
     let result = rig.finish();
     assert!(
         !(0..3).any(|of| told(&result.history, of, "dead")),
         "{}",
-        result.history.lines()
+        result.history.to_lines()
     );
 }
 
@@ -114,7 +114,7 @@
     let whole = strange(key, "rig");
     assert!(seal.open(&whole).is_ok());
     let longer = Seal::new(key, "rig")
-        .close(&seal.open(&whole).unwrap())
+        .seal(&seal.open(&whole).unwrap())
         .unwrap();
     assert_eq!(longer, whole, "the same each time");
     assert_eq!(seal.open(&strange(None, "rig")), Err(Refused::Hash));
@@ -169,7 +169,7 @@
         updates,
     };
     let seal = Seal::new(None, &"x".repeat(64));
-    assert!(seal.close(&PeerMessage::Fleet(datagram)).is_some());
+    assert!(seal.seal(&PeerMessage::Fleet(datagram)).is_some());
     // So do the pages of a table of them, and the answers to those who ask.
     let mut fleet = Fleet::new(update(0), Parameters::default(), 1, 0);
     let mut out = Vec::new();
@@ -216,9 +216,9 @@
     assert!(full(|message| matches!(message, Message::Updates)));
     assert!(
         sent.into_iter()
-            .all(|datagram| seal.close(&PeerMessage::Fleet(datagram)).is_some())
+            .all(|datagram| seal.seal(&PeerMessage::Fleet(datagram)).is_some())
     );
-    let (members, more) = fleet.report(None, PAGE, 0);
+    let (members, more) = fleet.report(None, MEMBERS_PER_PAGE, 0);
     let status = Status {
         nonce: u64::MAX,
         fleet: "x".repeat(64),
@@ -232,7 +232,7 @@
         members,
         more,
     };
-    assert!(more && seal.close(&PeerMessage::Status(Box::new(status))).is_some());
+    assert!(more && seal.seal(&PeerMessage::Status(Box::new(status))).is_some());
 }
 
 /// Sockets of a process, and its threads.
@@ -273,13 +273,13 @@
 #[test]
 fn a_name_used_by_two_processes_stays_with_the_later_one() {
     let mut rig = rig(4);
-    rig.begin();
+    rig.start_clock();
     (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
     (0..3).for_each(|of| all_there(&rig, of, 3));
     // The fourth process goes by the name of the third.
     rig.start(3, 2, &Value::Null).unwrap();
-    let superseded = |what: Option<What>| {
-        matches!(what, Some(What::Status { members, .. }) if
+    let superseded = |what: Option<HistoryEvent>| {
+        matches!(what, Some(HistoryEvent::Status { members, .. }) if
         members.iter().any(|member| member.name == "n2" && member.state == "dead"))
     };
     let until = Instant::now() + Duration::from_secs(20);
@@ -291,14 +291,14 @@
     assert!(
         told(&result.history, 2, "superseded"),
         "{}",
-        result.history.lines()
+        result.history.to_lines()
     );
 }
 
 #[test]
 fn with_all_seeds_down_a_node_serves_alone_and_joins_later() {
     let mut rig = rig(5);
-    rig.begin();
+    rig.start_clock();
     [3, 4]
         .iter()
         .for_each(|of| rig.start(*of, *of, &Value::Null).unwrap());
@@ -313,10 +313,10 @@
 #[test]
 fn the_command_line_tells_how_a_node_sees_its_fleet() {
     let mut rig = rig(3);
-    rig.begin();
+    rig.start_clock();
     (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
     (0..3).for_each(|of| all_there(&rig, of, 3));
-    rig.take_up(&Fault::Kill { nodes: vec![1] }, &|_| Value::Null)
+    rig.inject(&Fault::Kill { nodes: vec![1] }, &|_| Value::Null)
         .unwrap();
     let dead = |members: &[doortrack_fault_harness::history::Member]| {
         members.iter().any(|member| member.state == "dead")
@@ -325,7 +325,12 @@
     let ask = |words: &[&str]| {
         let mut command = Command::new(program());
         command
-            .args(["fleet", "status", "--peer", &rig.fleet(0).to_string()])
+            .args([
+                "fleet",
+                "status",
+                "--peer",
+                &rig.fleet_address(0).to_string(),
+            ])
             .args(words);
         command.output().unwrap()
     };
@@ -353,7 +358,7 @@
         String::from_utf8_lossy(&refused.stderr).contains("no answer"),
         "{refused:?}"
     );
-    let at = rig.fleet(0).to_string();
+    let at = rig.fleet_address(0).to_string();
     let words = [
         "fleet",
         "watch",
