--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -83,7 +83,7 @@
         let subsystems = self.open_subsystems(clock)?;
         for subsystem in &subsystems {
             backend.set_retry_gates(|pool| subsystem.retry_gate(pool));
-            backend.set_slow_start_tokens(|pool| subsystem.ramp_gate(pool));
+            backend.set_slow_start_tokens(|pool| subsystem.slow_start_tokens(pool));
         }
         let (entries, bytes) = (limits.dedup_entries, limits.result_bytes);
         Ok(Opened {
--- a/crates/node/src/peers/link/status.rs
+++ b/crates/node/src/peers/link/status.rs
@@ -14,7 +14,7 @@
         let view = self.fleet.view();
         let status = Status {
             nonce: query.nonce,
-            fleet: self.file.name.clone(),
+            fleet: self.config.name.clone(),
             name: self.fleet.me().name.clone(),
             incarnation: self.fleet.me().incarnation,
             view: view.number,
