--- a/crates/bench/benches/codecs.rs
+++ b/crates/bench/benches/codecs.rs
@@ -2,7 +2,7 @@
 
 use criterion::measurement::WallTime;
 use criterion::{BenchmarkGroup, Criterion, Throughput, criterion_group, criterion_main};
-use doortrack_fakes::caller::Ask;
+use doortrack_fakes::caller::CallerRequest;
 use doortrack_protocols::{
     Protocol, RequestEvent, RequestReader, ResponseHead, ResponseReader, write_response,
 };
@@ -26,7 +26,7 @@
 }
 
 fn requests(group: &mut BenchmarkGroup<WallTime>, protocol: Protocol) {
-    let request = Ask::new(1, "/svc/look", &BODY).bytes(protocol);
+    let request = CallerRequest::new(1, "/svc/look", &BODY).bytes(protocol);
     group.bench_function("read a request", |bencher| {
         bencher.iter(|| {
             let mut reader = RequestReader::new(protocol);
--- a/crates/bench/src/bin/bad-servers.rs
+++ b/crates/bench/src/bin/bad-servers.rs
@@ -10,9 +10,9 @@
 
 use clap::Parser;
 use doortrack_bench::log_line;
-use doortrack_fakes::bed::{Bed, Plan, connect};
-use doortrack_fakes::caller::{Ask, Seen};
-use doortrack_fakes::server::{Act, CutBy, Server};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
+use doortrack_fakes::server::{Behavior, Disconnect, Server};
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
@@ -68,23 +68,23 @@
 ];
 
 impl Behaviour {
-    fn act(self, run_time: Duration) -> Act {
+    fn act(self, run_time: Duration) -> Behavior {
         match self {
             Behaviour::Healthy => answer("200 OK", b"done", run_time),
             Behaviour::Slow => answer("200 OK", b"done", run_time * 10),
-            Behaviour::Hangs => Act::Hang,
+            Behaviour::Hangs => Behavior::Hang,
             Behaviour::Fails => answer("503 No", b"", Duration::ZERO),
-            Behaviour::ClosesEarly => Act::Cut {
+            Behaviour::ClosesEarly => Behavior::Cut {
                 body: b"done".into(),
                 at: 0,
-                how: CutBy::Close,
+                how: Disconnect::Close,
             },
         }
     }
 }
 
-fn answer(status: &'static str, body: &[u8], after: Duration) -> Act {
-    Act::Answer {
+fn answer(status: &'static str, body: &[u8], after: Duration) -> Behavior {
+    Behavior::Answer {
         status,
         body: body.to_vec(),
         after,
@@ -140,7 +140,7 @@
             Server::start(case.protocol, move |_| switch.get().act(run_time))
         })
         .collect();
-    let mut plan = Plan::new(&cli.node);
+    let mut plan = NodeSetup::new(&cli.node);
     let listener = plan.port(LISTENER_PORT);
     plan.config["settings"]["family_info"]["cores"] = json!(64);
     // The entries of idempotency keys are not to run out.
@@ -211,18 +211,18 @@
 fn send(index: u64, listener: SocketAddr) -> bool {
     let key = format!("{index:032x}");
     let request = if index.is_multiple_of(2) {
-        Ask::new(index, "/svc/look", b"")
+        CallerRequest::new(index, "/svc/look", b"")
     } else {
-        Ask::new(index, "/svc/pay", b"").with("HTTP_IDEMPOTENCY_KEY", &key)
+        CallerRequest::new(index, "/svc/pay", b"").with("HTTP_IDEMPOTENCY_KEY", &key)
     };
-    let answer = request.send(listener, Protocol::Uwsgi).seen();
-    matches!(answer, Seen::Completed(_))
+    let answer = request.send(listener, Protocol::Uwsgi).outcome();
+    matches!(answer, CallerOutcome::Completed(_))
 }
 
 /// Ends the node and reads the last summary of its server pool.
-fn pool_summary(node: Bed) -> String {
+fn pool_summary(node: NodeFixture) -> String {
     node.signal("-TERM");
-    let (_, log) = node.end();
+    let (_, log) = node.wait_for_exit();
     let line = log
         .lines()
         .rfind(|line| log_line::is_pool_summary(line))
--- a/crates/bench/src/bin/reload/load.rs
+++ b/crates/bench/src/bin/reload/load.rs
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::bed::connect;
-use doortrack_fakes::caller::{Pending, Seen};
+use doortrack_fakes::caller::{CallerOutcome, PendingAnswer};
+use doortrack_fakes::fixture::connect;
 use doortrack_protocols::{Protocol, Variable, write_request};
 use hdrhistogram::Histogram;
 
@@ -37,11 +37,11 @@
         }
     }
 
-    fn record(&mut self, latency: Duration, answer: &Seen) {
+    fn record(&mut self, latency: Duration, answer: &CallerOutcome) {
         self.latencies_us
             .saturating_record(latency.as_micros() as u64);
         let answer = match answer {
-            Seen::Completed(_) => "completed".into(),
+            CallerOutcome::Completed(_) => "completed".into(),
             answer => format!("{answer:?}"),
         };
         *self.answers.entry(answer).or_default() += 1;
@@ -100,7 +100,7 @@
 }
 
 /// Sends one request and waits for its answer.
-pub(crate) fn send(listener: SocketAddr, path: &str) -> Seen {
+pub(crate) fn send(listener: SocketAddr, path: &str) -> CallerOutcome {
     let variables: [Variable; 3] = [
         (b"REQUEST_METHOD", b"GET"),
         (b"PATH_INFO", path.as_bytes()),
@@ -110,9 +110,9 @@
     write_request(PROTOCOL, &mut request, 1, false, &variables, b"").unwrap();
     let mut sock = connect(listener);
     sock.write_all(&request).unwrap();
-    Pending {
+    PendingAnswer {
         sock,
         protocol: PROTOCOL,
     }
-    .seen()
+    .outcome()
 }
--- a/crates/bench/src/bin/reload/site.rs
+++ b/crates/bench/src/bin/reload/site.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use doortrack_bench::process;
-use doortrack_fakes::bed::{Bed, Plan, connect};
-use doortrack_fakes::caller::Seen;
-use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::caller::CallerOutcome;
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
+use doortrack_fakes::server::{Behavior, Server};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Map, Value, json};
 
@@ -23,7 +23,7 @@
 
 /// A node, its servers, and the versions of its installation file.
 pub(crate) struct Site {
-    node: Bed,
+    node: NodeFixture,
     pub(crate) listener: SocketAddr,
     /// Application servers, each of which answers with the name of its pool.
     _servers: Vec<Server>,
@@ -34,10 +34,10 @@
 impl Site {
     /// Starts a node and waits until it listens.
     pub(crate) fn start(cli: &Cli) -> Site {
-        let mut plan = Plan::new(&cli.doortrack);
+        let mut plan = NodeSetup::new(&cli.doortrack);
         let listener = plan.port(LISTENER_PORT);
         let servers: Vec<Server> = (0..POOLS)
-            .map(|pool| Server::start(PROTOCOL, move |_| Act::ok(pool_name(pool))))
+            .map(|pool| Server::start(PROTOCOL, move |_| Behavior::ok(pool_name(pool))))
             .collect();
         set_tenants_and_deadlines(&mut plan, cli);
         let version = |version| installation(cli.rules, listener, &servers, version);
@@ -66,7 +66,7 @@
 
     /// Sends probes until the newest version is in force.
     pub(crate) fn wait_until_in_force(&self) {
-        let expected = Seen::Completed(pool_name(self.version % POOLS).into_bytes());
+        let expected = CallerOutcome::Completed(pool_name(self.version % POOLS).into_bytes());
         while send(self.listener, "/probe") != expected {
             thread::sleep(PROBE_INTERVAL);
         }
@@ -88,7 +88,7 @@
     /// Ends the node gracefully. Returns its log.
     pub(crate) fn end(self) -> String {
         self.node.signal("-TERM");
-        self.node.end().1
+        self.node.wait_for_exit().1
     }
 }
 
@@ -96,7 +96,7 @@
     format!("p{pool}")
 }
 
-fn set_tenants_and_deadlines(plan: &mut Plan, cli: &Cli) {
+fn set_tenants_and_deadlines(plan: &mut NodeSetup, cli: &Cli) {
     let settings = &mut plan.config["settings"];
     settings["parties"] = (0..cli.tenants)
         .map(|index| json!({"name": format!("customer-{index:05}"), "allowance_per_s": 1}))
--- a/crates/bench/src/bin/storm.rs
+++ b/crates/bench/src/bin/storm.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::caller::{Ask, Seen};
-use doortrack_fakes::server::{Act, Got, Server};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
+use doortrack_fakes::server::{Behavior, ReceivedRequest, Server};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
@@ -131,9 +131,9 @@
     let work = Arc::new(StallingServer::default());
     let runner = work.clone();
     // It runs what it has read even if no caller waits any more: that is what makes storms.
-    let server = Server::start(Protocol::FastCgi, move |_: &Got| {
+    let server = Server::start(Protocol::FastCgi, move |_: &ReceivedRequest| {
         runner.run();
-        Act::ok("done")
+        Behavior::ok("done")
     });
     let installation = policy.installation(server.at);
     let mut rig = Rig::new(Path::new(PROGRAM), NODES, 1).expect("a rig");
@@ -170,11 +170,11 @@
         let attempt = ((index + 1) << 32) + sent.len() as u64;
         let listener = listeners[attempt as usize % listeners.len()];
         let at = began.elapsed();
-        let answer = Ask::new(attempt, "/svc/look", b"berth")
+        let answer = CallerRequest::new(attempt, "/svc/look", b"berth")
             .try_send(listener, Protocol::FastCgi)
             .ok()
-            .map(|pending| pending.seen());
-        let is_completed = matches!(answer, Some(Seen::Completed(_)));
+            .map(|pending| pending.outcome());
+        let is_completed = matches!(answer, Some(CallerOutcome::Completed(_)));
         let in_time = is_completed && began.elapsed() - at <= OBJECTIVE;
         sent.push(Sent { at, in_time });
         due = (due + interval).max(began.elapsed());
--- a/crates/bench/src/request.rs
+++ b/crates/bench/src/request.rs
@@ -1,6 +1,6 @@
 //! A request encoded once and patched for each attempt, so that the callers cost little.
 
-use doortrack_fakes::caller::Ask;
+use doortrack_fakes::caller::CallerRequest;
 use doortrack_protocols::Protocol;
 
 /// Found in the encoded request where the attempt's identifier goes; no other field holds it.
@@ -31,7 +31,7 @@
     /// A request with a body of `body_bytes`.
     pub fn new(protocol: Protocol, body_bytes: usize) -> Template {
         let body = vec![b'x'; body_bytes];
-        let request = Ask::new(ATTEMPT_PLACEHOLDER, "/svc/look", &body)
+        let request = CallerRequest::new(ATTEMPT_PLACEHOLDER, "/svc/look", &body)
             .with("HTTP_X_REQUEST_START", TIME_PLACEHOLDER);
         let mut bytes = request.bytes(protocol);
         let attempt = format!("{ATTEMPT_PLACEHOLDER:016x}");
--- a/crates/bench/src/target.rs
+++ b/crates/bench/src/target.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-use doortrack_fakes::bed::{Bed, Plan, connect};
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
 use doortrack_fakes::instant;
 use doortrack_protocols::Protocol;
 use rustix::process::Pid;
@@ -53,7 +53,7 @@
 
 /// A running node. Ends when dropped, with its peers.
 pub struct Target {
-    node: Bed,
+    node: NodeFixture,
     /// Where it takes requests.
     pub address: SocketAddr,
     _peers: Option<ChurningPeers>,
@@ -74,12 +74,12 @@
     /// # Errors
     /// Those of sockets, and of setting the core.
     pub fn start(options: &TargetOptions) -> io::Result<Target> {
-        let mut plan = Plan::new(options.program);
+        let mut plan = NodeSetup::new(options.program);
         set_unlimited_resources(&mut plan);
         let mut installation = json!({});
         let address = match options.listener {
             Some(protocol) => add_listener(&mut plan, &mut installation, protocol, options.rules),
-            None => plan.at,
+            None => plan.address,
         };
         add_backend(&mut plan, &mut installation, options.backend)?;
         let fleet_address = plan.port(FLEET_PORT);
@@ -125,7 +125,7 @@
 }
 
 /// The path of a request is measured, not the decision on it: nothing is to be rejected.
-fn set_unlimited_resources(plan: &mut Plan) {
+fn set_unlimited_resources(plan: &mut NodeSetup) {
     let resources = &mut plan.config["settings"]["family_info"];
     resources["cores"] = json!(1000);
     resources["memory_kb"] = json!(10_000_000);
@@ -133,7 +133,7 @@
 }
 
 fn add_listener(
-    plan: &mut Plan,
+    plan: &mut NodeSetup,
     installation: &mut Value,
     protocol: Protocol,
     rules: usize,
@@ -150,7 +150,7 @@
     address
 }
 
-fn add_backend(plan: &mut Plan, installation: &mut Value, backend: Backend) -> io::Result<()> {
+fn add_backend(plan: &mut NodeSetup, installation: &mut Value, backend: Backend) -> io::Result<()> {
     match backend {
         Backend::Engine => {
             let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -169,7 +169,7 @@
     Ok(())
 }
 
-fn pin_to_core(node: &Bed, core: usize) -> io::Result<()> {
+fn pin_to_core(node: &NodeFixture, core: usize) -> io::Result<()> {
     let mut cores = CpuSet::new();
     cores.set(core);
     sched_setaffinity(Pid::from_raw(node.program.id() as i32), &cores)?;
--- a/crates/bench/src/target/churn.rs
+++ b/crates/bench/src/target/churn.rs
@@ -7,7 +7,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use doortrack_fakes::bed::{Bed, Plan};
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup};
 use serde_json::{Value, json};
 
 use super::FLEET_PORT;
@@ -26,7 +26,8 @@
         let is_over: Arc<AtomicBool> = Arc::default();
         let (until, program) = (is_over.clone(), program.to_path_buf());
         let thread = thread::spawn(move || {
-            let mut peers: Vec<Bed> = (0..count).map(|_| start_peer(&program, seed)).collect();
+            let mut peers: Vec<NodeFixture> =
+                (0..count).map(|_| start_peer(&program, seed)).collect();
             let mut index = 0;
             while !until.load(Ordering::Relaxed) {
                 thread::sleep(RESTART_INTERVAL);
@@ -49,8 +50,8 @@
     }
 }
 
-fn start_peer(program: &Path, seed: SocketAddr) -> Bed {
-    let mut plan = Plan::new(program);
+fn start_peer(program: &Path, seed: SocketAddr) -> NodeFixture {
+    let mut plan = NodeSetup::new(program);
     plan.installation = Some(json!({"fleet": fleet_settings(plan.port(FLEET_PORT), seed)}));
     plan.start()
 }
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -193,7 +193,8 @@
 
 /// All errors of an installation file, by itself or beside the node's configuration, or that there were none.
 fn installation_outcome(installation: &Value) -> String {
-    let node = node_config::parse(doortrack_fakes::bed::config().to_string().as_bytes()).unwrap();
+    let node =
+        node_config::parse(doortrack_fakes::fixture::config().to_string().as_bytes()).unwrap();
     let outcome = installation::parse(installation.to_string().as_bytes()).and_then(|read| {
         read.validate_with(&node)?;
         read.table(&node.settings)?;
@@ -205,7 +206,7 @@
 #[test]
 fn each_key_is_refused_in_the_same_words() {
     let mut lines = Vec::new();
-    let config = doortrack_fakes::bed::config();
+    let config = doortrack_fakes::fixture::config();
     one_key_at_a_time("config", &config, config_outcome, &mut lines);
     let installation = complete_installation();
     one_key_at_a_time("", &installation, installation_outcome, &mut lines);
@@ -310,7 +311,7 @@
         ),
     ];
     for (change, expected) in cases {
-        let mut config = doortrack_fakes::bed::config();
+        let mut config = doortrack_fakes::fixture::config();
         change(&mut config);
         let outcome = match node_config::parse(config.to_string().as_bytes()) {
             Ok(_) => "accepted".into(),
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 fn node_config(change: impl Fn(&mut Value)) -> NodeConfig {
-    let mut value = doortrack_fakes::bed::config();
+    let mut value = doortrack_fakes::fixture::config();
     value["settings"]["parties"] = json!([{"name": "north", "allowance_per_s": 1}]);
     change(&mut value);
     node_config::parse(value.to_string().as_bytes()).unwrap()
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::server::{Behavior, Server};
 use doortrack_protocols::Protocol;
 
 use crate::request::Request;
@@ -127,7 +127,7 @@
     let _server = Server::start_at(listen, protocol, |request| {
         let body = String::from_utf8_lossy(&request.body);
         println!("run: {body}");
-        Act::Answer {
+        Behavior::Answer {
             status: "200 OK",
             body: format!("done: {body}").into_bytes(),
             after: RUN_TIME,
--- a/crates/demo/src/request.rs
+++ b/crates/demo/src/request.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
 use doortrack_protocols::Protocol;
 
 /// Memory that the request declares, in kB.
@@ -33,13 +33,13 @@
     // Unique enough for requests typed by hand.
     let attempt = unix_time.as_nanos() as u64;
     let path = format!("/svc/{}", request.group);
-    let mut message = Ask::new(attempt, &path, request.text.as_bytes())
+    let mut message = CallerRequest::new(attempt, &path, request.text.as_bytes())
         .with("HTTP_X_TENANT", request.tenant)
         .with("HTTP_X_MEMORY_KB", MEMORY_KB);
     if let Some(key) = request.idempotency_key {
         message = message.with("HTTP_IDEMPOTENCY_KEY", key);
     }
-    let (answer, headers) = message.try_send(node, protocol)?.seen_whole();
+    let (answer, headers) = message.try_send(node, protocol)?.outcome_with_headers();
     for (name, value) in headers {
         println!("{name}: {value}");
     }
@@ -47,18 +47,18 @@
     Ok(())
 }
 
-fn describe(answer: &Seen) -> String {
+fn describe(answer: &CallerOutcome) -> String {
     match answer {
-        Seen::Completed(body) => format!("completed: {}", String::from_utf8_lossy(body)),
-        Seen::Rejected {
+        CallerOutcome::Completed(body) => format!("completed: {}", String::from_utf8_lossy(body)),
+        CallerOutcome::Rejected {
             retry_after: Some(ms),
             ..
         } => format!("rejected: it never ran; come back in {ms} ms"),
-        Seen::Rejected {
+        CallerOutcome::Rejected {
             retry_after: None, ..
         } => "rejected: it never ran".into(),
-        Seen::Failed => "failed: it may have run".into(),
-        Seen::Unreadable(status, error) => format!("not understood: {status} {error}"),
-        Seen::Nothing => "the connection ended without an answer".into(),
+        CallerOutcome::Failed => "failed: it may have run".into(),
+        CallerOutcome::Unreadable(status, error) => format!("not understood: {status} {error}"),
+        CallerOutcome::Nothing => "the connection ended without an answer".into(),
     }
 }
--- a/crates/fakes/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -6,22 +6,22 @@
 
 use doortrack_protocols::{Protocol, ResponseOutcome, ResponseReader, write_request};
 
-use crate::bed::connect;
-use crate::{LONG, try_id, unix_ms};
+use crate::fixture::connect;
+use crate::{MAX_WAIT, attempt_id, unix_ms};
 
 /// One request as a caller writes it. Fields in `more` replace those of the same name; with an empty value a
 /// field is left out, and what is named twice is sent twice.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct CallerRequest<'a> {
     pub nth: u64,
     pub script: &'a str,
     pub more: Vec<(&'a str, &'a str)>,
     pub body: &'a [u8],
 }
 
-impl<'a> Ask<'a> {
-    pub fn new(nth: u64, script: &'a str, body: &'a [u8]) -> Ask<'a> {
-        Ask {
+impl<'a> CallerRequest<'a> {
+    pub fn new(nth: u64, script: &'a str, body: &'a [u8]) -> CallerRequest<'a> {
+        CallerRequest {
             nth,
             script,
             more: Vec::new(),
@@ -29,14 +29,14 @@
         }
     }
 
-    pub fn with(mut self, name: &'a str, value: &'a str) -> Ask<'a> {
+    pub fn with(mut self, name: &'a str, value: &'a str) -> CallerRequest<'a> {
         self.more.push((name, value));
         self
     }
 
     /// The bytes of the whole request.
     pub fn bytes(&self, protocol: Protocol) -> Vec<u8> {
-        let (nth, now) = (try_id(self.nth), unix_ms().to_string());
+        let (nth, now) = (attempt_id(self.nth), unix_ms().to_string());
         let mut fields = vec![
             ("SCRIPT_NAME", self.script),
             ("REQUEST_METHOD", "POST"),
@@ -58,29 +58,29 @@
     }
 
     /// The same where the node may be gone.
-    pub fn try_send(&self, at: SocketAddr, protocol: Protocol) -> std::io::Result<Pending> {
+    pub fn try_send(&self, at: SocketAddr, protocol: Protocol) -> std::io::Result<PendingAnswer> {
         let mut sock = TcpStream::connect(at)?;
-        sock.set_read_timeout(Some(LONG))?;
+        sock.set_read_timeout(Some(MAX_WAIT))?;
         sock.write_all(&self.bytes(protocol))?;
-        Ok(Pending { sock, protocol })
+        Ok(PendingAnswer { sock, protocol })
     }
 
     /// Sends it whole on a connection of its own.
-    pub fn send(&self, at: SocketAddr, protocol: Protocol) -> Pending {
+    pub fn send(&self, at: SocketAddr, protocol: Protocol) -> PendingAnswer {
         let mut sock = connect(at);
         sock.write_all(&self.bytes(protocol)).unwrap();
-        Pending { sock, protocol }
+        PendingAnswer { sock, protocol }
     }
 }
 
 /// What a request came to, in words that are the same for every protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum CallerOutcome {
     Completed(Vec<u8>),
     /// Told that it was not run, with when to come back in ms, and whether to try no other node.
     Rejected {
         retry_after: Option<u64>,
-        not_elsewhere: bool,
+        no_retry_elsewhere: bool,
     },
     Failed,
     /// Answered as one that can't be read, by status and text.
@@ -90,12 +90,12 @@
 }
 
 /// A request that waits for its answer.
-pub struct Pending {
+pub struct PendingAnswer {
     pub sock: TcpStream,
     pub protocol: Protocol,
 }
 
-impl Pending {
+impl PendingAnswer {
     /// Sends nothing more, and still reads.
     pub fn half_close(&self) {
         self.sock.shutdown(Shutdown::Write).unwrap();
@@ -108,12 +108,12 @@
     }
 
     /// Reads to the end of the answer, and after it to that of the connection.
-    pub fn seen(self) -> Seen {
-        self.seen_whole().0
+    pub fn outcome(self) -> CallerOutcome {
+        self.outcome_with_headers().0
     }
 
     /// As `seen`, with the headers of the answer.
-    pub fn seen_whole(mut self) -> (Seen, BTreeMap<String, String>) {
+    pub fn outcome_with_headers(mut self) -> (CallerOutcome, BTreeMap<String, String>) {
         let mut bytes = Vec::new();
         match self.sock.read_to_end(&mut bytes) {
             Ok(_) => {}
@@ -125,20 +125,20 @@
 }
 
 /// What the bytes of one connection say.
-pub fn read(protocol: Protocol, bytes: &[u8]) -> (Seen, BTreeMap<String, String>) {
+pub fn read(protocol: Protocol, bytes: &[u8]) -> (CallerOutcome, BTreeMap<String, String>) {
     let mut reader = ResponseReader::new(protocol, 1, usize::MAX);
     let mut input = bytes;
     let answered = match reader.read(&mut input) {
         Ok(Some(answered)) => answered,
-        Ok(None) | Err(_) => return (Seen::Nothing, BTreeMap::new()),
+        Ok(None) | Err(_) => return (CallerOutcome::Nothing, BTreeMap::new()),
     };
     assert!(input.is_empty(), "{} bytes follow the answer", input.len());
     let answer = match answered {
         ResponseOutcome::Refused(_) => {
             return (
-                Seen::Rejected {
+                CallerOutcome::Rejected {
                     retry_after: None,
-                    not_elsewhere: false,
+                    no_retry_elsewhere: false,
                 },
                 BTreeMap::new(),
             );
@@ -152,15 +152,15 @@
         .map(|(name, value)| (name.clone(), text(value)))
         .collect();
     let seen = match answer.status {
-        200 => Seen::Completed(answer.body),
-        429 | 503 => Seen::Rejected {
+        200 => CallerOutcome::Completed(answer.body),
+        429 | 503 => CallerOutcome::Rejected {
             retry_after: headers.get("Retry-After-Ms").map(|ms| ms.parse().unwrap()),
-            not_elsewhere: headers
+            no_retry_elsewhere: headers
                 .get("X-Dont-Retry")
                 .is_some_and(|value| value == "1"),
         },
-        500 => Seen::Failed,
-        status => Seen::Unreadable(status, text(&answer.body)),
+        500 => CallerOutcome::Failed,
+        status => CallerOutcome::Unreadable(status, text(&answer.body)),
     };
     (seen, headers)
 }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -8,7 +8,7 @@
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
 
-use crate::LONG;
+use crate::MAX_WAIT;
 
 /// One link to the node.
 pub struct Engine {
@@ -91,7 +91,7 @@
 
     /// The next command other than STAT, which is answered on the way.
     pub fn command(&mut self) -> Value {
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + MAX_WAIT;
         loop {
             assert!(Instant::now() < until, "no command but STAT");
             let command = self.line();
--- a/crates/fakes/src/bed.rs
+++ b/crates/fakes/src/fixture.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 
-use crate::LONG;
+use crate::MAX_WAIT;
 use crate::engine::Engine;
 use crate::records::Client;
 
@@ -24,27 +24,28 @@
 
 pub fn open_registry() -> UdpSocket {
     let registry = UdpSocket::bind("127.0.0.1:0").unwrap();
-    registry.set_read_timeout(Some(LONG)).unwrap();
+    registry.set_read_timeout(Some(MAX_WAIT)).unwrap();
     registry
 }
 
 /// What a node is to be started with.
-pub struct Plan {
+pub struct NodeSetup {
     program: PathBuf,
-    pub at: SocketAddr,
+    /// Where the node listens for dispatchers.
+    pub address: SocketAddr,
     pub config: Value,
     /// The operators' own file, if there is to be one.
     pub installation: Option<Value>,
-    /// Words of the command line after `serve`.
-    pub words: Vec<String>,
+    /// Arguments of the command line after `serve`.
+    pub arguments: Vec<String>,
     /// The soft limit on its descriptors (RLIMIT_NOFILE), where it is to have a lower one than the test.
     pub descriptors: Option<u64>,
-    door: TcpListener,
+    engine_listener: TcpListener,
     registry: UdpSocket,
 }
 
-impl Plan {
-    pub fn new(program: impl AsRef<Path>) -> Plan {
+impl NodeSetup {
+    pub fn new(program: impl AsRef<Path>) -> NodeSetup {
         let (at, registry) = (fresh_address(), open_registry());
         let door = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut config = config();
@@ -52,25 +53,25 @@
         config["engine"] = json!(door.local_addr().unwrap().to_string());
         config["registry"] = json!(registry.local_addr().unwrap().to_string());
         let program = program.as_ref().to_path_buf();
-        Plan {
+        NodeSetup {
             program,
-            at,
+            address: at,
             config,
             installation: None,
-            words: Vec::new(),
+            arguments: Vec::new(),
             descriptors: None,
-            door,
+            engine_listener: door,
             registry,
         }
     }
 
     /// The same address with another port.
     pub fn port(&self, port: u16) -> SocketAddr {
-        SocketAddr::new(self.at.ip(), port)
+        SocketAddr::new(self.address.ip(), port)
     }
 
-    pub fn start(self) -> Bed {
-        let name = format!("doortrack-{}-{}", std::process::id(), self.at.ip());
+    pub fn start(self) -> NodeFixture {
+        let name = format!("doortrack-{}-{}", std::process::id(), self.address.ip());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).unwrap();
         let file = folder.join("config.json");
@@ -86,8 +87,8 @@
             }
         };
         // Without any word of its own it is started as the platform does it.
-        if self.installation.is_some() || !self.words.is_empty() {
-            command.arg("serve").args(&self.words);
+        if self.installation.is_some() || !self.arguments.is_empty() {
+            command.arg("serve").args(&self.arguments);
         }
         if let Some(installation) = &self.installation {
             let file = folder.join("installation.json");
@@ -99,56 +100,58 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        Bed {
+        NodeFixture {
             program,
             folder,
-            at: self.at,
-            door: self.door,
+            address: self.address,
+            engine_listener: self.engine_listener,
             registry: self.registry,
         }
     }
 
     /// A node whose engine is up.
-    pub fn up(self) -> (Bed, Engine) {
-        let bed = self.start();
-        let mut engine = bed.link();
+    pub fn start_with_engine(self) -> (NodeFixture, Engine) {
+        let fixture = self.start();
+        let mut engine = fixture.accept_engine();
         engine.hello(0);
-        (bed, engine)
+        (fixture, engine)
     }
 }
 
 /// The program, with its engine and registry played by the test.
-pub struct Bed {
+pub struct NodeFixture {
     pub program: Child,
     pub folder: PathBuf,
-    pub at: SocketAddr,
-    pub door: TcpListener,
+    /// Where the node listens for dispatchers.
+    pub address: SocketAddr,
+    /// Where the node's engine link connects.
+    pub engine_listener: TcpListener,
     pub registry: UdpSocket,
 }
 
-impl Bed {
-    pub fn link(&self) -> Engine {
-        let until = Instant::now() + LONG;
-        self.door.set_nonblocking(true).unwrap();
+impl NodeFixture {
+    pub fn accept_engine(&self) -> Engine {
+        let until = Instant::now() + MAX_WAIT;
+        self.engine_listener.set_nonblocking(true).unwrap();
         let sock = loop {
-            match self.door.accept() {
+            match self.engine_listener.accept() {
                 Ok((sock, _)) => break sock,
                 Err(e) => assert!(Instant::now() < until, "no link is made: {e}"),
             }
             std::thread::sleep(Duration::from_millis(2));
         };
         sock.set_nonblocking(false).unwrap();
-        sock.set_read_timeout(Some(LONG)).unwrap();
+        sock.set_read_timeout(Some(MAX_WAIT)).unwrap();
         Engine::on(sock)
     }
 
     pub fn client(&self) -> Client {
         Client {
-            sock: connect(self.at),
+            sock: connect(self.address),
         }
     }
 
-    pub fn report(&self) -> String {
+    pub fn next_report(&self) -> String {
         let mut text = [0; 100];
         let n = loop {
             match self.registry.recv(&mut text) {
@@ -161,10 +164,10 @@
     }
 
     /// Waits for a report of this state, among a bounded number of others.
-    pub fn reports(&self, state: &str) {
+    pub fn wait_for_report(&self, state: &str) {
         let wanted = format!("BEAT n1 {state}");
         assert!(
-            (0..40).any(|_| self.report() == wanted),
+            (0..40).any(|_| self.next_report() == wanted),
             "never reported {state}"
         );
     }
@@ -176,7 +179,7 @@
     }
 
     /// Replaces the operators' own file and tells the program so.
-    pub fn install(&self, installation: &Value) {
+    pub fn replace_installation(&self, installation: &Value) {
         std::fs::write(
             self.folder.join("installation.json"),
             installation.to_string(),
@@ -197,7 +200,7 @@
     }
 
     /// Waits for the end of the program: its status, and its log.
-    pub fn end(mut self) -> (Option<i32>, String) {
+    pub fn wait_for_exit(mut self) -> (Option<i32>, String) {
         let mut log = String::new();
         self.program
             .stderr
@@ -209,7 +212,7 @@
     }
 }
 
-impl Drop for Bed {
+impl Drop for NodeFixture {
     fn drop(&mut self) {
         _ = self.program.kill();
         _ = self.program.wait();
@@ -249,11 +252,11 @@
 
 /// A connection to one that may be about to open its listener.
 pub fn connect(at: SocketAddr) -> TcpStream {
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + MAX_WAIT;
     loop {
         match TcpStream::connect(at) {
             Ok(sock) => {
-                sock.set_read_timeout(Some(LONG)).unwrap();
+                sock.set_read_timeout(Some(MAX_WAIT)).unwrap();
                 return sock;
             }
             Err(e) => assert!(Instant::now() < until, "{at}: {e}"),
--- a/crates/fakes/src/idle.rs
+++ b/crates/fakes/src/idle.rs
@@ -8,7 +8,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use crate::LONG;
+use crate::MAX_WAIT;
 use crate::records::{record, request};
 
 /// How often each connection is looked at.
@@ -18,7 +18,7 @@
 
 /// What an idle client does before it rests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Habit {
+pub enum IdleBehavior {
     /// It connects and never speaks.
     Silent,
     /// One health check, then nothing more.
@@ -29,22 +29,22 @@
     SpokeThenHalf,
 }
 
-impl Habit {
-    pub const ALL: [Habit; 4] = [
-        Habit::Silent,
-        Habit::SpokeOnce,
-        Habit::HalfRequest,
-        Habit::SpokeThenHalf,
+impl IdleBehavior {
+    pub const ALL: [IdleBehavior; 4] = [
+        IdleBehavior::Silent,
+        IdleBehavior::SpokeOnce,
+        IdleBehavior::HalfRequest,
+        IdleBehavior::SpokeThenHalf,
     ];
 
     fn bytes(self, nth: u64) -> Vec<u8> {
         let check = || request(1, nth, "/status/live", &[], b"");
         let half = || record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0]);
         match self {
-            Habit::Silent => Vec::new(),
-            Habit::SpokeOnce => check(),
-            Habit::HalfRequest => half(),
-            Habit::SpokeThenHalf => [check(), half()].concat(),
+            IdleBehavior::Silent => Vec::new(),
+            IdleBehavior::SpokeOnce => check(),
+            IdleBehavior::HalfRequest => half(),
+            IdleBehavior::SpokeThenHalf => [check(), half()].concat(),
         }
     }
 }
@@ -58,12 +58,12 @@
 
 impl IdleClients {
     /// `count` connections for each of the habits.
-    pub fn hold(at: SocketAddr, habits: &[Habit], count: usize) -> IdleClients {
+    pub fn hold(at: SocketAddr, habits: &[IdleBehavior], count: usize) -> IdleClients {
         let (stop, opened) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
-        let thread = |habit: &Habit| {
+        let thread = |habit: &IdleBehavior| {
             let (habit, stop, opened) = (*habit, stop.clone(), opened.clone());
             thread::spawn(move || keep_up(at, habit, count, &stop, &opened))
         };
@@ -82,7 +82,7 @@
 
     /// Waits until so many were opened.
     pub fn wait_until_opened(&self, count: usize) {
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + MAX_WAIT;
         while self.opened() < count {
             assert!(
                 Instant::now() < until,
@@ -103,7 +103,13 @@
     }
 }
 
-fn keep_up(at: SocketAddr, habit: Habit, count: usize, stop: &AtomicBool, opened: &AtomicUsize) {
+fn keep_up(
+    at: SocketAddr,
+    habit: IdleBehavior,
+    count: usize,
+    stop: &AtomicBool,
+    opened: &AtomicUsize,
+) {
     let mut connections: Vec<Option<TcpStream>> = (0..count).map(|_| None).collect();
     while !stop.load(Ordering::SeqCst) {
         for connection in &mut connections {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,16 +1,16 @@
 //! Everything that a node talks to, played by a script: for tests, benches and the example, on loopback only.
 //!
-//! [`bed::Plan`] starts the program on an address of its own. [`engine::Engine`] plays the engine a line at a
+//! [`fixture::NodeSetup`] starts the program on an address of its own. [`engine::Engine`] plays the engine a line at a
 //! time. [`caller`] asks over either protocol as one does that knows its manners, [`records`] builds FastCGI
 //! byte by byte for those that do not, and [`server::Server`] is an application server over either protocol
-//! whose every answer follows a [`server::Act`]. [`idle::IdleClients`] hold connections open and ask little.
+//! whose every answer follows a [`server::Behavior`]. [`idle::IdleClients`] hold connections open and ask little.
 //!
 //! Whatever waits here has long limits, so that a slow machine changes no verdict. A failure is a panic: a
 //! stand-in is part of its test.
 
-pub mod bed;
 pub mod caller;
 pub mod engine;
+pub mod fixture;
 pub mod idle;
 pub mod instant;
 pub mod records;
@@ -20,7 +20,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// The longest that anything is waited for.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// Now, in Unix milliseconds.
 pub fn unix_ms() -> u64 {
@@ -43,6 +43,6 @@
 }
 
 /// The name of the nth try: 16 hex digits.
-pub fn try_id(n: u64) -> String {
+pub fn attempt_id(n: u64) -> String {
     format!("{n:016x}")
 }
--- a/crates/fakes/src/records.rs
+++ b/crates/fakes/src/records.rs
@@ -3,7 +3,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 
-use crate::{try_id, unix_ms};
+use crate::{attempt_id, unix_ms};
 
 #[derive(Debug, PartialEq)]
 pub struct Reply {
@@ -33,7 +33,7 @@
 
 /// The records of one request. `more` replaces fields of the same name.
 pub fn request(id: u16, nth: u64, script: &str, more: Fields, body: &[u8]) -> Vec<u8> {
-    let (nth, now) = (try_id(nth), unix_ms().to_string());
+    let (nth, now) = (attempt_id(nth), unix_ms().to_string());
     let mut fields = vec![
         ("SCRIPT_NAME", script),
         ("REQUEST_METHOD", "POST"),
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -2,39 +2,39 @@
 
 use std::collections::BTreeMap;
 
-use crate::caller::Seen;
-use crate::server::Got;
-use crate::try_id;
+use crate::attempt_id;
+use crate::caller::CallerOutcome;
+use crate::server::ReceivedRequest;
 
 /// One try as its caller knows it. Times are Unix ms.
 #[derive(Clone, Debug)]
-pub struct Tried {
+pub struct CallerAttempt {
     pub nth: u64,
     /// The idempotency key, where it is deduplicated.
     pub idempotency_key: Option<String>,
     pub sent: u64,
     /// What it was told, and when; none where its caller left before.
-    pub told: Option<(Seen, u64)>,
+    pub told: Option<(CallerOutcome, u64)>,
 }
 
 /// One run as who did it knows it: of which try, with which idempotency key.
 #[derive(Clone, Debug)]
-pub struct Ran {
-    pub try_id: String,
+pub struct ExecutedRun {
+    pub attempt_id: String,
     pub idempotency_key: Option<String>,
     pub at: u64,
 }
 
-impl From<&Got> for Ran {
+impl From<&ReceivedRequest> for ExecutedRun {
     /// What an application server knows of a run: a request that named no try has none.
-    fn from(got: &Got) -> Ran {
+    fn from(got: &ReceivedRequest) -> ExecutedRun {
         let text = |name: &str| {
             got.variable(name)
                 .map(|value| String::from_utf8_lossy(value).into_owned())
         };
-        let try_id = text("HTTP_X_REQUEST_ID").unwrap_or_default();
-        Ran {
-            try_id,
+        let attempt_id = text("HTTP_X_REQUEST_ID").unwrap_or_default();
+        ExecutedRun {
+            attempt_id,
             idempotency_key: text("HTTP_IDEMPOTENCY_KEY"),
             at: got.at,
         }
@@ -53,30 +53,30 @@
 }
 
 /// What is broken, in words; empty where all is kept. `result` tells what a run of this try brings.
-pub fn broken(
-    tried: &[Tried],
-    ran: &[Ran],
+pub fn find_violations(
+    tried: &[CallerAttempt],
+    ran: &[ExecutedRun],
     bounds: Bounds,
     result: impl Fn(&str) -> Vec<u8>,
 ) -> Vec<String> {
-    let mut broken = Vec::new();
-    let mut by_key: BTreeMap<&str, Vec<&Ran>> = BTreeMap::new();
-    let mut by_try: BTreeMap<&str, Vec<&Ran>> = BTreeMap::new();
+    let mut violations = Vec::new();
+    let mut by_key: BTreeMap<&str, Vec<&ExecutedRun>> = BTreeMap::new();
+    let mut by_try: BTreeMap<&str, Vec<&ExecutedRun>> = BTreeMap::new();
     for run in ran {
-        by_try.entry(&run.try_id).or_default().push(run);
+        by_try.entry(&run.attempt_id).or_default().push(run);
         if let Some(key) = &run.idempotency_key {
             by_key.entry(key).or_default().push(run);
         }
     }
     for (key, runs) in by_key.iter().filter(|(_, runs)| runs.len() > 1) {
-        broken.push(format!("rule 2: {key} ran {} times: {runs:?}", runs.len()));
+        violations.push(format!("rule 2: {key} ran {} times: {runs:?}", runs.len()));
     }
-    for (try_id, runs) in by_try.iter().filter(|(_, runs)| runs.len() > bounds.tries) {
-        broken.push(format!("{try_id} was tried {} times", runs.len()));
+    for (attempt_id, runs) in by_try.iter().filter(|(_, runs)| runs.len() > bounds.tries) {
+        violations.push(format!("{attempt_id} was tried {} times", runs.len()));
     }
     for tried in tried {
-        let id = try_id(tried.nth);
-        let runs: Vec<&Ran> = match &tried.idempotency_key {
+        let id = attempt_id(tried.nth);
+        let runs: Vec<&ExecutedRun> = match &tried.idempotency_key {
             Some(key) => by_key.get(key.as_str()).cloned().unwrap_or_default(),
             None => by_try.get(id.as_str()).cloned().unwrap_or_default(),
         };
@@ -84,7 +84,7 @@
             .closed
             .is_some_and(|closed| tried.sent > closed && by_try.contains_key(id.as_str()))
         {
-            broken.push(format!(
+            violations.push(format!(
                 "rule 3: {id} was sent after notice and grace, and run"
             ));
         }
@@ -92,23 +92,25 @@
             continue;
         };
         match seen {
-            Seen::Nothing => broken.push(format!("rule 1: {id} was told nothing")),
+            CallerOutcome::Nothing => violations.push(format!("rule 1: {id} was told nothing")),
             _ if *at > tried.sent + bounds.within => {
-                broken.push(format!(
+                violations.push(format!(
                     "rule 1: {id} was told {} ms after it was sent",
                     at - tried.sent
                 ));
             }
-            Seen::Rejected { .. } if runs.iter().any(|run| run.at < tried.sent) => {
-                broken.push(format!(
+            CallerOutcome::Rejected { .. } if runs.iter().any(|run| run.at < tried.sent) => {
+                violations.push(format!(
                     "rule 2: {id} was rejected, and its key had run before"
                 ));
             }
-            Seen::Rejected { .. } if by_try.contains_key(id.as_str()) => {
-                broken.push(format!("rule 2: {id} was run and rejected"));
+            CallerOutcome::Rejected { .. } if by_try.contains_key(id.as_str()) => {
+                violations.push(format!("rule 2: {id} was run and rejected"));
             }
-            Seen::Completed(body) if !runs.iter().any(|run| *body == result(&run.try_id)) => {
-                broken.push(format!(
+            CallerOutcome::Completed(body)
+                if !runs.iter().any(|run| *body == result(&run.attempt_id)) =>
+            {
+                violations.push(format!(
                     "{id} was told what no run of it brought: {}",
                     String::from_utf8_lossy(body)
                 ));
@@ -116,5 +118,5 @@
             _ => {}
         }
     }
-    broken
+    violations
 }
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -16,7 +16,7 @@
 
 /// A request as the server read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Got {
+pub struct ReceivedRequest {
     pub id: u16,
     pub keep: bool,
     pub variables: Vec<(String, Vec<u8>)>,
@@ -27,7 +27,7 @@
     pub at: u64,
 }
 
-impl Got {
+impl ReceivedRequest {
     pub fn variable(&self, name: &str) -> Option<&[u8]> {
         self.variables
             .iter()
@@ -38,7 +38,7 @@
 
 /// What is done with one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Behavior {
     /// Answered with this status and body, after a while.
     Answer {
         status: &'static str,
@@ -49,7 +49,7 @@
     Cut {
         body: Vec<u8>,
         at: usize,
-        how: CutBy,
+        how: Disconnect,
     },
     /// These bytes, then the end of the connection.
     Garbage(Vec<u8>),
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutBy {
+pub enum Disconnect {
     Close,
     Reset,
     /// Nothing more is sent, and the connection stays open in the other direction.
@@ -66,21 +66,21 @@
 }
 
 /// A request whose answer waits for the test's word.
-pub struct Held {
-    pub got: Got,
-    act: Sender<Act>,
+pub struct HeldRequest {
+    pub got: ReceivedRequest,
+    act: Sender<Behavior>,
 }
 
-impl Held {
-    pub fn act(self, act: Act) {
+impl HeldRequest {
+    pub fn act(self, act: Behavior) {
         // Its connection may be gone.
         _ = self.act.send(act);
     }
 }
 
-impl Act {
-    pub fn ok(body: impl Into<Vec<u8>>) -> Act {
-        Act::Answer {
+impl Behavior {
+    pub fn ok(body: impl Into<Vec<u8>>) -> Behavior {
+        Behavior::Answer {
             status: "200 OK",
             body: body.into(),
             after: Duration::ZERO,
@@ -90,13 +90,13 @@
 
 /// A second hand on each connection that is open, by which it can be broken from outside.
 type Open = Arc<Mutex<BTreeMap<usize, TcpStream>>>;
-type Script = Arc<dyn Fn(&Got) -> Act + Send + Sync>;
+type Script = Arc<dyn Fn(&ReceivedRequest) -> Behavior + Send + Sync>;
 
 /// Serves in threads of its own until dropped: one for each connection.
 pub struct Server {
     pub at: SocketAddr,
     pub protocol: Protocol,
-    got: Arc<Mutex<Vec<Got>>>,
+    got: Arc<Mutex<Vec<ReceivedRequest>>>,
     connections: Arc<AtomicUsize>,
     over: Arc<AtomicBool>,
     open: Open,
@@ -104,22 +104,22 @@
 
 impl Server {
     /// Holds each request until the test says what is to be done with it; one that it forgets hangs.
-    pub fn held(protocol: Protocol) -> (Server, Receiver<Held>) {
+    pub fn held(protocol: Protocol) -> (Server, Receiver<HeldRequest>) {
         let (held, requests) = channel();
         let server = Server::start(protocol, move |got| {
             let (act, word) = channel();
-            _ = held.send(Held {
+            _ = held.send(HeldRequest {
                 got: got.clone(),
                 act,
             });
-            word.recv().unwrap_or(Act::Hang)
+            word.recv().unwrap_or(Behavior::Hang)
         });
         (server, requests)
     }
 
     pub fn start(
         protocol: Protocol,
-        script: impl Fn(&Got) -> Act + Send + Sync + 'static,
+        script: impl Fn(&ReceivedRequest) -> Behavior + Send + Sync + 'static,
     ) -> Server {
         Server::start_at("127.0.0.1:0".parse().unwrap(), protocol, script)
     }
@@ -128,7 +128,7 @@
     pub fn start_at(
         at: SocketAddr,
         protocol: Protocol,
-        script: impl Fn(&Got) -> Act + Send + Sync + 'static,
+        script: impl Fn(&ReceivedRequest) -> Behavior + Send + Sync + 'static,
     ) -> Server {
         let door = TcpListener::bind(at).unwrap();
         let server = Server {
@@ -164,7 +164,7 @@
     }
 
     /// What was read so far.
-    pub fn got(&self) -> Vec<Got> {
+    pub fn got(&self) -> Vec<ReceivedRequest> {
         self.got.lock().unwrap().clone()
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// The same, with what it had read by then.
-    pub fn kill_and_tell(self) -> Vec<Got> {
+    pub fn kill_and_tell(self) -> Vec<ReceivedRequest> {
         let got = self.got.clone();
         drop(self);
         got.lock().unwrap().clone()
@@ -211,10 +211,10 @@
     protocol: Protocol,
     connection: usize,
     script: &Script,
-    all: &Mutex<Vec<Got>>,
+    all: &Mutex<Vec<ReceivedRequest>>,
 ) -> TcpStream {
     let mut reader = RequestReader::new(protocol);
-    let (mut block, mut got) = (Vec::new(), Got::default());
+    let (mut block, mut got) = (Vec::new(), ReceivedRequest::default());
     let mut buffer = [0; 16 * 1024];
     loop {
         let Ok(n) = sock.read(&mut buffer) else {
@@ -237,11 +237,11 @@
                     ..
                 } => {
                     (got, block) = (
-                        Got {
+                        ReceivedRequest {
                             id,
                             keep,
                             connection,
-                            ..Got::default()
+                            ..ReceivedRequest::default()
                         },
                         Vec::new(),
                     )
@@ -270,10 +270,10 @@
 }
 
 /// Carries out one act; whether the connection goes on.
-fn act(sock: &mut TcpStream, protocol: Protocol, got: &Got, act: Act) -> bool {
+fn act(sock: &mut TcpStream, protocol: Protocol, got: &ReceivedRequest, act: Behavior) -> bool {
     let mut out = Vec::new();
     match act {
-        Act::Answer {
+        Behavior::Answer {
             status,
             body,
             after,
@@ -297,7 +297,7 @@
             );
             sock.write_all(&out).is_ok() && got.keep && protocol == Protocol::FastCgi
         }
-        Act::Cut { body, at, how } => {
+        Behavior::Cut { body, at, how } => {
             write_response(
                 protocol,
                 &mut out,
@@ -311,21 +311,21 @@
             );
             _ = sock.write_all(&out[..at.min(out.len())]);
             match how {
-                CutBy::Close => false,
-                CutBy::Reset => {
+                Disconnect::Close => false,
+                Disconnect::Reset => {
                     break_off(sock);
                     false
                 }
-                CutBy::HalfClose => {
+                Disconnect::HalfClose => {
                     _ = sock.shutdown(Shutdown::Write);
                     true
                 }
             }
         }
-        Act::Garbage(bytes) => {
+        Behavior::Garbage(bytes) => {
             _ = sock.write_all(&bytes);
             false
         }
-        Act::Hang => true,
+        Behavior::Hang => true,
     }
 }
--- a/crates/fault-harness/src/load.rs
+++ b/crates/fault-harness/src/load.rs
@@ -8,9 +8,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::caller::{Ask, Seen};
-use doortrack_fakes::rules::Ran;
-use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
+use doortrack_fakes::rules::ExecutedRun;
+use doortrack_fakes::server::{Behavior, Server};
 use doortrack_fakes::unix_ms;
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
@@ -47,7 +47,7 @@
     /// When it was sent.
     pub sent: u64,
     /// `None`: the connection failed.
-    pub answer: Option<Seen>,
+    pub answer: Option<CallerOutcome>,
     /// When the answer ended, or the connection failed.
     pub answered: u64,
 }
@@ -85,7 +85,7 @@
     /// Starts the server; callers are started by [`Load::start`].
     pub fn new(profile: LoadProfile) -> Load {
         let run_time = profile.run_time;
-        let server = Server::start(Protocol::FastCgi, move |_| Act::Answer {
+        let server = Server::start(Protocol::FastCgi, move |_| Behavior::Answer {
             status: "200 OK",
             body: b"done".to_vec(),
             after: run_time,
@@ -131,13 +131,13 @@
             .collect();
         let by_attempt: BTreeMap<String, &RequestRecord> = requests
             .iter()
-            .map(|request| (doortrack_fakes::try_id(request.id), request))
+            .map(|request| (doortrack_fakes::attempt_id(request.id), request))
             .collect();
         let run_ms = self.profile.run_time.as_millis() as u64;
         let (mut unkeyed, mut keyed, mut runs) = (Vec::new(), Vec::new(), Vec::new());
         for received in self.server.got() {
-            let ran = Ran::from(&received);
-            let Some(request) = by_attempt.get(&ran.try_id) else {
+            let ran = ExecutedRun::from(&received);
+            let Some(request) = by_attempt.get(&ran.attempt_id) else {
                 continue;
             };
             let admitted = Admitted {
@@ -188,15 +188,15 @@
         self.next_id += 1;
         let key = format!("{id:032x}");
         let request = if keyed {
-            Ask::new(id, "/svc/pay", b"berth").with("HTTP_IDEMPOTENCY_KEY", &key)
+            CallerRequest::new(id, "/svc/pay", b"berth").with("HTTP_IDEMPOTENCY_KEY", &key)
         } else {
-            Ask::new(id, "/svc/look", b"berth")
+            CallerRequest::new(id, "/svc/look", b"berth")
         };
         let sent = unix_ms();
         let answer = request
             .try_send(self.addresses[node], Protocol::FastCgi)
             .ok();
-        let answer = answer.map(|pending| pending.seen());
+        let answer = answer.map(|pending| pending.outcome());
         self.requests.push(RequestRecord {
             id,
             node,
--- a/crates/fault-harness/src/processes.rs
+++ b/crates/fault-harness/src/processes.rs
@@ -17,7 +17,7 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-use doortrack_fakes::bed::fresh_address;
+use doortrack_fakes::fixture::fresh_address;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
--- a/crates/fault-harness/src/processes/lifecycle.rs
+++ b/crates/fault-harness/src/processes/lifecycle.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::PoisonError;
 
-use doortrack_fakes::bed::config;
+use doortrack_fakes::fixture::config;
 use doortrack_fakes::unix_ms;
 use rustix::process::Signal;
 use serde_json::{Value, json};
--- a/crates/fault-harness/src/scale/added.rs
+++ b/crates/fault-harness/src/scale/added.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
 use doortrack_fakes::instant;
 use doortrack_protocols::Protocol;
 use indicatif::ProgressBar;
@@ -236,11 +236,11 @@
 
 /// Microseconds from before the connection to the end of the answer; none if it was not completed.
 fn time_one(front: SocketAddr, nth: u64) -> Option<f64> {
-    let ask = Ask::new(nth, "/svc/look", b"berth").with(TENANT_FIELD, CALLERS_TENANT);
+    let ask = CallerRequest::new(nth, "/svc/look", b"berth").with(TENANT_FIELD, CALLERS_TENANT);
     let began = Instant::now();
-    let seen = ask.try_send(front, Protocol::FastCgi).ok()?.seen();
+    let seen = ask.try_send(front, Protocol::FastCgi).ok()?.outcome();
     let took = began.elapsed().as_secs_f64() * 1e6;
-    matches!(seen, Seen::Completed(_)).then_some(took)
+    matches!(seen, CallerOutcome::Completed(_)).then_some(took)
 }
 
 impl AddedReport {
--- a/crates/fault-harness/src/scale/node_cost/alone.rs
+++ b/crates/fault-harness/src/scale/node_cost/alone.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::bed::open_registry;
+use doortrack_fakes::fixture::open_registry;
 use serde::Serialize;
 use serde_json::json;
 
--- a/crates/fault-harness/src/scale/node_cost/caller.rs
+++ b/crates/fault-harness/src/scale/node_cost/caller.rs
@@ -120,13 +120,13 @@
     /// # Errors
     /// The connection ends, or no answer comes in time.
     pub fn ask(&mut self, request: &Request) -> io::Result<Outcome> {
-        let try_id = format!("{:016x}", TRIES.fetch_add(1, Ordering::Relaxed));
+        let attempt_id = format!("{:016x}", TRIES.fetch_add(1, Ordering::Relaxed));
         let key = request.idempotency_key.map(|key| format!("{key:032x}"));
         let now = unix_ms().to_string();
         let mut fields = vec![
             ("SCRIPT_NAME", request.path),
             ("REQUEST_METHOD", "POST"),
-            ("HTTP_X_REQUEST_ID", &*try_id),
+            ("HTTP_X_REQUEST_ID", &*attempt_id),
             ("HTTP_X_REQUEST_START", &*now),
             ("HTTP_X_CALLER", "1"),
             ("HTTP_X_MEMORY_KB", "2.5"),
--- a/crates/fault-harness/src/scale/node_cost/measure.rs
+++ b/crates/fault-harness/src/scale/node_cost/measure.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::bed::open_registry;
+use doortrack_fakes::fixture::open_registry;
 use doortrack_fakes::instant;
 use doortrack_protocols::Protocol;
 use hdrhistogram::Histogram;
--- a/crates/fault-harness/src/scale/node_cost/process.rs
+++ b/crates/fault-harness/src/scale/node_cost/process.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::bed::fresh_address;
+use doortrack_fakes::fixture::fresh_address;
 use procfs::process::Process;
 use rustix::process::{Pid, Signal, kill_process, set_parent_process_death_signal};
 use serde_json::Value;
--- a/crates/fault-harness/src/scale/node_cost/settings.rs
+++ b/crates/fault-harness/src/scale/node_cost/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-use doortrack_fakes::bed;
+use doortrack_fakes::fixture;
 use serde_json::{Value, json};
 
 use crate::scale::series::Dimension;
@@ -162,7 +162,7 @@
 
 /// The platform's configuration.
 pub fn configuration(name: &str, size: &Size, addresses: &Addresses) -> Value {
-    let mut configuration = bed::config();
+    let mut configuration = fixture::config();
     configuration["name"] = json!(name);
     configuration["listen"] = json!(addresses.listen.to_string());
     configuration["registry"] = json!(addresses.registry.to_string());
--- a/crates/fault-harness/src/scale/plan.rs
+++ b/crates/fault-harness/src/scale/plan.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use doortrack_config::{Installation, NodeConfig, installation, node_config};
-use doortrack_fakes::bed;
+use doortrack_fakes::fixture;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
@@ -106,7 +106,7 @@
 
     /// The platform's configuration of a node.
     pub fn config(&self, node: usize) -> Value {
-        let mut config = bed::config();
+        let mut config = fixture::config();
         config["name"] = json!(self.name(node));
         config["listen"] = json!(self.front_address(node).to_string());
         config["stop_ms"] = json!(STOP_MS);
--- a/crates/fault-harness/src/scale/probe.rs
+++ b/crates/fault-harness/src/scale/probe.rs
@@ -6,7 +6,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
 use doortrack_fakes::unix_ms;
 use doortrack_protocols::Protocol;
 use serde::{Deserialize, Serialize};
@@ -64,12 +64,12 @@
         nth += 1;
         served.asked += 1;
         let unix_ms = unix_ms();
-        let ask = Ask::new(nth, "/svc/look", b"berth").with(TENANT_FIELD, CALLERS_TENANT);
+        let ask = CallerRequest::new(nth, "/svc/look", b"berth").with(TENANT_FIELD, CALLERS_TENANT);
         match ask
             .try_send(front, Protocol::FastCgi)
-            .map(|pending| pending.seen())
+            .map(|pending| pending.outcome())
         {
-            Ok(Seen::Completed(_)) => {
+            Ok(CallerOutcome::Completed(_)) => {
                 served.completed += 1;
                 served.longest_gap_ms =
                     served.longest_gap_ms.max(last.elapsed().as_millis() as u64);
--- a/crates/fault-harness/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -10,8 +10,8 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use doortrack_fakes::rules::Ran;
-use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::rules::ExecutedRun;
+use doortrack_fakes::server::{Behavior, Server};
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
@@ -39,9 +39,9 @@
 impl Backend {
     /// Starts the server.
     pub fn start() -> Backend {
-        let server = Server::start(Protocol::FastCgi, |request| Act::Answer {
+        let server = Server::start(Protocol::FastCgi, |request| Behavior::Answer {
             status: "200 OK",
-            body: expected_body(&Ran::from(request).try_id),
+            body: expected_body(&ExecutedRun::from(request).attempt_id),
             after: RUN_TIME,
         });
         Backend { server }
@@ -112,7 +112,7 @@
     /// described. Requests to processes that exited need no answer.
     pub fn finish(self, backend: &Backend, exits: &[ProcessExit]) -> (TrafficCounts, Vec<String>) {
         let records = self.stop();
-        let ran: Vec<Ran> = backend.server.got().iter().map(Ran::from).collect();
+        let ran: Vec<ExecutedRun> = backend.server.got().iter().map(ExecutedRun::from).collect();
         records.judge(&ran, exits)
     }
 }
--- a/crates/fault-harness/src/traffic/caller.rs
+++ b/crates/fault-harness/src/traffic/caller.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use doortrack_fakes::caller::{Ask, Seen};
-use doortrack_fakes::rules::Tried;
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
+use doortrack_fakes::rules::CallerAttempt;
 use doortrack_fakes::unix_ms;
 use doortrack_protocols::Protocol;
 
@@ -27,7 +27,7 @@
     /// Named in each request, where the nodes know tenants.
     tenant: Option<&'static str>,
     /// Requests, each with the listener.
-    requests: Vec<(SocketAddr, Tried)>,
+    requests: Vec<(SocketAddr, CallerAttempt)>,
     refused: Vec<(SocketAddr, u64)>,
 }
 
@@ -59,7 +59,7 @@
             for offset in 0..MAX_LISTENERS.min(self.listeners.len()) {
                 let listener = self.listeners[(first + offset) % self.listeners.len()];
                 match self.send(listener, key.as_deref()) {
-                    None | Some(Seen::Rejected { .. }) => {}
+                    None | Some(CallerOutcome::Rejected { .. }) => {}
                     // It may have run, and nodes share no idempotency keys.
                     Some(_) => break,
                 }
@@ -70,14 +70,14 @@
     }
 
     /// Sends one request. Returns its end, or `None` without a connection.
-    fn send(&mut self, listener: SocketAddr, key: Option<&str>) -> Option<Seen> {
+    fn send(&mut self, listener: SocketAddr, key: Option<&str>) -> Option<CallerOutcome> {
         self.last_attempt += 1;
         let path = if key.is_some() {
             "/svc/pay"
         } else {
             "/svc/look"
         };
-        let mut request = Ask::new(self.last_attempt, path, b"berth");
+        let mut request = CallerRequest::new(self.last_attempt, path, b"berth");
         if let Some(key) = key {
             request = request.with("HTTP_IDEMPOTENCY_KEY", key);
         }
@@ -89,8 +89,8 @@
             self.refused.push((listener, sent));
             return None;
         };
-        let answer = pending.seen();
-        let record = Tried {
+        let answer = pending.outcome();
+        let record = CallerAttempt {
             nth: self.last_attempt,
             idempotency_key: key.map(str::to_string),
             sent,
--- a/crates/fault-harness/src/traffic/records.rs
+++ b/crates/fault-harness/src/traffic/records.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use doortrack_fakes::caller::Seen;
-use doortrack_fakes::rules::{Bounds, Ran, Tried, broken};
+use doortrack_fakes::caller::CallerOutcome;
+use doortrack_fakes::rules::{Bounds, CallerAttempt, ExecutedRun, find_violations};
 
 use super::expected_body;
 use crate::serving::Offer;
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct CallerRecords {
     /// Requests, each with the listener that it was sent to.
-    pub requests: Vec<(SocketAddr, Tried)>,
+    pub requests: Vec<(SocketAddr, CallerAttempt)>,
     /// Listeners that took no connection, and when, in Unix ms.
     pub refused: Vec<(SocketAddr, u64)>,
     /// Callers whose connection did not end within their long timeout.
@@ -68,8 +68,8 @@
 
     /// Judges by the four rules. Returns the violations, described. Requests to processes that exited need no
     /// answer.
-    pub fn judge(self, ran: &[Ran], exits: &[ProcessExit]) -> (TrafficCounts, Vec<String>) {
-        let requests: Vec<Tried> = self
+    pub fn judge(self, ran: &[ExecutedRun], exits: &[ProcessExit]) -> (TrafficCounts, Vec<String>) {
+        let requests: Vec<CallerAttempt> = self
             .requests
             .into_iter()
             .map(|(listener, request)| excuse_unanswered(listener, request, exits))
@@ -88,7 +88,7 @@
             closed: None,
             tries: MAX_ATTEMPTS,
         };
-        let mut violations = broken(&requests, ran, bounds, expected_body);
+        let mut violations = find_violations(&requests, ran, bounds, expected_body);
         if self.stalled > 0 {
             violations.push(format!(
                 "rule 1: {} callers saw no end of a connection",
@@ -99,15 +99,19 @@
     }
 }
 
-fn completed_at(request: &Tried) -> Option<u64> {
+fn completed_at(request: &CallerAttempt) -> Option<u64> {
     match request.told {
-        Some((Seen::Completed(_), at)) => Some(at),
+        Some((CallerOutcome::Completed(_), at)) => Some(at),
         _ => None,
     }
 }
 
 /// Treats a request as abandoned by its caller if its process exited before the answer.
-fn excuse_unanswered(listener: SocketAddr, mut request: Tried, exits: &[ProcessExit]) -> Tried {
+fn excuse_unanswered(
+    listener: SocketAddr,
+    mut request: CallerAttempt,
+    exits: &[ProcessExit],
+) -> CallerAttempt {
     let has_exited = |until: u64| {
         exits.iter().any(|exit| {
             exit.listener == listener
@@ -116,7 +120,7 @@
                 && exit.at <= until
         })
     };
-    let is_excused = matches!(request.told, Some((Seen::Nothing, at)) if has_exited(at));
+    let is_excused = matches!(request.told, Some((CallerOutcome::Nothing, at)) if has_exited(at));
     request.told = request.told.filter(|_| !is_excused);
     request
 }
--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use doortrack_fakes::caller::{Ask, Seen};
-use doortrack_fakes::server::{Act, CutBy, Got, Server};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
+use doortrack_fakes::server::{Behavior, Disconnect, ReceivedRequest, Server};
 use doortrack_fault_harness::load::{Load, LoadProfile, LoadReport};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::{Fault, Script};
@@ -203,7 +203,9 @@
     let fronts: std::collections::BTreeSet<usize> = report
         .requests
         .iter()
-        .filter(|request| request.keyed && matches!(request.answer, Some(Seen::Completed(_))))
+        .filter(|request| {
+            request.keyed && matches!(request.answer, Some(CallerOutcome::Completed(_)))
+        })
         .map(|request| request.node)
         .collect();
     assert!(
@@ -315,7 +317,7 @@
         {"name": "looks", "kind": "rate", "limit": 20, "burst": 10, "reserved": 20,
             "for": {"pool": "servers"}}]});
     rig.start(0, 0, &with(own, load.installation())).unwrap();
-    drop(doortrack_fakes::bed::connect(rig.listener_address(0)));
+    drop(doortrack_fakes::fixture::connect(rig.listener_address(0)));
     let began = doortrack_fakes::unix_ms();
     load.start(&[rig.listener_address(0)], 1);
     std::thread::sleep(ms(2_000));
@@ -332,7 +334,7 @@
         .requests
         .iter()
         .filter_map(|request| match &request.answer {
-            Some(Seen::Rejected { retry_after, .. }) => Some(retry_after.unwrap_or(0)),
+            Some(CallerOutcome::Rejected { retry_after, .. }) => Some(retry_after.unwrap_or(0)),
             _ => None,
         });
     let rejected: Vec<u64> = rejected.collect();
@@ -345,10 +347,10 @@
 /// All servers fail: each node by itself would retry far more than the fleet may.
 #[test]
 fn retries_of_all_nodes_together_keep_to_the_fleets_budget() {
-    let breaks = |_: &Got| Act::Cut {
+    let breaks = |_: &ReceivedRequest| Behavior::Cut {
         body: Vec::new(),
         at: 0,
-        how: CutBy::Close,
+        how: Disconnect::Close,
     };
     let servers = [
         Server::start(Protocol::FastCgi, breaks),
@@ -396,8 +398,8 @@
     );
 }
 
-fn seen(rig: &Rig, nth: u64, key: Option<&str>) -> Seen {
-    let ask = Ask::new(
+fn seen(rig: &Rig, nth: u64, key: Option<&str>) -> CallerOutcome {
+    let ask = CallerRequest::new(
         nth,
         if key.is_some() {
             "/svc/pay"
@@ -407,14 +409,15 @@
         b"berth",
     );
     let ask = key.map_or(ask.clone(), |key| ask.with("HTTP_IDEMPOTENCY_KEY", key));
-    ask.send(rig.listener_address(0), Protocol::FastCgi).seen()
+    ask.send(rig.listener_address(0), Protocol::FastCgi)
+        .outcome()
 }
 
 /// Asks under new ids until one is completed; the id.
 fn until_completed(rig: &Rig, key: Option<&str>) -> u64 {
     let until = std::time::Instant::now() + Duration::from_secs(30);
     for nth in 1.. {
-        if matches!(seen(rig, nth, key), Seen::Completed(_)) {
+        if matches!(seen(rig, nth, key), CallerOutcome::Completed(_)) {
             return nth;
         }
         assert!(std::time::Instant::now() < until, "nothing is ever taken");
@@ -429,13 +432,13 @@
         "servers": {"protocol": "fastcgi", "addresses": [server.at.to_string()], "at_once": 8,
             "answer_within_ms": answer_within_ms, "aside": {"failures": 1000}, "retries": {"tries": 1}}});
     rig.start(0, 0, &own).unwrap();
-    drop(doortrack_fakes::bed::connect(rig.listener_address(0)));
+    drop(doortrack_fakes::fixture::connect(rig.listener_address(0)));
     rig
 }
 
 #[test]
 fn a_repeat_is_answered_while_its_budget_has_nothing_left() {
-    let server = Server::start(Protocol::FastCgi, |_| Act::ok("done"));
+    let server = Server::start(Protocol::FastCgi, |_| Behavior::ok("done"));
     let budget = json!({"name": "pays", "kind": "rate", "limit": 1, "burst": 1, "reserved": 1,
         "for": {"group": "pay"}});
     let rig = alone(&server, 5_000, budget);
@@ -449,11 +452,11 @@
     for nth in (first + 1..).step_by(2).take(60) {
         assert_eq!(
             seen(&rig, nth, Some(key)),
-            Seen::Completed(b"done".to_vec())
+            CallerOutcome::Completed(b"done".to_vec())
         );
         rejected += usize::from(matches!(
             seen(&rig, nth + 1, Some(other)),
-            Seen::Rejected { .. }
+            CallerOutcome::Rejected { .. }
         ));
     }
     assert!(rejected > 0, "the budget was never empty");
@@ -467,7 +470,7 @@
 /// What a node gives up may go on in its server: its permit is free only once that is over.
 #[test]
 fn the_permit_of_a_run_that_was_given_up_is_held_on() {
-    let server = Server::start(Protocol::FastCgi, |_| Act::Hang);
+    let server = Server::start(Protocol::FastCgi, |_| Behavior::Hang);
     let budget = json!({"name": "all", "kind": "concurrency", "limit": 1, "reserved": 1, "max_hold_ms": 3_000,
         "for": {"pool": "servers"}});
     let rig = alone(&server, 100, budget);
@@ -475,7 +478,10 @@
     let mut nth = 0;
     while server.got().len() < 3 {
         nth += 1;
-        assert!(!matches!(seen(&rig, nth, None), Seen::Completed(_)));
+        assert!(!matches!(
+            seen(&rig, nth, None),
+            CallerOutcome::Completed(_)
+        ));
         assert!(
             std::time::Instant::now() < until,
             "{} runs",
--- a/crates/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/link.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::bed::Plan;
+use doortrack_fakes::fixture::NodeSetup;
 use doortrack_fault_harness::history::{History, HistoryEvent};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::Fault;
@@ -251,21 +251,21 @@
 
 #[test]
 fn a_fleet_costs_one_socket_and_none_where_there_is_none() {
-    let (bed, _engine) = Plan::new(program()).up();
-    let (sockets, threads) = has(bed.program.id());
+    let (fixture, _engine) = NodeSetup::new(program()).start_with_engine();
+    let (sockets, threads) = has(fixture.program.id());
     assert_eq!(threads, 1);
-    let mut plan = Plan::new(program());
+    let mut plan = NodeSetup::new(program());
     let fleet = json!({"name": "delta", "listen": plan.port(7_400).to_string()});
     plan.installation = Some(json!({"fleet": fleet}));
-    let (bed, _engine) = plan.up();
-    assert_eq!(has(bed.program.id()), (sockets + 1, 1));
+    let (fixture, _engine) = plan.start_with_engine();
+    assert_eq!(has(fixture.program.id()), (sockets + 1, 1));
 }
 
 #[test]
 fn the_clock_is_set_off_in_a_fleet_alone() {
-    let mut plan = Plan::new(program());
-    plan.words.push("--test-clock-ms=-2000".into());
-    let (code, log) = plan.start().end();
+    let mut plan = NodeSetup::new(program());
+    plan.arguments.push("--test-clock-ms=-2000".into());
+    let (code, log) = plan.start().wait_for_exit();
     assert_eq!(code, Some(1));
     assert!(log.contains("--test-clock-ms"), "{log}");
 }
--- a/crates/node/tests/fleet/ramp.rs
+++ b/crates/node/tests/fleet/ramp.rs
@@ -7,8 +7,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::caller::{Ask, Seen};
-use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
+use doortrack_fakes::server::{Behavior, Server};
 use doortrack_fakes::unix_ms;
 use doortrack_fault_harness::processes::Rig;
 use doortrack_node::commands::fleet::query_budgets;
@@ -126,12 +126,15 @@
     while !over.load(Ordering::Relaxed) {
         nth += 1;
         let asked = Instant::now();
-        let sent = Ask::new(nth, "/svc/look", b"berth").try_send(front, Protocol::FastCgi);
-        let count = match sent.ok().map(|pending| pending.seen()) {
-            Some(Seen::Completed(_)) => &tally.completed,
-            Some(Seen::Rejected { .. }) => &tally.rejected,
-            Some(Seen::Failed) => &tally.failed,
-            Some(Seen::Unreadable(..) | Seen::Nothing) | None => &tally.unanswered,
+        let sent =
+            CallerRequest::new(nth, "/svc/look", b"berth").try_send(front, Protocol::FastCgi);
+        let count = match sent.ok().map(|pending| pending.outcome()) {
+            Some(CallerOutcome::Completed(_)) => &tally.completed,
+            Some(CallerOutcome::Rejected { .. }) => &tally.rejected,
+            Some(CallerOutcome::Failed) => &tally.failed,
+            Some(CallerOutcome::Unreadable(..) | CallerOutcome::Nothing) | None => {
+                &tally.unanswered
+            }
         };
         count.fetch_add(1, Ordering::Relaxed);
         tally
@@ -142,7 +145,7 @@
 }
 
 fn server(at: SocketAddr) -> Server {
-    Server::start_at(at, Protocol::FastCgi, |_| Act::Answer {
+    Server::start_at(at, Protocol::FastCgi, |_| Behavior::Answer {
         status: "200 OK",
         body: b"done".to_vec(),
         after: WORK,
@@ -177,7 +180,7 @@
     let fronts: Vec<SocketAddr> = (0..nodes).map(|of| rig.listener_address(of)).collect();
     fronts
         .iter()
-        .for_each(|front| drop(doortrack_fakes::bed::connect(*front)));
+        .for_each(|front| drop(doortrack_fakes::fixture::connect(*front)));
     let mut callers = Callers::start(&fronts);
     callers.wait_for("served before", |tally| {
         tally.completed.load(Ordering::Relaxed) >= 3
@@ -307,8 +310,8 @@
 }
 
 /// Sends one request, under an idempotency key if there is one.
-fn seen(rig: &Rig, nth: u64, key: Option<&str>) -> Seen {
-    let ask = Ask::new(
+fn seen(rig: &Rig, nth: u64, key: Option<&str>) -> CallerOutcome {
+    let ask = CallerRequest::new(
         nth,
         if key.is_some() {
             "/svc/pay"
@@ -318,33 +321,37 @@
         b"berth",
     );
     let ask = key.map_or(ask.clone(), |key| ask.with("HTTP_IDEMPOTENCY_KEY", key));
-    ask.send(rig.listener_address(0), Protocol::FastCgi).seen()
+    ask.send(rig.listener_address(0), Protocol::FastCgi)
+        .outcome()
 }
 
 #[test]
 fn while_the_server_is_down_a_repeat_is_answered_and_all_else_is_told_when_to_come_back() {
     let (rig, server) = started(1, |at| installation(at, ramp(RUNS)));
-    drop(doortrack_fakes::bed::connect(rig.listener_address(0)));
+    drop(doortrack_fakes::fixture::connect(rig.listener_address(0)));
     let (key, other) = (
         "00112233445566778899aabbccddeeff",
         "ffeeddccbbaa99887766554433221100",
     );
-    assert_eq!(seen(&rig, 1, Some(key)), Seen::Completed(b"done".to_vec()));
+    assert_eq!(
+        seen(&rig, 1, Some(key)),
+        CallerOutcome::Completed(b"done".to_vec())
+    );
     server.kill();
     let (mut waits, mut failed) = (Vec::new(), 0);
     for nth in (2..).step_by(3).take(40) {
         assert_eq!(
             seen(&rig, nth, Some(key)),
-            Seen::Completed(b"done".to_vec())
+            CallerOutcome::Completed(b"done".to_vec())
         );
         for seen in [seen(&rig, nth + 1, Some(other)), seen(&rig, nth + 2, None)] {
             match seen {
-                Seen::Rejected {
+                CallerOutcome::Rejected {
                     retry_after,
-                    not_elsewhere: false,
+                    no_retry_elsewhere: false,
                 } => waits.push(retry_after),
                 // A probe: its connection was refused.
-                Seen::Failed => failed += 1,
+                CallerOutcome::Failed => failed += 1,
                 seen => panic!("{seen:?}"),
             }
         }
@@ -365,7 +372,7 @@
 #[test]
 fn a_server_that_is_added_under_way_ramps_up_beside_one_that_takes_the_rest() {
     let (mut rig, first) = started(1, |at| installation(at, ramp(RUNS)));
-    drop(doortrack_fakes::bed::connect(rig.listener_address(0)));
+    drop(doortrack_fakes::fixture::connect(rig.listener_address(0)));
     let fronts = vec![rig.listener_address(0); 4];
     let mut callers = Callers::start(&fronts);
     callers.wait_for("served before", |tally| {
--- a/crates/node/tests/fleet/rolling.rs
+++ b/crates/node/tests/fleet/rolling.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::caller::{Ask, Seen};
-use doortrack_fakes::rules::Ran;
-use doortrack_fakes::server::{Act, Server};
-use doortrack_fakes::{LONG, unix_ms};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
+use doortrack_fakes::rules::ExecutedRun;
+use doortrack_fakes::server::{Behavior, Server};
+use doortrack_fakes::{MAX_WAIT, unix_ms};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::Fault;
 use doortrack_fault_harness::serving::{ProcessLifetime, ProgressBounds, stalls};
@@ -33,9 +33,9 @@
 const WORK: Duration = Duration::from_millis(3);
 
 fn servers() -> Vec<Server> {
-    let script = |got: &_| Act::Answer {
+    let script = |got: &_| Behavior::Answer {
         status: "200 OK",
-        body: expected_body(&Ran::from(got).try_id),
+        body: expected_body(&ExecutedRun::from(got).attempt_id),
         after: WORK,
     };
     (0..SERVERS)
@@ -51,10 +51,11 @@
 
 /// Waits until a node answers that it is well; when it did.
 fn ready_at(front: SocketAddr) -> u64 {
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + MAX_WAIT;
     loop {
-        if let Ok(pending) = Ask::new(1, "/status/live", b"").try_send(front, Protocol::FastCgi)
-            && matches!(pending.seen(), Seen::Completed(_))
+        if let Ok(pending) =
+            CallerRequest::new(1, "/status/live", b"").try_send(front, Protocol::FastCgi)
+            && matches!(pending.outcome(), CallerOutcome::Completed(_))
         {
             return unix_ms();
         }
@@ -118,10 +119,10 @@
     fronts.iter().for_each(|front| _ = ready_at(*front));
     let asked = traffic.stop();
     let offers = asked.offers();
-    let ran: Vec<Ran> = servers
+    let ran: Vec<ExecutedRun> = servers
         .iter()
         .flat_map(Server::got)
-        .map(|got| Ran::from(&got))
+        .map(|got| ExecutedRun::from(&got))
         .collect();
     let (served, broken) = asked.judge(&ran, &deaths);
     assert!(broken.is_empty(), "{broken:#?}");
--- a/crates/node/tests/node/conformance.rs
+++ b/crates/node/tests/node/conformance.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::Receiver;
 
-use doortrack_fakes::bed::{Bed, Plan, connect};
-use doortrack_fakes::caller::{Ask, Pending, Seen};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest, PendingAnswer};
 use doortrack_fakes::engine::Engine;
-use doortrack_fakes::server::{Act, CutBy, Held, Server};
-use doortrack_fakes::{LONG, unix_ms};
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
+use doortrack_fakes::server::{Behavior, Disconnect, HeldRequest, Server};
+use doortrack_fakes::{MAX_WAIT, unix_ms};
 use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::{Value, json};
 
@@ -17,13 +17,13 @@
 enum Work {
     Engine(Engine),
     /// Kept only so that it goes on.
-    Server(#[allow(dead_code)] Server, Receiver<Held>),
+    Server(#[allow(dead_code)] Server, Receiver<HeldRequest>),
 }
 
 /// A run in hand.
 enum Run {
     Engine(String),
-    Server(Held),
+    Server(HeldRequest),
 }
 
 impl Work {
@@ -35,7 +35,7 @@
                 (call.clone(), body, Run::Engine(call))
             }
             Work::Server(_, held) => {
-                let held = held.recv_timeout(LONG).expect("no run comes");
+                let held = held.recv_timeout(MAX_WAIT).expect("no run comes");
                 let call =
                     String::from_utf8(held.got.variable("HTTP_X_REQUEST_ID").unwrap().to_vec());
                 (call.unwrap(), held.got.body.clone(), Run::Server(held))
@@ -44,11 +44,11 @@
     }
 
     fn complete(&mut self, run: Run, result: &[u8]) {
-        self.end(run, "OK", Act::ok(result));
+        self.end(run, "OK", Behavior::ok(result));
     }
 
     fn fail(&mut self, run: Run) {
-        let act = Act::Answer {
+        let act = Behavior::Answer {
             status: "500 No",
             body: Vec::new(),
             after: Default::default(),
@@ -56,10 +56,10 @@
         self.end(run, "ERROR", act);
     }
 
-    fn end(&mut self, run: Run, how: &str, act: Act) {
+    fn end(&mut self, run: Run, how: &str, act: Behavior) {
         match (self, run) {
             (Work::Engine(engine), Run::Engine(call)) => {
-                let result = if let Act::Answer { body, .. } = &act {
+                let result = if let Behavior::Answer { body, .. } = &act {
                     &body[..]
                 } else {
                     b""
@@ -74,7 +74,7 @@
 
 /// One pair: a node, its front under test, and its work.
 struct House {
-    bed: Bed,
+    fixture: NodeFixture,
     front: Protocol,
     at: SocketAddr,
     work: Work,
@@ -82,17 +82,17 @@
 }
 
 impl House {
-    fn ask<'a>(&mut self, script: &'a str, body: &'a [u8]) -> Ask<'a> {
+    fn ask<'a>(&mut self, script: &'a str, body: &'a [u8]) -> CallerRequest<'a> {
         self.nth += 1;
-        Ask::new(self.nth, script, body)
+        CallerRequest::new(self.nth, script, body)
     }
 
-    fn send(&mut self, script: &str, body: &[u8]) -> Pending {
+    fn send(&mut self, script: &str, body: &[u8]) -> PendingAnswer {
         let (at, front) = (self.at, self.front);
         self.ask(script, body).send(at, front)
     }
 
-    fn pay(&mut self, key: u8, body: &[u8]) -> Pending {
+    fn pay(&mut self, key: u8, body: &[u8]) -> PendingAnswer {
         let (at, front) = (self.at, self.front);
         let key = format!("{key:032x}");
         self.ask("/svc/pay", body)
@@ -106,7 +106,7 @@
     let mut all: Vec<(String, Vec<String>)> = Vec::new();
     for front in Protocol::ALL {
         for behind in [None, Some(FastCgi), Some(Uwsgi)] {
-            let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+            let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
             change(&mut plan.config);
             let at = plan.port(9091);
             let mut installation =
@@ -117,15 +117,15 @@
                     "addresses": [server.at.to_string()], "at_once": 6});
             }
             plan.installation = Some(installation);
-            let (bed, work) = match server {
+            let (fixture, work) = match server {
                 Some((server, held)) => (plan.start(), Work::Server(server, held)),
                 None => {
-                    let (bed, engine) = plan.up();
-                    (bed, Work::Engine(engine))
+                    let (fixture, engine) = plan.start_with_engine();
+                    (fixture, Work::Engine(engine))
                 }
             };
             let mut house = House {
-                bed,
+                fixture,
                 front,
                 at,
                 work,
@@ -146,10 +146,12 @@
     }
 }
 
-fn told(seen: &Seen) -> String {
+fn told(seen: &CallerOutcome) -> String {
     match seen {
         // How long to stay away follows from the moment.
-        Seen::Rejected { not_elsewhere, .. } => format!("rejected, not elsewhere: {not_elsewhere}"),
+        CallerOutcome::Rejected {
+            no_retry_elsewhere, ..
+        } => format!("rejected, not elsewhere: {no_retry_elsewhere}"),
         other => format!("{other:?}"),
     }
 }
@@ -166,17 +168,17 @@
             let (_, got, run) = house.work.run();
             assert!(got == body, "a body was changed");
             house.work.complete(run, &result);
-            all.push(told(&waits.seen()));
+            all.push(told(&waits.outcome()));
             let waits = house.send("/svc/look", b"");
             let (_, _, run) = house.work.run();
             house.work.fail(run);
-            all.push(told(&waits.seen()));
+            all.push(told(&waits.outcome()));
             for (script, body) in [
                 ("/status/live", &b""[..]),
                 ("/svc/none", b""),
                 ("/svc/look", &[1; 2049]),
             ] {
-                all.push(told(&house.send(script, body).seen()));
+                all.push(told(&house.send(script, body).outcome()));
             }
             all
         },
@@ -194,21 +196,26 @@
                 let (call, _, run) = house.work.run();
                 let again = house.pay(key, b"berth 4");
                 let other = house.pay(key, b"another body");
-                all.push(told(&other.seen()));
+                all.push(told(&other.outcome()));
                 if good {
                     house.work.complete(run, b"moored")
                 } else {
                     house.work.fail(run)
                 }
-                let later = house.pay(key, b"berth 4").seen();
-                all.extend([call, told(&first.seen()), told(&again.seen()), told(&later)]);
+                let later = house.pay(key, b"berth 4").outcome();
+                all.extend([
+                    call,
+                    told(&first.outcome()),
+                    told(&again.outcome()),
+                    told(&later),
+                ]);
             }
             // Nothing else was run: the next run is that of the next request.
             let waits = house.send("/svc/look", b"last");
             let (_, body, run) = house.work.run();
             assert_eq!(body, b"last");
             house.work.complete(run, b"");
-            all.push(told(&waits.seen()));
+            all.push(told(&waits.outcome()));
             all
         },
     );
@@ -225,8 +232,8 @@
             half.half_close();
             let (_, _, run) = house.work.run();
             house.work.complete(run, b"kept");
-            all.push(told(&half.seen()));
-            all.push(told(&house.pay(1, b"x").seen()));
+            all.push(told(&half.outcome()));
+            all.push(told(&house.pay(1, b"x").outcome()));
             // Cut in its middle: never had.
             let (at, front) = (house.at, house.front);
             let bytes = house
@@ -235,7 +242,7 @@
                 .bytes(front);
             let mut sock = connect(at);
             sock.write_all(&bytes[..bytes.len() - 2]).unwrap();
-            Pending {
+            PendingAnswer {
                 sock,
                 protocol: front,
             }
@@ -244,7 +251,7 @@
             let (_, body, run) = house.work.run();
             assert_eq!(body, b"y");
             house.work.complete(run, b"");
-            all.push(told(&waits.seen()));
+            all.push(told(&waits.outcome()));
             all
         },
     );
@@ -265,24 +272,24 @@
         } else {
             (rest, run)
         };
-        house.bed.signal("-TERM");
-        house.bed.reports("draining");
+        house.fixture.signal("-TERM");
+        house.fixture.wait_for_report("draining");
         let (stamp, at, front) = ((unix_ms() + 10).to_string(), house.at, house.front);
         let late = house
             .ask("/svc/look", b"")
             .with("HTTP_X_REQUEST_START", &stamp)
             .send(at, front)
-            .seen();
-        let check = house.send("/status/live", b"").seen();
+            .outcome();
+        let check = house.send("/status/live", b"").outcome();
         house.work.complete(runs_first, b"in time");
         let mut all = vec![
             told(&late),
             told(&check),
-            told(&one.seen()),
-            told(&two.seen()),
+            told(&one.outcome()),
+            told(&two.outcome()),
         ];
         drop(hangs);
-        let code = house.bed.program.wait().unwrap().code();
+        let code = house.fixture.program.wait().unwrap().code();
         all.push(format!("{code:?}"));
         all
     });
@@ -292,8 +299,8 @@
 fn with_servers(
     servers: &[&Server],
     change: impl FnOnce(&mut Value),
-) -> (Bed, [(Protocol, SocketAddr); 2]) {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+) -> (NodeFixture, [(Protocol, SocketAddr); 2]) {
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
     let mut installation = json!({
         "fronts": fronts.map(|(front, at)| json!({"protocol": front.name(), "listen": at.to_string()})),
@@ -311,11 +318,11 @@
 /// these starts reject at least one; with it none can, however slow the machine.
 #[test]
 fn what_is_read_in_the_first_turn_is_served() {
-    let server = Server::start(FastCgi, |_| Act::ok("done"));
+    let server = Server::start(FastCgi, |_| Behavior::ok("done"));
     for _ in 0..8 {
         let (_bed, [(front, at), _]) = with_servers(&[&server], |_| {});
-        let until = std::time::Instant::now() + LONG;
-        let ask = Ask::new(1, "/svc/look", b"");
+        let until = std::time::Instant::now() + MAX_WAIT;
+        let ask = CallerRequest::new(1, "/svc/look", b"");
         // Asked as soon as the node listens, which is before its loop begins.
         let waits = loop {
             match ask.try_send(at, front) {
@@ -323,43 +330,43 @@
                 Err(e) => assert!(std::time::Instant::now() < until, "no listener: {e}"),
             }
         };
-        assert_eq!(waits.seen(), Seen::Completed(b"done".to_vec()));
+        assert_eq!(waits.outcome(), CallerOutcome::Completed(b"done".to_vec()));
     }
 }
 
 /// Everything that a server may do instead of answering.
-fn bad_acts(protocol: Protocol) -> Vec<(Act, &'static str)> {
-    let cut = |at, how| Act::Cut {
+fn bad_acts(protocol: Protocol) -> Vec<(Behavior, &'static str)> {
+    let cut = |at, how| Behavior::Cut {
         body: b"a result of some length".into(),
         at,
         how,
     };
     let mut acts = vec![
-        (cut(0, CutBy::Close), "before anything"),
-        (cut(0, CutBy::Reset), "reset before anything"),
-        (cut(20, CutBy::Close), "after the status line"),
+        (cut(0, Disconnect::Close), "before anything"),
+        (cut(0, Disconnect::Reset), "reset before anything"),
+        (cut(20, Disconnect::Close), "after the status line"),
         (
-            cut(20, CutBy::HalfClose),
+            cut(20, Disconnect::HalfClose),
             "half closed after the status line",
         ),
-        (cut(45, CutBy::Reset), "reset within the body"),
+        (cut(45, Disconnect::Reset), "reset within the body"),
         (
-            Act::Garbage(b"SSH-2.0-OpenSSH\r\n".into()),
+            Behavior::Garbage(b"SSH-2.0-OpenSSH\r\n".into()),
             "what is no answer",
         ),
-        (Act::Garbage(vec![b'x'; 100_000]), "a head without end"),
+        (Behavior::Garbage(vec![b'x'; 100_000]), "a head without end"),
     ];
     match protocol {
         Uwsgi => {
             let short = b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf".to_vec();
-            acts.push((Act::Garbage(short), "half of the body"));
+            acts.push((Behavior::Garbage(short), "half of the body"));
         }
         FastCgi => {
             // A whole body, and the end record missing.
             let mut whole = vec![1, 6, 0, 1, 0, 20, 0, 0];
             whole.extend(b"Status: 200 OK\r\n\r\nok");
             whole.extend([1, 6, 0, 1, 0, 0, 0, 0]);
-            acts.push((Act::Garbage(whole), "no end record"));
+            acts.push((Behavior::Garbage(whole), "no end record"));
         }
     }
     acts
@@ -374,27 +381,31 @@
             let (_bed, [(front, at), _]) =
                 with_servers(&[&server], |servers| servers["aside"] = keeps_in);
             // Repeatable: tried again, and completed.
-            let waits = Ask::new(1, "/svc/look", b"").send(at, front);
-            held.recv_timeout(LONG).unwrap().act(act.clone());
+            let waits = CallerRequest::new(1, "/svc/look", b"").send(at, front);
+            held.recv_timeout(MAX_WAIT).unwrap().act(act.clone());
             let again = held
-                .recv_timeout(LONG)
+                .recv_timeout(MAX_WAIT)
                 .unwrap_or_else(|_| panic!("{protocol}: {what}: not tried again"));
-            again.act(Act::ok("at last"));
+            again.act(Behavior::ok("at last"));
             assert_eq!(
-                waits.seen(),
-                Seen::Completed(b"at last".into()),
+                waits.outcome(),
+                CallerOutcome::Completed(b"at last".into()),
                 "{protocol}: {what}"
             );
             // Deduplicated: it may have run, so it is failed, and so is its repeat.
             let pay = |n| {
-                Ask::new(n, "/svc/pay", b"")
+                CallerRequest::new(n, "/svc/pay", b"")
                     .with("HTTP_IDEMPOTENCY_KEY", &"3".repeat(32))
                     .send(at, front)
             };
             let waits = pay(2);
-            held.recv_timeout(LONG).unwrap().act(act);
-            assert_eq!(waits.seen(), Seen::Failed, "{protocol}: {what}");
-            assert_eq!(pay(3).seen(), Seen::Failed, "{protocol}: {what}");
+            held.recv_timeout(MAX_WAIT).unwrap().act(act);
+            assert_eq!(waits.outcome(), CallerOutcome::Failed, "{protocol}: {what}");
+            assert_eq!(
+                pay(3).outcome(),
+                CallerOutcome::Failed,
+                "{protocol}: {what}"
+            );
             assert_eq!(server.got().len(), 3, "{protocol}: {what}");
         }
     }
@@ -405,25 +416,27 @@
     let (server, held) = Server::held(Uwsgi);
     let (_bed, fronts) = with_servers(&[&server], |_| {});
     for (n, (front, at)) in fronts.into_iter().enumerate() {
-        let waits = Ask::new(n as u64, "/svc/look", b"").send(at, front);
+        let waits = CallerRequest::new(n as u64, "/svc/look", b"").send(at, front);
         let more = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody and more".to_vec();
-        held.recv_timeout(LONG).unwrap().act(Act::Garbage(more));
-        assert_eq!(waits.seen(), Seen::Completed(b"body".into()));
+        held.recv_timeout(MAX_WAIT)
+            .unwrap()
+            .act(Behavior::Garbage(more));
+        assert_eq!(waits.outcome(), CallerOutcome::Completed(b"body".into()));
         let key = format!("{n:032x}");
         let pay = |n| {
-            Ask::new(n, "/svc/pay", b"")
+            CallerRequest::new(n, "/svc/pay", b"")
                 .with("HTTP_IDEMPOTENCY_KEY", &key)
                 .send(at, front)
         };
         let waits = pay(10 + n as u64);
-        let run = held.recv_timeout(LONG).unwrap();
+        let run = held.recv_timeout(MAX_WAIT).unwrap();
         assert_eq!(
             run.got.variable("HTTP_X_CALLER"),
             Some(&b"1"[..]),
             "variables go on as they came"
         );
-        run.act(Act::ok("paid"));
-        let first = waits.seen_whole();
+        run.act(Behavior::ok("paid"));
+        let first = waits.outcome_with_headers();
         assert_eq!(first.1["Content-Type"], "text/plain");
         assert_eq!(
             (&*first.1["X-From"], &*first.1["X-Load-Signal"]),
@@ -431,7 +444,7 @@
             "its own level is no one's"
         );
         assert_eq!(
-            pay(20 + n as u64).seen_whole(),
+            pay(20 + n as u64).outcome_with_headers(),
             first,
             "a repeat is told the same"
         );
@@ -442,37 +455,43 @@
 fn a_killed_server_is_found_again_and_one_that_never_answers_holds_nobody_else() {
     for protocol in Protocol::ALL {
         let (server, held) = Server::held(protocol);
-        let hangs = Server::start(protocol, |_| Act::Hang);
-        let (bed, [(front, at), _]) = with_servers(&[&server, &hangs], |servers| {
+        let hangs = Server::start(protocol, |_| Behavior::Hang);
+        let (fixture, [(front, at), _]) = with_servers(&[&server, &hangs], |servers| {
             servers["answer_within_ms"] = json!(300);
             servers["aside"] =
                 json!({"failures": 1, "first_ms": 200, "longest_ms": 400, "floor": 0.5});
         });
         let echo =
-            std::thread::spawn(move || held.iter().for_each(|run| run.act(Act::ok("sound"))));
+            std::thread::spawn(move || held.iter().for_each(|run| run.act(Behavior::ok("sound"))));
         let mut n = 0;
         let mut look = || {
             n += 1;
-            Ask::new(n, "/svc/look", b"").send(at, front).seen()
+            CallerRequest::new(n, "/svc/look", b"")
+                .send(at, front)
+                .outcome()
         };
         // Every one is completed: what meets the one that hangs is tried again.
         assert!(
-            (0..30).all(|_| look() == Seen::Completed(b"sound".into())),
+            (0..30).all(|_| look() == CallerOutcome::Completed(b"sound".into())),
             "{protocol}"
         );
         let place = server.kill();
         echo.join().unwrap();
-        assert_eq!(look(), Seen::Failed, "{protocol}: one refuses, one hangs");
-        let _again = Server::start_at(place, protocol, |_| Act::ok("back"));
-        let until = std::time::Instant::now() + LONG;
-        while look() != Seen::Completed(b"back".into()) {
+        assert_eq!(
+            look(),
+            CallerOutcome::Failed,
+            "{protocol}: one refuses, one hangs"
+        );
+        let _again = Server::start_at(place, protocol, |_| Behavior::ok("back"));
+        let until = std::time::Instant::now() + MAX_WAIT;
+        while look() != CallerOutcome::Completed(b"back".into()) {
             assert!(
                 std::time::Instant::now() < until,
                 "{protocol}: it is never found again"
             );
         }
-        bed.signal("-TERM");
-        let (code, log) = bed.end();
+        fixture.signal("-TERM");
+        let (code, log) = fixture.wait_for_exit();
         assert_eq!(code, Some(0), "{log}");
         assert!(
             log.contains("server ejected") && log.contains("servers summary"),
@@ -488,15 +507,15 @@
     let mut n = 0;
     let mut pay = |act| {
         n += 1;
-        let waits = Ask::new(n, "/svc/pay", b"")
+        let waits = CallerRequest::new(n, "/svc/pay", b"")
             .with("HTTP_IDEMPOTENCY_KEY", &format!("{n:032x}"))
             .send(at, front);
-        let run = held.recv_timeout(LONG).unwrap();
+        let run = held.recv_timeout(MAX_WAIT).unwrap();
         assert!(run.got.keep);
         run.act(act);
-        waits.seen()
+        waits.outcome()
     };
-    assert!((0..5).all(|_| pay(Act::ok("")) == Seen::Completed(Vec::new())));
+    assert!((0..5).all(|_| pay(Behavior::ok("")) == CallerOutcome::Completed(Vec::new())));
     assert_eq!(server.connections(), 1);
     // Answered, and then closed by the server: the next run, which may not run twice, is not lost with it.
     let mut answer = Vec::new();
@@ -506,46 +525,51 @@
         extra_lines: b"",
     };
     doortrack_protocols::write_response(FastCgi, &mut answer, 1, head, b"last");
-    assert_eq!(pay(Act::Garbage(answer)), Seen::Completed(b"last".into()));
+    assert_eq!(
+        pay(Behavior::Garbage(answer)),
+        CallerOutcome::Completed(b"last".into())
+    );
     std::thread::sleep(std::time::Duration::from_millis(20));
-    assert!((0..3).all(|_| pay(Act::ok("")) == Seen::Completed(Vec::new())));
+    assert!((0..3).all(|_| pay(Behavior::ok("")) == CallerOutcome::Completed(Vec::new())));
     assert_eq!(server.connections(), 2);
 }
 
 #[test]
 fn servers_come_and_go_under_way() {
     let (one, two) = (
-        Server::start(Uwsgi, |_| Act::ok("one")),
-        Server::start(Uwsgi, |_| Act::ok("two")),
+        Server::start(Uwsgi, |_| Behavior::ok("one")),
+        Server::start(Uwsgi, |_| Behavior::ok("two")),
     );
-    let (bed, [(front, at), _]) = with_servers(&[&one], |_| {});
+    let (fixture, [(front, at), _]) = with_servers(&[&one], |_| {});
     let mut n = 0;
     let mut look = || {
         n += 1;
-        Ask::new(n, "/svc/look", b"").send(at, front).seen()
+        CallerRequest::new(n, "/svc/look", b"")
+            .send(at, front)
+            .outcome()
     };
-    assert_eq!(look(), Seen::Completed(b"one".into()));
+    assert_eq!(look(), CallerOutcome::Completed(b"one".into()));
     let fronts = json!([{"protocol": "fastcgi", "listen": at.to_string()}]);
     let install = |protocol: &str, at: SocketAddr| {
-        bed.install(
+        fixture.replace_installation(
             &json!({"fronts": fronts, "servers": {"protocol": protocol, "addresses": [at.to_string()]}}),
         );
     };
     install("uwsgi", two.at);
-    let until = std::time::Instant::now() + LONG;
-    while look() != Seen::Completed(b"two".into()) {
+    let until = std::time::Instant::now() + MAX_WAIT;
+    while look() != CallerOutcome::Completed(b"two".into()) {
         assert!(
             std::time::Instant::now() < until,
             "the new one is never used"
         );
     }
-    assert!((0..10).all(|_| look() == Seen::Completed(b"two".into())));
+    assert!((0..10).all(|_| look() == CallerOutcome::Completed(b"two".into())));
     // What is spoken can't change under way: told, and the servers stay.
     install("fastcgi", one.at);
     std::thread::sleep(std::time::Duration::from_millis(50));
-    assert!((0..10).all(|_| look() == Seen::Completed(b"two".into())));
-    bed.signal("-TERM");
-    let (_, log) = bed.end();
+    assert!((0..10).all(|_| look() == CallerOutcome::Completed(b"two".into())));
+    fixture.signal("-TERM");
+    let (_, log) = fixture.wait_for_exit();
     assert!(log.contains("servers need a start"), "{log}");
 }
 
@@ -554,7 +578,7 @@
     for protocol in Protocol::ALL {
         let (killed, held) = Server::held(protocol);
         let (other, held_too) = Server::held(protocol);
-        let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+        let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
         let at = plan.port(9091);
         plan.config["settings"]["family_info"]["cores"] = json!(32);
         let lanes = plan.config["settings"]["lanes"].as_array_mut().unwrap();
@@ -571,7 +595,7 @@
         }));
         let _bed = plan.start();
         let ask = |n, script| {
-            Ask::new(n, script, b"")
+            CallerRequest::new(n, script, b"")
                 .with("HTTP_IDEMPOTENCY_KEY", &"4".repeat(32))
                 .send(at, Uwsgi)
         };
@@ -583,14 +607,14 @@
                 let waits = match script {
                     "/svc/pay" => {
                         let key = format!("{n:032x}");
-                        Ask::new(n, script, b"")
+                        CallerRequest::new(n, script, b"")
                             .with("HTTP_IDEMPOTENCY_KEY", &key)
                             .send(at, Uwsgi)
                     }
                     _ => ask(n, script),
                 };
-                let id = doortrack_fakes::try_id(n);
-                let until = std::time::Instant::now() + LONG;
+                let id = doortrack_fakes::attempt_id(n);
+                let until = std::time::Instant::now() + MAX_WAIT;
                 let ran = |server: &Server| {
                     server
                         .got()
@@ -609,26 +633,29 @@
                     break;
                 }
                 // In hand there, so that the next one is rather sent to the first.
-                elsewhere.push((held_too.recv_timeout(LONG).unwrap(), waits));
+                elsewhere.push((held_too.recv_timeout(MAX_WAIT).unwrap(), waits));
             }
         }
         for (run, waits) in elsewhere {
-            run.act(Act::ok("elsewhere"));
-            assert_eq!(waits.seen(), Seen::Completed(b"elsewhere".into()));
+            run.act(Behavior::ok("elsewhere"));
+            assert_eq!(
+                waits.outcome(),
+                CallerOutcome::Completed(b"elsewhere".into())
+            );
         }
         drop(killed.kill_and_tell());
         drop(held);
         // The one that may run twice does so on the other; nothing else is sent there.
-        let run = held_too.recv_timeout(LONG).unwrap();
+        let run = held_too.recv_timeout(MAX_WAIT).unwrap();
         assert_eq!(run.got.variable("SCRIPT_NAME"), Some(&b"/svc/look"[..]));
-        run.act(Act::ok("again"));
+        run.act(Behavior::ok("again"));
         for (script, waits) in waiting {
             let wanted = if script == "/svc/look" {
-                Seen::Completed(b"again".into())
+                CallerOutcome::Completed(b"again".into())
             } else {
-                Seen::Failed
+                CallerOutcome::Failed
             };
-            assert_eq!(waits.seen(), wanted, "{protocol}: {script}");
+            assert_eq!(waits.outcome(), wanted, "{protocol}: {script}");
         }
         assert!(
             held_too.try_recv().is_err(),
--- a/crates/node/tests/node/early_signals.rs
+++ b/crates/node/tests/node/early_signals.rs
@@ -6,8 +6,8 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-use doortrack_fakes::bed::Plan;
-use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
+use doortrack_fakes::fixture::NodeSetup;
 use doortrack_protocols::Protocol::FastCgi;
 use serde_json::json;
 
@@ -15,13 +15,13 @@
 struct Starting {
     process: Child,
     folder: PathBuf,
-    plan: Plan,
+    plan: NodeSetup,
     pipe: File,
 }
 
 impl Starting {
     fn begin(name: &str) -> Starting {
-        let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+        let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
         plan.config["stop_ms"] = json!(400);
         let folder = std::env::temp_dir().join(format!("doortrack-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
@@ -92,10 +92,10 @@
     let mut starting = Starting::begin("early-reload");
     starting.signal("-HUP");
     starting.is_handed_its_configuration();
-    let seen = Ask::new(1, "/status/live", b"")
-        .send(starting.plan.at, FastCgi)
-        .seen();
-    assert!(matches!(seen, Seen::Completed(_)), "{seen:?}");
+    let seen = CallerRequest::new(1, "/status/live", b"")
+        .send(starting.plan.address, FastCgi)
+        .outcome();
+    assert!(matches!(seen, CallerOutcome::Completed(_)), "{seen:?}");
     starting.signal("-TERM");
     let (code, log) = starting.end();
     assert_eq!(code, Some(0), "{log}");
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use doortrack_config::ResourceLimits;
-use doortrack_fakes::LONG;
-use doortrack_fakes::bed::fresh_address;
+use doortrack_fakes::MAX_WAIT;
+use doortrack_fakes::fixture::fresh_address;
 use doortrack_fakes::records::{Client, record, request};
 use doortrack_node::network::bounds::EVICTION_GRACE;
 use doortrack_node::network::listeners::{Caller, FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
@@ -62,7 +62,7 @@
     fn turn(&mut self) {
         let (mut events, mut listener_events) = (Events::new(), Vec::new());
         assert!(
-            self.poller.wait(&mut events, Some(LONG)).unwrap() > 0,
+            self.poller.wait(&mut events, Some(MAX_WAIT)).unwrap() > 0,
             "nothing comes"
         );
         for event in events.iter() {
@@ -103,7 +103,7 @@
 
     fn connect(&self, at: SocketAddr) -> Client {
         let sock = TcpStream::connect(at).unwrap();
-        sock.set_read_timeout(Some(LONG)).unwrap();
+        sock.set_read_timeout(Some(MAX_WAIT)).unwrap();
         Client { sock }
     }
 
--- a/crates/node/tests/node/fronts.rs
+++ b/crates/node/tests/node/fronts.rs
@@ -5,43 +5,43 @@
 use std::process::Command;
 use std::time::Duration;
 
-use doortrack_fakes::bed::{Bed, Plan, connect};
-use doortrack_fakes::caller::{Ask, Pending, Seen, read};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest, PendingAnswer, read};
 use doortrack_fakes::engine::Engine;
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
 use doortrack_fakes::records::IDEMPOTENCY_KEY;
-use doortrack_fakes::{try_id, unix_ms};
+use doortrack_fakes::{attempt_id, unix_ms};
 use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::{Value, json};
 
 /// A node with a front of each protocol, its engine up: the node, the engine, and where the fronts are.
 fn up_with(
     change: impl FnOnce(&mut Value, &mut Value),
-) -> (Bed, Engine, [(Protocol, SocketAddr); 2]) {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+) -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
     let mut installation = json!({"fronts": fronts.map(|(protocol, at)| {
         json!({"protocol": protocol.name(), "listen": at.to_string()})
     })});
     change(&mut plan.config, &mut installation);
     plan.installation = Some(installation);
-    let (bed, engine) = plan.up();
-    (bed, engine, fronts)
+    let (fixture, engine) = plan.start_with_engine();
+    (fixture, engine, fronts)
 }
 
-fn up() -> (Bed, Engine, [(Protocol, SocketAddr); 2]) {
+fn up() -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
     up_with(|_, _| {})
 }
 
-fn pay(nth: u64, body: &[u8]) -> Ask<'_> {
-    Ask::new(nth, "/svc/pay", body).with(IDEMPOTENCY_KEY.0, IDEMPOTENCY_KEY.1)
+fn pay(nth: u64, body: &[u8]) -> CallerRequest<'_> {
+    CallerRequest::new(nth, "/svc/pay", body).with(IDEMPOTENCY_KEY.0, IDEMPOTENCY_KEY.1)
 }
 
 /// Sends these bytes on a connection of their own and reads all that comes back.
-fn raw(at: SocketAddr, protocol: Protocol, bytes: &[u8]) -> Seen {
+fn raw(at: SocketAddr, protocol: Protocol, bytes: &[u8]) -> CallerOutcome {
     let mut sock = connect(at);
     // It may have been refused, and the connection given up, before all is sent.
     _ = sock.write_all(bytes);
-    Pending { sock, protocol }.seen()
+    PendingAnswer { sock, protocol }.outcome()
 }
 
 #[test]
@@ -53,39 +53,39 @@
     let result: Vec<u8> = body.iter().rev().copied().cycle().take(4096).collect();
     let mut tell = |protocol, at, base: u64| {
         let mut all = Vec::new();
-        let waits = Ask::new(base, "/svc/look", &body).send(at, protocol);
+        let waits = CallerRequest::new(base, "/svc/look", &body).send(at, protocol);
         assert_eq!(
             engine.run(),
-            (try_id(base), body.clone()),
+            (attempt_id(base), body.clone()),
             "a body passes unchanged"
         );
-        engine.end(&try_id(base), "OK", &result);
-        let (seen, mut headers) = waits.seen_whole();
-        assert_eq!(seen, Seen::Completed(result.clone()));
+        engine.end(&attempt_id(base), "OK", &result);
+        let (seen, mut headers) = waits.outcome_with_headers();
+        assert_eq!(seen, CallerOutcome::Completed(result.clone()));
         headers.remove("Content-Length");
         all.push(format!("{headers:?}"));
-        let waits = Ask::new(base + 1, "/svc/look", b"").send(at, protocol);
+        let waits = CallerRequest::new(base + 1, "/svc/look", b"").send(at, protocol);
         engine.run();
-        engine.end(&try_id(base + 1), "ERROR", b"");
-        let (seen, mut headers) = waits.seen_whole();
+        engine.end(&attempt_id(base + 1), "ERROR", b"");
+        let (seen, mut headers) = waits.outcome_with_headers();
         headers.remove("Content-Length");
         all.push(format!("{seen:?} {headers:?}"));
         let long = [1; 2049];
         for ask in [
-            Ask::new(base + 2, "/status/live", b""),
-            Ask::new(base + 3, "/svc/look", b"").with("HTTP_X_MEMORY_KB", "1999"),
-            Ask::new(base + 4, "/svc/none", b""),
-            Ask::new(base + 5, "/svc/look", b"").with("REQUEST_METHOD", "GET"),
-            Ask::new(base + 6, "/svc/look", b"").with("HTTP_X_RANK", "1"),
-            Ask::new(base + 7, "/svc/look", b"").with("HTTP_X_CALLER", ""),
-            Ask::new(base + 8, "/svc/look", b"")
+            CallerRequest::new(base + 2, "/status/live", b""),
+            CallerRequest::new(base + 3, "/svc/look", b"").with("HTTP_X_MEMORY_KB", "1999"),
+            CallerRequest::new(base + 4, "/svc/none", b""),
+            CallerRequest::new(base + 5, "/svc/look", b"").with("REQUEST_METHOD", "GET"),
+            CallerRequest::new(base + 6, "/svc/look", b"").with("HTTP_X_RANK", "1"),
+            CallerRequest::new(base + 7, "/svc/look", b"").with("HTTP_X_CALLER", ""),
+            CallerRequest::new(base + 8, "/svc/look", b"")
                 .with("HTTP_X_OBJECT", "1")
                 .with("HTTP_X_OBJECT", "1"),
-            Ask::new(base + 9, "/svc/pay", b""),
-            Ask::new(base + 10, "/svc/look", &long),
-            Ask::new(base, "/svc/look", b"an id that was used"),
+            CallerRequest::new(base + 9, "/svc/pay", b""),
+            CallerRequest::new(base + 10, "/svc/look", &long),
+            CallerRequest::new(base, "/svc/look", b"an id that was used"),
         ] {
-            let (seen, mut headers) = ask.send(at, protocol).seen_whole();
+            let (seen, mut headers) = ask.send(at, protocol).outcome_with_headers();
             headers.remove("Content-Length");
             all.push(format!("{seen:?} {headers:?}"));
         }
@@ -126,8 +126,9 @@
             let key = format!("{nth:032x}");
             let mut ask = |(protocol, at): (Protocol, SocketAddr)| {
                 nth += 1;
-                let ask = Ask::new(nth, "/svc/pay", b"berth 4").with("HTTP_IDEMPOTENCY_KEY", &key);
-                (try_id(nth), ask.send(at, protocol))
+                let ask = CallerRequest::new(nth, "/svc/pay", b"berth 4")
+                    .with("HTTP_IDEMPOTENCY_KEY", &key);
+                (attempt_id(nth), ask.send(at, protocol))
             };
             let (call, one) = ask(first);
             assert_eq!(engine.run().0, call);
@@ -136,12 +137,12 @@
             engine.readings(4);
             engine.end(&call, how, b"moored");
             let wanted = if how == "OK" {
-                Seen::Completed(b"moored".into())
+                CallerOutcome::Completed(b"moored".into())
             } else {
-                Seen::Failed
+                CallerOutcome::Failed
             };
             assert_eq!(
-                [one.seen(), two.seen()],
+                [one.outcome(), two.outcome()],
                 [wanted.clone(), wanted.clone()],
                 "{how}"
             );
@@ -150,9 +151,9 @@
             if how == "MOOT" {
                 assert_eq!(engine.run().0, call);
                 engine.end(&call, "OK", b"at last");
-                assert_eq!(three.seen(), Seen::Completed(b"at last".into()));
+                assert_eq!(three.outcome(), CallerOutcome::Completed(b"at last".into()));
             } else {
-                assert_eq!(three.seen(), wanted, "{how}");
+                assert_eq!(three.outcome(), wanted, "{how}");
             }
         }
     }
@@ -160,41 +161,42 @@
 
 #[test]
 fn two_tries_of_one_turn_and_one_held_behind_another_run_once() {
-    let (bed, mut engine, [fast, uwsgi]) = up_with(|config, _| {
+    let (fixture, mut engine, [fast, uwsgi]) = up_with(|config, _| {
         config["settings"]["family_info"]["cores"] = json!(1);
     });
     for (round, (first, again)) in [(fast, uwsgi), (uwsgi, fast)].into_iter().enumerate() {
         let (base, key) = (round as u64 * 10, format!("{round:032x}"));
-        let ask = |n| Ask::new(base + n, "/svc/pay", b"x").with("HTTP_IDEMPOTENCY_KEY", &key);
+        let ask =
+            |n| CallerRequest::new(base + n, "/svc/pay", b"x").with("HTTP_IDEMPOTENCY_KEY", &key);
         // The one core is taken, so the next is held.
         engine.readings(2);
-        let busy = Ask::new(base + 1, "/svc/look", b"").send(fast.1, fast.0);
-        assert_eq!(engine.run().0, try_id(base + 1));
+        let busy = CallerRequest::new(base + 1, "/svc/look", b"").send(fast.1, fast.0);
+        assert_eq!(engine.run().0, attempt_id(base + 1));
         // Both are read in one turn: the process stands still while they are sent.
-        bed.signal("-STOP");
+        fixture.signal("-STOP");
         let one = ask(2).send(first.1, first.0);
         let two = ask(3).send(again.1, again.0);
         std::thread::sleep(Duration::from_millis(30));
-        bed.signal("-CONT");
+        fixture.signal("-CONT");
         let held = ask(4).send(first.1, first.0);
-        engine.end(&try_id(base + 1), "OK", b"");
-        assert!(matches!(busy.seen(), Seen::Completed(_)));
+        engine.end(&attempt_id(base + 1), "OK", b"");
+        assert!(matches!(busy.outcome(), CallerOutcome::Completed(_)));
         let (call, _) = engine.run();
         assert!(
-            [2, 3, 4].map(|n| try_id(base + n)).contains(&call),
+            [2, 3, 4].map(|n| attempt_id(base + n)).contains(&call),
             "{call}"
         );
         engine.readings(4);
         engine.end(&call, "OK", b"once");
         for waits in [one, two, held] {
-            assert_eq!(waits.seen(), Seen::Completed(b"once".into()));
+            assert_eq!(waits.outcome(), CallerOutcome::Completed(b"once".into()));
         }
     }
 }
 
 #[test]
 fn a_uwsgi_peer_that_leaves_at_any_byte_loses_nothing_for_others() {
-    let (bed, mut engine, [fast, uwsgi]) = up();
+    let (fixture, mut engine, [fast, uwsgi]) = up();
     let whole = pay(1, b"a body").bytes(Uwsgi);
     // Mid-head, mid-variables, mid-body: it was never had.
     for cut in [
@@ -209,7 +211,7 @@
         for reset in [false, true] {
             let mut sock = connect(uwsgi.1);
             sock.write_all(&whole[..cut]).unwrap();
-            let pending = Pending {
+            let pending = PendingAnswer {
                 sock,
                 protocol: Uwsgi,
             };
@@ -217,14 +219,15 @@
                 pending.reset();
             } else {
                 pending.half_close();
-                assert_eq!(pending.seen(), Seen::Nothing, "cut at {cut}");
+                assert_eq!(pending.outcome(), CallerOutcome::Nothing, "cut at {cut}");
             }
         }
     }
     // Just after its last byte, and mid-answer: it runs once, and its result is there for the next try.
     for round in 0..4 {
         let (n, key) = (10 * (round + 1), format!("{round:032x}"));
-        let ask = |n| Ask::new(n, "/svc/pay", b"a body").with("HTTP_IDEMPOTENCY_KEY", &key);
+        let ask =
+            |n| CallerRequest::new(n, "/svc/pay", b"a body").with("HTTP_IDEMPOTENCY_KEY", &key);
         let pending = ask(n).send(uwsgi.1, Uwsgi);
         let result = vec![7; 4096];
         match round {
@@ -234,7 +237,7 @@
                 pending.half_close();
                 let (call, _) = engine.run();
                 engine.end(&call, "OK", &result);
-                assert_eq!(pending.seen(), Seen::Completed(result.clone()));
+                assert_eq!(pending.outcome(), CallerOutcome::Completed(result.clone()));
             }
             _ => {
                 let (call, _) = engine.run();
@@ -248,35 +251,35 @@
         if round < 2 {
             // A broken connection may stop the run; then the repeat is told that it was.
             let (call, _) = engine.run();
-            assert_eq!(call, try_id(n));
+            assert_eq!(call, attempt_id(n));
             let halted = round == 1
                 && engine
                     .command_within_readings(6)
                     .is_some_and(|c| c["msg"] == "HALT");
             engine.end(&call, if halted { "STOPPED" } else { "OK" }, &result);
-            let seen = again.take().unwrap().seen();
+            let seen = again.take().unwrap().outcome();
             let wanted = if halted {
-                Seen::Failed
+                CallerOutcome::Failed
             } else {
-                Seen::Completed(result)
+                CallerOutcome::Completed(result)
             };
             assert_eq!(seen, wanted, "round {round}");
         } else {
             assert_eq!(
-                again.take().unwrap().seen(),
-                Seen::Completed(result),
+                again.take().unwrap().outcome(),
+                CallerOutcome::Completed(result),
                 "round {round}"
             );
         }
     }
-    bed.signal("-TERM");
-    assert_eq!(bed.end().0, Some(0));
+    fixture.signal("-TERM");
+    assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
 #[test]
 fn what_is_no_request_is_told_so_at_once() {
     let (_bed, mut engine, [_, (_, at)]) = up();
-    let sound = Ask::new(1, "/svc/look", b"");
+    let sound = CallerRequest::new(1, "/svc/look", b"");
     let with_length = |length: &str, body: &[u8]| {
         let mut bytes = sound.bytes(Uwsgi);
         // The length is the last variable: one digit, in its own two bytes of length.
@@ -289,7 +292,7 @@
         bytes
     };
     let refused = |status, bytes: &[u8]| match raw(at, Uwsgi, bytes) {
-        Seen::Unreadable(seen, _) => assert_eq!(seen, status),
+        CallerOutcome::Unreadable(seen, _) => assert_eq!(seen, status),
         other => panic!("{other:?}"),
     };
     for length in ["-1", "x", "99999999999999999999", "1 "] {
@@ -313,18 +316,18 @@
     let (call, _) = engine.run();
     engine.end(&call, "OK", b"done");
     assert_eq!(
-        Pending {
+        PendingAnswer {
             sock,
             protocol: Uwsgi
         }
-        .seen(),
-        Seen::Completed(b"done".into())
+        .outcome(),
+        CallerOutcome::Completed(b"done".into())
     );
 }
 
 #[test]
 fn a_ping_is_a_health_check_and_who_is_slow_is_closed() {
-    let (bed, _engine, [_, (_, at)]) = up_with(|config, _| {
+    let (fixture, _engine, [_, (_, at)]) = up_with(|config, _| {
         for lane in config["settings"]["lanes"].as_array_mut().unwrap() {
             lane["deadline"] = json!(600_000);
             lane["target"] = json!(300_000);
@@ -337,22 +340,22 @@
         pong
     };
     assert_eq!(ping(at), [100, 0, 0, 1]);
-    let whole = Ask::new(1, "/svc/look", b"body").bytes(Uwsgi);
+    let whole = CallerRequest::new(1, "/svc/look", b"body").bytes(Uwsgi);
     for cut in [0, 2, 30, whole.len() - 2] {
         let mut sock = connect(at);
         sock.write_all(&whole[..cut]).unwrap();
-        let seen = Pending {
+        let seen = PendingAnswer {
             sock,
             protocol: Uwsgi,
         }
-        .seen();
+        .outcome();
         let begun = cut >= 4;
         assert_eq!(
-            matches!(seen, Seen::Unreadable(400, _)),
+            matches!(seen, CallerOutcome::Unreadable(400, _)),
             begun,
             "{cut}: {seen:?}"
         );
-        assert_eq!(seen == Seen::Nothing, !begun, "{cut}: {seen:?}");
+        assert_eq!(seen == CallerOutcome::Nothing, !begun, "{cut}: {seen:?}");
     }
     // One that trickles is closed as well, however often a byte comes.
     let mut sock = connect(at);
@@ -367,8 +370,8 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     assert!(closed, "it may trickle for ever");
-    bed.signal("-TERM");
-    bed.reports("draining");
+    fixture.signal("-TERM");
+    fixture.wait_for_report("draining");
     assert_eq!(ping(at), [&[100, 9, 0, 1][..], b"not ready"].concat());
 }
 
@@ -376,12 +379,12 @@
 fn a_front_whose_answers_nobody_reads_slows_no_other() {
     let (_bed, mut engine, [fast, uwsgi]) = up();
     // Deaf on one front: many answers wait to be read.
-    let deaf: Vec<Pending> = (0..40)
-        .map(|n| Ask::new(n, "/status/live", b"").send(fast.1, FastCgi))
+    let deaf: Vec<PendingAnswer> = (0..40)
+        .map(|n| CallerRequest::new(n, "/status/live", b"").send(fast.1, FastCgi))
         .collect();
     let mut loud = connect(fast.1);
     loud.set_nonblocking(true).unwrap();
-    let check = Ask::new(1, "/status/live", b"").bytes(FastCgi);
+    let check = CallerRequest::new(1, "/status/live", b"").bytes(FastCgi);
     let mut kept = check.clone();
     kept[10] = 1; // The flag that keeps a connection.
     for _ in 0..2000 {
@@ -390,18 +393,18 @@
         assert!(sent.is_ok_and(|n| n > 0) || loud.take_error().unwrap().is_none());
     }
     for n in 100..130 {
-        let waits = Ask::new(n, "/svc/look", b"").send(uwsgi.1, Uwsgi);
+        let waits = CallerRequest::new(n, "/svc/look", b"").send(uwsgi.1, Uwsgi);
         let (call, _) = engine.run();
         engine.end(&call, "OK", b"heard");
-        assert_eq!(waits.seen(), Seen::Completed(b"heard".into()));
+        assert_eq!(waits.outcome(), CallerOutcome::Completed(b"heard".into()));
     }
     assert_eq!(deaf.len(), 40);
 }
 
 #[test]
 fn ten_thousand_short_connections_leave_nothing_behind() {
-    let (bed, mut engine, [_, (_, at)]) = up();
-    let id = bed.program.id();
+    let (fixture, mut engine, [_, (_, at)]) = up();
+    let id = fixture.program.id();
     let descriptors = || std::fs::read_dir(format!("/proc/{id}/fd")).unwrap().count();
     let kb = || {
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap();
@@ -415,7 +418,7 @@
             .parse::<u64>()
             .unwrap()
     };
-    let check = Ask::new(1, "/status/live", b"").bytes(Uwsgi);
+    let check = CallerRequest::new(1, "/status/live", b"").bytes(Uwsgi);
     let play = |count: u32| {
         for nth in 0..count {
             let mut sock = connect(at);
@@ -427,7 +430,10 @@
                     sock.write_all(&check).unwrap();
                     let mut answer = Vec::new();
                     sock.read_to_end(&mut answer).unwrap();
-                    assert!(matches!(read(Uwsgi, &answer).0, Seen::Completed(_)));
+                    assert!(matches!(
+                        read(Uwsgi, &answer).0,
+                        CallerOutcome::Completed(_)
+                    ));
                 }
             }
         }
@@ -436,10 +442,10 @@
     let (before, kb_before) = (descriptors(), kb());
     play(9000);
     // Served after all the others, so what those left is known to be gone.
-    let waits = Ask::new(1, "/svc/look", b"").send(at, Uwsgi);
+    let waits = CallerRequest::new(1, "/svc/look", b"").send(at, Uwsgi);
     let (call, _) = engine.run();
     engine.end(&call, "OK", b"");
-    assert!(matches!(waits.seen(), Seen::Completed(_)));
+    assert!(matches!(waits.outcome(), CallerOutcome::Completed(_)));
     let (after, kb_after) = (descriptors(), kb());
     assert!(after <= before + 2, "{before} descriptors, then {after}");
     assert!(
@@ -456,16 +462,18 @@
     // Two that say nothing hold all places of the one front; a third pushes the first out.
     let mut silent: Vec<TcpStream> = (0..2).map(|_| connect(uwsgi.1)).collect();
     std::thread::sleep(Duration::from_millis(20));
-    let served = Ask::new(1, "/status/live", b"").send(uwsgi.1, Uwsgi).seen();
-    assert!(matches!(served, Seen::Completed(_)));
+    let served = CallerRequest::new(1, "/status/live", b"")
+        .send(uwsgi.1, Uwsgi)
+        .outcome();
+    assert!(matches!(served, CallerOutcome::Completed(_)));
     assert_eq!(silent[0].read(&mut [0]).unwrap(), 0);
-    let others: Vec<Pending> = (0..30)
-        .map(|n| Ask::new(n, "/status/live", b"").send(fast.1, FastCgi))
+    let others: Vec<PendingAnswer> = (0..30)
+        .map(|n| CallerRequest::new(n, "/status/live", b"").send(fast.1, FastCgi))
         .collect();
     assert!(
         others
             .into_iter()
-            .all(|pending| matches!(pending.seen(), Seen::Completed(_)))
+            .all(|pending| matches!(pending.outcome(), CallerOutcome::Completed(_)))
     );
 }
 
@@ -487,47 +495,54 @@
         })
         .collect();
     for n in 0..20 {
-        let seen = Ask::new(n, "/status/live", b"").send(at, Uwsgi).seen();
-        assert!(matches!(seen, Seen::Completed(_)));
+        let seen = CallerRequest::new(n, "/status/live", b"")
+            .send(at, Uwsgi)
+            .outcome();
+        assert!(matches!(seen, CallerOutcome::Completed(_)));
     }
     drop(loud);
 }
 
 #[test]
 fn fronts_change_under_way_and_nothing_in_hand_is_lost() {
-    let (bed, mut engine, [fast, uwsgi]) = up();
-    let new = SocketAddr::new(bed.at.ip(), 9093);
+    let (fixture, mut engine, [fast, uwsgi]) = up();
+    let new = SocketAddr::new(fixture.address.ip(), 9093);
     let front = |protocol: Protocol, at: SocketAddr| json!({"protocol": protocol.name(), "listen": at.to_string()});
-    let waits = [fast, uwsgi]
-        .map(|(protocol, at)| Ask::new(at.port().into(), "/svc/look", b"").send(at, protocol));
+    let waits = [fast, uwsgi].map(|(protocol, at)| {
+        CallerRequest::new(at.port().into(), "/svc/look", b"").send(at, protocol)
+    });
     let calls = [engine.run().0, engine.run().0];
     // A file that can't be served changes nothing.
-    bed.install(&json!({"fronts": [front(Uwsgi, new), front(FastCgi, new)]}));
+    fixture.replace_installation(&json!({"fronts": [front(Uwsgi, new), front(FastCgi, new)]}));
     engine.readings(4);
     assert!(matches!(
-        Ask::new(7, "/status/live", b"").send(uwsgi.1, Uwsgi).seen(),
-        Seen::Completed(_)
+        CallerRequest::new(7, "/status/live", b"")
+            .send(uwsgi.1, Uwsgi)
+            .outcome(),
+        CallerOutcome::Completed(_)
     ));
     // One stays, one goes, one comes; and one changes what it speaks.
-    bed.install(&json!({"fronts": [front(Uwsgi, new), front(FastCgi, uwsgi.1)]}));
+    fixture.replace_installation(&json!({"fronts": [front(Uwsgi, new), front(FastCgi, uwsgi.1)]}));
     assert!(matches!(
-        Ask::new(8, "/status/live", b"").send(new, Uwsgi).seen(),
-        Seen::Completed(_)
+        CallerRequest::new(8, "/status/live", b"")
+            .send(new, Uwsgi)
+            .outcome(),
+        CallerOutcome::Completed(_)
     ));
     assert!(matches!(
-        Ask::new(9, "/status/live", b"")
+        CallerRequest::new(9, "/status/live", b"")
             .send(uwsgi.1, FastCgi)
-            .seen(),
-        Seen::Completed(_)
+            .outcome(),
+        CallerOutcome::Completed(_)
     ));
     assert!(TcpStream::connect(fast.1).is_err(), "it still listens");
     for (call, pending) in calls.iter().zip(waits) {
         engine.end(call, "OK", b"kept");
-        assert_eq!(pending.seen(), Seen::Completed(b"kept".into()));
+        assert_eq!(pending.outcome(), CallerOutcome::Completed(b"kept".into()));
     }
-    bed.install(&json!({}));
-    bed.signal("-TERM");
-    let (code, log) = bed.end();
+    fixture.replace_installation(&json!({}));
+    fixture.signal("-TERM");
+    let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(
         log.contains("taken by installation.fronts[0]") && log.contains("listener closed"),
@@ -537,7 +552,7 @@
 
 #[test]
 fn a_drain_answers_what_is_held_and_runs_on_all_fronts() {
-    let (bed, mut engine, [fast, uwsgi]) = up_with(|config, _| {
+    let (fixture, mut engine, [fast, uwsgi]) = up_with(|config, _| {
         config["stop_ms"] = json!(1500);
         config["settings"]["safety"]["drain_grace"] = json!(0);
         config["settings"]["family_info"]["cores"] = json!(2);
@@ -545,53 +560,56 @@
     let mut nth = 0;
     let mut ask = |(protocol, at): (Protocol, SocketAddr)| {
         nth += 1;
-        Ask::new(nth, "/svc/look", b"").send(at, protocol)
+        CallerRequest::new(nth, "/svc/look", b"").send(at, protocol)
     };
     let runs = [ask(fast), ask(uwsgi), ask(fast)];
     let mut calls = [engine.run().0, engine.run().0, engine.run().0];
     calls.sort_unstable();
     let held = [ask(fast), ask(uwsgi)];
     engine.readings(2);
-    bed.signal("-TERM");
-    bed.reports("draining");
+    fixture.signal("-TERM");
+    fixture.wait_for_report("draining");
     let stamp = (unix_ms() + 10).to_string();
     let late = |n, (protocol, at): (Protocol, SocketAddr)| {
-        Ask::new(n, "/svc/look", b"")
+        CallerRequest::new(n, "/svc/look", b"")
             .with("HTTP_X_REQUEST_START", &stamp)
             .send(at, protocol)
-            .seen()
+            .outcome()
     };
     let late = [late(50, fast), late(51, uwsgi)];
     assert!(
         late.iter()
-            .all(|seen| matches!(seen, Seen::Rejected { .. })),
+            .all(|seen| matches!(seen, CallerOutcome::Rejected { .. })),
         "{late:?}"
     );
     // Half a request at the stop is refused, not left without a word.
     let mut half = connect(uwsgi.1);
-    half.write_all(&Ask::new(60, "/svc/look", b"body").bytes(Uwsgi)[..50])
+    half.write_all(&CallerRequest::new(60, "/svc/look", b"body").bytes(Uwsgi)[..50])
         .unwrap();
     let [one, two, three] = runs;
     for (call, pending) in calls[..2].iter().zip([one, two]) {
         engine.end(call, "OK", b"in time");
-        assert_eq!(pending.seen(), Seen::Completed(b"in time".into()));
+        assert_eq!(
+            pending.outcome(),
+            CallerOutcome::Completed(b"in time".into())
+        );
     }
-    let ends = held.map(|pending| pending.seen());
-    assert!(!ends.contains(&Seen::Nothing), "{ends:?}");
+    let ends = held.map(|pending| pending.outcome());
+    assert!(!ends.contains(&CallerOutcome::Nothing), "{ends:?}");
     assert_eq!(
-        three.seen(),
-        Seen::Failed,
+        three.outcome(),
+        CallerOutcome::Failed,
         "what can't be done by the stop is told so before it"
     );
     assert!(matches!(
-        Pending {
+        PendingAnswer {
             sock: half,
             protocol: Uwsgi
         }
-        .seen(),
-        Seen::Rejected { .. }
+        .outcome(),
+        CallerOutcome::Rejected { .. }
     ));
-    let (code, log) = bed.end();
+    let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     let tells = |what: &str| {
         log.lines()
@@ -748,18 +766,18 @@
 
 #[test]
 fn a_log_in_json_is_one_object_a_line_and_keeps_its_bound() {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
-    plan.words = ["--log-format", "json", "--log-level", "debug"]
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    plan.arguments = ["--log-format", "json", "--log-level", "debug"]
         .map(String::from)
         .to_vec();
     plan.installation = Some(json!({"fronts": []}));
-    let (bed, _engine) = plan.up();
+    let (fixture, _engine) = plan.start_with_engine();
     for _ in 0..60 {
-        bed.signal("-HUP");
+        fixture.signal("-HUP");
         std::thread::sleep(Duration::from_millis(2));
     }
-    bed.signal("-TERM");
-    let (_, log) = bed.end();
+    fixture.signal("-TERM");
+    let (_, log) = fixture.wait_for_exit();
     let lines: Vec<Value> = log
         .lines()
         .map(|line| serde_json::from_str(line).expect(line))
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use doortrack_config::ResourceLimits;
-use doortrack_fakes::LONG;
-use doortrack_fakes::bed::fresh_address;
+use doortrack_fakes::MAX_WAIT;
+use doortrack_fakes::fixture::fresh_address;
 use doortrack_fakes::records::{Client, request};
 use doortrack_node::network::listeners::{Caller, FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
 use doortrack_node::network::request::{Answer, Names, RunOutput};
@@ -17,7 +17,7 @@
 fn reads(poller: &Poller, listeners: &mut Listeners, now: u64) -> Vec<Caller> {
     let (mut events, mut listener_events) = (Events::new(), Vec::new());
     assert!(
-        poller.wait(&mut events, Some(LONG)).unwrap() > 0,
+        poller.wait(&mut events, Some(MAX_WAIT)).unwrap() > 0,
         "nothing comes"
     );
     for event in events.iter() {
@@ -61,7 +61,7 @@
     let mut client = Client {
         sock: TcpStream::connect(at).unwrap(),
     };
-    client.sock.set_read_timeout(Some(LONG)).unwrap();
+    client.sock.set_read_timeout(Some(MAX_WAIT)).unwrap();
     client.send(&request(1, 1, "/svc/look", &[], b"body"));
     client.sock.shutdown(Shutdown::Write).unwrap();
     let caller = loop {
--- a/crates/node/tests/node/idle.rs
+++ b/crates/node/tests/node/idle.rs
@@ -7,12 +7,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::bed::{Bed, Plan, fresh_address};
-use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
 use doortrack_fakes::engine::Engine;
-use doortrack_fakes::idle::{Habit, IdleClients};
-use doortrack_fakes::server::{Act, Server};
-use doortrack_fakes::{LONG, try_id};
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, fresh_address};
+use doortrack_fakes::idle::{IdleBehavior, IdleClients};
+use doortrack_fakes::server::{Behavior, Server};
+use doortrack_fakes::{MAX_WAIT, attempt_id};
 use doortrack_protocols::Protocol::{FastCgi, Uwsgi};
 use rustix::process::{Pid, Resource, Rlimit, prlimit};
 use serde_json::json;
@@ -48,8 +48,8 @@
 const DEADLINE_US: u64 = 600_000_000;
 
 /// A node whose registry nobody has open: every report to it is refused.
-fn plan(bound: Bound) -> (Plan, SocketAddr) {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+fn plan(bound: Bound) -> (NodeSetup, SocketAddr) {
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     let registry = fresh_address();
     plan.config["registry"] = json!(registry.to_string());
     plan.config["limits"]["sockets"] = json!(bound.sockets);
@@ -64,7 +64,7 @@
 /// The registry is back on its address, and hears of the node.
 fn registry_hears(registry: SocketAddr) {
     let back = UdpSocket::bind(registry).unwrap();
-    back.set_read_timeout(Some(LONG)).unwrap();
+    back.set_read_timeout(Some(MAX_WAIT)).unwrap();
     let mut text = [0; 64];
     let length = back.recv(&mut text).unwrap();
     assert_eq!(&text[..length], b"BEAT n1 ready");
@@ -72,11 +72,11 @@
 
 /// Asks until there is an answer. A connection may be let go of while nothing was read on it, so one that
 /// was told nothing asks anew, as a dispatcher does.
-fn answered(what: &str, mut ask: impl FnMut() -> Seen) -> Seen {
-    let until = Instant::now() + LONG;
+fn answered(what: &str, mut ask: impl FnMut() -> CallerOutcome) -> CallerOutcome {
+    let until = Instant::now() + MAX_WAIT;
     loop {
         match ask() {
-            Seen::Nothing => assert!(Instant::now() < until, "{what}: never answered"),
+            CallerOutcome::Nothing => assert!(Instant::now() < until, "{what}: never answered"),
             seen => return seen,
         }
     }
@@ -84,67 +84,71 @@
 
 fn checks(at: SocketAddr, nth: u64) {
     let check = || {
-        Ask::new(nth, "/status/live", b"")
+        CallerRequest::new(nth, "/status/live", b"")
             .try_send(at, FastCgi)
-            .map(|waits| waits.seen())
+            .map(|waits| waits.outcome())
     };
-    let seen = answered("health check", || check().unwrap_or(Seen::Nothing));
-    assert!(matches!(seen, Seen::Completed(_)), "{seen:?}");
+    let seen = answered("health check", || check().unwrap_or(CallerOutcome::Nothing));
+    assert!(matches!(seen, CallerOutcome::Completed(_)), "{seen:?}");
 }
 
 /// Asks for a request until it runs: what its caller will be told.
-fn begins(bed: &Bed, engine: &mut Engine, tries: &mut u64) -> JoinHandle<Seen> {
-    let until = Instant::now() + LONG;
+fn begins(
+    fixture: &NodeFixture,
+    engine: &mut Engine,
+    tries: &mut u64,
+) -> JoinHandle<CallerOutcome> {
+    let until = Instant::now() + MAX_WAIT;
     loop {
         *tries += 1;
-        let (at, nth) = (bed.at, *tries);
+        let (at, nth) = (fixture.address, *tries);
         let caller = thread::spawn(move || {
-            let sent = Ask::new(nth, "/svc/look", b"work").try_send(at, FastCgi);
-            sent.map_or(Seen::Nothing, |waits| waits.seen())
+            let sent = CallerRequest::new(nth, "/svc/look", b"work").try_send(at, FastCgi);
+            sent.map_or(CallerOutcome::Nothing, |waits| waits.outcome())
         });
         while !caller.is_finished() {
             assert!(Instant::now() < until, "an exchange never ran");
             if let Some(command) = engine.command_within_readings(1) {
                 assert_eq!(
                     (&command["msg"], &command["call"]),
-                    (&json!("RUN"), &json!(try_id(nth)))
+                    (&json!("RUN"), &json!(attempt_id(nth)))
                 );
                 return caller;
             }
         }
         assert_eq!(
             caller.join().unwrap(),
-            Seen::Nothing,
+            CallerOutcome::Nothing,
             "answered, and never run"
         );
     }
 }
 
 /// One request that is run and answered.
-fn works(bed: &Bed, engine: &mut Engine, tries: &mut u64) {
-    let caller = begins(bed, engine, tries);
-    engine.end(&try_id(*tries), "OK", b"worked");
+fn works(fixture: &NodeFixture, engine: &mut Engine, tries: &mut u64) {
+    let caller = begins(fixture, engine, tries);
+    engine.end(&attempt_id(*tries), "OK", b"worked");
     assert_eq!(
         caller.join().unwrap(),
-        Seen::Completed(b"worked".into()),
+        CallerOutcome::Completed(b"worked".into()),
         "it was read and run"
     );
 }
 
-fn stays_reachable(habits: &[Habit], bound: Bound) {
+fn stays_reachable(habits: &[IdleBehavior], bound: Bound) {
     let (plan, registry) = plan(bound);
-    let (bed, mut engine) = plan.up();
+    let (fixture, mut engine) = plan.start_with_engine();
     // In hand before the pressure begins, and answered under it.
     let mut tries = 0;
-    let early = begins(&bed, &mut engine, &mut tries);
-    let idle = IdleClients::hold(bed.at, habits, IDLE / habits.len());
+    let early = begins(&fixture, &mut engine, &mut tries);
+    let idle = IdleClients::hold(fixture.address, habits, IDLE / habits.len());
     idle.wait_until_opened(IDLE);
     let mut longest = (Duration::ZERO, Duration::ZERO);
     for round in 0..ROUNDS {
         let since = Instant::now();
-        checks(bed.at, 1_000_000 + round);
+        checks(fixture.address, 1_000_000 + round);
         let checked = since.elapsed();
-        works(&bed, &mut engine, &mut tries);
+        works(&fixture, &mut engine, &mut tries);
         longest = (
             longest.0.max(checked),
             longest.1.max(since.elapsed() - checked),
@@ -155,20 +159,23 @@
         longest.0, longest.1
     );
     // A link that breaks needs a descriptor of its own again; what was read meanwhile is not lost with it.
-    let over_the_loss = begins(&bed, &mut engine, &mut tries);
+    let over_the_loss = begins(&fixture, &mut engine, &mut tries);
     let serial = engine.serial;
     drop(engine);
-    let mut engine = bed.link();
+    let mut engine = fixture.accept_engine();
     engine.hello(serial);
     engine.serial = serial;
-    engine.end(&try_id(tries), "OK", b"crossed");
+    engine.end(&attempt_id(tries), "OK", b"crossed");
     assert_eq!(
         over_the_loss.join().unwrap(),
-        Seen::Completed(b"crossed".into())
+        CallerOutcome::Completed(b"crossed".into())
+    );
+    works(&fixture, &mut engine, &mut tries);
+    engine.end(&attempt_id(1), "OK", b"kept");
+    assert_eq!(
+        early.join().unwrap(),
+        CallerOutcome::Completed(b"kept".into())
     );
-    works(&bed, &mut engine, &mut tries);
-    engine.end(&try_id(1), "OK", b"kept");
-    assert_eq!(early.join().unwrap(), Seen::Completed(b"kept".into()));
     registry_hears(registry);
     drop(idle);
 }
@@ -177,33 +184,33 @@
 fn silent_clients_keep_nobody_out() {
     [BY_SETTINGS, BY_SYSTEM, BY_BOTH]
         .into_iter()
-        .for_each(|bound| stays_reachable(&[Habit::Silent], bound));
+        .for_each(|bound| stays_reachable(&[IdleBehavior::Silent], bound));
 }
 
 #[test]
 fn clients_that_spoke_once_keep_nobody_out() {
     [BY_SETTINGS, BY_SYSTEM, BY_BOTH]
         .into_iter()
-        .for_each(|bound| stays_reachable(&[Habit::SpokeOnce], bound));
+        .for_each(|bound| stays_reachable(&[IdleBehavior::SpokeOnce], bound));
 }
 
 #[test]
 fn half_requests_keep_nobody_out() {
     [BY_SETTINGS, BY_SYSTEM, BY_BOTH]
         .into_iter()
-        .for_each(|bound| stays_reachable(&[Habit::HalfRequest], bound));
+        .for_each(|bound| stays_reachable(&[IdleBehavior::HalfRequest], bound));
 }
 
 #[test]
 fn half_requests_after_whole_ones_keep_nobody_out() {
     [BY_SETTINGS, BY_SYSTEM]
         .into_iter()
-        .for_each(|bound| stays_reachable(&[Habit::SpokeThenHalf], bound));
+        .for_each(|bound| stays_reachable(&[IdleBehavior::SpokeThenHalf], bound));
 }
 
 #[test]
 fn idle_clients_of_all_kinds_at_once_keep_nobody_out() {
-    let mixed = Habit::ALL;
+    let mixed = IdleBehavior::ALL;
     [BY_SETTINGS, BY_SYSTEM, BY_BOTH]
         .into_iter()
         .for_each(|bound| stays_reachable(&mixed, bound));
@@ -212,32 +219,37 @@
 #[test]
 fn application_servers_are_reached_while_idle_clients_fill_the_descriptors() {
     for protocol in [FastCgi, Uwsgi] {
-        let server = Server::start(protocol, |got| Act::ok(got.body.clone()));
+        let server = Server::start(protocol, |got| Behavior::ok(got.body.clone()));
         let (mut plan, registry) = plan(BY_SYSTEM);
         // A connection for each run, so that descriptors are wanted all the time.
         plan.installation = Some(
             json!({"servers": {"protocol": protocol.name(), "idle_ms": 0,
             "at_once": 4, "addresses": [server.at.to_string()]}}),
         );
-        let bed = plan.start();
-        let idle = IdleClients::hold(bed.at, &[Habit::Silent, Habit::SpokeOnce], IDLE / 2);
+        let fixture = plan.start();
+        let idle = IdleClients::hold(
+            fixture.address,
+            &[IdleBehavior::Silent, IdleBehavior::SpokeOnce],
+            IDLE / 2,
+        );
         idle.wait_until_opened(IDLE);
-        let mut told: BTreeMap<u64, Seen> = BTreeMap::new();
+        let mut told: BTreeMap<u64, CallerOutcome> = BTreeMap::new();
         for nth in 1..=12 {
-            let look = || Ask::new(nth, "/svc/look", b"work").try_send(bed.at, FastCgi);
+            let look =
+                || CallerRequest::new(nth, "/svc/look", b"work").try_send(fixture.address, FastCgi);
             told.insert(
                 nth,
                 answered("exchange", || {
-                    look().map_or(Seen::Nothing, |waits| waits.seen())
+                    look().map_or(CallerOutcome::Nothing, |waits| waits.outcome())
                 }),
             );
         }
-        let expected = Seen::Completed(b"work".into());
+        let expected = CallerOutcome::Completed(b"work".into());
         assert!(told.values().all(|seen| *seen == expected), "{told:?}");
         registry_hears(registry);
         drop(idle);
-        bed.signal("-TERM");
-        let (code, log) = bed.end();
+        fixture.signal("-TERM");
+        let (code, log) = fixture.wait_for_exit();
         assert_eq!(code, Some(0), "{log}");
         assert!(log.contains("low descriptor limit"), "{log}");
         assert!(
@@ -252,7 +264,7 @@
     let (mut plan, _) = plan(BY_SYSTEM);
     plan.installation = Some(json!({"servers": {"protocol": "uwsgi", "at_once": 30,
         "addresses": [fresh_address().to_string()]}}));
-    let (code, log) = plan.start().end();
+    let (code, log) = plan.start().wait_for_exit();
     assert_eq!(code, Some(1), "{log}");
     assert!(
         log.contains("installation.servers.at_once") && log.contains("limit of 64"),
@@ -263,10 +275,10 @@
 #[test]
 fn a_limit_that_is_lowered_under_way_keeps_nobody_out() {
     let (plan, registry) = plan(BY_SETTINGS);
-    let (bed, mut engine) = plan.up();
-    let idle = IdleClients::hold(bed.at, &[Habit::SpokeOnce], IDLE);
+    let (fixture, mut engine) = plan.start_with_engine();
+    let idle = IdleClients::hold(fixture.address, &[IdleBehavior::SpokeOnce], IDLE);
     idle.wait_until_opened(IDLE);
-    let id = Pid::from_raw(bed.program.id() as i32);
+    let id = Pid::from_raw(fixture.program.id() as i32);
     let maximum = prlimit(
         id,
         Resource::Nofile,
@@ -279,8 +291,8 @@
     // More are open than the limit allows, so nothing is accepted until some of those were let go of.
     let mut tries = 0;
     for nth in 0..ROUNDS {
-        checks(bed.at, 1_000_000 + nth);
-        works(&bed, &mut engine, &mut tries);
+        checks(fixture.address, 1_000_000 + nth);
+        works(&fixture, &mut engine, &mut tries);
     }
     registry_hears(registry);
     drop(idle);
@@ -290,11 +302,11 @@
 fn more_than_the_table_holds_may_wait_to_be_accepted() {
     let (mut plan, _) = plan(BY_SETTINGS);
     plan.config["limits"]["sockets"] = json!(32);
-    let (bed, _engine) = plan.up();
+    let (fixture, _engine) = plan.start_with_engine();
     // It accepts nothing meanwhile. A connection for which its system has no place is tried again after 1 s.
-    bed.signal("-STOP");
-    let connect = |_| TcpStream::connect_timeout(&bed.at, Duration::from_millis(900));
+    fixture.signal("-STOP");
+    let connect = |_| TcpStream::connect_timeout(&fixture.address, Duration::from_millis(900));
     let waiting: Vec<_> = (0..IDLE).map(connect).collect();
-    bed.signal("-CONT");
+    fixture.signal("-CONT");
     assert!(waiting.iter().all(Result::is_ok), "{waiting:?}");
 }
--- a/crates/node/tests/node/instants.rs
+++ b/crates/node/tests/node/instants.rs
@@ -5,10 +5,10 @@
 use std::os::unix::fs::PermissionsExt;
 use std::time::Duration;
 
-use doortrack_fakes::bed::{Bed, Plan, connect, fresh_address};
 use doortrack_fakes::engine::Engine;
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect, fresh_address};
 use doortrack_fakes::records::{Client, IDEMPOTENCY_KEY, record, request};
-use doortrack_fakes::{try_id, unix_ms};
+use doortrack_fakes::{attempt_id, unix_ms};
 use serde_json::{Value, json};
 
 use super::sockets::{start, up, up_with};
@@ -36,8 +36,9 @@
 #[test]
 fn what_crosses_the_end_of_an_idle_connection_is_not_run_and_resets_nothing() {
     let gauges = json!(["core_use", "links"]);
-    let (bed, mut engine) = up_with(|config| config["settings"]["family_info"]["gauges"] = gauges);
-    let (mut idle, mut client) = (bed.client(), bed.client());
+    let (fixture, mut engine) =
+        up_with(|config| config["settings"]["family_info"]["gauges"] = gauges);
+    let (mut idle, mut client) = (fixture.client(), fixture.client());
     idle.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(idle.reply().status, 200);
     client.look(1, 2);
@@ -50,7 +51,7 @@
             client.look(2, 4);
             assert_eq!(
                 engine.run().0,
-                try_id(4),
+                attempt_id(4),
                 "one that came after the end was run"
             );
         },
@@ -61,8 +62,8 @@
 
 #[test]
 fn what_crosses_an_answer_that_ends_its_connection_takes_nothing_away() {
-    let (bed, _engine) = up();
-    let (mut once, mut other) = (bed.client(), bed.client());
+    let (fixture, _engine) = up();
+    let (mut once, mut other) = (fixture.client(), fixture.client());
     let mut check = request(5, 1, "/status/live", &[], b"");
     check[8 + 2] = 0;
     once.send(&check);
@@ -75,20 +76,20 @@
 
 #[test]
 fn a_node_that_stood_still_over_its_stop_answers_what_it_had_read() {
-    let (bed, mut engine) = up_with(|config| config["stop_ms"] = json!(400));
-    let mut client = bed.client();
+    let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(400));
+    let mut client = fixture.client();
     client.look(1, 1);
     engine.run();
-    bed.signal("-TERM");
-    bed.reports("draining");
-    bed.signal("-STOP");
+    fixture.signal("-TERM");
+    fixture.wait_for_report("draining");
+    fixture.signal("-STOP");
     let stopped = unix_ms();
     // Nothing comes meanwhile: only the time itself can move the node to answer.
     wait_until(stopped + 400);
-    bed.signal("-CONT");
+    fixture.signal("-CONT");
     assert_eq!(client.reply().status, 500);
     assert!(client.is_closed());
-    assert_eq!(bed.end().0, Some(0));
+    assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
 /// A caller and what the grace of a node that leaves was, in ms.
@@ -101,16 +102,16 @@
 
 #[test]
 fn the_grace_counts_from_the_notice_though_the_process_stood_still() {
-    let (bed, _engine) = up_with(leaves_late);
-    let mut client = bed.client();
+    let (fixture, _engine) = up_with(leaves_late);
+    let mut client = fixture.client();
     client.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 200);
-    bed.signal("-STOP");
+    fixture.signal("-STOP");
     let noticed = unix_ms();
-    bed.signal("-TERM");
+    fixture.signal("-TERM");
     wait_until(noticed + GRACE);
-    bed.signal("-CONT");
-    bed.reports("draining");
+    fixture.signal("-CONT");
+    fixture.wait_for_report("draining");
     // The process may have learnt of the notice up to its next due time later.
     wait_until(noticed + GRACE + 400);
     client.look(2, 2);
@@ -119,23 +120,23 @@
 
 #[test]
 fn the_grace_counts_from_the_notice_though_the_engine_comes_up_later() {
-    let bed = start(leaves_late);
-    bed.reports("ready");
-    bed.signal("-TERM");
-    bed.reports("draining");
+    let fixture = start(leaves_late);
+    fixture.wait_for_report("ready");
+    fixture.signal("-TERM");
+    fixture.wait_for_report("draining");
     let reported = unix_ms();
     wait_until(reported + GRACE);
-    let mut engine = bed.link();
+    let mut engine = fixture.accept_engine();
     engine.hello(0);
     engine.readings(1);
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.look(1, 1);
     assert_eq!(client.reply().status, 503, "it came after the grace");
 }
 
 #[test]
 fn what_waits_in_a_full_backlog_at_the_end_is_answered_too() {
-    let (bed, mut engine) = up_with(|config| {
+    let (fixture, mut engine) = up_with(|config| {
         config["limits"]["sockets"] = json!(32);
         config["stop_ms"] = json!(700);
         config["settings"]["family_info"]["cores"] = json!(20);
@@ -143,7 +144,7 @@
     let mut clients = Vec::new();
     // Eight are taken in and run; three more wait where only the system has them.
     for n in 0..11 {
-        let mut client = bed.client();
+        let mut client = fixture.client();
         client.look(1, n);
         clients.push(client);
         if n < 8 {
@@ -151,7 +152,7 @@
         }
     }
     assert_eq!(engine.command_within_readings(2), None);
-    bed.signal("-TERM");
+    fixture.signal("-TERM");
     for client in &mut clients[..8] {
         assert_eq!(
             client.reply().status,
@@ -165,32 +166,32 @@
             "never run, and told so"
         );
     }
-    assert_eq!(bed.end().0, Some(0));
+    assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
 #[test]
 fn what_waits_in_a_full_backlog_is_answered_though_the_node_stood_still_over_its_stop() {
-    let (bed, mut engine) = up_with(|config| {
+    let (fixture, mut engine) = up_with(|config| {
         config["limits"]["sockets"] = json!(32);
         config["stop_ms"] = json!(700);
         config["settings"]["family_info"]["cores"] = json!(20);
     });
     let mut clients = Vec::new();
     for n in 0..11 {
-        let mut client = bed.client();
+        let mut client = fixture.client();
         client.look(1, n);
         clients.push(client);
         if n < 8 {
             engine.run();
         }
     }
-    bed.signal("-TERM");
-    bed.reports("draining");
-    bed.signal("-STOP");
+    fixture.signal("-TERM");
+    fixture.wait_for_report("draining");
+    fixture.signal("-STOP");
     let stopped = unix_ms();
     // The answers to what runs and the last look at the backlog fall into one turn.
     wait_until(stopped + 700);
-    bed.signal("-CONT");
+    fixture.signal("-CONT");
     for client in &mut clients[..8] {
         assert_eq!(
             client.reply().status,
@@ -204,54 +205,61 @@
             "never run, and told so"
         );
     }
-    assert_eq!(bed.end().0, Some(0));
+    assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
 /// A deduplicated request is asked for, and the link breaks behind its RUN: the next link.
-fn loses_the_link_over_a_run(bed: &Bed, mut engine: Engine, client: &mut Client) -> Engine {
+fn loses_the_link_over_a_run(
+    fixture: &NodeFixture,
+    mut engine: Engine,
+    client: &mut Client,
+) -> Engine {
     engine.readings(1);
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     while engine.line()["msg"] != "RUN" {}
     drop(engine);
-    let mut engine = bed.link();
+    let mut engine = fixture.accept_engine();
     engine.hello(0);
     engine
 }
 
 #[test]
 fn a_deduplicated_run_that_may_have_arrived_is_not_sent_again() {
-    let (bed, engine) = up();
-    let mut client = bed.client();
-    let mut engine = loses_the_link_over_a_run(&bed, engine, &mut client);
+    let (fixture, engine) = up();
+    let mut client = fixture.client();
+    let mut engine = loses_the_link_over_a_run(&fixture, engine, &mut client);
     engine.readings(3);
     client.look(2, 2);
-    assert_eq!(engine.run().0, try_id(2), "what may run was sent again");
-    engine.end(&try_id(1), "OK", b"paid once");
+    assert_eq!(engine.run().0, attempt_id(2), "what may run was sent again");
+    engine.end(&attempt_id(1), "OK", b"paid once");
     assert_eq!(client.reply().body, b"paid once");
 }
 
 #[test]
 fn a_deduplicated_run_that_never_arrived_is_answered_in_time_and_a_later_try_runs() {
-    let (bed, engine) =
+    let (fixture, engine) =
         up_with(|config| config["settings"]["lanes"][1]["deadline"] = json!(1_000_000));
-    let mut client = bed.client();
-    let mut engine = loses_the_link_over_a_run(&bed, engine, &mut client);
-    assert_eq!(engine.command(), json!({"msg": "HALT", "call": try_id(1)}));
+    let mut client = fixture.client();
+    let mut engine = loses_the_link_over_a_run(&fixture, engine, &mut client);
+    assert_eq!(
+        engine.command(),
+        json!({"msg": "HALT", "call": attempt_id(1)})
+    );
     assert_eq!(client.reply().status, 500, "whether it ran is not known");
     // The engine may know nothing of it, or keep silent; to a RUN it has to say what became of it.
-    assert_eq!(engine.run().0, try_id(1));
-    engine.end(&try_id(1), "MOOT", b"");
+    assert_eq!(engine.run().0, attempt_id(1));
+    engine.end(&attempt_id(1), "MOOT", b"");
     engine.readings(1);
     client.send(&request(2, 2, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
-    assert_eq!(engine.run().0, try_id(2));
-    engine.end(&try_id(2), "OK", b"paid");
+    assert_eq!(engine.run().0, attempt_id(2));
+    engine.end(&attempt_id(2), "OK", b"paid");
     assert_eq!(client.reply().body, b"paid");
 }
 
 #[test]
 fn a_notice_cut_in_the_middle_by_a_lost_link_is_told_whole_on_the_next() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (call, _) = engine.run();
     let sock = engine.lines.get_mut();
@@ -261,7 +269,7 @@
     )
     .unwrap();
     drop(engine);
-    let mut engine = bed.link();
+    let mut engine = fixture.accept_engine();
     engine.hello(0);
     engine.done(1, &call, "OK", b"whole");
     assert_eq!(client.reply().body, b"whole");
@@ -273,8 +281,8 @@
 
 #[test]
 fn an_end_that_crosses_the_halt_of_an_aborted_run_is_no_fault() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (call, _) = engine.run();
     client.send(&record(2, 1, b""));
@@ -289,31 +297,31 @@
 
 #[test]
 fn a_second_notice_and_a_reload_during_the_drain_change_nothing_of_it() {
-    let (bed, mut engine) = up_with(|config| config["stop_ms"] = json!(900));
-    let mut client = bed.client();
+    let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(900));
+    let mut client = fixture.client();
     client.look(1, 1);
     engine.run();
-    let config = std::fs::read_to_string(bed.folder.join("config.json")).unwrap();
-    bed.signal("-TERM");
-    bed.reports("draining");
-    bed.reload(&config.replace("\"stop_ms\":900", "\"stop_ms\":900000"));
-    bed.signal("-TERM");
+    let config = std::fs::read_to_string(fixture.folder.join("config.json")).unwrap();
+    fixture.signal("-TERM");
+    fixture.wait_for_report("draining");
+    fixture.reload(&config.replace("\"stop_ms\":900", "\"stop_ms\":900000"));
+    fixture.signal("-TERM");
     assert_eq!(
         client.reply().status,
         500,
         "the first notice names the stop"
     );
-    assert_eq!(bed.end().0, Some(0));
+    assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
 #[test]
 fn a_registry_that_is_gone_and_back_is_reported_to_and_ends_nothing() {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     // Nobody has it open yet: every datagram to it is refused.
     let gone = fresh_address();
     plan.config["registry"] = json!(gone.to_string());
-    let (bed, mut engine) = plan.up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = plan.start_with_engine();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (call, _) = engine.run();
     engine.end(&call, "OK", b"served");
@@ -322,7 +330,8 @@
     let since = unix_ms();
     wait_until(since + 700);
     let back = std::net::UdpSocket::bind(gone).unwrap();
-    back.set_read_timeout(Some(doortrack_fakes::LONG)).unwrap();
+    back.set_read_timeout(Some(doortrack_fakes::MAX_WAIT))
+        .unwrap();
     let mut text = [0; 64];
     let n = back.recv(&mut text).unwrap();
     assert_eq!(&text[..n], b"BEAT n1 ready");
@@ -330,8 +339,8 @@
 
 #[test]
 fn a_repeat_whose_stamp_is_of_a_clock_ahead_does_not_run_again() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     let (call, _) = engine.run();
     engine.end(&call, "OK", b"paid once");
@@ -346,24 +355,24 @@
         b"",
     ));
     client.look(3, 3);
-    assert_eq!(engine.run().0, try_id(3), "it was run again");
+    assert_eq!(engine.run().0, attempt_id(3), "it was run again");
     assert_eq!(client.reply().body, b"paid once");
 }
 
 #[test]
 fn what_lies_unread_or_half_sent_as_the_stop_comes_is_refused_in_order() {
-    let (bed, _engine) = up_with(|config| config["stop_ms"] = json!(400));
-    let (mut whole, mut half) = (bed.client(), bed.client());
+    let (fixture, _engine) = up_with(|config| config["stop_ms"] = json!(400));
+    let (mut whole, mut half) = (fixture.client(), fixture.client());
     half.send(&record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]));
     // Both are known to the node, as connections are taken in in their order.
     whole.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(whole.reply().status, 200);
-    bed.signal("-STOP");
-    bed.signal("-TERM");
+    fixture.signal("-STOP");
+    fixture.signal("-TERM");
     whole.look(2, 2);
     let stopped = unix_ms();
     wait_until(stopped + 400);
-    bed.signal("-CONT");
+    fixture.signal("-CONT");
     assert!(
         [2, 503].contains(&whole.reply().status),
         "never run, and told so"
@@ -373,7 +382,7 @@
         "never whole, and told so"
     );
     assert!(whole.is_closed() && half.is_closed());
-    assert_eq!(bed.end().0, Some(0));
+    assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
 /// Time that the program has spent on a core, in ms.
@@ -399,18 +408,21 @@
     )
     .unwrap();
     std::fs::set_permissions(&own, PermissionsExt::from_mode(0o755)).unwrap();
-    let (bed, mut engine) = Plan::new(&own).up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = NodeSetup::new(&own).start_with_engine();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (call, _) = engine.run();
     // More than it can take in, though by its configuration it could.
-    let mut others: Vec<Client> = (0..60).map(|_| bed.client()).collect();
+    let mut others: Vec<Client> = (0..60).map(|_| fixture.client()).collect();
     engine.end(&call, "OK", b"served");
     assert_eq!(client.reply().body, b"served");
-    let (spent_before, since) = (spent(bed.program.id()), unix_ms());
+    let (spent_before, since) = (spent(fixture.program.id()), unix_ms());
     engine.readings(10);
     wait_until(since + 500);
-    let (spent, passed) = (spent(bed.program.id()) - spent_before, unix_ms() - since);
+    let (spent, passed) = (
+        spent(fixture.program.id()) - spent_before,
+        unix_ms() - since,
+    );
     assert!(spent < passed / 2, "{spent} ms of {passed} on a core");
     // Once those that came first have gone, the rest has its turn.
     let mut last = others.pop().unwrap();
@@ -422,21 +434,21 @@
 
 #[test]
 fn an_address_in_use_is_told_at_the_start_and_a_killed_node_comes_back_under_its_own() {
-    let (bed, _engine) = up();
-    let at = bed.at;
+    let (fixture, _engine) = up();
+    let at = fixture.address;
     let again = || start(|config| config["listen"] = json!(at.to_string()));
-    let (code, log) = again().end();
+    let (code, log) = again().wait_for_exit();
     assert_eq!(code, Some(1));
     assert!(
         log.contains("config.listen") && log.contains(&at.to_string()),
         "{log}"
     );
     // Killed with a connection open, whose other end the system keeps for a while.
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 200);
-    bed.signal("-KILL");
-    assert_eq!(bed.end().0, None);
+    fixture.signal("-KILL");
+    assert_eq!(fixture.wait_for_exit().0, None);
     let _back = again();
     let mut client = Client { sock: connect(at) };
     client.send(&request(1, 2, "/status/live", &[], b""));
--- a/crates/node/tests/node/late_answers.rs
+++ b/crates/node/tests/node/late_answers.rs
@@ -3,8 +3,8 @@
 use std::process::Command;
 use std::time::Duration;
 
-use doortrack_fakes::LONG;
-use doortrack_fakes::bed::Plan;
+use doortrack_fakes::MAX_WAIT;
+use doortrack_fakes::fixture::NodeSetup;
 use doortrack_fakes::records::{Client, request};
 use doortrack_fakes::server::Server;
 use doortrack_protocols::Protocol::FastCgi;
@@ -23,18 +23,18 @@
     const CALLERS: u64 = 100;
     const EACH: u16 = 32;
     let (server, held) = Server::held(FastCgi);
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     plan.config["stop_ms"] = json!(STOP_MS);
     plan.installation = Some(
         json!({"servers": {"protocol": "fastcgi", "addresses": [server.at.to_string()],
         "answer_within_ms": 200, "retries": {"tries": 1}}}),
     );
-    let bed = plan.start();
-    let mut late = bed.client();
+    let fixture = plan.start();
+    let mut late = fixture.client();
     late.look(1, 1);
-    let _run = held.recv_timeout(LONG).unwrap();
-    bed.signal("-STOP");
-    let mut callers: Vec<Client> = (1..=CALLERS).map(|_| bed.client()).collect();
+    let _run = held.recv_timeout(MAX_WAIT).unwrap();
+    fixture.signal("-STOP");
+    let mut callers: Vec<Client> = (1..=CALLERS).map(|_| fixture.client()).collect();
     for (caller, client) in callers.iter_mut().enumerate() {
         let first = (caller as u64 + 1) * 1_000;
         let all =
@@ -42,7 +42,7 @@
         client.send(&all.collect::<Vec<u8>>());
     }
     std::thread::sleep(Duration::from_millis(300));
-    let id = bed.program.id();
+    let id = fixture.program.id();
     let line = format!("kill -CONT {id}; sleep 0.002; kill {LEAVE} {id}");
     assert!(
         Command::new("sh")
@@ -51,7 +51,7 @@
             .unwrap()
             .success()
     );
-    bed.reports("draining");
+    fixture.wait_for_report("draining");
     assert_eq!(late.reply().status, 500, "it ran, and is not tried again");
     for client in &mut callers {
         for _ in 0..EACH {
@@ -59,5 +59,5 @@
         }
         assert!(client.is_closed());
     }
-    ends_well(bed);
+    ends_well(fixture);
 }
--- a/crates/node/tests/node/late_stops.rs
+++ b/crates/node/tests/node/late_stops.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_full_backlog_is_answered_though_the_node_stood_still_over_its_stop() {
-    let (bed, mut engine) = up_with(|config| {
+    let (fixture, mut engine) = up_with(|config| {
         config["limits"]["sockets"] = json!(32);
         config["stop_ms"] = json!(STOP_MS);
         config["settings"]["family_info"]["cores"] = json!(20);
@@ -21,7 +21,7 @@
     let mut clients: Vec<Client> = Vec::new();
     // Eight are taken in and run; three more wait where only the system has them.
     for n in 0..11 {
-        let mut client = bed.client();
+        let mut client = fixture.client();
         client.look(1, n);
         clients.push(client);
         if n < 8 {
@@ -29,14 +29,14 @@
         }
     }
     assert_eq!(engine.command_within_readings(2), None);
-    bed.signal(LEAVE);
-    bed.reports("draining");
+    fixture.signal(LEAVE);
+    fixture.wait_for_report("draining");
     let told = unix_ms();
-    bed.signal("-STOP");
+    fixture.signal("-STOP");
     while unix_ms() <= told + STOP_MS {
         std::thread::sleep(Duration::from_millis(5));
     }
-    bed.signal("-CONT");
+    fixture.signal("-CONT");
     for client in &mut clients[..8] {
         assert_eq!(
             client.reply().status,
@@ -50,5 +50,5 @@
             "never run, and told so"
         );
     }
-    ends_well(bed);
+    ends_well(fixture);
 }
--- a/crates/node/tests/node/near_stops.rs
+++ b/crates/node/tests/node/near_stops.rs
@@ -1,7 +1,7 @@
 //! Which stop holds where the configuration that is read again beside the notice to leave names another one.
 
-use doortrack_fakes::bed::{Bed, Plan};
 use doortrack_fakes::engine::Engine;
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup};
 use serde_json::{Value, json};
 
 use super::notices::{LEAVE, RELOAD, SOON, ends_well, rewrite, signals};
@@ -10,40 +10,40 @@
 const FAR: u64 = 600_000;
 
 /// A node with this stop and, where it is to have one, an operators' file.
-fn stops_after(stop_ms: u64, installation: Option<Value>) -> (Bed, Engine) {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+fn stops_after(stop_ms: u64, installation: Option<Value>) -> (NodeFixture, Engine) {
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     plan.config["stop_ms"] = json!(stop_ms);
     plan.installation = installation;
-    plan.up()
+    plan.start_with_engine()
 }
 
 /// Of two runs one ends in time, and only the stop ends the other. `after` is the stop of the configuration
 /// that is read again.
 fn leaves_by_the_near_stop(
-    (bed, mut engine): (Bed, Engine),
+    (fixture, mut engine): (NodeFixture, Engine),
     order: [&str; 2],
     after: u64,
     stands_still: bool,
 ) {
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.look(1, 1);
     client.look(2, 2);
     let (first, _) = engine.run();
     engine.run();
-    rewrite(&bed, |config| config["stop_ms"] = json!(after));
+    rewrite(&fixture, |config| config["stop_ms"] = json!(after));
     if stands_still {
-        bed.signal("-STOP");
+        fixture.signal("-STOP");
     }
-    signals(&bed, order);
+    signals(&fixture, order);
     if stands_still {
-        bed.signal("-CONT");
+        fixture.signal("-CONT");
     }
-    bed.reports("draining");
+    fixture.wait_for_report("draining");
     engine.end(&first, "OK", b"in time");
     assert_eq!(client.reply().body, b"in time");
     assert_eq!(client.reply().status, 500, "the stop is the near one");
     assert!(client.is_closed());
-    ends_well(bed);
+    ends_well(fixture);
 }
 
 #[test]
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -7,8 +7,8 @@
 
 use doortrack_admission::RunOutcome;
 use doortrack_config::{ResourceLimits, node_config};
-use doortrack_fakes::bed::config;
 use doortrack_fakes::cut_at;
+use doortrack_fakes::fixture::config;
 use doortrack_node::network::engine_protocol::{self, EngineMessage};
 use doortrack_node::network::listeners::{FIRST_KEY, Listeners};
 use doortrack_node::network::registry::{self, Registry};
--- a/crates/node/tests/node/pieces.rs
+++ b/crates/node/tests/node/pieces.rs
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::bed::{Bed, Plan, connect};
-use doortrack_fakes::caller::{Ask, Pending, Seen};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest, PendingAnswer};
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
 use doortrack_fakes::records::{Client, record, request};
-use doortrack_fakes::{LONG, instant, try_id, unix_ms};
+use doortrack_fakes::{MAX_WAIT, attempt_id, instant, unix_ms};
 use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::json;
 
@@ -25,10 +25,12 @@
 
 /// Asks over FastCGI until a request is completed, which none is before the engine is up.
 pub fn until_served(at: SocketAddr) {
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + MAX_WAIT;
     for nth in 1 << 40.. {
-        let seen = Ask::new(nth, "/svc/look", b"").send(at, FastCgi).seen();
-        if matches!(seen, Seen::Completed(_)) {
+        let seen = CallerRequest::new(nth, "/svc/look", b"")
+            .send(at, FastCgi)
+            .outcome();
+        if matches!(seen, CallerOutcome::Completed(_)) {
             return;
         }
         assert!(Instant::now() < until, "{seen:?}");
@@ -39,21 +41,21 @@
 /// From the notice to the stop where nothing is open any more, in ms.
 const SHORT_STOP: u64 = 300;
 
-fn up() -> (Bed, SocketAddr) {
+fn up() -> (NodeFixture, SocketAddr) {
     up_with_stop(SHORT_STOP)
 }
 
 /// A node with a uwsgi front beside its own listener, whose engine ends every run at once.
-fn up_with_stop(stop_ms: u64) -> (Bed, SocketAddr) {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+fn up_with_stop(stop_ms: u64) -> (NodeFixture, SocketAddr) {
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     let uwsgi = plan.port(9092);
     plan.config["stop_ms"] = json!(stop_ms);
     plan.installation =
         Some(json!({"fronts": [{"protocol": "uwsgi", "listen": uwsgi.to_string()}]}));
-    let bed = plan.start();
-    instant::engine(bed.door.try_clone().unwrap());
-    until_served(bed.at);
-    (bed, uwsgi)
+    let fixture = plan.start();
+    instant::engine(fixture.engine_listener.try_clone().unwrap());
+    until_served(fixture.address);
+    (fixture, uwsgi)
 }
 
 fn without_delay(at: SocketAddr) -> TcpStream {
@@ -62,18 +64,18 @@
     sock
 }
 
-fn leaves(bed: Bed) {
-    bed.signal("-TERM");
-    let (code, log) = bed.end();
+fn leaves(fixture: NodeFixture) {
+    fixture.signal("-TERM");
+    let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(!log.contains("panicked"), "{log}");
 }
 
 #[test]
 fn a_fastcgi_request_cut_at_any_byte_is_answered_once() {
-    let (bed, _) = up();
+    let (fixture, _) = up();
     let mut client = Client {
-        sock: without_delay(bed.at),
+        sock: without_delay(fixture.address),
     };
     let length = request(1, 1, "/svc/look", &[], b"body").len();
     for cut in 1..length {
@@ -85,7 +87,7 @@
         let reply = client.reply();
         assert_eq!((reply.id, reply.status), (id, 200), "cut at {cut}");
     }
-    leaves(bed);
+    leaves(fixture);
     assert!(client.is_closed(), "one was answered twice");
 }
 
@@ -103,9 +105,9 @@
 
 #[test]
 fn requests_interleaved_record_by_record_and_cut_anywhere_are_answered_once_each() {
-    let (bed, _) = up();
+    let (fixture, _) = up();
     let mut client = Client {
-        sock: without_delay(bed.at),
+        sock: without_delay(fixture.address),
     };
     for round in 0..40u64 {
         // The last one is aborted before it is whole, and its id is used again in the next round.
@@ -146,7 +148,7 @@
             "round {round}: {replies:?}"
         );
     }
-    leaves(bed);
+    leaves(fixture);
     assert!(client.is_closed(), "one was answered twice");
 }
 
@@ -224,11 +226,11 @@
 
 impl Form {
     fn bytes(&self, nth: u64) -> Vec<u8> {
-        let (try_id, now) = (try_id(nth), unix_ms().to_string());
+        let (attempt_id, now) = (attempt_id(nth), unix_ms().to_string());
         let mut variables = vec![
             ("SCRIPT_NAME", "/svc/look"),
             ("REQUEST_METHOD", "POST"),
-            ("HTTP_X_REQUEST_ID", &*try_id),
+            ("HTTP_X_REQUEST_ID", &*attempt_id),
             ("HTTP_X_REQUEST_START", &*now),
             ("HTTP_X_CALLER", "1"),
             ("HTTP_X_MEMORY_KB", "2.5"),
@@ -262,7 +264,7 @@
 
 #[test]
 fn a_uwsgi_request_of_any_form_cut_at_any_byte_is_answered_once() {
-    let (bed, at) = up();
+    let (fixture, at) = up();
     let mut nth = 0;
     for (place, form) in FORMS.iter().enumerate() {
         // The first form at every byte, the others at every seventh, each from another one on.
@@ -280,14 +282,14 @@
                 "{}, cut at {cut}: {sent:?}",
                 form.name
             );
-            let seen = Pending {
+            let seen = PendingAnswer {
                 sock,
                 protocol: Uwsgi,
             }
-            .seen();
+            .outcome();
             assert_eq!(
                 seen,
-                Seen::Completed(b"done".into()),
+                CallerOutcome::Completed(b"done".into()),
                 "{}, cut at {cut}",
                 form.name
             );
@@ -301,23 +303,23 @@
         sock.read_to_end(&mut pong).unwrap();
         assert_eq!(pong, [100, 0, 0, 1], "a ping cut at {cut}");
     }
-    leaves(bed);
+    leaves(fixture);
 }
 
 /// A request of which the first bytes were sent.
 struct Half {
-    pending: Pending,
+    pending: PendingAnswer,
     cut: usize,
     rest: Vec<u8>,
 }
 
 impl Half {
     fn send(nth: u64, at: SocketAddr, protocol: Protocol, cut: usize) -> Half {
-        let bytes = Ask::new(nth, "/svc/look", b"body").bytes(protocol);
+        let bytes = CallerRequest::new(nth, "/svc/look", b"body").bytes(protocol);
         let mut sock = without_delay(at);
         sock.write_all(&bytes[..cut]).unwrap();
         Half {
-            pending: Pending { sock, protocol },
+            pending: PendingAnswer { sock, protocol },
             cut,
             rest: bytes[cut..].to_vec(),
         }
@@ -325,7 +327,9 @@
 
     /// One for every so many bytes, the last of them one byte short of the whole.
     fn all(from: u64, at: SocketAddr, protocol: Protocol, step: usize) -> Vec<Half> {
-        let length = Ask::new(from, "/svc/look", b"body").bytes(protocol).len();
+        let length = CallerRequest::new(from, "/svc/look", b"body")
+            .bytes(protocol)
+            .len();
         let cuts = (1..length - 1).step_by(step).chain([length - 1]);
         (from..)
             .zip(cuts)
@@ -339,27 +343,30 @@
 }
 
 /// Whether a whole request was answered: completed, or rejected where too much came at once.
-fn is_answered(seen: &Seen) -> bool {
-    matches!(seen, Seen::Completed(_) | Seen::Rejected { .. })
+fn is_answered(seen: &CallerOutcome) -> bool {
+    matches!(
+        seen,
+        CallerOutcome::Completed(_) | CallerOutcome::Rejected { .. }
+    )
 }
 
 fn all_answered(halves: Vec<Half>, what: &str) {
     let mut completed = 0;
     for half in halves {
         let (protocol, cut) = (half.pending.protocol, half.cut);
-        let seen = half.pending.seen();
+        let seen = half.pending.outcome();
         assert!(
             is_answered(&seen),
             "{what}: {protocol} cut at {cut}: {seen:?}"
         );
-        completed += usize::from(matches!(seen, Seen::Completed(_)));
+        completed += usize::from(matches!(seen, CallerOutcome::Completed(_)));
     }
     assert!(completed > 0, "{what}");
 }
 
 #[test]
 fn requests_whose_rest_comes_after_a_reload_are_answered() {
-    let (bed, uwsgi) = up();
+    let (fixture, uwsgi) = up();
     let front = |at: SocketAddr| json!({"protocol": "uwsgi", "listen": at.to_string()});
     let more = SocketAddr::new(uwsgi.ip(), 9093);
     for (round, text) in [
@@ -370,25 +377,25 @@
     .enumerate()
     {
         let from = 10_000 * (round as u64 + 1);
-        let mut halves = Half::all(from, bed.at, FastCgi, 7);
+        let mut halves = Half::all(from, fixture.address, FastCgi, 7);
         halves.extend(Half::all(from + 5_000, uwsgi, Uwsgi, 7));
-        std::fs::write(bed.folder.join("installation.json"), text).unwrap();
-        bed.signal("-HUP");
+        std::fs::write(fixture.folder.join("installation.json"), text).unwrap();
+        fixture.signal("-HUP");
         halves.iter_mut().for_each(Half::send_rest);
         all_answered(halves, "a reload");
     }
     drop(connect(more));
-    leaves(bed);
+    leaves(fixture);
 }
 
 #[test]
 fn a_piece_that_ends_as_the_node_leaves_is_answered_and_a_half_is_told_so() {
-    let (bed, uwsgi) = up_with_stop(1_200);
-    let mut followed = Half::all(10_000, bed.at, FastCgi, 11);
+    let (fixture, uwsgi) = up_with_stop(1_200);
+    let mut followed = Half::all(10_000, fixture.address, FastCgi, 11);
     followed.extend(Half::all(15_000, uwsgi, Uwsgi, 11));
-    let mut left = Half::all(20_000, bed.at, FastCgi, 31);
+    let mut left = Half::all(20_000, fixture.address, FastCgi, 31);
     left.extend(Half::all(25_000, uwsgi, Uwsgi, 31));
-    bed.signal("-TERM");
+    fixture.signal("-TERM");
     followed.iter_mut().for_each(Half::send_rest);
     all_answered(followed, "a notice");
     for half in left {
@@ -399,13 +406,20 @@
             } else {
                 UWSGI_HEAD
             };
-        let seen = half.pending.seen();
+        let seen = half.pending.outcome();
         // By the stop it is refused; by then it may be a slow one, which is told so.
-        let told = matches!(seen, Seen::Rejected { .. } | Seen::Unreadable(400, _));
-        let wanted = if begun { told } else { seen == Seen::Nothing };
+        let told = matches!(
+            seen,
+            CallerOutcome::Rejected { .. } | CallerOutcome::Unreadable(400, _)
+        );
+        let wanted = if begun {
+            told
+        } else {
+            seen == CallerOutcome::Nothing
+        };
         assert!(wanted, "{protocol} cut at {cut}: {seen:?}");
     }
-    let (code, log) = bed.end();
+    let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(!log.contains("panicked"), "{log}");
 }
--- a/crates/node/tests/node/play.rs
+++ b/crates/node/tests/node/play.rs
@@ -6,11 +6,11 @@
 use std::thread;
 use std::time::Duration;
 
-use doortrack_fakes::bed::{Bed, Plan};
-use doortrack_fakes::caller::{Ask, Pending};
+use doortrack_fakes::caller::{CallerRequest, PendingAnswer};
 use doortrack_fakes::engine::Engine;
-use doortrack_fakes::rules::{Bounds, Ran, Tried, broken};
-use doortrack_fakes::server::{Act, CutBy, Got, Server};
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup};
+use doortrack_fakes::rules::{Bounds, CallerAttempt, ExecutedRun, find_violations};
+use doortrack_fakes::server::{Behavior, Disconnect, ReceivedRequest, Server};
 use doortrack_fakes::unix_ms;
 use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use fastrand::Rng;
@@ -20,28 +20,29 @@
 const TIMEOUT_MS: u64 = 2000;
 const SLOW_MACHINE_MS: u64 = 5000;
 
-fn result(try_id: &str) -> Vec<u8> {
-    format!("of {try_id}").into_bytes()
+fn result(attempt_id: &str) -> Vec<u8> {
+    format!("of {attempt_id}").into_bytes()
 }
 
 /// What a server does with one request: mostly sound, else in any way wrong.
-fn act(got: &Got, seed: u64) -> Act {
-    let try_id = String::from_utf8_lossy(got.variable("HTTP_X_REQUEST_ID").unwrap()).into_owned();
+fn act(got: &ReceivedRequest, seed: u64) -> Behavior {
+    let attempt_id =
+        String::from_utf8_lossy(got.variable("HTTP_X_REQUEST_ID").unwrap()).into_owned();
     let mut rng = Rng::with_seed(
-        seed ^ u64::from_str_radix(&try_id, 16).unwrap() << 8 ^ got.connection as u64,
+        seed ^ u64::from_str_radix(&attempt_id, 16).unwrap() << 8 ^ got.connection as u64,
     );
-    let (body, at) = (result(&try_id), rng.usize(0..60));
-    let how = [CutBy::Close, CutBy::Reset, CutBy::HalfClose][rng.usize(0..3)];
+    let (body, at) = (result(&attempt_id), rng.usize(0..60));
+    let how = [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose][rng.usize(0..3)];
     match rng.u8(0..20) {
-        0 | 1 => Act::Answer {
+        0 | 1 => Behavior::Answer {
             status: "503 No",
             body,
             after: Duration::ZERO,
         },
-        2 | 3 => Act::Cut { body, at, how },
-        4 => Act::Garbage(b"HTTP/0.9 hello\r\n\r\n".into()),
-        5 => Act::Hang,
-        _ => Act::Answer {
+        2 | 3 => Behavior::Cut { body, at, how },
+        4 => Behavior::Garbage(b"HTTP/0.9 hello\r\n\r\n".into()),
+        5 => Behavior::Hang,
+        _ => Behavior::Answer {
             status: "200 OK",
             body,
             after: Duration::from_millis(rng.u64(0..12)),
@@ -54,7 +55,7 @@
     rng: Rng,
     fronts: [(Protocol, SocketAddr); 2],
     nth: u64,
-    tried: Arc<Mutex<Vec<Tried>>>,
+    tried: Arc<Mutex<Vec<CallerAttempt>>>,
     waiting: Vec<thread::JoinHandle<()>>,
 }
 
@@ -82,7 +83,7 @@
         } else {
             "/svc/look"
         };
-        let mut ask = Ask::new(nth, script, b"berth");
+        let mut ask = CallerRequest::new(nth, script, b"berth");
         if let Some(key) = &key {
             ask = ask.with("HTTP_IDEMPOTENCY_KEY", key);
         }
@@ -101,7 +102,7 @@
         let Ok(pending) = ask.try_send(at, protocol) else {
             return;
         };
-        let mut tried = Tried {
+        let mut tried = CallerAttempt {
             nth,
             idempotency_key: key,
             sent,
@@ -118,13 +119,13 @@
             _ => {}
         }
         self.waiting.push(thread::spawn(move || {
-            let seen = Pending::seen(pending);
+            let seen = PendingAnswer::outcome(pending);
             tried.told = Some((seen, unix_ms()));
             all.lock().unwrap().push(tried);
         }));
     }
 
-    fn over(self) -> Vec<Tried> {
+    fn over(self) -> Vec<CallerAttempt> {
         self.waiting
             .into_iter()
             .for_each(|thread| thread.join().unwrap());
@@ -132,8 +133,8 @@
     }
 }
 
-fn plan(change: impl FnOnce(&mut Value)) -> (Plan, [(Protocol, SocketAddr); 2]) {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+fn plan(change: impl FnOnce(&mut Value)) -> (NodeSetup, [(Protocol, SocketAddr); 2]) {
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
     for lane in plan.config["settings"]["lanes"].as_array_mut().unwrap() {
         (lane["target"], lane["deadline"]) = (json!(TIMEOUT_MS * 500), json!(TIMEOUT_MS * 1000));
@@ -149,14 +150,14 @@
 }
 
 /// The last part: told to leave while all goes on, and a look at the whole.
-fn leave(bed: Bed, mut callers: Callers, runs: impl FnOnce() -> Vec<Ran>) {
-    bed.signal("-TERM");
+fn leave(fixture: NodeFixture, mut callers: Callers, runs: impl FnOnce() -> Vec<ExecutedRun>) {
+    fixture.signal("-TERM");
     let closed = unix_ms() + 200 + 150;
     for _ in 0..60 {
         callers.ask();
         thread::sleep(Duration::from_millis(8));
     }
-    let (code, log) = bed.end();
+    let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(!log.contains("panicked"), "{log}");
     let (tried, runs) = (callers.over(), runs());
@@ -165,12 +166,12 @@
         closed: Some(closed),
         tries: 3,
     };
-    let broken = broken(&tried, &runs, bounds, result);
-    assert!(broken.is_empty(), "{broken:#?}\n{log}");
-    let completed = |tried: &&Tried| {
+    let violations = find_violations(&tried, &runs, bounds, result);
+    assert!(violations.is_empty(), "{violations:#?}\n{log}");
+    let completed = |tried: &&CallerAttempt| {
         matches!(
             &tried.told,
-            Some((doortrack_fakes::caller::Seen::Completed(_), _))
+            Some((doortrack_fakes::caller::CallerOutcome::Completed(_), _))
         )
     };
     assert!(
@@ -192,9 +193,9 @@
         };
         let (plan, fronts) = plan(|installation| installation["servers"] = part(3));
         let mut installation = plan.installation.clone().unwrap();
-        let (bed, mut callers) = (plan.start(), Callers::new(seed, fronts));
-        drop(doortrack_fakes::bed::connect(fronts[0].1));
-        let mut gone: Vec<Ran> = Vec::new();
+        let (fixture, mut callers) = (plan.start(), Callers::new(seed, fronts));
+        drop(doortrack_fakes::fixture::connect(fronts[0].1));
+        let mut gone: Vec<ExecutedRun> = Vec::new();
         for round in 0..300 {
             callers.ask();
             thread::sleep(Duration::from_millis(4));
@@ -204,7 +205,7 @@
                     let server = servers.remove(0);
                     let at = server.at;
                     thread::sleep(Duration::from_millis(2));
-                    gone.extend(server.kill_and_tell().iter().map(Ran::from));
+                    gone.extend(server.kill_and_tell().iter().map(ExecutedRun::from));
                     servers.insert(
                         0,
                         Server::start_at(at, protocol, move |got| act(got, seed * 10)),
@@ -212,17 +213,17 @@
                 }
                 150 | 220 => {
                     installation["servers"] = part(if round == 150 { 2 } else { 3 });
-                    bed.install(&installation);
+                    fixture.replace_installation(&installation);
                 }
                 _ => {}
             }
         }
-        leave(bed, callers, || {
+        leave(fixture, callers, || {
             gone.extend(
                 servers
                     .iter()
                     .flat_map(|server| server.got())
-                    .map(|got| Ran::from(&got)),
+                    .map(|got| ExecutedRun::from(&got)),
             );
             gone
         });
@@ -230,8 +231,8 @@
 }
 
 /// An engine that ends runs by chance, and now and then loses its link.
-fn serve(bed_door: std::net::TcpListener, seed: u64, over: Arc<AtomicBool>) -> Vec<Ran> {
-    let (mut rng, mut runs, mut serial) = (Rng::with_seed(seed), Vec::<Ran>::new(), 0);
+fn serve(bed_door: std::net::TcpListener, seed: u64, over: Arc<AtomicBool>) -> Vec<ExecutedRun> {
+    let (mut rng, mut runs, mut serial) = (Rng::with_seed(seed), Vec::<ExecutedRun>::new(), 0);
     let mut notices: Vec<Value> = Vec::new();
     while !over.load(Ordering::SeqCst) {
         let Ok((sock, _)) = bed_door.accept() else {
@@ -258,11 +259,11 @@
                         json!({"msg": "STATS", "cookie": command["cookie"], "stats": [0.0, 1]});
                     ok &= engine.try_tell(&stats);
                 }
-                "RUN" if !runs.iter().any(|run| run.try_id == call) => {
+                "RUN" if !runs.iter().any(|run| run.attempt_id == call) => {
                     let how = ["OK", "OK", "OK", "OK", "ERROR"][rng.usize(0..5)];
                     serial += 1;
-                    runs.push(Ran {
-                        try_id: call.clone(),
+                    runs.push(ExecutedRun {
+                        attempt_id: call.clone(),
                         idempotency_key: None,
                         at: unix_ms(),
                     });
@@ -284,22 +285,22 @@
 #[test]
 fn with_an_engine_whose_link_breaks_no_rule_is_broken() {
     let (plan, fronts) = plan(|_| {});
-    let (bed, mut callers) = (plan.start(), Callers::new(13, fronts));
-    bed.door.set_nonblocking(true).unwrap();
+    let (fixture, mut callers) = (plan.start(), Callers::new(13, fronts));
+    fixture.engine_listener.set_nonblocking(true).unwrap();
     let (door, over) = (
-        bed.door.try_clone().unwrap(),
+        fixture.engine_listener.try_clone().unwrap(),
         Arc::new(AtomicBool::new(false)),
     );
     let told = over.clone();
     let engine = thread::spawn(move || serve(door, 14, told));
-    drop(doortrack_fakes::bed::connect(fronts[0].1));
+    drop(doortrack_fakes::fixture::connect(fronts[0].1));
     thread::sleep(Duration::from_millis(50));
     for _ in 0..400 {
         callers.ask();
         thread::sleep(Duration::from_millis(3));
     }
     let tried = callers.tried.clone();
-    leave(bed, callers, move || {
+    leave(fixture, callers, move || {
         over.store(true, Ordering::SeqCst);
         let mut runs = engine.join().unwrap();
         // The engine is told no idempotency keys; its runs have those of their tries.
@@ -307,7 +308,7 @@
         for run in &mut runs {
             let of = tried
                 .iter()
-                .find(|tried| doortrack_fakes::try_id(tried.nth) == run.try_id);
+                .find(|tried| doortrack_fakes::attempt_id(tried.nth) == run.attempt_id);
             run.idempotency_key = of.and_then(|tried| tried.idempotency_key.clone());
         }
         runs
--- a/crates/node/tests/node/ramps.rs
+++ b/crates/node/tests/node/ramps.rs
@@ -1,7 +1,7 @@
 //! What the operators' file says of ramps, and what is wrong with it.
 
 use doortrack_config::{installation, node_config};
-use doortrack_fakes::bed::config;
+use doortrack_fakes::fixture::config;
 use serde_json::{Value, json};
 
 /// Two pools, one with a ramp of 100 runs in 10 s, which a budget of the fleet bounds for all nodes.
