--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -6,10 +6,10 @@
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::LONG;
-use doortrack_fakes::bed::{Bed, Plan, connect};
-use doortrack_fakes::caller::{Pending, Seen};
-use doortrack_fakes::server::{Act, Server};
+use doortrack_fakes::MAX_WAIT;
+use doortrack_fakes::caller::{CallerOutcome, PendingAnswer};
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
+use doortrack_fakes::server::{Behavior, Server};
 use doortrack_protocols::{Protocol, Variable, write_request};
 use serde_json::{Value, json};
 
@@ -39,7 +39,7 @@
 
 /// A node with application servers, each of which answers with its pool's name, and a front over uwsgi.
 struct Site {
-    bed: Bed,
+    fixture: NodeFixture,
     front: SocketAddr,
     servers: Vec<Server>,
     size: Size,
@@ -74,25 +74,25 @@
 
 impl Site {
     fn start(size: Size, pools: usize) -> Site {
-        let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+        let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
         let front = plan.port(9091);
         let servers: Vec<Server> = (0..pools)
             .map(|place| {
                 let name = format!("p{place}");
-                Server::start(UWSGI, move |_| Act::ok(name.clone()))
+                Server::start(UWSGI, move |_| Behavior::ok(name.clone()))
             })
             .collect();
         let party =
             |nth: usize| json!({"name": format!("customer-{nth:05}"), "allowance_per_s": 1});
         plan.config["settings"]["parties"] = (0..size.tenants).map(party).collect();
         plan.config["settings"]["family_info"]["cores"] = json!(64);
-        plan.words = ["--log-level", "debug", "--log-lines", "1000"]
+        plan.arguments = ["--log-level", "debug", "--log-lines", "1000"]
             .map(String::from)
             .to_vec();
         plan.installation = Some(installation(size, front, &servers, 0));
-        let mut bed = plan.start();
+        let mut fixture = plan.start();
         let (sender, log) = mpsc::channel();
-        let lines = BufReader::new(bed.program.stderr.take().unwrap()).lines();
+        let lines = BufReader::new(fixture.program.stderr.take().unwrap()).lines();
         std::thread::spawn(move || {
             lines
                 .map_while(Result::ok)
@@ -100,7 +100,7 @@
         });
         drop(connect(front));
         Site {
-            bed,
+            fixture,
             front,
             servers,
             size,
@@ -124,13 +124,15 @@
         write_request(UWSGI, &mut out, 1, false, &pairs, b"").unwrap();
         let mut sock = connect(self.front);
         sock.write_all(&out).unwrap();
-        match (Pending {
+        match (PendingAnswer {
             sock,
             protocol: UWSGI,
         })
-        .seen()
+        .outcome()
         {
-            Seen::Completed(body) => String::from_utf8(body).unwrap()[1..].parse().unwrap(),
+            CallerOutcome::Completed(body) => {
+                String::from_utf8(body).unwrap()[1..].parse().unwrap()
+            }
             seen => panic!("{path}: {seen:?}"),
         }
     }
@@ -141,7 +143,7 @@
 
     /// Waits until the log has this so many times.
     fn until_logged(&mut self, part: &str, times: usize) {
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + MAX_WAIT;
         while self.count(part) < times {
             let left = until.saturating_duration_since(Instant::now());
             let line = self
@@ -163,15 +165,15 @@
 
     /// Has the node leave, and reads the log to its end.
     fn end(mut self) -> Vec<String> {
-        self.bed.signal("-TERM");
-        assert_eq!(self.bed.program.wait().unwrap().code(), Some(0));
+        self.fixture.signal("-TERM");
+        assert_eq!(self.fixture.program.wait().unwrap().code(), Some(0));
         self.seen.extend(self.log.iter());
         self.seen
     }
 
     fn resident_kb(&self) -> u64 {
         let status =
-            std::fs::read_to_string(format!("/proc/{}/status", self.bed.program.id())).unwrap();
+            std::fs::read_to_string(format!("/proc/{}/status", self.fixture.program.id())).unwrap();
         let line = status
             .lines()
             .find_map(|line| line.strip_prefix("VmRSS:"))
@@ -183,7 +185,7 @@
 /// Asks by the first rule and the last, in turn, until `version` answers: answers by the version before, once
 /// the notice was given. No answer may be by an older version than one before it.
 fn ask_until(site: &Site, version: usize) -> usize {
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + MAX_WAIT;
     let (mut newest, mut by_the_old) = (version - 1, 0);
     for path in ["/first", "/last"].into_iter().cycle() {
         let found = site.ask(path);
@@ -214,7 +216,7 @@
     let mut by_the_old = Vec::new();
     for version in 1..=CHANGES {
         // The first comes right after the start.
-        site.bed.install(&site.version(version));
+        site.fixture.replace_installation(&site.version(version));
         by_the_old.push(ask_until(&site, version));
     }
     site.until_logged("configuration in force", CHANGES);
@@ -248,15 +250,15 @@
         .map(|nth| site.version(nth).to_string())
         .collect();
     let (path, next) = (
-        site.bed.folder.join("installation.json"),
-        site.bed.folder.join("next.json"),
+        site.fixture.folder.join("installation.json"),
+        site.fixture.folder.join("next.json"),
     );
     for version in &versions {
         std::fs::write(&next, version).unwrap();
         std::fs::rename(&next, &path).unwrap();
-        site.bed.signal("-HUP");
+        site.fixture.signal("-HUP");
     }
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + MAX_WAIT;
     let mut newest = 0;
     while newest < NOTICES {
         let found = site.ask("/last");
@@ -286,7 +288,7 @@
     let mut bad = site.version(1);
     bad["rules"][7]["when"] = json!("pth == \"/x\"");
     bad["servers"]["at_once"] = json!(16);
-    site.bed.install(&bad);
+    site.fixture.replace_installation(&bad);
     site.until_logged("configuration rejected", 1);
     assert!(
         site.seen
@@ -294,13 +296,17 @@
             .unwrap()
             .contains("installation.rules[7].when: 1:1: there is no value 'pth'")
     );
-    std::fs::write(site.bed.folder.join("installation.json"), "{\"rules\": [").unwrap();
-    site.bed.signal("-HUP");
+    std::fs::write(
+        site.fixture.folder.join("installation.json"),
+        "{\"rules\": [",
+    )
+    .unwrap();
+    site.fixture.signal("-HUP");
     site.until_logged("installation: not JSON", 1);
-    site.bed.reload("{}");
+    site.fixture.reload("{}");
     site.until_logged("config.json: config: needed key 'name' is missing", 1);
-    std::fs::remove_file(site.bed.folder.join("installation.json")).unwrap();
-    site.bed.signal("-HUP");
+    std::fs::remove_file(site.fixture.folder.join("installation.json")).unwrap();
+    site.fixture.signal("-HUP");
     site.until_logged("configuration rejected", 4);
     assert_eq!(
         (
@@ -318,12 +324,12 @@
 #[test]
 fn a_node_told_to_leave_waits_for_no_build_and_keeps_to_the_nearer_stop() {
     let mut site = Site::start(LARGE, 2);
-    rewrite(&site.bed, |config| config["stop_ms"] = json!(600_000));
-    site.bed.install(&site.version(1));
+    rewrite(&site.fixture, |config| config["stop_ms"] = json!(600_000));
+    site.fixture.replace_installation(&site.version(1));
     site.until_logged("configuration in force", 1);
-    rewrite(&site.bed, |config| config["stop_ms"] = json!(1_000));
-    site.bed.install(&site.version(2));
-    site.bed.signal("-TERM");
+    rewrite(&site.fixture, |config| config["stop_ms"] = json!(1_000));
+    site.fixture.replace_installation(&site.version(2));
+    site.fixture.signal("-TERM");
     site.until_logged("draining ", 1);
     assert_eq!(
         site.count("configuration in force"),
@@ -346,7 +352,7 @@
     let mut site = Site::start(MIDDLE, 2);
     let mut after_first = 0;
     for nth in 1..=CHANGES {
-        site.bed.install(&site.version(nth));
+        site.fixture.replace_installation(&site.version(nth));
         site.until_logged("configuration in force", nth);
         if nth == FIRST {
             after_first = site.resident_kb();
@@ -364,28 +370,28 @@
 
 #[test]
 fn there_is_a_thread_more_only_where_a_file_of_the_operators_is_read_again() {
-    let threads = |bed: &Bed| {
-        std::fs::read_dir(format!("/proc/{}/task", bed.program.id()))
+    let threads = |fixture: &NodeFixture| {
+        std::fs::read_dir(format!("/proc/{}/task", fixture.program.id()))
             .unwrap()
             .count()
     };
     let mut site = Site::start(SMALL, 2);
-    assert_eq!(threads(&site.bed), 1);
+    assert_eq!(threads(&site.fixture), 1);
     for nth in 1..=3 {
-        site.bed.install(&site.version(nth));
+        site.fixture.replace_installation(&site.version(nth));
         site.until_logged("configuration in force", nth);
-        assert_eq!(threads(&site.bed), 2);
+        assert_eq!(threads(&site.fixture), 2);
     }
     site.end();
     // As the platform starts it: in the loop, as the engine's move shows.
-    let plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+    let plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     let mut config = plan.config.clone();
-    let (bed, _engine) = plan.up();
+    let (fixture, _engine) = plan.start_with_engine();
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
     elsewhere.set_nonblocking(true).unwrap();
     config["engine"] = json!(elsewhere.local_addr().unwrap().to_string());
-    bed.reload(&config.to_string());
-    let until = Instant::now() + LONG;
+    fixture.reload(&config.to_string());
+    let until = Instant::now() + MAX_WAIT;
     while elsewhere.accept().is_err() {
         assert!(
             Instant::now() < until,
@@ -393,9 +399,9 @@
         );
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(threads(&bed), 1);
-    bed.signal("-TERM");
-    let (code, log) = bed.end();
+    assert_eq!(threads(&fixture), 1);
+    fixture.signal("-TERM");
+    let (code, log) = fixture.wait_for_exit();
     assert!(
         code == Some(0) && log.contains("configuration in force"),
         "{log}"
--- a/crates/node/tests/node/restart.rs
+++ b/crates/node/tests/node/restart.rs
@@ -9,8 +9,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use doortrack_fakes::bed::{Bed, Plan};
-use doortrack_fakes::caller::{Ask, Seen};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup};
 use doortrack_fakes::instant;
 use doortrack_protocols::Protocol::FastCgi;
 use serde_json::{Value, json};
@@ -63,13 +63,13 @@
 
 /// One node with an engine that ends each run at once.
 struct Node {
-    bed: Bed,
+    fixture: NodeFixture,
     has_installation: bool,
 }
 
 impl Node {
     fn start(large: bool) -> Node {
-        let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+        let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
         if large {
             plan.config["settings"]["parties"] = tenants();
             let front = json!({"protocol": "fastcgi", "listen": plan.port(9091).to_string()});
@@ -77,17 +77,17 @@
                 Some(json!({"fronts": [front], "rules": rules(), "otherwise": "look"}));
         }
         let has_installation = plan.installation.is_some();
-        let bed = plan.start();
-        instant::engine(bed.door.try_clone().unwrap());
+        let fixture = plan.start();
+        instant::engine(fixture.engine_listener.try_clone().unwrap());
         Node {
-            bed,
+            fixture,
             has_installation,
         }
     }
 
     fn kill(&mut self) {
-        self.bed.program.kill().unwrap();
-        self.bed.program.wait().unwrap();
+        self.fixture.program.kill().unwrap();
+        self.fixture.program.wait().unwrap();
     }
 
     /// Starts the program again with the files and the address that it had.
@@ -97,24 +97,24 @@
             command
                 .arg("serve")
                 .arg("--installation")
-                .arg(self.bed.folder.join("installation.json"));
+                .arg(self.fixture.folder.join("installation.json"));
         }
         command
-            .env("GW_CONFIG", self.bed.folder.join("config.json"))
+            .env("GW_CONFIG", self.fixture.folder.join("config.json"))
             .stderr(Stdio::null());
-        self.bed.program = command.spawn().unwrap();
+        self.fixture.program = command.spawn().unwrap();
     }
 }
 
 fn answers_good(at: SocketAddr) -> bool {
-    let check = Ask::new(u64::MAX, "/status/live", b"").try_send(at, FastCgi);
-    check.is_ok_and(|waits| matches!(waits.seen(), Seen::Completed(_)))
+    let check = CallerRequest::new(u64::MAX, "/status/live", b"").try_send(at, FastCgi);
+    check.is_ok_and(|waits| matches!(waits.outcome(), CallerOutcome::Completed(_)))
 }
 
 /// How long after `since` a node answers a health check with good, for each of them.
 fn ready_after(nodes: &[Node], since: Instant) -> Vec<Duration> {
     let wait = |node: &Node| {
-        let at = node.bed.at;
+        let at = node.fixture.address;
         thread::spawn(move || {
             while !answers_good(at) {
                 assert!(since.elapsed() < LATEST, "{at} is never ready");
@@ -142,7 +142,7 @@
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicU64::new(0)),
         );
-        let places: Vec<SocketAddr> = nodes.iter().map(|node| node.bed.at).collect();
+        let places: Vec<SocketAddr> = nodes.iter().map(|node| node.fixture.address).collect();
         let caller = |nth: usize| {
             let (stop, answered, places) = (stop.clone(), answered.clone(), places.clone());
             thread::spawn(move || {
@@ -188,7 +188,7 @@
         return false;
     };
     let tenant = tenant(nth as usize % TENANTS);
-    let ask = Ask::new(nth, "/svc/look", b"work").with("HTTP_X_TENANT", &tenant);
+    let ask = CallerRequest::new(nth, "/svc/look", b"work").with("HTTP_X_TENANT", &tenant);
     let sent = (&sock).write_all(&ask.bytes(FastCgi));
     let patient = sock.set_read_timeout(Some(patience));
     sent.and(patient)
--- a/crates/node/tests/node/rules.rs
+++ b/crates/node/tests/node/rules.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use doortrack_fakes::bed::{Bed, Plan};
-use doortrack_fakes::caller::{Pending, Seen};
+use doortrack_fakes::caller::{CallerOutcome, PendingAnswer};
 use doortrack_fakes::engine::Engine;
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup};
 use doortrack_protocols::{Protocol, Variable, write_request};
 use serde_json::{Value, json};
 
@@ -15,7 +15,7 @@
     path: &str,
     more: &[(&str, &str)],
     body: &[u8],
-) -> Pending {
+) -> PendingAnswer {
     let mut pairs: Vec<Variable> = vec![
         (b"REQUEST_METHOD", b"POST"),
         (b"PATH_INFO", path.as_bytes()),
@@ -26,9 +26,9 @@
     );
     let mut out = Vec::new();
     write_request(protocol, &mut out, 1, false, &pairs, body).unwrap();
-    let mut sock = doortrack_fakes::bed::connect(at);
+    let mut sock = doortrack_fakes::fixture::connect(at);
     std::io::Write::write_all(&mut sock, &out).unwrap();
-    Pending { sock, protocol }
+    PendingAnswer { sock, protocol }
 }
 
 fn rules() -> Value {
@@ -50,7 +50,7 @@
 
 /// The run that a request has become, or none where it is answered without one. However slow the machine is,
 /// one of the two comes: the node asks for a reading at each beat.
-fn run_unless_refused(waits: &Pending, engine: &mut Engine) -> Option<String> {
+fn run_unless_refused(waits: &PendingAnswer, engine: &mut Engine) -> Option<String> {
     waits.sock.set_nonblocking(true).unwrap();
     let mut run = None;
     while run.is_none() && waits.sock.peek(&mut [0]).is_err() {
@@ -63,7 +63,7 @@
 }
 
 /// A node whose requests are over soon, for tests that wait until they are.
-fn up(rules: Value) -> (Bed, Engine, [(Protocol, SocketAddr); 2]) {
+fn up(rules: Value) -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
     up_within(rules, 1_000_000, 200_000)
 }
 
@@ -72,8 +72,8 @@
     rules: Value,
     deadline: u64,
     window: u64,
-) -> (Bed, Engine, [(Protocol, SocketAddr); 2]) {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+) -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     let fronts = [
         (Protocol::FastCgi, plan.port(9091)),
         (Protocol::Uwsgi, plan.port(9092)),
@@ -84,28 +84,31 @@
     plan.config["settings"]["lanes"][0]["deadline"] = json!(deadline);
     plan.config["settings"]["lanes"][0]["target"] = json!(deadline / 2);
     plan.installation = Some(installation(&fronts, rules));
-    let (bed, engine) = plan.up();
-    (bed, engine, fronts)
+    let (fixture, engine) = plan.start_with_engine();
+    (fixture, engine, fronts)
 }
 
 const ORDER: [(&str, &str); 1] = [("HTTP_X_ORDER", "77")];
 
 #[test]
 fn rules_class_what_knows_nothing_of_the_platform() {
-    let (bed, mut engine, fronts) = up(rules());
+    let (fixture, mut engine, fronts) = up(rules());
     for (nth, (protocol, at)) in fronts.into_iter().enumerate() {
         let waits = bare(at, protocol, "/find/berth", &[], b"when?");
         let (call, body) = engine.run();
         assert_eq!(body, b"when?");
         engine.end(&call, "OK", b"found");
-        assert_eq!(waits.seen(), Seen::Completed(b"found".into()));
+        assert_eq!(waits.outcome(), CallerOutcome::Completed(b"found".into()));
         // The idempotency key is what the rule says, over both fronts: only the first time is run.
         let waits = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
         if nth == 0 {
             let (call, _) = engine.run();
             engine.end(&call, "OK", b"confirmed");
         }
-        assert_eq!(waits.seen(), Seen::Completed(b"confirmed".into()));
+        assert_eq!(
+            waits.outcome(),
+            CallerOutcome::Completed(b"confirmed".into())
+        );
         // Absent and empty idempotency keys are refused, not taken for one request.
         for more in [
             &[][..],
@@ -113,27 +116,27 @@
             &[("HTTP_X_ORDER", "1"), ("HTTP_X_ORDER", "2")],
         ] {
             assert_eq!(
-                bare(at, protocol, "/confirm/4", more, b"").seen(),
-                Seen::Unreadable(400, "idempotency_key".into())
+                bare(at, protocol, "/confirm/4", more, b"").outcome(),
+                CallerOutcome::Unreadable(400, "idempotency_key".into())
             );
         }
         assert_eq!(
-            bare(at, protocol, "/else", &[], b"").seen(),
-            Seen::Unreadable(404, String::new())
+            bare(at, protocol, "/else", &[], b"").outcome(),
+            CallerOutcome::Unreadable(404, String::new())
         );
         assert!(matches!(
-            bare(at, protocol, "/status/live", &[], b"").seen(),
-            Seen::Completed(_)
+            bare(at, protocol, "/status/live", &[], b"").outcome(),
+            CallerOutcome::Completed(_)
         ));
     }
     // The platform's own listener is not concerned.
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (call, _) = engine.run();
     engine.end(&call, "OK", b"as ever");
     assert_eq!(client.reply().body, b"as ever");
-    bed.signal("-TERM");
-    let (_, log) = bed.end();
+    fixture.signal("-TERM");
+    let (_, log) = fixture.wait_for_exit();
     assert!(
         log.contains("\"no_rule\":1") && log.contains("rules=2 unindexed=0"),
         "{log}"
@@ -143,27 +146,27 @@
 #[test]
 fn another_table_is_taken_up_as_a_whole_or_not_at_all() {
     // One lookup is in hand over the whole test, however slow the machine is.
-    let (bed, mut engine, fronts) = up_within(rules(), 30_000_000, 200_000);
+    let (fixture, mut engine, fronts) = up_within(rules(), 30_000_000, 200_000);
     let (protocol, at) = fronts[1];
     let waits = bare(at, protocol, "/find/x", &[], b"before");
     let (call, _) = engine.run();
     // One good rule and one bad: nothing changes. Twice within one turn: the last one counts.
-    bed.signal("-STOP");
-    bed.install(&installation(
+    fixture.signal("-STOP");
+    fixture.replace_installation(&installation(
         &fronts,
         json!([
             {"when": "path == \"/new\"", "group": "look"}, {"when": "pth == \"/x\"", "group": "look"}
         ]),
     ));
-    bed.install(&installation(
+    fixture.replace_installation(&installation(
         &fronts,
         json!([{"when": "path == \"/new\"", "group": "none"}]),
     ));
-    bed.signal("-CONT");
+    fixture.signal("-CONT");
     engine.readings(3);
     assert_eq!(
-        bare(at, protocol, "/new", &[], b"").seen(),
-        Seen::Unreadable(404, String::new())
+        bare(at, protocol, "/new", &[], b"").outcome(),
+        CallerOutcome::Unreadable(404, String::new())
     );
     let mut new = rules();
     new.as_array_mut()
@@ -171,8 +174,8 @@
         .push(json!({"when": "path == \"/new\"", "group": "look"}));
     let mut file = installation(&fronts, new);
     file["otherwise"] = json!("look");
-    bed.install(&file);
-    let until = std::time::Instant::now() + doortrack_fakes::LONG;
+    fixture.replace_installation(&file);
+    let until = std::time::Instant::now() + doortrack_fakes::MAX_WAIT;
     let (call_of_new, waits_of_new) = loop {
         let waits = bare(at, protocol, "/anything", &[], b"otherwise");
         if let Some(call) = run_unless_refused(&waits, &mut engine) {
@@ -181,12 +184,15 @@
         assert!(std::time::Instant::now() < until, "it is never taken up");
     };
     engine.end(&call_of_new, "OK", b"by default");
-    assert_eq!(waits_of_new.seen(), Seen::Completed(b"by default".into()));
+    assert_eq!(
+        waits_of_new.outcome(),
+        CallerOutcome::Completed(b"by default".into())
+    );
     // What was in hand stays what it was.
     engine.end(&call, "OK", b"kept");
-    assert_eq!(waits.seen(), Seen::Completed(b"kept".into()));
-    bed.signal("-TERM");
-    let (_, log) = bed.end();
+    assert_eq!(waits.outcome(), CallerOutcome::Completed(b"kept".into()));
+    fixture.signal("-TERM");
+    let (_, log) = fixture.wait_for_exit();
     assert!(
         log.contains("configuration rejected") && log.contains("installation.rules["),
         "{log}"
@@ -196,40 +202,46 @@
 #[test]
 fn what_a_mark_means_does_not_change_within_its_window() {
     // A window that a test can wait for, and that a slow machine does not outlast before the repeat.
-    let (bed, mut engine, fronts) = up_within(rules(), 1_000_000, 3_000_000);
+    let (fixture, mut engine, fronts) = up_within(rules(), 1_000_000, 3_000_000);
     let (protocol, at) = fronts[0];
     let waits = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
     let (call, _) = engine.run();
     engine.end(&call, "OK", b"confirmed");
-    assert_eq!(waits.seen(), Seen::Completed(b"confirmed".into()));
+    assert_eq!(
+        waits.outcome(),
+        CallerOutcome::Completed(b"confirmed".into())
+    );
     // With another idempotency key the same request would be a new one, and run again.
     let mut new = rules();
     new[0]["idempotency_key"] = json!("(header(\"x-order\") ?? \"\") + path");
-    bed.install(&installation(&fronts, new.clone()));
+    fixture.replace_installation(&installation(&fronts, new.clone()));
     engine.readings(3);
     let again = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
     assert_eq!(
-        again.seen(),
-        Seen::Completed(b"confirmed".into()),
+        again.outcome(),
+        CallerOutcome::Completed(b"confirmed".into()),
         "it was run again"
     );
     // Once no repeat can come any more the new rules are taken.
-    let until = std::time::Instant::now() + doortrack_fakes::LONG;
+    let until = std::time::Instant::now() + doortrack_fakes::MAX_WAIT;
     loop {
         std::thread::sleep(std::time::Duration::from_millis(300));
-        bed.install(&installation(&fronts, new.clone()));
+        fixture.replace_installation(&installation(&fronts, new.clone()));
         std::thread::sleep(std::time::Duration::from_millis(20));
         // An empty order is an idempotency key by the new rules, and a refusal by the old ones.
         let waits = bare(at, protocol, "/confirm/5", &[], b"berth 5");
         if let Some(call) = run_unless_refused(&waits, &mut engine) {
             engine.end(&call, "OK", b"by the new rules");
-            assert_eq!(waits.seen(), Seen::Completed(b"by the new rules".into()));
+            assert_eq!(
+                waits.outcome(),
+                CallerOutcome::Completed(b"by the new rules".into())
+            );
             break;
         }
         assert!(std::time::Instant::now() < until, "it is never taken up");
     }
-    bed.signal("-TERM");
-    let (_, log) = bed.end();
+    fixture.signal("-TERM");
+    let (_, log) = fixture.wait_for_exit();
     assert!(
         log.contains("would mean something else while some are within their window"),
         "{log}"
@@ -238,15 +250,15 @@
 
 #[test]
 fn rules_send_exchanges_to_pools_whose_troubles_are_their_own() {
-    use doortrack_fakes::server::{Act, CutBy, Server};
-    let main = Server::start(Protocol::Uwsgi, |_| Act::ok("main"));
-    let quick = Server::start(Protocol::FastCgi, |_| Act::ok("quick"));
-    let broken = Server::start(Protocol::Uwsgi, |_| Act::Cut {
+    use doortrack_fakes::server::{Behavior, Disconnect, Server};
+    let main = Server::start(Protocol::Uwsgi, |_| Behavior::ok("main"));
+    let quick = Server::start(Protocol::FastCgi, |_| Behavior::ok("quick"));
+    let broken = Server::start(Protocol::Uwsgi, |_| Behavior::Cut {
         body: Vec::new(),
         at: 0,
-        how: CutBy::Close,
+        how: Disconnect::Close,
     });
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     let at = plan.port(9091);
     let pool = |server: &Server| {
         let addresses = [server.at.to_string()];
@@ -264,12 +276,12 @@
     file["pools"] = json!({"quick": pool(&quick), "broken": pool(&broken)});
     plan.config["settings"]["family_info"]["cores"] = json!(64);
     plan.installation = Some(file.clone());
-    let bed = plan.start();
-    let look = |path: &str| bare(at, Protocol::Uwsgi, path, &[], b"").seen();
+    let fixture = plan.start();
+    let look = |path: &str| bare(at, Protocol::Uwsgi, path, &[], b"").outcome();
     for _ in 0..20 {
-        assert_eq!(look("/quick/x"), Seen::Completed(b"quick".into()));
-        assert_eq!(look("/broken/x"), Seen::Failed);
-        assert_eq!(look("/else"), Seen::Completed(b"main".into()));
+        assert_eq!(look("/quick/x"), CallerOutcome::Completed(b"quick".into()));
+        assert_eq!(look("/broken/x"), CallerOutcome::Failed);
+        assert_eq!(look("/else"), CallerOutcome::Completed(b"main".into()));
     }
     assert_eq!(
         (main.got().len(), quick.got().len(), quick.connections()),
@@ -278,11 +290,11 @@
     // A pool that is not there yet takes its rules with it.
     file["pools"]["new"] = pool(&main);
     file["rules"][0]["servers"] = json!("new");
-    bed.install(&file);
+    fixture.replace_installation(&file);
     std::thread::sleep(std::time::Duration::from_millis(50));
-    assert_eq!(look("/quick/x"), Seen::Completed(b"quick".into()));
-    bed.signal("-TERM");
-    let (_, log) = bed.end();
+    assert_eq!(look("/quick/x"), CallerOutcome::Completed(b"quick".into()));
+    fixture.signal("-TERM");
+    let (_, log) = fixture.wait_for_exit();
     assert!(
         log.contains("servers need a start") && log.contains("rules[0].servers: 'new' is none"),
         "{log}"
--- a/crates/node/tests/node/sockets.rs
+++ b/crates/node/tests/node/sockets.rs
@@ -9,32 +9,32 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use doortrack_fakes::bed::{Bed, Plan, config, open_registry};
 use doortrack_fakes::engine::Engine;
+use doortrack_fakes::fixture::{NodeFixture, NodeSetup, config, open_registry};
 use doortrack_fakes::records::{self, Client, Fields, IDEMPOTENCY_KEY, Reply, request};
-use doortrack_fakes::{try_id, unix_ms};
+use doortrack_fakes::{attempt_id, unix_ms};
 use serde_json::{Value, json};
 
-pub fn start(change: impl FnOnce(&mut Value)) -> Bed {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+pub fn start(change: impl FnOnce(&mut Value)) -> NodeFixture {
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     change(&mut plan.config);
     plan.start()
 }
 
-pub fn up_with(change: impl FnOnce(&mut Value)) -> (Bed, Engine) {
-    let mut plan = Plan::new(env!("CARGO_BIN_EXE_doortrack"));
+pub fn up_with(change: impl FnOnce(&mut Value)) -> (NodeFixture, Engine) {
+    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     change(&mut plan.config);
-    plan.up()
+    plan.start_with_engine()
 }
 
-pub fn up() -> (Bed, Engine) {
+pub fn up() -> (NodeFixture, Engine) {
     up_with(|_| {})
 }
 
 #[test]
 fn requests_of_one_connection_are_answered_in_any_order_and_bytes_pass_unchanged() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     let body: Vec<u8> = (0..2048).map(|n| n as u8).collect();
     let bytes = [
         request(1, 1, "/svc/look", &[], &body),
@@ -47,7 +47,7 @@
     let (first, second) = (engine.run(), engine.run());
     assert_eq!(
         (&first, &second),
-        (&(try_id(1), body.clone()), &(try_id(2), Vec::new()))
+        (&(attempt_id(1), body.clone()), &(attempt_id(2), Vec::new()))
     );
     let result: Vec<u8> = body.iter().rev().copied().cycle().take(4096).collect();
     engine.done(1, &second.0, "OK", b"");
@@ -67,11 +67,11 @@
 
 #[test]
 fn a_health_check_is_answered_on_a_connection_of_its_own_even_before_the_engine_is_up() {
-    let bed = start(|_| {});
-    let mut client = bed.client();
+    let fixture = start(|_| {});
+    let mut client = fixture.client();
     client.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 200);
-    assert_eq!(bed.report(), "BEAT n1 ready");
+    assert_eq!(fixture.next_report(), "BEAT n1 ready");
     // A request that comes too early never ran.
     client.look(2, 2);
     assert_eq!(
@@ -87,9 +87,9 @@
 
 #[test]
 fn what_finds_no_room_in_memory_is_denied() {
-    let (bed, _engine) =
+    let (fixture, _engine) =
         up_with(|config| config["settings"]["family_info"]["memory_kb"] = json!(1000));
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.send(&request(
         1,
         1,
@@ -108,19 +108,19 @@
 
 #[test]
 fn a_repeat_waits_for_the_run_or_takes_its_result_and_nothing_runs_twice() {
-    let (bed, mut engine) = up();
-    let (mut one, mut two) = (bed.client(), bed.client());
+    let (fixture, mut engine) = up();
+    let (mut one, mut two) = (fixture.client(), fixture.client());
     let pay = |id, nth| request(id, nth, "/svc/pay", &[IDEMPOTENCY_KEY], b"one boat");
     one.send(&[pay(1, 1), pay(2, 2)].concat());
     let (call, body) = engine.run();
     assert_eq!(
         (call.as_str(), body.as_slice()),
-        (&*try_id(1), &b"one boat"[..])
+        (&*attempt_id(1), &b"one boat"[..])
     );
     two.send(&pay(1, 3));
     // Its order among other requests shows that none of the repeats was run.
     two.look(2, 4);
-    assert_eq!(engine.run().0, try_id(4));
+    assert_eq!(engine.run().0, attempt_id(4));
     engine.done(1, &call, "OK", b"paid");
     assert_eq!(
         (one.reply().body, one.reply().body, two.reply().body),
@@ -136,8 +136,8 @@
 
 #[test]
 fn a_repeat_of_a_run_that_failed_is_terminated_not_run_or_denied() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     let (call, _) = engine.run();
     engine.done(1, &call, "ERROR", b"");
@@ -148,8 +148,8 @@
 
 #[test]
 fn a_mark_that_comes_with_another_body_is_refused_and_never_answered_with_the_result() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     let pay = |id, nth, body| request(id, nth, "/svc/pay", &[IDEMPOTENCY_KEY], body);
     client.send(&pay(1, 1, b"one boat"));
     let (call, _) = engine.run();
@@ -168,26 +168,26 @@
 
 #[test]
 fn what_the_engine_never_began_may_run_in_a_later_try() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     let (call, _) = engine.run();
     engine.tell(json!({"msg": "NO", "how": "RUN", "call": call}));
     assert_eq!(client.reply().status, 500);
     client.send(&request(2, 2, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     let (call, _) = engine.run();
-    assert_eq!(call, try_id(2));
+    assert_eq!(call, attempt_id(2));
     engine.done(1, &call, "OK", b"paid");
     assert_eq!(client.reply().body, b"paid");
 }
 
 #[test]
 fn what_was_given_up_in_the_hold_leaves_no_entry_even_past_its_window() {
-    let (bed, mut engine) = up_with(|config| {
+    let (fixture, mut engine) = up_with(|config| {
         config["settings"]["family_info"]["cores"] = json!(1);
         config["settings"]["lanes"][1]["window"] = json!(1000);
     });
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (first, _) = engine.run();
     // With a gauge that reads idle the next is held, not rejected.
@@ -200,26 +200,26 @@
     client.send(&request(3, 3, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     engine.readings(2);
     engine.done(1, &first, "OK", b"");
-    assert_eq!(engine.run().0, try_id(3));
+    assert_eq!(engine.run().0, attempt_id(3));
 }
 
 #[test]
 fn a_cold_engine_is_warm_by_its_age_not_by_when_the_node_met_it() {
     for (age_ms, at_once) in [(0, 3), (3_600_000, 6)] {
-        let bed = start(|config| {
+        let fixture = start(|config| {
             config["settings"]["safety"]["start_capacity"] = json!(0);
             config["settings"]["safety"]["ramp_time"] = json!(3_600_000_000u64);
         });
-        let mut engine = bed.link();
+        let mut engine = fixture.accept_engine();
         engine.hello_as(0, "COLD", age_ms);
         engine.readings(2);
-        let mut client = bed.client();
+        let mut client = fixture.client();
         let bytes: Vec<u8> = (1..=7)
             .flat_map(|n| request(n, n.into(), "/svc/look", &[], b""))
             .collect();
         client.send(&bytes);
         for nth in 1..=at_once {
-            assert_eq!(engine.run().0, try_id(nth), "{age_ms} ms old");
+            assert_eq!(engine.run().0, attempt_id(nth), "{age_ms} ms old");
         }
         engine.readings(2);
     }
@@ -227,8 +227,8 @@
 
 #[test]
 fn an_aborted_exchange_is_stopped_and_its_id_may_be_used_anew() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (call, _) = engine.run();
     // The end of the first run comes after its id was taken by another request.
@@ -242,16 +242,16 @@
     let mut commands = [engine.command(), engine.command()];
     commands.sort_by_key(|command| command["msg"].to_string());
     assert_eq!(commands[0], json!({"msg": "HALT", "call": call}));
-    assert_eq!(commands[1]["call"], try_id(2));
+    assert_eq!(commands[1]["call"], attempt_id(2));
     engine.done(1, &call, "OK", b"of the first");
-    engine.done(2, &try_id(2), "OK", b"of the second");
+    engine.done(2, &attempt_id(2), "OK", b"of the second");
     assert_eq!(client.reply().body, b"of the second");
 }
 
 #[test]
 fn a_lost_link_is_taken_up_with_the_last_serial_and_nothing_is_lost_or_run_twice() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     (1..=3).for_each(|n| client.look(n as u16, n));
     let calls = [engine.run().0, engine.run().0, engine.run().0];
     engine.done(1, &calls[0], "OK", b"first");
@@ -260,14 +260,14 @@
     engine.readings(2);
     drop(engine);
     client.look(4, 4);
-    let mut engine = bed.link();
+    let mut engine = fixture.accept_engine();
     engine.hello(1);
     // The notice missed comes with one that was seen before; then the STAT is answered.
     engine.done(1, &calls[0], "OK", b"again");
     engine.done(2, &calls[1], "OK", b"second");
     assert_eq!(
         engine.run().0,
-        try_id(4),
+        attempt_id(4),
         "only what had not arrived is sent"
     );
     engine.done(3, &calls[2], "OK", b"third");
@@ -275,19 +275,19 @@
         (client.reply().body, client.reply().body),
         (b"second".to_vec(), b"third".to_vec())
     );
-    engine.done(4, &try_id(4), "OK", b"fourth");
+    engine.done(4, &attempt_id(4), "OK", b"fourth");
     assert_eq!(client.reply().body, b"fourth");
     // One that comes late again does not set the count back.
     engine.done(2, &calls[1], "OK", b"second");
     engine.readings(2);
     drop(engine);
-    bed.link().hello(4);
+    fixture.accept_engine().hello(4);
 }
 
 #[test]
 fn a_replaced_configuration_moves_engine_and_registry_and_what_runs_goes_on() {
-    let (mut bed, mut engine) = up();
-    let mut client = bed.client();
+    let (mut fixture, mut engine) = up();
+    let mut client = fixture.client();
     client.look(1, 1);
     client.look(2, 2);
     let (first, second) = (engine.run().0, engine.run().0);
@@ -295,29 +295,29 @@
     assert_eq!(client.reply().body, b"before");
     engine.readings(2);
     // One that can't be served changes nothing.
-    bed.reload("{");
+    fixture.reload("{");
     engine.readings(3);
-    (bed.door, bed.registry) = (TcpListener::bind("127.0.0.1:0").unwrap(), open_registry());
+    (fixture.engine_listener, fixture.registry) = (TcpListener::bind("127.0.0.1:0").unwrap(), open_registry());
     let mut text = config();
-    text["listen"] = json!(bed.at.to_string());
-    text["engine"] = json!(bed.door.local_addr().unwrap().to_string());
-    text["registry"] = json!(bed.registry.local_addr().unwrap().to_string());
-    bed.reload(&text.to_string());
-    let mut engine = bed.link();
+    text["listen"] = json!(fixture.address.to_string());
+    text["engine"] = json!(fixture.engine_listener.local_addr().unwrap().to_string());
+    text["registry"] = json!(fixture.registry.local_addr().unwrap().to_string());
+    fixture.reload(&text.to_string());
+    let mut engine = fixture.accept_engine();
     engine.hello(1);
-    assert_eq!(bed.report(), "BEAT n1 ready");
+    assert_eq!(fixture.next_report(), "BEAT n1 ready");
     client.look(3, 3);
-    assert_eq!(engine.run().0, try_id(3), "what runs is not sent again");
+    assert_eq!(engine.run().0, attempt_id(3), "what runs is not sent again");
     engine.done(2, &second, "OK", b"meanwhile");
     assert_eq!(client.reply().body, b"meanwhile");
-    engine.done(3, &try_id(3), "OK", b"after");
+    engine.done(3, &attempt_id(3), "OK", b"after");
     assert_eq!(client.reply().body, b"after");
 }
 
 #[test]
 fn a_run_that_may_not_have_arrived_is_sent_again_once_the_notices_missed_are_in() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     engine.readings(1);
     client.look(1, 1);
     client.look(2, 2);
@@ -327,27 +327,28 @@
         seen += usize::from(engine.line()["msg"] == "RUN");
     }
     drop(engine);
-    let mut engine = bed.link();
+    let mut engine = fixture.accept_engine();
     engine.hello(0);
-    engine.done(1, &try_id(1), "OK", b"one");
-    assert_eq!(engine.run().0, try_id(2));
-    engine.done(2, &try_id(2), "OK", b"two");
+    engine.done(1, &attempt_id(1), "OK", b"one");
+    assert_eq!(engine.run().0, attempt_id(2));
+    engine.done(2, &attempt_id(2), "OK", b"two");
     let bodies = (client.reply().body, client.reply().body);
     assert_eq!(bodies, (b"one".to_vec(), b"two".to_vec()));
 }
 
 #[test]
 fn engine_lines_that_cannot_be_read_are_survived() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (call, _) = engine.run();
     engine.lines.get_mut().write_all(b"not a notice\n").unwrap();
     // The link is made anew, as the line may have held an end; the same again is lived with.
-    let mut engine = bed.link();
+    let mut engine = fixture.accept_engine();
     engine.hello(0);
     engine.lines.get_mut().write_all(b"not a notice\n").unwrap();
-    engine.tell(json!({"msg": "DONE", "serial": 1, "call": try_id(77), "how": "OK", "blob": ""}));
+    engine
+        .tell(json!({"msg": "DONE", "serial": 1, "call": attempt_id(77), "how": "OK", "blob": ""}));
     engine.tell(json!({"msg": "NOTE", "serial": 2, "how": "nothing"}));
     engine.done(3, &call, "OK", b"good");
     assert_eq!(client.reply().body, b"good");
@@ -363,13 +364,13 @@
 
 #[test]
 fn a_log_that_nobody_reads_does_not_stop_the_node() {
-    let (bed, mut engine) = up();
+    let (fixture, mut engine) = up();
     // More than a pipe holds, in lines that are logged at the usual level.
     let text = "x".repeat(20_000);
     for serial in 1..=40 {
         engine.tell(json!({"msg": "NOTE", "serial": serial, "how": text}));
     }
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (call, _) = engine.run();
     engine.done(41, &call, "OK", b"on time");
@@ -438,10 +439,10 @@
 #[test]
 fn over_a_long_play_with_lost_links_each_is_answered_once_and_no_mark_runs_twice() {
     // A run with a key that a lost link swallowed is in doubt until its deadline, which a reader waits for.
-    let (bed, mut engine) =
+    let (fixture, mut engine) =
         up_with(|config| config["settings"]["lanes"][1]["deadline"] = json!(8_000_000));
     let (mut rng, mut play, mut told) = (fastrand::Rng::with_seed(0x0d00_77ac), Play::default(), 0);
-    let mut clients: Vec<Client> = (0..3).map(|_| bed.client()).collect();
+    let mut clients: Vec<Client> = (0..3).map(|_| fixture.client()).collect();
     let mut asked: Vec<(usize, u16, Option<usize>, bool)> = Vec::new();
     play.commands(&mut engine);
     let mut quiet = 0;
@@ -458,7 +459,8 @@
                 };
                 let more: Fields = &[("HTTP_IDEMPOTENCY_KEY", &text)];
                 clients[client].send(&request(id, id.into(), script, more, text.as_bytes()));
-                play.keys.extend(key.map(|key| (try_id(id.into()), key)));
+                play.keys
+                    .extend(key.map(|key| (attempt_id(id.into()), key)));
                 let aborted = rng.u8(0..8) == 0;
                 if aborted {
                     clients[client].send(&records::record(2, id, b""));
@@ -472,7 +474,7 @@
             if let Some(call) = rng.choice(&play.running).cloned() {
                 play.end(&call, "OK");
             }
-            engine = bed.link();
+            engine = fixture.accept_engine();
             let attach = engine.line();
             assert_eq!(attach["msg"], "ATTACH");
             told = attach["serial"].as_u64().unwrap() as usize;
@@ -518,7 +520,7 @@
                 .remove(&reply.id)
                 .expect("answered twice, or never asked");
             if reply.status == 200 {
-                let run = key.map_or(try_id(reply.id.into()), |key| play.ran[&key].clone());
+                let run = key.map_or(attempt_id(reply.id.into()), |key| play.ran[&key].clone());
                 assert_eq!(String::from_utf8_lossy(&reply.body), format!("of {run}"));
             }
         }
@@ -531,8 +533,8 @@
 
 #[test]
 fn a_broken_record_ends_its_connection_after_what_is_open_was_answered() {
-    let (bed, mut engine) = up();
-    let (mut broken, mut other) = (bed.client(), bed.client());
+    let (fixture, mut engine) = up();
+    let (mut broken, mut other) = (fixture.client(), fixture.client());
     broken.look(1, 1);
     let (call, _) = engine.run();
     // One is half read when a record of another version comes.
@@ -551,8 +553,8 @@
 
 #[test]
 fn bad_requests_are_answered_alone_and_a_doubled_id_runs_nothing() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     for (script, more, body, status) in [
         ("/svc/dance", &[][..], 1, 400),
         ("/svc/look", &[("HTTP_X_MEMORY_KB", "much")][..], 1, 400),
@@ -591,8 +593,8 @@
 
 #[test]
 fn management_records_are_answered_and_a_connection_not_to_be_kept_is_closed_after_its_answer() {
-    let (bed, _engine) = up();
-    let mut client = bed.client();
+    let (fixture, _engine) = up();
+    let mut client = fixture.client();
     client.send(
         &[
             records::record(9, 0, b"\x0e\0FCGI_MAX_CONNS"),
@@ -626,19 +628,19 @@
 
 #[test]
 fn more_open_than_the_protocol_allows_is_refused_as_never_run() {
-    let (bed, mut engine) =
+    let (fixture, mut engine) =
         up_with(|config| config["settings"]["family_info"]["cores"] = json!(100));
-    let mut client = bed.client();
+    let mut client = fixture.client();
     (1..=33).for_each(|n| client.look(n as u16, n));
     let refused = client.reply();
     assert_eq!((refused.id, refused.status), (33, 2));
-    assert_eq!(engine.run().0, try_id(1));
+    assert_eq!(engine.run().0, attempt_id(1));
 }
 
 #[test]
 fn a_half_closed_connection_still_gets_its_answers() {
-    let (bed, mut engine) = up();
-    let mut client = bed.client();
+    let (fixture, mut engine) = up();
+    let mut client = fixture.client();
     client.look(1, 1);
     client.sock.shutdown(Shutdown::Write).unwrap();
     let (call, _) = engine.run();
@@ -649,8 +651,8 @@
 
 #[test]
 fn what_a_broken_connection_had_open_is_stopped() {
-    let (bed, mut engine) = up();
-    let (mut gone, mut client) = (bed.client(), bed.client());
+    let (fixture, mut engine) = up();
+    let (mut gone, mut client) = (fixture.client(), fixture.client());
     gone.look(1, 1);
     let (call, _) = engine.run();
     engine.done(1, &call, "OK", b"never read");
@@ -669,8 +671,9 @@
 #[test]
 fn an_idle_connection_is_closed_as_decided_and_one_with_a_request_open_is_not() {
     let gauges = json!(["core_use", "links"]);
-    let (bed, mut engine) = up_with(|config| config["settings"]["family_info"]["gauges"] = gauges);
-    let (mut idle, mut client) = (bed.client(), bed.client());
+    let (fixture, mut engine) =
+        up_with(|config| config["settings"]["family_info"]["gauges"] = gauges);
+    let (mut idle, mut client) = (fixture.client(), fixture.client());
     client.look(1, 1);
     let (call, _) = engine.run();
     // How long one may lie idle is decided with a reading of the gauges.
@@ -682,12 +685,12 @@
 
 #[test]
 fn a_request_that_trickles_is_answered_and_its_connection_closed() {
-    let (bed, _engine) = up_with(|config| {
+    let (fixture, _engine) = up_with(|config| {
         for lane in 0..2 {
             config["settings"]["lanes"][lane]["deadline"] = json!(200_000);
         }
     });
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.send(&request(7, 1, "/svc/look", &[], b"never whole")[..60]);
     let reply = client.reply();
     assert_eq!((reply.id, reply.status), (7, 400));
@@ -696,15 +699,15 @@
 
 #[test]
 fn who_connects_and_asks_nothing_is_closed_and_who_asked_once_may_stay() {
-    let (bed, _engine) = up_with(|config| {
+    let (fixture, _engine) = up_with(|config| {
         for lane in 0..2 {
             config["settings"]["lanes"][lane]["deadline"] = json!(1_500_000);
         }
     });
-    let mut known = bed.client();
+    let mut known = fixture.client();
     known.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(known.reply().status, 200);
-    let (mut silent, mut half) = (bed.client(), bed.client());
+    let (mut silent, mut half) = (fixture.client(), fixture.client());
     half.send(&[1, 1, 0]);
     assert!(silent.is_closed() && half.is_closed());
     known.send(&request(2, 2, "/status/live", &[], b""));
@@ -713,8 +716,8 @@
 
 #[test]
 fn a_body_without_end_is_refused_at_once_and_its_connection_given_up() {
-    let (bed, _engine) = up();
-    let mut client = bed.client();
+    let (fixture, _engine) = up();
+    let mut client = fixture.client();
     let whole = request(7, 1, "/svc/look", &[], &[9; 2048]);
     // All but the end of the stream, and then more of it.
     client.send(
@@ -737,20 +740,20 @@
 
 #[test]
 fn after_a_stall_ends_count_before_times_that_ran_out_and_all_is_answered_once() {
-    let (bed, mut engine) = up_with(|config| {
+    let (fixture, mut engine) = up_with(|config| {
         for lane in 0..2 {
             config["settings"]["lanes"][lane]["deadline"] = json!(2_000_000);
         }
     });
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.look(1, 1);
     client.look(2, 2);
     let (first, second) = (engine.run().0, engine.run().0);
-    bed.signal("-STOP");
+    fixture.signal("-STOP");
     engine.done(1, &first, "OK", b"came meanwhile");
     (3..=5).for_each(|n| client.look(n, n.into()));
     std::thread::sleep(Duration::from_millis(2200));
-    bed.signal("-CONT");
+    fixture.signal("-CONT");
     let mut replies: Vec<Reply> = (1..=5).map(|_| client.reply()).collect();
     replies.sort_by_key(|reply| reply.id);
     let statuses: Vec<u16> = replies.iter().map(|reply| reply.status).collect();
@@ -762,39 +765,39 @@
 
 #[test]
 fn a_node_whose_work_hangs_is_reported_unfit_until_it_goes_on() {
-    let (bed, mut engine) = up_with(|config| {
+    let (fixture, mut engine) = up_with(|config| {
         config["settings"]["family_info"]["cores"] = json!(1);
         for lane in 0..2 {
             config["settings"]["lanes"][lane]["target"] = json!(100_000);
         }
     });
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.look(1, 1);
     let (call, _) = engine.run();
-    bed.reports("draining");
+    fixture.wait_for_report("draining");
     client.send(&request(2, 2, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 503);
     engine.done(1, &call, "OK", b"at last");
     assert_eq!(client.reply().body, b"at last");
-    bed.reports("ready");
+    fixture.wait_for_report("ready");
 }
 
 #[test]
 fn a_full_table_closes_an_idle_connection_and_never_one_with_a_request_open() {
-    let (bed, mut engine) = up_with(|config| config["limits"]["sockets"] = json!(32));
-    let mut clients: Vec<Client> = (0..8).map(|_| bed.client()).collect();
+    let (fixture, mut engine) = up_with(|config| config["limits"]["sockets"] = json!(32));
+    let mut clients: Vec<Client> = (0..8).map(|_| fixture.client()).collect();
     for (n, client) in clients.iter_mut().enumerate().skip(1) {
         client.look(1, n as u64);
     }
     let runs: Vec<String> = (0..6).map(|_| engine.run().0).collect();
     // The ninth takes the place of the one that has nothing open and never asked for anything.
-    let mut ninth = bed.client();
+    let mut ninth = fixture.client();
     ninth.send(&request(1, 9, "/status/live", &[], b""));
     assert_eq!(ninth.reply().status, 200);
     assert!(clients[0].is_closed());
     // A tenth waits in the backlog until there is room again.
     ninth.look(2, 10);
-    let mut tenth = bed.client();
+    let mut tenth = fixture.client();
     tenth.send(&request(1, 11, "/status/live", &[], b""));
     engine.readings(2);
     runs.iter()
@@ -806,11 +809,11 @@
 
 #[test]
 fn answers_that_nobody_reads_cost_bounded_memory_and_the_others_nothing() {
-    let (bed, mut engine) = up_with(|config| {
+    let (fixture, mut engine) = up_with(|config| {
         config["limits"]["memory_mb"] = json!(16);
         config["settings"]["family_info"]["memory_kb"] = json!(1000);
     });
-    let (mut deaf, mut client) = (bed.client(), bed.client());
+    let (mut deaf, mut client) = (fixture.client(), fixture.client());
     deaf.sock
         .set_write_timeout(Some(Duration::from_millis(300)))
         .unwrap();
@@ -832,7 +835,7 @@
     let (call, _) = engine.run();
     engine.done(1, &call, "OK", b"as ever");
     assert_eq!(client.reply().body, b"as ever");
-    let status = std::fs::read_to_string(format!("/proc/{}/status", bed.program.id())).unwrap();
+    let status = std::fs::read_to_string(format!("/proc/{}/status", fixture.program.id())).unwrap();
     let peak = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
@@ -843,18 +846,18 @@
 
 #[test]
 fn a_drain_answers_what_it_took_in_denies_what_comes_late_and_ends_by_itself() {
-    let (bed, mut engine) = up_with(|config| {
+    let (fixture, mut engine) = up_with(|config| {
         config["stop_ms"] = json!(1500);
         config["settings"]["safety"]["drain_grace"] = json!(0);
     });
-    let mut client = bed.client();
+    let mut client = fixture.client();
     client.look(1, 1);
     client.look(2, 2);
     let (call, _) = engine.run();
     engine.run();
-    assert_eq!(bed.report(), "BEAT n1 ready");
-    bed.signal("-TERM");
-    bed.reports("draining");
+    assert_eq!(fixture.next_report(), "BEAT n1 ready");
+    fixture.signal("-TERM");
+    fixture.wait_for_report("draining");
     // Stamps are whole ms, so one that surely lies after the notice is a little in the future.
     let stamp = (unix_ms() + 10).to_string();
     client.send(&request(
@@ -877,14 +880,14 @@
         "what can't be done by the stop is failed before it"
     );
     assert!(client.is_closed());
-    let (code, log) = bed.end();
+    let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(log.contains("draining"), "{log}");
 }
 
 #[test]
 fn faults_at_the_start_are_plain_and_name_the_key() {
-    let ends = |change: fn(&mut Value)| start(change).end();
+    let ends = |change: fn(&mut Value)| start(change).wait_for_exit();
     let (code, log) = ends(|config| config["settings"]["family_info"]["below"] = json!("common"));
     assert_eq!(code, Some(1));
     assert!(log.contains("below") && log.lines().count() == 1, "{log}");
