--- a/crates/fault-harness/src/scale/node_cost/bench.rs
+++ b/crates/fault-harness/src/scale/node_cost/bench.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 
-use doortrack_fakes::bed::open_registry;
+use doortrack_fakes::fixture::open_registry;
 use doortrack_fakes::instant;
 use doortrack_protocols::Protocol;
 use serde_json::Value;
