--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,8 +1,6 @@
 //! `doortrack-demo`: toy counterparts of a node, to try one by hand: an engine and a registry, an application
 //! server, and a caller.
 
-#![warn(missing_docs)]
-
 mod engine;
 mod request;
 
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -8,8 +8,6 @@
 //! Safety is judged at all times. Liveness is judged by the nodes' final views, for which the harness waits
 //! long enough that a slow machine changes no verdict.
 
-#![warn(missing_docs)]
-
 pub mod checks;
 pub mod divided;
 pub mod ground_truth;
