--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -30,7 +30,7 @@
     /// listener
     #[arg(long = "node", value_name = "NAME=PATH", required = true, value_parser = parse_node)]
     nodes: Vec<(String, PathBuf)>,
-    /// Fronts to ask
+    /// Listeners to ask
     #[arg(long = "front", value_name = "FRONTS", value_enum, default_values = ["platform", "fastcgi", "uwsgi"])]
     listeners: Vec<Listener>,
     /// What does the work
--- a/crates/expr/src/parse/primary.rs
+++ b/crates/expr/src/parse/primary.rs
@@ -5,6 +5,11 @@
 use crate::lex::Token;
 use crate::limits::MAX_DEPTH;
 
+/// Names that can't be used for values.
+const KEYWORDS: [&str; 4] = ["let", "if", "else", "in"];
+/// Signs that end an expression.
+const CLOSING_SIGNS: [&str; 5] = [")", "]", "}", ",", ";"];
+
 impl Parser {
     pub(super) fn prefix(&mut self) -> Expr {
         self.depth += 1;
@@ -98,61 +103,35 @@
         items
     }
 
+    /// A single value, a list, a call, or an expression in parentheses.
     fn primary(&mut self) -> Expr {
         let span = self.span();
-        let kind = match self.token().clone() {
-            Token::Int(n) => Kind::Int(n),
-            Token::Float(n) => Kind::Float(n),
-            Token::Duration(micros) => Kind::Duration(micros),
-            Token::Str(text) => Kind::Str(text),
-            Token::Bytes(bytes) => Kind::Bytes(bytes),
-            Token::Name(name) if name == "true" || name == "false" => Kind::Bool(name == "true"),
-            Token::Name(name) if ["let", "if", "else", "in"].contains(&name.as_str()) => {
-                return self.error(
-                    format!("'{name}' can't stand here; put it in brackets"),
-                    "out of place",
-                );
-            }
-            Token::Name(name) => {
-                self.next();
-                if self.is("(") {
-                    let (args, end) = self.args();
-                    return self.call_from(name, span, args, end);
-                }
-                return Expr {
-                    kind: Kind::Name(name),
-                    span,
-                    depth: 1,
-                };
-            }
-            Token::Sign("(") => {
-                self.next();
-                let mut inner = self.expr();
-                let end = self.expect(")");
-                inner.span = span.with(end);
-                return inner;
-            }
-            Token::Sign("[") => {
-                self.next();
-                let items = self.list("]");
-                let end = self.expect("]");
-                let within = items.iter().map(|item| item.depth).max().unwrap_or(0);
-                return self.node(Kind::List(items), span.with(end), within);
-            }
-            Token::End => {
-                return self.error(
-                    "something is wanted here, and the source has ended",
-                    "the end",
-                );
+        match self.token().clone() {
+            Token::Int(n) => self.constant(Kind::Int(n)),
+            Token::Float(n) => self.constant(Kind::Float(n)),
+            Token::Duration(micros) => self.constant(Kind::Duration(micros)),
+            Token::Str(text) => self.constant(Kind::Str(text)),
+            Token::Bytes(bytes) => self.constant(Kind::Bytes(bytes)),
+            Token::Name(name) if name == "true" || name == "false" => {
+                self.constant(Kind::Bool(name == "true"))
             }
-            Token::Sign(sign) => {
-                let wrong = self.error(format!("a value is wanted here, not '{sign}'"), "no value");
-                if ![")", "]", "}", ",", ";"].contains(&sign) {
-                    self.next();
-                }
-                return wrong;
-            }
-        };
+            Token::Name(name) if KEYWORDS.contains(&name.as_str()) => self.error(
+                format!("'{name}' can't stand here; put it in brackets"),
+                "out of place",
+            ),
+            Token::Name(name) => self.named(name, span),
+            Token::Sign("(") => self.parenthesized(span),
+            Token::Sign("[") => self.list_literal(span),
+            Token::End => self.error(
+                "something is wanted here, and the source has ended",
+                "the end",
+            ),
+            Token::Sign(sign) => self.no_value(sign),
+        }
+    }
+
+    fn constant(&mut self, kind: Kind) -> Expr {
+        let span = self.span();
         self.next();
         Expr {
             kind,
@@ -161,6 +140,45 @@
         }
     }
 
+    /// A call, or the name of a value.
+    fn named(&mut self, name: String, span: Span) -> Expr {
+        self.next();
+        if self.is("(") {
+            let (args, end) = self.args();
+            return self.call_from(name, span, args, end);
+        }
+        Expr {
+            kind: Kind::Name(name),
+            span,
+            depth: 1,
+        }
+    }
+
+    fn parenthesized(&mut self, start: Span) -> Expr {
+        self.next();
+        let mut inner = self.expr();
+        let end = self.expect(")");
+        inner.span = start.with(end);
+        inner
+    }
+
+    fn list_literal(&mut self, start: Span) -> Expr {
+        self.next();
+        let items = self.list("]");
+        let end = self.expect("]");
+        let within = items.iter().map(|item| item.depth).max().unwrap_or(0);
+        self.node(Kind::List(items), start.with(end), within)
+    }
+
+    /// A sign where a value has to stand. One that may end what is around it is left for that.
+    fn no_value(&mut self, sign: &str) -> Expr {
+        let wrong = self.error(format!("a value is wanted here, not '{sign}'"), "no value");
+        if !CLOSING_SIGNS.contains(&sign) {
+            self.next();
+        }
+        wrong
+    }
+
     fn call_from(&mut self, name: String, at: Span, args: Vec<Expr>, end: Span) -> Expr {
         let within = args.iter().map(|arg| arg.depth).max().unwrap_or(0);
         self.node(Kind::Call { name, at, args }, at.with(end), within)
