--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -40,7 +40,7 @@
     /// fixed number of callers that each wait for their answer
     #[arg(long = "open", value_name = "A_SECOND")]
     open_rate: Option<f64>,
-    /// Requests in hand at once where the loop is closed
+    /// Requests in flight at once where the loop is closed
     #[arg(long, default_value_t = 64)]
     callers: usize,
     /// Connections, where a protocol has many requests on one
--- a/crates/expr/src/check.rs
+++ b/crates/expr/src/check.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 struct Checked {
     node: NodeIndex,
-    /// None where it is wrong, and that was told.
+    /// None where it has an error, which was reported.
     ty: Option<Type>,
     /// Bounds: of steps, of bytes built, of its length in bytes or items.
     steps: u64,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Whether it is of this type; if not, that is told, unless it is wrong anyway.
+    /// Whether it is of this type; if not, that is reported, unless it has an error already.
     fn expect(&mut self, checked: &Checked, span: Span, want: &Type) -> bool {
         match &checked.ty {
             Some(found) if found == want => true,
--- a/crates/expr/src/eval/lists.rs
+++ b/crates/expr/src/eval/lists.rs
@@ -7,7 +7,7 @@
 use crate::value::{List, Text, Value};
 
 impl<'v, R: Request> Eval<'v, '_, R> {
-    /// Hands over each item until told to stop.
+    /// Calls `each` with each item, until it returns false.
     pub(super) fn items(
         &mut self,
         list: List<'v>,
--- a/crates/expr/src/request.rs
+++ b/crates/expr/src/request.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, Ipv4Addr};
 
-/// A request as its front read it. Texts are what came, undecoded.
+/// A request as its listener read it. Texts are as they were sent, undecoded.
 pub trait Request {
     /// The method, such as `POST`.
     fn method(&self) -> &str;
