--- a/crates/config/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -9,18 +9,19 @@
 
 use doortrack_budgets::{Budget, Kind, Parameters};
 use doortrack_membership::Name;
-use doortrack_time::{MILLISECOND, TenthMillis};
+use doortrack_time::{MILLISECOND, TenthMillis, from_millis};
 use schemars::JsonSchema;
 use serde::Deserialize;
 
 pub use assignment::BudgetIndices;
 
-use crate::FleetFile;
+use crate::FleetConfig;
 
 /// One limit of the whole fleet. The same on all nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct BudgetFile {
+#[schemars(rename = "BudgetFile")]
+pub struct BudgetConfig {
     /// 1 to 64 bytes, each once.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
@@ -118,7 +119,7 @@
     }
 }
 
-impl FleetFile {
+impl FleetConfig {
     /// What the division of budgets is configured with.
     pub fn budget_parameters(&self) -> Parameters {
         let times = self.leases;
@@ -133,7 +134,7 @@
     }
 }
 
-impl BudgetFile {
+impl BudgetConfig {
     /// The budget in a fleet with these `voters`; `longest_deadline` is how long one of a concurrency is held
     /// where the file does not say it.
     fn budget(&self, voters: &[String], longest_deadline: TenthMillis) -> Budget {
@@ -164,7 +165,3 @@
 fn names(names: &[String]) -> Arc<[Name]> {
     names.iter().map(|name| Name::from(name.as_str())).collect()
 }
-
-fn from_millis(millis: u32) -> TenthMillis {
-    TenthMillis::from(millis) * MILLISECOND
-}
--- a/crates/config/src/budgets/validate.rs
+++ b/crates/config/src/budgets/validate.rs
@@ -4,7 +4,7 @@
 
 use doortrack_budgets::MAX_BUDGETS;
 
-use super::{BudgetFile, BudgetKind, BudgetScope, LeaseTimes};
+use super::{BudgetConfig, BudgetKind, BudgetScope, LeaseTimes};
 use crate::fleet::NAME_RULE;
 use crate::range::check_range;
 use crate::{ConfigErrorKind, ErrorCollector, Installation, NodeConfig};
@@ -37,7 +37,7 @@
     }
 }
 
-impl BudgetFile {
+impl BudgetConfig {
     /// Adds every error of the budget, which is found at `path`.
     fn validate(&self, path: &str, voters: &[String], errors: &mut ErrorCollector) {
         if !doortrack_membership::is_name(&self.name) {
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -10,7 +10,7 @@
 
 use doortrack_budgets::Safeguards;
 use doortrack_membership::Parameters;
-use doortrack_time::{MILLISECOND, TenthMillis};
+use doortrack_time::{MILLISECOND, TenthMillis, from_millis};
 use schemars::JsonSchema;
 use serde::Deserialize;
 
@@ -22,7 +22,8 @@
 /// The fleet that this node is of. Absent: it knows of no other node and opens no socket for them.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct FleetFile {
+#[schemars(rename = "FleetFile")]
+pub struct FleetConfig {
     /// The fleet's name, 1 to 64 bytes; nodes of another fleet are not listened to.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
@@ -106,11 +107,10 @@
     }
 }
 
-impl FleetFile {
+impl FleetConfig {
     /// What membership is configured with.
     pub fn fleet_parameters(&self) -> Parameters {
         let times = self.times;
-        let from_millis = |millis: u32| TenthMillis::from(millis) * MILLISECOND;
         Parameters {
             seeds: self.seeds.clone(),
             period: from_millis(times.period_ms),
--- a/crates/config/src/fleet/validate.rs
+++ b/crates/config/src/fleet/validate.rs
@@ -4,7 +4,7 @@
 
 use doortrack_membership::is_name;
 
-use super::{FleetFile, FleetTimes};
+use super::{FleetConfig, FleetTimes};
 use crate::range::check_integer;
 use crate::{ConfigErrorKind, ErrorCollector, NodeConfig};
 
@@ -22,7 +22,7 @@
 const MAX_SUSPICION_MS: u32 = 600_000;
 const MAX_FORGET_AFTER_MS: u32 = 86_400_000;
 
-impl FleetFile {
+impl FleetConfig {
     /// Adds every error of the section, as far as the file alone shows it.
     pub(crate) fn validate(&self, errors: &mut ErrorCollector) {
         if !is_name(&self.name) {
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -17,10 +17,10 @@
 
 pub use validate::MAX_POOLS;
 
-use crate::rules::{ExpressionLimits, RuleFile};
+use crate::rules::{ExpressionLimits, RuleConfig};
 use crate::{
-    BudgetFile, ConfigErrorKind, ConfigErrors, ErrorCollector, FleetFile, ServerPool, deserialize,
-    stable,
+    BudgetConfig, ConfigErrorKind, ConfigErrors, ErrorCollector, FleetConfig, ServerPool,
+    deserialize, stable,
 };
 
 /// The name of the file's outermost object in paths.
@@ -48,7 +48,7 @@
     /// variables. The platform's listener is not concerned.
     #[serde(default)]
     #[schemars(length(max = 100_000))]
-    pub rules: Vec<RuleFile>,
+    pub rules: Vec<RuleConfig>,
     /// The endpoint group of what no rule takes. Absent: it is answered with 404.
     #[serde(default, rename = "otherwise")]
     pub fallback_group: Option<String>,
@@ -57,11 +57,11 @@
     pub expressions: ExpressionLimits,
     /// Other nodes, and how this one and they know of one another. Absent: it knows of none.
     #[serde(default)]
-    pub fleet: Option<FleetFile>,
+    pub fleet: Option<FleetConfig>,
     /// Limits that belong to the whole fleet; at most 256.
     #[serde(default)]
     #[schemars(length(max = 256))]
-    pub budgets: Vec<BudgetFile>,
+    pub budgets: Vec<BudgetConfig>,
 }
 
 /// One address on which callers are taken in.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -22,9 +22,9 @@
 pub mod servers;
 mod stable;
 
-pub use budgets::{BudgetFile, BudgetIndices, BudgetKind, BudgetScope, LeaseTimes};
+pub use budgets::{BudgetConfig, BudgetIndices, BudgetKind, BudgetScope, LeaseTimes};
 pub use error::{ConfigError, ConfigErrorKind, ConfigErrors, ErrorCollector};
-pub use fleet::{FleetFile, FleetTests, FleetTimes};
+pub use fleet::{FleetConfig, FleetTests, FleetTimes};
 pub use installation::{Installation, ListenerConfig, ProtocolName};
 pub use limits::ResourceLimits;
 pub use node_config::NodeConfig;
--- a/crates/config/src/reload/plan.rs
+++ b/crates/config/src/reload/plan.rs
@@ -10,8 +10,8 @@
 
 use super::KeyMeanings;
 use crate::{
-    BudgetIndices, ConfigErrors, FleetFile, Installation, ListenerConfig, NodeConfig, ProtocolName,
-    ResourceLimits,
+    BudgetIndices, ConfigErrors, FleetConfig, Installation, ListenerConfig, NodeConfig,
+    ProtocolName, ResourceLimits,
 };
 
 /// What of the platform's configuration may change while a node serves.
@@ -131,7 +131,7 @@
 #[derive(Debug)]
 pub struct FleetChange {
     /// None where the new configuration has no fleet.
-    pub file: Option<FleetFile>,
+    pub file: Option<FleetConfig>,
     /// The budgets in the order of the file.
     pub budgets: Vec<Budget>,
     /// Which of them apply to which requests.
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -19,7 +19,8 @@
 /// (docs/expressions.md).
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct RuleFile {
+#[schemars(rename = "RuleFile")]
+pub struct RuleConfig {
     /// When it applies: a bool.
     pub when: String,
     /// The endpoint group, by its name.
@@ -104,8 +105,8 @@
     }
 }
 
-impl From<&RuleFile> for Rule {
-    fn from(rule: &RuleFile) -> Rule {
+impl From<&RuleConfig> for Rule {
+    fn from(rule: &RuleConfig) -> Rule {
         Rule {
             when: rule.when.clone(),
             group: rule.group.clone(),
--- a/crates/config/src/servers.rs
+++ b/crates/config/src/servers.rs
@@ -5,7 +5,7 @@
 mod file_types;
 mod validate;
 
-use doortrack_time::{MILLISECOND, TenthMillis};
+use doortrack_time::{TenthMillis, from_millis};
 use doortrack_upstream::{OutlierConfig, PoolConfig, RetryConfig, SlowStartConfig};
 
 pub use file_types::{
@@ -26,23 +26,24 @@
     /// The configuration of the pool. `longest_deadline`, of all endpoint groups, bounds responses where the
     /// file does not.
     pub fn pool_config(&self, longest_deadline: TenthMillis) -> PoolConfig {
-        let millis = |ms: u32| TenthMillis::from(ms) * MILLISECOND;
         let (ejection, retries) = (self.ejection, self.retries);
         let idle_timeout = match self.protocol {
-            ProtocolName::FastCgi => millis(self.idle_timeout_ms),
+            ProtocolName::FastCgi => from_millis(self.idle_timeout_ms),
             // Each connection carries one request.
             ProtocolName::Uwsgi => 0,
         };
-        let response_timeout = self.response_timeout_ms.map_or(longest_deadline, millis);
+        let response_timeout = self
+            .response_timeout_ms
+            .map_or(longest_deadline, from_millis);
         PoolConfig {
             max_concurrency: self.max_concurrency,
             idle_timeout,
-            connect_timeout: millis(self.connect_timeout_ms),
+            connect_timeout: from_millis(self.connect_timeout_ms),
             response_timeout: response_timeout.max(1),
             outlier: OutlierConfig {
                 consecutive_failures: ejection.failures,
-                base_ejection: millis(ejection.base_duration_ms),
-                max_ejection: millis(ejection.max_duration_ms),
+                base_ejection: from_millis(ejection.base_duration_ms),
+                max_ejection: from_millis(ejection.max_duration_ms),
                 in_use_floor: ejection.min_share_in_use,
             },
             retry: RetryConfig {
@@ -51,7 +52,7 @@
                 max_attempts: retries.max_attempts,
             },
             slow_start: self.slow_start.map(|slow_start| SlowStartConfig {
-                duration: millis(slow_start.duration_ms),
+                duration: from_millis(slow_start.duration_ms),
                 runs: slow_start.runs,
             }),
         }
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::{Args, Subcommand};
-use doortrack_config::rules::RuleFile;
+use doortrack_config::rules::RuleConfig;
 use doortrack_config::{ConfigErrors, Installation, deserialize, installation, node_config};
 use doortrack_expr::{Kind, Limits, LiteralRequest, Scratch, Span, infer, parse};
 use doortrack_routes::{Classification, Rejection, Table};
@@ -239,7 +239,7 @@
 }
 
 /// The first part of a condition that does not hold, as it stands there.
-fn why_not(rule: &RuleFile, request: &LiteralRequest, limits: Limits) -> String {
+fn why_not(rule: &RuleConfig, request: &LiteralRequest, limits: Limits) -> String {
     let Ok(when) = parse(&rule.when) else {
         return String::new();
     };
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -6,7 +6,7 @@
 
 use doortrack_budgets::{Action, Budget, Budgets, Change, Event, Kind, NodeId, Parameters, Units};
 use doortrack_config::reload::FleetChange;
-use doortrack_config::{BudgetIndices, FleetFile, Installation, NodeConfig};
+use doortrack_config::{BudgetIndices, FleetConfig, Installation, NodeConfig};
 use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::{Logger, info, warn};
 
@@ -35,7 +35,7 @@
 impl FleetBudgets {
     /// `None` where the installation has no budgets.
     pub fn open(
-        file: &FleetFile,
+        file: &FleetConfig,
         installation: &Installation,
         orders: &NodeConfig,
         me: NodeId,
@@ -95,7 +95,7 @@
 
     /// Why budgets of this file can't be taken up under way, if they can't: what requests in hand hold is
     /// known by its index, and votes under two lists of voters, or of two lengths, would not meet.
-    pub fn needs_a_start(&self, file: &FleetFile, list: &[Budget]) -> Option<&str> {
+    pub fn needs_a_start(&self, file: &FleetConfig, list: &[Budget]) -> Option<&str> {
         let (old, new) = (self.budgets.parameters(), file.budget_parameters());
         let times = |parameters: &Parameters| {
             (
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -15,7 +15,7 @@
 
 use doortrack_budgets::NodeId;
 use doortrack_config::reload::FleetChange;
-use doortrack_config::{FleetFile, Installation, NodeConfig};
+use doortrack_config::{FleetConfig, Installation, NodeConfig};
 use doortrack_membership::{
     Action, Change, Event, Fleet, Incarnation, MemberState, MemberUpdate, Name,
 };
@@ -54,7 +54,7 @@
     log: Logger,
     /// Start of the link's monotonic time, which does not follow the system clock.
     zero: Instant,
-    file: FleetFile,
+    file: FleetConfig,
     fleet: Fleet,
     actions: Vec<Action>,
     /// The fleet's budgets, where there are any.
@@ -73,7 +73,7 @@
     /// The address can't be bound; the message names the path of its key.
     pub fn open(
         installation: &Installation,
-        file: &FleetFile,
+        file: &FleetConfig,
         key: Option<[u8; 32]>,
         orders: &NodeConfig,
         unix_ms: u64,
@@ -309,7 +309,7 @@
         let Some(file) = change.file.take() else {
             return warn!(self.log, "fleet needs a start"; "why" => "it can't be left under way");
         };
-        let kept = |file: &FleetFile| {
+        let kept = |file: &FleetConfig| {
             (
                 file.name.clone(),
                 file.listen,
@@ -322,7 +322,7 @@
             warn!(self.log, "fleet needs a start"; "why" => "its name, addresses, key or weight changed");
         }
         // What needs a restart stays as it was.
-        self.file = FleetFile {
+        self.file = FleetConfig {
             seeds: file.seeds.clone(),
             voters: file.voters.clone(),
             times: file.times,
--- a/crates/settings/src/vocabulary.rs
+++ b/crates/settings/src/vocabulary.rs
@@ -1,6 +1,6 @@
 //! The words of the settings file (`WIRE-doortrack.md`, "Start-up parameters") and what they are called here.
 //!
-//! This is the only place in which the file's own words stand. Durations in the file are in microseconds.
+//! The file's own words are used in this module alone. Durations in the file are in microseconds.
 
 use doortrack_admission::{Backpressure, Cancellation, Effect};
 
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,16 +1,15 @@
-//! Codes of the simulator's records, by their names in `WIRE-doortrack.md`, and what each is called here.
-//!
-//! No other module holds a code. Names of fields stand where a record is decoded or encoded, as errors show them.
+//! Codes of the simulator's records by their names in `WIRE-doortrack.md`, each with the name of ours in its
+//! comment. Fields are named where records are decoded and encoded.
 
-/// Codes of the records in a batch.
+/// Codes of the records in a batch, with the [`Event`](doortrack_admission::Event) that each becomes.
 pub mod event {
-    /// A node starts: the only record that no [`Event`](doortrack_admission::Event) stands for, beside `Killed`.
+    /// `Started`, with the settings of the node.
     pub const PROVISION: u8 = 1;
     /// `CallRequired`.
     pub const WANTS_CALL: u8 = 2;
     /// `CallerGone`.
     pub const TIMED_OUT_CLIENT: u8 = 3;
-    /// The node died.
+    /// The node died: the only record without an event.
     pub const KILLED: u8 = 4;
     /// `Timer`.
     pub const ALARM: u8 = 5;
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,6 +1,6 @@
 //! Decodes the records of a batch: little-endian fields without padding.
 //!
-//! Errors name fields as the simulator's page does; beside each stands the field of ours that it becomes.
+//! Errors name fields as `WIRE-doortrack.md` does.
 
 use doortrack_admission::{CallOutcome, Event, Gauges, Request, RunOutcome};
 use doortrack_settings::GaugeIndices;
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -16,12 +16,17 @@
 /// One second.
 pub const SECOND: TenthMillis = 1_000 * MILLISECOND;
 
-/// The time that `micros` microseconds contain in whole units.
+/// A time of `millis` milliseconds.
+pub fn from_millis(millis: u32) -> TenthMillis {
+    TenthMillis::from(millis) * MILLISECOND
+}
+
+/// A time of `micros` microseconds, rounded down.
 pub fn from_micros_floor(micros: u64) -> TenthMillis {
     micros / MICROSECONDS_PER_UNIT
 }
 
-/// The least time that contains `micros` microseconds.
+/// A time of `micros` microseconds, rounded up.
 pub fn from_micros_ceil(micros: u64) -> TenthMillis {
     micros.div_ceil(MICROSECONDS_PER_UNIT)
 }
