--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -12,8 +12,6 @@
 //! named after it, and goes through them in a fixed order on each turn. `docs/design.md` gives the
 //! sources and the reasons.
 
-#![warn(missing_docs)]
-
 mod action;
 mod backpressure;
 mod callers;
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -36,8 +36,6 @@
 //! constant time; a report costs the leader the logarithm of the holders, and a division, twice a round, as
 //! much for each holder.
 
-#![warn(missing_docs)]
-
 mod allocation;
 mod budgets;
 mod divide;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,8 +7,6 @@
 //! Both are read as a whole before any of it is used, and every [`ConfigError`] names the path of its key, as
 //! in `installation.fronts[1].listen`. Nothing here opens a socket or looks at a clock.
 
-#![warn(missing_docs)]
-
 pub mod budgets;
 pub mod deserialize;
 mod error;
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -1,6 +1,11 @@
 //! What the readers of the node's configuration and of the operators' file say of each key that is missing or
 //! holds the wrong thing. Operators and their tools read these texts: they are compared to the letter.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a scenario is read from its start to its end"
+)]
+
 use std::path::Path;
 
 use doortrack_config::{installation, node_config};
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -19,8 +19,6 @@
 //!
 //! The language itself is described in `docs/expressions.md`.
 
-#![warn(missing_docs)]
-
 mod ast;
 mod check;
 mod cost;
--- a/crates/expr/tests/expr/main.rs
+++ b/crates/expr/tests/expr/main.rs
@@ -1,6 +1,11 @@
 //! The language: what is read and refused, values of known requests, and the compiled form against a plain
 //! reading of the same source on random expressions.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a scenario is read from its start to its end"
+)]
+
 mod documented;
 mod language;
 mod random;
--- a/crates/fault-harness/tests/divided.rs
+++ b/crates/fault-harness/tests/divided.rs
@@ -1,6 +1,11 @@
 //! Budgets under faults in simulated time: never more than the limit, by a count that knows nothing of
 //! leases. Each safeguard is taken out in turn, and the count must tell.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a scenario is read from its start to its end"
+)]
+
 use std::sync::Arc;
 
 use doortrack_budgets::{Budget, Kind, Parameters, Safeguards};
--- a/crates/fault-harness/tests/simulated.rs
+++ b/crates/fault-harness/tests/simulated.rs
@@ -1,6 +1,11 @@
 //! Fleets in simulated time, on the decisions that the node runs, judged by the checkers that judge real
 //! processes.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a scenario is read from its start to its end"
+)]
+
 use doortrack_fault_harness::checks::{judge, membership};
 use doortrack_fault_harness::history::{History, What};
 use doortrack_fault_harness::script::{Fault, Script, Timed};
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -36,8 +36,6 @@
 //! Bounds: members ([`Parameters::max_members`]), probes under way, updates in a datagram, datagrams in a
 //! period. The cost of an event grows at most with the logarithm of the members.
 
-#![warn(missing_docs)]
-
 mod answers;
 mod applying;
 mod evidence;
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -1,5 +1,10 @@
 //! Each rule of membership in small clusters without a network: datagrams are delivered directly.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a scenario is read from its start to its end"
+)]
+
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
--- a/crates/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -3,6 +3,11 @@
 //!
 //! Every wait has a bound that a slow machine does not outlast; nothing is judged by how long it took.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a scenario is read from its start to its end"
+)]
+
 mod budgets;
 mod encoding;
 mod link;
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,5 +1,10 @@
 //! The node: its parts by themselves, and the program on sockets against stand-ins for all it talks to.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a scenario is read from its start to its end"
+)]
+
 mod accepts;
 mod conformance;
 mod early_signals;
--- a/crates/protocols/src/lib.rs
+++ b/crates/protocols/src/lib.rs
@@ -9,8 +9,6 @@
 //! and every reader keeps a small, fixed state of its own. Sizes are in bytes. A reader that returned a
 //! [`ProtocolError`] can't continue; its connection is to be closed.
 
-#![warn(missing_docs)]
-
 pub mod fastcgi;
 mod request_event;
 pub mod response;
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -8,8 +8,6 @@
 //! is still asked its whole condition, in order, so the outcome is that of trying all. No I/O, no clock.
 //! [`Table::build_from`] takes over from a previous table what did not change.
 
-#![warn(missing_docs)]
-
 mod build;
 mod classify;
 mod compile;
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,6 +1,11 @@
 //! The table: the index against trying all in order, what each rule makes of a request, what is told at
 //! load.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a scenario is read from its start to its end"
+)]
+
 use doortrack_expr::{Limits, LiteralRequest, Scratch};
 use doortrack_routes::{Classification, GroupName, Names, Rejection, Rule, Table};
 use proptest::prelude::*;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,8 +3,6 @@
 //! The node and the simulator's adapter both read theirs here. The file's own words are translated in one
 //! module (`vocabulary`); [`SettingsError`]s name the path of the key as the file spells it.
 
-#![warn(missing_docs)]
-
 mod deployment;
 mod error;
 mod json_node;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -8,8 +8,6 @@
 //! The tests check stations against queueing theory: M/M/1, M/M/c, M/G/1 with processor sharing, Erlang's
 //! loss formula, and Little's law on each of them.
 
-#![warn(missing_docs)]
-
 mod clock;
 mod distribution;
 mod event_queue;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,6 @@
 //! Connects the admission decisions to the simulator (`WIRE-doortrack.md`): a controller for each node, batches
 //! of events on standard input, one reply with actions to each on standard output.
 
-#![warn(missing_docs)]
-
 mod batch;
 mod codes;
 mod decode;
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -25,8 +25,6 @@
 //!
 //! Cost: choosing looks at two servers however many there are; deadlines are kept in ordered sets.
 
-#![warn(missing_docs)]
-
 mod action;
 mod config;
 mod health;
--- a/crates/upstream/tests/pool.rs
+++ b/crates/upstream/tests/pool.rs
@@ -1,5 +1,10 @@
 //! The pool against a scripted world: what must hold after every event, and what each failure comes to.
 
+#![allow(
+    clippy::too_many_lines,
+    reason = "a scenario is read from its start to its end"
+)]
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use doortrack_time::{MILLISECOND, TenthMillis};
