--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -129,13 +129,16 @@
         let (acquired, in_use) = match &mut self.usage {
             Usage::Rate(bucket) => {
                 let taken = bucket.try_take(rate);
-                (taken.map_err(|wait| wait.unwrap_or(parameters.round)), 0)
+                (
+                    taken.map_err(|wait| wait.unwrap_or(parameters.report_interval)),
+                    0,
+                )
             }
             Usage::Concurrency { in_use } if *in_use < usable => {
                 *in_use += 1;
                 (Ok(()), *in_use)
             }
-            Usage::Concurrency { in_use } => (Err(parameters.round), *in_use),
+            Usage::Concurrency { in_use } => (Err(parameters.report_interval), *in_use),
         };
         self.rejected += u64::from(acquired.is_err());
         self.need.on_request(acquired.is_ok(), in_use);
@@ -207,7 +210,7 @@
         let previous = self.leased;
         // A leader that prolongs may not know that this has been granted to another since it was
         // over here.
-        let max = if grant.prolongs && parameters.safeguards.prolong {
+        let max = if grant.prolongs && parameters.safeguards.prolong_unexpired_only {
             previous
         } else {
             Units::MAX
--- a/crates/budgets/src/budgets.rs
+++ b/crates/budgets/src/budgets.rs
@@ -9,7 +9,7 @@
 use crate::leadership::Leadership;
 use crate::ledger::Ledger;
 use crate::voter::Voter;
-use crate::{Action, Budget, Change, Envelope, Event, Id, NodeId, Parameters};
+use crate::{Action, Budget, BudgetId, Change, Envelope, Event, NodeId, Parameters};
 
 /// Rounds without an answer after which the leader is given up and the voters are asked for
 /// another.
@@ -23,7 +23,7 @@
     pub(crate) parameters: Parameters,
     pub(crate) allocations: Vec<Allocation>,
     /// The index of each budget in `allocations`.
-    pub(crate) indices: BTreeMap<Id, usize>,
+    pub(crate) indices: BTreeMap<BudgetId, usize>,
     /// Present if this node is one of the voters.
     pub(crate) voter: Option<Voter>,
     pub(crate) leadership: Leadership,
@@ -50,7 +50,7 @@
     pub(crate) local: VecDeque<Envelope>,
 }
 
-fn indices(list: &[Budget]) -> BTreeMap<Id, usize> {
+fn indices(list: &[Budget]) -> BTreeMap<BudgetId, usize> {
     list.iter()
         .enumerate()
         .map(|(index, budget)| (budget.id(), index))
@@ -109,14 +109,14 @@
     /// Nodes that start at the same instant must neither request votes at the same instant nor
     /// report at the same instants ever after.
     fn set_first_deadlines(&mut self, now: TenthMillis) {
-        let jitter = self.random(self.parameters.round);
+        let jitter = self.random(self.parameters.report_interval);
         if let Some(voter) = &self.voter {
             let try_at = voter.free_at() + jitter;
             self.leadership = Leadership::Follower { try_at };
             let (name, incarnation) = (self.me.name.clone(), self.me.incarnation);
             self.voters.insert(name, incarnation);
         }
-        self.report_at = now + self.random(self.parameters.round);
+        self.report_at = now + self.random(self.parameters.report_interval);
     }
 
     /// A random number below `below`, or 0.
@@ -144,7 +144,7 @@
         match event {
             Event::Tick => self.on_tick(now, actions),
             Event::Received(envelope) => self.on_envelope(now, envelope, actions),
-            Event::Members(view) => self.on_members(&view),
+            Event::ViewChanged(view) => self.on_members(&view),
             Event::Leave => {
                 self.leaving = true;
                 self.resign(now, actions);
@@ -154,7 +154,7 @@
                 self.superseded = true;
                 self.allocations.iter_mut().for_each(Allocation::close);
             }
-            Event::Changed { list } => self.change(now, list),
+            Event::BudgetsChanged { list } => self.change(now, list),
         }
         while let Some(envelope) = self.local.pop_front() {
             self.on_envelope(now, envelope, actions);
@@ -206,9 +206,9 @@
         // A node that is short reports twice as often, to get sooner what others give up.
         let short = self.allocations.iter().any(Allocation::is_short);
         let interval = if short {
-            self.parameters.round.div_ceil(2)
+            self.parameters.report_interval.div_ceil(2)
         } else {
-            self.parameters.round
+            self.parameters.report_interval
         };
         self.report_at = now + interval;
         for (index, allocation) in self.allocations.iter_mut().enumerate() {
--- a/crates/budgets/src/envelope.rs
+++ b/crates/budgets/src/envelope.rs
@@ -4,10 +4,10 @@
 use doortrack_membership::{Incarnation, Name};
 use serde::{Deserialize, Serialize};
 
-use crate::{Id, Units};
+use crate::{BudgetId, Units};
 
 /// Budgets in one message, so that it fits a datagram.
-pub const MAX_ITEMS: usize = 40;
+pub const MAX_REPORT_ITEMS: usize = 40;
 
 /// One incarnation of a node: its name, and the run of its process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
         seq: u64,
         /// The holder's capacity, in a unit that all nodes share.
         weight: u32,
-        /// One for each budget; at most [`MAX_ITEMS`].
+        /// One for each budget; at most [`MAX_REPORT_ITEMS`].
         items: Vec<ReportItem>,
     },
     /// The leader's answer to a report: what the holder may use, on a lease that runs from when it
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// The budget.
-    pub id: Id,
+    pub id: BudgetId,
     /// Units beyond the reserved minimum.
     pub allocation: Units,
     /// It only prolongs what the holder has, and is void if that has expired meanwhile.
@@ -93,7 +93,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReportItem {
     /// The budget.
-    pub id: Id,
+    pub id: BudgetId,
     /// Units that could be used now, beyond the reserved minimum.
     pub need: Units,
     /// Units that may be in use at most, beyond the reserved minimum.
--- a/crates/budgets/src/holder.rs
+++ b/crates/budgets/src/holder.rs
@@ -3,7 +3,9 @@
 
 use doortrack_time::TenthMillis;
 
-use crate::{Action, Budgets, Change, Envelope, Grant, MAX_ITEMS, Message, NodeId, ReportItem};
+use crate::{
+    Action, Budgets, Change, Envelope, Grant, MAX_REPORT_ITEMS, Message, NodeId, ReportItem,
+};
 
 /// Reports that are remembered, as an answer counts from when its report was sent.
 const MAX_SENT: usize = 128;
@@ -54,7 +56,7 @@
             .iter()
             .map(|index| self.allocations[*index].item(now, parameters, ends_round, leaving));
         let items: Vec<ReportItem> = items.collect();
-        for items in items.chunks(MAX_ITEMS) {
+        for items in items.chunks(MAX_REPORT_ITEMS) {
             self.seq += 1;
             if self.sent.len() >= MAX_SENT {
                 self.sent.pop_front();
@@ -157,14 +159,17 @@
         grants: &[Grant],
         actions: &mut Vec<Action>,
     ) {
-        let in_order = self.parameters.safeguards.in_order;
+        let in_order = self.parameters.safeguards.reject_stale_answers;
         if self.leader.as_ref() != Some(from) || (in_order && seq < self.following_since) {
             return;
         }
         let Some((_, sent_at)) = self.sent.iter().find(|(sent, _)| *sent == seq) else {
             return;
         };
-        let until = sent_at + self.parameters.shortened_by_drift(self.parameters.lease);
+        let until = sent_at
+            + self
+                .parameters
+                .shortened_by_drift(self.parameters.lease_duration);
         self.unanswered_rounds = 0;
         if until <= now && self.parameters.safeguards.lease_expiry {
             return;
@@ -191,7 +196,7 @@
     ) -> Option<usize> {
         let index = self.indices.get(&grant.id).copied()?;
         let allocation = &mut self.allocations[index];
-        if seq <= allocation.accepted && self.parameters.safeguards.in_order {
+        if seq <= allocation.accepted && self.parameters.safeguards.reject_stale_answers {
             return None;
         }
         let (previous, leased) = allocation.apply_grant(now, seq, grant, until, &self.parameters);
--- a/crates/budgets/src/leadership.rs
+++ b/crates/budgets/src/leadership.rs
@@ -73,23 +73,23 @@
         if let Leadership::Leader(term) = &mut self.leadership
             && now >= term.divide_at
         {
-            term.divide_at = now + self.parameters.round.div_ceil(2);
+            term.divide_at = now + self.parameters.report_interval.div_ceil(2);
             self.ledger.divide(now, &self.parameters);
         }
     }
 
     fn start_election(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
-        let jitter = self.random(self.parameters.round);
+        let jitter = self.random(self.parameters.report_interval);
         let free_at = self.voter.as_ref().map_or(TenthMillis::MAX, Voter::free_at);
         if self.voters.len() < self.parameters.majority() || free_at > now {
             self.leadership = Leadership::Follower {
                 try_at: free_at
-                    .max(now + self.parameters.round)
+                    .max(now + self.parameters.report_interval)
                     .saturating_add(jitter),
             };
             return;
         }
-        let until = now + self.parameters.round;
+        let until = now + self.parameters.report_interval;
         self.leadership = Leadership::Candidate {
             election: Election::default(),
             until,
@@ -106,7 +106,7 @@
             Leadership::Candidate { election, .. } => election.ballot_sent(ballot, now),
             Leadership::Leader(term) => {
                 term.election.ballot_sent(ballot, now);
-                term.renew_at = now + self.parameters.round;
+                term.renew_at = now + self.parameters.report_interval;
             }
         }
         self.send_to_voters(&Message::VoteRequest { ballot }, actions);
@@ -135,13 +135,14 @@
     /// Gives up for want of votes; those given are released, so that another may have them.
     fn abandon_election(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         self.release_votes(actions);
-        let wait = self.parameters.round / 2 + self.random(2 * self.parameters.round);
+        let wait =
+            self.parameters.report_interval / 2 + self.random(2 * self.parameters.report_interval);
         self.leadership = Leadership::Follower { try_at: now + wait };
     }
 
     fn step_down(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         self.leadership = Leadership::Follower {
-            try_at: now + self.parameters.round,
+            try_at: now + self.parameters.report_interval,
         };
         self.ledger = Ledger::default();
         self.follow(None, actions);
@@ -181,14 +182,14 @@
     fn begin_term(&mut self, now: TenthMillis, election: Election, actions: &mut Vec<Action>) {
         self.leadership = Leadership::Leader(Term {
             election,
-            renew_at: now + self.parameters.round,
+            renew_at: now + self.parameters.report_interval,
             since: now,
             divide_at: now,
         });
         let list: Vec<Budget> = self.list().cloned().collect();
         self.ledger = Ledger::new(&list);
-        let grants_after = if self.parameters.safeguards.settle {
-            self.parameters.lease
+        let grants_after = if self.parameters.safeguards.wait_for_old_leases {
+            self.parameters.lease_duration
         } else {
             0
         };
@@ -242,7 +243,7 @@
             .voter
             .as_mut()
             .is_some_and(|voter| voter.release(from, ballot));
-        let earliest = now + self.random(self.parameters.round);
+        let earliest = now + self.random(self.parameters.report_interval);
         if let Leadership::Follower { try_at } = &mut self.leadership
             && released
             && *from != self.me
@@ -266,8 +267,8 @@
                 let (parameters, since) = (&self.parameters, term.since);
                 let settled = |budget: &Budget| {
                     let settled_at =
-                        since + parameters.lease + parameters.max_hold_after_lease(budget);
-                    !parameters.safeguards.settle || now >= settled_at
+                        since + parameters.lease_duration + parameters.max_hold_after_lease(budget);
+                    !parameters.safeguards.wait_for_old_leases || now >= settled_at
                 };
                 let grants = self
                     .ledger
--- a/crates/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::{Budget, Grant, HolderDemand, Id, NodeId, Parameters, ReportItem, Units, divide};
+use crate::{Budget, BudgetId, Grant, HolderDemand, NodeId, Parameters, ReportItem, Units, divide};
 use doortrack_time::TenthMillis;
 
 /// Unconfirmed allocations of a holder that are kept one by one; beyond that the two oldest are
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Ledger {
     accounts: Vec<BudgetAccount>,
-    indices: BTreeMap<Id, usize>,
+    indices: BTreeMap<BudgetId, usize>,
     holders: BTreeMap<NodeId, Holder>,
     rotation: u64,
 }
@@ -111,7 +111,7 @@
         self.need = item.need;
         self.limit = item.limit;
         self.reserved = item.reserved;
-        self.expires_at = now + parameters.lease + parameters.max_hold_after_lease(budget);
+        self.expires_at = now + parameters.lease_duration + parameters.max_hold_after_lease(budget);
     }
 
     /// What the holder is to get: what it has in use, if that is only prolonged, or else its
@@ -122,7 +122,7 @@
 
     /// The most that the holder may have in use.
     fn outstanding(&self, parameters: &Parameters) -> Units {
-        if !parameters.safeguards.confirm {
+        if !parameters.safeguards.await_confirmation {
             return self
                 .sent
                 .back()
@@ -210,7 +210,7 @@
                 .accounts
                 .entry(index)
                 .or_insert_with(|| HolderAccount::new(item));
-            if report.seq <= holding.last_seq && parameters.safeguards.in_order {
+            if report.seq <= holding.last_seq && parameters.safeguards.reject_stale_answers {
                 continue;
             }
             let before = holding.outstanding(parameters);
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -29,7 +29,7 @@
 //! - **Reserved minimums** are set aside from the limit, for named nodes, and need no leader.
 //!
 //! Assumptions: each process's time goes forward, and drifts from true time by no more than
-//! [`Parameters::drift`]. Datagrams may be lost, duplicated, delayed without bound and reordered.
+//! [`Parameters::max_drift_permille`]. Datagrams may be lost, duplicated, delayed without bound and reordered.
 //! Any process may die (and restart with nothing), pause and resume. One process at a time uses a
 //! name; nodes do not lie about what they hold. `docs/budgets.md` says what a broken assumption
 //! costs.
@@ -57,8 +57,8 @@
 
 pub use budgets::Budgets;
 pub use divide::{HolderDemand, divide};
-pub use envelope::{Envelope, Grant, MAX_ITEMS, Message, NodeId, ReportItem};
-pub use parameters::{Budget, Id, Kind, Parameters, Safeguards, Units, id_of};
+pub use envelope::{Envelope, Grant, MAX_REPORT_ITEMS, Message, NodeId, ReportItem};
+pub use parameters::{Budget, BudgetId, Kind, Parameters, Safeguards, Units, budget_id};
 pub use reporting::AllocationStatus;
 
 /// Budgets that one fleet may have.
@@ -72,14 +72,14 @@
     /// A message arrived from another node.
     Received(Envelope),
     /// The members present have changed.
-    Members(View),
+    ViewChanged(View),
     /// The node is to leave: it asks for nothing more, and steps down as the leader.
     Leave,
     /// A later process uses this node's name: this one uses nothing more, reserved minimums
     /// included.
     Superseded,
     /// The budgets were changed. Use of those that remain is kept.
-    Changed {
+    BudgetsChanged {
         /// All budgets from here on, each with an id of its own.
         list: Vec<Budget>,
     },
--- a/crates/budgets/src/parameters.rs
+++ b/crates/budgets/src/parameters.rs
@@ -10,17 +10,17 @@
 
 /// Identifies a budget between nodes: a hash of its name and kind, the same in every build. Nodes
 /// configured with another kind under the same name do not mistake one another's units.
-pub type Id = u32;
+pub type BudgetId = u32;
 
 /// The id of a budget; unique within an installation, which is checked when its file is read.
-pub fn id_of(name: &str, kind: Kind) -> Id {
+pub fn budget_id(name: &str, kind: Kind) -> BudgetId {
     let mut hasher = blake3::Hasher::new();
     hasher
         .update(&[u8::from(matches!(kind, Kind::Rate { .. }))])
         .update(name.as_bytes());
     let mut first = [0; 4];
     first.copy_from_slice(&hasher.finalize().as_bytes()[..4]);
-    Id::from_le_bytes(first)
+    BudgetId::from_le_bytes(first)
 }
 
 /// What a budget limits.
@@ -66,9 +66,9 @@
         }
     }
 
-    /// See [`Id`].
-    pub fn id(&self) -> Id {
-        id_of(&self.name, self.kind)
+    /// See [`BudgetId`].
+    pub fn id(&self) -> BudgetId {
+        budget_id(&self.name, self.kind)
     }
 
     /// The limit in [`Units`].
@@ -124,13 +124,13 @@
     /// The names of the nodes of which a majority elects the leader.
     pub voters: Arc<[Name]>,
     /// The interval at which holders report.
-    pub round: TenthMillis,
+    pub report_interval: TenthMillis,
     /// How long a vote lasts.
     pub vote_duration: TenthMillis,
     /// How long a lease lasts.
-    pub lease: TenthMillis,
+    pub lease_duration: TenthMillis,
     /// How far a clock may gain or lose against true time, in thousandths.
-    pub drift: u64,
+    pub max_drift_permille: u64,
     /// All on but in tests.
     pub safeguards: Safeguards,
 }
@@ -139,10 +139,10 @@
     fn default() -> Parameters {
         Parameters {
             voters: Arc::new([]),
-            round: 200 * MILLISECOND,
+            report_interval: 200 * MILLISECOND,
             vote_duration: 800 * MILLISECOND,
-            lease: 1_500 * MILLISECOND,
-            drift: 20,
+            lease_duration: 1_500 * MILLISECOND,
+            max_drift_permille: 20,
             safeguards: Safeguards::default(),
         }
     }
@@ -151,8 +151,8 @@
 impl Parameters {
     /// A span that has passed by the slowest admissible clock before `span` has by the fastest.
     pub(crate) fn shortened_by_drift(&self, span: TenthMillis) -> TenthMillis {
-        if self.safeguards.drift {
-            span * (1_000 - self.drift) / (1_000 + self.drift)
+        if self.safeguards.drift_margin {
+            span * (1_000 - self.max_drift_permille) / (1_000 + self.max_drift_permille)
         } else {
             span
         }
@@ -160,7 +160,7 @@
 
     /// How long after its lease a unit of this budget counts as in use, in tenths of a millisecond.
     pub(crate) fn max_hold_after_lease(&self, budget: &Budget) -> TenthMillis {
-        if self.safeguards.held {
+        if self.safeguards.count_max_hold {
             budget.max_hold()
         } else {
             0
@@ -169,7 +169,7 @@
 
     /// Votes that make a majority.
     pub(crate) fn majority(&self) -> usize {
-        if self.safeguards.majority {
+        if self.safeguards.majority_vote {
             self.voters.len() / 2 + 1
         } else {
             1
@@ -181,39 +181,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Safeguards {
     /// A voter that has just started gives no vote for as long as one lasts.
-    pub silent_start: bool,
+    pub abstain_after_start: bool,
     /// A majority of the voters elects a leader, not a single one.
-    pub majority: bool,
+    pub majority_vote: bool,
     /// A new leader grants nothing new until the leases of earlier ones have expired.
-    pub settle: bool,
+    pub wait_for_old_leases: bool,
     /// What was granted counts until the holder has confirmed that it gave it up.
-    pub confirm: bool,
+    pub await_confirmation: bool,
     /// A holder checks whether its lease has expired.
     pub lease_expiry: bool,
     /// Leases are shortened for their holders by what clocks may drift.
-    pub drift: bool,
+    pub drift_margin: bool,
     /// A holder accepts only answers to its reports to the present leader, and none older than the
     /// last.
-    pub in_order: bool,
+    pub reject_stale_answers: bool,
     /// Only what is still in force is prolonged.
-    pub prolong: bool,
+    pub prolong_unexpired_only: bool,
     /// Units of a concurrency count as in use for as long as they may be held, beyond a lease and
     /// after a start.
-    pub held: bool,
+    pub count_max_hold: bool,
 }
 
 impl Default for Safeguards {
     fn default() -> Safeguards {
         Safeguards {
-            silent_start: true,
-            majority: true,
-            settle: true,
-            confirm: true,
+            abstain_after_start: true,
+            majority_vote: true,
+            wait_for_old_leases: true,
+            await_confirmation: true,
             lease_expiry: true,
-            drift: true,
-            in_order: true,
-            prolong: true,
-            held: true,
+            drift_margin: true,
+            reject_stale_answers: true,
+            prolong_unexpired_only: true,
+            count_max_hold: true,
         }
     }
 }
--- a/crates/budgets/src/reporting.rs
+++ b/crates/budgets/src/reporting.rs
@@ -72,7 +72,7 @@
 
     /// What may be in use at most at `now`, without changing anything: for tests of the sum over
     /// all nodes.
-    pub fn exposed(&self, index: usize, now: TenthMillis) -> Units {
+    pub fn max_in_use(&self, index: usize, now: TenthMillis) -> Units {
         let mut allocation = self.allocations[index].clone();
         let usable = allocation.usable(now, &self.parameters);
         match allocation.budget.kind {
--- a/crates/budgets/src/token_bucket.rs
+++ b/crates/budgets/src/token_bucket.rs
@@ -39,9 +39,9 @@
     pub fn refill(&mut self, now: TenthMillis, rate: Units, parameters: &Parameters) {
         let elapsed = now.saturating_sub(self.refilled_at);
         let mut added = rate.saturating_mul(elapsed);
-        if parameters.safeguards.drift {
+        if parameters.safeguards.drift_margin {
             // A clock that is too fast must not make more of a second than there is.
-            added = added.saturating_mul(1_000) / (1_000 + parameters.drift);
+            added = added.saturating_mul(1_000) / (1_000 + parameters.max_drift_permille);
         }
         self.fractions = self.fractions.saturating_add(added).min(self.capacity);
         self.refilled_at = now.max(self.refilled_at);
--- a/crates/budgets/src/voter.rs
+++ b/crates/budgets/src/voter.rs
@@ -21,7 +21,7 @@
 impl Voter {
     /// A voter that has just started.
     pub fn new(now: TenthMillis, parameters: &Parameters) -> Voter {
-        let silent = if parameters.safeguards.silent_start {
+        let silent = if parameters.safeguards.abstain_after_start {
             parameters.vote_duration
         } else {
             0
--- a/crates/budgets/tests/holder.rs
+++ b/crates/budgets/tests/holder.rs
@@ -50,7 +50,7 @@
                 weight: 1,
             },
         );
-        budgets.handle(0, Event::Members(view), &mut Vec::new());
+        budgets.handle(0, Event::ViewChanged(view), &mut Vec::new());
         Holder {
             budgets,
             leader,
@@ -97,7 +97,7 @@
                 prolongs,
             }],
         });
-        self.budgets.exposed(0, self.now)
+        self.budgets.max_in_use(0, self.now)
     }
 
     /// Following its leader, with ten units leased.
@@ -124,7 +124,7 @@
     // It is paused, so that it keeps its leader; its report was sent, and is delayed.
     holder.now = granted_at + 1_500 * MILLISECOND;
     assert_eq!(
-        holder.budgets.exposed(0, holder.now),
+        holder.budgets.max_in_use(0, holder.now),
         0,
         "its lease has expired"
     );
@@ -136,7 +136,7 @@
     assert_eq!(late_prolongation(Safeguards::default()), 0);
     assert_eq!(
         late_prolongation(Safeguards {
-            prolong: false,
+            prolong_unexpired_only: false,
             ..Safeguards::default()
         }),
         10
@@ -161,6 +161,6 @@
     holder
         .budgets
         .handle(holder.now, Event::Superseded, &mut Vec::new());
-    assert_eq!(holder.budgets.exposed(0, holder.now), 0);
+    assert_eq!(holder.budgets.max_in_use(0, holder.now), 0);
     assert_eq!(holder.budgets.next_due(), TenthMillis::MAX);
 }
--- a/crates/budgets/tests/model/machine.rs
+++ b/crates/budgets/tests/model/machine.rs
@@ -52,10 +52,10 @@
             voters: (0..self.nodes)
                 .map(|index| Name::from(format!("n{index}")))
                 .collect(),
-            round: ROUND,
+            report_interval: ROUND,
             vote_duration: VOTE,
-            lease: LEASE,
-            drift: 0,
+            lease_duration: LEASE,
+            max_drift_permille: 0,
             safeguards: self.safeguards,
         }
     }
@@ -139,7 +139,7 @@
         };
         let view = Self::view(&state);
         (0..self.nodes)
-            .for_each(|index| self.handle(&mut state, index, Event::Members(view.clone())));
+            .for_each(|index| self.handle(&mut state, index, Event::ViewChanged(view.clone())));
         // All messages arrive at once until an allocation is granted: the search begins there.
         let lossless = Fleet {
             envelopes: 1_000,
@@ -148,7 +148,7 @@
         while state
             .nodes
             .iter()
-            .all(|node| node.exposed(0, state.now) == 0)
+            .all(|node| node.max_in_use(0, state.now) == 0)
         {
             state.now += 1;
             for index in 0..self.nodes {
@@ -222,8 +222,9 @@
                 state.nodes[index] = self.start(index, state.incarnation, now);
                 state.incarnation += 1;
                 let view = Self::view(&state);
-                (0..self.nodes)
-                    .for_each(|index| self.handle(&mut state, index, Event::Members(view.clone())));
+                (0..self.nodes).for_each(|index| {
+                    self.handle(&mut state, index, Event::ViewChanged(view.clone()))
+                });
             }
             Step::Pauses(index) => {
                 state.faults += 1;
@@ -243,14 +244,14 @@
                 let used: u64 = state
                     .nodes
                     .iter()
-                    .map(|node| node.exposed(0, state.now))
+                    .map(|node| node.max_in_use(0, state.now))
                     .sum();
                 used <= 1_000
             }),
             Property::sometimes("an allocation is granted anew", |_, state: &State| {
                 state.nodes.iter().any(|node| {
                     node.me().incarnation.0 > state.nodes.len() as u64
-                        && node.exposed(0, state.now) > 0
+                        && node.max_in_use(0, state.now) > 0
                 })
             }),
         ]
--- a/crates/budgets/tests/model/safeguards.rs
+++ b/crates/budgets/tests/model/safeguards.rs
@@ -14,7 +14,7 @@
             "majority",
             0,
             Safeguards {
-                majority: false,
+                majority_vote: false,
                 ..all
             },
         ),
@@ -22,7 +22,7 @@
             "settle",
             1128,
             Safeguards {
-                settle: false,
+                wait_for_old_leases: false,
                 ..all
             },
         ),
@@ -30,7 +30,7 @@
             "confirm",
             1835,
             Safeguards {
-                confirm: false,
+                await_confirmation: false,
                 ..all
             },
         ),
@@ -46,7 +46,7 @@
             "in order",
             11629,
             Safeguards {
-                in_order: false,
+                reject_stale_answers: false,
                 ..all
             },
         ),
@@ -110,7 +110,7 @@
             state
                 .nodes
                 .iter()
-                .map(|node| node.exposed(0, state.now))
+                .map(|node| node.max_in_use(0, state.now))
                 .sum(),
         );
     }
@@ -122,7 +122,7 @@
     assert_eq!(exposed_after_forgotten_vote(Safeguards::default()), 1_000);
     assert_eq!(
         exposed_after_forgotten_vote(Safeguards {
-            silent_start: false,
+            abstain_after_start: false,
             ..Safeguards::default()
         }),
         2_000
--- a/crates/config/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -111,10 +111,10 @@
         let parameters = Parameters::default();
         let millis = |time: TenthMillis| (time / MILLISECOND) as u32;
         LeaseTimes {
-            round_ms: millis(parameters.round),
+            round_ms: millis(parameters.report_interval),
             vote_ms: millis(parameters.vote_duration),
-            lease_ms: millis(parameters.lease),
-            drift_permille: parameters.drift as u32,
+            lease_ms: millis(parameters.lease_duration),
+            drift_permille: parameters.max_drift_permille as u32,
         }
     }
 }
@@ -125,10 +125,10 @@
         let times = self.leases;
         Parameters {
             voters: names(&self.voters),
-            round: from_millis(times.round_ms),
+            report_interval: from_millis(times.round_ms),
             vote_duration: from_millis(times.vote_ms),
-            lease: from_millis(times.lease_ms),
-            drift: u64::from(times.drift_permille),
+            lease_duration: from_millis(times.lease_ms),
+            max_drift_permille: u64::from(times.drift_permille),
             safeguards: self.tests.safeguards,
         }
     }
--- a/crates/config/src/budgets/validate.rs
+++ b/crates/config/src/budgets/validate.rs
@@ -40,7 +40,7 @@
 impl BudgetConfig {
     /// Adds every error of the budget, which is found at `path`.
     fn validate(&self, path: &str, voters: &[String], errors: &mut ErrorCollector) {
-        if !doortrack_membership::is_name(&self.name) {
+        if !doortrack_membership::is_valid_name(&self.name) {
             errors.push(format!("{path}.name"), NAME_RULE);
         }
         self.validate_ranges(path, errors);
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -98,8 +98,8 @@
         let parameters = Parameters::default();
         let millis = |time: TenthMillis| (time / MILLISECOND) as u32;
         FleetTimes {
-            period_ms: millis(parameters.period),
-            answer_within_ms: millis(parameters.answer_within),
+            period_ms: millis(parameters.probe_period),
+            answer_within_ms: millis(parameters.ack_timeout),
             suspicion_min_ms: millis(parameters.suspicion_min),
             suspicion_max_ms: millis(parameters.suspicion_max),
             forget_after_ms: millis(parameters.forget_after),
@@ -113,8 +113,8 @@
         let times = self.times;
         Parameters {
             seeds: self.seeds.clone(),
-            period: from_millis(times.period_ms),
-            answer_within: from_millis(times.answer_within_ms),
+            probe_period: from_millis(times.period_ms),
+            ack_timeout: from_millis(times.answer_within_ms),
             suspicion_min: from_millis(times.suspicion_min_ms),
             suspicion_max: from_millis(times.suspicion_max_ms),
             forget_after: from_millis(times.forget_after_ms),
--- a/crates/config/src/fleet/validate.rs
+++ b/crates/config/src/fleet/validate.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use doortrack_membership::is_name;
+use doortrack_membership::is_valid_name;
 
 use super::{FleetConfig, FleetTimes};
 use crate::range::check_integer;
@@ -25,7 +25,7 @@
 impl FleetConfig {
     /// Adds every error of the section, as far as the file alone shows it.
     pub(crate) fn validate(&self, errors: &mut ErrorCollector) {
-        if !is_name(&self.name) {
+        if !is_valid_name(&self.name) {
             errors.push(format!("{FLEET}.name"), NAME_RULE);
         }
         self.validate_addresses(errors);
@@ -76,7 +76,7 @@
         let mut seen = BTreeSet::new();
         for (index, voter) in self.voters.iter().enumerate() {
             let path = format!("{FLEET}.voters[{index}]");
-            if !is_name(voter) {
+            if !is_valid_name(voter) {
                 errors.push(path, NAME_RULE);
             } else if !seen.insert(voter) {
                 errors.push(path, ConfigErrorKind::Duplicate(format!("'{voter}'")));
@@ -86,7 +86,7 @@
 
     /// Adds an error where the section does not fit the platform's configuration.
     pub(crate) fn validate_with(&self, config: &NodeConfig, errors: &mut ErrorCollector) {
-        if !is_name(&config.name) {
+        if !is_valid_name(&config.name) {
             let rule = format!("names this node in its fleet: {NAME_RULE}");
             errors.push("config.name", rule);
         }
--- a/crates/fault-harness/src/divided/world.rs
+++ b/crates/fault-harness/src/divided/world.rs
@@ -168,7 +168,7 @@
             }
         }
         for node in 0..self.nodes.len() {
-            self.handle(node, Event::Members(view.clone()));
+            self.handle(node, Event::ViewChanged(view.clone()));
         }
     }
 
--- a/crates/fault-harness/src/scale/simulated/machine.rs
+++ b/crates/fault-harness/src/scale/simulated/machine.rs
@@ -72,7 +72,7 @@
     pub fn new(start: Start) -> Machine {
         let me = MemberUpdate {
             name: name(start.machine).into(),
-            incarnation: Incarnation::started(start.unix_ms, start.machine as u64),
+            incarnation: Incarnation::from_start_time(start.unix_ms, start.machine as u64),
             version: 0,
             state: MemberState::Alive,
             address: address(start.machine),
--- a/crates/fault-harness/src/scale/simulated/world/carrying.rs
+++ b/crates/fault-harness/src/scale/simulated/world/carrying.rs
@@ -35,7 +35,7 @@
     /// Budgets rest on who is there.
     pub(super) fn tell_members(&mut self, machine: MachineId, own: &mut Machine) {
         let view = own.fleet.view().clone();
-        self.budgets(machine, own, BudgetEvent::Members(view));
+        self.budgets(machine, own, BudgetEvent::ViewChanged(view));
     }
 
     pub(super) fn budgets(&mut self, machine: MachineId, own: &mut Machine, event: BudgetEvent) {
--- a/crates/fault-harness/src/scale/simulated/world/demand.rs
+++ b/crates/fault-harness/src/scale/simulated/world/demand.rs
@@ -87,7 +87,7 @@
         for budget in 0..self.scenario.list.len() {
             let exposed = |machine: MachineId| {
                 let own = self.machines[machine].as_ref();
-                own.map_or(0, |own| own.budgets.exposed(budget, self.shown(machine)))
+                own.map_or(0, |own| own.budgets.max_in_use(budget, self.shown(machine)))
             };
             let sum = (0..self.machines.len()).map(exposed).sum();
             self.played.usage.exposed(now, budget, sum);
--- a/crates/fault-harness/src/simulated/world.rs
+++ b/crates/fault-harness/src/simulated/world.rs
@@ -145,7 +145,7 @@
         let started_ms = self.network.clock_reading(node) / MS;
         let own = MemberUpdate {
             name: name(node).into(),
-            incarnation: Incarnation::started(started_ms, node as u64),
+            incarnation: Incarnation::from_start_time(started_ms, node as u64),
             version: 0,
             state: MemberState::Alive,
             address: address(node),
--- a/crates/fault-harness/tests/divided.rs
+++ b/crates/fault-harness/tests/divided.rs
@@ -265,21 +265,21 @@
     breaks(
         "majority",
         Safeguards {
-            majority: false,
+            majority_vote: false,
             ..all
         },
     );
     breaks(
         "settle",
         Safeguards {
-            settle: false,
+            wait_for_old_leases: false,
             ..all
         },
     );
     breaks(
         "confirm",
         Safeguards {
-            confirm: false,
+            await_confirmation: false,
             ..all
         },
     );
@@ -290,7 +290,13 @@
             ..all
         },
     );
-    breaks("held", Safeguards { held: false, ..all });
+    breaks(
+        "held",
+        Safeguards {
+            count_max_hold: false,
+            ..all
+        },
+    );
     // All clocks too fast at once: each makes more of a second than there is.
     let fast = script(30_000, 1, vec![]);
     assert!(
@@ -301,7 +307,7 @@
     let without = run_with(
         &fast,
         Safeguards {
-            drift: false,
+            drift_margin: false,
             ..all
         },
         (20_000, 20_000),
--- a/crates/fault-harness/tests/scale_simulated.rs
+++ b/crates/fault-harness/tests/scale_simulated.rs
@@ -100,7 +100,7 @@
 fn without_a_majority_both_sides_use_the_whole() {
     let parted = Scenario::parted(SMALL, 30_000, 1);
     let safeguards = Safeguards {
-        majority: false,
+        majority_vote: false,
         ..Safeguards::default()
     };
     breaks(
--- a/crates/fault-harness/tests/simulated.rs
+++ b/crates/fault-harness/tests/simulated.rs
@@ -196,7 +196,7 @@
     };
     assert!(breaks(&isolated, Parameters::default()).is_empty());
     let deaf = Parameters {
-        silent_periods: u32::MAX,
+        max_silent_periods: u32::MAX,
         ..Parameters::default()
     };
     assert!(breaks(&isolated, deaf).contains(&"isolated, declares nobody dead"));
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -7,13 +7,13 @@
 use std::sync::Arc;
 
 use doortrack_budgets::{
-    Budget, Budgets, Envelope, Event as BudgetEvent, Kind, MAX_BUDGETS, MAX_ITEMS, Message, NodeId,
-    ReportItem,
+    Budget, Budgets, Envelope, Event as BudgetEvent, Kind, MAX_BUDGETS, MAX_REPORT_ITEMS, Message,
+    NodeId, ReportItem,
 };
 use doortrack_expr::Limits;
 use doortrack_fault_harness::scale::node_cost::settings::{Addresses, Size, installation};
 use doortrack_membership::{
-    Datagram, Event as FleetEvent, Fleet, Head, Incarnation, MAX_UPDATES, MemberState,
+    Datagram, DatagramHeader, Event as FleetEvent, Fleet, Incarnation, MAX_UPDATES, MemberState,
     MemberUpdate, Parameters,
 };
 use doortrack_node::network::connection::{Connection, PendingRequest};
@@ -223,7 +223,7 @@
     let mut out = Vec::new();
     let all: Vec<usize> = (1..members).collect();
     for (nth, part) in all.chunks(MAX_UPDATES).enumerate() {
-        let head = Head {
+        let head = DatagramHeader {
             sender: update(1),
             to: incarnation,
             sequence: nth as u64 + 1,
@@ -309,7 +309,7 @@
         }
     };
     for holder in 1..=holders {
-        for (nth, part) in budgets.chunks(MAX_ITEMS).enumerate() {
+        for (nth, part) in budgets.chunks(MAX_REPORT_ITEMS).enumerate() {
             let items = part.iter().map(item).collect();
             let message = Message::Report {
                 seq: nth as u64 + 1,
--- a/crates/membership/src/answers.rs
+++ b/crates/membership/src/answers.rs
@@ -45,7 +45,7 @@
 
     /// Smooths a member's response time; a slow member is given longer to answer.
     fn note_response_time(&mut self, now: TenthMillis, probe: Probe, actions: &mut Vec<Action>) {
-        let slow_above = SLOW_FACTOR * self.parameters.answer_within;
+        let slow_above = SLOW_FACTOR * self.parameters.ack_timeout;
         let Some(record) = self.table.get_mut(probe.index) else {
             return;
         };
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::Fleet;
 use crate::table::MemberIndex;
-use crate::{Action, Head, MemberState, MemberUpdate, Message};
+use crate::{Action, DatagramHeader, MemberState, MemberUpdate, Message};
 use doortrack_time::TenthMillis;
 
 /// The mark of a suspicion that rests on other nodes' having declared the member dead.
@@ -15,7 +15,7 @@
     pub(crate) fn direct_evidence(
         &mut self,
         now: TenthMillis,
-        head: &Head,
+        head: &DatagramHeader,
         message: &Message,
         actions: &mut Vec<Action>,
     ) -> Option<MemberIndex> {
@@ -51,7 +51,12 @@
 
     /// Refuses a datagram of an earlier process of the name, or a late one, whose sender learns
     /// which process came after it.
-    fn refuse_earlier(&mut self, head: &Head, known: MemberUpdate, actions: &mut Vec<Action>) {
+    fn refuse_earlier(
+        &mut self,
+        head: &DatagramHeader,
+        known: MemberUpdate,
+        actions: &mut Vec<Action>,
+    ) {
         self.refused += 1;
         let (to, incarnation) = (head.sender.address, head.sender.incarnation);
         self.send_to(to, incarnation, Message::Updates, vec![known], actions);
--- a/crates/membership/src/fleet.rs
+++ b/crates/membership/src/fleet.rs
@@ -147,7 +147,7 @@
 
     fn set_first_timers(&mut self, now: TenthMillis) {
         // Nodes that start at the same instant must not probe at the same instants ever after.
-        let offset = self.rng.u64(0..self.parameters.period);
+        let offset = self.rng.u64(0..self.parameters.probe_period);
         self.set_timer(now + offset, Timer::Period);
         self.set_timer(now, Timer::JoinRequest);
     }
@@ -179,7 +179,7 @@
             Event::Tick => self.on_tick(now, actions),
             Event::Received { from, datagram } => self.on_datagram(now, from, datagram, actions),
             Event::Leave => self.on_leave(now, actions),
-            Event::Changed { parameters } => {
+            Event::ParametersChanged { parameters } => {
                 self.parameters = *parameters;
             }
         }
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -3,7 +3,9 @@
 use crate::fleet::{Fleet, RETRANSMISSIONS, Stage, Timer};
 use crate::receiving::MAX_UPDATES_ACCEPTED;
 use crate::table::MemberIndex;
-use crate::{Action, Change, Incarnation, MemberState, MemberUpdate, Message, UPDATE_BYTES};
+use crate::{
+    Action, Change, Incarnation, MemberState, MemberUpdate, Message, UPDATE_BYTES_THRESHOLD,
+};
 use doortrack_time::TenthMillis;
 
 /// Rounds of join requests that all go to seeds.
@@ -54,7 +56,7 @@
     ) {
         let (mut updates, mut bytes, mut next) = (Vec::new(), 0, None);
         for record in self.table.after(after) {
-            if bytes > UPDATE_BYTES || updates.len() >= MAX_UPDATES_ACCEPTED {
+            if bytes > UPDATE_BYTES_THRESHOLD || updates.len() >= MAX_UPDATES_ACCEPTED {
                 next = updates
                     .last()
                     .map(|update: &MemberUpdate| update.name.clone());
@@ -110,7 +112,7 @@
         index: MemberIndex,
         actions: &mut Vec<Action>,
     ) {
-        let (first_wait, max_wait) = (self.parameters.hold_first, self.parameters.hold_max);
+        let (first_wait, max_wait) = (self.parameters.initial_hold, self.parameters.max_hold);
         let Some(record) = self.table.get_mut(index) else {
             return;
         };
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -66,17 +66,17 @@
 use serde::{Deserialize, Serialize};
 
 pub use fleet::Fleet;
-pub use message::{Datagram, Head, MAX_UPDATES, Message, UPDATE_BYTES};
+pub use message::{Datagram, DatagramHeader, MAX_UPDATES, Message, UPDATE_BYTES_THRESHOLD};
 pub use parameters::Parameters;
 pub use report::{MemberReport, ReportedState};
 pub use update::{MemberState, MemberUpdate};
 pub use view::{Member, View};
 
-/// The name of a node; see [`is_name`].
+/// The name of a node; see [`is_valid_name`].
 pub type Name = Arc<str>;
 
 /// The longest name, in bytes.
-pub const MAX_NAME_LEN: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// One run of a node's process. Of two incarnations of one name the greater one is the later; 0
 /// stands for none.
@@ -97,7 +97,7 @@
 impl Incarnation {
     /// The incarnation of a process started at this Unix time in ms. Its low 16 bits are random, so
     /// that two processes started in the same ms differ.
-    pub fn started(unix_ms: u64, random: u64) -> Incarnation {
+    pub fn from_start_time(unix_ms: u64, random: u64) -> Incarnation {
         Incarnation((unix_ms << 16) | (random & 0xffff))
     }
 }
@@ -117,7 +117,7 @@
     /// The node was asked to leave.
     Leave,
     /// The parameters and seeds were changed.
-    Changed {
+    ParametersChanged {
         /// The new ones.
         parameters: Box<Parameters>,
     },
@@ -272,6 +272,6 @@
 }
 
 /// Whether this can be a node's name: 1 to 64 bytes without control characters.
-pub fn is_name(name: &str) -> bool {
-    (1..=MAX_NAME_LEN).contains(&name.len()) && !name.chars().any(char::is_control)
+pub fn is_valid_name(name: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control)
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -9,11 +9,11 @@
 pub const MAX_UPDATES: usize = 40;
 /// Bytes of updates past which a datagram takes no more: with the longest update (110) that comes
 /// last, and all else in the datagram (at most 300), it is below 1,472.
-pub const UPDATE_BYTES: usize = 1_000;
+pub const UPDATE_BYTES_THRESHOLD: usize = 1_000;
 
 /// The sender of a datagram, and the incarnation that it is meant for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct DatagramHeader {
     /// What the sender announces about itself.
     pub sender: MemberUpdate,
     /// The receiver's incarnation; 0 where the sender does not know it.
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
     /// Its sender and receiver.
-    pub head: Head,
+    pub head: DatagramHeader,
     /// Its purpose.
     pub message: Message,
     /// Updates on any members; at most [`MAX_UPDATES`] but on a page of the table.
--- a/crates/membership/src/parameters.rs
+++ b/crates/membership/src/parameters.rs
@@ -11,9 +11,9 @@
     /// heals.
     pub seeds: Vec<SocketAddr>,
     /// One member is probed in each period.
-    pub period: TenthMillis,
+    pub probe_period: TenthMillis,
     /// How long a direct answer is awaited before indirect probers are asked; less than `period`.
-    pub answer_within: TenthMillis,
+    pub ack_timeout: TenthMillis,
     /// Members that are asked to probe in this node's place when there is no direct answer.
     pub indirect_probers: usize,
     /// How long a suspicion that others confirmed lasts before the member is declared dead.
@@ -27,12 +27,12 @@
     /// A process that runs later than it asked for by more than this counts as having been paused.
     pub max_lateness: TenthMillis,
     /// Periods without any answer after which this node considers itself isolated.
-    pub silent_periods: u32,
+    pub max_silent_periods: u32,
     /// How long a member that came back for the second time is kept out of the view; doubled with
     /// each further return.
-    pub hold_first: TenthMillis,
+    pub initial_hold: TenthMillis,
     /// The longest time that a member is kept out of the view.
-    pub hold_max: TenthMillis,
+    pub max_hold: TenthMillis,
     /// Dead and left members are forgotten after this.
     pub forget_after: TenthMillis,
     /// Members that the table holds beside this node; further ones are left out.
@@ -43,17 +43,17 @@
     fn default() -> Parameters {
         Parameters {
             seeds: Vec::new(),
-            period: 200 * MILLISECOND,
-            answer_within: 70 * MILLISECOND,
+            probe_period: 200 * MILLISECOND,
+            ack_timeout: 70 * MILLISECOND,
             indirect_probers: 3,
             suspicion_min: 400 * MILLISECOND,
             suspicion_max: 2_000 * MILLISECOND,
             gossip_interval: 50 * MILLISECOND,
             gossip_fanout: 3,
             max_lateness: 100 * MILLISECOND,
-            silent_periods: 4,
-            hold_first: 1_000 * MILLISECOND,
-            hold_max: 30_000 * MILLISECOND,
+            max_silent_periods: 4,
+            initial_hold: 1_000 * MILLISECOND,
+            max_hold: 30_000 * MILLISECOND,
             forget_after: 60_000 * MILLISECOND,
             max_members: 4_096,
         }
@@ -63,12 +63,12 @@
 impl Parameters {
     /// The interval between join requests to nodes outside the view.
     pub fn join_request_interval(&self) -> TenthMillis {
-        self.period * 5
+        self.probe_period * 5
     }
 
     /// How long before its end a suspected member is first probed finally; again after half of it.
     pub(crate) fn final_probes(&self) -> TenthMillis {
-        self.answer_within * 3
+        self.ack_timeout * 3
     }
 
     /// The longest time that an answer is awaited, however slow the member.
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{Fleet, RETRANSMISSIONS, Stage};
 use crate::probes::IndirectProbe;
 use crate::table::MemberIndex;
-use crate::{Action, Datagram, Head, Incarnation, MemberState, Message, Name};
+use crate::{Action, Datagram, DatagramHeader, Incarnation, MemberState, Message, Name};
 use doortrack_time::TenthMillis;
 
 /// Updates in a datagram above which it is refused.
@@ -53,7 +53,7 @@
     }
 
     /// Answers a join request with the table, unless its sender knows all of it already.
-    fn on_join(&mut self, head: &Head, actions: &mut Vec<Action>) {
+    fn on_join(&mut self, head: &DatagramHeader, actions: &mut Vec<Action>) {
         if head.digest == self.view.digest {
             self.reply(head, Message::Page { next: None }, actions);
         } else {
@@ -63,7 +63,7 @@
 
     /// Sends a message without updates to the sender of a datagram, whether it is in the table or
     /// not.
-    fn reply(&mut self, head: &Head, message: Message, actions: &mut Vec<Action>) {
+    fn reply(&mut self, head: &DatagramHeader, message: Message, actions: &mut Vec<Action>) {
         let (to, incarnation) = (head.sender.address, head.sender.incarnation);
         self.send_to(to, incarnation, message, Vec::new(), actions);
     }
@@ -81,7 +81,7 @@
         &mut self,
         now: TenthMillis,
         index: MemberIndex,
-        head: &Head,
+        head: &DatagramHeader,
         message: Message,
         actions: &mut Vec<Action>,
     ) {
--- a/crates/membership/src/sending.rs
+++ b/crates/membership/src/sending.rs
@@ -6,13 +6,14 @@
 use crate::gossip::DatagramFill;
 use crate::table::MemberIndex;
 use crate::{
-    Action, Datagram, Head, Incarnation, MemberState, MemberUpdate, Message, UPDATE_BYTES,
+    Action, Datagram, DatagramHeader, Incarnation, MemberState, MemberUpdate, Message,
+    UPDATE_BYTES_THRESHOLD,
 };
 
 impl Fleet {
-    fn head(&mut self, to: Incarnation) -> Head {
+    fn head(&mut self, to: Incarnation) -> DatagramHeader {
         self.sequence += 1;
-        Head {
+        DatagramHeader {
             sender: self.me.clone(),
             to,
             sequence: self.sequence,
@@ -40,7 +41,7 @@
     fn add_pending_updates(&mut self, updates: &mut Vec<MemberUpdate>) {
         let used: usize = updates.iter().map(MemberUpdate::max_bytes).sum();
         let fill = DatagramFill {
-            free_bytes: UPDATE_BYTES.saturating_sub(used),
+            free_bytes: UPDATE_BYTES_THRESHOLD.saturating_sub(used),
             updates: updates.len(),
         };
         let (table, members) = (&self.table, self.view.members.len());
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -45,7 +45,7 @@
             return;
         }
         self.send_join_requests(actions);
-        let jitter = self.rng.u64(0..self.parameters.period.max(1));
+        let jitter = self.rng.u64(0..self.parameters.probe_period.max(1));
         self.set_timer(
             now + self.parameters.join_request_interval() + jitter,
             Timer::JoinRequest,
@@ -56,13 +56,13 @@
         if self.stage == Stage::Leaving {
             return;
         }
-        self.set_timer(now + self.parameters.period, Timer::Period);
+        self.set_timer(now + self.parameters.probe_period, Timer::Period);
         if std::mem::take(&mut self.answered) || self.table.present() == 0 {
             self.silent_periods = 0;
         } else {
             self.silent_periods += 1;
         }
-        if self.silent_periods > self.parameters.silent_periods && !self.isolated {
+        if self.silent_periods > self.parameters.max_silent_periods && !self.isolated {
             self.isolated = true;
             actions.push(Action::Report(Change::Isolated(true)));
         }
@@ -83,7 +83,7 @@
         if self.probes.is_pending(index) {
             return;
         }
-        let (min, max) = (self.parameters.answer_within, self.parameters.max_wait());
+        let (min, max) = (self.parameters.ack_timeout, self.parameters.max_wait());
         let wait = (record.response_time * RESPONSE_TIMES).clamp(min, max.max(min));
         let nonce = self.rng.u32(..);
         let incarnation = record.update.incarnation;
@@ -94,7 +94,7 @@
             sent_at: now,
         }) {
             self.set_timer(now + wait, Timer::AckTimeout(nonce));
-            let rest = self.parameters.period.saturating_sub(min).max(1);
+            let rest = self.parameters.probe_period.saturating_sub(min).max(1);
             self.set_timer(now + wait + rest, Timer::ProbeTimeout(nonce));
             self.send(index, Message::Ping { nonce }, actions);
         }
@@ -182,7 +182,10 @@
         };
         let ends_at = suspicion.ends_at(&self.parameters, members, self.resumed_at);
         if self.suspects_nobody() {
-            self.set_timer(now + self.parameters.period, Timer::Suspicion(index, since));
+            self.set_timer(
+                now + self.parameters.probe_period,
+                Timer::Suspicion(index, since),
+            );
         } else if ends_at > now {
             self.set_timer(ends_at, Timer::Suspicion(index, since));
         } else {
--- a/crates/membership/src/update.rs
+++ b/crates/membership/src/update.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Incarnation, Member, Name, is_name};
+use crate::{Incarnation, Member, Name, is_valid_name};
 
 /// The greatest [`MemberUpdate::weight`] that is accepted.
 pub const MAX_WEIGHT: u32 = 1_000_000;
@@ -92,7 +92,7 @@
     /// Whether every field is within its bounds; updates that are not are ignored.
     pub fn is_valid(&self) -> bool {
         let reachable = self.address.port() != 0 && !self.address.ip().is_unspecified();
-        is_name(&self.name)
+        is_valid_name(&self.name)
             && self.incarnation != Incarnation(0)
             && reachable
             && (1..=MAX_WEIGHT).contains(&self.weight)
--- a/crates/membership/src/view_sync.rs
+++ b/crates/membership/src/view_sync.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{Fetch, Fleet};
 use crate::table::MemberIndex;
-use crate::{Action, Head, Message};
+use crate::{Action, DatagramHeader, Message};
 use doortrack_time::TenthMillis;
 
 /// Gossip rounds without a change of the view after which updates on their way no longer explain a
@@ -19,7 +19,7 @@
         &mut self,
         now: TenthMillis,
         index: MemberIndex,
-        head: &Head,
+        head: &DatagramHeader,
         actions: &mut Vec<Action>,
     ) {
         let stable_at = self.view_since + STABLE_ROUNDS * self.parameters.gossip_interval;
--- a/crates/membership/tests/cases/datagrams.rs
+++ b/crates/membership/tests/cases/datagrams.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use doortrack_membership::{
-    Action, Datagram, Event, Head, Incarnation, MemberState, MemberUpdate, Message,
+    Action, Datagram, DatagramHeader, Event, Incarnation, MemberState, MemberUpdate, Message,
 };
 use doortrack_time::MILLISECOND;
 
@@ -44,18 +44,19 @@
     let mut cluster = Cluster::new(3);
     cluster.advance(2_000);
     let view = cluster.fleets[0].view().clone();
-    let receive = |cluster: &mut Cluster, from: usize, head: Head, updates: Vec<MemberUpdate>| {
-        let datagram = Datagram {
-            head,
-            message: Message::Updates,
-            updates,
+    let receive =
+        |cluster: &mut Cluster, from: usize, head: DatagramHeader, updates: Vec<MemberUpdate>| {
+            let datagram = Datagram {
+                head,
+                message: Message::Updates,
+                updates,
+            };
+            let from = address(from);
+            cluster.handle(0, Event::Received { from, datagram });
         };
-        let from = address(from);
-        cluster.handle(0, Event::Received { from, datagram });
-    };
     let valid = update(9, 5);
     for sender in invalid_senders(&valid) {
-        let head = Head {
+        let head = DatagramHeader {
             sender,
             to: Incarnation(100),
             sequence: 1,
@@ -64,7 +65,7 @@
         };
         receive(&mut cluster, 9, head, Vec::new());
     }
-    let head = Head {
+    let head = DatagramHeader {
         sender: update(1, 100),
         to: Incarnation(100),
         sequence: 1 << 40,
@@ -88,7 +89,7 @@
             address: address(index % 200 + 1),
             ..update(0, 100)
         };
-        let head = Head {
+        let head = DatagramHeader {
             sender,
             to: Incarnation(100),
             sequence: 1,
--- a/crates/membership/tests/cases/isolation.rs
+++ b/crates/membership/tests/cases/isolation.rs
@@ -60,7 +60,7 @@
     for node in 0..5 {
         let parameters = Parameters {
             seeds: vec![address(0), address(1)],
-            silent_periods: u32::MAX,
+            max_silent_periods: u32::MAX,
             ..Parameters::default()
         };
         cluster.fleets[node] = Fleet::new(update(node, 100), parameters, 7 + node as u64, 0);
--- a/crates/membership/tests/cases/members.rs
+++ b/crates/membership/tests/cases/members.rs
@@ -1,7 +1,7 @@
 //! Members that join, leave, die, return, and names that are used twice.
 
 use doortrack_membership::{
-    Change, Datagram, Event, Fleet, Head, Incarnation, Message, Parameters, ReportedState,
+    Change, Datagram, DatagramHeader, Event, Fleet, Incarnation, Message, Parameters, ReportedState,
 };
 
 use crate::cluster::*;
@@ -215,7 +215,7 @@
     }
     cluster.advance(2_000);
     for sequence in 10..20 {
-        let head = Head {
+        let head = DatagramHeader {
             sender: update(sequence, 5),
             to: Incarnation(100),
             sequence: 1,
--- a/crates/membership/tests/cases/suspicion.rs
+++ b/crates/membership/tests/cases/suspicion.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use doortrack_membership::{
-    Datagram, Event, Head, Incarnation, MemberState, MemberUpdate, Message, ReportedState,
+    Datagram, DatagramHeader, Event, Incarnation, MemberState, MemberUpdate, Message, ReportedState,
 };
 use doortrack_time::MILLISECOND;
 
@@ -58,7 +58,7 @@
     let mut cluster = Cluster::new(6);
     cluster.advance(3_000);
     let send_update = |cluster: &mut Cluster, from: usize, sequence: u64, state: MemberState| {
-        let head = Head {
+        let head = DatagramHeader {
             sender: update(from, 100),
             to: Incarnation(100),
             sequence,
--- a/crates/membership/tests/random.rs
+++ b/crates/membership/tests/random.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use doortrack_membership::{
-    Action, Datagram, Event, Fleet, Head, Incarnation, MAX_UPDATES, Member, MemberState,
-    MemberUpdate, Message, Name, Parameters, UPDATE_BYTES,
+    Action, Datagram, DatagramHeader, Event, Fleet, Incarnation, MAX_UPDATES, Member, MemberState,
+    MemberUpdate, Message, Name, Parameters, UPDATE_BYTES_THRESHOLD,
 };
 use doortrack_time::MILLISECOND;
 use proptest::prelude::*;
@@ -124,7 +124,7 @@
                 Step::Receive { sender, to_this_incarnation, sequence, message, updates } => {
                     let to = if to_this_incarnation { fleet.me().incarnation } else { Incarnation(0) };
                     let from = sender.address;
-                    let head = Head { sender, to, sequence, digest: 0, view: 0 };
+                    let head = DatagramHeader { sender, to, sequence, digest: 0, view: 0 };
                     let datagram = Datagram { head, message, updates };
                     fleet.handle(now, Event::Received { from, datagram }, &mut actions);
                 }
@@ -137,7 +137,7 @@
                     // All but the last fit; beside its name an update with an address of IPv4 takes
                     // up to 33.
                     let bytes = datagram.updates.iter().rev().skip(1).map(|update| update.name.len() + 33);
-                    prop_assert!(bytes.sum::<usize>() <= UPDATE_BYTES);
+                    prop_assert!(bytes.sum::<usize>() <= UPDATE_BYTES_THRESHOLD);
                     let sender = &datagram.head.sender;
                     let me = fleet.me();
                     prop_assert!(sender.name == me.name && sender.incarnation <= me.incarnation);
--- a/crates/node/src/commands/serve.rs
+++ b/crates/node/src/commands/serve.rs
@@ -95,10 +95,10 @@
 fn parse_safeguards(name: &str) -> Result<Safeguards, String> {
     let mut safeguards = Safeguards::default();
     match name {
-        "settle" => safeguards.settle = false,
-        "confirm" => safeguards.confirm = false,
+        "settle" => safeguards.wait_for_old_leases = false,
+        "confirm" => safeguards.await_confirmation = false,
         "run-out" => safeguards.lease_expiry = false,
-        "majority" => safeguards.majority = false,
+        "majority" => safeguards.majority_vote = false,
         _ => return Err("settle, confirm, run-out or majority is wanted".into()),
     }
     Ok(safeguards)
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -84,7 +84,7 @@
             .map(|budget| used(&budget.name).map_or(0, |index| self.used[index]))
             .collect();
         std::mem::swap(&mut self.indices, &mut change.indices);
-        self.handle(now, Event::Changed { list });
+        self.handle(now, Event::BudgetsChanged { list });
     }
 
     /// Why a change to the budgets of this file takes a restart, if it does: what requests in flight hold is known
@@ -93,10 +93,10 @@
         let (old, new) = (self.budgets.parameters(), fleet_config.budget_parameters());
         let times = |parameters: &Parameters| {
             (
-                parameters.round,
+                parameters.report_interval,
                 parameters.vote_duration,
-                parameters.lease,
-                parameters.drift,
+                parameters.lease_duration,
+                parameters.max_drift_permille,
             )
         };
         if old.voters != new.voters {
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -109,7 +109,7 @@
         let random = fastrand::u64(..);
         let me = MemberUpdate {
             name: config.name.as_str().into(),
-            incarnation: Incarnation::started(unix_ms, random),
+            incarnation: Incarnation::from_start_time(unix_ms, random),
             version: 0,
             state: MemberState::Alive,
             address: fleet_config.address(),
--- a/crates/node/src/peers/link/budget_actions.rs
+++ b/crates/node/src/peers/link/budget_actions.rs
@@ -19,7 +19,7 @@
     /// Hands the present members to the decisions on budgets.
     pub(super) fn announce_members(&mut self) {
         if self.budgets.is_some() {
-            self.handle_budget_event(Event::Members(self.fleet.view().clone()));
+            self.handle_budget_event(Event::ViewChanged(self.fleet.view().clone()));
         }
     }
 
--- a/crates/node/src/peers/link/subsystem.rs
+++ b/crates/node/src/peers/link/subsystem.rs
@@ -65,8 +65,11 @@
         };
         self.reload_budgets(&fleet_config, change);
         let parameters = Box::new(self.config.fleet_parameters());
-        self.fleet
-            .handle(self.now(), Event::Changed { parameters }, &mut self.actions);
+        self.fleet.handle(
+            self.now(),
+            Event::ParametersChanged { parameters },
+            &mut self.actions,
+        );
         self.execute_actions();
     }
 
--- a/crates/node/tests/fleet/encoding.rs
+++ b/crates/node/tests/fleet/encoding.rs
@@ -3,7 +3,8 @@
 
 use doortrack_budgets::{Envelope, Grant, Message as BudgetMessage, NodeId, ReportItem};
 use doortrack_membership::{
-    Datagram, Head, Incarnation, MemberReport, MemberState, MemberUpdate, Message, ReportedState,
+    Datagram, DatagramHeader, Incarnation, MemberReport, MemberState, MemberUpdate, Message,
+    ReportedState,
 };
 use doortrack_node::peers::peer_message::{
     BudgetPage, BudgetStatus, PeerMessage, Status, StatusQuery,
@@ -32,7 +33,7 @@
     ];
     let updates = states.map(|state| update("c", state)).to_vec();
     let sender = update("a", MemberState::Alive);
-    let head = Head {
+    let head = DatagramHeader {
         sender,
         to: INCARNATION,
         sequence: 5,
--- a/crates/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/link.rs
@@ -10,8 +10,8 @@
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::Fault;
 use doortrack_membership::{
-    Action, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message,
-    Parameters,
+    Action, Datagram, DatagramHeader, Event, Fleet, Incarnation, MemberState, MemberUpdate,
+    Message, Parameters,
 };
 use doortrack_node::peers::peer_message::{MEMBERS_PER_PAGE, PeerMessage, Status};
 use doortrack_node::peers::seal::{Refused, Seal};
@@ -55,7 +55,7 @@
         address: "127.0.0.1:9".parse().unwrap(),
         weight: 1,
     };
-    let head = Head {
+    let head = DatagramHeader {
         sender,
         to: Incarnation(0),
         sequence: 1,
@@ -148,7 +148,7 @@
             .unwrap(),
         weight: 1_000_000,
     };
-    let head = Head {
+    let head = DatagramHeader {
         sender: update(0),
         to: Incarnation(u64::MAX),
         sequence: u64::MAX,
@@ -156,7 +156,7 @@
         view: u64::MAX,
     };
     // A datagram takes updates until these bytes are full; the longest takes 110.
-    let count = doortrack_membership::UPDATE_BYTES.div_ceil(110);
+    let count = doortrack_membership::UPDATE_BYTES_THRESHOLD.div_ceil(110);
     let updates: Vec<MemberUpdate> = (0..count).map(update).collect();
     let message = Message::PingRequest {
         nonce: u32::MAX,
@@ -178,7 +178,7 @@
             state: MemberState::Alive,
             ..update(nth)
         };
-        let head = Head {
+        let head = DatagramHeader {
             sender,
             to: Incarnation(u64::MAX),
             sequence: 1,
