--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -36,7 +36,9 @@
 use self::summary::SummarySchedule;
 use self::timers::Timers;
 use crate::network::backend::{Backend, BackendEvent};
-use crate::network::listeners::{FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
+use crate::network::listeners::{
+    FIRST_CONNECTION_KEY, FIRST_LISTENER_KEY, ListenerEvent, Listeners,
+};
 use crate::network::registry::Registry;
 use crate::state::in_flight::InFlight;
 use crate::state::results::Results;
@@ -109,7 +111,7 @@
             self.flush();
             self.log_summary_if_due();
             if self.is_finished() {
-                self.listeners.refuse_halves();
+                self.listeners.refuse_incomplete_requests();
                 self.flush();
                 self.log_summary();
                 return Ok(());
@@ -203,10 +205,12 @@
                 self.backend
                     .on_event(readiness, self.now, &mut self.backend_events);
             }
-            key @ LISTEN_KEY..FIRST_KEY => {
-                _ = self
-                    .listeners
-                    .accept(key - LISTEN_KEY, self.now, &mut self.listener_events);
+            key @ FIRST_LISTENER_KEY..FIRST_CONNECTION_KEY => {
+                _ = self.listeners.accept(
+                    key - FIRST_LISTENER_KEY,
+                    self.now,
+                    &mut self.listener_events,
+                );
             }
             _ => self
                 .listeners
@@ -220,8 +224,7 @@
     fn close_idle_if_due(&mut self) {
         if self.now >= self.maintenance_at {
             self.maintenance_at = self.now + MAINTENANCE_INTERVAL;
-            self.listeners
-                .close_idle(self.now, &mut self.listener_events);
+            self.listeners.sweep(self.now, &mut self.listener_events);
             self.results.remove_expired(self.now);
         }
     }
--- a/crates/node/src/event_loop/arrivals.rs
+++ b/crates/node/src/event_loop/arrivals.rs
@@ -18,8 +18,8 @@
                 request,
                 variables,
                 body,
-                is_late,
-            } => self.on_request(caller, request, variables, body, is_late),
+                connection_closing,
+            } => self.on_request(caller, request, variables, body, connection_closing),
             ListenerEvent::Ended { id, termination } => {
                 self.on_terminated(id, termination, RunOutput::default());
             }
@@ -32,7 +32,7 @@
         request: IncomingRequest,
         variables: RawVariables,
         body: Vec<u8>,
-        is_late: bool,
+        connection_closing: bool,
     ) {
         if !self.listeners.is_pending(caller) {
             return; // Cancelled in the turn in which it came.
@@ -43,7 +43,7 @@
         let key = request.idempotency_key.map(|key| (request.group, key));
         self.decide_before_duplicate(key);
         match self.find_original(key, &body, request.arrived_at) {
-            Ok(None) if is_late => self.listeners.answer(caller, Answer::NoCapacity),
+            Ok(None) if connection_closing => self.listeners.answer(caller, Answer::NoCapacity),
             Ok(original) => self.take_request(caller, &request, variables, body, original),
             Err(answer) => self.listeners.answer(caller, answer),
         }
--- a/crates/node/src/event_loop/completions.rs
+++ b/crates/node/src/event_loop/completions.rs
@@ -68,7 +68,7 @@
         let termination = if command == RefusedCommand::Run {
             Termination::RunRefused
         } else {
-            Termination::StopRefused
+            Termination::CancelRefused
         };
         if let Some(id) = attempt_id.and_then(|attempt_id| self.in_flight.find(&attempt_id)) {
             self.on_terminated(id, termination, RunOutput::default());
--- a/crates/node/src/event_loop/config_build.rs
+++ b/crates/node/src/event_loop/config_build.rs
@@ -10,7 +10,7 @@
 use doortrack_config::{ConfigErrors, Installation, installation};
 use doortrack_routes::Table;
 
-use crate::network::classified::RuleTable;
+use crate::network::classifier::RuleTable;
 use crate::system::panics;
 use crate::system::test_panics::{PanicPlace, panic_if_wanted};
 
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -16,7 +16,7 @@
 use super::running_config::longest_deadline;
 use super::start::log_rules;
 use crate::network::backend::Backend;
-use crate::network::classified::{RuleTable, Rules};
+use crate::network::classifier::{RequestClassifier, RuleTable};
 use crate::system::signals::RELOAD_KEY;
 use crate::system::test_panics::{PanicPlace, panic_if_wanted};
 
@@ -157,8 +157,8 @@
             "listeners" => listeners, "rest_requires_restart" => read.requires_restart);
         self.config.platform = read.platform;
         self.backend
-            .move_to(engine, self.now, &mut self.backend_events);
-        if let Err(e) = self.registry.move_to(registry) {
+            .set_address(engine, self.now, &mut self.backend_events);
+        if let Err(e) = self.registry.set_address(registry) {
             warn!(self.log, "registry unreachable"; "why" => %e);
         }
     }
@@ -180,7 +180,7 @@
         }
         match (&mut self.listeners.rules, new) {
             (Some(rules), Some(new)) => Box::new(rules.replace(new)),
-            (rules, new) => Box::new(std::mem::replace(rules, new.map(Rules::new))),
+            (rules, new) => Box::new(std::mem::replace(rules, new.map(RequestClassifier::new))),
         }
     }
 
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -25,12 +25,12 @@
 use super::summary::SummarySchedule;
 use super::timers::Timers;
 use crate::network::backend::Backend;
-use crate::network::classified::{RuleTable, Rules};
+use crate::network::classifier::{RequestClassifier, RuleTable};
 use crate::network::engine::EngineLink;
 use crate::network::listeners::Listeners;
 use crate::network::registry::Registry;
-use crate::network::request::Names;
-use crate::network::servers::Servers;
+use crate::network::request::DeploymentNames;
+use crate::network::servers::PoolClient;
 use crate::peers::{KEY, Peers, Registration};
 use crate::state::in_flight::InFlight;
 use crate::state::results::Results;
@@ -122,7 +122,7 @@
 
     /// What runs requests: the engine, or the application servers where an installation names any.
     fn open_backend(&self) -> Backend {
-        let pools: Vec<(String, Servers)> = self
+        let pools: Vec<(String, PoolClient)> = self
             .installation
             .named_pools()
             .enumerate()
@@ -139,8 +139,8 @@
         )))
     }
 
-    fn pool(&self, index: usize, name: &str, settings: &ServerPool) -> Servers {
-        Servers::new(
+    fn pool(&self, index: usize, name: &str, settings: &ServerPool) -> PoolClient {
+        PoolClient::new(
             self.poller.clone(),
             self.log.new(o!("pool" => name.to_string())),
             settings,
@@ -225,10 +225,10 @@
 }
 
 /// The names by which callers refer to endpoint groups and tenants.
-fn names(config: &NodeConfig) -> Names {
+fn names(config: &NodeConfig) -> DeploymentNames {
     let settings = &config.settings;
     let has_keys = |group: &EndpointGroup| group.effect == Effect::Deduplicated;
-    Names {
+    DeploymentNames {
         groups: settings.group_names.clone(),
         idempotency_keyed: settings.admission.groups.iter().map(has_keys).collect(),
         tenants: settings.tenant_names.clone(),
@@ -286,7 +286,7 @@
             subsystems: opened.subsystems,
         };
         node.open_installation_listeners()?;
-        node.listeners.rules = rules.map(Rules::new);
+        node.listeners.rules = rules.map(RequestClassifier::new);
         Ok(node)
     }
 
--- a/crates/node/src/event_loop/summary.rs
+++ b/crates/node/src/event_loop/summary.rs
@@ -8,7 +8,7 @@
 use super::Node;
 use crate::network::backend::Backend;
 use crate::network::listeners::Listener;
-use crate::network::servers::Servers;
+use crate::network::servers::PoolClient;
 use crate::system::descriptors;
 
 /// Interval between two summaries.
@@ -93,7 +93,7 @@
             "cpu_ms" => cpu_time_ms(), "descriptors" => descriptors::open());
     }
 
-    fn log_pool(&self, name: &str, servers: &Servers) {
+    fn log_pool(&self, name: &str, servers: &PoolClient) {
         let (pool, counters) = (servers.pool(), servers.pool().counters);
         info!(self.log, "servers summary"; "pool" => name, "servers" => pool.members(),
             "in_use" => pool.in_use(),
--- a/crates/node/src/network/backend.rs
+++ b/crates/node/src/network/backend.rs
@@ -9,7 +9,7 @@
 
 use super::engine::{ENGINE_KEY, EngineLink};
 use super::engine_protocol::EngineMessage;
-use super::servers::{POOL_KEYS, SERVER_KEY, Servers};
+use super::servers::{POOL_KEYS, PoolClient, SERVER_KEY};
 use super::termination::Termination;
 use crate::state::in_flight::InFlightRequest;
 
@@ -51,7 +51,7 @@
 pub type SlowStartTokens = Box<dyn FnMut() -> TokenResponse>;
 
 /// A pool of servers and its name.
-pub type NamedPool = (String, Servers);
+pub type NamedPool = (String, PoolClient);
 
 /// Where requests run.
 pub enum Backend {
@@ -208,14 +208,14 @@
     }
 
     /// Makes the link to the engine at another address.
-    pub fn move_to(
+    pub fn set_address(
         &mut self,
         address: SocketAddr,
         now: TenthMillis,
         events: &mut Vec<BackendEvent>,
     ) {
         if let Backend::Engine(link) = self {
-            link.move_to(address, now, events);
+            link.set_address(address, now, events);
         }
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// The pool at this index, or the first one where there is none; none at the engine.
-    fn pool_or_default(&mut self, pool: u16) -> Option<&mut Servers> {
+    fn pool_or_default(&mut self, pool: u16) -> Option<&mut PoolClient> {
         let pools = self.pools_mut();
         let index = existing_or_default(pool, pools.len());
         pools.get_mut(usize::from(index)).map(|(_, pool)| pool)
--- a/crates/node/src/network/classified.rs
+++ b/crates/node/src/network/classifier.rs
@@ -17,8 +17,8 @@
 
 use self::view::RequestView;
 use super::request::{
-    AttemptId, Fields, HEALTH_CHECK_PATH, IdempotencyKey, Inbound, IncomingRequest, Names,
-    Unreadable, checked_memory_kb, checked_rank,
+    AttemptId, DecodedRequest, DeploymentNames, Fields, HEALTH_CHECK_PATH, IdempotencyKey,
+    IncomingRequest, Unreadable, checked_memory_kb, checked_rank,
 };
 
 /// The rank of a request of which nothing is said.
@@ -63,7 +63,7 @@
 }
 
 /// Classifies requests by the rules in force.
-pub struct Rules {
+pub struct RequestClassifier {
     rules: RuleTable,
     scratch: Scratch,
     /// Attempts that came without an id and were given one.
@@ -81,10 +81,10 @@
     pub now: TenthMillis,
 }
 
-impl Rules {
+impl RequestClassifier {
     /// Classifies by these rules.
-    pub fn new(rules: RuleTable) -> Rules {
-        Rules {
+    pub fn new(rules: RuleTable) -> RequestClassifier {
+        RequestClassifier {
             rules,
             scratch: Scratch::default(),
             generated_ids: 0,
@@ -110,15 +110,15 @@
         variables: &[u8],
         body: &[u8],
         origin: Origin,
-        names: &Names,
-    ) -> Result<Inbound, Unreadable> {
+        names: &DeploymentNames,
+    ) -> Result<DecodedRequest, Unreadable> {
         let pairs = origin
             .protocol
             .read_variables(variables)
             .map_err(|malformed| Unreadable::Field(malformed.0))?;
         let view = RequestView::new(&pairs, body, origin)?;
         if view.path() == HEALTH_CHECK_PATH {
-            return Ok(Inbound::Health);
+            return Ok(DecodedRequest::HealthCheck);
         }
         let class = self.classify(&view)?;
         let group = class.as_ref().map(|class| class.group);
@@ -129,7 +129,7 @@
         // A request that does not say how much memory it needs takes as much as was read of it.
         let read_kb = (variables.len() + body.len()) as f32 / 1024.0;
         let request = self.build(group, class.as_ref(), &fields, read_kb, origin.now, names)?;
-        Ok(Inbound::Request(request))
+        Ok(DecodedRequest::Request(request))
     }
 
     /// Puts together what the rule and the variables say. What the rule says has precedence.
@@ -140,7 +140,7 @@
         fields: &Fields,
         default_memory_kb: f32,
         now: TenthMillis,
-        names: &Names,
+        names: &DeploymentNames,
     ) -> Result<IncomingRequest, Unreadable> {
         let tenant = match class.and_then(|class| class.tenant) {
             Some(tenant) => tenant,
@@ -205,7 +205,7 @@
 
 /// The rule's key or that of the variable, where requests of the group carry one.
 fn idempotency_key(
-    names: &Names,
+    names: &DeploymentNames,
     group: u8,
     class: Option<&Class>,
     fields: &Fields,
--- a/crates/node/src/network/connection/expiry.rs
+++ b/crates/node/src/network/connection/expiry.rs
@@ -64,7 +64,7 @@
         } else if self.is_idle() && inactive >= timeouts.idle && self.nothing_to_read() {
             Some(Termination::Idle)
         } else if !self.out.is_empty() && inactive > timeouts.unread_answers {
-            Some(Termination::Unread)
+            Some(Termination::UnreadAnswers)
         } else {
             overdue.then_some(Termination::Slow)
         }
--- a/crates/node/src/network/engine.rs
+++ b/crates/node/src/network/engine.rs
@@ -185,7 +185,7 @@
     }
 
     /// Makes the link to another address, if it is another.
-    pub fn move_to(
+    pub fn set_address(
         &mut self,
         address: SocketAddr,
         now: TenthMillis,
--- a/crates/node/src/network/listeners.rs
+++ b/crates/node/src/network/listeners.rs
@@ -26,15 +26,15 @@
 pub use self::counts::Counts;
 pub use self::listener::Listener;
 use super::bounds::{MAX_LISTENERS, READ_BUFFER_BYTES};
-use super::classified::Rules;
+use super::classifier::RequestClassifier;
 use super::connection::Connection;
-use super::request::{IncomingRequest, Names};
+use super::request::{DeploymentNames, IncomingRequest};
 use super::termination::Termination;
 
 /// The poller's key of the first listener; the others follow.
-pub const LISTEN_KEY: usize = 8;
+pub const FIRST_LISTENER_KEY: usize = 8;
 /// The poller's key of the first connection; the others follow.
-pub const FIRST_KEY: usize = LISTEN_KEY + MAX_LISTENERS;
+pub const FIRST_CONNECTION_KEY: usize = FIRST_LISTENER_KEY + MAX_LISTENERS;
 
 /// Where an answer goes: the connection's slot in the table and the request's number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,7 +65,7 @@
         /// Its body, for whoever runs it.
         body: Vec<u8>,
         /// Its connection is being closed: it is not run, and answered only from what is known of its key.
-        is_late: bool,
+        connection_closing: bool,
     },
     /// A request's connection, or its caller's interest in it, came to an end.
     Ended {
@@ -81,9 +81,9 @@
     poller: Arc<Poller>,
     listeners: Slab<Listener>,
     connections: Slab<Connection>,
-    names: Names,
+    names: DeploymentNames,
     /// Classifies the requests of the installation's listeners, if it has rules.
-    pub rules: Option<Rules>,
+    pub rules: Option<RequestClassifier>,
     limits: ResourceLimits,
     /// Requests pending on all connections.
     pending_requests: usize,
@@ -112,7 +112,7 @@
     /// An empty table, without any listener.
     pub fn new(
         poller: Arc<Poller>,
-        names: Names,
+        names: DeploymentNames,
         limits: ResourceLimits,
         longest_deadline: TenthMillis,
     ) -> Self {
--- a/crates/node/src/network/listeners/accept.rs
+++ b/crates/node/src/network/listeners/accept.rs
@@ -11,7 +11,7 @@
 
 use super::eviction::EvictionScope;
 use super::listener::{self, Listener};
-use super::{FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
+use super::{FIRST_CONNECTION_KEY, FIRST_LISTENER_KEY, ListenerEvent, Listeners};
 use crate::network::bounds::{self, EVICTION_GRACE, MAX_ACCEPTS_PER_EVENT, MAX_LISTENERS};
 use crate::network::connection::Connection;
 
@@ -42,14 +42,14 @@
         }
         let socket = listener::bind(address, bounds::backlog(self.limits.connections))?;
         let entry = self.listeners.vacant_entry();
-        let key = LISTEN_KEY + entry.key();
+        let key = FIRST_LISTENER_KEY + entry.key();
         // SAFETY: the socket is taken out of the poller in `drain`, or lives as long as it.
         unsafe {
             self.poller
                 .add_with_mode(&socket, Event::readable(key), PollMode::Level)?
         };
         // The platform's listener is opened first and never removed.
-        let is_platform = key == LISTEN_KEY;
+        let is_platform = key == FIRST_LISTENER_KEY;
         let listener = Listener::new(address, protocol, socket, max_connections, is_platform);
         entry.insert(listener);
         Ok(())
@@ -174,7 +174,7 @@
         sock.set_nonblocking(true)?;
         sock.set_nodelay(true)?;
         let entry = self.connections.vacant_entry();
-        let interest = Event::readable(FIRST_KEY + entry.key());
+        let interest = Event::readable(FIRST_CONNECTION_KEY + entry.key());
         // SAFETY: the socket is taken out of the poller in `close`, before it is dropped.
         unsafe {
             self.poller
@@ -199,7 +199,7 @@
         else {
             return;
         };
-        let interest = Event::new(LISTEN_KEY + listener, accepting, false);
+        let interest = Event::new(FIRST_LISTENER_KEY + listener, accepting, false);
         let modified = self
             .poller
             .modify_with_mode(socket, interest, PollMode::Level);
--- a/crates/node/src/network/listeners/answers.rs
+++ b/crates/node/src/network/listeners/answers.rs
@@ -4,7 +4,7 @@
 use doortrack_time::TenthMillis;
 use polling::{Event, PollMode};
 
-use super::{Caller, Counts, FIRST_KEY, ListenerEvent, Listeners};
+use super::{Caller, Counts, FIRST_CONNECTION_KEY, ListenerEvent, Listeners};
 use crate::network::request::{self, Answer};
 
 impl Listeners {
@@ -109,7 +109,11 @@
         if interest == connection.registered {
             return;
         }
-        let event = Event::new(FIRST_KEY + slot, interest.readable, interest.writable);
+        let event = Event::new(
+            FIRST_CONNECTION_KEY + slot,
+            interest.readable,
+            interest.writable,
+        );
         let modified = self
             .poller
             .modify_with_mode(&connection.sock, event, PollMode::Level);
--- a/crates/node/src/network/listeners/backlog.rs
+++ b/crates/node/src/network/listeners/backlog.rs
@@ -62,7 +62,7 @@
             let Some(slot) = self.largest_backlog() else {
                 return;
             };
-            self.discard_backlog(slot, Termination::Unread);
+            self.discard_backlog(slot, Termination::UnreadAnswers);
         }
     }
 
--- a/crates/node/src/network/listeners/close.rs
+++ b/crates/node/src/network/listeners/close.rs
@@ -60,7 +60,7 @@
 
     /// Closes connections that have been idle for too long, and those on which nobody can be waiting any more.
     /// To be called at a steady pace while [`Listeners::needs_sweep`].
-    pub fn close_idle(&mut self, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
+    pub fn sweep(&mut self, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
         self.resume_paused();
         self.refuse_late_halves();
         let timeouts = Timeouts {
@@ -79,7 +79,7 @@
         self.retry_accepting();
     }
 
-    /// Whether there is anything for [`Listeners::close_idle`] to do.
+    /// Whether there is anything for [`Listeners::sweep`] to do.
     pub fn needs_sweep(&self) -> bool {
         !self.connections.is_empty() || self.iter().any(|listener| !listener.accepting)
     }
--- a/crates/node/src/network/listeners/drain.rs
+++ b/crates/node/src/network/listeners/drain.rs
@@ -38,7 +38,7 @@
     }
 
     /// Refuses all half requests, at the end of the process.
-    pub fn refuse_halves(&mut self) {
+    pub fn refuse_incomplete_requests(&mut self) {
         let slots: Vec<usize> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
             self.answer_incomplete(slot, Answer::NoCapacity);
@@ -46,7 +46,7 @@
     }
 
     /// Accepts a listener's backlog, closes its socket, reads each of its connections once more, and closes
-    /// them as soon as nothing is pending on them. Half requests have until [`Listeners::close_idle`] refuses them.
+    /// them as soon as nothing is pending on them. Half requests have until [`Listeners::sweep`] refuses them.
     fn drain(
         &mut self,
         listener: usize,
--- a/crates/node/src/network/listeners/reading.rs
+++ b/crates/node/src/network/listeners/reading.rs
@@ -5,17 +5,17 @@
 use doortrack_time::TenthMillis;
 use polling::Event;
 
-use super::{Caller, FIRST_KEY, ListenerEvent, Listeners, RawVariables};
+use super::{Caller, FIRST_CONNECTION_KEY, ListenerEvent, Listeners, RawVariables};
 use crate::network::bounds::{self, MAX_BODY_BYTES};
-use crate::network::classified::Origin;
+use crate::network::classifier::Origin;
 use crate::network::connection::{CompleteRequest, Stream};
-use crate::network::request::{self, Answer, Inbound, Unreadable};
+use crate::network::request::{self, Answer, DecodedRequest, Unreadable};
 use crate::network::termination::Termination;
 
 impl Listeners {
     /// Handles what the poller reports of a connection.
     pub fn on_event(&mut self, event: Event, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
-        let slot = event.key - FIRST_KEY;
+        let slot = event.key - FIRST_CONNECTION_KEY;
         if !self.connections.contains(slot) {
             return; // Closed earlier in this turn.
         }
@@ -217,12 +217,12 @@
             slot,
             request: complete.number,
         };
-        let is_late = self.connections[slot].is_closing();
+        let connection_closing = self.connections[slot].is_closing();
         match self.decode(slot, &complete, now) {
-            Ok(inbound) if is_late && !may_be_repeat(&inbound) => {
+            Ok(inbound) if connection_closing && !may_be_repeat(&inbound) => {
                 self.answer(caller, Answer::NoCapacity);
             }
-            Ok(Inbound::Request(request)) => events.push(ListenerEvent::Request {
+            Ok(DecodedRequest::Request(request)) => events.push(ListenerEvent::Request {
                 caller,
                 request,
                 variables: RawVariables {
@@ -230,9 +230,9 @@
                     bytes: complete.params,
                 },
                 body: complete.body,
-                is_late,
+                connection_closing,
             }),
-            Ok(Inbound::Health) => {
+            Ok(DecodedRequest::HealthCheck) => {
                 let healthy = self.healthy;
                 self.answer(caller, Answer::Health { healthy })
             }
@@ -246,7 +246,7 @@
         slot: usize,
         complete: &CompleteRequest,
         now: TenthMillis,
-    ) -> Result<Inbound, Unreadable> {
+    ) -> Result<DecodedRequest, Unreadable> {
         let connection = &self.connections[slot];
         let (protocol, peer) = (connection.protocol(), connection.peer);
         let is_platform = self.listeners[connection.listener].is_platform;
@@ -262,7 +262,7 @@
             _ => request::read(protocol, &complete.params, &self.names)?,
         };
         match inbound {
-            Inbound::Request(request)
+            DecodedRequest::Request(request)
                 if bounds::is_implausible_timestamp(
                     request.arrived_at,
                     now,
@@ -277,6 +277,6 @@
 }
 
 /// Whether a request may repeat one that ran.
-fn may_be_repeat(inbound: &Inbound) -> bool {
-    matches!(inbound, Inbound::Request(request) if request.idempotency_key.is_some())
+fn may_be_repeat(inbound: &DecodedRequest) -> bool {
+    matches!(inbound, DecodedRequest::Request(request) if request.idempotency_key.is_some())
 }
--- a/crates/node/src/network/mod.rs
+++ b/crates/node/src/network/mod.rs
@@ -1,11 +1,11 @@
 //! The node's sockets: its clients' connections, the engine or the servers that run requests, and the registry.
 //!
 //! What can be encoded and decoded without sockets is in the package `doortrack-protocols` (FastCGI, uwsgi), in
-//! [`request`], [`classified`] and [`engine_protocol`].
+//! [`request`], [`classifier`] and [`engine_protocol`].
 
 pub mod backend;
 pub mod bounds;
-pub mod classified;
+pub mod classifier;
 mod connect;
 pub mod connection;
 pub mod engine;
--- a/crates/node/src/network/registry.rs
+++ b/crates/node/src/network/registry.rs
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// The system refuses the socket; heartbeats go where they went before.
-    pub fn move_to(&mut self, registry: SocketAddr) -> io::Result<()> {
+    pub fn set_address(&mut self, registry: SocketAddr) -> io::Result<()> {
         self.sock = connect(self.own_address, registry)?;
         self.next_heartbeat = 0;
         Ok(())
--- a/crates/node/src/network/request.rs
+++ b/crates/node/src/network/request.rs
@@ -55,9 +55,9 @@
 
 /// What a client asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Inbound {
+pub enum DecodedRequest {
     /// Whether the node is healthy.
-    Health,
+    HealthCheck,
     /// Work.
     Request(IncomingRequest),
 }
@@ -93,7 +93,7 @@
 impl std::error::Error for Unreadable {}
 
 /// The names that requests may carry, in the order of the deployment's settings.
-pub struct Names {
+pub struct DeploymentNames {
     /// Endpoint groups.
     pub groups: Vec<String>,
     /// By group, whether its requests carry an idempotency key.
@@ -102,7 +102,7 @@
     pub tenants: Vec<String>,
 }
 
-impl Names {
+impl DeploymentNames {
     /// The index of the tenant that a request names; 0 where the deployment has none.
     pub(super) fn tenant(&self, fields: &Fields) -> Result<u16, Unreadable> {
         if self.tenants.is_empty() {
@@ -127,14 +127,18 @@
 ///
 /// # Errors
 /// The first variable that is absent, doubled or malformed.
-pub fn read(protocol: Protocol, variables: &[u8], names: &Names) -> Result<Inbound, Unreadable> {
+pub fn read(
+    protocol: Protocol,
+    variables: &[u8],
+    names: &DeploymentNames,
+) -> Result<DecodedRequest, Unreadable> {
     let pairs = protocol
         .read_variables(variables)
         .map_err(|malformed| Unreadable::Field(malformed.0))?;
     let fields = Fields(&pairs);
     let path = fields.required("SCRIPT_NAME")?;
     if path == HEALTH_CHECK_PATH {
-        return Ok(Inbound::Health);
+        return Ok(DecodedRequest::HealthCheck);
     }
     let group = names.group(path)?;
     if fields.required("REQUEST_METHOD")? != "POST" {
@@ -143,7 +147,7 @@
     let tenant = names.tenant(&fields)?;
     let memory_kb = fields.required_number::<f32>("HTTP_X_MEMORY_KB")?;
     let rank = fields.required_number::<f32>("HTTP_X_RANK")?;
-    Ok(Inbound::Request(IncomingRequest {
+    Ok(DecodedRequest::Request(IncomingRequest {
         attempt_id: fields.required_hex("HTTP_X_REQUEST_ID")?,
         arrived_at: fields
             .required_number::<u64>("HTTP_X_REQUEST_START")?
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -34,7 +34,7 @@
 const EXPECTED_FRAMING_BYTES: usize = 256;
 
 /// A pool of servers and the connections to them.
-pub struct Servers {
+pub struct PoolClient {
     poller: Arc<Poller>,
     log: Logger,
     /// The poller's key of the pool's first connection.
@@ -62,7 +62,7 @@
     pub terminations: BTreeMap<&'static str, u64>,
 }
 
-impl Servers {
+impl PoolClient {
     /// The pool at `index` among all. Its random choices start from `seed`; no caller waits for longer than
     /// `longest_deadline`.
     pub fn new(
@@ -72,8 +72,8 @@
         index: usize,
         longest_deadline: TenthMillis,
         seed: u64,
-    ) -> Servers {
-        let mut servers = Servers {
+    ) -> PoolClient {
+        let mut servers = PoolClient {
             poller,
             log,
             first_key: SERVER_KEY + index * POOL_KEYS,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// When [`Servers::maintain`] is due; 0 while there are events to pass on.
+    /// When [`PoolClient::maintain`] is due; 0 while there are events to pass on.
     pub fn next_due(&self) -> TenthMillis {
         if self.started && self.events.is_empty() {
             self.pool.next_due()
--- a/crates/node/src/network/servers/actions.rs
+++ b/crates/node/src/network/servers/actions.rs
@@ -7,13 +7,13 @@
 use doortrack_upstream::{Action, RunEnd, RunId};
 use slog::warn;
 
-use super::Servers;
+use super::PoolClient;
 use crate::network::backend::BackendEvent;
 use crate::network::headers::forwarded_headers;
 use crate::network::server_log::log_server_state;
 use crate::network::termination::Termination;
 
-impl Servers {
+impl PoolClient {
     /// Carries out the pool's decisions until there are no more. This has to follow each event, as ids of
     /// connections are reused at once: a late close would hit the next connection.
     pub(super) fn execute_actions(&mut self, now: TenthMillis) {
--- a/crates/node/src/network/servers/connection.rs
+++ b/crates/node/src/network/servers/connection.rs
@@ -8,7 +8,7 @@
 use doortrack_upstream::{ConnId, RunId, ServerId};
 use polling::{Event, PollMode};
 
-use super::{Servers, WIRE_ID};
+use super::{PoolClient, WIRE_ID};
 use crate::network::connect::connect_nonblocking;
 
 /// A connection to a server. It carries one run at a time.
@@ -25,7 +25,7 @@
     pub(super) watching_writes: bool,
 }
 
-impl Servers {
+impl PoolClient {
     pub(super) fn connection_mut(&mut self, id: ConnId) -> Option<&mut ServerConnection> {
         self.connections.get_mut(id).and_then(Option::as_mut)
     }
--- a/crates/node/src/network/servers/transfer.rs
+++ b/crates/node/src/network/servers/transfer.rs
@@ -7,9 +7,9 @@
 use doortrack_upstream::{ConnId, ResponseEnd, RunId};
 use polling::{Event, PollMode};
 
-use super::{Servers, WIRE_ID};
+use super::{PoolClient, WIRE_ID};
 
-impl Servers {
+impl PoolClient {
     /// Sends a run on an idle connection.
     pub(super) fn send(&mut self, id: ConnId, run: RunId, now: TenthMillis) {
         let reader = ResponseReader::new(self.protocol, WIRE_ID, self.max_response_bytes);
--- a/crates/node/src/network/termination.rs
+++ b/crates/node/src/network/termination.rs
@@ -22,7 +22,7 @@
     /// No complete request arrived in time.
     Slow,
     /// Answers were not read for longer than any caller waits, or piled up.
-    Unread,
+    UnreadAnswers,
     /// Closed at the end of the process.
     Shutdown,
     /// Its listener was taken out of the installation.
@@ -32,7 +32,7 @@
     /// The engine refused to begin a run, as it does not know the request: nothing has run.
     RunRefused,
     /// The engine refused to cancel a run, as it does not know the request: nothing is running.
-    StopRefused,
+    CancelRefused,
     /// The run was cancelled before it was sent.
     Unsent,
     /// No server accepted the run.
@@ -62,7 +62,7 @@
         match self {
             Termination::Aborted
             | Termination::Reset
-            | Termination::Unread
+            | Termination::UnreadAnswers
             | Termination::Shutdown => Outcome::CallerGone,
             // A half-closed connection may still be read; only a reset proves that nobody listens.
             Termination::HalfClosed
@@ -81,7 +81,7 @@
             Termination::ServerLost | Termination::ServerLate => {
                 Outcome::RunEnded(RunOutcome::Failed)
             }
-            Termination::StopRefused => Outcome::RunEnded(RunOutcome::Cancelled),
+            Termination::CancelRefused => Outcome::RunEnded(RunOutcome::Cancelled),
         }
     }
 
@@ -96,7 +96,7 @@
             Termination::Evicted => "evicted",
             Termination::Malformed => "malformed",
             Termination::Slow => "slow",
-            Termination::Unread => "unread",
+            Termination::UnreadAnswers => "unread",
             Termination::Shutdown => "left",
             Termination::ListenerClosed => "withdrawn",
             Termination::Run(RunOutcome::Completed) => "completed",
@@ -104,7 +104,7 @@
             Termination::Run(RunOutcome::Cancelled) => "stopped",
             Termination::Run(RunOutcome::NotStarted) => "moot",
             Termination::RunRefused => "run_refused",
-            Termination::StopRefused => "stop_refused",
+            Termination::CancelRefused => "stop_refused",
             Termination::Unsent => "unsent",
             Termination::Unreached => "unreached",
             Termination::ServerLost => "server_lost",
--- a/crates/node/tests/node/backlog.rs
+++ b/crates/node/tests/node/backlog.rs
@@ -9,8 +9,8 @@
 
 use doortrack_config::ResourceLimits;
 use doortrack_node::network::bounds::{MAX_UNREAD_ANSWER_BYTES, READ_BUFFER_BYTES};
-use doortrack_node::network::listeners::{FIRST_KEY, ListenerEvent, Listeners};
-use doortrack_node::network::request::{Answer, Names, RunOutput};
+use doortrack_node::network::listeners::{FIRST_CONNECTION_KEY, ListenerEvent, Listeners};
+use doortrack_node::network::request::{Answer, DeploymentNames, RunOutput};
 use doortrack_protocols::{Protocol, write_request};
 use polling::{Events, Poller};
 use proptest::prelude::*;
@@ -149,7 +149,7 @@
             unread_answer_bytes: limit,
             engine_command_bytes: 1,
         };
-        let names = Names {
+        let names = DeploymentNames {
             groups: vec!["look".into()],
             idempotency_keyed: vec![false],
             tenants: vec!["one".into()],
@@ -189,11 +189,14 @@
 
     /// Reads what is ready, answers what is complete, and writes.
     fn turn(&mut self) {
-        self.listeners.close_idle(0, &mut self.events);
+        self.listeners.sweep(0, &mut self.events);
         self.listeners.flush(0, &mut self.events);
         let mut ready = Events::new();
         self.poller.wait(&mut ready, Some(Duration::ZERO)).unwrap();
-        for event in ready.iter().filter(|event| event.key >= FIRST_KEY) {
+        for event in ready
+            .iter()
+            .filter(|event| event.key >= FIRST_CONNECTION_KEY)
+        {
             self.listeners.on_event(event, 0, &mut self.events);
             self.check();
         }
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -10,8 +10,10 @@
 use doortrack_fakes::fixture::fresh_address;
 use doortrack_fakes::records::{Client, record, request};
 use doortrack_node::network::bounds::EVICTION_GRACE;
-use doortrack_node::network::listeners::{Caller, FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
-use doortrack_node::network::request::{Answer, Names, RunOutput};
+use doortrack_node::network::listeners::{
+    Caller, FIRST_CONNECTION_KEY, FIRST_LISTENER_KEY, ListenerEvent, Listeners,
+};
+use doortrack_node::network::request::{Answer, DeploymentNames, RunOutput};
 use doortrack_protocols::Protocol;
 use polling::{Events, Poller};
 
@@ -39,7 +41,7 @@
             unread_answer_bytes: 100_000,
             engine_command_bytes: 1,
         };
-        let names = Names {
+        let names = DeploymentNames {
             groups: vec!["look".into()],
             idempotency_keyed: vec![false],
             tenants: Vec::new(),
@@ -67,9 +69,9 @@
         );
         for event in events.iter() {
             match event.key {
-                LISTEN_KEY..FIRST_KEY => {
+                FIRST_LISTENER_KEY..FIRST_CONNECTION_KEY => {
                     _ = self.listeners.accept(
-                        event.key - LISTEN_KEY,
+                        event.key - FIRST_LISTENER_KEY,
                         self.now,
                         &mut listener_events,
                     )
@@ -97,7 +99,7 @@
     fn pass(&mut self, time: u64) {
         self.now += time;
         let mut listener_events = Vec::new();
-        self.listeners.close_idle(self.now, &mut listener_events);
+        self.listeners.sweep(self.now, &mut listener_events);
         self.listeners.flush(self.now, &mut listener_events);
     }
 
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -8,8 +8,10 @@
 use doortrack_fakes::MAX_WAIT;
 use doortrack_fakes::fixture::fresh_address;
 use doortrack_fakes::records::{Client, request};
-use doortrack_node::network::listeners::{Caller, FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
-use doortrack_node::network::request::{Answer, Names, RunOutput};
+use doortrack_node::network::listeners::{
+    Caller, FIRST_CONNECTION_KEY, FIRST_LISTENER_KEY, ListenerEvent, Listeners,
+};
+use doortrack_node::network::request::{Answer, DeploymentNames, RunOutput};
 use doortrack_protocols::Protocol;
 use polling::{Events, Poller};
 
@@ -22,8 +24,8 @@
     );
     for event in events.iter() {
         match event.key {
-            LISTEN_KEY..FIRST_KEY => {
-                _ = listeners.accept(event.key - LISTEN_KEY, now, &mut listener_events)
+            FIRST_LISTENER_KEY..FIRST_CONNECTION_KEY => {
+                _ = listeners.accept(event.key - FIRST_LISTENER_KEY, now, &mut listener_events)
             }
             _ => listeners.on_event(event, now, &mut listener_events),
         }
@@ -49,7 +51,7 @@
         unread_answer_bytes: 100_000,
         engine_command_bytes: 1,
     };
-    let names = Names {
+    let names = DeploymentNames {
         groups: vec!["look".into()],
         idempotency_keyed: vec![false],
         tenants: Vec::new(),
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -10,9 +10,11 @@
 use doortrack_fakes::cut_at;
 use doortrack_fakes::fixture::config;
 use doortrack_node::network::engine_protocol::{self, EngineMessage};
-use doortrack_node::network::listeners::{FIRST_KEY, Listeners};
+use doortrack_node::network::listeners::{FIRST_CONNECTION_KEY, Listeners};
 use doortrack_node::network::registry::{self, Registry};
-use doortrack_node::network::request::{self, Answer, Inbound, Names, RunOutput, Unreadable};
+use doortrack_node::network::request::{
+    self, Answer, DecodedRequest, DeploymentNames, RunOutput, Unreadable,
+};
 use doortrack_node::network::termination::{Outcome, Termination};
 use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
 use doortrack_node::state::results::{NoResult, Repeats, Results, StoredResult};
@@ -201,8 +203,8 @@
     assert!(fastcgi::read_variables(&[0x80, 0, 0]).is_err());
 }
 
-fn names() -> Names {
-    Names {
+fn names() -> DeploymentNames {
+    DeploymentNames {
         groups: vec!["look".into(), "pay".into()],
         idempotency_keyed: vec![false, true],
         tenants: vec!["one".into()],
@@ -221,13 +223,13 @@
     ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
 ];
 
-fn read(fields: &[(&str, &str)]) -> Result<Inbound, Unreadable> {
+fn read(fields: &[(&str, &str)]) -> Result<DecodedRequest, Unreadable> {
     request::read(Protocol::FastCgi, &pairs(fields, false), &names())
 }
 
 #[test]
 fn a_request_is_read_with_its_fields() {
-    let Ok(Inbound::Request(request)) = read(&FIELDS) else {
+    let Ok(DecodedRequest::Request(request)) = read(&FIELDS) else {
         panic!("not read")
     };
     assert_eq!((request.group, request.tenant, request.caller), (1, 0, 4));
@@ -247,7 +249,7 @@
         ("HTTP_X_OBJECT", "7f3a9c21e0b4d655"),
         ("HTTP_X_NEW", "passed over"),
     ]);
-    let Ok(Inbound::Request(request)) = read(&look) else {
+    let Ok(DecodedRequest::Request(request)) = read(&look) else {
         panic!("not read")
     };
     assert_eq!(
@@ -256,11 +258,13 @@
     );
     assert_eq!(
         read(&[("SCRIPT_NAME", "/status/live")]),
-        Ok(Inbound::Health)
+        Ok(DecodedRequest::HealthCheck)
     );
     // Found on a long day: numbers of fronts are always new, and past 65,535 all were turned away.
     look[4].1 = "18446744073709551615";
-    assert!(matches!(read(&look), Ok(Inbound::Request(request)) if request.caller == u64::MAX));
+    assert!(
+        matches!(read(&look), Ok(DecodedRequest::Request(request)) if request.caller == u64::MAX)
+    );
 }
 
 #[test]
@@ -391,7 +395,7 @@
     for end in [
         Termination::Aborted,
         Termination::Reset,
-        Termination::Unread,
+        Termination::UnreadAnswers,
         Termination::Shutdown,
     ] {
         assert_eq!(end.outcome(), Outcome::CallerGone);
@@ -447,7 +451,7 @@
     let (batch, mut front_events, mut events) = (empty.repeat(200), Vec::new(), Events::new());
     for _ in 0..turns {
         // Who sends what can't be read is read again after a sweep.
-        fronts.close_idle(0, &mut front_events);
+        fronts.sweep(0, &mut front_events);
         fronts.flush(0, &mut front_events);
         _ = deaf.write(&batch);
         sound.write_all(&empty).unwrap();
@@ -458,7 +462,7 @@
             fronts.accept(0, 0, &mut front_events);
             events
                 .iter()
-                .filter(|e| e.key >= FIRST_KEY)
+                .filter(|e| e.key >= FIRST_CONNECTION_KEY)
                 .for_each(|e| fronts.on_event(e, 0, &mut front_events));
             fronts.flush(0, &mut front_events);
         }
@@ -526,14 +530,17 @@
             Some(Duration::from_millis(20))
         };
         poller.wait(&mut events, waits).unwrap();
-        assert_eq!(events.iter().any(|e| e.key >= FIRST_KEY), answered == 1);
-        fronts.close_idle(0, &mut front_events);
+        assert_eq!(
+            events.iter().any(|e| e.key >= FIRST_CONNECTION_KEY),
+            answered == 1
+        );
+        fronts.sweep(0, &mut front_events);
         fronts.flush(0, &mut front_events);
         events.clear();
         poller.wait(&mut events, None).unwrap();
         events
             .iter()
-            .filter(|e| e.key >= FIRST_KEY)
+            .filter(|e| e.key >= FIRST_CONNECTION_KEY)
             .for_each(|e| fronts.on_event(e, 0, &mut front_events));
         fronts.flush(0, &mut front_events);
         assert!(bad.read(&mut answer).unwrap() > 0);
