--- a/crates/fault-harness/src/scale/hollow.rs
+++ b/crates/fault-harness/src/scale/hollow.rs
@@ -16,7 +16,7 @@
 
 use doortrack_fakes::unix_ms;
 use doortrack_membership::Change;
-use doortrack_node::peers::{Peers, Registration, Tap};
+use doortrack_node::peers::{PeerLink, PollerRegistration, TestHook};
 use doortrack_node::subsystem::{AdmissionRequest, PermitOutcome, Subsystem};
 use doortrack_time::TenthMillis;
 use polling::{Event, Events, PollMode, Poller};
@@ -51,8 +51,8 @@
     shared: Rc<RefCell<Shared>>,
 }
 
-impl Tap for HollowTap {
-    fn passes(&self, other: SocketAddr) -> bool {
+impl TestHook for HollowTap {
+    fn allows(&self, other: SocketAddr) -> bool {
         let parted = &self.shared.borrow().parted;
         if parted.is_empty() {
             return true;
@@ -61,7 +61,7 @@
         other.is_none_or(|other| parted.contains(&other) == parted.contains(&self.node))
     }
 
-    fn learned(&mut self, change: &Change) {
+    fn on_change(&mut self, change: &Change) {
         if let Change::Dead { name, .. } = change {
             let loss = Loss {
                 by: self.node,
@@ -77,7 +77,7 @@
 struct Slot {
     node: usize,
     /// None before its start and while it is killed.
-    peers: Option<Peers>,
+    peers: Option<PeerLink>,
     /// When it is to be looked at again, at the latest.
     due: Option<Instant>,
     /// When it next books a request on its budgets.
@@ -236,13 +236,13 @@
         let node = self.slots[place].node;
         let (installation, orders) = self.plan.parsed(node)?;
         let fleet = installation.fleet.as_ref().ok_or(ScaleError::NoFleet)?;
-        let registration = Registration {
+        let registration = PollerRegistration {
             poller: &self.poller,
             key: place + FIRST_NODE_KEY,
         };
         let log = Logger::root(Discard, o!());
         let key = Some(FLEET_KEY);
-        let mut peers = Peers::open(
+        let mut peers = PeerLink::open(
             &installation,
             fleet,
             key,
@@ -252,7 +252,7 @@
             log,
         )?;
         let (plan, shared) = (self.plan.clone(), self.shared.clone());
-        peers.set_tap(Box::new(HollowTap { node, plan, shared }));
+        peers.set_test_hook(Box::new(HollowTap { node, plan, shared }));
         let books = self.plan.uses_per_second > 0 && !self.plan.is_voter(node);
         let slot = &mut self.slots[place];
         slot.peers = Some(peers);
@@ -332,7 +332,7 @@
 }
 
 /// Books one request as a caller's would be: on the group's budget, and on one tenant's.
-fn book_one(peers: &mut Peers, tenants: usize) {
+fn book_one(peers: &mut PeerLink, tenants: usize) {
     let tenant = if tenants == 0 {
         u16::MAX
     } else {
@@ -347,7 +347,7 @@
     }
 }
 
-fn sample(node: usize, peers: &Peers) -> NodeSample {
+fn sample(node: usize, peers: &PeerLink) -> NodeSample {
     let (counts, fleet) = (peers.counts(), peers.fleet());
     NodeSample {
         node,
--- a/crates/fault-harness/src/scale/serving.rs
+++ b/crates/fault-harness/src/scale/serving.rs
@@ -8,8 +8,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+use doortrack_node::peers::datagram_codec::{DatagramCodec, MAX_DATAGRAM_LEN};
 use doortrack_node::peers::peer_message::{PeerMessage, StatusQuery};
-use doortrack_node::peers::seal::{MAX_DATAGRAM_LEN, Seal};
 use serde_json::{Value, json};
 
 use super::error::ScaleError;
@@ -184,14 +184,14 @@
 
 /// Asks for the first page alone, which tells the digest of the whole view.
 fn view_of(address: SocketAddr) -> io::Result<Option<ViewSeen>> {
-    let seal = Seal::new(Some(FLEET_KEY), "");
+    let seal = DatagramCodec::new(Some(FLEET_KEY), "");
     let socket = UdpSocket::bind("127.0.0.1:0")?;
     socket.set_read_timeout(Some(PATIENCE))?;
     let mut bytes = [0; MAX_DATAGRAM_LEN];
     for _ in 0..TRIES {
         let nonce = fastrand::u64(..);
         let question = seal
-            .seal(&PeerMessage::StatusQuery(StatusQuery {
+            .encode(&PeerMessage::StatusQuery(StatusQuery {
                 nonce,
                 after: None,
             }))
@@ -200,7 +200,7 @@
         let Ok((len, _)) = socket.recv_from(&mut bytes) else {
             continue;
         };
-        if let Ok(PeerMessage::Status(status)) = seal.open(&bytes[..len])
+        if let Ok(PeerMessage::Status(status)) = seal.decode(&bytes[..len])
             && status.nonce == nonce
         {
             return Ok(Some(ViewSeen {
--- a/crates/fault-harness/src/simulated/world.rs
+++ b/crates/fault-harness/src/simulated/world.rs
@@ -6,8 +6,8 @@
     Action, Change, Datagram, Event, Fleet, Incarnation, MemberReport, MemberState, MemberUpdate,
     Parameters,
 };
+use doortrack_node::peers::datagram_codec::DatagramCodec;
 use doortrack_node::peers::peer_message::PeerMessage;
-use doortrack_node::peers::seal::Seal;
 use doortrack_simulation::{LinkModel, MachineClock, MachineId, Micros, Network, NetworkEvent};
 
 use super::{Cost, Options};
@@ -34,7 +34,7 @@
     fleets: Vec<Option<Fleet>>,
     seeds: Vec<SocketAddr>,
     options: Options,
-    seal: Seal,
+    seal: DatagramCodec,
     seed: u64,
     history: History,
     cost: Cost,
@@ -87,7 +87,7 @@
             fleets: (0..script.nodes).map(|_| None).collect(),
             seeds: (0..script.nodes.min(SEEDS)).map(address).collect(),
             options: options.clone(),
-            seal: Seal::new(None, "simulated"),
+            seal: DatagramCodec::new(None, "simulated"),
             seed: script.seed,
             history: History {
                 nodes: script.nodes,
@@ -192,7 +192,7 @@
             return;
         };
         if self.options.count_bytes {
-            let sealed = self.seal.seal(&PeerMessage::Fleet(datagram.clone()));
+            let sealed = self.seal.encode(&PeerMessage::Membership(datagram.clone()));
             self.cost.bytes += sealed.map_or(0, |bytes| bytes.len() as u64) + HEADER_BYTES;
         }
         self.network.send(node, receiver, datagram);
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -18,8 +18,8 @@
 };
 use doortrack_node::network::connection::{Connection, PendingRequest};
 use doortrack_node::network::request::RunOutput;
-use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
-use doortrack_node::state::results::Results;
+use doortrack_node::state::in_flight::{InFlightRequest, InFlightTable, Stage};
+use doortrack_node::state::results::ResultTable;
 use doortrack_routes::{GroupName, Names, Rule, Table};
 
 /// Counts the bytes that a thread has taken and not given back.
@@ -79,7 +79,7 @@
         body: b"done",
     };
     let bytes = bytes_each(COUNT, || {
-        let mut results = Results::new(COUNT, usize::MAX, 10_000);
+        let mut results = ResultTable::new(COUNT, usize::MAX, 10_000);
         for nth in 0..COUNT {
             let mut key = [0; 32];
             key[..8].copy_from_slice(&nth.to_le_bytes());
@@ -105,7 +105,7 @@
         caller: None,
         stage: Stage::Queued,
         duplicate_of: None,
-        hold: Default::default(),
+        reservations: Default::default(),
     }
 }
 
@@ -113,7 +113,7 @@
 fn exchanges_in_hand_and_ended_tries_are_small() {
     const COUNT: usize = 10_000;
     let bytes = bytes_each(COUNT, || {
-        let mut exchanges = InFlight::default();
+        let mut exchanges = InFlightTable::default();
         (0..COUNT).for_each(|nth| _ = exchanges.insert(exchange(nth)));
         exchanges
     });
@@ -123,7 +123,7 @@
         600.0,
     );
     let bytes = bytes_each(COUNT, || {
-        let mut exchanges = InFlight::default();
+        let mut exchanges = InFlightTable::default();
         for nth in 0..COUNT {
             let id = exchanges.insert(exchange(nth)).unwrap();
             exchanges.remove(id).unwrap();
--- a/crates/node/src/commands/fleet/query.rs
+++ b/crates/node/src/commands/fleet/query.rs
@@ -7,8 +7,8 @@
 
 use doortrack_membership::{MemberReport, Name};
 
+use crate::peers::datagram_codec::{DatagramCodec, MAX_DATAGRAM_LEN};
 use crate::peers::peer_message::{BudgetPage, BudgetStatus, PeerMessage, Status, StatusQuery};
-use crate::peers::seal::{MAX_DATAGRAM_LEN, Seal};
 
 /// How long one answer is waited for.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
@@ -99,7 +99,7 @@
 /// A socket on which one node is queried.
 struct Client {
     socket: UdpSocket,
-    seal: Seal,
+    codec: DatagramCodec,
     peer: SocketAddr,
 }
 
@@ -125,13 +125,13 @@
             .map_err(failed)?;
         Ok(Client {
             socket,
-            seal: Seal::new(key, ""),
+            codec: DatagramCodec::new(key, ""),
             peer,
         })
     }
 
     fn send(&self, query: &PeerMessage) -> Result<(), QueryError> {
-        let datagram = self.seal.seal(query).ok_or(QueryError::NameTooLong)?;
+        let datagram = self.codec.encode(query).ok_or(QueryError::NameTooLong)?;
         let peer = self.peer;
         self.socket
             .send_to(&datagram, peer)
@@ -144,8 +144,8 @@
         let Ok((len, _)) = self.socket.recv_from(&mut bytes) else {
             return Received::Nothing;
         };
-        self.seal
-            .open(&bytes[..len])
+        self.codec
+            .decode(&bytes[..len])
             .map_or(Received::Unreadable, Received::Message)
     }
 
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -38,8 +38,8 @@
 use crate::network::backend::{Backend, BackendEvent};
 use crate::network::listeners::{FIRST_KEY, LISTEN_KEY, ListenerEvent, Listeners};
 use crate::network::registry::Registry;
-use crate::state::in_flight::InFlight;
-use crate::state::results::Results;
+use crate::state::in_flight::InFlightTable;
+use crate::state::results::ResultTable;
 use crate::subsystem::{SUBSYSTEM_KEYS, Subsystem};
 use crate::system::clock::Clock;
 use crate::system::signals::{DRAIN_KEY, RELOAD_KEY, Signals};
@@ -67,8 +67,8 @@
     backend_events: Vec<BackendEvent>,
     registry: Registry,
     admission: AdmissionDriver,
-    in_flight: InFlight,
-    results: Results,
+    in_flight: InFlightTable,
+    results: ResultTable,
     timers: Timers,
     gauges: GaugeReadings,
     /// When connections and results are next checked for expiry.
--- a/crates/node/src/event_loop/actions.rs
+++ b/crates/node/src/event_loop/actions.rs
@@ -84,7 +84,7 @@
         let idempotent = self.config.is_idempotent(request.group);
         let group_name = &self.config.group_names_json[usize::from(request.group)];
         // The run itself uses up the reservation, at once.
-        let reserved = std::mem::take(&mut request.hold.admission);
+        let reserved = std::mem::take(&mut request.reservations.admission);
         self.backend.release(request.pool, reserved);
         let sent = self
             .backend
--- a/crates/node/src/event_loop/admission_driver.rs
+++ b/crates/node/src/event_loop/admission_driver.rs
@@ -5,7 +5,7 @@
 use doortrack_admission::{Action, AdmissionController, Event};
 use doortrack_time::TenthMillis;
 
-use crate::state::results::Key;
+use crate::state::results::DedupKey;
 
 /// Batches events for the admission controller, which does no I/O of its own.
 #[derive(Default)]
@@ -14,7 +14,7 @@
     controller: Option<AdmissionController>,
     batch: Vec<Event>,
     /// Idempotency keys of the requests in the batch.
-    batch_keys: HashSet<Key>,
+    batch_keys: HashSet<DedupKey>,
 }
 
 impl AdmissionDriver {
@@ -37,7 +37,7 @@
     }
 
     /// Notes the idempotency key of a request in the batch; whether the batch has no other with this key.
-    pub(super) fn insert_key(&mut self, key: Key) -> bool {
+    pub(super) fn insert_key(&mut self, key: DedupKey) -> bool {
         self.batch_keys.insert(key)
     }
 
--- a/crates/node/src/event_loop/arrivals.rs
+++ b/crates/node/src/event_loop/arrivals.rs
@@ -6,8 +6,8 @@
 use super::Node;
 use crate::network::listeners::{Caller, ListenerEvent, RawVariables};
 use crate::network::request::{Answer, IncomingRequest, RunOutput, Unreadable};
-use crate::state::in_flight::{Hold, InFlightRequest, Stage};
-use crate::state::results::{Key, Repeats};
+use crate::state::in_flight::{InFlightRequest, Reservations, Stage};
+use crate::state::results::{DedupKey, DuplicateCheck};
 use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome};
 
 impl Node {
@@ -60,13 +60,13 @@
     ) {
         let pool = request.pool.map_or(0, |index| index + 1);
         // A duplicate takes the result of the original: it uses nothing more.
-        let (hold, retry_after) = match duplicate_of {
+        let (reservations, retry_after) = match duplicate_of {
             None => self.reserve(AdmissionRequest {
                 group: request.group,
                 tenant: request.tenant,
                 pool,
             }),
-            Some(_) => (Hold::default(), None),
+            Some(_) => (Reservations::default(), None),
         };
         let entry = InFlightRequest {
             attempt_id: request.attempt_id,
@@ -79,10 +79,10 @@
             caller: Some(caller),
             stage: Stage::Queued,
             duplicate_of,
-            hold,
+            reservations,
         };
         let Some(id) = self.in_flight.insert(entry) else {
-            self.release_unused(pool, hold);
+            self.release_unused(pool, reservations);
             let same_id = Answer::Unreadable(Unreadable::Field("HTTP_X_REQUEST_ID"));
             return self.listeners.answer(caller, same_id);
         };
@@ -92,7 +92,7 @@
 
     /// Has the batch decided first if it holds a request with the same key, so that the duplicate sees what
     /// became of that one.
-    fn decide_before_duplicate(&mut self, key: Option<Key>) {
+    fn decide_before_duplicate(&mut self, key: Option<DedupKey>) {
         if let Some(key) = key
             && !self.admission.insert_key(key)
         {
@@ -108,16 +108,19 @@
     /// request that has run is never refused.
     fn find_original(
         &self,
-        key: Option<Key>,
+        key: Option<DedupKey>,
         body: &[u8],
         arrived_at: TenthMillis,
     ) -> Result<Option<RequestId>, Answer<'static>> {
         let Some(key) = key else { return Ok(None) };
-        match self.results.repeats(&key, body, arrived_at.min(self.now)) {
-            Repeats::Nothing => Ok(None),
-            Repeats::Request(original) => Ok(Some(original)),
-            Repeats::TableFull => Err(Answer::NoCapacity),
-            Repeats::OtherBody => Err(Answer::Unreadable(Unreadable::Field(
+        match self
+            .results
+            .check_duplicate(&key, body, arrived_at.min(self.now))
+        {
+            DuplicateCheck::FirstUse => Ok(None),
+            DuplicateCheck::Duplicate(original) => Ok(Some(original)),
+            DuplicateCheck::TableFull => Err(Answer::NoCapacity),
+            DuplicateCheck::BodyMismatch => Err(Answer::Unreadable(Unreadable::Field(
                 "HTTP_IDEMPOTENCY_KEY",
             ))),
         }
@@ -125,12 +128,12 @@
 
     /// Reserves what a request needs of its pool's servers and of the fleet's budgets, or says how long its
     /// caller is to wait before a retry.
-    fn reserve(&mut self, request: AdmissionRequest) -> (Hold, Option<TenthMillis>) {
+    fn reserve(&mut self, request: AdmissionRequest) -> (Reservations, Option<TenthMillis>) {
         let admission = match self.backend.admit(request.pool, self.now) {
             Ok(admission) => admission,
-            Err(retry_after) => return (Hold::default(), Some(retry_after)),
+            Err(retry_after) => return (Reservations::default(), Some(retry_after)),
         };
-        let mut hold = Hold {
+        let mut reservations = Reservations {
             permit: Permit::default(),
             admission,
         };
@@ -138,20 +141,20 @@
             match subsystem.admit(request) {
                 // One subsystem at the most has budgets.
                 Ok(permit) if permit == Permit::default() => {}
-                Ok(permit) => hold.permit = permit,
+                Ok(permit) => reservations.permit = permit,
                 Err(retry_after) => {
-                    self.release_unused(request.pool, hold);
-                    return (Hold::default(), Some(retry_after));
+                    self.release_unused(request.pool, reservations);
+                    return (Reservations::default(), Some(retry_after));
                 }
             }
         }
-        (hold, None)
+        (reservations, None)
     }
 
     /// Releases what a request holds that will not be run.
-    pub(super) fn release_unused(&mut self, pool: u16, hold: Hold) {
-        self.release_permit(hold.permit, PermitOutcome::Unused);
-        self.backend.release(pool, hold.admission);
+    pub(super) fn release_unused(&mut self, pool: u16, reservations: Reservations) {
+        self.release_permit(reservations.permit, PermitOutcome::Unused);
+        self.backend.release(pool, reservations.admission);
     }
 
     pub(super) fn release_permit(&mut self, permit: Permit, outcome: PermitOutcome) {
--- a/crates/node/src/event_loop/completions.rs
+++ b/crates/node/src/event_loop/completions.rs
@@ -104,7 +104,7 @@
             return;
         }
         if let Some(request) = self.in_flight.remove(id) {
-            self.release_unused(request.pool, request.hold);
+            self.release_unused(request.pool, request.reservations);
         }
         self.results.forget(id);
         self.settle(id);
@@ -115,13 +115,14 @@
         let Some(request) = self.in_flight.remove(id) else {
             return;
         };
-        self.backend.release(request.pool, request.hold.admission);
+        self.backend
+            .release(request.pool, request.reservations.admission);
         let permit_outcome = match outcome {
             RunOutcome::Completed => PermitOutcome::RunEnded,
             RunOutcome::Failed | RunOutcome::Cancelled => PermitOutcome::MayStillRun,
             RunOutcome::NotStarted => PermitOutcome::Unused,
         };
-        self.release_permit(request.hold.permit, permit_outcome);
+        self.release_permit(request.reservations.permit, permit_outcome);
         self.admission.push(Event::RunEnded { id, outcome });
         if let Some(caller) = request.caller {
             self.answer_with_run(caller, outcome, output);
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -31,9 +31,9 @@
 use crate::network::registry::Registry;
 use crate::network::request::Names;
 use crate::network::servers::Servers;
-use crate::peers::{KEY, Peers, Registration};
-use crate::state::in_flight::InFlight;
-use crate::state::results::Results;
+use crate::peers::{POLLER_KEY, PeerLink, PollerRegistration};
+use crate::state::in_flight::InFlightTable;
+use crate::state::results::ResultTable;
 use crate::subsystem::Subsystem;
 use crate::system::addresses::once_free;
 use crate::system::clock::Clock;
@@ -58,7 +58,7 @@
     listeners: Listeners,
     registry: Registry,
     subsystems: Vec<Box<dyn Subsystem>>,
-    results: Results,
+    results: ResultTable,
 }
 
 /// What everything is opened from.
@@ -91,7 +91,7 @@
             listeners,
             registry,
             subsystems,
-            results: Results::new(entries, bytes, self.longest_deadline),
+            results: ResultTable::new(entries, bytes, self.longest_deadline),
         })
     }
 
@@ -182,11 +182,11 @@
         };
         let folder = self.installation_path.and_then(Path::parent);
         let key = fleet.key(folder.unwrap_or(Path::new("")))?;
-        let registration = Registration {
+        let registration = PollerRegistration {
             poller: self.poller,
-            key: KEY,
+            key: POLLER_KEY,
         };
-        let peers = Peers::open(
+        let peers = PeerLink::open(
             self.installation,
             fleet,
             key,
@@ -276,7 +276,7 @@
             backend_events: Vec::new(),
             registry: opened.registry,
             admission: AdmissionDriver::default(),
-            in_flight: InFlight::default(),
+            in_flight: InFlightTable::default(),
             results: opened.results,
             timers: Timers::default(),
             gauges: GaugeReadings::default(),
--- a/crates/node/src/event_loop/summary.rs
+++ b/crates/node/src/event_loop/summary.rs
@@ -63,7 +63,7 @@
         self.log_node();
         self.summaries.slowest = Slowest::default();
         for subsystem in &self.subsystems {
-            subsystem.summary(&self.log);
+            subsystem.log_state(&self.log);
         }
         if let Backend::Servers(pools) = &self.backend {
             for (name, servers) in pools {
--- a/crates/node/src/peers/seal.rs
+++ b/crates/node/src/peers/datagram_codec.rs
@@ -19,14 +19,14 @@
 
 /// Seals and opens the datagrams of one fleet.
 #[derive(Clone)]
-pub struct Seal {
+pub struct DatagramCodec {
     key: [u8; 32],
     fleet: String,
 }
 
 /// Why a datagram was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum DatagramError {
     /// Of another version of the program, which is given.
     Version(u8),
     /// Corrupted, or sealed with another key.
@@ -37,32 +37,32 @@
     Unreadable,
 }
 
-impl Refused {
+impl DatagramError {
     /// Its name in counters.
     pub fn name(self) -> &'static str {
         match self {
-            Refused::Version(_) => "version",
-            Refused::Hash => "hash",
-            Refused::Fleet => "fleet",
-            Refused::Unreadable => "unreadable",
+            DatagramError::Version(_) => "version",
+            DatagramError::Hash => "hash",
+            DatagramError::Fleet => "fleet",
+            DatagramError::Unreadable => "unreadable",
         }
     }
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for DatagramError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::Version(version) => {
+            DatagramError::Version(version) => {
                 write!(f, "speaks version {version}, this build {VERSION}")
             }
-            Refused::Hash => f.write_str("garbled, or sealed with another key"),
-            Refused::Fleet => f.write_str("of another fleet"),
-            Refused::Unreadable => f.write_str("no message"),
+            DatagramError::Hash => f.write_str("garbled, or sealed with another key"),
+            DatagramError::Fleet => f.write_str("of another fleet"),
+            DatagramError::Unreadable => f.write_str("no message"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for DatagramError {}
 
 #[derive(Serialize, Deserialize)]
 struct Body<'a, T> {
@@ -71,14 +71,14 @@
     message: T,
 }
 
-impl Seal {
+impl DatagramCodec {
     /// The seal of the fleet `name`; an empty name for status queries.
-    pub fn new(key: Option<[u8; 32]>, name: &str) -> Seal {
+    pub fn new(key: Option<[u8; 32]>, name: &str) -> DatagramCodec {
         let key = blake3::derive_key(
             "doortrack 2026-12 fleet datagrams",
             &key.unwrap_or_default(),
         );
-        Seal {
+        DatagramCodec {
             key,
             fleet: name.to_string(),
         }
@@ -93,7 +93,7 @@
     }
 
     /// Encodes and seals a message; `None` if the datagram would be longer than [`MAX_DATAGRAM_LEN`].
-    pub fn seal(&self, message: &PeerMessage) -> Option<Vec<u8>> {
+    pub fn encode(&self, message: &PeerMessage) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(&Body {
             fleet: &self.fleet,
             message,
@@ -110,23 +110,25 @@
     ///
     /// # Errors
     /// Why it is refused. The version is checked first, as other versions may have another layout.
-    pub fn open(&self, datagram: &[u8]) -> Result<PeerMessage, Refused> {
-        let (version, rest) = datagram.split_first().ok_or(Refused::Unreadable)?;
+    pub fn decode(&self, datagram: &[u8]) -> Result<PeerMessage, DatagramError> {
+        let (version, rest) = datagram.split_first().ok_or(DatagramError::Unreadable)?;
         if *version != VERSION {
-            return Err(Refused::Version(*version));
+            return Err(DatagramError::Version(*version));
         }
-        let (hash, body) = rest.split_at_checked(HASH_LEN).ok_or(Refused::Unreadable)?;
+        let (hash, body) = rest
+            .split_at_checked(HASH_LEN)
+            .ok_or(DatagramError::Unreadable)?;
         // Compared in constant time.
         let difference = hash
             .iter()
             .zip(self.hash(*version, body))
             .fold(0, |difference, (a, b)| difference | (a ^ b));
         if difference != 0 {
-            return Err(Refused::Hash);
+            return Err(DatagramError::Hash);
         }
         // Fields that a later build of this version adds at the end are ignored.
         let (body, _) = postcard::take_from_bytes::<Body<PeerMessage>>(body)
-            .map_err(|_| Refused::Unreadable)?;
+            .map_err(|_| DatagramError::Unreadable)?;
         let is_query = body.fleet.is_empty()
             && matches!(
                 body.message,
@@ -136,7 +138,7 @@
         if body.fleet == self.fleet || is_query || is_answer {
             Ok(body.message)
         } else {
-            Err(Refused::Fleet)
+            Err(DatagramError::Fleet)
         }
     }
 }
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -21,15 +21,15 @@
 use doortrack_time::{MICROSECONDS_PER_UNIT, TenthMillis};
 use slog::{Logger, info};
 
-pub use self::socket::{Counts, Registration, Tap};
+pub use self::socket::{DatagramCounts, PollerRegistration, TestHook};
 use self::socket::{Received, SealedSocket};
 use super::budgets::FleetBudgets;
+use super::datagram_codec::DatagramCodec;
 use super::peer_message::PeerMessage;
-use super::seal::Seal;
 use crate::subsystem::SUBSYSTEM_KEYS;
 
 /// The poller's key of the link in a node's own loop.
-pub const KEY: usize = SUBSYSTEM_KEYS.start;
+pub const POLLER_KEY: usize = SUBSYSTEM_KEYS.start;
 
 /// The link's monotonic clock, which does not follow the system clock.
 #[derive(Clone, Copy)]
@@ -66,7 +66,7 @@
 }
 
 /// The link, with the decisions on membership and budgets.
-pub struct Peers {
+pub struct PeerLink {
     socket: SealedSocket,
     log: Logger,
     zero: Instant,
@@ -84,7 +84,7 @@
     deferred_turns: u32,
 }
 
-impl Peers {
+impl PeerLink {
     /// Opens the link that the operators' file configures. `unix_ms` is the start time of this process.
     ///
     /// # Errors
@@ -95,10 +95,10 @@
         key: Option<[u8; 32]>,
         config: &NodeConfig,
         unix_ms: u64,
-        registration: Registration,
+        registration: PollerRegistration,
         log: Logger,
-    ) -> Result<Peers, OpenLinkError> {
-        let seal = Seal::new(key, &fleet_config.name);
+    ) -> Result<PeerLink, OpenLinkError> {
+        let seal = DatagramCodec::new(key, &fleet_config.name);
         let socket =
             SealedSocket::bind(fleet_config.listen, registration, seal).map_err(|source| {
                 OpenLinkError {
@@ -123,7 +123,7 @@
             incarnation: me.incarnation,
         };
         let budgets = FleetBudgets::open(fleet_config, installation, config, id);
-        let mut peers = Peers {
+        let mut peers = PeerLink {
             socket,
             log,
             zero,
@@ -140,12 +140,12 @@
     }
 
     /// Puts a test's tap between this link and its network.
-    pub fn set_tap(&mut self, tap: Box<dyn Tap>) {
-        self.socket.tap = Some(tap);
+    pub fn set_test_hook(&mut self, test_hook: Box<dyn TestHook>) {
+        self.socket.test_hook = Some(test_hook);
     }
 
     /// Counts of the link's datagrams.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &DatagramCounts {
         &self.socket.counts
     }
 
@@ -184,7 +184,7 @@
 
     fn handle(&mut self, from: SocketAddr, message: PeerMessage) {
         match message {
-            PeerMessage::Fleet(datagram) => {
+            PeerMessage::Membership(datagram) => {
                 self.fleet.handle(
                     self.now(),
                     Event::Received { from, datagram },
@@ -215,11 +215,11 @@
     fn execute_actions(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::Send { to, datagram } => self.send(to, &PeerMessage::Fleet(*datagram)),
+                Action::Send { to, datagram } => self.send(to, &PeerMessage::Membership(*datagram)),
                 Action::Report(change) => {
                     self.log(&change);
-                    if let Some(tap) = &mut self.socket.tap {
-                        tap.learned(&change);
+                    if let Some(test_hook) = &mut self.socket.test_hook {
+                        test_hook.on_change(&change);
                     }
                     if matches!(change, Change::Superseded { .. }) {
                         self.handle_budget_event(doortrack_budgets::Event::Superseded);
--- a/crates/node/src/peers/link/budget_actions.rs
+++ b/crates/node/src/peers/link/budget_actions.rs
@@ -3,10 +3,10 @@
 
 use doortrack_budgets::{Action, Envelope, Event, NodeId};
 
-use super::Peers;
+use super::PeerLink;
 use crate::peers::peer_message::PeerMessage;
 
-impl Peers {
+impl PeerLink {
     /// Hands an event to the decisions on budgets and executes the actions that follow.
     pub(super) fn handle_budget_event(&mut self, event: Event) {
         let now = self.now();
--- a/crates/node/src/peers/link/logging.rs
+++ b/crates/node/src/peers/link/logging.rs
@@ -6,16 +6,16 @@
 use doortrack_time::TenthMillis;
 use slog::{info, warn};
 
-use super::Peers;
-use crate::peers::seal::Refused;
+use super::PeerLink;
+use crate::peers::datagram_codec::DatagramError;
 
 /// Interval between two log lines of one kind about unknown peers, in tenths of a ms.
 const REFUSAL_LOG_INTERVAL: TenthMillis = 600_000;
 
-impl Peers {
+impl PeerLink {
     /// Counts a datagram that was refused, and logs the first of its kind in each interval: a flood must not
     /// fill the log.
-    pub(super) fn refuse(&mut self, refused: Refused, from: SocketAddr) {
+    pub(super) fn refuse(&mut self, refused: DatagramError, from: SocketAddr) {
         let name = refused.name();
         *self.socket.counts.refused.entry(name).or_default() += 1;
         let now = self.now();
--- a/crates/node/src/peers/link/socket.rs
+++ b/crates/node/src/peers/link/socket.rs
@@ -8,13 +8,13 @@
 use doortrack_membership::Change;
 use polling::{Event, PollMode, Poller};
 
+use crate::peers::datagram_codec::{DatagramCodec, DatagramError, MAX_DATAGRAM_LEN};
 use crate::peers::peer_message::PeerMessage;
-use crate::peers::seal::{MAX_DATAGRAM_LEN, Refused, Seal};
 use crate::system::addresses::once_free;
 
 /// Counts of datagrams and their bytes, without IP and UDP headers.
 #[derive(Clone, Debug, Default)]
-pub struct Counts {
+pub struct DatagramCounts {
     /// Datagrams received.
     pub received: u64,
     /// Their bytes.
@@ -31,7 +31,7 @@
 
 /// The poller that watches a link, and the link's key: several links of one process have a key each.
 #[derive(Clone, Copy)]
-pub struct Registration<'a> {
+pub struct PollerRegistration<'a> {
     /// The poller.
     pub poller: &'a Arc<Poller>,
     /// The link's key in it.
@@ -39,12 +39,12 @@
 }
 
 /// What a test puts between a link and its network.
-pub trait Tap {
+pub trait TestHook {
     /// Whether datagrams to and from this address pass.
-    fn passes(&self, peer: SocketAddr) -> bool;
+    fn allows(&self, peer: SocketAddr) -> bool;
 
     /// What this node has learned of its fleet.
-    fn learned(&mut self, change: &Change);
+    fn on_change(&mut self, change: &Change);
 }
 
 /// The result of one read.
@@ -59,7 +59,7 @@
     },
     Refused {
         from: SocketAddr,
-        reason: Refused,
+        reason: DatagramError,
     },
 }
 
@@ -68,9 +68,9 @@
     socket: UdpSocket,
     poller: Arc<Poller>,
     pub(super) key: usize,
-    seal: Seal,
-    pub(super) tap: Option<Box<dyn Tap>>,
-    pub(super) counts: Counts,
+    codec: DatagramCodec,
+    pub(super) test_hook: Option<Box<dyn TestHook>>,
+    pub(super) counts: DatagramCounts,
 }
 
 impl SealedSocket {
@@ -80,21 +80,21 @@
     /// The address can't be bound, or the poller refuses the socket.
     pub(super) fn bind(
         address: SocketAddr,
-        registration: Registration,
-        seal: Seal,
+        registration: PollerRegistration,
+        codec: DatagramCodec,
     ) -> io::Result<Self> {
         let socket = once_free(|| UdpSocket::bind(address))?;
         socket.set_nonblocking(true)?;
-        let Registration { poller, key } = registration;
+        let PollerRegistration { poller, key } = registration;
         // SAFETY: the socket is taken out of the poller when it is dropped.
         unsafe { poller.add_with_mode(&socket, Event::readable(key), PollMode::Level)? };
-        let counts = Counts::default();
+        let counts = DatagramCounts::default();
         Ok(SealedSocket {
             socket,
             poller: poller.clone(),
             key,
-            seal,
-            tap: None,
+            codec,
+            test_hook: None,
             counts,
         })
     }
@@ -108,15 +108,15 @@
             // The fate of an earlier datagram is reported here, and says nothing of the next.
             Err(_) => return Received::Nothing,
         };
-        if !self.passes(from) {
+        if !self.allows(from) {
             return Received::Nothing;
         }
         self.counts.received += 1;
         self.counts.received_bytes += len as u64;
         let opened = if len > MAX_DATAGRAM_LEN {
-            Err(Refused::Unreadable)
+            Err(DatagramError::Unreadable)
         } else {
-            self.seal.open(&bytes[..len])
+            self.codec.decode(&bytes[..len])
         };
         match opened {
             Ok(message) => Received::Message { from, message },
@@ -126,10 +126,10 @@
 
     /// Seals and sends a message. A failure is counted, as the datagram may be lost on its way as well.
     pub(super) fn send(&mut self, to: SocketAddr, message: &PeerMessage) {
-        if !self.passes(to) {
+        if !self.allows(to) {
             return;
         }
-        let Some(datagram) = self.seal.seal(message) else {
+        let Some(datagram) = self.codec.encode(message) else {
             self.counts.unsent += 1;
             return;
         };
@@ -142,8 +142,10 @@
         }
     }
 
-    fn passes(&self, peer: SocketAddr) -> bool {
-        self.tap.as_ref().is_none_or(|tap| tap.passes(peer))
+    fn allows(&self, peer: SocketAddr) -> bool {
+        self.test_hook
+            .as_ref()
+            .is_none_or(|test_hook| test_hook.allows(peer))
     }
 }
 
--- a/crates/node/src/peers/link/status.rs
+++ b/crates/node/src/peers/link/status.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use super::Peers;
+use super::PeerLink;
 use crate::peers::peer_message::{BudgetPage, MEMBERS_PER_PAGE, PeerMessage, Status, StatusQuery};
 
-impl Peers {
+impl PeerLink {
     /// Answers with the node's own state and one page of its members.
     pub(super) fn answer_status(&mut self, query: StatusQuery, to: SocketAddr) {
         let (members, more) = self
--- a/crates/node/src/peers/link/subsystem.rs
+++ b/crates/node/src/peers/link/subsystem.rs
@@ -7,7 +7,7 @@
 use doortrack_upstream::TokenResponse;
 use slog::{Logger, info, warn};
 
-use super::Peers;
+use super::PeerLink;
 use crate::network::backend::{RetryGate, SlowStartTokens};
 use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome, Subsystem};
 
@@ -16,7 +16,7 @@
 /// Turns of the loop for which due timers wait for unread datagrams, so that a flood does not stop them.
 const MAX_DEFERRED_TURNS: u32 = 4;
 
-impl Subsystem for Peers {
+impl Subsystem for PeerLink {
     fn key(&self) -> usize {
         self.socket.key
     }
@@ -110,7 +110,7 @@
         }
     }
 
-    fn summary(&self, log: &Logger) {
+    fn log_state(&self, log: &Logger) {
         let counts = &self.socket.counts;
         let view = self.fleet.view();
         info!(log, "fleet summary"; "view" => view.number,
@@ -136,7 +136,7 @@
     )
 }
 
-impl Peers {
+impl PeerLink {
     /// Fires the timers of membership that are due. Unread datagrams arrived before them: an acknowledgement
     /// among those is not missing.
     fn tick_membership(&mut self, now: TenthMillis) {
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -2,8 +2,8 @@
 //! `doortrack-membership`, the division of budgets by `doortrack-budgets`.
 
 pub mod budgets;
+pub mod datagram_codec;
 mod link;
 pub mod peer_message;
-pub mod seal;
 
-pub use link::{Counts, KEY, OpenLinkError, Peers, Registration, Tap};
+pub use link::{DatagramCounts, OpenLinkError, POLLER_KEY, PeerLink, PollerRegistration, TestHook};
--- a/crates/node/src/peers/peer_message.rs
+++ b/crates/node/src/peers/peer_message.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// Of the membership protocol.
-    Fleet(Datagram),
+    Membership(Datagram),
     /// A query for a node's state and members.
     StatusQuery(StatusQuery),
     /// The answer to [`PeerMessage::StatusQuery`].
--- a/crates/node/src/state/in_flight.rs
+++ b/crates/node/src/state/in_flight.rs
@@ -7,7 +7,7 @@
 use doortrack_upstream::Admission;
 use rustc_hash::FxHashMap;
 
-use super::results::Key;
+use super::results::DedupKey;
 use crate::network::listeners::{Caller, RawVariables};
 use crate::network::request::AttemptId;
 use crate::subsystem::Permit;
@@ -51,7 +51,7 @@
     /// Index of its endpoint group.
     pub group: u8,
     /// By what a duplicate of it is known, if its group has idempotency keys.
-    pub key: Option<Key>,
+    pub key: Option<DedupKey>,
     /// When it arrived at the machine, on the Unix clock.
     pub arrived_at: TenthMillis,
     /// Its body.
@@ -67,12 +67,12 @@
     /// The request that it duplicates.
     pub duplicate_of: Option<RequestId>,
     /// What is reserved for it.
-    pub hold: Hold,
+    pub reservations: Reservations,
 }
 
 /// What a request holds until it ends, or until its run begins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Hold {
+pub struct Reservations {
     /// Units of the fleet's budgets, until it ends.
     pub permit: Permit,
     /// A reservation with its pool's servers, which its run uses up.
@@ -81,7 +81,7 @@
 
 /// The table of requests in flight.
 #[derive(Default)]
-pub struct InFlight {
+pub struct InFlightTable {
     /// The next id, unless it is in use.
     next_id: RequestId,
     by_id: FxHashMap<RequestId, InFlightRequest>,
@@ -93,7 +93,7 @@
     ended_order: VecDeque<AttemptId>,
 }
 
-impl InFlight {
+impl InFlightTable {
     /// Inserts a request under an id that is not in use; none if its attempt has been seen before.
     pub fn insert(&mut self, request: InFlightRequest) -> Option<RequestId> {
         let attempt = request.attempt_id;
--- a/crates/node/src/state/results.rs
+++ b/crates/node/src/state/results.rs
@@ -23,7 +23,7 @@
 const SPARE_CAPACITY: usize = 4;
 
 /// Index of the endpoint group, and the caller's idempotency key.
-pub type Key = (u8, IdempotencyKey);
+pub type DedupKey = (u8, IdempotencyKey);
 
 struct Entry {
     request: RequestId,
@@ -78,15 +78,15 @@
 
 /// What a request with an idempotency key is to those that came before.
 #[derive(Debug, PartialEq)]
-pub enum Repeats {
+pub enum DuplicateCheck {
     /// The first with its key.
-    Nothing,
+    FirstUse,
     /// A duplicate of this request.
-    Request(RequestId),
+    Duplicate(RequestId),
     /// The first with its key, without room for the entry by which its own duplicates would be known.
     TableFull,
     /// The key is in use for another body, whose result is not for this one.
-    OtherBody,
+    BodyMismatch,
 }
 
 /// What a duplicate may be answered with.
@@ -101,11 +101,11 @@
 }
 
 /// The results by idempotency key, bounded in entries and in bytes.
-pub struct Results {
-    entries: HashMap<Key, Entry>,
+pub struct ResultTable {
+    entries: HashMap<DedupKey, Entry>,
     /// Randomly keyed, so that nobody can craft a body with the hash of another.
     body_hasher: RandomState,
-    keys: FxHashMap<RequestId, Key>,
+    keys: FxHashMap<RequestId, DedupKey>,
     /// Bytes of all stored outputs.
     bytes: usize,
     max_entries: usize,
@@ -116,10 +116,10 @@
     cleaned_at: TenthMillis,
 }
 
-impl Results {
+impl ResultTable {
     /// An empty table.
     pub fn new(max_entries: usize, max_bytes: usize, longest_deadline: TenthMillis) -> Self {
-        Results {
+        ResultTable {
             entries: HashMap::default(),
             body_hasher: RandomState::default(),
             keys: FxHashMap::default(),
@@ -139,21 +139,26 @@
     /// What a request with this key and body repeats. The window counts from arrival to arrival, so it does
     /// not matter how late a duplicate is read. `arrived_at` must not be later than now: whatever another clock
     /// says, it came no later, and a duplicate within the window must not pass for a new request.
-    pub fn repeats(&self, key: &Key, body: &[u8], arrived_at: TenthMillis) -> Repeats {
+    pub fn check_duplicate(
+        &self,
+        key: &DedupKey,
+        body: &[u8],
+        arrived_at: TenthMillis,
+    ) -> DuplicateCheck {
         let Some(entry) = self.entries.get(key) else {
             return if self.entries.len() < self.max_entries {
-                Repeats::Nothing
+                DuplicateCheck::FirstUse
             } else {
-                Repeats::TableFull
+                DuplicateCheck::TableFull
             };
         };
         let within_window = arrived_at <= entry.window_ends.saturating_add(WINDOW_SLACK);
         if !within_window && entry.result.is_some() {
-            Repeats::Nothing
+            DuplicateCheck::FirstUse
         } else if entry.body_hash == self.body_hasher.hash_one(body) {
-            Repeats::Request(entry.request)
+            DuplicateCheck::Duplicate(entry.request)
         } else {
-            Repeats::OtherBody
+            DuplicateCheck::BodyMismatch
         }
     }
 
@@ -162,7 +167,7 @@
     pub fn record(
         &mut self,
         request: RequestId,
-        key: Key,
+        key: DedupKey,
         body: &[u8],
         arrived_at: TenthMillis,
         ttl: TenthMillis,
--- a/crates/node/src/subsystem.rs
+++ b/crates/node/src/subsystem.rs
@@ -84,5 +84,5 @@
     fn release(&mut self, _: Permit, _: PermitOutcome) {}
 
     /// Logs a line on its state; called at an interval.
-    fn summary(&self, log: &Logger);
+    fn log_state(&self, log: &Logger);
 }
--- a/crates/node/tests/fleet/encoding.rs
+++ b/crates/node/tests/fleet/encoding.rs
@@ -39,7 +39,7 @@
         digest: 0xfe,
         view: 6,
     };
-    PeerMessage::Fleet(Datagram {
+    PeerMessage::Membership(Datagram {
         head,
         message,
         updates,
--- a/crates/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/link.rs
@@ -13,8 +13,8 @@
     Action, Datagram, Event, Fleet, Head, Incarnation, MemberState, MemberUpdate, Message,
     Parameters,
 };
+use doortrack_node::peers::datagram_codec::{DatagramCodec, DatagramError};
 use doortrack_node::peers::peer_message::{MEMBERS_PER_PAGE, PeerMessage, Status};
-use doortrack_node::peers::seal::{Refused, Seal};
 use serde_json::{Value, json};
 
 use crate::program;
@@ -67,8 +67,8 @@
         message: Message::Join,
         updates: Vec::new(),
     };
-    Seal::new(key, fleet)
-        .seal(&PeerMessage::Fleet(datagram))
+    DatagramCodec::new(key, fleet)
+        .encode(&PeerMessage::Membership(datagram))
         .unwrap()
 }
 
@@ -110,28 +110,35 @@
 #[test]
 fn what_is_sealed_otherwise_is_told_apart() {
     let key = Some([0x5a; 32]);
-    let seal = Seal::new(key, "rig");
+    let seal = DatagramCodec::new(key, "rig");
     let whole = strange(key, "rig");
-    assert!(seal.open(&whole).is_ok());
-    let longer = Seal::new(key, "rig")
-        .seal(&seal.open(&whole).unwrap())
+    assert!(seal.decode(&whole).is_ok());
+    let longer = DatagramCodec::new(key, "rig")
+        .encode(&seal.decode(&whole).unwrap())
         .unwrap();
     assert_eq!(longer, whole, "the same each time");
-    assert_eq!(seal.open(&strange(None, "rig")), Err(Refused::Hash));
-    assert_eq!(seal.open(&strange(key, "other")), Err(Refused::Fleet));
+    assert_eq!(seal.decode(&strange(None, "rig")), Err(DatagramError::Hash));
+    assert_eq!(
+        seal.decode(&strange(key, "other")),
+        Err(DatagramError::Fleet)
+    );
     for place in 1..whole.len() {
         let mut garbled = whole.clone();
         garbled[place] ^= 1;
-        assert_eq!(seal.open(&garbled), Err(Refused::Hash), "byte {place}");
+        assert_eq!(
+            seal.decode(&garbled),
+            Err(DatagramError::Hash),
+            "byte {place}"
+        );
     }
     for len in 1..whole.len() {
-        assert!(seal.open(&whole[..len]).is_err(), "{len} bytes");
+        assert!(seal.decode(&whole[..len]).is_err(), "{len} bytes");
     }
     let mut other = whole;
     other[0] = 2;
-    assert_eq!(seal.open(&other), Err(Refused::Version(2)));
+    assert_eq!(seal.decode(&other), Err(DatagramError::Version(2)));
     assert_eq!(
-        Refused::Version(2).to_string(),
+        DatagramError::Version(2).to_string(),
         "speaks version 2, this build 1"
     );
 }
@@ -168,8 +175,8 @@
         message,
         updates,
     };
-    let seal = Seal::new(None, &"x".repeat(64));
-    assert!(seal.seal(&PeerMessage::Fleet(datagram)).is_some());
+    let seal = DatagramCodec::new(None, &"x".repeat(64));
+    assert!(seal.encode(&PeerMessage::Membership(datagram)).is_some());
     // So do the pages of a table of them, and the answers to those who ask.
     let mut fleet = Fleet::new(update(0), Parameters::default(), 1, 0);
     let mut out = Vec::new();
@@ -216,7 +223,7 @@
     assert!(full(|message| matches!(message, Message::Updates)));
     assert!(
         sent.into_iter()
-            .all(|datagram| seal.seal(&PeerMessage::Fleet(datagram)).is_some())
+            .all(|datagram| seal.encode(&PeerMessage::Membership(datagram)).is_some())
     );
     let (members, more) = fleet.report(None, MEMBERS_PER_PAGE, 0);
     let status = Status {
@@ -232,7 +239,11 @@
         members,
         more,
     };
-    assert!(more && seal.seal(&PeerMessage::Status(Box::new(status))).is_some());
+    assert!(
+        more && seal
+            .encode(&PeerMessage::Status(Box::new(status)))
+            .is_some()
+    );
 }
 
 /// Sockets of a process, and its threads.
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -14,8 +14,8 @@
 use doortrack_node::network::registry::{self, Registry};
 use doortrack_node::network::request::{self, Answer, Inbound, Names, RunOutput, Unreadable};
 use doortrack_node::network::termination::{Outcome, Termination};
-use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
-use doortrack_node::state::results::{NoResult, Repeats, Results, StoredResult};
+use doortrack_node::state::in_flight::{InFlightRequest, InFlightTable, Stage};
+use doortrack_node::state::results::{DuplicateCheck, NoResult, ResultTable, StoredResult};
 use doortrack_protocols::fastcgi::{self, RequestSplitter};
 use doortrack_protocols::{Protocol, RequestEvent};
 use doortrack_time::MILLISECOND;
@@ -564,7 +564,7 @@
 
 #[test]
 fn the_window_goes_from_stamp_to_stamp_however_late_a_repeat_is_read() {
-    let mut results = Results::new(10, 100, 4500 * MILLISECOND);
+    let mut results = ResultTable::new(10, 100, 4500 * MILLISECOND);
     let (stamp, window) = (1000 * MILLISECOND, 6000 * MILLISECOND);
     // Read 20 ms after it came, so 5980 ms of the window are left.
     results.record(
@@ -579,27 +579,27 @@
     results.complete(1, Ok(RunOutput::from(&b"done"[..])));
     results.remove_expired(stamp + window + 4000 * MILLISECOND);
     assert_eq!(
-        results.repeats(&KEY, b"", stamp + window),
-        Repeats::Request(1),
+        results.check_duplicate(&KEY, b"", stamp + window),
+        DuplicateCheck::Duplicate(1),
         "read 4 s after the window ran out"
     );
     assert_eq!(
-        results.repeats(&KEY, b"", stamp + window + 200 * MILLISECOND),
-        Repeats::Nothing,
+        results.check_duplicate(&KEY, b"", stamp + window + 200 * MILLISECOND),
+        DuplicateCheck::FirstUse,
         "it came after the window"
     );
     assert_eq!(
-        results.repeats(&(0, KEY.1), b"", stamp),
-        Repeats::Nothing,
+        results.check_duplicate(&(0, KEY.1), b"", stamp),
+        DuplicateCheck::FirstUse,
         "another endpoint group"
     );
     assert_eq!(
-        results.repeats(&KEY, b"another body", stamp),
-        Repeats::OtherBody
+        results.check_duplicate(&KEY, b"another body", stamp),
+        DuplicateCheck::BodyMismatch
     );
     assert_eq!(
-        results.repeats(&KEY, b"another body", stamp + window + 200 * MILLISECOND),
-        Repeats::Nothing
+        results.check_duplicate(&KEY, b"another body", stamp + window + 200 * MILLISECOND),
+        DuplicateCheck::FirstUse
     );
     assert_eq!(
         results.result(1),
@@ -607,41 +607,41 @@
     );
     results.remove_expired(stamp + window + 5000 * MILLISECOND);
     assert_eq!(
-        (results.repeats(&KEY, b"", stamp), results.bytes()),
-        (Repeats::Nothing, 0)
+        (results.check_duplicate(&KEY, b"", stamp), results.bytes()),
+        (DuplicateCheck::FirstUse, 0)
     );
 }
 
 #[test]
 fn one_in_hand_is_repeated_even_past_its_window() {
-    let mut results = Results::new(10, 100, 0);
+    let mut results = ResultTable::new(10, 100, 0);
     results.record(1, KEY, b"", 0, 10 * MILLISECOND, 0);
     results.remove_expired(60_000 * MILLISECOND);
     assert_eq!(
-        results.repeats(&KEY, b"", 60_000 * MILLISECOND),
-        Repeats::Request(1)
+        results.check_duplicate(&KEY, b"", 60_000 * MILLISECOND),
+        DuplicateCheck::Duplicate(1)
     );
 }
 
 #[test]
 fn results_keep_within_their_bytes_and_entries() {
-    let mut results = Results::new(3, 10, 0);
+    let mut results = ResultTable::new(3, 10, 0);
     for ex in 1..=3u32 {
         assert_eq!(
-            results.repeats(&(0, [ex as u8; 32]), b"", 0),
-            Repeats::Nothing
+            results.check_duplicate(&(0, [ex as u8; 32]), b"", 0),
+            DuplicateCheck::FirstUse
         );
         results.record(ex, (0, [ex as u8; 32]), b"", 0, 1000 * MILLISECOND, 0);
         results.complete(ex, Ok(RunOutput::from(&b"123456"[..])));
     }
     assert_eq!(
-        results.repeats(&(0, [4; 32]), b"", 0),
-        Repeats::TableFull,
+        results.check_duplicate(&(0, [4; 32]), b"", 0),
+        DuplicateCheck::TableFull,
         "a new one"
     );
     assert_eq!(
-        results.repeats(&(0, [1; 32]), b"", 0),
-        Repeats::Request(1),
+        results.check_duplicate(&(0, [1; 32]), b"", 0),
+        DuplicateCheck::Duplicate(1),
         "one that ran is never refused"
     );
     assert_eq!(
@@ -654,14 +654,17 @@
         "it ran, but there was no room for its result"
     );
     assert_eq!(
-        results.repeats(&(0, [2; 32]), b"", 0),
-        Repeats::Request(2),
+        results.check_duplicate(&(0, [2; 32]), b"", 0),
+        DuplicateCheck::Duplicate(2),
         "so it must not run again"
     );
     results.forget(1);
     assert_eq!(
-        (results.bytes(), results.repeats(&(0, [1; 32]), b"", 0)),
-        (0, Repeats::Nothing)
+        (
+            results.bytes(),
+            results.check_duplicate(&(0, [1; 32]), b"", 0)
+        ),
+        (0, DuplicateCheck::FirstUse)
     );
     results.record(
         4,
@@ -682,7 +685,7 @@
 
 #[test]
 fn the_window_of_a_clock_ahead_counts_from_its_stamp_and_ends_all_the_same() {
-    let mut results = Results::new(3, 10, 0);
+    let mut results = ResultTable::new(3, 10, 0);
     results.record(
         1,
         KEY,
@@ -693,16 +696,16 @@
     );
     results.complete(1, Ok(RunOutput::from(&b"1"[..])));
     assert_eq!(
-        results.repeats(&KEY, b"", 500 * MILLISECOND),
-        Repeats::Request(1)
+        results.check_duplicate(&KEY, b"", 500 * MILLISECOND),
+        DuplicateCheck::Duplicate(1)
     );
     assert_eq!(
-        results.repeats(&KEY, b"", 3500 * MILLISECOND),
-        Repeats::Request(1)
+        results.check_duplicate(&KEY, b"", 3500 * MILLISECOND),
+        DuplicateCheck::Duplicate(1)
     );
     assert_eq!(
-        results.repeats(&KEY, b"", 3700 * MILLISECOND),
-        Repeats::Nothing
+        results.check_duplicate(&KEY, b"", 3700 * MILLISECOND),
+        DuplicateCheck::FirstUse
     );
     results.remove_expired(3500 * MILLISECOND);
     assert_eq!(
@@ -717,8 +720,8 @@
     // However far ahead, nothing runs over.
     results.record(2, KEY, b"", u64::MAX, 1000 * MILLISECOND, 500 * MILLISECOND);
     assert_eq!(
-        results.repeats(&KEY, b"", 500 * MILLISECOND),
-        Repeats::Request(2)
+        results.check_duplicate(&KEY, b"", 500 * MILLISECOND),
+        DuplicateCheck::Duplicate(2)
     );
 }
 
@@ -734,13 +737,13 @@
         caller: None,
         stage: Stage::Queued,
         duplicate_of: None,
-        hold: Default::default(),
+        reservations: Default::default(),
     }
 }
 
 #[test]
 fn a_doubled_id_is_known_while_in_hand_and_after_and_names_are_new() {
-    let mut in_flight = InFlight::default();
+    let mut in_flight = InFlightTable::default();
     let first = in_flight.insert(ex(1)).unwrap();
     assert_eq!(in_flight.insert(ex(1)), None);
     in_flight.remove(first);
@@ -750,7 +753,7 @@
 
 #[test]
 fn a_repeat_that_went_away_is_waited_for_no_more() {
-    let mut in_flight = InFlight::default();
+    let mut in_flight = InFlightTable::default();
     let ids: Vec<_> = (1..=3).map(|n| in_flight.insert(ex(n)).unwrap()).collect();
     in_flight.attach(ids[1], ids[0]);
     in_flight.attach(ids[2], ids[0]);
