--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,6 +1,6 @@
 //! Bounds on everything that a node keeps, worked out from the memory and the descriptors that it may use.
 
-use doortrack_settings::JsonNode;
+use doortrack_settings::JsonValue;
 
 use crate::{ConfigErrorKind, ConfigErrors, ErrorCollector};
 
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// Every limit that is no number or too small.
-    pub(crate) fn read(root: &JsonNode) -> Result<ResourceLimits, ConfigErrors> {
+    pub(crate) fn read(root: &JsonValue) -> Result<ResourceLimits, ConfigErrors> {
         let section = root.get("limits");
         let mut errors = ErrorCollector::default();
         let mut limit = |key: &str, default: f64| {
--- a/crates/config/src/node_config.rs
+++ b/crates/config/src/node_config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use doortrack_settings::{DeploymentSettings, JsonNode, SettingsError};
+use doortrack_settings::{DeploymentSettings, JsonValue, SettingsError};
 use doortrack_time::{MILLISECOND, TenthMillis};
 use serde_json::Value;
 use sha2::{Digest as _, Sha256};
@@ -105,7 +105,7 @@
 pub fn parse(text: &[u8]) -> Result<NodeConfig, ConfigErrors> {
     let value: Value = serde_json::from_slice(text)
         .map_err(|error| ConfigErrors::one("config", ConfigErrorKind::not_json(&error)))?;
-    let root = JsonNode::root("config", &value);
+    let root = JsonValue::root("config", &value);
     if !value.is_object() {
         return Err(root.unexpected("an object").into());
     }
@@ -134,11 +134,11 @@
     errors.finish_some(config)
 }
 
-fn name(root: &JsonNode) -> Result<String, SettingsError> {
+fn name(root: &JsonValue) -> Result<String, SettingsError> {
     Ok(root.required("name")?.string()?.to_string())
 }
 
-fn address(root: &JsonNode, key: &str) -> Result<SocketAddr, SettingsError> {
+fn address(root: &JsonValue, key: &str) -> Result<SocketAddr, SettingsError> {
     let node = root.required(key)?;
     let text = node.string()?;
     text.parse()
@@ -146,7 +146,7 @@
 }
 
 /// Up to sixteen hex digits. Zero where the key is absent: the random numbers are the same at each start.
-fn seed(root: &JsonNode) -> Result<u64, SettingsError> {
+fn seed(root: &JsonValue) -> Result<u64, SettingsError> {
     let Some(node) = root.get("seed") else {
         return Ok(0);
     };
@@ -156,7 +156,7 @@
         .ok_or_else(|| node.unexpected("a seed in hex digits"))
 }
 
-fn stop_after(root: &JsonNode) -> Result<TenthMillis, SettingsError> {
+fn stop_after(root: &JsonValue) -> Result<TenthMillis, SettingsError> {
     let node = root.required("stop_ms")?;
     let millis = node.number()?;
     if millis > MAX_STOP_MS {
@@ -165,7 +165,7 @@
     Ok((millis * MILLISECOND as f64) as TenthMillis)
 }
 
-fn settings(root: &JsonNode) -> Result<DeploymentSettings, ConfigErrors> {
+fn settings(root: &JsonValue) -> Result<DeploymentSettings, ConfigErrors> {
     let settings = doortrack_settings::read(&root.required("settings")?)?;
     check_supported(&settings)?;
     check_counts(&settings)?;
--- a/crates/config/src/servers.rs
+++ b/crates/config/src/servers.rs
@@ -44,7 +44,7 @@
                 consecutive_failures: ejection.failures,
                 base_ejection: from_millis(ejection.base_duration_ms),
                 max_ejection: from_millis(ejection.max_duration_ms),
-                in_use_floor: ejection.min_share_in_use,
+                min_share_in_use: ejection.min_share_in_use,
             },
             retry: RetryConfig {
                 ratio: retries.retries_per_run,
--- a/crates/node/src/event_loop/actions.rs
+++ b/crates/node/src/event_loop/actions.rs
@@ -146,7 +146,7 @@
 
     fn set_health(&mut self, healthy: bool) {
         self.listeners.healthy = healthy;
-        let follows_health = self.config.node.settings.list_follows_health;
+        let follows_health = self.config.node.settings.drains_when_unhealthy;
         self.registry
             .set_draining(self.shutdown.is_draining() || (follows_health && !healthy));
         info!(self.log, "health"; "healthy" => healthy);
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -786,7 +786,7 @@
             .limits
     );
     assert!(orders.limits.connections < 1024);
-    assert!(orders.settings.list_follows_health && orders.settings.tenant_names.is_empty());
+    assert!(orders.settings.drains_when_unhealthy && orders.settings.tenant_names.is_empty());
     // All that may be held at once leaves room for the program itself.
     for (memory_mb, sockets) in [(192, 1024), (48, 512), (32, 384), (24, 1024)] {
         let mut value = config();
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -9,7 +9,7 @@
     self, BACKPRESSURES, CANCELLATIONS, DOWNSTREAMS, Downstream, EFFECTS, WeightUnit,
     endpoint_group, gauge, node, safety, site, tenant, top,
 };
-use crate::{JsonNode, SettingsError};
+use crate::{JsonValue, SettingsError};
 
 /// The position of each gauge in a reading of all of the node's gauges; none where the node lacks it.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -36,7 +36,7 @@
     /// Names of the tenants, in the order of [`AdmissionConfig::tenant_quotas`].
     pub tenant_names: Vec<String>,
     /// The callers' list of endpoints follows the health that a node reports.
-    pub list_follows_health: bool,
+    pub drains_when_unhealthy: bool,
     /// Health checks ask for real work.
     pub deep_checks: bool,
     /// Requests carry how long their caller waits.
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// The first key that is missing or holds a value out of range.
-pub fn read(root: &JsonNode) -> Result<DeploymentSettings, SettingsError> {
+pub fn read(root: &JsonValue) -> Result<DeploymentSettings, SettingsError> {
     let sections = Sections::find(root)?;
     let group_entries = root.required(top::ENDPOINT_GROUPS)?.list()?;
     let groups = sections.endpoint_groups(&group_entries)?;
@@ -62,7 +62,7 @@
         gauges: sections.gauges()?,
         group_names,
         tenant_names: tenants.names,
-        list_follows_health: optional_boolean(&sections.node, node::LIST_FOLLOWS_HEALTH)?,
+        drains_when_unhealthy: optional_boolean(&sections.node, node::DRAINS_WHEN_UNHEALTHY)?,
         deep_checks: optional_boolean(&sections.node, node::DEEP_CHECKS)?,
         passes_deadline: optional_boolean(&sections.node, node::PASSES_DEADLINE)?,
     })
@@ -70,14 +70,14 @@
 
 /// The objects that hold most keys.
 struct Sections<'a> {
-    root: &'a JsonNode<'a>,
-    node: JsonNode<'a>,
-    safety: JsonNode<'a>,
-    site: JsonNode<'a>,
+    root: &'a JsonValue<'a>,
+    node: JsonValue<'a>,
+    safety: JsonValue<'a>,
+    site: JsonValue<'a>,
 }
 
 impl<'a> Sections<'a> {
-    fn find(root: &'a JsonNode<'a>) -> Result<Sections<'a>, SettingsError> {
+    fn find(root: &'a JsonValue<'a>) -> Result<Sections<'a>, SettingsError> {
         Ok(Sections {
             root,
             node: root.required(top::NODE)?,
@@ -86,7 +86,7 @@
         })
     }
 
-    fn endpoint_groups(&self, entries: &[JsonNode]) -> Result<Vec<EndpointGroup>, SettingsError> {
+    fn endpoint_groups(&self, entries: &[JsonValue]) -> Result<Vec<EndpointGroup>, SettingsError> {
         let degraded_weights = self.list_by_group(node::DEGRADED_WEIGHTS, entries.len())?;
         let calls_downstream = self.list_by_group(node::CALLS_DOWNSTREAM, entries.len())?;
         let mut groups = Vec::with_capacity(entries.len());
@@ -103,7 +103,7 @@
     }
 
     /// A list of the node's section with one item for each endpoint group.
-    fn list_by_group(&self, key: &str, groups: usize) -> Result<Vec<JsonNode<'a>>, SettingsError> {
+    fn list_by_group(&self, key: &str, groups: usize) -> Result<Vec<JsonValue<'a>>, SettingsError> {
         let list = self.node.required(key)?;
         let items = list.list()?;
         if items.len() == groups {
@@ -190,7 +190,7 @@
 }
 
 fn read_endpoint_group(
-    entry: &JsonNode,
+    entry: &JsonValue,
     degraded_weight: f32,
     calls_downstream: bool,
 ) -> Result<EndpointGroup, SettingsError> {
@@ -221,7 +221,7 @@
 }
 
 /// There may be no list of tenants at all.
-fn read_tenants(root: &JsonNode) -> Result<Tenants, SettingsError> {
+fn read_tenants(root: &JsonValue) -> Result<Tenants, SettingsError> {
     let entries = match root.get(top::TENANTS) {
         Some(entries) => entries.list()?,
         None => Vec::new(),
@@ -242,7 +242,7 @@
 }
 
 /// The names of a list's items; two alike would leave open which one a request means.
-fn unique_names(list: &[JsonNode], key: &str) -> Result<Vec<String>, SettingsError> {
+fn unique_names(list: &[JsonValue], key: &str) -> Result<Vec<String>, SettingsError> {
     let mut names = Vec::with_capacity(list.len());
     let mut seen = HashSet::with_capacity(list.len());
     for item in list {
@@ -256,19 +256,19 @@
     Ok(names)
 }
 
-fn f32_at(section: &JsonNode, key: &str) -> Result<f32, SettingsError> {
+fn f32_at(section: &JsonValue, key: &str) -> Result<f32, SettingsError> {
     Ok(section.required(key)?.number()? as f32)
 }
 
-fn time_floor(section: &JsonNode, key: &str) -> Result<TenthMillis, SettingsError> {
+fn time_floor(section: &JsonValue, key: &str) -> Result<TenthMillis, SettingsError> {
     Ok(from_micros_floor(section.required(key)?.micros()?))
 }
 
-fn time_ceil(section: &JsonNode, key: &str) -> Result<TenthMillis, SettingsError> {
+fn time_ceil(section: &JsonValue, key: &str) -> Result<TenthMillis, SettingsError> {
     Ok(from_micros_ceil(section.required(key)?.micros()?))
 }
 
 /// False where the key is absent.
-fn optional_boolean(section: &JsonNode, key: &str) -> Result<bool, SettingsError> {
+fn optional_boolean(section: &JsonValue, key: &str) -> Result<bool, SettingsError> {
     section.get(key).map_or(Ok(false), |flag| flag.boolean())
 }
--- a/crates/settings/src/json_node.rs
+++ b/crates/settings/src/json_value.rs
@@ -8,24 +8,24 @@
 
 /// A value within a JSON text, and the path at which it is found.
 #[derive(Clone, Debug)]
-pub struct JsonNode<'a> {
+pub struct JsonValue<'a> {
     value: &'a Value,
     path: String,
 }
 
-impl<'a> JsonNode<'a> {
+impl<'a> JsonValue<'a> {
     /// The outermost value of a text; `name` begins the paths of everything inside it.
-    pub fn root(name: impl Into<String>, value: &'a Value) -> JsonNode<'a> {
-        JsonNode {
+    pub fn root(name: impl Into<String>, value: &'a Value) -> JsonValue<'a> {
+        JsonValue {
             value,
             path: name.into(),
         }
     }
 
     /// The value under `key`; none where it is absent or null.
-    pub fn get(&self, key: &str) -> Option<JsonNode<'a>> {
+    pub fn get(&self, key: &str) -> Option<JsonValue<'a>> {
         let value = self.value.get(key).filter(|value| !value.is_null())?;
-        Some(JsonNode {
+        Some(JsonValue {
             value,
             path: format!("{}.{key}", self.path),
         })
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// [`SettingsErrorKind::MissingKey`] where it is absent or null.
-    pub fn required(&self, key: &str) -> Result<JsonNode<'a>, SettingsError> {
+    pub fn required(&self, key: &str) -> Result<JsonValue<'a>, SettingsError> {
         self.get(key).ok_or_else(|| SettingsError {
             path: self.path.clone(),
             kind: SettingsErrorKind::MissingKey { key: key.into() },
@@ -67,7 +67,7 @@
     /// A duration in whole microseconds; a fraction of one is cut off.
     ///
     /// # Errors
-    /// As [`JsonNode::number`].
+    /// As [`JsonValue::number`].
     pub fn micros(&self) -> Result<u64, SettingsError> {
         Ok(self.number()? as u64)
     }
@@ -110,11 +110,11 @@
     ///
     /// # Errors
     /// The value is no list.
-    pub fn list(&self) -> Result<Vec<JsonNode<'a>>, SettingsError> {
+    pub fn list(&self) -> Result<Vec<JsonValue<'a>>, SettingsError> {
         let Some(list) = self.value.as_array() else {
             return Err(self.unexpected("a list"));
         };
-        let item = |(index, value)| JsonNode {
+        let item = |(index, value)| JsonValue {
             value,
             path: format!("{}[{index}]", self.path),
         };
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,9 +5,9 @@
 
 mod deployment;
 mod error;
-mod json_node;
+mod json_value;
 mod vocabulary;
 
 pub use deployment::{DeploymentSettings, GaugeIndices, read};
 pub use error::{SettingsError, SettingsErrorKind};
-pub use json_node::JsonNode;
+pub use json_value::JsonValue;
--- a/crates/settings/src/vocabulary.rs
+++ b/crates/settings/src/vocabulary.rs
@@ -110,7 +110,7 @@
     pub(crate) const DEGRADED_WEIGHTS: &str = "class_skip_worth";
     pub(crate) const CALLS_DOWNSTREAM: &str = "calls_by_class";
     pub(crate) const GAUGES: &str = "gauges";
-    pub(crate) const LIST_FOLLOWS_HEALTH: &str = "readiness";
+    pub(crate) const DRAINS_WHEN_UNHEALTHY: &str = "readiness";
     pub(crate) const DEEP_CHECKS: &str = "deep_checks";
     pub(crate) const PASSES_DEADLINE: &str = "passes_deadline";
 }
--- a/crates/settings/tests/refusals.rs
+++ b/crates/settings/tests/refusals.rs
@@ -1,7 +1,7 @@
 //! What the reader of settings says of each key that is missing or holds the wrong thing, and in which order it
 //! looks at them. Operators and their tools read these texts: they are compared to the letter.
 
-use doortrack_settings::{JsonNode, read};
+use doortrack_settings::{JsonValue, read};
 use serde_json::{Value, json};
 
 const EXPECTED: &str = include_str!("data/refusals.txt");
@@ -56,7 +56,7 @@
 
 /// The error, or that there was none.
 fn outcome(settings: &Value) -> String {
-    match read(&JsonNode::root("settings", settings)) {
+    match read(&JsonValue::root("settings", settings)) {
         Ok(_) => "accepted".into(),
         Err(error) => error.to_string(),
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use doortrack_settings::{JsonNode, read};
+use doortrack_settings::{JsonValue, read};
 use serde_json::{Value, json};
 
 fn settings(tenants: usize) -> Value {
@@ -29,7 +29,7 @@
 /// The shortest of three runs, as anything else on the machine only makes one longer.
 fn time_to_read(tenants: usize) -> Duration {
     let settings = settings(tenants);
-    let root = JsonNode::root("settings", &settings);
+    let root = JsonValue::root("settings", &settings);
     let once = || {
         let started_at = Instant::now();
         assert_eq!(read(&root).unwrap().tenant_names.len(), tenants);
@@ -54,7 +54,7 @@
 fn a_duplicate_name_is_refused_with_its_path() {
     let mut settings = settings(3);
     settings["parties"][2]["name"] = json!("customer-000000");
-    let error = read(&JsonNode::root("settings", &settings)).unwrap_err();
+    let error = read(&JsonValue::root("settings", &settings)).unwrap_err();
     assert_eq!(
         error.to_string(),
         "settings.parties[2].name: a name that none before it has is wanted, found \"customer-000000\""
@@ -67,7 +67,7 @@
     let mut value = settings(1);
     value["family_info"]["cores"] = json!(2.5);
     value["servers"] = json!(3.5);
-    let deployment = read(&JsonNode::root("settings", &value)).unwrap();
+    let deployment = read(&JsonValue::root("settings", &value)).unwrap();
     assert_eq!(deployment.admission.cores, 2.5);
     assert_eq!(deployment.admission.nodes, 3.5);
 }
--- a/crates/simulator-adapter/src/nodes.rs
+++ b/crates/simulator-adapter/src/nodes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use doortrack_admission::{Action, AdmissionController, Event};
-use doortrack_settings::{DeploymentSettings, GaugeIndices, JsonNode};
+use doortrack_settings::{DeploymentSettings, GaugeIndices, JsonValue};
 use doortrack_time::TenthMillis;
 
 use crate::batch::Batch;
@@ -117,7 +117,7 @@
             node,
             source,
         })?;
-    doortrack_settings::read(&JsonNode::root("env", &value)).map_err(|source| {
+    doortrack_settings::read(&JsonValue::root("env", &value)).map_err(|source| {
         AdapterError::Settings {
             offset,
             node,
--- a/crates/upstream/src/config.rs
+++ b/crates/upstream/src/config.rs
@@ -32,7 +32,7 @@
     /// return at once.
     pub max_ejection: TenthMillis,
     /// Share of the servers that stay in use however they fail, and at least one; 0 to 1.
-    pub in_use_floor: f32,
+    pub min_share_in_use: f32,
 }
 
 /// Bounds on the first runs of a server that was down.
--- a/crates/upstream/src/pool/ejection.rs
+++ b/crates/upstream/src/pool/ejection.rs
@@ -33,7 +33,7 @@
         let Verdict::Eject { earlier_ejections } = verdict else {
             return;
         };
-        if !server.removed && self.in_use > self.in_use_floor() {
+        if !server.removed && self.in_use > self.min_in_use() {
             self.in_use -= 1;
             let until = self.eject(server_id, earlier_ejections, now);
             actions.push(Action::StateChanged {
@@ -115,7 +115,7 @@
     fn eject_down(&mut self, server: ServerId, verdict: Verdict, now: TenthMillis) -> TenthMillis {
         self.in_use -= 1;
         let earlier_ejections = match verdict {
-            Verdict::Eject { earlier_ejections } if self.in_use >= self.in_use_floor() => {
+            Verdict::Eject { earlier_ejections } if self.in_use >= self.min_in_use() => {
                 earlier_ejections
             }
             // Where too few others are left its return is not to be missed.
@@ -125,8 +125,8 @@
     }
 
     /// The number of servers that stay in use however they fail.
-    pub(super) fn in_use_floor(&self) -> usize {
-        let share = f64::from(self.config.outlier.in_use_floor.clamp(0.0, 1.0));
+    pub(super) fn min_in_use(&self) -> usize {
+        let share = f64::from(self.config.outlier.min_share_in_use.clamp(0.0, 1.0));
         let floor = (self.members as f64 * share).ceil() as usize;
         floor.max(1)
     }
--- a/crates/upstream/src/pool/members.rs
+++ b/crates/upstream/src/pool/members.rs
@@ -85,7 +85,7 @@
         self.update_availability(server_id);
         self.drop_if_unused(server_id);
         // It may have been the last one in use: those whose ejection ends first return early.
-        while self.in_use < self.in_use_floor()
+        while self.in_use < self.min_in_use()
             && let Some((until, ejected)) = self.ejection_ends.first().copied()
         {
             self.end_ejection(until, ejected, actions);
--- a/crates/upstream/tests/pool/simulation.rs
+++ b/crates/upstream/tests/pool/simulation.rs
@@ -18,7 +18,7 @@
             consecutive_failures: 3,
             base_ejection: 500 * MILLISECOND,
             max_ejection: 8_000 * MILLISECOND,
-            in_use_floor: 0.25,
+            min_share_in_use: 0.25,
         },
         retry: RetryConfig {
             ratio: 0.1,
