--- a/crates/admission/src/action.rs
+++ b/crates/admission/src/action.rs
@@ -1,10 +1,10 @@
-//! What the node is to do.
+//! Actions that admission control requests from the node.
 
 use doortrack_time::TenthMillis;
 
 use crate::RequestId;
 
-/// One thing that the node is to do.
+/// An action that the node is to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start a queued request.
@@ -12,21 +12,21 @@
         /// The request.
         id: RequestId,
     },
-    /// Final answer: rejected, with the promise that it never ran.
+    /// Final answer: the request is rejected and is guaranteed never to have run.
     Reject {
         /// The request.
         id: RequestId,
-        /// The caller is asked not to retry on another node either.
+        /// Whether the caller is asked not to retry on another node either.
         no_retry_elsewhere: bool,
-        /// How long the caller is asked to wait before a retry.
+        /// How long the caller is asked to wait before it retries.
         retry_after: TenthMillis,
     },
-    /// Final answer: failed, without a promise about its effect.
+    /// Final answer: the request failed, with no guarantee about its effect.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Cancel running work; this is not an answer by itself.
+    /// Cancel running work. This action does not answer the request.
     Cancel {
         /// The request.
         id: RequestId,
@@ -35,54 +35,53 @@
     Call {
         /// The request.
         id: RequestId,
-        /// The call is abandoned after this time.
+        /// Time after which the call is abandoned.
         timeout: TenthMillis,
     },
-    /// Continue the run without the call: a degraded answer.
+    /// Continue the run without the call, which leads to a degraded answer.
     SkipCall {
         /// The request.
         id: RequestId,
     },
-    /// Enter a deduplicated request into the node's table.
+    /// Record a deduplicated request in the node's table.
     Record {
         /// The request.
         id: RequestId,
-        /// How long the entry stays.
+        /// How long the record is kept.
         ttl: TenthMillis,
     },
-    /// Remove its entry from the table.
+    /// Remove the record of a request from the node's table.
     Forget {
         /// The request.
         id: RequestId,
     },
-    /// Answer it with the result of the request that it duplicates.
+    /// Answer a duplicate with the result of its original request.
     Attach {
         /// The duplicate.
         id: RequestId,
     },
-    /// What health checks are answered from here on.
+    /// Change the answer to health checks.
     Health {
-        /// Answer from the stored state in place of doing real work.
+        /// Whether health checks are answered from the stored state instead of by doing real work.
         cached: bool,
         /// Whether the node is healthy.
         healthy: bool,
     },
-    /// The backpressure value that goes out with each answer; see
-    /// [`Backpressure`](crate::Backpressure).
+    /// Send this backpressure value with each answer; see [`Backpressure`](crate::Backpressure).
     Backpressure {
         /// The value.
         value: f32,
     },
-    /// Close connections that have been idle for this long.
+    /// Close connections once they have been idle for this long.
     IdleTimeout {
         /// The timeout.
         timeout: TenthMillis,
     },
     /// Fire [`Event::Timer`](crate::Event::Timer) at this time.
     SetTimer {
-        /// When it fires.
+        /// Time at which the timer fires.
         at: TenthMillis,
-        /// Handed back with the event.
+        /// Returned in the event.
         token: u64,
     },
 }
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -1,62 +1,62 @@
-//! The configuration of the decisions, read once at start.
+//! The configuration of admission control, read once at start.
 
 use doortrack_time::TenthMillis;
 
-/// What running a request again would mean.
+/// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Idempotent: it may run any number of times.
+    /// The request is idempotent and may run any number of times.
     Idempotent,
-    /// Carries an idempotency key: it runs at most once per node and window.
+    /// The request carries an idempotency key and runs at most once per node and dedup window.
     Deduplicated,
-    /// Not idempotent, and without a key.
+    /// The request is not idempotent and carries no idempotency key.
     Mutating,
 }
 
-/// What cancelling running work does here.
+/// How the platform cancels running work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation {
     /// Running work cannot be cancelled.
     Unsupported,
-    /// The work is dropped.
+    /// Cancelled work is dropped.
     Drop,
-    /// The work is suspended and gives up its core.
+    /// Cancelled work is suspended and frees its core.
     Pause,
 }
 
-/// What callers make of the backpressure value.
+/// How callers interpret the backpressure value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Backpressure {
-    /// They disregard it.
+    /// Callers ignore the value.
     None,
-    /// They send nothing whose rank is below it.
+    /// Callers send only requests whose rank is at least the value.
     MinRank,
-    /// Each keeps at most so many requests in flight here.
+    /// Each caller keeps at most this many requests in flight at this node.
     Credits,
-    /// The probability that a caller does not pass this node over.
+    /// The value is the probability that a caller does not skip this node.
     Weight,
 }
 
 /// The settings of one endpoint group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointGroup {
-    /// What running a request again would mean.
+    /// Whether a request may be run more than once.
     pub effect: Effect,
-    /// Response time below which an answer has its full value.
+    /// Response time within which an answer has its full value.
     pub latency_objective: TenthMillis,
-    /// The latency objective grows by this multiple of the request's own work.
+    /// The latency objective is extended by the request's own work times this factor.
     pub objective_per_work: f32,
     /// How long callers wait for an answer.
     pub deadline: TenthMillis,
     /// How long after its arrival a deduplicated request may be retried.
     pub dedup_window: TenthMillis,
-    /// Value of an answer within the latency objective.
+    /// Value of an answer that meets the latency objective.
     pub priority_weight: f32,
-    /// Share of the value that an answer after the latency objective keeps.
+    /// Share of the value kept by an answer that misses the latency objective.
     pub late_weight: f32,
-    /// Share of the value that an answer without its downstream call keeps.
+    /// Share of the value kept by an answer without its downstream call.
     pub degraded_weight: f32,
-    /// Its requests may call a downstream service.
+    /// Whether its requests may call a downstream service.
     pub calls_downstream: bool,
 }
 
@@ -69,74 +69,76 @@
     pub memory_kb: f32,
     /// Memory of a running request as a multiple of that of a queued one.
     pub run_memory_factor: f32,
-    /// Memory of one entry in the table of deduplicated requests, in kB.
+    /// Memory of one record of a deduplicated request, in kB.
     pub record_kb: f32,
     /// Endpoint groups, by index.
     pub groups: Vec<EndpointGroup>,
-    /// Quota of each tenant over the whole fleet, in requests per second.
+    /// Quota of each tenant across the fleet, in requests per second.
     pub tenant_quotas: Vec<f32>,
-    /// Share of the value that remains for what a tenant sends beyond its quota.
+    /// Factor on the value of requests that exceed their tenant's quota.
     pub over_quota_weight: f32,
-    /// Value is counted per unit of work and not per request.
+    /// Whether value is counted per unit of work instead of per request.
     pub weight_per_work: bool,
     /// Nodes in the endpoint list, this one included.
     pub nodes: f32,
     /// What cancelling running work does.
     pub cancellation: Cancellation,
-    /// What callers make of the backpressure value.
+    /// How callers interpret the backpressure value.
     pub backpressure: Backpressure,
-    /// How long callers heed a backpressure value.
+    /// How long callers apply a backpressure value.
     pub backpressure_ttl: TenthMillis,
-    /// How long the answer to a read may serve others.
+    /// How long the answer to a read request may be served to other requests.
     pub max_staleness: TenthMillis,
     /// This node's share of the concurrent calls that the downstream service can sustain, as a mean
-    /// over `downstream_window`. Absent where no downstream service is shared.
+    /// over `downstream_window`. Absent if no downstream service is shared.
     pub downstream_concurrency: Option<f32>,
     /// Window over which concurrent downstream calls are averaged.
     pub downstream_window: TenthMillis,
     /// How long an abandoned call may occupy the downstream service.
     pub abandoned_call_time: TenthMillis,
-    /// The node starts cold and warms up.
+    /// Whether the node starts cold and warms up.
     pub cold: bool,
-    /// Least share of its full speed at which a cold node starts.
+    /// Minimum share of its full speed at which a cold node starts.
     pub initial_speed: f32,
-    /// A cold node is warm after this at the latest.
+    /// Maximum time until a cold node is warm.
     pub warm_up_time: TenthMillis,
-    /// Running requests per core that a warm node can sustain, as a mean over `overload_window`.
+    /// Number of running requests per core that a warm node can sustain, as a mean over
+    /// `overload_window`.
     pub overload_multiple: f32,
     /// Window over which running requests are averaged.
     pub overload_window: TenthMillis,
-    /// After a request to shut down, requests are still accepted for this long.
+    /// How long requests are still accepted after a shutdown is requested.
     pub drain_grace: TenthMillis,
-    /// Callers close idle connections after this.
+    /// How long a connection is idle before callers close it.
     pub idle_timeout: TenthMillis,
-    /// Longest retry delay that callers heed; 0 where none is passed on.
+    /// Longest retry delay that callers observe; 0 if retry delays are not sent.
     pub max_retry_after: TenthMillis,
     /// Granularity of the node's clock.
     pub tick: TenthMillis,
 }
 
 impl AdmissionConfig {
-    /// The shortest latency objective of all groups; 0 where there are none.
+    /// Returns the shortest latency objective of all groups, or 0 if there are none.
     pub(crate) fn shortest_objective(&self) -> TenthMillis {
         let objectives = self.groups.iter().map(|group| group.latency_objective);
         objectives.min().unwrap_or(0)
     }
 
-    /// Whether running work can be cancelled.
+    /// Returns `true` if running work can be cancelled.
     pub(crate) fn can_cancel(&self) -> bool {
         self.cancellation != Cancellation::Unsupported
     }
 }
 
 impl EndpointGroup {
-    /// Whether a request may go on without its downstream call, with a degraded answer.
+    /// Returns `true` if a request may continue without its downstream call, with a degraded
+    /// answer.
     pub(crate) fn can_skip_call(&self) -> bool {
         self.degraded_weight > 0.0
     }
 
-    /// Whether an answer after the latency objective is worth nothing.
-    pub(crate) fn late_is_worthless(&self) -> bool {
+    /// Returns `true` if an answer that misses the latency objective has no value.
+    pub(crate) fn late_answers_are_worthless(&self) -> bool {
         self.late_weight <= 0.0
     }
 }
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,9 +1,9 @@
-//! The entry point of the decisions and the order of a turn.
+//! The admission controller: handles events and runs the steps of a turn in order.
 //!
 //! Each concern keeps its state in a type of its own. Steps that involve several concerns are
 //! methods of the controller, in its submodules: `arrival` (admission), `dispatch` (runs), `calls`
 //! (downstream calls), `review` (requests that are due for a decision) and `answer` (answers, and
-//! how requests leave the table).
+//! the removal of requests from the table).
 
 mod answer;
 mod arrival;
@@ -31,18 +31,18 @@
 use crate::sessions::EstablishedSessions;
 use crate::{Action, AdmissionConfig, EndpointGroup, Event, Gauges};
 
-/// Interval between ticks. In each, the gauges are read and callers are informed of the load.
+/// Interval between ticks. On each tick, the gauges are read and callers are informed of the load.
 const TICK_INTERVAL: TenthMillis = 50 * MILLISECOND;
 
-/// The decisions of one node, for the lifetime of its process.
+/// Takes the admission decisions of one node, for the lifetime of its process.
 #[derive(Debug)]
 pub struct AdmissionController {
     config: AdmissionConfig,
-    /// Draws for rejections by probability.
+    /// Source of random draws for rejections by probability.
     rng: fastrand::Rng,
-    /// The time of this turn.
+    /// Time of the current turn.
     now: TenthMillis,
-    /// When the next tick is due.
+    /// Time of the next tick.
     tick_at: TenthMillis,
     timer: Timer,
     in_flight: InFlightTable,
@@ -93,7 +93,7 @@
     }
 
     /// Processes one turn: applies a batch of events in order and appends the resulting actions,
-    /// which are to be executed in order. `now` must not go back.
+    /// which the node executes in order. `now` must not go back.
     pub fn handle(&mut self, now: TenthMillis, batch: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in batch {
@@ -130,7 +130,7 @@
         self.idle_connections.record_open(gauges.connections);
     }
 
-    /// Removes expired records and sessions, and in each tick informs callers of the load.
+    /// Removes expired records and sessions. On each tick, also informs callers of the load.
     fn maintain(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.records.pop_expired(self.now) {
             self.remove_record(id);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Sends a backpressure value that has changed.
+    /// Reports the backpressure value if it has changed.
     fn report_backpressure(&mut self, actions: &mut Vec<Action>) {
         let limit = self.concurrency_limit.get();
         if let Some(value) = self.backpressure.tick(limit, self.callers.count()) {
@@ -152,13 +152,13 @@
         }
     }
 
-    /// Reports a change of health: unhealthy during a shutdown and while stalled.
+    /// Reports the health if it has changed. A node is unhealthy while it drains or is stalled.
     fn report_health(&mut self, actions: &mut Vec<Action>) {
         let healthy = !self.drain.has_begun() && !self.is_stalled();
         self.health.report(healthy, actions);
     }
 
-    /// Sets an idle timeout that has changed.
+    /// Reports the idle timeout if it has changed.
     fn report_idle_timeout(&mut self, actions: &mut Vec<Action>) {
         let callers_return = self.callers.are_returning();
         if let Some(timeout) = self.idle_connections.tick(callers_return) {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Sets the one timer for the earliest review and the next tick.
+    /// Sets the timer for the earliest review or the next tick, whichever comes first.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let next_at = self.reviews.next_at().min(self.tick_at);
         if let Some(at) = self.timer.set(self.now, next_at) {
@@ -174,14 +174,14 @@
         }
     }
 
-    /// Whether every run slot is taken and no run makes progress.
+    /// Returns `true` if every run slot is taken and no run makes progress.
     fn is_stalled(&self) -> bool {
         let slots_full = self.in_flight.count(Stage::Running) >= self.run_slots.count(self.now);
         let mean_run_time = self.run_times.mean();
         slots_full && self.health.without_progress(self.now, mean_run_time)
     }
 
-    /// The endpoint group of a request in flight.
+    /// Returns the endpoint group of a request in flight.
     fn group_of(&self, slot: Slot) -> &EndpointGroup {
         &self.config.groups[self.in_flight[slot].group]
     }
--- a/crates/admission/src/controller/answer.rs
+++ b/crates/admission/src/controller/answer.rs
@@ -1,4 +1,4 @@
-//! Answers other than results, and how requests leave the table.
+//! Answers other than results, and the removal of requests from the table.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 
@@ -7,13 +7,13 @@
 use crate::thresholds::LOWER_THRESHOLD;
 use crate::{Action, RequestId};
 
-/// A cancellation has no effect while the node is stalled, so it is repeated at this interval until
-/// the end of the run is reported.
+/// Interval at which a cancellation is repeated until the end of the run is reported. It is
+/// repeated because it has no effect while the node is stalled.
 const CANCEL_REPEAT_INTERVAL: TenthMillis = 250 * MILLISECOND;
 
 impl AdmissionController {
-    /// Builds the rejection of a request. The caller is asked to retry once the load should be back
-    /// at the lower threshold, and not before `retry_after`.
+    /// Builds the rejection of a request. The caller is asked to retry when the load is expected to
+    /// be back at the lower threshold, but not before `retry_after`.
     pub(super) fn rejection(
         &self,
         id: RequestId,
@@ -24,7 +24,7 @@
         let retry_after = if self.drain.has_begun() || stalled {
             TenthMillis::MAX
         } else {
-            retry_after.max(self.overload_time())
+            retry_after.max(self.time_to_lower_threshold())
         };
         Action::Reject {
             id,
@@ -33,23 +33,23 @@
         }
     }
 
-    /// Expected time until the load is back at the lower threshold.
-    fn overload_time(&self) -> TenthMillis {
-        let wanted_load = LOWER_THRESHOLD * self.concurrency_limit.get();
-        let excess = (self.in_flight.load() - wanted_load).max(0.0);
+    /// Returns the expected time until the load is back at the lower threshold.
+    fn time_to_lower_threshold(&self) -> TenthMillis {
+        let target_load = LOWER_THRESHOLD * self.concurrency_limit.get();
+        let excess = (self.in_flight.load() - target_load).max(0.0);
         let run_slots = self.run_slots.count(self.now) as f32;
         (excess * self.run_times.mean() / run_slots) as TenthMillis
     }
 
-    /// Answers a request that has started with a failure, and cancels its run. It stays in the
-    /// table until the end of the run is reported.
+    /// Answers a started request with a failure and cancels its run. The request stays in the table
+    /// until the end of the run is reported.
     pub(super) fn fail_running(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let id = self.in_flight[slot].id;
         actions.push(Action::Fail { id });
         self.cancel(slot, actions);
     }
 
-    /// Cancels a run whose result is no longer needed, where the platform supports that.
+    /// Cancels a run whose result is no longer needed, if the platform supports cancellation.
     pub(super) fn cancel(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let request = &mut self.in_flight[slot];
         request.answered = true;
@@ -63,7 +63,8 @@
         self.schedule_review(slot, self.now + CANCEL_REPEAT_INTERVAL);
     }
 
-    /// The caller of a request no longer waits: cancels it if it has started, else removes it.
+    /// Handles a caller that no longer waits: cancels its request if that has started, otherwise
+    /// removes it.
     pub(super) fn on_caller_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(slot) = self.in_flight.slot_of(id) else {
             return;
@@ -71,20 +72,20 @@
         if self.in_flight[slot].has_started() {
             self.cancel(slot, actions);
         } else {
-            self.give_up(slot, actions);
+            self.remove_unstarted(slot, actions);
         }
     }
 
-    /// Removes a request that never started, and its record, so that a retry may run.
-    pub(super) fn give_up(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+    /// Removes a request that has not started, and its record, so that a retry can run.
+    pub(super) fn remove_unstarted(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let id = self.in_flight[slot].id;
         if self.remove_record(id) {
             actions.push(Action::Forget { id });
         }
-        self.release(slot);
+        self.remove_from_table(slot);
     }
 
-    /// Removes the record of a request. Returns whether there was one.
+    /// Removes the record of a request. Returns `true` if there was one.
     pub(super) fn remove_record(&mut self, id: RequestId) -> bool {
         let removed = self.records.remove(id);
         if removed {
@@ -93,15 +94,15 @@
         removed
     }
 
-    /// Removes a request from the table and returns its memory.
-    pub(super) fn release(&mut self, slot: Slot) {
+    /// Removes a request from the table and releases its memory.
+    pub(super) fn remove_from_table(&mut self, slot: Slot) {
         if self.in_flight[slot].stage == Stage::Calling {
-            self.settle_call(slot, true);
+            self.refund_call(slot, true);
         }
         let request = self.in_flight.remove(slot);
         self.memory.release(request.memory_kb);
         if request.has_started() {
-            let extra_kb = self.memory.extra_to_run(request.memory_kb);
+            let extra_kb = self.memory.extra_run_kb(request.memory_kb);
             self.memory.release(extra_kb);
         }
     }
--- a/crates/admission/src/controller/arrival.rs
+++ b/crates/admission/src/controller/arrival.rs
@@ -1,19 +1,19 @@
-//! Admission: whether a request that was read is attached to another, rejected or queued.
+//! Handles arriving requests: each is attached to another request, rejected or queued.
 
 use doortrack_time::TenthMillis;
 
 use super::AdmissionController;
 use crate::idempotency;
 use crate::in_flight::{InFlightRequest, Slot, Stage};
-use crate::queue::{LONG_WORK, MAX_WAIT_SHARE, PRIORITY_UNITS, QueueEntry};
-use crate::thresholds::{self, Applicant, Verdict};
+use crate::queue::{LONG_WORK_THRESHOLD, MAX_WAIT_SHARE, PRIORITY_SCALE, QueueEntry};
+use crate::thresholds::{self, AdmissionClass, Decision};
 use crate::{Action, Effect, EndpointGroup, Request, RequestId};
 
-/// Lower bound of the work in a request's priority, as a multiple of the mean work.
+/// Minimum work used in a request's priority, as a multiple of the mean work.
 const MIN_RELATIVE_WORK: f32 = 0.01;
 
 impl AdmissionController {
-    /// Attaches, rejects or accepts a request that was read.
+    /// Attaches, rejects or admits a request that was read.
     pub(super) fn on_arrived(&mut self, request: &Request, actions: &mut Vec<Action>) {
         self.callers.record(request.caller, self.now);
         let Some(&group) = self.config.groups.get(usize::from(request.group)) else {
@@ -24,14 +24,14 @@
         let original = idempotency::original_of(&self.in_flight, request.id, request.duplicate_of);
         if let Some(original) = original {
             self.attach(arrival, original, actions);
-        } else if let Some(rejection) = self.reject_on_reading(request, &arrival, &group) {
+        } else if let Some(rejection) = self.rejection_on_arrival(request, &arrival, &group) {
             actions.push(rejection);
         } else {
-            self.accept(request, arrival, &group, actions);
+            self.admit(request, arrival, &group, actions);
         }
     }
 
-    /// Builds the entry of a request that was read.
+    /// Builds the table entry of a request that was read.
     fn new_request(&mut self, request: &Request, group: &EndpointGroup) -> InFlightRequest {
         let arrived_at = self.now.saturating_sub(request.age);
         let deadline = request
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Has a duplicate wait for the result of its original. It is neither run nor rejected, as the
-    /// original may have run.
+    /// Attaches a duplicate to its original, whose result answers it. The duplicate is neither run
+    /// nor rejected, because the original may have run.
     fn attach(
         &mut self,
         mut duplicate: InFlightRequest,
@@ -72,13 +72,13 @@
         actions.push(Action::Attach { id });
         duplicate.stage = Stage::Attached;
         duplicate.attached_to = original;
-        let slot = self.admit(duplicate);
+        let slot = self.insert_in_flight(duplicate);
         self.schedule_review(slot, answer_by);
     }
 
-    /// Decides whether a request is rejected, counts that in the rejection rate, and returns the
-    /// rejection.
-    fn reject_on_reading(
+    /// Decides whether a request is rejected, updates the rejection rate, and returns the rejection
+    /// if there is one.
+    fn rejection_on_arrival(
         &mut self,
         request: &Request,
         arrival: &InFlightRequest,
@@ -94,20 +94,21 @@
         if !rejected && !over_budget && !self.would_be_late(arrival, group) {
             return None;
         }
-        // A request that would only be late does not show that the node is overloaded, and a faster
-        // node may still complete it in time.
+        // A request that would only be late does not indicate an overload, and a faster node may
+        // still complete it in time.
         let overloaded = (rejected || over_budget) && self.backpressure.is_overloaded();
         let no_retry_elsewhere = request.retry || overloaded;
         let retry_after = request.budget_retry_after.unwrap_or(0);
         Some(self.rejection(request.id, no_retry_elsewhere, retry_after))
     }
 
-    /// Whether a request came too late to be answered, or to be run before the node shuts down.
+    /// Returns `true` if a request arrived too late to be answered, or to be run before the node
+    /// shuts down.
     fn is_out_of_time(&self, arrival: &InFlightRequest) -> bool {
         self.now >= arrival.answer_by || self.drain.rejects(arrival.arrived_at)
     }
 
-    /// Whether there is memory for a request, while it is queued, and for its record.
+    /// Returns `true` if there is memory for a queued request and its record.
     fn fits_in_memory(&self, arrival: &InFlightRequest, group: &EndpointGroup) -> bool {
         let record_kb = match group.effect {
             Effect::Deduplicated => self.config.record_kb,
@@ -116,8 +117,8 @@
         self.memory.fits(arrival.memory_kb + record_kb)
     }
 
-    /// Whether a request is rejected because of the load: by the rule in [`thresholds`], or because
-    /// the node is stalled or is too slow in reading requests.
+    /// Returns `true` if a request is rejected because of the load: by the rule in [`thresholds`],
+    /// or because the node is stalled or reads requests too slowly.
     fn should_reject(&mut self, request: &InFlightRequest, unread_share: f32) -> bool {
         if self.is_stalled() {
             return true;
@@ -125,28 +126,28 @@
         if !self.is_busy() {
             return false;
         }
-        // The load counts requests that were read; a node can be overloaded with unread ones.
+        // The load counts only requests that were read, but unread ones can overload a node too.
         if unread_share > MAX_WAIT_SHARE {
             return true;
         }
         let load = self.in_flight.load_ahead(request.over_quota);
-        let applicant = if request.over_quota {
-            Applicant::OverQuota
+        let class = if request.over_quota {
+            AdmissionClass::OverQuota
         } else if self.sessions.contains(request.session_key) {
-            Applicant::EstablishedSession
+            AdmissionClass::EstablishedSession
         } else {
-            Applicant::NewSession
+            AdmissionClass::NewSession
         };
-        match thresholds::apply(load, self.concurrency_limit.get(), applicant) {
-            Verdict::Admit => false,
-            Verdict::RejectWithProbability(probability) => self.rng.f32() < probability,
-            Verdict::Reject => true,
+        match thresholds::apply(load, self.concurrency_limit.get(), class) {
+            Decision::Admit => false,
+            Decision::RejectWithProbability(probability) => self.rng.f32() < probability,
+            Decision::Reject => true,
         }
     }
 
-    /// Whether the admission rule applies: all cores are busy or, without a gauge, all run slots
-    /// are taken. Requests queued in this turn count as taking a slot, so that a burst is treated
-    /// the same whether it is read in one turn or in many.
+    /// Returns `true` if the admission rule applies: all cores are busy or, without a gauge, all
+    /// run slots are taken. Requests queued in this turn count as taking a slot, so that a burst is
+    /// treated the same whether it is read in one turn or in several.
     fn is_busy(&self) -> bool {
         let taken = self.in_flight.count(Stage::Running) + self.in_flight.count(Stage::Queued);
         self.run_slots
@@ -154,16 +155,16 @@
             .unwrap_or_else(|| taken >= self.run_slots.count(self.now))
     }
 
-    /// Whether a run that began now would miss the latency objective of a group whose late answers
-    /// have no value.
+    /// Returns `true` if late answers of the group have no value and a run that starts now would
+    /// miss the latency objective.
     fn would_be_late(&self, request: &InFlightRequest, group: &EndpointGroup) -> bool {
         let run_time = self.run_times.expected(request.group, request.work);
         let ends_at = self.now.saturating_add(run_time);
-        group.late_is_worthless() && ends_at > request.objective_deadline
+        group.late_answers_are_worthless() && ends_at > request.objective_deadline
     }
 
-    /// Admits a request, records it if it is deduplicated, and queues it to be run.
-    fn accept(
+    /// Admits a request: records it if it is deduplicated, and queues it.
+    fn admit(
         &mut self,
         request: &Request,
         arrival: InFlightRequest,
@@ -177,25 +178,25 @@
         if !arrival.over_quota {
             self.quotas.take(usize::from(request.tenant));
         }
-        let slot = self.admit(arrival);
+        let slot = self.insert_in_flight(arrival);
         self.enqueue(slot);
     }
 
-    /// Records a deduplicated request. This happens on reading, so that a retry is recognized while
-    /// the request is still queued.
+    /// Records a deduplicated request. The record is made when the request is read, so that a retry
+    /// is recognized while the request is still queued.
     fn record(&mut self, id: RequestId, ttl: TenthMillis, actions: &mut Vec<Action>) {
         actions.push(Action::Record { id, ttl });
         self.records.insert(id, self.now + ttl);
         self.memory.reserve(self.config.record_kb);
     }
 
-    /// Enters a request into the table and reserves its memory.
-    fn admit(&mut self, request: InFlightRequest) -> Slot {
+    /// Inserts a request into the table and reserves its memory.
+    fn insert_in_flight(&mut self, request: InFlightRequest) -> Slot {
         self.memory.reserve(request.memory_kb);
         self.in_flight.insert(request)
     }
 
-    /// Puts a request in its run queue, with a review at its latest start.
+    /// Adds a request to its run queue and schedules a review after its latest start.
     fn enqueue(&mut self, slot: Slot) {
         let request = &self.in_flight[slot];
         let group = self.group_of(slot);
@@ -203,14 +204,14 @@
         let relative_work = self.run_times.relative_work(request.group, request.work);
         let priority = self.run_priority(request, group, relative_work);
         let entry = QueueEntry::new(request, slot, priority);
-        let long_work = relative_work > LONG_WORK;
+        let long_work = relative_work > LONG_WORK_THRESHOLD;
         self.in_flight[slot].long_work = long_work;
         self.queues.push(entry, long_work);
         self.schedule_review(slot, latest_start.max(self.now) + 1);
     }
 
-    /// When a queued request is given up: once it has waited too long, or can no longer meet its
-    /// latency objective.
+    /// Returns the latest time at which a queued request may start. After it, the request has
+    /// waited too long or can no longer meet its latency objective.
     fn latest_start(&self, request: &InFlightRequest) -> TenthMillis {
         let deadline = request.objective_deadline;
         let objective = deadline.saturating_sub(request.arrived_at);
@@ -219,7 +220,7 @@
         (request.arrived_at + max_wait).min(deadline.saturating_sub(run_time))
     }
 
-    /// Priority in the run queues: weight per unit of work, or the weight alone where the
+    /// Returns the priority in the run queues: weight per unit of work, or the weight alone if the
     /// deployment counts value by work.
     fn run_priority(
         &self,
@@ -237,6 +238,6 @@
         } else {
             relative_work.max(MIN_RELATIVE_WORK)
         };
-        PRIORITY_UNITS * (group.priority_weight * quota_weight) / work
+        PRIORITY_SCALE * (group.priority_weight * quota_weight) / work
     }
 }
--- a/crates/admission/src/controller/calls.rs
+++ b/crates/admission/src/controller/calls.rs
@@ -4,14 +4,14 @@
 
 use super::AdmissionController;
 use crate::in_flight::{Slot, Stage};
-use crate::queue::{MAX_WAIT_SHARE, PRIORITY_UNITS, QueueEntry};
+use crate::queue::{MAX_WAIT_SHARE, PRIORITY_SCALE, QueueEntry};
 use crate::{Action, CallOutcome, Effect, RequestId};
 
-/// Most retries of a failed call.
+/// Maximum number of retries of a failed call.
 const MAX_CALL_RETRIES: u8 = 2;
 
 impl AdmissionController {
-    /// A running request needs its downstream call to continue.
+    /// Handles a running request that needs its downstream call to continue.
     pub(super) fn on_call_required(&mut self, id: RequestId) {
         let Some(slot) = self.in_flight.slot_of(id) else {
             return;
@@ -22,11 +22,12 @@
         }
     }
 
-    /// Queues a request for its call, by the value that it would lose without it.
+    /// Queues a request for its call. The priority is the value that the request would lose without
+    /// the call.
     fn enqueue_call(&mut self, slot: Slot) {
         let request = &self.in_flight[slot];
         let group = self.group_of(slot);
-        let priority = PRIORITY_UNITS * group.priority_weight * (1.0 - group.degraded_weight);
+        let priority = PRIORITY_SCALE * group.priority_weight * (1.0 - group.degraded_weight);
         let entry = QueueEntry::new(request, slot, priority);
         if group.can_skip_call() {
             let max_wait = (MAX_WAIT_SHARE * group.latency_objective as f32) as TenthMillis;
@@ -36,7 +37,7 @@
         self.downstream.push(entry);
     }
 
-    /// Makes the calls that the budget allows.
+    /// Makes queued calls as far as the budget allows.
     pub(super) fn make_calls(&mut self, actions: &mut Vec<Action>) {
         self.downstream.refill(self.now);
         while let Some(entry) = self.downstream.peek(&self.in_flight) {
@@ -51,8 +52,8 @@
         }
     }
 
-    /// How long a call that is made now may take. A call that may be skipped gets half of the time
-    /// to the latency objective, which leaves the other half for the rest of the run.
+    /// Returns how long a call that is made now may take. A call that may be skipped gets half of
+    /// the time left until the latency objective; the other half is left for the rest of the run.
     fn time_left_for_call(&self, slot: Slot, skippable: bool) -> TenthMillis {
         let request = &self.in_flight[slot];
         if skippable {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Makes the call of a request.
+    /// Makes the downstream call of a request.
     fn make_call(&mut self, slot: Slot, timeout: TenthMillis, actions: &mut Vec<Action>) {
         self.in_flight.set_stage(slot, Stage::Calling);
         let request = &mut self.in_flight[slot];
@@ -71,7 +72,7 @@
         actions.push(Action::Call { id, timeout });
     }
 
-    /// A call has ended. Reports on a request that is not at a call are ignored.
+    /// Handles the end of a call. Reports on a request without a call in progress are ignored.
     pub(super) fn on_call_ended(
         &mut self,
         id: RequestId,
@@ -86,7 +87,7 @@
             return;
         }
         self.in_flight.set_stage(slot, Stage::AwaitingCall);
-        self.settle_call(slot, outcome == CallOutcome::TimedOut);
+        self.refund_call(slot, outcome == CallOutcome::TimedOut);
         if outcome == CallOutcome::Completed {
             self.downstream.record_completed(duration);
             self.resume(slot);
@@ -99,7 +100,7 @@
     fn on_call_failed(&mut self, slot: Slot, outcome: CallOutcome, actions: &mut Vec<Action>) {
         let request = &self.in_flight[slot];
         if request.answered {
-            return; // Only the end of its run is still to be reported.
+            return; // Only the end of the run is still to be reported.
         }
         let group = self.group_of(slot);
         let may_retry = group.effect == Effect::Idempotent || outcome.proves_not_run();
@@ -112,14 +113,14 @@
         }
     }
 
-    /// Continues a run without its call.
+    /// Continues a run without its downstream call.
     pub(super) fn skip_call(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let id = self.in_flight[slot].id;
         actions.push(Action::SkipCall { id });
         self.resume(slot);
     }
 
-    /// Continues a run after its call.
+    /// Returns a request to the running stage and schedules its next review.
     fn resume(&mut self, slot: Slot) {
         self.in_flight.set_stage(slot, Stage::Running);
         let request = &self.in_flight[slot];
@@ -132,8 +133,8 @@
     }
 
     /// Returns the unused part of a call's charge to the budget.
-    pub(super) fn settle_call(&mut self, slot: Slot, abandoned: bool) {
+    pub(super) fn refund_call(&mut self, slot: Slot, abandoned: bool) {
         let calls = &self.in_flight[slot].calls;
-        self.downstream.settle(calls, abandoned, self.now);
+        self.downstream.refund_unused(calls, abandoned, self.now);
     }
 }
--- a/crates/admission/src/controller/dispatch.rs
+++ b/crates/admission/src/controller/dispatch.rs
@@ -1,11 +1,11 @@
-//! Starts queued requests, and learns from the runs that end.
+//! Starts queued requests, and updates the estimates when runs end.
 
 use super::AdmissionController;
 use crate::in_flight::{Slot, Stage};
 use crate::{Action, RequestId, RunOutcome};
 
 impl AdmissionController {
-    /// Starts the best queued requests while there are run slots, concurrency and memory for them.
+    /// Starts queued requests by priority while run slots, concurrency and memory are available.
     pub(super) fn start_queued(&mut self, actions: &mut Vec<Action>) {
         let run_slots = self.run_slots.count(self.now);
         let max_started = self.run_slots.max_concurrency(self.now).max(1.0) as usize;
@@ -16,7 +16,7 @@
                 break;
             };
             let queued_kb = self.in_flight[slot].memory_kb;
-            let extra_kb = self.memory.extra_to_run(queued_kb);
+            let extra_kb = self.memory.extra_run_kb(queued_kb);
             if !self.memory.fits(extra_kb) {
                 break;
             }
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Starts the head of a run queue.
+    /// Starts the request at the head of a run queue.
     fn start(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let request = &mut self.in_flight[slot];
         request.run_started_at = self.now;
@@ -38,7 +38,7 @@
         actions.push(Action::Run { id });
     }
 
-    /// A run, or the wait of an attached request, has ended.
+    /// Handles the end of a run, or of the wait of an attached request.
     pub(super) fn on_run_ended(&mut self, id: RequestId, outcome: RunOutcome) {
         let Some(slot) = self.in_flight.slot_of(id) else {
             return;
@@ -47,16 +47,16 @@
         if outcome == RunOutcome::Completed && request.stage != Stage::Queued && !request.answered {
             let session_key = request.session_key;
             if request.has_started() {
-                self.learn_from_run(slot);
+                self.record_completed_run(slot);
             }
             self.sessions.record_completed(session_key);
         }
         self.health.record_progress(self.now);
-        self.release(slot);
+        self.remove_from_table(slot);
     }
 
-    /// Learns from a run that has completed.
-    fn learn_from_run(&mut self, slot: Slot) {
+    /// Updates the run time estimates and the concurrency limit after a completed run.
+    fn record_completed_run(&mut self, slot: Slot) {
         let request = &self.in_flight[slot];
         let run_time = (self.now - request.run_started_at) as f32;
         let met_objective = self.now <= request.objective_deadline;
@@ -64,7 +64,7 @@
         self.adjust_concurrency_limit(met_objective);
     }
 
-    /// Adjusts the concurrency limit to a run that met its latency objective, or missed it.
+    /// Adjusts the concurrency limit after a run that met or missed its latency objective.
     pub(super) fn adjust_concurrency_limit(&mut self, met_objective: bool) {
         let run_slots = self.run_slots.count(self.now);
         let mean_run_time = self.run_times.mean();
--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -1,27 +1,27 @@
-//! What happened at the node, as it reports it to the decisions.
+//! Events that the node reports to admission control.
 
 use doortrack_time::TenthMillis;
 
-/// Identifies a request at this node. Never used twice by one node within one process.
+/// Identifies a request at this node. An id is never reused within one process.
 pub type RequestId = u32;
 
-/// One thing that happened at this node.
+/// An event at this node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The node is up; the first event of each process.
+    /// The node has started. This is the first event of each process.
     Started,
-    /// A request was read and is queued; one final answer is owed from here on.
+    /// A request was read. From here on it is owed one final answer.
     Arrived(Request),
     /// A run, or a wait begun with [`Action::Attach`](crate::Action::Attach), has ended.
     RunEnded {
-        /// The request that ran or waited.
+        /// The request that ran, or that was attached.
         id: RequestId,
-        /// How it ended.
+        /// How the run or the wait ended.
         outcome: RunOutcome,
     },
-    /// A running request cannot continue without a call to a downstream service.
+    /// A running request needs a downstream call to continue.
     CallRequired {
-        /// The running request.
+        /// The request that needs the call.
         id: RequestId,
     },
     /// A call made with [`Action::Call`](crate::Action::Call) has ended.
@@ -30,109 +30,110 @@
         id: RequestId,
         /// How the call ended.
         outcome: CallOutcome,
-        /// Time from the call to its end.
+        /// Duration of the call.
         duration: TenthMillis,
     },
-    /// The caller no longer waits for an answer.
+    /// The caller of a request no longer waits for an answer.
     CallerGone {
-        /// The request whose caller left.
+        /// The request.
         id: RequestId,
     },
     /// A graceful shutdown was requested.
     Drain {
-        /// Time since the request to shut down.
+        /// Time since the shutdown was requested.
         age: TenthMillis,
-        /// When the process is stopped.
+        /// Time at which the process is stopped.
         stop_at: TenthMillis,
     },
     /// A timer set with [`Action::SetTimer`](crate::Action::SetTimer) fired.
     Timer {
-        /// The token it was set with.
+        /// The token that the timer was set with.
         token: u64,
-        /// The node's gauges at this time.
+        /// The node's current gauges.
         gauges: Gauges,
     },
 }
 
-/// A request as the decisions see it.
+/// The properties of a request that admission control uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its id at this node.
+    /// The id of the request at this node.
     pub id: RequestId,
     /// Index of its endpoint group in [`AdmissionConfig::groups`](crate::AdmissionConfig::groups).
     pub group: u8,
     /// Index of its tenant in
     /// [`AdmissionConfig::tenant_quotas`](crate::AdmissionConfig::tenant_quotas).
     pub tenant: u16,
-    /// Identifies the session that it belongs to; 0 if none is known.
+    /// Key of the session that the request belongs to; 0 if none is known.
     pub session_key: u64,
-    /// When its caller stops waiting, if the protocol passes that on.
+    /// Time at which the caller stops waiting, if the protocol transmits it.
     pub deadline: Option<TenthMillis>,
     /// Expected work, as time on a standard core.
     pub work_hint: Option<TenthMillis>,
-    /// Memory that it takes while queued, in kB.
+    /// Memory used by the request while it is queued, in kB.
     pub memory_kb: f32,
-    /// Its rank within its group: from 0 to under 1, rising with its value.
+    /// Rank within the group, from 0 to below 1; a higher rank means a higher value.
     pub rank: f32,
-    /// Marked by the caller as a retry or a hedged request.
+    /// Whether the caller marked the request as a retry or a hedged request.
     pub retry: bool,
-    /// Identifies the caller. Numbers are used up as callers come and go, hence the width.
+    /// Identifies the caller. Every new caller uses up a number, hence the width.
     pub caller: u64,
-    /// Time since it reached this machine.
+    /// Time since the request reached this machine.
     pub age: TenthMillis,
-    /// The recorded request with the same idempotency key, if there is one.
+    /// The recorded request with the same idempotency key, if any.
     pub duplicate_of: Option<RequestId>,
-    /// Set where a budget of the whole fleet has nothing left for it: how long until it may have.
+    /// Time until a fleet-wide budget may have capacity for the request. Set only if the budget has
+    /// none left for it now.
     pub budget_retry_after: Option<TenthMillis>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It produced a result.
+    /// The run produced a result.
     Completed,
-    /// It failed, or its result was lost.
+    /// The run failed, or its result was lost.
     Failed,
-    /// It was cancelled with [`Action::Cancel`](crate::Action::Cancel).
+    /// The run was cancelled with [`Action::Cancel`](crate::Action::Cancel).
     Cancelled,
-    /// Nothing was begun: the request had ended before.
+    /// The run was not started because the request had already ended.
     NotStarted,
 }
 
 /// How a call to a downstream service ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It produced a result.
+    /// The call produced a result.
     Completed,
     /// The service reported a failure.
     Failed,
-    /// The service rejected it without running it.
+    /// The service rejected the call without running it.
     Rejected,
-    /// Abandoned after its timeout; may have taken effect.
+    /// The call was abandoned after its timeout and may have taken effect.
     TimedOut,
     /// The service could not be reached.
     Unreachable,
-    /// The connection was lost during the call; may have taken effect.
+    /// The connection was lost during the call, which may have taken effect.
     ConnectionLost,
-    /// Cancelled together with its request.
+    /// The call was cancelled together with its request.
     Cancelled,
     /// The call was never made.
     NotStarted,
 }
 
 impl CallOutcome {
-    /// Whether the call certainly had no effect.
+    /// Returns `true` if the call certainly had no effect.
     pub fn proves_not_run(self) -> bool {
         matches!(self, Self::Rejected | Self::Unreachable | Self::NotStarted)
     }
 }
 
-/// The node's own gauges; each absent where the node has none.
+/// The node's gauges. A gauge that the node does not have is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
     /// Share of the cores that were busy over the last half second.
     pub busy_cores: Option<f32>,
-    /// All work that wants a core now: runs, reading, health checks, new connections.
+    /// Number of tasks ready to use a core: runs, reads, health checks and new connections.
     pub runnable_tasks: Option<f32>,
     /// Share of the memory in use.
     pub memory: Option<f32>,
--- a/crates/admission/src/health.rs
+++ b/crates/admission/src/health.rs
@@ -1,19 +1,19 @@
-//! Whether the node makes progress, and what it reports to health checks.
+//! Tracks whether the node makes progress, and what it reports to health checks.
 
 use doortrack_time::TenthMillis;
 
 use crate::{Action, AdmissionConfig};
 
-/// The node is stalled after this multiple of the mean run time without progress.
-const STALLED_RUN_TIMES: f32 = 6.0;
+/// Time without progress after which the node is stalled, as a multiple of the mean run time.
+const STALL_RUN_TIME_MULTIPLE: f32 = 6.0;
 
 /// The progress of the runs, and the health last reported.
 #[derive(Debug)]
 pub(crate) struct Health {
-    /// When a run last began or ended.
+    /// Time at which a run last started or ended.
     progress_at: TenthMillis,
-    /// Shortest time without progress that counts as stalled.
-    min_stall: f32,
+    /// Minimum time without progress that counts as stalled.
+    min_stall_time: f32,
     reported_healthy: bool,
 }
 
@@ -22,25 +22,29 @@
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         Self {
             progress_at: 0,
-            min_stall: config.shortest_objective() as f32,
+            min_stall_time: config.shortest_objective() as f32,
             reported_healthy: false,
         }
     }
 
-    /// A run began or ended.
+    /// Records that a run started or ended.
     pub(crate) fn record_progress(&mut self, now: TenthMillis) {
         self.progress_at = now;
     }
 
-    /// Whether no run began or ended for far longer than a run takes: hung work, a frozen disk, or
-    /// a machine that has become far slower. The gauges may read idle then.
+    /// Returns `true` if no run has started or ended for much longer than a run takes: because of
+    /// hung work, a frozen disk, or a machine that has become much slower. The gauges may read idle
+    /// in that state.
     pub(crate) fn without_progress(&self, now: TenthMillis, mean_run_time: f32) -> bool {
-        let quiet = (now - self.progress_at) as f32;
-        quiet > self.min_stall.max(STALLED_RUN_TIMES * mean_run_time)
+        let time_without_progress = (now - self.progress_at) as f32;
+        time_without_progress
+            > self
+                .min_stall_time
+                .max(STALL_RUN_TIME_MULTIPLE * mean_run_time)
     }
 
-    /// Reports a change of the node's health. Health checks are answered from the stored state, as
-    /// checks that do real work would add to an overload.
+    /// Reports the node's health if it has changed. Health checks are answered from the stored
+    /// state, because checks that do real work would add to an overload.
     pub(crate) fn report(&mut self, healthy: bool, actions: &mut Vec<Action>) {
         if healthy != self.reported_healthy {
             self.reported_healthy = healthy;
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -1,4 +1,4 @@
-//! Requests recorded under their idempotency keys, so that a retry is not run again.
+//! Records of requests by idempotency key, so that retries are not run again.
 
 use std::collections::VecDeque;
 
@@ -8,11 +8,11 @@
 use crate::RequestId;
 use crate::in_flight::{InFlightTable, Stage};
 
-/// The live entries of the node's table of deduplicated requests.
+/// The current records in the node's table of deduplicated requests.
 #[derive(Debug, Default)]
 pub(crate) struct IdempotencyRecords {
     live: FxHashSet<RequestId>,
-    /// In order of entry; entries of requests that were removed since are skipped.
+    /// Expiration times in order of insertion. Entries whose records have been removed are skipped.
     expirations: VecDeque<(TenthMillis, RequestId)>,
 }
 
@@ -23,12 +23,12 @@
         self.expirations.push_back((expires_at, id));
     }
 
-    /// Removes the record of a request. Returns whether there was one.
+    /// Removes the record of a request. Returns `true` if there was one.
     pub(crate) fn remove(&mut self, id: RequestId) -> bool {
         self.live.remove(&id)
     }
 
-    /// The next request whose record has expired and is to be removed.
+    /// Returns the next request whose record has expired; the caller removes the record.
     pub(crate) fn pop_expired(&mut self, now: TenthMillis) -> Option<RequestId> {
         let (_, id) = self
             .expirations
@@ -37,8 +37,9 @@
     }
 }
 
-/// The request whose result answers `id`, if that is a duplicate. Requests of one batch may name
-/// each other as the original: the one whose chain of attachments leads back to itself is run.
+/// Returns the request whose result answers `id`, or `None` if `id` is not a duplicate. Two
+/// requests of one batch may each name the other as the original: the one whose chain of
+/// attachments leads back to itself is run.
 pub(crate) fn original_of(
     in_flight: &InFlightTable,
     id: RequestId,
--- a/crates/admission/src/in_flight.rs
+++ b/crates/admission/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! The table of requests in flight: those that are not answered yet, or whose runs have not ended.
+//! The table of requests in flight: requests that are not answered yet, or whose runs have not
+//! ended.
 
 use std::ops::{Index, IndexMut};
 
@@ -9,16 +10,16 @@
 use crate::RequestId;
 use crate::downstream_calls::RequestCalls;
 
-/// Position of a request in the table. It is reused once the request has ended.
+/// Position of a request in the table. A slot is reused after its request has ended.
 pub(crate) type Slot = usize;
 
 /// The stage of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Waiting to be run.
+    /// Waiting to run.
     #[default]
     Queued,
-    /// Waiting for the result of the request that it duplicates.
+    /// Waiting for the result of the request that this one duplicates.
     Attached,
     /// Running on a core.
     Running,
@@ -29,42 +30,41 @@
 }
 
 /// Number of stages.
-const STAGES: usize = 5;
+const STAGE_COUNT: usize = 5;
 
 /// One request in flight.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightRequest {
-    /// Its id at this node.
+    /// The id of the request at this node.
     pub(crate) id: RequestId,
     /// Index of its endpoint group.
     pub(crate) group: usize,
-    /// Identifies its session; 0 if none is known.
+    /// Key of the request's session; 0 if none is known.
     pub(crate) session_key: u64,
-    /// Its stage, which only [`InFlightTable::set_stage`] changes.
+    /// The current stage, which only [`InFlightTable::set_stage`] changes.
     pub(crate) stage: Stage,
-    /// The request that it duplicates, while attached.
+    /// The original that this request is attached to, at [`Stage::Attached`].
     pub(crate) attached_to: RequestId,
-    /// When it reached this machine.
+    /// Time at which the request reached this machine.
     pub(crate) arrived_at: TenthMillis,
-    /// End of its latency objective.
+    /// End of the request's latency objective.
     pub(crate) objective_deadline: TenthMillis,
-    /// The last moment for an answer.
+    /// Latest time for an answer.
     pub(crate) answer_by: TenthMillis,
-    /// When it is next reviewed.
+    /// Time of the next review.
     pub(crate) review_at: TenthMillis,
-    /// When its run began.
     pub(crate) run_started_at: TenthMillis,
     /// Expected work, as time on a standard core; 0 if not known.
     pub(crate) work: f32,
-    /// Memory that it takes while queued, in kB.
+    /// Memory used by the request while it is queued, in kB.
     pub(crate) memory_kb: f32,
-    /// It exceeds its tenant's quota.
+    /// Whether the request exceeds its tenant's quota.
     pub(crate) over_quota: bool,
-    /// It takes much more work than the mean.
+    /// Whether the request takes much more work than the mean.
     pub(crate) long_work: bool,
-    /// It needs no answer any more; only the end of its run is still to be reported.
+    /// Whether the request needs no further answer, so that only the end of its run is still to be
+    /// reported.
     pub(crate) answered: bool,
-    /// Its downstream calls.
     pub(crate) calls: RequestCalls,
 }
 
@@ -73,7 +73,7 @@
 pub(crate) struct InFlightTable {
     slots: Slab<InFlightRequest>,
     by_id: FxHashMap<RequestId, Slot>,
-    at_stage: [usize; STAGES],
+    count_by_stage: [usize; STAGE_COUNT],
     queued_over_quota: usize,
     long_running: usize,
 }
@@ -112,59 +112,59 @@
     }
 
     fn enter_stage(&mut self, stage: Stage, over_quota: bool) {
-        self.at_stage[stage as usize] += 1;
+        self.count_by_stage[stage as usize] += 1;
         self.queued_over_quota += usize::from(stage == Stage::Queued && over_quota);
     }
 
     fn leave_stage(&mut self, stage: Stage, over_quota: bool) {
-        self.at_stage[stage as usize] -= 1;
+        self.count_by_stage[stage as usize] -= 1;
         self.queued_over_quota -= usize::from(stage == Stage::Queued && over_quota);
     }
 
-    /// The slot of a request, if it is in flight.
+    /// Returns the slot of a request, if it is in flight.
     pub(crate) fn slot_of(&self, id: RequestId) -> Option<Slot> {
         self.by_id.get(&id).copied()
     }
 
-    /// The request in this slot, if that still holds the one with this id.
+    /// Returns the request in this slot, if it has this id.
     pub(crate) fn get(&self, slot: Slot, id: RequestId) -> Option<&InFlightRequest> {
         self.slots.get(slot).filter(|request| request.id == id)
     }
 
-    /// Number of requests in flight.
+    /// Returns the number of requests in flight.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// The slots of all requests, in ascending order.
+    /// Returns the slots of all requests, in ascending order.
     pub(crate) fn slots(&self) -> impl Iterator<Item = Slot> {
         self.slots.iter().map(|(slot, _)| slot)
     }
 
-    /// Number of requests at this stage.
+    /// Returns the number of requests at this stage.
     pub(crate) fn count(&self, stage: Stage) -> usize {
-        self.at_stage[stage as usize]
+        self.count_by_stage[stage as usize]
     }
 
-    /// Number of started requests with long work.
+    /// Returns the number of started requests with long work.
     pub(crate) fn long_running(&self) -> usize {
         self.long_running
     }
 
-    /// Number of started requests. Those at downstream calls are included, as they return to the
-    /// cores without a decision when their calls end.
+    /// Returns the number of started requests. Requests at downstream calls are included, because
+    /// they return to the cores without a decision when their calls end.
     pub(crate) fn started(&self) -> usize {
         self.count(Stage::Running) + self.count(Stage::AwaitingCall) + self.count(Stage::Calling)
     }
 
-    /// The paper's load `l`: requests queued and running. Those at downstream calls are bounded
-    /// apart.
+    /// Returns the load `l` of the admission rule: the number of queued and running requests.
+    /// Requests at downstream calls are limited separately.
     pub(crate) fn load(&self) -> f32 {
         (self.count(Stage::Queued) + self.count(Stage::Running)) as f32
     }
 
-    /// The load that goes before a request: what is queued beyond a quota waits for all that is
-    /// within one.
+    /// Returns the load that is served before a new request. For a request within its tenant's
+    /// quota, this excludes queued requests that exceed a quota, because they run after it.
     pub(crate) fn load_ahead(&self, over_quota: bool) -> f32 {
         if over_quota {
             self.load()
@@ -189,12 +189,12 @@
 }
 
 impl InFlightRequest {
-    /// Whether its run has begun.
+    /// Returns `true` if the request's run has started.
     pub(crate) fn has_started(&self) -> bool {
         !matches!(self.stage, Stage::Queued | Stage::Attached)
     }
 
-    /// Whether it waits for its downstream call to be made.
+    /// Returns `true` if the request waits for its downstream call to be made.
     pub(crate) fn awaits_call(&self) -> bool {
         self.stage == Stage::AwaitingCall && !self.answered
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,16 +1,17 @@
-//! The admission decisions of one node: which requests are admitted, run and rejected, which
+//! Admission control for one node: decides which requests are admitted, run and rejected, which
 //! downstream calls are made, and how callers are informed of the load.
 //!
-//! The node reports each [`Event`] to [`AdmissionController::handle`] and executes the [`Action`]s
-//! that come back. The package does no I/O and reads no clock: the same events with the same seed
-//! and [`AdmissionConfig`] give the same actions.
+//! The node reports each [`Event`] to [`AdmissionController::handle`] and executes the returned
+//! [`Action`]s. The package does no I/O and reads no clock: the same events with the same seed and
+//! [`AdmissionConfig`] give the same actions.
 //!
-//! Times are in the unit of [`doortrack_time`]. The caller rounds a deadline and an age down, a
-//! window and a retry delay up, so that rounding makes no answer late and no record expire early.
+//! Times are in the unit of [`doortrack_time`]. The node rounds deadlines and ages down, and
+//! windows and retry delays up, so that rounding never makes an answer late or a record expire
+//! early.
 //!
-//! [`AdmissionController`] holds the state of each concern in a type of its own, in the module
-//! named after it, and goes through them in a fixed order on each turn. `docs/design.md` gives the
-//! sources and the reasons.
+//! [`AdmissionController`] keeps the state of each concern in a type of its own, in the module
+//! named after it, and updates these types in a fixed order on each turn. `docs/design.md` gives
+//! the sources and the reasons.
 
 mod action;
 mod backpressure;
--- a/crates/admission/src/memory.rs
+++ b/crates/admission/src/memory.rs
@@ -1,14 +1,14 @@
-//! Account of the memory that requests and recorded entries take.
+//! Accounting of the memory used by requests and records.
 
 use crate::AdmissionConfig;
 
-/// Part of the node's memory that may be used. The margin is small because the account is exact.
-const USABLE_SHARE: f32 = 0.95;
+/// Usable share of the node's memory. The margin is small because the accounting is exact.
+const USABLE_MEMORY_SHARE: f32 = 0.95;
 
-/// Memory in use, in kB.
+/// The memory in use and the usable memory, in kB.
 #[derive(Debug)]
 pub(crate) struct MemoryAccount {
-    /// A sum in `f64`, so that rounding errors stay far below the margin.
+    /// The sum is an `f64` so that rounding errors stay far below the margin.
     used_kb: f64,
     usable_kb: f64,
     /// Additional memory of a running request, as a multiple of its memory while queued.
@@ -20,12 +20,12 @@
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         Self {
             used_kb: 0.0,
-            usable_kb: f64::from(config.memory_kb * USABLE_SHARE),
+            usable_kb: f64::from(config.memory_kb * USABLE_MEMORY_SHARE),
             extra_run_factor: (config.run_memory_factor - 1.0).max(0.0),
         }
     }
 
-    /// Whether this much more memory is available.
+    /// Returns `true` if this much more memory is available.
     pub(crate) fn fits(&self, kb: f32) -> bool {
         self.used_kb + f64::from(kb) <= self.usable_kb
     }
@@ -40,8 +40,9 @@
         self.used_kb -= f64::from(kb);
     }
 
-    /// Additional memory, in kB, of a request that takes `kb` while queued, once it runs.
-    pub(crate) fn extra_to_run(&self, kb: f32) -> f32 {
+    /// Returns the additional memory, in kB, that a request uses while running if it uses `kb`
+    /// while queued.
+    pub(crate) fn extra_run_kb(&self, kb: f32) -> f32 {
         kb * self.extra_run_factor
     }
 }
--- a/crates/admission/src/moving_mean.rs
+++ b/crates/admission/src/moving_mean.rs
@@ -3,12 +3,13 @@
 /// Weight of the newest value.
 const NEWEST_WEIGHT: f32 = 0.1;
 
-/// A mean that starts at the first value and then follows the newest ones; 0 before the first.
+/// A mean that starts at the first value and then moves towards each newer one; 0 before the first
+/// value.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MovingMean(f32);
 
 impl MovingMean {
-    /// The mean, in the unit of its values.
+    /// Returns the mean, in the unit of its values.
     pub(crate) fn get(self) -> f32 {
         self.0
     }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queues of requests that wait to be run, one for short work and one for long work.
+//! The queues of requests that wait to run, one for short work and one for long work.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,19 +8,20 @@
 use crate::RequestId;
 use crate::in_flight::{InFlightRequest, InFlightTable, Slot, Stage};
 
-/// Longest wait of a request, unread and queued, as a share of its latency objective. A request
-/// that is rejected later has no time left for a retry on another node. The same share bounds the
+/// Maximum time that a request waits, unread and queued, as a share of its latency objective. A
+/// request rejected later has no time left for a retry on another node. The same share limits the
 /// wait for a downstream call that may be skipped.
 pub(crate) const MAX_WAIT_SHARE: f32 = 0.33;
-/// Work is long above this multiple of the mean work.
-pub(crate) const LONG_WORK: f32 = 2.0;
-/// Share of the run slots that long work may take while short work waits.
+/// Multiple of the mean work above which work counts as long.
+pub(crate) const LONG_WORK_THRESHOLD: f32 = 2.0;
+/// Maximum share of the run slots that long work may take while short work waits.
 const MAX_LONG_WORK_SHARE: f32 = 0.5;
-/// Priority per unit of weight, which keeps small differences of weight in whole numbers.
-pub(crate) const PRIORITY_UNITS: f32 = 1000.0;
+/// Priority per unit of weight. Priorities are whole numbers, and this scale preserves small
+/// differences of weight.
+pub(crate) const PRIORITY_SCALE: f32 = 1000.0;
 
-/// A waiting request. The derived order puts the greatest first: the highest priority, then the
-/// earliest arrival, then the lowest id.
+/// A waiting request. The derived order is by highest priority, then earliest arrival, then lowest
+/// id, with the next request as the greatest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
     priority: u32,
@@ -30,7 +31,7 @@
 }
 
 impl QueueEntry {
-    /// Creates the entry of a request; [`PRIORITY_UNITS`] is the scale of `priority`.
+    /// Creates the entry of a request. `priority` is scaled by [`PRIORITY_SCALE`].
     pub(crate) fn new(request: &InFlightRequest, slot: Slot, priority: f32) -> Self {
         Self {
             priority: priority as u32,
@@ -40,18 +41,18 @@
         }
     }
 
-    /// The slot of the request.
+    /// Returns the slot of the request.
     pub(crate) fn slot(&self) -> Slot {
         self.slot
     }
 
-    /// The request, unless it has ended.
+    /// Returns the request, or `None` if it has ended.
     pub(crate) fn request<'a>(&self, in_flight: &'a InFlightTable) -> Option<&'a InFlightRequest> {
         in_flight.get(self.slot, self.id.0)
     }
 }
 
-/// The two queues. Entries of requests that no longer wait are skipped.
+/// The run queues for short and long work. Entries of requests that no longer wait are skipped.
 #[derive(Debug, Default)]
 pub(crate) struct RunQueues {
     short: BinaryHeap<QueueEntry>,
@@ -59,17 +60,18 @@
 }
 
 impl RunQueues {
-    /// Adds an entry to the queue of its kind of work.
+    /// Adds an entry to the queue for short or long work.
     pub(crate) fn push(&mut self, entry: QueueEntry, long_work: bool) {
         self.queue_mut(long_work).push(entry);
     }
 
-    /// Removes the head of the queue of this kind of work, once [`Self::next`] has chosen it.
+    /// Removes the head of the queue for short or long work, after [`Self::next`] has chosen it.
     pub(crate) fn pop(&mut self, long_work: bool) {
         self.queue_mut(long_work).pop();
     }
 
-    /// The head with the higher priority. Long work leaves some slots to waiting short work.
+    /// Returns the slot of the next request: the head with the higher priority, unless it is long
+    /// work that would take slots reserved for waiting short work.
     pub(crate) fn next(&mut self, in_flight: &InFlightTable, run_slots: usize) -> Option<Slot> {
         discard_stale(&mut self.short, in_flight);
         discard_stale(&mut self.long, in_flight);
@@ -92,7 +94,7 @@
     }
 }
 
-/// Removes entries at the head whose requests are no longer queued.
+/// Removes entries from the head of the queue whose requests are no longer queued.
 fn discard_stale(queue: &mut BinaryHeap<QueueEntry>, in_flight: &InFlightTable) {
     while let Some(head) = queue.peek() {
         let request = head.request(in_flight);
--- a/crates/admission/src/recent_set.rs
+++ b/crates/admission/src/recent_set.rs
@@ -1,22 +1,22 @@
-//! A bounded set of keys that forgets those not seen recently.
+//! A bounded set of keys that drops keys not inserted recently.
 
 use doortrack_time::TenthMillis;
 use rustc_hash::FxHashSet;
 
-/// A set of two generations. A key stays for one to two windows after it was last inserted, or less
-/// if a generation reaches its maximum size.
+/// A set with two generations. A key stays for one to two windows after it was last inserted, or
+/// for less time if a generation reaches its maximum size.
 #[derive(Debug)]
 pub(crate) struct RecentSet {
     current: FxHashSet<u64>,
     previous: FxHashSet<u64>,
     window: TenthMillis,
-    /// A generation of this size is rotated before its window has passed.
+    /// Size at which a generation is rotated before its window has passed.
     max_generation_len: usize,
     rotate_at: TenthMillis,
 }
 
 impl RecentSet {
-    /// Creates an empty set. The first call of [`Self::rotate_if_due`] starts its first window.
+    /// Creates an empty set. The first call of [`Self::rotate_if_due`] starts the first window.
     pub(crate) fn new(window: TenthMillis, max_generation_len: usize) -> Self {
         Self {
             current: FxHashSet::default(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether the key was inserted recently.
+    /// Returns `true` if the key was inserted recently.
     pub(crate) fn contains(&self, key: u64) -> bool {
         self.current.contains(&key) || self.previous.contains(&key)
     }
@@ -47,7 +47,7 @@
         self.rotate_at = now + self.window;
     }
 
-    /// Number of keys in the larger generation.
+    /// Returns the number of keys in the larger generation.
     pub(crate) fn len_of_larger_generation(&self) -> usize {
         self.current.len().max(self.previous.len())
     }
--- a/crates/admission/src/review.rs
+++ b/crates/admission/src/review.rs
@@ -1,4 +1,4 @@
-//! The times at which requests are due for a decision, and the one timer for all of them.
+//! The schedule of request reviews, and the timer that they share with ticks.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,7 +16,7 @@
     slot: Slot,
 }
 
-/// All scheduled reviews. Those of requests that have ended or were rescheduled are skipped.
+/// All scheduled reviews. Reviews of requests that have ended or were rescheduled are skipped.
 #[derive(Debug, Default)]
 pub(crate) struct ReviewSchedule {
     reviews: BinaryHeap<Reverse<Review>>,
@@ -28,7 +28,7 @@
         self.reviews.push(Reverse(Review { at, id, slot }));
     }
 
-    /// Removes the next review that is due. Returns the slot of its request.
+    /// Removes the next review that is due, and returns the slot of its request.
     pub(crate) fn pop_due(&mut self, in_flight: &InFlightTable, now: TenthMillis) -> Option<Slot> {
         while let Some(&Reverse(review)) = self.reviews.peek() {
             let request = in_flight.get(review.slot, review.id);
@@ -44,22 +44,23 @@
         None
     }
 
-    /// The time of the earliest review, or [`TenthMillis::MAX`] if there is none.
+    /// Returns the time of the earliest review, or [`TenthMillis::MAX`] if there is none.
     pub(crate) fn next_at(&self) -> TenthMillis {
         let earliest = self.reviews.peek();
         earliest.map_or(TenthMillis::MAX, |Reverse(review)| review.at)
     }
 }
 
-/// The timer of a node, which serves all reviews and ticks.
+/// The node's timer, which serves all reviews and ticks.
 #[derive(Debug, Default)]
 pub(crate) struct Timer {
-    /// When it fires next; in the past if it is not set.
+    /// Time at which the timer fires next; in the past if it is not set.
     fires_at: TenthMillis,
 }
 
 impl Timer {
-    /// Sets the timer if it would not fire by `at`. Returns when it is to fire.
+    /// Sets the timer if it would not fire by `at`. Returns the time at which it fires, or `None`
+    /// if it was already set early enough.
     pub(crate) fn set(&mut self, now: TenthMillis, at: TenthMillis) -> Option<TenthMillis> {
         let at = at.max(now + 1);
         if self.fires_at > now && self.fires_at <= at {
--- a/crates/admission/src/run_slots.rs
+++ b/crates/admission/src/run_slots.rs
@@ -1,35 +1,35 @@
-//! How many requests run at once on this node's cores.
+//! Limits how many requests run at once on the node's cores.
 
 use doortrack_time::TenthMillis;
 
 use crate::AdmissionConfig;
 
-/// Part of the sustainable concurrency, on the cores and downstream, that may be used.
-pub(crate) const SAFE_SHARE: f32 = 0.9;
-/// Runs per core while some cores are idle: runs may wait for resources without a gauge, such as a
-/// disk.
+/// Usable share of the concurrency that the cores and the downstream service can sustain.
+pub(crate) const USABLE_CONCURRENCY_SHARE: f32 = 0.9;
+/// Runs per core while some cores are idle. The value exceeds 1 because runs may wait for resources
+/// without a gauge, such as a disk.
 const RUNS_PER_CORE: f32 = 1.5;
-/// Runs per core while all cores are busy: more would only slow each other down.
+/// Runs per core while all cores are busy. More runs would only slow each other down.
 const RUNS_PER_BUSY_CORE: f32 = 1.0;
-/// All cores count as busy from this share of busy cores on.
-const ALL_BUSY: f32 = 0.95;
+/// Minimum share of busy cores at which all cores count as busy.
+const ALL_BUSY_THRESHOLD: f32 = 0.95;
 
-/// The concurrency that the cores allow.
+/// The number of requests that may run at once.
 #[derive(Debug)]
 pub(crate) struct RunSlots {
     cores: f32,
     cold: bool,
     initial_speed: f32,
     warm_up_time: TenthMillis,
-    /// Concurrency per core beyond the first that a warm node can sustain.
+    /// Number of running requests per core, beyond the first, that a warm node can sustain.
     extra_concurrency: f32,
     started_at: TenthMillis,
-    /// Latest gauge; absent where there is none or it is not a number.
+    /// Latest reading of the gauge; absent if there is no gauge or its value is not finite.
     busy_cores: Option<f32>,
 }
 
 impl RunSlots {
-    /// Creates the slots of a node that has not started yet.
+    /// Creates the run slots of a node that has not started yet.
     pub(crate) fn new(config: &AdmissionConfig) -> Self {
         Self {
             cores: config.cores,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The process has started. A cold node warms up from now on.
+    /// Records the start of the process. A cold node warms up from this time on.
     pub(crate) fn start(&mut self, now: TenthMillis) {
         self.started_at = now;
     }
@@ -52,12 +52,12 @@
         self.busy_cores = busy_cores.filter(|share| share.is_finite());
     }
 
-    /// Whether all cores are busy; `None` without a gauge.
+    /// Returns whether all cores are busy, or `None` without a gauge.
     pub(crate) fn all_cores_busy(&self) -> Option<bool> {
-        self.busy_cores.map(|share| share >= ALL_BUSY)
+        self.busy_cores.map(|share| share >= ALL_BUSY_THRESHOLD)
     }
 
-    /// Number of requests that may run at once now.
+    /// Returns the number of requests that may run at once now.
     pub(crate) fn count(&self, now: TenthMillis) -> usize {
         let per_core = if self.all_cores_busy().unwrap_or(false) {
             RUNS_PER_BUSY_CORE
@@ -69,15 +69,15 @@
             .max(1.0) as usize
     }
 
-    /// Number of running requests that the node can sustain now, less a margin. It is lower while
-    /// the node is cold.
+    /// Returns the number of running requests that the node can sustain now, less a margin. It is
+    /// lower while the node is cold.
     pub(crate) fn max_concurrency(&self, now: TenthMillis) -> f32 {
-        let warmth = if self.cold {
+        let warm_up_progress = if self.cold {
             ((now - self.started_at) as f32 / self.warm_up_time as f32).min(1.0)
         } else {
             1.0
         };
-        let speed = self.initial_speed + (1.0 - self.initial_speed) * warmth;
-        SAFE_SHARE * (1.0 + self.extra_concurrency * speed) * self.cores
+        let speed = self.initial_speed + (1.0 - self.initial_speed) * warm_up_progress;
+        USABLE_CONCURRENCY_SHARE * (1.0 + self.extra_concurrency * speed) * self.cores
     }
 }
--- a/crates/admission/src/run_time.rs
+++ b/crates/admission/src/run_time.rs
@@ -1,4 +1,4 @@
-//! How long runs take, estimated from the runs that were completed.
+//! Estimates of how long runs take, based on completed runs.
 
 use doortrack_time::TenthMillis;
 
@@ -6,16 +6,16 @@
 use crate::{AdmissionConfig, EndpointGroup};
 
 /// Weight of the newest run in the regression of run time on work.
-const LINE_NEWEST_WEIGHT: f32 = 0.03;
+const REGRESSION_NEWEST_WEIGHT: f32 = 0.03;
 /// Initial variance of the work, as a multiple of the square of the first work. It keeps the
-/// regression line flat at first, as two runs alone could give any slope.
+/// regression line flat at first, because two runs alone could give any slope.
 const INITIAL_VARIANCE: f32 = 0.1;
 
-/// The run time of one endpoint group.
+/// The run time estimate of one endpoint group.
 #[derive(Debug)]
 struct GroupRunTime {
     mean: MovingMean,
-    /// Bound on the expected run time of requests whose work is not known.
+    /// Maximum expected run time of requests whose work is not known.
     max_expected: TenthMillis,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A run was completed; `work` is 0 if it is not known.
+    /// Records a completed run. `work` is 0 if it is not known.
     pub(crate) fn record(&mut self, group: usize, work: f32, run_time: f32) {
         if work > 0.0 {
             self.estimator.record(work, run_time);
@@ -53,14 +53,14 @@
         self.work.record(if work > 0.0 { work } else { run_time });
     }
 
-    /// Mean run time of all groups; 0 before the first run.
+    /// Returns the mean run time of all groups, or 0 before the first run.
     pub(crate) fn mean(&self) -> f32 {
         self.run_time.get()
     }
 
-    /// Expected run time of this work. If the work is not known, it is the group's mean, but at
-    /// most half of the latency objective, so that a node whose mean is too high still starts runs
-    /// and corrects it.
+    /// Returns the expected run time of a request with this work. If the work is not known, this is
+    /// the mean of the group, but at most half of the latency objective, so that a node whose mean
+    /// is too high still starts runs and corrects the mean.
     pub(crate) fn expected(&self, group: usize, work: f32) -> TenthMillis {
         if work > 0.0
             && let Some(run_time) = self.estimator.estimate(work)
@@ -71,8 +71,8 @@
         (group.mean.get() as TenthMillis).min(group.max_expected)
     }
 
-    /// This work, or the group's mean run time if it is not known, as a multiple of the mean work;
-    /// 1 before the first run.
+    /// Returns the work, or the group's mean run time if the work is not known, as a multiple of
+    /// the mean work. Returns 1 before the first run.
     pub(crate) fn relative_work(&self, group: usize, work: f32) -> f32 {
         let work = if work > 0.0 {
             work
@@ -108,14 +108,14 @@
         }
         let work_delta = work - self.mean_work;
         let time_delta = run_time - self.mean_run_time;
-        let newest = LINE_NEWEST_WEIGHT;
+        let newest = REGRESSION_NEWEST_WEIGHT;
         self.mean_work += newest * work_delta;
         self.mean_run_time += newest * time_delta;
         self.variance = (1.0 - newest) * (self.variance + newest * work_delta * work_delta);
         self.covariance = (1.0 - newest) * (self.covariance + newest * work_delta * time_delta);
     }
 
-    /// Estimated run time of this work; `None` before the first run.
+    /// Returns the estimated run time for this work, or `None` before the first run.
     fn estimate(&self, work: f32) -> Option<f32> {
         if self.variance <= 0.0 {
             return None;
--- a/crates/admission/src/thresholds.rs
+++ b/crates/admission/src/thresholds.rs
@@ -11,66 +11,67 @@
 //! | `T2` to `C` | rejected | admitted |
 //! | above `C` | rejected | rejected |
 //!
-//! The paper leaves the probability between the thresholds open; this is the ramp of its
-//! single-threshold variant (equation 5). `T1` is 75% and `T2` 90% of `C`.
+//! The paper does not specify the probability between the thresholds; this linear ramp is taken
+//! from its single-threshold variant (equation 5). `T1` is 75% and `T2` 90% of `C`.
 //!
 //! The paper assumes a known capacity, a load figure that tracks the strain on the server, and many
-//! requests of a session at one server. None of these holds here, hence these departures
-//! (`docs/design.md` gives all of them, with the reasons):
+//! requests of a session at one server. None of these holds here, so the implementation differs as
+//! follows (`docs/design.md` gives all differences, with the reasons):
 //!
 //! - `C` is learned ([`concurrency_limit`](crate::concurrency_limit)).
-//! - `l` counts requests queued and running. Those at downstream calls are bounded apart, and a
-//!   request within its tenant's quota does not count queued requests that exceed one, as they are
-//!   run after it.
+//! - `l` counts queued and running requests. Requests at downstream calls are limited separately.
+//!   For a request within its tenant's quota, `l` excludes queued requests that exceed a quota,
+//!   because they run after it.
 //! - The rule applies only while all cores are busy.
-//! - A request that exceeds its tenant's quota is rejected above `T1`, whatever its session, as its
-//!   value is only a small part of the usual one.
-//! - A session is known by its key, and established for some time after a completed request
+//! - A request that exceeds its tenant's quota is rejected above `T1`, whatever its session,
+//!   because its value is only a small part of the usual one.
+//! - A session is identified by its key, and is established for some time after a completed request
 //!   ([`sessions`](crate::sessions)).
-//! - Some requests are rejected whatever the rule says: those that are too late, for which there is
-//!   no memory, or that arrive while the node is stalled or too slow in reading
+//! - Some requests are rejected regardless of the rule: those that arrive too late, those for which
+//!   there is no memory, and those that arrive while the node is stalled or reads too slowly
 //!   (`controller/arrival.rs`).
 
-/// `T1`, as a share of the concurrency limit.
+/// The threshold `T1`, as a share of the concurrency limit.
 pub(crate) const LOWER_THRESHOLD: f32 = 0.75;
-/// `T2`, as a share of the concurrency limit.
+/// The threshold `T2`, as a share of the concurrency limit.
 const UPPER_THRESHOLD: f32 = 0.90;
 
-/// Who asks for admission.
+/// How the rule classifies a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Applicant {
+pub(crate) enum AdmissionClass {
     /// A request of a session that was served here recently.
     EstablishedSession,
-    /// A request of a new session, or without one.
+    /// A request of a new session, or without a session.
     NewSession,
     /// A request that exceeds its tenant's quota.
     OverQuota,
 }
 
-/// The result of the rule.
+/// The result of the admission rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Verdict {
-    /// It is admitted.
+pub(crate) enum Decision {
+    /// The request is admitted.
     Admit,
-    /// It is rejected with this probability.
+    /// The request is rejected with this probability.
     RejectWithProbability(f32),
-    /// It is rejected.
+    /// The request is rejected.
     Reject,
 }
 
-/// Applies the rule. `load` and `concurrency_limit` are in requests.
-pub(crate) fn apply(load: f32, concurrency_limit: f32, applicant: Applicant) -> Verdict {
+/// Applies the admission rule. `load` and `concurrency_limit` are in requests.
+pub(crate) fn apply(load: f32, concurrency_limit: f32, class: AdmissionClass) -> Decision {
     let lower = LOWER_THRESHOLD * concurrency_limit;
     let upper = UPPER_THRESHOLD * concurrency_limit;
     if load > concurrency_limit {
-        return Verdict::Reject;
+        return Decision::Reject;
     }
-    if load <= lower || applicant == Applicant::EstablishedSession {
-        return Verdict::Admit;
+    if load <= lower || class == AdmissionClass::EstablishedSession {
+        return Decision::Admit;
     }
-    if load > upper || applicant == Applicant::OverQuota {
-        // Certain, yet with a draw: the sequence of draws is part of the decisions.
-        return Verdict::RejectWithProbability(1.0);
+    if load > upper || class == AdmissionClass::OverQuota {
+        // The rejection is certain, but a random number is still drawn for it: later decisions
+        // depend on the sequence of draws.
+        return Decision::RejectWithProbability(1.0);
     }
-    Verdict::RejectWithProbability((load - lower) / (concurrency_limit - lower))
+    Decision::RejectWithProbability((load - lower) / (concurrency_limit - lower))
 }
