--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -60,7 +60,7 @@
     pub calls_downstream: bool,
 }
 
-/// The configuration of the decisions, read once at start.
+/// The configuration of admission control, read once at start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
     /// Cores that run requests.
--- a/crates/admission/tests/cases/concurrency.rs
+++ b/crates/admission/tests/cases/concurrency.rs
@@ -2,13 +2,14 @@
 use doortrack_time::MILLISECOND;
 
 use crate::common::{SimulatedNode, Stage, config, request};
-use crate::{busy_node, config_without_tenants, rejected_of, set_busy_cores};
+use crate::{busy_node, config_without_tenants, send_and_count_rejected, set_busy_cores};
 
-/// Requests that run on a node of four cores with enough to do, while this share of them is busy.
-fn running_at(busy_cores: f32) -> usize {
+/// Returns how many requests run on a node with four cores and a full queue while this share of the
+/// cores is busy.
+fn running_with_busy_cores(busy_cores: f32) -> usize {
     let mut node = SimulatedNode::new(config_without_tenants(), 1);
     set_busy_cores(&mut node, 0.0);
-    rejected_of(&mut node, 20);
+    send_and_count_rejected(&mut node, 20);
     set_busy_cores(&mut node, busy_cores);
     for _ in 0..6 {
         let id = node.pick(Stage::Running, 0).unwrap();
@@ -22,20 +23,23 @@
 }
 
 #[test]
-fn one_runs_per_core_while_all_are_busy_and_more_where_some_are_idle() {
-    // Found on apsa-lahore: requests wait for a disk unseen; elsewhere more than one per core slow
-    // each other.
-    assert_eq!((running_at(1.0), running_at(0.9)), (4, 6));
+fn one_request_runs_per_core_if_all_are_busy_and_more_if_some_are_idle() {
+    // Guards against idle cores while requests wait for a disk that has no gauge, and against runs
+    // that slow each other down on busy cores.
+    assert_eq!(
+        (running_with_busy_cores(1.0), running_with_busy_cores(0.9)),
+        (4, 6)
+    );
 }
 
 #[test]
-fn a_small_node_admits_no_more_than_begins_in_the_time_that_may_be_waited() {
-    // Found on small nodes: C rose on runs that met their objective, and most of what was admitted
-    // was given up.
+fn small_node_admits_only_what_can_start_within_the_maximum_wait() {
+    // Guards against a limit that grows with each run that meets its objective, so that most
+    // admitted requests are rejected without having started.
     let mut node = busy_node(2.0, 1);
     node.busy_cores = 0.0;
     for _ in 0..20 {
-        rejected_of(&mut node, 12);
+        send_and_count_rejected(&mut node, 12);
         node.advance(400 * MILLISECOND);
         while let Some(id) = node.pick(Stage::Running, 0) {
             node.end_run(id, RunOutcome::Completed);
@@ -44,13 +48,13 @@
     node.busy_cores = 1.0;
     node.advance(2000 * MILLISECOND);
     assert!(
-        rejected_of(&mut node, 20) >= 15,
-        "3 run for 400 ms each, and a third of 1500 ms may be waited"
+        send_and_count_rejected(&mut node, 20) >= 15,
+        "3 requests run for 400 ms each, and the maximum wait is a third of 1500 ms"
     );
 }
 
 #[test]
-fn stalled_work_is_noticed_though_the_gauge_reads_idle() {
+fn stall_is_detected_while_the_gauge_reads_idle() {
     let mut node = SimulatedNode::new(config(), 1);
     node.busy_cores = 0.0;
     for key in 0..8 {
@@ -62,7 +66,7 @@
     node.turn();
     assert!(
         !node.requests[&next].answer_owed,
-        "rejected at once, free to go elsewhere"
+        "rejected at once while the node is stalled"
     );
     assert!(node.actions.contains(&Action::Health {
         cached: true,
@@ -71,7 +75,7 @@
 }
 
 #[test]
-fn odd_settings_and_odd_numbers_are_tolerated() {
+fn extreme_settings_and_invalid_numbers_are_tolerated() {
     let mut config = AdmissionConfig {
         cores: 0.0,
         warm_up_time: 0,
@@ -87,7 +91,7 @@
         memory: Some(f32::NAN),
         ..Gauges::default()
     };
-    let odd = Request {
+    let invalid = Request {
         tenant: 900,
         memory_kb: f32::NAN,
         rank: f32::NAN,
@@ -96,12 +100,12 @@
     let batch = [
         Event::Timer { token: 5, gauges },
         Event::Arrived(request(71, 200)),
-        Event::Arrived(odd),
+        Event::Arrived(invalid),
     ];
     node.controller.handle(node.now, &batch, &mut actions);
     assert!(
         actions.contains(&Action::Fail { id: 71 }),
-        "an unknown endpoint group is answered at once"
+        "a request of an unknown endpoint group fails at once"
     );
     let later = node.now + 9000 * MILLISECOND;
     node.controller.handle(later, &[], &mut actions);
--- a/crates/admission/tests/cases/downstream_calls.rs
+++ b/crates/admission/tests/cases/downstream_calls.rs
@@ -4,9 +4,9 @@
 use crate::common::{SimulatedNode, Stage, config};
 
 #[test]
-fn calls_that_take_long_are_skipped_and_capacity_is_kept_for_those_that_cannot_be() {
-    // Found on apsa-lahore: all waited for a slowed ledger, or calls that may be skipped used up a
-    // small share.
+fn long_calls_are_skipped_and_capacity_is_reserved_for_required_calls() {
+    // Guards against runs that all wait for a slow downstream service, and against skippable calls
+    // that use up a small share.
     let mut config = AdmissionConfig {
         downstream_concurrency: Some(1.0),
         ..config()
@@ -27,20 +27,23 @@
     assert_eq!(
         node.requests[&required].stage,
         Stage::Calling,
-        "what cannot go on without its call finds capacity"
+        "a call that cannot be skipped gets reserved capacity"
     );
     node.advance(600 * MILLISECOND);
     let running = node
         .requests
         .values()
         .filter(|request| request.stage == Stage::Running);
-    assert!(running.count() >= 2, "others went on without");
+    assert!(
+        running.count() >= 2,
+        "other runs continued without their calls"
+    );
 }
 
 #[test]
-fn a_share_of_less_than_one_call_still_calls() {
-    // Found on apsa-lahore grown: one call in five seconds, or a wait for more time than there can
-    // ever be.
+fn calls_are_made_with_a_share_of_less_than_one_call() {
+    // Guards against a share so small that a node makes only one call in five seconds, or waits for
+    // more call time than its budget can ever hold.
     let config = AdmissionConfig {
         downstream_concurrency: Some(0.4),
         ..config()
@@ -60,7 +63,7 @@
 }
 
 #[test]
-fn calls_that_return_together_do_not_overload_a_cold_node() {
+fn calls_that_end_together_do_not_overload_a_cold_node() {
     let config = AdmissionConfig {
         cold: true,
         ..config()
--- a/crates/admission/tests/cases/drain.rs
+++ b/crates/admission/tests/cases/drain.rs
@@ -6,7 +6,8 @@
 
 const START: TenthMillis = 60_000 * MILLISECOND;
 
-/// When a run that never ends is failed, after the node has learnt of so many shutdowns that leave it all its time.
+/// Returns when a run that never ends is failed, after the node was told of this many shutdowns
+/// that stop the process only after the run's deadline.
 fn failed_at(shutdowns: usize) -> TenthMillis {
     let config = config_without_tenants();
     let (deadline, tick) = (config.groups[0].deadline, config.tick);
@@ -27,14 +28,17 @@
         now += tick;
         let gauges = Gauges::default();
         controller.handle(now, &[Event::Timer { token: 0, gauges }], &mut actions);
-        assert!(now < START + deadline, "not answered in time");
+        assert!(
+            now < START + deadline,
+            "the request was not answered before its deadline"
+        );
     }
     now
 }
 
-/// Guards against a margin that every word of a shutdown takes off again.
+/// Guards against an answer margin that is subtracted again on each shutdown event.
 #[test]
-fn a_shutdown_brings_no_answer_forward_that_is_due_before_its_stop() {
+fn shutdown_does_not_move_answers_that_are_due_before_the_stop() {
     assert_eq!(failed_at(1), failed_at(0));
     assert_eq!(failed_at(5), failed_at(0));
 }
--- a/crates/admission/tests/cases/idempotency.rs
+++ b/crates/admission/tests/cases/idempotency.rs
@@ -4,9 +4,9 @@
 use crate::common::{SimulatedNode, Stage, config, request};
 
 #[test]
-fn of_two_duplicates_in_one_batch_one_runs_and_both_are_answered() {
+fn mutual_duplicates_in_one_batch_run_once_and_are_both_answered() {
     let mut node = SimulatedNode::new(config(), 1);
-    let (first, second) = node.arrive_together(1, 7);
+    let (first, second) = node.arrive_as_mutual_duplicates(1, 7);
     node.turn();
     assert_eq!(
         (node.requests[&first].stage, node.requests[&second].stage),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_retry_that_is_read_after_the_record_expired_is_not_run() {
+fn retry_read_after_its_record_expired_is_not_run() {
     let mut node = SimulatedNode::new(config(), 1);
     let first = node.arrive(1, 7, 0, None, 10.0);
     node.turn();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_is_over_a_budget_is_rejected_with_its_retry_after_and_a_duplicate_never() {
+fn over_budget_request_is_rejected_with_retry_after_but_not_if_duplicate() {
     let mut node = SimulatedNode::new(config(), 1);
     let mut actions = Vec::new();
     let over_budget = |id, group| Request {
--- a/crates/admission/tests/cases/idle_connections.rs
+++ b/crates/admission/tests/cases/idle_connections.rs
@@ -8,7 +8,7 @@
 const CALLER_TIMEOUT: TenthMillis = 30_000 * MILLISECOND;
 const MIN_TIMEOUT: TenthMillis = 100 * MILLISECOND;
 
-/// The idle timeout last given.
+/// Returns the last idle timeout set.
 fn last_timeout(node: &SimulatedNode) -> Option<TenthMillis> {
     node.actions.iter().rev().find_map(|action| match action {
         Action::IdleTimeout { timeout } => Some(*timeout),
@@ -16,12 +16,12 @@
     })
 }
 
-fn node_of_cores(cores: f32) -> SimulatedNode {
+fn node_with_cores(cores: f32) -> SimulatedNode {
     let config = AdmissionConfig { cores, ..config() };
     SimulatedNode::new(config, 1)
 }
 
-/// Reads 300 requests, of each caller in turn, and lets the timeout follow.
+/// Reads 300 requests from these callers in turn and lets the timeout adjust.
 fn read_from(node: &mut SimulatedNode, callers: Range<u64>) {
     for caller in callers.cycle().take(300) {
         node.caller = caller;
@@ -32,15 +32,15 @@
 }
 
 #[test]
-fn a_table_full_of_idle_connections_is_emptied_unless_much_is_read_too_late() {
-    // Found on tigre-principal-later: a thousand callers each kept a connection that they never
-    // used again.
-    let mut node = node_of_cores(2.0);
+fn idle_connections_are_closed_early_unless_many_reads_are_late() {
+    // Guards against a table filled by a thousand callers that each keep a connection they never
+    // use again.
+    let mut node = node_with_cores(2.0);
     node.advance(20_000 * MILLISECOND);
     assert_eq!(
         last_timeout(&node),
         Some(CALLER_TIMEOUT),
-        "few connections: the callers' own timeout"
+        "with few connections, the timeout of the callers applies"
     );
     node.connections = 90.0;
     node.advance(2000 * MILLISECOND);
@@ -53,33 +53,33 @@
     assert_eq!(
         last_timeout(&node),
         Some(CALLER_TIMEOUT),
-        "full, the table keeps out what could not be read in time"
+        "late reads let the table fill, which keeps further callers out"
     );
 }
 
 #[test]
-fn idle_connections_stay_where_callers_return() {
-    // Found on the days at full size: 200 nodes closed what 150 callers used again within seconds,
-    // and spent a fifth of their cores on new connections.
-    let mut node = node_of_cores(6.0);
+fn idle_connections_stay_open_if_callers_return() {
+    // Guards against closing connections that callers use again within seconds: 200 nodes did so
+    // with 150 callers and spent a fifth of their cores on new connections.
+    let mut node = node_with_cores(6.0);
     node.connections = 90.0;
     read_from(&mut node, 0..1_000);
     assert_eq!(
         last_timeout(&node),
         Some(MIN_TIMEOUT),
-        "hardly one of them is seen again"
+        "hardly any caller is seen again"
     );
     read_from(&mut node, 1_000..1_030);
     assert_eq!(
         last_timeout(&node),
         Some(CALLER_TIMEOUT),
-        "each returns: fifteen per core may stay"
+        "each caller returns, so fifteen connections per core stay open"
     );
     node.connections = 150.0;
     node.advance(2_000 * MILLISECOND);
     assert_eq!(
         last_timeout(&node),
         Some(MIN_TIMEOUT),
-        "twenty-five per core are too many in any case"
+        "twenty-five connections per core are too many even if callers return"
     );
 }
--- a/crates/admission/tests/cases/main.rs
+++ b/crates/admission/tests/cases/main.rs
@@ -1,4 +1,4 @@
-//! Plain cases, by concern: the edges of the rules, and one for each failure found.
+//! Example-based tests, one module per concern: boundary cases of the rules and regression tests.
 
 mod backpressure;
 #[path = "../common/mod.rs"]
@@ -17,8 +17,8 @@
 use doortrack_admission::*;
 use doortrack_time::MILLISECOND;
 
-/// Reads `count` requests of new sessions in one batch; how many of them were rejected.
-fn rejected_of(node: &mut SimulatedNode, count: usize) -> usize {
+/// Reads `count` requests of new sessions in one batch and returns how many were rejected.
+fn send_and_count_rejected(node: &mut SimulatedNode, count: usize) -> usize {
     let before = node.actions.len();
     for _ in 0..count {
         node.arrive(0, 0, 0, None, 1.0);
@@ -30,16 +30,16 @@
         .count()
 }
 
-/// Reads one request of this key; whether it was rejected.
-fn is_rejected(node: &mut SimulatedNode, key: u64) -> bool {
-    let read = node.arrive(0, key, 0, None, 1.0);
+/// Reads one request with this key and returns `true` if it was rejected.
+fn send_and_check_rejected(node: &mut SimulatedNode, key: u64) -> bool {
+    let request_id = node.arrive(0, key, 0, None, 1.0);
     node.turn();
     node.actions
         .iter()
-        .any(|action| matches!(action, Action::Reject { id, .. } if *id == read))
+        .any(|action| matches!(action, Action::Reject { id, .. } if *id == request_id))
 }
 
-/// Settings without tenants, so that no quota interferes.
+/// Returns a configuration without tenants, so that no quota applies.
 fn config_without_tenants() -> AdmissionConfig {
     AdmissionConfig {
         tenant_quotas: Vec::new(),
@@ -47,7 +47,7 @@
     }
 }
 
-/// A node whose gauge reads that all cores are busy.
+/// Returns a node whose gauge reports that all cores are busy.
 fn busy_node(cores: f32, seed: u64) -> SimulatedNode {
     let config = AdmissionConfig {
         cores,
@@ -58,7 +58,7 @@
     node
 }
 
-/// Has the gauge of busy cores read this from here on.
+/// Sets the reading of the busy cores gauge and lets the node see it.
 fn set_busy_cores(node: &mut SimulatedNode, busy_cores: f32) {
     node.busy_cores = busy_cores;
     node.advance(60 * MILLISECOND);
--- a/crates/admission/tests/cases/quota.rs
+++ b/crates/admission/tests/cases/quota.rs
@@ -2,9 +2,9 @@
 use doortrack_time::MILLISECOND;
 
 use crate::common::{SimulatedNode, Stage, config};
-use crate::{is_rejected, set_busy_cores};
+use crate::{send_and_check_rejected, set_busy_cores};
 
-/// Admits `count` requests of this key, and has the gauge read busy from then on.
+/// Admits `count` requests with this key, then sets the gauge to all cores busy.
 fn fill(node: &mut SimulatedNode, key: u64, count: usize) {
     for _ in 0..count {
         node.arrive(0, key, 0, None, 1.0);
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn a_tenant_over_its_quota_is_rejected_from_the_lower_threshold_on() {
-    // Found on tigre-principal: one tenant's surge took the run slots of all others.
+fn tenant_over_its_quota_is_rejected_above_the_lower_threshold() {
+    // Guards against a burst of one tenant that takes the run slots of all others.
     let config = AdmissionConfig {
         cores: 20.0,
         tenant_quotas: vec![10.0, 1000.0],
@@ -25,21 +25,21 @@
     };
     let mut node = SimulatedNode::new(config, 1);
     node.advance(60 * MILLISECOND);
-    let surge: Vec<RequestId> = (0..17).map(|_| node.arrive(0, 3, 0, None, 1.0)).collect();
+    let burst: Vec<RequestId> = (0..17).map(|_| node.arrive(0, 3, 0, None, 1.0)).collect();
     node.turn();
     assert!(
-        !node.requests[&surge[16]].answer_owed,
-        "load 16 of C = 20, over the quota"
+        !node.requests[&burst[16]].answer_owed,
+        "load 16 with C = 20 is above T1, and the tenant is over its quota"
     );
     assert!(
-        node.requests[&surge[15]].answer_owed,
-        "load 15 is T1: all is admitted"
+        node.requests[&burst[15]].answer_owed,
+        "load 15 is T1, up to which every request is admitted"
     );
 }
 
 #[test]
-fn a_tenant_with_a_small_quota_at_a_node_is_within_it_until_it_sends_more() {
-    // Found on qld-da-portal: a tenant with less than one token counted as over its quota.
+fn tenant_with_a_small_quota_per_node_is_within_it_until_its_bucket_is_empty() {
+    // Guards against a tenant with less than one token counting as over its quota.
     let config = AdmissionConfig {
         cores: 20.0,
         tenant_quotas: vec![20.0, 20.0],
@@ -52,20 +52,20 @@
     node.turn();
     node.end_run(established, RunOutcome::Completed);
     node.advance(10_000 * MILLISECOND);
-    // Requests of a tenant without a quota, up to past T1 = 15.
+    // Requests of a tenant without a quota, up to a load above T1 = 15.
     fill(&mut node, 2, 16);
-    let rejected = [(); 4].map(|()| is_rejected(&mut node, 6));
+    let rejected = [(); 4].map(|()| send_and_check_rejected(&mut node, 6));
     assert_eq!(
         rejected,
         [false, false, false, true],
-        "the bucket holds three tokens, and C = 20 has room for a fourth"
+        "the bucket holds three tokens; a fourth request would still fit below C = 20"
     );
 }
 
 #[test]
-fn what_is_queued_over_a_quota_keeps_nobody_out_that_is_within_one() {
-    // Found on qld-da-portal: one tenant at three times its quota filled all queues, and all were
-    // rejected.
+fn queued_over_quota_requests_do_not_displace_requests_within_quota() {
+    // Guards against a tenant at three times its quota that fills all queues, so that the requests
+    // of all tenants are rejected.
     let config = AdmissionConfig {
         cores: 2.0,
         tenant_quotas: vec![1000.0, 0.1],
@@ -85,11 +85,11 @@
     node.advance(2000 * MILLISECOND);
     fill(&mut node, 1, 10);
     assert!(
-        is_rejected(&mut node, 4),
-        "over the quota itself, at load 10"
+        send_and_check_rejected(&mut node, 4),
+        "the tenant is over its own quota at load 10"
     );
     assert!(
-        !is_rejected(&mut node, 3),
-        "within one: three run, and what is queued goes after it"
+        !send_and_check_rejected(&mut node, 3),
+        "the tenant is within its quota: three requests run, and queued ones run after it"
     );
 }
--- a/crates/admission/tests/cases/run_time.rs
+++ b/crates/admission/tests/cases/run_time.rs
@@ -4,13 +4,13 @@
 use crate::common::request;
 use crate::config_without_tenants;
 
-/// A run that has ended.
+/// A completed run.
 struct Run {
     work: TenthMillis,
     run_time: TenthMillis,
 }
 
-/// 200 runs of differing work, whose run times follow from `run_time`.
+/// Returns 200 runs with different amounts of work, with run times given by `run_time`.
 fn runs(run_time: impl Fn(u64) -> TenthMillis) -> impl Iterator<Item = Run> {
     (0..200).map(move |n| Run {
         work: work_of(n),
@@ -22,23 +22,23 @@
     (100 + n % 7 * 30) * MILLISECOND
 }
 
-/// Whether a node that has seen these runs rejects a last request of this work.
+/// Returns `true` if a node that has completed these runs rejects a further request with this work.
 fn rejects_after(runs: impl Iterator<Item = Run>, work: TenthMillis) -> bool {
     let mut controller = AdmissionController::new(config_without_tenants(), 1);
     let (mut now, mut actions) = (60_000 * MILLISECOND, Vec::new());
     controller.handle(now, &[Event::Started], &mut actions);
     for (id, run) in (1..).zip(runs) {
-        let read = Event::Arrived(Request {
+        let arrival = Event::Arrived(Request {
             work_hint: Some(run.work),
             ..request(id, 0)
         });
-        controller.handle(now, &[read], &mut actions);
+        controller.handle(now, &[arrival], &mut actions);
         now += run.run_time;
-        let ended = Event::RunEnded {
+        let run_ended = Event::RunEnded {
             id,
             outcome: RunOutcome::Completed,
         };
-        controller.handle(now, &[ended], &mut actions);
+        controller.handle(now, &[run_ended], &mut actions);
     }
     actions.clear();
     let last = Event::Arrived(Request {
@@ -52,32 +52,32 @@
 }
 
 #[test]
-fn work_that_cannot_be_done_in_time_is_rejected_at_once_if_hints_predict_it() {
-    // Found on tunis-intake: long work was run on slow nodes, always late, with half of all value
-    // in it.
+fn work_that_hints_predict_to_be_late_is_rejected_at_once() {
+    // Guards against long work on slow nodes that always completes late, although it holds half of
+    // the value.
     let slow = || runs(|n| 2 * work_of(n));
     assert!(
         rejects_after(slow(), 800 * MILLISECOND),
-        "it would take 1.6 s of 1.5"
+        "the run would take 1.6 s, and the latency objective is 1.5 s"
     );
     assert!(!rejects_after(slow(), 700 * MILLISECOND));
 }
 
 #[test]
-fn hints_that_predict_little_reject_nothing() {
-    // Runs that all take long whatever their work: little of it follows from the hint.
+fn hints_that_predict_little_cause_no_rejection() {
+    // All runs take long regardless of their work, so little of the run time depends on the hint.
     let fixed = runs(|n| 500 * MILLISECOND + work_of(n));
     assert!(
         !rejects_after(fixed, 700 * MILLISECOND),
-        "1.2 s, though 3 s at the pace of the mean"
+        "expected to take 1.2 s; proportional scaling of the mean would give 3 s"
     );
-    // Run times that have nothing to do with the hints.
+    // The run times do not depend on the hints.
     let unrelated = runs(|n| (300 + n % 5 * 30) * MILLISECOND);
     assert!(!rejects_after(unrelated, 2000 * MILLISECOND));
 }
 
 #[test]
-fn two_runs_alone_predict_nothing() {
+fn two_runs_alone_cause_no_rejection() {
     let steep = [
         Run {
             work: 100 * MILLISECOND,
@@ -89,7 +89,7 @@
         },
     ];
     assert!(!rejects_after(steep.into_iter(), 300 * MILLISECOND));
-    // Equal hints, which leave the slope without a value.
+    // With equal hints the slope is undefined.
     let equal = [200, 201].map(|millis| Run {
         work: 1,
         run_time: millis * MILLISECOND,
--- a/crates/admission/tests/cases/sessions.rs
+++ b/crates/admission/tests/cases/sessions.rs
@@ -1,13 +1,13 @@
 use doortrack_admission::RunOutcome;
 
 use crate::common::SimulatedNode;
-use crate::{busy_node, is_rejected, rejected_of, set_busy_cores};
+use crate::{busy_node, send_and_check_rejected, send_and_count_rejected, set_busy_cores};
 
-/// Sessions that fill one of the two generations in which they are kept.
-const GENERATION: u64 = 4096;
+/// Number of sessions that fill one of the two generations of the session table.
+const GENERATION_LEN: u64 = 4096;
 const NO_SESSION: u64 = 0;
 
-/// Has a request of this session completed.
+/// Completes a request of this session.
 fn complete(node: &mut SimulatedNode, session: u64) {
     let id = node.arrive(0, session, 0, None, 1.0);
     node.turn();
@@ -17,27 +17,27 @@
     node.actions.clear();
 }
 
-/// Guards against requests without a session that take the place of one.
+/// Guards against requests without a session taking the place of an established session.
 #[test]
-fn requests_without_a_session_take_no_place_among_established_sessions() {
+fn requests_without_a_session_do_not_evict_established_sessions() {
     let mut node = busy_node(20.0, 3);
     complete(&mut node, 5);
-    let others = 100..100 + GENERATION - 2;
+    let others = 100..100 + GENERATION_LEN - 2;
     others.for_each(|session| complete(&mut node, session));
     complete(&mut node, NO_SESSION);
-    let further = 100_000..100_000 + GENERATION - 1;
+    let further = 100_000..100_000 + GENERATION_LEN - 1;
     further.for_each(|session| complete(&mut node, session));
     complete(&mut node, NO_SESSION);
     set_busy_cores(&mut node, 0.0);
-    rejected_of(&mut node, 19);
+    send_and_count_rejected(&mut node, 19);
     set_busy_cores(&mut node, 1.0);
     assert_eq!(
-        rejected_of(&mut node, 1),
+        send_and_count_rejected(&mut node, 1),
         1,
-        "a new session past the upper threshold"
+        "a new session above the upper threshold"
     );
     assert!(
-        !is_rejected(&mut node, 5),
-        "the first of two generations less two"
+        !send_and_check_rejected(&mut node, 5),
+        "the first session is still established, two sessions short of filling two generations"
     );
 }
--- a/crates/admission/tests/cold_start.rs
+++ b/crates/admission/tests/cold_start.rs
@@ -1,6 +1,6 @@
-//! A cold node that all its callers discover at once: what it runs stays within what a cold one
-//! can sustain, and what is beyond that is rejected within the four rules, which are checked after
-//! every turn.
+//! Tests of a cold node that receives requests from all its callers at once. The node runs no more
+//! than it can sustain while cold and rejects the rest. The invariants are checked after every
+//! turn.
 
 mod common;
 
@@ -10,13 +10,13 @@
 
 const CALLERS: u64 = 30;
 const REQUESTS_PER_CALLER: usize = 10;
-const ALL_REQUESTS: usize = CALLERS as usize * REQUESTS_PER_CALLER;
+const TOTAL_REQUESTS: usize = CALLERS as usize * REQUESTS_PER_CALLER;
 const LATENCY_OBJECTIVE: TenthMillis = 1500 * MILLISECOND;
-/// Time until the first gauges are in.
-const FIRST_GAUGES: TenthMillis = 60 * MILLISECOND;
+/// Time after the start by which the node has read its gauges once.
+const FIRST_GAUGES_AFTER: TenthMillis = 60 * MILLISECOND;
 
-/// A node of four cores that sustains few runs while it is cold: 3 at first, by its margin of a
-/// tenth.
+/// Returns the configuration of a node with four cores that sustains few runs while it is cold: 3
+/// at first, because of the margin of a tenth.
 fn cold_config() -> AdmissionConfig {
     AdmissionConfig {
         cold: true,
@@ -27,10 +27,10 @@
     }
 }
 
-/// Runs that a cold node is allowed to have at once at this age.
+/// Returns how many requests a cold node may run at once at this age.
 fn max_running(config: &AdmissionConfig, age: TenthMillis) -> usize {
-    let warmth = (age as f32 / config.warm_up_time as f32).min(1.0);
-    let speed = config.initial_speed + (1.0 - config.initial_speed) * warmth;
+    let warm_up_progress = (age as f32 / config.warm_up_time as f32).min(1.0);
+    let speed = config.initial_speed + (1.0 - config.initial_speed) * warm_up_progress;
     ((1.0 + (config.overload_multiple - 1.0) * speed) * config.cores) as usize
 }
 
@@ -41,9 +41,8 @@
         .count()
 }
 
-/// Every caller sends what it has; all of it is read in one turn, or each caller's in a turn of its
-/// own.
-fn flood(node: &mut SimulatedNode, in_one_turn: bool) {
+/// Sends all requests of all callers. They are read in one turn, or in one turn per caller.
+fn send_burst(node: &mut SimulatedNode, in_one_turn: bool) {
     for caller in 1..=CALLERS {
         node.caller = caller;
         for _ in 0..REQUESTS_PER_CALLER {
@@ -56,7 +55,7 @@
     node.turn();
 }
 
-/// Requests that were admitted and not answered since: they run, or are queued.
+/// Returns the number of requests that were admitted and not answered yet, running or queued.
 fn admitted(node: &SimulatedNode) -> usize {
     node.requests
         .values()
@@ -80,72 +79,76 @@
 }
 
 #[test]
-fn a_flood_of_thirty_callers_on_a_cold_node_is_rejected_at_once_beyond_its_limit() {
+fn burst_on_a_cold_node_is_rejected_at_once_beyond_the_limit() {
     for in_one_turn in [true, false] {
         let config = cold_config();
         let mut node = SimulatedNode::new(config.clone(), 1);
-        // Its first gauges say that its cores are busy.
-        node.advance(FIRST_GAUGES);
-        flood(&mut node, in_one_turn);
+        // The first gauge readings show that all cores are busy.
+        node.advance(FIRST_GAUGES_AFTER);
+        send_burst(&mut node, in_one_turn);
         let running = count(&node, Stage::Running);
         assert!(
-            running <= max_running(&config, FIRST_GAUGES),
-            "{running} run"
+            running <= max_running(&config, FIRST_GAUGES_AFTER),
+            "{running} requests run"
         );
-        // The limit is the number of cores, and one more is admitted at a load of just that.
+        // The limit is the number of cores, and one more request is admitted because a load equal
+        // to the limit is not above it.
         let admitted = admitted(&node);
         assert!(
             (1..=5).contains(&admitted),
-            "{admitted} of 300 are admitted"
+            "{admitted} of 300 requests are admitted"
         );
-        assert_eq!(rejected(&node) + admitted, ALL_REQUESTS);
+        assert_eq!(rejected(&node) + admitted, TOTAL_REQUESTS);
         assert_no_rejected_request_ran(&node);
     }
 }
 
-/// Before the first gauges, and where there are none, what runs and is queued shows that the cores
-/// are busy, so that a flood is rejected in the turn in which it is read.
+/// Before the first gauge readings, and without gauges, the running and queued requests show that
+/// the cores are busy, so that a burst is rejected in the turn in which it is read.
 #[test]
-fn a_flood_before_the_first_gauges_is_rejected_at_once_beyond_the_limit() {
+fn burst_before_the_first_gauges_is_rejected_at_once_beyond_the_limit() {
     for in_one_turn in [true, false] {
         let config = cold_config();
         let mut node = SimulatedNode::new(config.clone(), 2);
-        flood(&mut node, in_one_turn);
+        send_burst(&mut node, in_one_turn);
         let running = count(&node, Stage::Running);
-        assert!(running <= max_running(&config, 0), "{running} run");
-        let at_first = admitted(&node);
+        assert!(running <= max_running(&config, 0), "{running} requests run");
+        let initially_admitted = admitted(&node);
         assert!(
-            (1..=5).contains(&at_first),
-            "{at_first} of 300 are admitted"
+            (1..=5).contains(&initially_admitted),
+            "{initially_admitted} of 300 requests are admitted"
         );
         node.advance(LATENCY_OBJECTIVE / 3 + 20 * MILLISECOND);
         assert_eq!(
             count(&node, Stage::Queued),
             0,
-            "none is left to its deadline"
+            "no request stays queued until its deadline"
+        );
+        let admitted_later = admitted(&node);
+        assert!(
+            admitted_later <= max_running(&config, 0),
+            "{admitted_later} requests are admitted"
         );
-        let later = admitted(&node);
-        assert!(later <= max_running(&config, 0), "{later} are admitted");
         assert_no_rejected_request_ran(&node);
     }
 }
 
 #[test]
-fn a_flood_that_goes_on_is_served_by_more_and_more_as_the_node_warms_up() {
+fn more_requests_run_as_the_node_warms_up() {
     let config = cold_config();
     let mut node = SimulatedNode::new(config.clone(), 3);
-    node.advance(FIRST_GAUGES);
-    let (mut age, mut served) = (FIRST_GAUGES, Vec::new());
-    // Once a second, for twice the time in which the node warms up.
+    node.advance(FIRST_GAUGES_AFTER);
+    let (mut age, mut running_per_second) = (FIRST_GAUGES_AFTER, Vec::new());
+    // One burst per second, for twice the warm-up time.
     while age < 2 * config.warm_up_time {
-        flood(&mut node, true);
+        send_burst(&mut node, true);
         let running = count(&node, Stage::Running);
         assert!(
             running <= max_running(&config, age),
-            "{running} run at an age of {} ms",
+            "{running} requests run at an age of {} ms",
             age / MILLISECOND
         );
-        served.push(running);
+        running_per_second.push(running);
         node.advance(1_000 * MILLISECOND);
         age += 1_000 * MILLISECOND;
         while let Some(id) = node.pick(Stage::Running, 0) {
@@ -153,18 +156,22 @@
         }
         node.turn();
     }
-    assert_eq!(served.first(), Some(&3), "a cold one runs three");
     assert_eq!(
-        served.last(),
+        running_per_second.first(),
+        Some(&3),
+        "a cold node runs three requests"
+    );
+    assert_eq!(
+        running_per_second.last(),
         Some(&4),
-        "a warm and busy one runs one per core"
+        "a warm and busy node runs one request per core"
     );
     node.advance(4_000 * MILLISECOND);
     assert!(
         node.requests
             .values()
             .all(|request| !request.answer_owed || request.stage == Stage::Running),
-        "some were left"
+        "some requests were neither answered nor started"
     );
     assert_no_rejected_request_ran(&node);
 }
--- a/crates/admission/tests/common/events.rs
+++ b/crates/admission/tests/common/events.rs
@@ -1,4 +1,4 @@
-//! What happens to the requests of a node after they were read.
+//! Events on requests that the node has already read.
 
 use doortrack_admission::*;
 use doortrack_time::TenthMillis;
@@ -6,7 +6,7 @@
 use super::simulated_node::{Shutdown, SimulatedNode, Stage};
 
 impl SimulatedNode {
-    /// The run of a request ends, and with it any call.
+    /// Ends the run of a request, and with it any call in progress.
     pub fn end_run(&mut self, id: RequestId, outcome: RunOutcome) {
         let request = self.requests.get_mut(&id).unwrap();
         request.stage = Stage::Ended;
@@ -19,7 +19,8 @@
         self.events.push(Event::RunEnded { id, outcome });
     }
 
-    /// A running request comes to its call; its run ends there if nobody waits for it any more.
+    /// Moves a running request to its downstream call, or ends its run if no answer is owed any
+    /// more.
     pub fn require_call(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id).unwrap();
         if !request.answer_owed {
@@ -32,12 +33,13 @@
     pub fn end_call(&mut self, id: RequestId, outcome: CallOutcome) {
         let request = self.requests.get_mut(&id).unwrap();
         let started_at = request.call_started_at.take().unwrap();
-        let goes_on = if outcome == CallOutcome::TimedOut {
+        let residual_time = if outcome == CallOutcome::TimedOut {
             self.config.abandoned_call_time
         } else {
             0
         };
-        self.ended_calls.push((started_at, self.now + goes_on));
+        self.ended_calls
+            .push((started_at, self.now + residual_time));
         let effect = self.config.groups[request.group].effect;
         let completed = outcome == CallOutcome::Completed;
         request.may_call = completed || effect == Effect::Idempotent || outcome.proves_not_run();
@@ -64,7 +66,7 @@
         self.events.push(Event::CallerGone { id });
     }
 
-    /// Requests a graceful shutdown, with the stop after so much time.
+    /// Requests a graceful shutdown that stops the process after `time_left`.
     pub fn drain_in(&mut self, time_left: TenthMillis) {
         if self.shutdown.is_some() {
             return;
--- a/crates/admission/tests/common/execute.rs
+++ b/crates/admission/tests/common/execute.rs
@@ -1,4 +1,4 @@
-//! Executes what was decided, and checks that it is legal for the request that it concerns.
+//! Executes actions, and checks that each is valid for its request.
 
 use doortrack_admission::*;
 
@@ -16,7 +16,7 @@
                 let request = self.tracked(id);
                 assert!(
                     request.stage == Stage::AwaitingCall && request.may_call && timeout > 0,
-                    "call of {id} at {:?}",
+                    "invalid call of request {id} at stage {:?}",
                     request.stage
                 );
                 request.stage = Stage::Calling;
@@ -42,12 +42,12 @@
             Action::Attach { id } => {
                 let request = self.tracked(id);
                 if request.stage != Stage::Ended {
-                    let original = request.duplicate_of.expect("attached to nothing");
+                    let original = request.duplicate_of.expect("attached without an original");
                     request.stage = Stage::Attached(original);
                 }
             }
             Action::SetTimer { at, .. } => {
-                assert!(at > self.now, "timer in the past");
+                assert!(at > self.now, "timer set in the past");
                 self.timers.insert(at);
             }
             Action::Health { .. } | Action::Backpressure { .. } | Action::IdleTimeout { .. } => {}
@@ -62,20 +62,23 @@
         let request = &self.requests[&id];
         assert!(
             request.stage == Stage::Queued && !request.ran && request.answer_owed,
-            "run of {id} at {:?}",
+            "invalid run of request {id} at stage {:?}",
             request.stage
         );
         let too_late = self
             .shutdown
             .is_some_and(|shutdown| request.arrived_at > shutdown.last_arrival_at);
-        assert!(!too_late, "drain: {id} arrived after the grace and was run");
+        assert!(
+            !too_late,
+            "drain: request {id} arrived after the grace period and was run"
+        );
         self.check_not_run_before(id);
         let request = self.tracked(id);
         request.stage = Stage::Running;
         request.ran = true;
     }
 
-    /// A deduplicated request runs at most once within its window.
+    /// Checks that a deduplicated request runs at most once within its dedup window.
     fn check_not_run_before(&self, id: RequestId) {
         let request = &self.requests[&id];
         let group = &self.config.groups[request.group];
@@ -86,23 +89,23 @@
             let runs_again = group.effect == Effect::Deduplicated && other.ran;
             assert!(
                 !runs_again || request.arrived_at > other.arrived_at + group.dedup_window,
-                "{id} runs again after {other_id}"
+                "request {id} runs again after {other_id}"
             );
         }
     }
 
-    /// A final answer; `rejected` with the promise that the request never ran.
+    /// Records a final answer. A rejected request must never have run unless it is idempotent.
     fn answer(&mut self, id: RequestId, rejected: bool) {
         let request = self.requests.get_mut(&id).unwrap();
-        assert!(!request.answered, "second answer for {id}");
+        assert!(!request.answered, "second answer to request {id}");
         request.answered = true;
         if request.stage == Stage::Ended {
-            return; // It had ended before this batch was answered: harmless.
+            return; // The answer has no effect: the request ended before this turn.
         }
         let effect = self.config.groups[request.group].effect;
         assert!(
             !(rejected && effect != Effect::Idempotent && request.ran),
-            "{id} was rejected after it ran"
+            "request {id} was rejected after it ran"
         );
         request.answer_owed = false;
         match request.stage {
@@ -115,12 +118,12 @@
     fn cancel(&mut self, id: RequestId) {
         assert!(
             self.config.cancellation != Cancellation::Unsupported,
-            "cancelled where nothing can be"
+            "cancelled although cancellation is not supported"
         );
         let request = &self.requests[&id];
         assert!(
             !request.answer_owed || request.stage == Stage::Ended,
-            "{id} was cancelled before it was answered"
+            "request {id} was cancelled before it was answered"
         );
         if request.stage == Stage::Running {
             self.end_run(id, RunOutcome::Cancelled);
--- a/crates/admission/tests/common/invariants.rs
+++ b/crates/admission/tests/common/invariants.rs
@@ -1,5 +1,5 @@
-//! What holds after every turn: the node is not overloaded, every answer is in time, and a shutdown
-//! leaves none owed.
+//! The invariants that hold after every turn: the node is not overloaded, every answer is given in
+//! time, and no answer is owed when a shutdown stops the process.
 
 use doortrack_time::TenthMillis;
 
@@ -13,26 +13,26 @@
         self.check_answers();
     }
 
-    fn live(&self) -> impl Iterator<Item = &TrackedRequest> {
+    fn unended(&self) -> impl Iterator<Item = &TrackedRequest> {
         self.requests
             .values()
             .filter(|request| request.stage != Stage::Ended)
     }
 
     fn check_concurrency(&self) {
-        let on_cores = self
-            .live()
+        let running = self
+            .unended()
             .filter(|request| request.stage == Stage::Running)
             .count() as f32;
         let age = (self.now - self.started_at) as f32 / self.config.warm_up_time as f32;
-        let warmth = if self.config.cold { age.min(1.0) } else { 1.0 };
+        let warm_up_progress = if self.config.cold { age.min(1.0) } else { 1.0 };
         let initial = self.config.initial_speed;
-        let speed = initial + (1.0 - initial) * warmth;
+        let speed = initial + (1.0 - initial) * warm_up_progress;
         let per_core = 1.0 + (self.config.overload_multiple - 1.0) * speed;
-        let sustained = per_core * self.config.cores;
+        let sustainable = per_core * self.config.cores;
         assert!(
-            on_cores <= sustained,
-            "overload: {on_cores} on the cores, {sustained} can be sustained"
+            running <= sustainable,
+            "overload: {running} requests run, {sustainable} can be sustained"
         );
     }
 
@@ -43,7 +43,7 @@
             .filter(|record| record.expires_at > self.now)
             .count() as f32;
         let mut memory_kb = live_records * self.config.record_kb;
-        for request in self.live() {
+        for request in self.unended() {
             let factor = if matches!(request.stage, Stage::Queued | Stage::Attached(_)) {
                 1.0
             } else {
@@ -53,7 +53,7 @@
         }
         assert!(
             memory_kb <= self.config.memory_kb,
-            "overload: memory {memory_kb} kB"
+            "overload: {memory_kb} kB of memory in use"
         );
     }
 
@@ -63,7 +63,7 @@
         };
         let window_start = self.now.saturating_sub(self.config.downstream_window);
         let open = self
-            .live()
+            .unended()
             .filter_map(|request| request.call_started_at.map(|start| (start, self.now)));
         let time_in_window = |(start, end): (TenthMillis, TenthMillis)| {
             end.min(self.now).saturating_sub(start.max(window_start)) as f32
@@ -73,7 +73,7 @@
         let mean = sum / self.config.downstream_window as f32;
         assert!(
             mean <= share * 1.0001,
-            "overload: {mean} calls downstream, share {share}"
+            "overload: mean of {mean} downstream calls, the share is {share}"
         );
     }
 
@@ -81,20 +81,20 @@
         for (id, request) in &self.requests {
             assert!(
                 !request.answer_owed || self.now <= request.deadline,
-                "lost: {id} is due at {} and now is {}",
+                "lost: request {id} is due at {}, the time is {}",
                 request.deadline,
                 self.now
             );
         }
         if self.stops_within(0) {
-            let left = self
+            let unanswered = self
                 .requests
                 .iter()
                 .find(|(_, request)| request.answer_owed)
                 .map(|(id, request)| (*id, request.stage, request.arrived_at));
             assert!(
-                left.is_none(),
-                "drain: {left:?} is not answered at the stop"
+                unanswered.is_none(),
+                "drain: {unanswered:?} is not answered at the stop"
             );
         }
     }
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A node around the decisions, for the tests: it plays legal histories, executes what is decided,
-//! keeps counts of its own and checks the operators' four rules after every turn.
+//! A simulated node for the tests of admission control. It generates valid event histories,
+//! executes the resulting actions, keeps its own accounts and checks the invariants after every
+//! turn.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod events;
@@ -12,7 +13,7 @@
 
 pub use simulated_node::{SimulatedNode, Stage};
 
-/// Settings of a node of four cores with one endpoint group of each effect.
+/// Returns the configuration of a node with four cores and one endpoint group per [`Effect`].
 pub fn config() -> AdmissionConfig {
     let group = |effect, calls_downstream| EndpointGroup {
         effect,
@@ -58,7 +59,7 @@
     }
 }
 
-/// A request of a group with nothing special about it.
+/// Returns a request of this group with default properties.
 pub fn request(id: RequestId, group: u8) -> Request {
     Request {
         id,
--- a/crates/admission/tests/common/simulated_node.rs
+++ b/crates/admission/tests/common/simulated_node.rs
@@ -1,4 +1,4 @@
-//! The node: requests and what becomes of them, time, and one turn after another.
+//! The state of the simulated node: its requests, the time and the processing of turns.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,12 +7,12 @@
 
 use super::request;
 
-/// How far a request has come, by the actions on it.
+/// The stage of a request, according to the actions on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Stage {
     #[default]
     Queued,
-    /// Attached to this request.
+    /// Attached to the request with this id.
     Attached(RequestId),
     Running,
     AwaitingCall,
@@ -20,7 +20,7 @@
     Ended,
 }
 
-/// A request and what has become of it.
+/// A request and its state.
 #[derive(Default)]
 pub struct TrackedRequest {
     pub group: usize,
@@ -31,18 +31,18 @@
     pub memory_kb: f32,
     pub ran: bool,
     pub completed: bool,
-    /// Its caller still waits for an answer.
+    /// Whether the caller still waits for an answer.
     pub answer_owed: bool,
     pub answered: bool,
     pub call_started_at: Option<TenthMillis>,
-    /// When its call is abandoned.
+    /// Time at which the call is abandoned.
     pub call_abandoned_at: TenthMillis,
     pub may_call: bool,
-    /// The request that it duplicates, by the node's table.
+    /// The original of this request, according to the node's table.
     pub duplicate_of: Option<RequestId>,
 }
 
-/// An entry of the table of deduplicated requests.
+/// A record in the table of deduplicated requests.
 pub struct RecordedRequest {
     pub idempotency_key: u64,
     pub id: RequestId,
@@ -52,7 +52,7 @@
 /// A graceful shutdown.
 #[derive(Clone, Copy)]
 pub struct Shutdown {
-    /// Requests that arrive after this are not run.
+    /// Requests that arrive after this time must not run.
     pub last_arrival_at: TenthMillis,
     pub stop_at: TenthMillis,
 }
@@ -65,24 +65,24 @@
     /// Events of the next turn.
     pub events: Vec<Event>,
     pub timers: BTreeSet<TenthMillis>,
-    /// Gauge of busy cores.
+    /// Reading of the gauge of busy cores.
     pub busy_cores: f32,
-    /// Gauge of open connections.
+    /// Reading of the gauge of open connections.
     pub connections: f32,
-    /// Who sends what arrives.
+    /// Caller of the requests that arrive.
     pub caller: u64,
     pub records: Vec<RecordedRequest>,
-    /// Time spent downstream by calls that have ended: from, to.
+    /// Start and end times of the calls that have ended, as seen by the downstream service.
     pub ended_calls: Vec<(TenthMillis, TenthMillis)>,
     pub shutdown: Option<Shutdown>,
     pub started_at: TenthMillis,
     next_id: RequestId,
-    /// All that was decided so far.
+    /// All actions so far.
     pub actions: Vec<Action>,
 }
 
 impl SimulatedNode {
-    /// A node that has just started.
+    /// Creates a node that has just started.
     pub fn new(config: AdmissionConfig, seed: u64) -> SimulatedNode {
         let started_at = 60_000 * MILLISECOND;
         let mut node = SimulatedNode {
@@ -106,9 +106,9 @@
         node
     }
 
-    /// Reads one request into the node. `key` is its idempotency key in a deduplicated group, else
-    /// the key of its session; a duplicate is linked as the node's table says. `time_left` is a
-    /// deadline that the protocol passes.
+    /// Reads one request into the node. `key` is the idempotency key in a deduplicated group,
+    /// otherwise the session key. A duplicate is linked to its original according to the node's
+    /// table. `time_left` is the time until a deadline that the protocol transmits.
     pub fn arrive(
         &mut self,
         group: u8,
@@ -125,8 +125,8 @@
         let deduplicated = group_config.effect == Effect::Deduplicated;
         let group_deadline = arrived_at + group_config.deadline;
         let duplicate_of = self
-            .recorded(key, arrived_at)
-            .or_else(|| self.in_this_batch(group, key))
+            .find_recorded(key, arrived_at)
+            .or_else(|| self.find_in_batch(group, key))
             .filter(|_| deduplicated);
         self.events.push(Event::Arrived(Request {
             session_key: if deduplicated { 0 } else { key },
@@ -153,66 +153,71 @@
         id
     }
 
-    /// The latest recorded request with this idempotency key that ran or may still run.
-    fn recorded(&self, idempotency_key: u64, arrived_at: TenthMillis) -> Option<RequestId> {
-        let counts = |record: &&RecordedRequest| {
+    /// Returns the latest recorded request with this idempotency key that has run or may still run.
+    fn find_recorded(&self, idempotency_key: u64, arrived_at: TenthMillis) -> Option<RequestId> {
+        let may_be_original = |record: &&RecordedRequest| {
             let recorded = &self.requests[&record.id];
             record.idempotency_key == idempotency_key
                 && record.expires_at >= arrived_at
                 && (recorded.ran || recorded.stage == Stage::Queued)
         };
-        let latest = self.records.iter().rev().find(counts)?;
+        let latest = self.records.iter().rev().find(may_be_original)?;
         Some(latest.id)
     }
 
-    /// A request with the same idempotency key that is read in the same batch.
-    fn in_this_batch(&self, group: u8, idempotency_key: u64) -> Option<RequestId> {
+    /// Returns a request with the same idempotency key that is read in the same batch.
+    fn find_in_batch(&self, group: u8, idempotency_key: u64) -> Option<RequestId> {
         self.events.iter().rev().find_map(|event| match event {
-            Event::Arrived(read)
-                if read.group == group
-                    && self.requests[&read.id].idempotency_key == idempotency_key =>
+            Event::Arrived(arrived)
+                if arrived.group == group
+                    && self.requests[&arrived.id].idempotency_key == idempotency_key =>
             {
-                Some(read.id)
+                Some(arrived.id)
             }
             _ => None,
         })
     }
 
-    /// Two requests with one idempotency key in one batch, each naming the other.
-    pub fn arrive_together(&mut self, group: u8, idempotency_key: u64) -> (RequestId, RequestId) {
+    /// Reads two requests with the same idempotency key in one batch, each of which names the other
+    /// as its original.
+    pub fn arrive_as_mutual_duplicates(
+        &mut self,
+        group: u8,
+        idempotency_key: u64,
+    ) -> (RequestId, RequestId) {
         let first = self.arrive(group, idempotency_key, 0, None, 30.0);
         let second = self.arrive(group, idempotency_key, 0, None, 30.0);
         for event in &mut self.events {
-            if let Event::Arrived(read) = event
-                && read.duplicate_of.is_none()
-                && [first, second].contains(&read.id)
+            if let Event::Arrived(arrived) = event
+                && arrived.duplicate_of.is_none()
+                && [first, second].contains(&arrived.id)
             {
-                let other = if read.id == first { second } else { first };
-                read.duplicate_of = Some(other);
-                self.requests.get_mut(&read.id).unwrap().duplicate_of = Some(other);
+                let other = if arrived.id == first { second } else { first };
+                arrived.duplicate_of = Some(other);
+                self.requests.get_mut(&arrived.id).unwrap().duplicate_of = Some(other);
             }
         }
         (first, second)
     }
 
-    /// One of the requests at this stage, chosen by `n`.
-    pub fn pick(&self, stage: Stage, n: u32) -> Option<RequestId> {
+    /// Returns one of the requests at this stage, selected by `selector`.
+    pub fn pick(&self, stage: Stage, selector: u32) -> Option<RequestId> {
         let at_stage: Vec<RequestId> = self
             .requests
             .iter()
             .filter(|(_, request)| request.stage == stage)
             .map(|(id, _)| *id)
             .collect();
-        (!at_stage.is_empty()).then(|| at_stage[n as usize % at_stage.len()])
+        (!at_stage.is_empty()).then(|| at_stage[selector as usize % at_stage.len()])
     }
 
-    /// Whether so much time leads up to the stop or past it.
+    /// Returns `true` if the process is stopped within this time.
     pub fn stops_within(&self, span: TenthMillis) -> bool {
         self.shutdown
             .is_some_and(|shutdown| self.now + span >= shutdown.stop_at)
     }
 
-    /// Lets time pass, with every timer at its moment.
+    /// Advances the time, and fires every timer when it is due.
     pub fn advance(&mut self, span: TenthMillis) {
         let end = self.now + span;
         self.turn();
@@ -230,7 +235,8 @@
         self.now = self.now.max(end.next_multiple_of(self.config.tick));
     }
 
-    /// Hands over what happened, executes what comes back, and checks the rules.
+    /// Processes one turn: passes the pending events to the controller, executes the resulting
+    /// actions and checks the invariants.
     pub fn turn(&mut self) {
         self.abandon_late_calls();
         let batch = std::mem::take(&mut self.events);
@@ -258,7 +264,7 @@
         }
     }
 
-    /// Ends the wait of requests that are attached to one that has ended.
+    /// Ends the wait of requests whose original has ended.
     fn answer_attached(&mut self) {
         let attached = self
             .requests
--- a/crates/admission/tests/pinned.rs
+++ b/crates/admission/tests/pinned.rs
@@ -1,10 +1,10 @@
-//! The decisions, pinned: seeded histories over settings of all kinds give the actions that they
-//! gave when `pinned.txt` was written. A change that means to leave the decisions alone leaves
-//! every digest as it is.
+//! Snapshot test of the decisions: seeded histories over all kinds of settings give the same
+//! actions as when `pinned.txt` was written. A change that is not meant to affect decisions leaves
+//! every digest unchanged.
 //!
-//! Actions are written in a text of this file's own, so that renames in the code don't touch it. To
-//! write the digests of a change that is meant: `PINNED_WRITE=1 cargo test --package
-//! doortrack-admission --test pinned`.
+//! Actions are serialized in a format defined in this file, so that renames in the code do not
+//! affect the digests. To update the digests after an intended change, run `PINNED_WRITE=1 cargo
+//! test --package doortrack-admission --test pinned`.
 
 mod common;
 
@@ -17,10 +17,10 @@
 
 const SEEDS: u64 = 64;
 const STEPS: usize = 500;
-const PINNED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/pinned.txt");
+const PINNED_PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/pinned.txt");
 
-/// Settings drawn from the seed: every kind of cancellation and of backpressure, with and without
-/// each limit.
+/// Draws a configuration: every kind of cancellation and of backpressure, with and without each
+/// limit.
 fn draw_config(rng: &mut Rng) -> AdmissionConfig {
     let base = config();
     let mut config = AdmissionConfig {
@@ -59,13 +59,13 @@
         group.priority_weight = rng.choice([0.2, 1.0, 4.0]).unwrap();
         group.late_weight = rng.choice([0.0, 0.5]).unwrap();
     }
-    // A call may be skipped by idempotent requests alone: the node takes a later one for the same
-    // call.
+    // Only idempotent requests may skip their call, because the simulated node treats a later call
+    // of a request as a retry of the skipped one.
     config.groups[0].degraded_weight = rng.choice([0.0, 0.4]).unwrap();
     config
 }
 
-/// Reads one request with what a protocol may pass on of it.
+/// Reads one request with a random choice of the properties that a protocol may transmit.
 fn arrive(node: &mut SimulatedNode, rng: &mut Rng) {
     node.caller = rng.u64(1..40);
     let time_left = rng.bool().then(|| rng.u64(0..5_000) * MILLISECOND);
@@ -79,11 +79,11 @@
         time_left,
         rng.u32(1..70) as f32,
     );
-    if let Some(Event::Arrived(read)) = node.events.last_mut() {
-        read.work_hint = rng.bool().then(|| rng.u64(1..900) * MILLISECOND);
-        read.rank = rng.f32();
-        read.retry = rng.u8(0..5) == 0;
-        read.budget_retry_after = (rng.u8(0..25) == 0).then(|| rng.u64(1..2_000) * MILLISECOND);
+    if let Some(Event::Arrived(request)) = node.events.last_mut() {
+        request.work_hint = rng.bool().then(|| rng.u64(1..900) * MILLISECOND);
+        request.rank = rng.f32();
+        request.retry = rng.u8(0..5) == 0;
+        request.budget_retry_after = (rng.u8(0..25) == 0).then(|| rng.u64(1..2_000) * MILLISECOND);
     }
 }
 
@@ -106,11 +106,11 @@
     }
 }
 
-/// One thing that may happen at a node, and time that passes now and then.
-fn play(node: &mut SimulatedNode, rng: &mut Rng) {
+/// Applies one random event, and lets time pass after some events.
+fn apply_event(node: &mut SimulatedNode, rng: &mut Rng) {
     match rng.u8(0..24) {
         0..=8 => arrive(node, rng),
-        9 => _ = node.arrive_together(1, rng.u64(1..14)),
+        9 => _ = node.arrive_as_mutual_duplicates(1, rng.u64(1..14)),
         10..=14 => {
             let outcome = if rng.u8(0..9) == 0 {
                 RunOutcome::Failed
@@ -144,8 +144,8 @@
     }
 }
 
-/// An action in a text that no rename touches; fractions to the bit.
-fn text(action: &Action) -> String {
+/// Formats an action independently of the names in the code. Fractions are given by their bits.
+fn format_action(action: &Action) -> String {
     match *action {
         Action::Run { id } => format!("run {id}"),
         Action::Reject {
@@ -169,17 +169,18 @@
     }
 }
 
-/// FNV-1a with 64 bits, written here so that no package's next version changes the digests.
+/// Computes a 64-bit FNV-1a hash. It is implemented here so that an update of a dependency cannot
+/// change the digests.
 fn digest(actions: &[Action]) -> u64 {
     let bytes = actions
         .iter()
-        .flat_map(|action| (text(action) + "\n").into_bytes());
+        .flat_map(|action| (format_action(action) + "\n").into_bytes());
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     })
 }
 
-/// The actions of one seed's history, which ends early at a stop.
+/// Returns the actions of the history with this seed. The history ends early if the node stops.
 fn history(seed: u64) -> Vec<Action> {
     let mut rng = Rng::with_seed(seed);
     let mut node = SimulatedNode::new(draw_config(&mut rng), seed);
@@ -187,14 +188,14 @@
         if node.stops_within(120 * MILLISECOND) {
             break;
         }
-        play(&mut node, &mut rng);
+        apply_event(&mut node, &mut rng);
     }
     node.advance(9_000 * MILLISECOND);
     node.actions
 }
 
-/// How often each kind of action came, so that the text shows what the histories reach.
-fn counts(actions: &[Action]) -> String {
+/// Returns the number of actions of each kind, which shows what the histories cover.
+fn format_counts(actions: &[Action]) -> String {
     let kinds = [
         "run", "reject", "fail", "stop", "call", "skip", "record", "forget", "attach", "health",
         "level", "idle",
@@ -203,7 +204,7 @@
     for kind in kinds {
         let count = actions
             .iter()
-            .filter(|action| text(action).starts_with(&format!("{kind} ")))
+            .filter(|action| format_action(action).starts_with(&format!("{kind} ")))
             .count();
         write!(line, " {kind} {count}").unwrap();
     }
@@ -211,32 +212,32 @@
 }
 
 #[test]
-fn the_decisions_are_those_that_were_pinned() {
-    let mut found = String::new();
+fn decisions_match_the_pinned_digests() {
+    let mut actual = String::new();
     for seed in 0..SEEDS {
         let actions = history(seed);
         writeln!(
-            found,
+            actual,
             "{seed} {:016x}{}",
             digest(&actions),
-            counts(&actions)
+            format_counts(&actions)
         )
         .unwrap();
     }
     if std::env::var_os("PINNED_WRITE").is_some() {
-        std::fs::write(PINNED, &found).unwrap();
+        std::fs::write(PINNED_PATH, &actual).unwrap();
     }
-    let pinned = std::fs::read_to_string(PINNED).expect("pinned.txt stands beside this test");
-    let differ: Vec<_> = pinned
+    let pinned = std::fs::read_to_string(PINNED_PATH).expect("pinned.txt is next to this test");
+    let mismatches: Vec<_> = pinned
         .lines()
-        .zip(found.lines())
-        .filter(|(before, now)| before != now)
+        .zip(actual.lines())
+        .filter(|(expected_line, actual_line)| expected_line != actual_line)
         .collect();
     assert!(
-        differ.is_empty(),
+        mismatches.is_empty(),
         "{} of {SEEDS} histories differ, the first: {:?}",
-        differ.len(),
-        differ[0]
+        mismatches.len(),
+        mismatches[0]
     );
-    assert_eq!(pinned.lines().count(), found.lines().count());
+    assert_eq!(pinned.lines().count(), actual.lines().count());
 }
