--- a/crates/admission/src/event.rs
+++ b/crates/admission/src/event.rs
@@ -76,7 +76,7 @@
     pub rank: f32,
     /// Whether the caller marked the request as a retry or a hedged request.
     pub retry: bool,
-    /// Identifies the caller. Every new caller uses up a number, hence the width.
+    /// Identifies the caller. Numbers are consumed as callers come and go, so the type has 64 bits.
     pub caller: u64,
     /// Time since the request reached this machine.
     pub age: TenthMillis,
--- a/crates/admission/src/idempotency.rs
+++ b/crates/admission/src/idempotency.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns the request whose result answers `id`, or `None` if `id` is not a duplicate. Two
+/// Returns the original whose result answers `id`, or `None` if `id` is to be run itself. Two
 /// requests of one batch may each name the other as the original: the one whose chain of
 /// attachments leads back to itself is run.
 pub(crate) fn original_of(
