--- a/crates/upstream/src/action.rs
+++ b/crates/upstream/src/action.rs
@@ -1,16 +1,18 @@
-//! What a pool asks of its caller, and the terms in which runs, responses and servers are
-//! described.
+//! The actions that a pool returns to its caller, and the types for identifiers, outcomes and server
+//! states.
 
 use doortrack_time::TenthMillis;
 
-/// Identifies a run. Given by the caller, and never used twice at the same time.
+/// Identifies a run. The caller assigns the identifier, which must be unique among current runs.
 pub type RunId = u32;
-/// Identifies a server of one pool. Reused some time after the server was removed.
+/// Identifies a server of one pool. The identifier may be reused once the server is removed and its
+/// last connection has ended.
 pub type ServerId = usize;
-/// Identifies a connection of one pool. Reused once the connection was closed or reported lost.
+/// Identifies a connection of one pool. The identifier may be reused once the connection is closed or
+/// reported lost.
 pub type ConnId = usize;
 
-/// One step that the caller executes.
+/// One action that the caller executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Open a connection; [`Pool::connected`](crate::Pool::connected),
@@ -19,7 +21,7 @@
     Open {
         /// The new connection.
         conn: ConnId,
-        /// Where it leads.
+        /// The server to connect to.
         server: ServerId,
     },
     /// Send a run on a connection that is open and idle.
@@ -29,7 +31,7 @@
         /// The run to send.
         run: RunId,
     },
-    /// Close a connection; nothing more is reported about it.
+    /// Close a connection. The caller reports no further events for it.
     Close {
         /// The connection.
         conn: ConnId,
@@ -38,75 +40,77 @@
     Ended {
         /// The run.
         run: RunId,
-        /// How it ended.
+        /// The outcome of the run.
         end: RunEnd,
     },
-    /// For the log: the state of a server has changed.
+    /// The state of a server has changed. Reported for logging only.
     StateChanged {
         /// The server.
         server: ServerId,
-        /// Its new state.
+        /// The new state of the server.
         state: ServerState,
     },
 }
 
-/// The state of a server, as reported when it changes.
+/// The state of a server, reported when it changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// An outlier that gets no runs for a time.
+    /// The server is an outlier and gets no runs for a limited time.
     Ejected {
         /// When the ejection ends.
         until: TenthMillis,
     },
-    /// Its ejection is over: it gets one run as a health check, then more with each success.
+    /// The ejection is over. The server gets one run as a health check, and one more concurrent run
+    /// after each success.
     HealthCheck,
-    /// It may take as many runs as any other.
+    /// The server has recovered and may take as many runs as any other.
     Recovered,
-    /// Nothing answers there.
+    /// The server is unreachable.
     Down {
-        /// When its first health check is due.
+        /// When the first health check is due.
         until: TenthMillis,
     },
-    /// It was down, has returned, and gets a bounded rate of runs.
+    /// The server was down, accepts connections again, and gets a bounded rate of runs.
     SlowStart {
-        /// When its slow start ends.
+        /// When the slow start ends.
         until: TenthMillis,
     },
-    /// Its slow start is over.
+    /// The slow start of the server is over.
     WarmedUp,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The response reported with [`ResponseEnd::Completed`] is its result.
+    /// The response reported with [`ResponseEnd::Completed`] is the result of the run.
     Completed,
     /// A complete response says that the run failed.
     Failed,
-    /// No byte of it reached a server, or the server says that it did not run it.
+    /// No byte of the run reached a server, or the server reported that it did not execute the run.
     NotRun,
-    /// It was sent, and its connection was lost before a complete response: it may have run.
+    /// The run was sent, and its connection was lost before a complete response arrived. The server
+    /// may have executed it.
     Lost,
-    /// It was sent, and no complete response came in time: it may still run.
+    /// The run was sent, and no complete response arrived in time. The server may still execute it.
     TimedOut,
-    /// The caller cancelled it after it was sent. The server may still work on it.
+    /// The caller cancelled the run after it was sent. The server may still execute it.
     Cancelled,
 }
 
-/// How a response ended. `reusable` says that the connection can carry another run.
+/// How a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseEnd {
-    /// The response is complete and is the run's result.
+    /// The response is complete and is the result of the run.
     Completed {
         /// Whether the connection can carry another run.
         reusable: bool,
     },
-    /// The response is complete and says that the run failed.
+    /// The response is complete and reports that the run failed.
     Failed {
         /// Whether the connection can carry another run.
         reusable: bool,
     },
-    /// The server says that it did not run it.
+    /// The server reports that it did not execute the run.
     Refused {
         /// Whether the connection can carry another run.
         reusable: bool,
--- a/crates/upstream/src/health.rs
+++ b/crates/upstream/src/health.rs
@@ -1,28 +1,29 @@
-//! The health of one server: healthy, ejected, or recovering a little at a time.
+//! The health of one server: healthy, ejected, or recovering.
 
 use crate::OutlierConfig;
 use doortrack_time::TenthMillis;
 
-/// The greatest power of two by which an ejection is prolonged.
+/// Maximum exponent of the power of two by which the base ejection time is multiplied.
 const MAX_BACKOFF_SHIFT: u32 = 32;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
-    /// Takes as many runs as any other.
+    /// The server takes up to the configured number of concurrent runs.
     Healthy {
-        /// Failures since its last success.
+        /// Failures since the last success.
         failures: u32,
     },
-    /// Gets no runs until then.
+    /// The server gets no runs before `until`.
     Ejected {
         until: TenthMillis,
-        /// Ejections in a row before this one.
+        /// Consecutive ejections before this one.
         earlier_ejections: u32,
     },
-    /// Gets this many concurrent runs, one more with each success. The first is its health check.
+    /// The server gets up to `allowed` concurrent runs, one more after each success. The first run is
+    /// a health check.
     Recovering {
         allowed: u32,
-        /// Ejections in a row before the last one.
+        /// Consecutive ejections before the last one.
         earlier_ejections: u32,
     },
 }
@@ -30,17 +31,17 @@
 /// How a server failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// Nothing listens there.
+    /// The server refused the connection: nothing listens on its port.
     ConnectionRefused,
-    /// A connection did not open, broke, or brought no response in time.
+    /// A connection did not open, broke, or delivered no response in time.
     ConnectionLost,
-    /// Its response says that the run failed or was refused.
+    /// The response reports that the run failed or was refused.
     ErrorResponse,
 }
 
-/// What follows from a failure.
+/// Whether a failure leads to an ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum EjectionDecision {
     Keep,
     Eject { earlier_ejections: u32 },
 }
@@ -48,7 +49,7 @@
 impl Health {
     pub(crate) const HEALTHY: Health = Health::Healthy { failures: 0 };
 
-    /// Concurrent runs that it may take, of at most `max_concurrency`.
+    /// The number of concurrent runs that the server may take, at most `max_concurrency`.
     pub(crate) fn allowed_runs(self, max_concurrency: u32) -> u32 {
         match self {
             Health::Healthy { .. } => max_concurrency,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Whether its next run is a health check, which a run that can't be retried should not be.
+    /// Whether the next run is a health check. A run that can't be retried should not be used as one.
     pub(crate) fn awaits_health_check(self) -> bool {
         matches!(self, Health::Recovering { allowed: 1, .. })
     }
@@ -70,7 +71,7 @@
         matches!(self, Health::Recovering { .. })
     }
 
-    /// The health after a success.
+    /// Returns the health after a successful run.
     #[must_use]
     pub(crate) fn after_success(self, max_concurrency: u32) -> Health {
         match self {
@@ -83,20 +84,20 @@
                 allowed: allowed + 1,
                 earlier_ejections,
             },
-            // A response from before the ejection proves nothing of the present.
+            // The run began before the ejection, so its response says nothing about the current state.
             ejected => ejected,
         }
     }
 
-    /// Counts a failure.
-    pub(crate) fn on_failure(&mut self, config: &OutlierConfig) -> Verdict {
+    /// Counts a failure, and returns whether the server should be ejected.
+    pub(crate) fn on_failure(&mut self, config: &OutlierConfig) -> EjectionDecision {
         match self {
             Health::Healthy { failures } => {
                 *failures = failures.saturating_add(1);
                 if *failures < config.consecutive_failures {
-                    return Verdict::Keep;
+                    return EjectionDecision::Keep;
                 }
-                Verdict::Eject {
+                EjectionDecision::Eject {
                     earlier_ejections: 0,
                 }
             }
@@ -105,17 +106,17 @@
                 earlier_ejections,
             } => {
                 *allowed = 1;
-                Verdict::Eject {
+                EjectionDecision::Eject {
                     earlier_ejections: earlier_ejections.saturating_add(1),
                 }
             }
-            Health::Ejected { .. } => Verdict::Keep,
+            Health::Ejected { .. } => EjectionDecision::Keep,
         }
     }
 }
 
-/// How long an ejection lasts after `earlier_ejections` in a row, in tenths of a millisecond.
-/// `jitter` in 0 to 1 takes off up to half.
+/// The duration of an ejection that follows `earlier_ejections` consecutive ones. `jitter`, from 0 to
+/// 1, shortens it by up to half.
 pub(crate) fn ejection_time(
     config: &OutlierConfig,
     earlier_ejections: u32,
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decides which application server takes a run, when a connection to it is opened, kept and
-//! closed, what a failure means, and whether a run may be retried on another server.
+//! Selects the application server for each run, manages the connections to servers, ejects failing
+//! servers, and decides whether a run is retried on another server.
 //!
-//! Has neither sockets nor a clock, and the same events with the same seed give the same actions:
-//! the caller reports each event to a [`Pool`] with the time, in tenths of a millisecond and never
-//! going back, and gets [`Action`]s, which it executes in order before it reports anything else. A
-//! run is one request to one server on a connection that carries nothing else meanwhile.
+//! The package uses neither sockets nor a clock and is deterministic: the same events and the same
+//! seed give the same actions. The caller reports each event to a [`Pool`] together with the current
+//! time, which never goes back, and executes the returned [`Action`]s in order before it reports the
+//! next event. A run is one request to one server; a connection carries one run at a time.
 //!
 //! ```text
 //! begin ──> [queued] ──> Open ──connected──> Send ──request_sent──> response_ended ──> Ended
@@ -12,18 +12,20 @@
 //!               └── retry ─┴──connect_failed───┴───lost───┘
 //! ```
 //!
-//! Invariants, which the tests of this package check:
-//! - every run that was begun ends once;
-//! - a run that is not idempotent is sent again only if no byte of it was handed to the system
-//!   before, or its server said that it did not run it;
-//! - retries are at most a burst and a share of the runs begun, so an outage is not multiplied;
-//! - each server has at most `max_concurrency` connections, and runs on no more of them than its
+//! Invariants, checked by the tests of this package:
+//! - every run that was begun ends exactly once;
+//! - a run that is not idempotent is sent again only if no byte of it was passed to the operating
+//!   system, or its server reported that it did not execute the run;
+//! - the number of retries is bounded by a burst plus a share of the runs begun, so retries can't
+//!   amplify an outage;
+//! - each server has at most `max_concurrency` connections, and no more concurrent runs than its
 //!   health allows;
-//! - outliers are ejected, but never more of them than leaves the floor in use;
-//! - with slow start, a server that was down gets health checks alone until it returns, whatever
-//!   the floor, and then no more than its slow start allows.
+//! - outliers are ejected only while a configured minimum of servers stays in use;
+//! - with slow start, a server that is down gets only health checks until it returns, even if fewer
+//!   than this minimum are in use, and then no more runs than its slow start allows.
 //!
-//! Cost: choosing looks at two servers however many there are; deadlines are kept in ordered sets.
+//! Selecting a server takes constant time: two servers are compared, whatever the size of the pool.
+//! Deadlines are kept in ordered sets.
 
 mod action;
 mod config;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,4 +1,4 @@
-//! The state of a pool of servers, and what it shows of itself.
+//! The state of a pool of servers, its counters and accessors.
 
 mod admission;
 mod connections;
@@ -25,46 +25,46 @@
 
 pub use self::admission::Admission;
 
-/// What a pool counted since it was created.
+/// Counts of events since the pool was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Runs begun.
     pub begun: u64,
-    /// Attempts after the first.
+    /// Retries: attempts of a run after its first.
     pub retries: u64,
-    /// Retries that were wanted and not in the budget.
+    /// Retries that were not made because the retry budget did not allow them.
     pub retries_over_budget: u64,
-    /// Failures of servers: connections refused or broken, responses that fail, can't be read or
-    /// come late.
+    /// Failures of servers: connections refused or broken, and responses that report an error, can't
+    /// be parsed or are late.
     pub failures: u64,
     /// Ejections of servers.
     pub ejections: u64,
     /// Connections opened.
     pub connections_opened: u64,
-    /// Idle connections that turned out to be closed when they were to be used.
+    /// Idle connections that turned out to be closed when a run was sent on them.
     pub stale_connections: u64,
-    /// Returns of servers that began a slow start.
+    /// Slow starts begun.
     pub slow_starts: u64,
-    /// Requests that were not admitted as every server was down or in slow start.
+    /// Requests that were not admitted because every server was down or in slow start.
     pub held_back: u64,
 }
 
 #[derive(Debug)]
 struct Server {
     health: Health,
-    /// Connections that carry a run or are opened for one.
+    /// Connections that carry a run or are being opened for one.
     busy_connections: u32,
-    /// Idle connections; the one used last is taken first, so that the others may time out.
+    /// Idle connections. The most recently used one is taken first, so that the others time out.
     idle: Vec<ConnId>,
-    /// Its index among the servers that can take a run now.
+    /// Index in [`Pool::available`], if the server can take a run now.
     available_index: Option<usize>,
-    /// It is dropped once it has no connections left.
+    /// The server was removed and is dropped once it has no connections left.
     removed: bool,
-    /// Present while it is down or in slow start; only where slow start is configured.
+    /// Present while the server is down or in slow start, if slow start is configured.
     warmup: Option<Warmup>,
-    /// It counts among the servers that are in use and warmed up.
+    /// The server is counted in `Reservations::warm_servers`.
     counted_as_warm: bool,
-    /// How often it went down.
+    /// How many times the server went down.
     outages: u32,
 }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether no connection to it has opened since it went down.
+    /// Whether the server went down and no connection to it has opened since.
     fn is_down(&self) -> bool {
         self.warmup.as_ref().is_some_and(Warmup::is_down)
     }
@@ -95,10 +95,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
     Connecting(RunId),
-    /// It carries a run.
+    /// The connection carries a run.
     Busy {
         run: RunId,
-        /// Whether any byte of the run was handed to the system.
+        /// Whether any byte of the run was passed to the operating system.
         sent: bool,
     },
     Idle,
@@ -108,27 +108,27 @@
 struct Connection {
     server: ServerId,
     state: ConnectionState,
-    /// When its state has lasted for too long.
+    /// When the current state times out.
     deadline: TenthMillis,
-    /// It carried a run before.
+    /// The connection has carried a run before.
     reused: bool,
-    /// The outages of its server before it was opened.
+    /// Value of [`Server::outages`] when the connection was created.
     outages: u32,
 }
 
 #[derive(Debug)]
 struct Run {
     idempotent: bool,
-    /// Its position in the queue, which it keeps when it is retried.
+    /// Position in the queue, kept when the run is retried.
     sequence: u64,
     attempts: u32,
     last_server: Option<ServerId>,
     conn: Option<ConnId>,
-    /// How it ends if no server is left that it could wait for.
+    /// How the run ends if no server that could take it is left.
     end_without_server: RunEnd,
 }
 
-/// A pool of servers, and the runs that they get.
+/// A pool of servers and the runs that it distributes over them.
 #[derive(Debug)]
 pub struct Pool {
     config: PoolConfig,
@@ -136,10 +136,10 @@
     servers: Slab<Server>,
     connections: Slab<Connection>,
     runs: FxHashMap<RunId, Run>,
-    /// Runs that wait for a server, by sequence.
+    /// Runs that wait for a server, by sequence number.
     queue: BTreeMap<u64, RunId>,
     last_sequence: u64,
-    /// Servers that can take a run now, in no order.
+    /// Servers that can take a run now, in no particular order.
     available: Vec<ServerId>,
     /// Members that are not ejected.
     in_use: usize,
@@ -149,12 +149,12 @@
     ejection_ends: BTreeSet<(TenthMillis, ServerId)>,
     retry_budget: RetryBudget,
     reservations: Reservations,
-    /// What happened so far.
+    /// Counts of events since the pool was created.
     pub counters: Counters,
 }
 
 impl Pool {
-    /// An empty pool, whose random choices follow from `seed`.
+    /// Creates an empty pool. `seed` initializes its random number generator.
     pub fn new(config: PoolConfig, seed: u64) -> Pool {
         Pool {
             retry_budget: RetryBudget::new(&config.retry),
@@ -175,18 +175,18 @@
         }
     }
 
-    /// Sets a gate that each retry must pass beside the pool's own budget; it is asked just before
-    /// a retry.
+    /// Sets a function that must also allow each retry, in addition to the pool's own budget. It is
+    /// called immediately before a retry.
     pub fn set_retry_gate(&mut self, gate: Box<dyn FnMut() -> bool>) {
         self.retry_budget.set_gate(gate);
     }
 
-    /// Whether the server is known: a removed one is until it has no connections left.
+    /// Whether the server is a member, or was removed and still has connections.
     pub fn is_known(&self, server: ServerId) -> bool {
         self.servers.contains(server)
     }
 
-    /// Whether the server is known and not removed.
+    /// Whether the server exists and was not removed.
     pub fn is_member(&self, server: ServerId) -> bool {
         self.servers
             .get(server)
@@ -203,7 +203,7 @@
         self.in_use
     }
 
-    /// The number of connections, idle ones included.
+    /// The number of connections, including idle ones.
     pub fn connections(&self) -> usize {
         self.connections.len()
     }
--- a/crates/upstream/src/pool/admission.rs
+++ b/crates/upstream/src/pool/admission.rs
@@ -1,4 +1,5 @@
-//! What is admitted while every server is down or in slow start: no more than those may get now.
+//! Admission while every server is down or in slow start: only as many requests as the servers may
+//! get now.
 
 use std::collections::BTreeSet;
 
@@ -7,48 +8,50 @@
 use crate::{Action, ServerId};
 use doortrack_time::{MILLISECOND, TenthMillis};
 
-/// The shortest time that a rejected request is asked to wait.
+/// Minimum time that a rejected request is told to wait.
 const MIN_RETRY_AFTER: TenthMillis = 20 * MILLISECOND;
-/// The longest while a server is in slow start, as credit comes in steadily then.
+/// Maximum time that a rejected request is told to wait while a server is in slow start, where credit
+/// accrues steadily.
 const MAX_RETRY_AFTER_IN_SLOW_START: TenthMillis = 100 * MILLISECOND;
-/// Servers that are asked for credit for one run.
-const MAX_SERVERS_ASKED: usize = 2;
+/// Maximum number of servers that are tried for credit for one request.
+const MAX_SERVERS_TRIED: usize = 2;
 
 /// How a request was admitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Admission {
-    /// Without a reservation.
+    /// Admitted without a reservation.
     #[default]
     Unreserved,
-    /// On the credit of a server in slow start; returned by [`Pool::release_reservation`].
+    /// Admitted with a reservation of a run that a server is ready for. The caller releases it with
+    /// [`Pool::release_reservation`].
     Reserved,
 }
 
-/// The credit of all servers that are down or in slow start.
+/// Credit and reservations of all servers that are down or in slow start.
 #[derive(Debug, Default)]
 pub(super) struct Reservations {
     pub(super) tokens: TokenSource,
-    /// When slow starts are reviewed, one entry each.
+    /// When each slow start is reviewed next, one entry per server.
     pub(super) reviews: BTreeSet<(TenthMillis, ServerId)>,
-    /// Runs that servers may get at once, in all.
+    /// Sum of `Warmup::ready_runs` over all servers.
     ready_runs: usize,
-    /// Requests that were admitted on that and not begun yet.
+    /// Requests that were admitted with a reservation and have not released it.
     reserved: usize,
     /// Servers that are in use and warmed up.
     warm_servers: usize,
 }
 
 impl Pool {
-    /// Admits one more request to this pool, unless every server is down or in slow start and may
-    /// get no more runs now.
+    /// Admits one more request to this pool, unless every server is down or in slow start and can't
+    /// get another run now.
     ///
     /// # Errors
-    /// How long to wait before trying again, in tenths of a millisecond.
+    /// Returns how long the caller should wait before it tries again.
     pub fn admit(&mut self, now: TenthMillis) -> Result<Admission, TenthMillis> {
         if self.has_warm_server() {
             return Ok(Admission::Unreserved);
         }
-        if self.ensure_ready(self.reservations.reserved + self.queue.len() + 1, now) {
+        if self.ensure_ready_runs(self.reservations.reserved + self.queue.len() + 1, now) {
             self.reservations.reserved += 1;
             return Ok(Admission::Reserved);
         }
@@ -56,7 +59,8 @@
         Err(self.retry_after(now))
     }
 
-    /// Returns a reservation: its request is begun next, or never will be.
+    /// Releases a reservation. The caller does so immediately before it begins the request, or when the
+    /// request is abandoned.
     pub fn release_reservation(&mut self) {
         self.reservations.reserved = self.reservations.reserved.saturating_sub(1);
     }
@@ -73,21 +77,24 @@
             .clamp(MIN_RETRY_AFTER, max.max(MIN_RETRY_AFTER))
     }
 
-    /// Whether a queued run will find a server without credit.
+    /// Whether runs can be sent without credit: slow start is not configured, or a server is in use and
+    /// warmed up.
     fn has_warm_server(&self) -> bool {
         self.config.slow_start.is_none() || self.reservations.warm_servers > 0
     }
 
-    /// Whether the first queued run may be sent without using what others have reserved.
+    /// Whether the first queued run may be sent without using runs that are reserved for admitted
+    /// requests.
     pub(super) fn may_dispatch(&mut self, now: TenthMillis) -> bool {
-        self.has_warm_server() || self.ensure_ready(self.reservations.reserved + 1, now)
+        self.has_warm_server() || self.ensure_ready_runs(self.reservations.reserved + 1, now)
     }
 
-    /// Ends queued runs for which there is no credit while every server is down or in slow start.
-    pub(super) fn end_hopeless_runs(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
+    /// Ends queued runs, the latest first, while every server is down or in slow start and there is no
+    /// credit for all of them.
+    pub(super) fn end_runs_without_credit(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         while !self.queue.is_empty()
             && !self.has_warm_server()
-            && !self.ensure_ready(self.reservations.reserved + self.queue.len(), now)
+            && !self.ensure_ready_runs(self.reservations.reserved + self.queue.len(), now)
             && let Some((_, run)) = self.queue.pop_last()
         {
             let end = self.runs[&run].end_without_server;
@@ -95,27 +102,28 @@
         }
     }
 
-    /// Makes servers ready for this many runs in all, if their credit allows it.
-    fn ensure_ready(&mut self, wanted: usize, now: TenthMillis) -> bool {
-        for _ in 0..MAX_SERVERS_ASKED {
+    /// Takes credit of servers until they are ready for `wanted` runs in total. Returns whether they
+    /// are.
+    fn ensure_ready_runs(&mut self, wanted: usize, now: TenthMillis) -> bool {
+        for _ in 0..MAX_SERVERS_TRIED {
             if self.reservations.ready_runs >= wanted || self.available.is_empty() {
                 break;
             }
             let server = self.available[self.rng.usize(0..self.available.len())];
-            if !self.make_ready(server, now) {
+            if !self.add_ready_run(server, now) {
                 self.mark_exhausted(server, now);
             }
         }
         self.reservations.ready_runs >= wanted
     }
 
-    /// Takes one run of what the server may get, if it is bounded; one without credit gets no more
-    /// requests for a while.
+    /// Uses up one of the server's ready runs if it is down or in slow start. Returns false if it has
+    /// neither a ready run nor credit; the server then gets no runs until its next review.
     pub(super) fn take_ready_run(&mut self, server: ServerId, now: TenthMillis) -> bool {
         let Some(warmup) = &self.servers[server].warmup else {
             return true;
         };
-        if warmup.ready_runs == 0 && !self.make_ready(server, now) {
+        if warmup.ready_runs == 0 && !self.add_ready_run(server, now) {
             self.mark_exhausted(server, now);
             return false;
         }
@@ -126,8 +134,8 @@
         true
     }
 
-    /// Makes a server in slow start ready for one run more, if it has the credit.
-    fn make_ready(&mut self, server: ServerId, now: TenthMillis) -> bool {
+    /// Adds a ready run to a server in slow start if it has the credit. Returns whether it did.
+    fn add_ready_run(&mut self, server: ServerId, now: TenthMillis) -> bool {
         let Some(warmup) = &mut self.servers[server].warmup else {
             return false;
         };
@@ -147,7 +155,7 @@
         self.update_availability(server);
     }
 
-    /// Takes back what a server was made ready for; a slow start that goes on keeps its credit.
+    /// Removes the ready runs of a server. A slow start under way gets their credit back.
     pub(super) fn revoke_ready_runs(&mut self, server: ServerId) {
         let Some(warmup) = &mut self.servers[server].warmup else {
             return;
@@ -159,8 +167,8 @@
         }
     }
 
-    /// Updates the count of warm servers and readiness for a health check; called after each change
-    /// of a server.
+    /// Updates the count of warm servers and the ready runs of a server. Called after each change of
+    /// the server.
     pub(super) fn update_warm_count(&mut self, server_id: ServerId) {
         let server = &mut self.servers[server_id];
         let in_use = !server.removed && !server.health.is_ejected();
@@ -177,15 +185,15 @@
         self.allow_health_check(server_id);
     }
 
-    /// Makes a server that is down ready for one health check at a time, once earlier runs on it
-    /// are over.
+    /// Makes a server that is down ready for one run as a health check, once no earlier run is in
+    /// progress on it.
     fn allow_health_check(&mut self, server_id: ServerId) {
         let server = &mut self.servers[server_id];
         if server.busy_connections > 0 {
             return;
         }
-        let awaits_check = |warmup: &&mut Warmup| warmup.is_down() && warmup.ready_runs == 0;
-        if let Some(warmup) = server.warmup.as_mut().filter(awaits_check) {
+        let needs_health_check = |warmup: &&mut Warmup| warmup.is_down() && warmup.ready_runs == 0;
+        if let Some(warmup) = server.warmup.as_mut().filter(needs_health_check) {
             warmup.ready_runs = 1;
             self.reservations.ready_runs += 1;
         }
--- a/crates/upstream/src/pool/connections.rs
+++ b/crates/upstream/src/pool/connections.rs
@@ -1,4 +1,4 @@
-//! The life of connections: opened, used, kept idle, closed or lost.
+//! The lifecycle of connections: opened, used, kept idle, closed or lost.
 
 use super::{Connection, ConnectionState, Pool};
 use crate::health::Failure;
@@ -6,7 +6,7 @@
 use doortrack_time::TenthMillis;
 
 impl Pool {
-    /// A connection has opened.
+    /// Reports that a connection has opened.
     pub fn connected(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
         let Some(Connection {
             server,
@@ -23,24 +23,25 @@
             self.begin_slow_start_if_down(server, now, actions);
             return self.send(conn, run, now, actions);
         }
-        // Its server has gone down since: it is no health check, and its run is outside of slow
-        // start.
+        // The server went down after the connection was requested. The open connection doesn't show
+        // that the server has returned, and its run is not covered by a slow start.
         self.close(conn, actions);
         self.retry_or_end(run, RunEnd::NotRun, actions);
         self.dispatch(now, actions);
     }
 
-    /// A connection could not be opened, so nothing of its run was sent.
+    /// Reports that a connection could not be opened, so that no byte of its run was sent.
     pub fn connect_failed(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
-        self.not_connected(conn, Failure::ConnectionLost, now, actions);
+        self.handle_connect_failure(conn, Failure::ConnectionLost, now, actions);
     }
 
-    /// A connection was refused: nothing listens there, and nothing of its run was sent.
+    /// Reports that a connection was refused: nothing listens on the port, and no byte of the run was
+    /// sent.
     pub fn connect_refused(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
-        self.not_connected(conn, Failure::ConnectionRefused, now, actions);
+        self.handle_connect_failure(conn, Failure::ConnectionRefused, now, actions);
     }
 
-    fn not_connected(
+    fn handle_connect_failure(
         &mut self,
         conn: ConnId,
         failure: Failure,
@@ -55,14 +56,14 @@
             return;
         };
         let server = self.remove_connection(conn);
-        self.server_failed(server, failure, now, actions);
+        self.handle_failure(server, failure, now, actions);
         self.retry_or_end(run, RunEnd::NotRun, actions);
         self.drop_if_unused(server);
         self.dispatch(now, actions);
     }
 
-    /// Some of the run on this connection was handed to the system, so that it may reach the
-    /// server.
+    /// Reports that some bytes of the run on this connection were passed to the operating system, so
+    /// that they may reach the server.
     pub fn request_sent(&mut self, conn: ConnId) {
         let state = self
             .connections
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The response to the run on this connection has ended.
+    /// Reports that the response to the run on this connection has ended.
     pub fn response_ended(
         &mut self,
         conn: ConnId,
@@ -96,9 +97,9 @@
             ResponseEnd::Refused { reusable } => (reusable, RunEnd::NotRun),
         };
         if end == RunEnd::Completed {
-            self.server_succeeded(server, actions);
+            self.handle_success(server, actions);
         } else {
-            self.server_failed(server, Failure::ErrorResponse, now, actions);
+            self.handle_failure(server, Failure::ErrorResponse, now, actions);
         }
         self.keep_or_close(conn, reusable, now, actions);
         if end == RunEnd::NotRun {
@@ -110,7 +111,7 @@
         self.dispatch(now, actions);
     }
 
-    fn server_succeeded(&mut self, server: ServerId, actions: &mut Vec<Action>) {
+    fn handle_success(&mut self, server: ServerId, actions: &mut Vec<Action>) {
         let health = &mut self.servers[server].health;
         let before = *health;
         *health = before.after_success(self.config.max_concurrency);
@@ -120,7 +121,8 @@
         }
     }
 
-    /// The connection has ended, or its response can't be read. The caller has closed it already.
+    /// Reports that a connection has ended, or that its response can't be parsed. The caller has
+    /// already closed the connection.
     pub fn connection_lost(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
         let Some(connection) = self.connections.get(conn) else {
             return;
@@ -134,22 +136,22 @@
                 self.drop_if_unused(server);
             }
             (ConnectionState::Busy { run, sent: false }, true) => {
-                self.requeue_from_stale(conn, run);
+                self.requeue_from_stale_connection(conn, run);
             }
             (ConnectionState::Busy { run, sent }, _) => {
                 let server = self.remove_connection(conn);
-                self.server_failed(server, Failure::ConnectionLost, now, actions);
-                self.run_lost(run, sent, RunEnd::Lost, actions);
+                self.handle_failure(server, Failure::ConnectionLost, now, actions);
+                self.handle_lost_run(run, sent, RunEnd::Lost, actions);
                 self.drop_if_unused(server);
             }
         }
         self.dispatch(now, actions);
     }
 
-    /// The server closed an idle connection before it was used again, as is its right: neither a
-    /// failure nor a retry that would have to be in the budget. Each such attempt uses up an idle
-    /// connection, so their number is bounded.
-    fn requeue_from_stale(&mut self, conn: ConnId, run: RunId) {
+    /// Requeues a run whose idle connection the server closed before any byte of the run was sent.
+    /// Servers may close idle connections, so this counts neither as a failure nor as a retry. The
+    /// number of such attempts is bounded because each uses up an idle connection.
+    fn requeue_from_stale_connection(&mut self, conn: ConnId, run: RunId) {
         self.counters.stale_connections += 1;
         self.remove_connection(conn);
         if let Some(run) = self.runs.get_mut(&run) {
@@ -183,7 +185,7 @@
         self.deadlines.insert((deadline, conn));
     }
 
-    /// Keeps a connection whose run is over for the next one, or closes it.
+    /// Keeps a connection idle for the next run, or closes it.
     fn keep_or_close(
         &mut self,
         conn: ConnId,
@@ -193,7 +195,8 @@
     ) {
         let server_id = self.connections[conn].server;
         let server = &self.servers[server_id];
-        // A connection from before its server went down proves nothing of its return.
+        // A connection that was opened before its server went down doesn't show that the server has
+        // returned.
         let out_of_use = server.removed || server.is_down() || server.health.is_ejected();
         let surplus = self.has_surplus_connections(server_id);
         if !reusable || self.config.idle_timeout == 0 || out_of_use || surplus {
@@ -207,7 +210,7 @@
         self.update_availability(server_id);
     }
 
-    /// Whether the server has more connections than it may, as after a change of the configuration.
+    /// Whether the server has more connections than allowed, as after a change of the configuration.
     pub(super) fn has_surplus_connections(&self, server: ServerId) -> bool {
         self.servers[server].connections() > self.config.max_concurrency
     }
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Removes a connection from the pool's state. Returns its server.
+    /// Removes a connection from the state of the pool. Returns the server of the connection.
     pub(super) fn remove_connection(&mut self, conn: ConnId) -> ServerId {
         let connection = self.connections.remove(conn);
         self.deadlines.remove(&(connection.deadline, conn));
--- a/crates/upstream/src/pool/deadlines.rs
+++ b/crates/upstream/src/pool/deadlines.rs
@@ -1,4 +1,4 @@
-//! What happens as time passes: connections that take too long, ejections that end, slow starts.
+//! Timers: connection timeouts, ends of ejections, and reviews of slow starts.
 
 use super::{ConnectionState, Pool};
 use crate::health::Failure;
@@ -6,7 +6,7 @@
 use doortrack_time::TenthMillis;
 
 impl Pool {
-    /// When [`Pool::tick`] is due; [`TenthMillis::MAX`] for never.
+    /// When [`Pool::tick`] is due; [`TenthMillis::MAX`] if no timer is set.
     pub fn next_due(&self) -> TenthMillis {
         let deadline = self
             .deadlines
@@ -17,12 +17,12 @@
             .min(self.next_slow_start_review())
     }
 
-    /// Acts on every deadline that has passed.
+    /// Handles every timer that has expired.
     pub fn tick(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         while let Some((deadline, conn)) = self.deadlines.first().copied()
             && deadline <= now
         {
-            self.connection_timed_out(conn, now, actions);
+            self.handle_timeout(conn, now, actions);
         }
         while let Some((until, server)) = self.ejection_ends.first().copied()
             && until <= now
@@ -33,18 +33,18 @@
         self.dispatch(now, actions);
     }
 
-    fn connection_timed_out(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
+    fn handle_timeout(&mut self, conn: ConnId, now: TenthMillis, actions: &mut Vec<Action>) {
         let (server, state) = (self.connections[conn].server, self.connections[conn].state);
         self.close(conn, actions);
         match state {
             ConnectionState::Idle => {}
             ConnectionState::Connecting(run) => {
-                self.server_failed(server, Failure::ConnectionLost, now, actions);
+                self.handle_failure(server, Failure::ConnectionLost, now, actions);
                 self.retry_or_end(run, RunEnd::NotRun, actions);
             }
             ConnectionState::Busy { run, sent } => {
-                self.server_failed(server, Failure::ConnectionLost, now, actions);
-                self.run_lost(run, sent, RunEnd::TimedOut, actions);
+                self.handle_failure(server, Failure::ConnectionLost, now, actions);
+                self.handle_lost_run(run, sent, RunEnd::TimedOut, actions);
             }
         }
         self.drop_if_unused(server);
--- a/crates/upstream/src/pool/dispatch.rs
+++ b/crates/upstream/src/pool/dispatch.rs
@@ -1,17 +1,17 @@
-//! Which server takes which run.
+//! Assigns queued runs to servers.
 
 use super::{Connection, ConnectionState, Pool};
 use crate::slow_start::Warmup;
 use crate::{Action, ConnId, RunId, ServerId};
 use doortrack_time::TenthMillis;
 
-/// Scale of a server's load, so that fractions compare as integers.
+/// Scale factor of a server's load, so that fractions compare as integers.
 const LOAD_SCALE: u64 = 1_000_000;
 
 impl Pool {
-    /// Sends queued runs to servers that can take them, first come first served.
+    /// Sends queued runs to servers that can take them, in queue order.
     pub(super) fn dispatch(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
-        while let Some((sequence, run)) = self.first_queued()
+        while let Some((sequence, run)) = self.first_in_queue()
             && !self.available.is_empty()
             && self.may_dispatch(now)
         {
@@ -21,10 +21,10 @@
                 self.assign(run, server, now, actions);
             }
         }
-        self.end_hopeless_runs(now, actions);
+        self.end_runs_without_credit(now, actions);
     }
 
-    fn first_queued(&self) -> Option<(u64, RunId)> {
+    fn first_in_queue(&self) -> Option<(u64, RunId)> {
         self.queue
             .first_key_value()
             .map(|(sequence, run)| (*sequence, *run))
@@ -68,9 +68,9 @@
         })
     }
 
-    /// Of two servers drawn at random the one with the lower load for what its health allows.
-    /// Before that counts that it is not the one tried last, and that a run which can't be retried
-    /// is no health check.
+    /// Draws two available servers at random and returns the better one. Compared are, in this order:
+    /// whether the run was tried on the server last, whether a run that can't be retried would become
+    /// a health check, and the load relative to the concurrency that the server's health allows.
     fn choose_server(&mut self, run: RunId) -> ServerId {
         let count = self.available.len();
         let first = self.rng.usize(0..count);
@@ -106,7 +106,7 @@
         u64::from(server.busy_connections) * LOAD_SCALE / u64::from(allowed.max(1))
     }
 
-    /// Adds a server to those that can take a run now, or takes it out, according to its state.
+    /// Adds a server to `available` or removes it, according to its current state.
     pub(super) fn update_availability(&mut self, server_id: ServerId) {
         if !self.servers.contains(server_id) {
             return;
--- a/crates/upstream/src/pool/members.rs
+++ b/crates/upstream/src/pool/members.rs
@@ -1,4 +1,4 @@
-//! Which servers there are.
+//! Adding and removing servers, and changing the configuration.
 
 use super::{Pool, Server};
 use crate::health::Health;
@@ -7,7 +7,7 @@
 use doortrack_time::TenthMillis;
 
 impl Pool {
-    /// Changes the configuration. Connections and ejections keep the deadlines that they have.
+    /// Changes the configuration. Connections and ejections keep their current deadlines.
     pub fn reconfigure(&mut self, config: PoolConfig, now: TenthMillis, actions: &mut Vec<Action>) {
         self.config = config;
         self.retry_budget.reconfigure(&config.retry);
@@ -26,13 +26,13 @@
         self.dispatch(now, actions);
     }
 
-    /// Adds a server that takes as many runs as any other at once, as when the pool starts.
+    /// Adds a server that takes full load at once, as when the pool starts.
     pub fn add_server(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> ServerId {
         self.insert_server(Server::new(Health::HEALTHY, None), now, actions)
     }
 
-    /// Adds a server that came later than the others: with slow start it gets a health check first,
-    /// and then a slow start.
+    /// Adds a server after the start of the pool. If slow start is configured, the server first gets
+    /// a health check and then a slow start.
     pub fn add_cold_server(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> ServerId {
         if self.config.slow_start.is_none() {
             return self.add_server(now, actions);
@@ -59,7 +59,7 @@
         server_id
     }
 
-    /// Removes a server: it gets no more runs, those on it may end.
+    /// Removes a server: it gets no more runs, and runs in progress on it may end.
     pub fn remove_server(
         &mut self,
         server_id: ServerId,
@@ -84,7 +84,7 @@
         self.stop_slow_start(server_id);
         self.update_availability(server_id);
         self.drop_if_unused(server_id);
-        // It may have been the last one in use: those whose ejection ends first return early.
+        // Too few servers may be in use now: end the ejections that are due first early.
         while self.in_use < self.min_in_use()
             && let Some((until, ejected)) = self.ejection_ends.first().copied()
         {
--- a/crates/upstream/src/pool/runs.rs
+++ b/crates/upstream/src/pool/runs.rs
@@ -1,11 +1,12 @@
-//! The life of runs: begun, cancelled, retried, ended.
+//! The lifecycle of runs: begun, cancelled, retried, ended.
 
 use super::{ConnectionState, Pool, Run};
 use crate::{Action, RunEnd, RunId};
 use doortrack_time::TenthMillis;
 
 impl Pool {
-    /// Begins a run. One that is not idempotent is never sent twice.
+    /// Begins a run. A run that is not idempotent is sent again only if the server can't have executed
+    /// it.
     pub fn begin(
         &mut self,
         run: RunId,
@@ -30,7 +31,7 @@
         self.dispatch(now, actions);
     }
 
-    /// Cancels a run; it ends at once.
+    /// Cancels a run, which ends immediately.
     pub fn cancel(&mut self, run: RunId, now: TenthMillis, actions: &mut Vec<Action>) {
         let Some(state) = self.runs.get(&run) else {
             return;
@@ -48,7 +49,7 @@
         self.dispatch(now, actions);
     }
 
-    /// Puts a run back into the queue, at the position that it had.
+    /// Puts a run back into the queue at its original position.
     pub(super) fn requeue(&mut self, run: RunId) {
         if let Some(state) = self.runs.get_mut(&run) {
             state.conn = None;
@@ -56,9 +57,9 @@
         }
     }
 
-    /// No complete response came. What may have reached the server is retried only if it is
-    /// idempotent.
-    pub(super) fn run_lost(
+    /// Handles a run that got no complete response. A run that may have reached the server is retried
+    /// only if it is idempotent.
+    pub(super) fn handle_lost_run(
         &mut self,
         run: RunId,
         sent: bool,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Retries a run where attempts and budget allow it; else ends it.
+    /// Retries a run if its attempts and the retry budget allow it, and ends it otherwise.
     pub(super) fn retry_or_end(&mut self, run: RunId, end: RunEnd, actions: &mut Vec<Action>) {
         let attempts = self.runs.get(&run).map_or(u32::MAX, |state| state.attempts);
         if attempts < self.config.retry.max_attempts {
--- a/crates/upstream/src/pool/warmup.rs
+++ b/crates/upstream/src/pool/warmup.rs
@@ -1,4 +1,4 @@
-//! Servers that were down: their slow starts, from the return to the end.
+//! Slow starts of servers that were down, from their return to the end of the slow start.
 
 use super::Pool;
 use crate::slow_start::{SlowStart, TokenSource};
@@ -6,7 +6,8 @@
 use doortrack_time::TenthMillis;
 
 impl Pool {
-    /// Sets where tokens of slow starts are requested, if this pool shares them with others.
+    /// Sets the function that requests slow start tokens, for a pool that shares slow starts with other
+    /// pools.
     pub fn set_slow_start_tokens(&mut self, request: Box<dyn FnMut() -> TokenResponse>) {
         self.reservations.tokens = TokenSource::new(request);
     }
@@ -19,7 +20,7 @@
             .count()
     }
 
-    /// A connection to the server has opened: if it was down, it has returned.
+    /// Begins a slow start if the server was down: the connection that has opened shows its return.
     pub(super) fn begin_slow_start_if_down(
         &mut self,
         server_id: ServerId,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Changes a slow start, and with it when it is reviewed.
+    /// Changes a slow start, if there is one, and updates when it is reviewed next.
     pub(super) fn update_slow_start(
         &mut self,
         server: ServerId,
@@ -90,14 +91,14 @@
         reservations.reviews.insert((slow_start.review_at, server));
     }
 
-    /// Lifts every bound on the server but that of its health.
+    /// Ends the warm-up of the server. Only its health bounds its runs from now on.
     pub(super) fn finish_warmup(&mut self, server: ServerId) {
         self.stop_slow_start(server);
         self.servers[server].warmup = None;
         self.update_availability(server);
     }
 
-    /// Ends a slow start, if there is one; the server counts as down until it returns.
+    /// Ends a slow start, if there is one. The server counts as down until a connection to it opens.
     pub(super) fn stop_slow_start(&mut self, server: ServerId) {
         self.revoke_ready_runs(server);
         let warmup = self.servers[server].warmup.as_mut();
--- a/crates/upstream/src/retry_budget.rs
+++ b/crates/upstream/src/retry_budget.rs
@@ -1,18 +1,18 @@
-//! The retry budget: each run begun adds a fraction of a retry, each retry takes one. A gate may
-//! restrict retries further, for example to a budget of the whole fleet.
+//! The retry budget: each run begun adds a fraction of a retry, and each retry takes one. A gate
+//! function may restrict retries further, for example to a budget of the whole fleet.
 
 use std::fmt;
 
 use crate::RetryConfig;
 
-/// Credit units of one retry, so that sums of fractions are exact.
+/// Number of credit units per retry. Integer units keep sums of fractions exact.
 const UNITS_PER_RETRY: u64 = 10_000;
 
 pub(crate) struct RetryBudget {
     credit: u64,
     max_credit: u64,
     credit_per_run: u64,
-    /// What a retry must pass beside this budget, asked just before it is made.
+    /// Must also allow a retry, and is called immediately before it.
     gate: Option<Box<dyn FnMut() -> bool>>,
 }
 
@@ -28,7 +28,7 @@
         budget
     }
 
-    /// Changes the bounds and refills the budget; the gate stays.
+    /// Changes the bounds and refills the budget. The gate is kept.
     pub(crate) fn reconfigure(&mut self, config: &RetryConfig) {
         self.max_credit = u64::from(config.burst) * UNITS_PER_RETRY;
         self.credit = self.max_credit;
@@ -45,7 +45,7 @@
         self.credit = (self.credit + self.credit_per_run).min(max_credit);
     }
 
-    /// Takes one retry, if there is one and the gate lets it through; else takes nothing.
+    /// Takes one retry if the budget has one and the gate allows it. Returns whether it did.
     pub(crate) fn try_take(&mut self) -> bool {
         let Some(remaining) = self.credit.checked_sub(UNITS_PER_RETRY) else {
             return false;
--- a/crates/upstream/tests/pool/main.rs
+++ b/crates/upstream/tests/pool/main.rs
@@ -1,6 +1,7 @@
-//! The pool in a simulated world: what must hold after every event, and what follows from each failure.
+//! Tests of the pool against simulated servers: invariants after every event, and the reaction to each
+//! kind of failure.
 
-mod any_events;
+mod random_events;
 mod runs;
 mod servers;
 mod simulation;
--- a/crates/upstream/tests/pool/any_events.rs
+++ b/crates/upstream/tests/pool/random_events.rs
@@ -1,4 +1,5 @@
-//! Random events: each run ends once, and the same input gives the same output.
+//! Property tests: for random events each run ends exactly once, and the same input gives the same
+//! output.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 use doortrack_upstream::RunId;
@@ -7,7 +8,7 @@
 
 use crate::simulation::*;
 
-/// One thing that a random scenario does.
+/// One step of a random scenario.
 #[derive(Clone, Debug)]
 enum Step {
     Begin { idempotent: bool },
@@ -56,7 +57,7 @@
                 *simulation.behaviors.values_mut().nth(server).unwrap() = *behavior;
             }
             Step::Advance(time) => simulation.advance(simulation.now + time),
-            // A connection ends for no reason.
+            // Loses an arbitrary connection.
             Step::Break(index) => {
                 let conn = simulation
                     .conns
@@ -102,9 +103,9 @@
         seed in any::<u64>(),
     ) {
         let simulation = run_steps(&steps, seed);
-        prop_assert_eq!(simulation.ended.len(), simulation.idempotent.len(), "not all have ended");
+        prop_assert_eq!(simulation.ended.len(), simulation.idempotent.len(), "some runs have not ended");
         prop_assert_eq!(simulation.pool.in_flight(), 0);
         let again = run_steps(&steps, seed);
-        prop_assert_eq!(again.ended, simulation.ended, "same input, same output");
+        prop_assert_eq!(again.ended, simulation.ended, "the same input gave different output");
     }
 }
--- a/crates/upstream/tests/pool/runs.rs
+++ b/crates/upstream/tests/pool/runs.rs
@@ -1,4 +1,4 @@
-//! Runs: shared among servers, retried, cancelled and ended.
+//! Runs: distribution over servers, retries, cancellation and outcomes.
 
 use std::collections::BTreeMap;
 
@@ -20,14 +20,19 @@
         (800, 0, 0)
     );
     assert!(counters.connections_opened <= 16, "{counters:?}");
-    let mut on = BTreeMap::<ServerId, u32>::new();
+    let mut runs_by_server = BTreeMap::<ServerId, u32>::new();
     simulation
         .sent
         .values()
         .flatten()
-        .for_each(|server| *on.entry(*server).or_default() += 1);
-    assert!(on.values().all(|runs| (150..250).contains(runs)), "{on:?}");
-    // Idle ones are closed after lying idle.
+        .for_each(|server| *runs_by_server.entry(*server).or_default() += 1);
+    assert!(
+        runs_by_server
+            .values()
+            .all(|runs| (150..250).contains(runs)),
+        "{runs_by_server:?}"
+    );
+    // Idle connections are closed after the idle timeout.
     simulation.advance(simulation.now + 6_000 * MILLISECOND);
     assert_eq!(
         (simulation.pool.connections(), simulation.pool.in_flight()),
@@ -63,7 +68,7 @@
         (simulation.sent[&1].len(), simulation.sent[&2].len()),
         (1, 3)
     );
-    // What no connection could be had for is retried in any case, and ends as not run.
+    // A run whose connections were refused is retried even if it is not idempotent, and ends as not run.
     simulation
         .behaviors
         .values_mut()
@@ -74,7 +79,7 @@
         (simulation.end(3), simulation.sent.get(&3)),
         (Some(RunEnd::NotRun), None)
     );
-    // One that hangs is late, and not sent elsewhere.
+    // A run that is not idempotent times out on a server that hangs, and is not sent to another.
     simulation
         .behaviors
         .values_mut()
@@ -110,7 +115,7 @@
 }
 
 #[test]
-fn a_stale_idle_connection_costs_neither_retry_nor_failure() {
+fn a_stale_idle_connection_counts_as_neither_retry_nor_failure() {
     let mut simulation = Simulation::new(config(), 1, 6);
     simulation.begin(1, false);
     simulation.advance(100 * MILLISECOND);
@@ -118,7 +123,7 @@
     let (mut actions, now) = (Vec::new(), simulation.now);
     simulation.pool.begin(2, false, now, &mut actions);
     assert_eq!(actions, [Action::Send { conn, run: 2 }]);
-    // Found closed before any byte of it was handed over.
+    // The server closed the connection before any byte of the run was sent.
     simulation.conns.remove(&conn);
     actions.clear();
     simulation.pool.connection_lost(conn, now, &mut actions);
@@ -157,17 +162,21 @@
     assert_eq!(
         simulation.end(3),
         Some(RunEnd::NotRun),
-        "it waited for a server"
+        "the run was queued"
     );
     simulation.cancel(1);
     assert_eq!(
         simulation.end(1),
         Some(RunEnd::NotRun),
-        "its connection was being opened"
+        "the connection of the run was opening"
     );
     simulation.advance(10 * MILLISECOND);
     simulation.cancel(2);
-    assert_eq!(simulation.end(2), Some(RunEnd::Cancelled), "it was sent");
+    assert_eq!(
+        simulation.end(2),
+        Some(RunEnd::Cancelled),
+        "the run was sent"
+    );
     simulation.cancel(2);
     assert_eq!(
         (simulation.pool.in_flight(), simulation.pool.connections()),
@@ -184,12 +193,12 @@
         pool.add_server(0, &mut actions),
     ];
     pool.begin(1, false, 0, &mut actions);
-    let mut seen = Vec::new();
+    let mut attempted_servers = Vec::new();
     for _ in 0..3 {
         let Some(Action::Open { conn, server }) = actions.pop() else {
             panic!("{actions:?}")
         };
-        seen.push(server);
+        attempted_servers.push(server);
         actions.clear();
         pool.connected(conn, 0, &mut actions);
         assert_eq!(actions, [Action::Send { conn, run: 1 }]);
@@ -203,11 +212,13 @@
         );
         assert!(actions.contains(&Action::Close { conn }), "{actions:?}");
     }
-    // Within its three tries, never twice in a row on one; then it ends as one that never ran.
+    // The run is attempted three times, never twice in a row on the same server, and ends as not run.
     assert!(
-        seen[0] != seen[1]
-            && seen[1] != seen[2]
-            && seen.iter().all(|server| servers.contains(server))
+        attempted_servers[0] != attempted_servers[1]
+            && attempted_servers[1] != attempted_servers[2]
+            && attempted_servers
+                .iter()
+                .all(|server| servers.contains(server))
     );
     assert!(
         actions.contains(&Action::Ended {
--- a/crates/upstream/tests/pool/servers.rs
+++ b/crates/upstream/tests/pool/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that fail, are ejected, recover, are added and removed.
+//! Servers: failure, ejection, recovery, addition and removal.
 
 use std::collections::BTreeSet;
 
@@ -8,15 +8,17 @@
 
 use crate::simulation::*;
 
-/// The server that misbehaves among the four.
+/// The server that misbehaves, one of four.
 const OUTLIER: ServerId = 2;
 
-/// The share of runs that complete with one outlier of four servers, once it had time to be found.
+/// The share of runs that complete with one outlier among four servers, measured after the outlier
+/// had time to be ejected.
 fn load_with_outlier(config: PoolConfig, behavior: Behavior) -> (f64, Simulation) {
     let mut simulation = Simulation::new(config, 4, 2);
     simulation.behaviors.insert(OUTLIER, behavior);
-    let (every, lasts, since) = (5 * MILLISECOND, 20_000 * MILLISECOND, 4_000 * MILLISECOND);
-    let share = simulation.load(0, every, lasts, since);
+    let (interval, duration, measured_after) =
+        (5 * MILLISECOND, 20_000 * MILLISECOND, 4_000 * MILLISECOND);
+    let share = simulation.load(0, interval, duration, measured_after);
     (share, simulation)
 }
 
@@ -30,7 +32,7 @@
 }
 
 #[test]
-fn one_outlier_of_four_costs_little_and_recovers_gradually() {
+fn one_outlier_of_four_has_little_effect_and_recovers_gradually() {
     let never_ejected = OutlierConfig {
         consecutive_failures: u32::MAX,
         ..config().outlier
@@ -57,15 +59,19 @@
         );
         simulation.behaviors.insert(OUTLIER, Behavior::Healthy);
         let before = sent_to_outlier(&simulation);
-        let (every, lasts, since) = (5 * MILLISECOND, 12_000 * MILLISECOND, 9_000 * MILLISECOND);
-        assert_eq!(simulation.load(100_000, every, lasts, since), 1.0);
+        let (interval, duration, measured_after) =
+            (5 * MILLISECOND, 12_000 * MILLISECOND, 9_000 * MILLISECOND);
+        assert_eq!(
+            simulation.load(100_000, interval, duration, measured_after),
+            1.0
+        );
         assert_eq!(simulation.pool.in_use(), 4);
         assert!(sent_to_outlier(&simulation) > before + 200);
     }
 }
 
 #[test]
-fn a_full_outage_is_not_multiplied_and_ends_soon_after_its_cause() {
+fn a_full_outage_causes_no_retry_storm_and_ends_soon_after_its_cause() {
     for behavior in [
         Behavior::Refuses,
         Behavior::Breaks,
@@ -81,23 +87,23 @@
             simulation.load(0, 5 * MILLISECOND, 20_000 * MILLISECOND, 0),
             0.0
         );
-        // A quarter is kept in use whatever they do.
+        // A quarter of the servers stays in use despite the failures.
         assert!(
             simulation.in_use <= 2,
-            "{behavior:?}: one, and perhaps one in a health check"
+            "{behavior:?}: at most the minimum and one server in a health check"
         );
         let counters = simulation.pool.counters;
         assert!(
             counters.retries <= 10 + counters.begun / 10,
             "{behavior:?}: {counters:?}"
         );
-        // Where they fail at once the budget is used up, and no more than that.
+        // Failures without delay use up most of the retry budget.
         let fast = [Behavior::Refuses, Behavior::Breaks].contains(&behavior);
         assert!(
             !fast || counters.retries >= counters.begun / 20,
             "{behavior:?}: {counters:?}"
         );
-        // Whoever begins runs does not wait for ever; where all hang, most found no server.
+        // Callers give up after some time. If all servers hang, most runs are still queued then.
         (0..5000)
             .filter(|run| simulation.end(*run).is_none())
             .collect::<Vec<_>>()
@@ -113,7 +119,10 @@
             3_000 * MILLISECOND,
             200 * MILLISECOND,
         );
-        assert_eq!(share, 1.0, "{behavior:?}: the floor serves at once");
+        assert_eq!(
+            share, 1.0,
+            "{behavior:?}: the servers still in use serve at once"
+        );
         simulation.load(200_000, 50 * MILLISECOND, 9_000 * MILLISECOND, 0);
         assert_eq!(simulation.pool.in_use(), 4, "{behavior:?}");
     }
@@ -140,7 +149,7 @@
     simulation.execute(actions);
     assert!(
         simulation.pool.is_known(1) && added > 1,
-        "what runs there may end"
+        "a removed server is known until its runs end"
     );
     (8..12).for_each(|run| simulation.begin(run, false));
     simulation.advance(5_000 * MILLISECOND);
@@ -150,7 +159,8 @@
     );
     assert_eq!(simulation.ended.len(), 12);
     assert!(!simulation.pool.is_known(0) && !simulation.pool.is_known(1));
-    // Without any, runs wait for one; with fewer at once, surplus idle connections are closed.
+    // Surplus idle connections are closed when the maximum concurrency is lowered. Runs stay queued
+    // while the pool has no server.
     let mut actions = Vec::new();
     simulation.pool.reconfigure(
         PoolConfig {
--- a/crates/upstream/tests/pool/simulation.rs
+++ b/crates/upstream/tests/pool/simulation.rs
@@ -1,4 +1,4 @@
-//! A simulated world around a pool: sockets, servers and time.
+//! Simulates the sockets, servers and clock around a pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,31 +33,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
     Healthy,
-    /// Takes connections and never answers.
+    /// Accepts connections and never responds.
     Hangs,
     Refuses,
-    /// Breaks off once a run was sent.
+    /// Closes the connection once a run was sent.
     Breaks,
-    /// Answers at once that it failed.
+    /// Responds at once that the run failed.
     Fails,
-    /// Takes so long.
+    /// Responds successfully after this time.
     Slow(TenthMillis),
 }
 
-/// Simulates the sockets: executes what the pool wants, on servers with behaviors.
+/// Executes the actions of a pool on simulated sockets and servers.
 pub struct Simulation {
     pub pool: Pool,
     pub now: TenthMillis,
     pub behaviors: BTreeMap<ServerId, Behavior>,
     pub conns: BTreeMap<ConnId, (ServerId, Option<RunId>)>,
-    /// What happens next, by time: a connection opens, or answers.
+    /// Scheduled events of connections, by time: the connection opens, or the response arrives.
     pub next: BTreeSet<(TenthMillis, u64, ConnId)>,
     pub index: u64,
     pub idempotent: BTreeMap<RunId, bool>,
     pub sent: BTreeMap<RunId, Vec<ServerId>>,
     pub ended: BTreeMap<RunId, (RunEnd, TenthMillis)>,
     pub max_connections: BTreeMap<ServerId, usize>,
-    /// Servers in use when the last load ended.
+    /// Servers in use when the last call of `load` stopped beginning runs.
     pub in_use: usize,
 }
 
@@ -106,11 +106,11 @@
                 Action::Open { conn, server } => {
                     assert!(
                         self.conns.insert(conn, (server, None)).is_none(),
-                        "{conn} is open already"
+                        "connection {conn} is open already"
                     );
                     let open = self.conns.values().filter(|(at, _)| *at == server).count();
-                    let most = self.max_connections.entry(server).or_default();
-                    *most = open.max(*most);
+                    let max = self.max_connections.entry(server).or_default();
+                    *max = open.max(*max);
                     self.schedule(
                         if self.behaviors[&server] == Behavior::Refuses {
                             2
@@ -121,12 +121,15 @@
                     );
                 }
                 Action::Send { conn, run } => {
-                    let (server, carried) = self.conns.get_mut(&conn).expect("sent on none");
+                    let (server, carried) = self
+                        .conns
+                        .get_mut(&conn)
+                        .expect("the connection is not open");
                     assert_eq!(carried.replace(run), None, "two runs on one connection");
                     let sent = self.sent.entry(run).or_default();
                     sent.push(*server);
-                    let most = if self.idempotent[&run] { 3 } else { 1 };
-                    assert!(sent.len() <= most, "{run} was sent to {sent:?}");
+                    let max = if self.idempotent[&run] { 3 } else { 1 };
+                    assert!(sent.len() <= max, "run {run} was sent to {sent:?}");
                     let behavior = self.behaviors[server];
                     self.pool.request_sent(conn);
                     match behavior {
@@ -139,14 +142,17 @@
                     }
                 }
                 Action::Close { conn } => {
-                    assert!(self.conns.remove(&conn).is_some(), "closed twice");
+                    assert!(
+                        self.conns.remove(&conn).is_some(),
+                        "connection {conn} was closed twice"
+                    );
                     self.next.retain(|(.., scheduled)| *scheduled != conn);
                 }
                 Action::StateChanged { .. } => {}
                 Action::Ended { run, end } => {
                     assert!(
                         self.ended.insert(run, (end, self.now)).is_none(),
-                        "{run} ended twice"
+                        "run {run} ended twice"
                     );
                 }
             }
@@ -154,7 +160,7 @@
         self.check();
     }
 
-    /// What must hold for any events.
+    /// Checks the invariants that hold after every event.
     pub fn check(&self) {
         let counters = self.pool.counters;
         assert!(
@@ -168,14 +174,14 @@
             self.pool.in_use()
         );
         assert!(
-            self.max_connections.values().all(|most| *most <= 4),
+            self.max_connections.values().all(|max| *max <= 4),
             "{:?}",
             self.max_connections
         );
         assert_eq!(self.pool.connections(), self.conns.len());
     }
 
-    /// Lets time pass, with what happens in it.
+    /// Advances the clock to `until` and processes all events on the way.
     pub fn advance(&mut self, until: TenthMillis) {
         loop {
             let next = self.next.first().map_or(TenthMillis::MAX, |(at, ..)| *at);
@@ -189,7 +195,7 @@
                 self.pool.tick(self.now, &mut actions);
                 assert!(
                     self.pool.next_due() > self.now,
-                    "what was due is due again at once"
+                    "a timer that was handled is due again at once"
                 );
             } else {
                 return;
@@ -238,30 +244,30 @@
         self.ended.get(&run).map(|(end, _)| *end)
     }
 
-    /// A run every `every` for so long; the share of them that completed, of those begun from
-    /// `since` on.
+    /// Begins a run every `interval` for `duration`. Returns the share of runs that completed, of those
+    /// begun `measured_after` the start or later.
     pub fn load(
         &mut self,
-        from: RunId,
-        every: TenthMillis,
-        lasts: TenthMillis,
-        since: TenthMillis,
+        first_run: RunId,
+        interval: TenthMillis,
+        duration: TenthMillis,
+        measured_after: TenthMillis,
     ) -> f64 {
-        let (start, mut run, mut counted) = (self.now, from, Vec::new());
-        while self.now < start + lasts {
+        let (start, mut run, mut measured_runs) = (self.now, first_run, Vec::new());
+        while self.now < start + duration {
             self.begin(run, run % 2 == 0);
-            if self.now >= start + since {
-                counted.push(run);
+            if self.now >= start + measured_after {
+                measured_runs.push(run);
             }
             run += 1;
-            self.advance(self.now + every);
+            self.advance(self.now + interval);
         }
         self.in_use = self.pool.in_use();
         self.advance(self.now + 10_000 * MILLISECOND);
-        let good = counted
+        let completed = measured_runs
             .iter()
             .filter(|run| self.end(**run) == Some(RunEnd::Completed))
             .count();
-        good as f64 / counted.len() as f64
+        completed as f64 / measured_runs.len() as f64
     }
 }
--- a/crates/upstream/tests/slow_start/main.rs
+++ b/crates/upstream/tests/slow_start/main.rs
@@ -1,8 +1,8 @@
-//! Servers that go down and return: the runs that they get in slow start, what the others take, and that
-//! nothing waits for credit that does not come.
+//! Tests of slow start for servers that go down and return: the rate of runs that they get, the load that
+//! other servers take meanwhile, and that no run waits for credit indefinitely.
 
-mod any_events;
 mod outages;
+mod random_events;
 mod rate;
 mod shared;
 mod simulation;
--- a/crates/upstream/tests/slow_start/outages.rs
+++ b/crates/upstream/tests/slow_start/outages.rs
@@ -1,4 +1,4 @@
-//! Which outages lead to a slow start, and what ends one.
+//! Which failures lead to a slow start, and what ends a slow start.
 
 use doortrack_time::MILLISECOND;
 use doortrack_upstream::{Action, Admission, Pool, PoolConfig, ResponseEnd, RunEnd, ServerState};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_server_added_later_gets_a_slow_start_and_those_of_the_start_do_not() {
+fn only_servers_added_after_the_start_get_a_slow_start() {
     let mut simulation = Simulation::new(config(), 1);
     simulation.load(5 * MILLISECOND, 1_000 * MILLISECOND);
     assert_eq!(
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_configuration_without_slow_start_ends_those_under_way() {
+fn a_configuration_without_slow_start_ends_current_slow_starts() {
     let mut simulation = recovering_simulation(config());
     simulation.load(5 * MILLISECOND, 3_000 * MILLISECOND);
     let mut actions = Vec::new();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_connection_opened_before_an_outage_is_no_sign_of_recovery() {
+fn a_connection_requested_before_an_outage_does_not_begin_a_slow_start() {
     let mut pool = Pool::new(config(), 1);
     let mut actions = Vec::new();
     let server = pool.add_server(0, &mut actions);
@@ -142,7 +142,8 @@
     );
     actions.clear();
     pool.connected(second, MILLISECOND, &mut actions);
-    // Its run is not sent, as nothing of it is within a slow start; no other server is there.
+    // The run is not sent because it is not covered by a slow start. It ends because there is no other
+    // server.
     assert_eq!(
         actions,
         [
@@ -181,8 +182,8 @@
     pool.connected(first, MILLISECOND, &mut actions);
     pool.request_sent(first);
     pool.connect_refused(second, MILLISECOND, &mut actions);
-    // The run that was under way ends well after the server is to be health checkd: it says nothing
-    // of a return.
+    // The first run began before the outage and completes after the next health check is due. Its
+    // response doesn't show that the server has returned.
     pool.tick(600 * MILLISECOND, &mut actions);
     actions.clear();
     pool.response_ended(
@@ -207,7 +208,7 @@
         ),
         (0, 1, 0)
     );
-    // The health check begins on a connection of its own.
+    // The health check opens a new connection.
     assert_eq!(pool.admit(600 * MILLISECOND), Ok(Admission::Reserved));
     pool.release_reservation();
     actions.clear();
@@ -222,11 +223,11 @@
     assert_eq!(
         simulation.pool.admit(simulation.now),
         Ok(Admission::Reserved),
-        "the health check"
+        "the health check is admitted"
     );
     assert!(
         simulation.pool.admit(simulation.now).is_err(),
-        "there is one health check"
+        "only one health check is admitted"
     );
     let mut actions = Vec::new();
     simulation
--- a/crates/upstream/tests/slow_start/any_events.rs
+++ b/crates/upstream/tests/slow_start/random_events.rs
@@ -1,4 +1,4 @@
-//! Random events: no slow start is exceeded, and each run ends once.
+//! Property tests: for random events no slow start is exceeded, and each run ends exactly once.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -62,7 +62,7 @@
         let mut actions = Vec::new();
         match step {
             Step::Request(count) => (0..*count).for_each(|_| _ = simulation.request()),
-            Step::Advance(span) => simulation.advance(*span),
+            Step::Advance(duration) => simulation.advance(*duration),
             Step::Kill(index) => simulation.kill(usize::from(*index) % simulation.behaviors.len()),
             Step::Behave(index, behavior) => {
                 let server = usize::from(*index) % simulation.behaviors.len();
@@ -80,13 +80,11 @@
                 simulation
                     .pool
                     .remove_server(server, simulation.now, &mut actions);
-                // Its place may be another's later.
-                simulation
-                    .slow_starts
-                    .retain(|(started, _)| *started != server);
+                // The identifier may be reused for another server.
+                simulation.slow_starts.retain(|(other, _)| *other != server);
                 simulation.sent.remove(&server);
             }
-            Step::Tokens(given) => *granted.borrow_mut() = *given,
+            Step::Tokens(available) => *granted.borrow_mut() = *available,
             Step::Cancel(index) => {
                 let run = RunId::from(*index) % (simulation.runs + 1);
                 simulation.pool.cancel(run, simulation.now, &mut actions);
@@ -94,8 +92,8 @@
             Step::Add | Step::Remove(_) => {}
         }
         simulation.execute(actions);
-        // Whoever waits has a server to wait for: one that is in use and not cold, or a place on
-        // credit.
+        // No run may wait without a server that could take it: runs are in flight only while there is
+        // a connection or a server in use.
         let served = simulation.pool.connections() > 0 || simulation.pool.in_use() > 0;
         assert!(
             simulation.pool.in_flight() == 0 || served,
@@ -122,9 +120,9 @@
             simulation.check_slow_starts();
         }
         simulation.advance(60_000 * MILLISECOND);
-        prop_assert_eq!(simulation.outcomes.len(), simulation.runs as usize, "not all requests have an outcome");
+        prop_assert_eq!(simulation.outcomes.len(), simulation.runs as usize, "some requests have no outcome");
         prop_assert_eq!(simulation.pool.in_flight(), 0);
-        // Left alone and sound, all return and serve.
+        // All servers return and serve once they are healthy.
         simulation.behaviors.values_mut().for_each(|behavior| *behavior = Behavior::Healthy);
         simulation.load(20 * MILLISECOND, 10_000 * MILLISECOND + 2 * DURATION);
         let last = simulation.request();
@@ -133,7 +131,7 @@
     }
 
     #[test]
-    fn one_server_alone_gets_no_more_than_its_slow_start_for_any_arrivals(
+    fn a_single_server_gets_no_more_than_its_slow_start_allows_for_any_arrivals(
         gaps in prop::collection::vec(1..300 * MILLISECOND, 50..400),
         bursts in prop::collection::vec(1..6usize, 50..400),
     ) {
--- a/crates/upstream/tests/slow_start/shared.rs
+++ b/crates/upstream/tests/slow_start/shared.rs
@@ -1,4 +1,4 @@
-//! Slow starts that several pools share.
+//! Slow starts that are shared by several pools.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,18 +8,18 @@
 
 use crate::simulation::*;
 
-/// One pool's part of the tokens of a budget, where all need as much.
+/// One pool's equal share of the tokens of a slow start.
 struct TokenShare {
     tokens: f64,
-    counted: TenthMillis,
+    updated_at: TenthMillis,
 }
 
 impl TokenShare {
     fn take(&mut self, now: TenthMillis, pools: usize) -> TokenResponse {
         let rate = 2.0 * f64::from(RUNS) / DURATION as f64 / pools as f64;
-        // A share holds one whole token.
-        self.tokens = (self.tokens + rate * (now - self.counted) as f64).min(1.0);
-        self.counted = now;
+        // A share holds at most one token.
+        self.tokens = (self.tokens + rate * (now - self.updated_at) as f64).min(1.0);
+        self.updated_at = now;
         if self.tokens < 1.0 {
             return TokenResponse::Refused;
         }
@@ -41,7 +41,7 @@
             clock.clone(),
             TokenShare {
                 tokens: 1.0,
-                counted: began,
+                updated_at: began,
             },
         );
         simulation
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn the_health_check_is_made_up_for_while_no_run_is_waiting() {
+fn the_credit_of_the_health_check_is_collected_while_no_run_is_waiting() {
     let mut simulation = recovering_simulation(config());
-    let asked = Rc::new(RefCell::new(0));
-    let counter = asked.clone();
+    let requested = Rc::new(RefCell::new(0));
+    let counter = requested.clone();
     simulation.pool.set_slow_start_tokens(Box::new(move || {
         *counter.borrow_mut() += 1;
         TokenResponse::Granted
@@ -77,15 +77,15 @@
         simulation.load(5 * MILLISECOND, 5 * MILLISECOND);
     }
     simulation.advance(DURATION / 2);
-    // One run's worth, at tokens of a hundredth and more; then no more are asked for.
-    let taken = *asked.borrow();
+    // Tokens worth one run in total are requested, each worth at least a hundredth of a run.
+    let taken = *requested.borrow();
     assert!((3..=100).contains(&taken), "{taken} tokens");
     simulation.advance(DURATION / 4);
-    assert_eq!(*asked.borrow(), taken);
+    assert_eq!(*requested.borrow(), taken);
 }
 
 #[test]
-fn without_tokens_only_the_health_check_is_sent_and_nothing_waits() {
+fn without_tokens_only_the_health_check_is_sent_and_no_run_waits() {
     let mut simulation = recovering_simulation(config());
     simulation
         .pool
@@ -95,10 +95,10 @@
     assert_eq!(
         simulation.sent_within(0, back, TenthMillis::MAX),
         1,
-        "the health check alone"
+        "only the health check is sent"
     );
     assert_eq!(simulation.pool.in_flight(), 0);
-    // Once its time is over a slow start binds nobody.
+    // No tokens are needed after the end of the slow start.
     simulation.load(5 * MILLISECOND, 3_000 * MILLISECOND);
     assert!(simulation.sent_within(0, back, TenthMillis::MAX) > 100);
 }
--- a/crates/upstream/tests/slow_start/simulation.rs
+++ b/crates/upstream/tests/slow_start/simulation.rs
@@ -1,4 +1,4 @@
-//! A simulated world around a pool with slow start: node, sockets, servers and time.
+//! Simulates the node, sockets, servers and clock around a pool with slow start.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,13 +40,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
     Healthy,
-    /// Nothing listens there.
+    /// Refuses connections.
     Refuses,
-    /// Takes connections and never answers.
+    /// Accepts connections and never responds.
     Hangs,
-    /// Breaks off once a run was sent.
+    /// Closes the connection once a run was sent.
     Breaks,
-    /// Answers that the run failed.
+    /// Responds that the run failed.
     Fails,
 }
 
@@ -57,18 +57,20 @@
     Ended(RunEnd),
 }
 
-/// Simulates node and sockets: requests that are admitted begin at once, on servers with behaviors.
+/// Admits requests as a node does, begins admitted ones at once, and executes the actions of a pool on
+/// simulated sockets and servers.
 pub struct Simulation {
     pub pool: Pool,
     pub now: TenthMillis,
     pub behaviors: BTreeMap<ServerId, Behavior>,
     pub conns: BTreeMap<ConnId, (ServerId, Option<RunId>)>,
-    /// What happens next, by time: a connection opens, or answers.
+    /// Scheduled events of connections, by time: the connection opens, or the response arrives.
     pub next: BTreeSet<(TenthMillis, ConnId)>,
     pub runs: RunId,
     pub outcomes: BTreeMap<RunId, (Outcome, TenthMillis)>,
-    /// When runs were sent, by server, and when slow starts began.
+    /// When runs were sent, by server.
     pub sent: BTreeMap<ServerId, Vec<TenthMillis>>,
+    /// When slow starts began.
     pub slow_starts: Vec<(ServerId, TenthMillis)>,
     pub state_changes: Vec<(ServerId, ServerState)>,
 }
@@ -95,7 +97,7 @@
         }
     }
 
-    /// One request: admitted and begun, or held back.
+    /// Sends one request, which is admitted and begun, or held back. Returns its identifier.
     pub fn request(&mut self) -> RunId {
         self.runs += 1;
         let run = self.runs;
@@ -125,7 +127,10 @@
                     self.next.insert((self.now + MILLISECOND, conn));
                 }
                 Action::Send { conn, run } => {
-                    let (server, carried) = self.conns.get_mut(&conn).expect("sent on none");
+                    let (server, carried) = self
+                        .conns
+                        .get_mut(&conn)
+                        .expect("the connection is not open");
                     assert_eq!(carried.replace(run), None, "two runs on one connection");
                     self.pool.request_sent(conn);
                     self.sent.entry(*server).or_default().push(self.now);
@@ -143,7 +148,10 @@
                     }
                 }
                 Action::Close { conn } => {
-                    assert!(self.conns.remove(&conn).is_some(), "closed twice");
+                    assert!(
+                        self.conns.remove(&conn).is_some(),
+                        "connection {conn} was closed twice"
+                    );
                     self.next.retain(|(_, scheduled)| *scheduled != conn);
                 }
                 Action::StateChanged { server, state } => {
@@ -154,15 +162,15 @@
                 }
                 Action::Ended { run, end } => {
                     let ended = self.outcomes.insert(run, (Outcome::Ended(end), self.now));
-                    assert!(ended.is_none(), "{run} ended twice");
+                    assert!(ended.is_none(), "run {run} ended twice");
                 }
             }
         }
     }
 
-    /// Lets time pass, with what happens in it.
-    pub fn advance(&mut self, span: TenthMillis) {
-        let until = self.now + span;
+    /// Advances the clock by `duration` and processes all events on the way.
+    pub fn advance(&mut self, duration: TenthMillis) {
+        let until = self.now + duration;
         loop {
             let next = self.next.first().map_or(TenthMillis::MAX, |(at, _)| *at);
             let due = self.pool.next_due();
@@ -175,7 +183,7 @@
                 self.pool.tick(self.now, &mut actions);
                 assert!(
                     self.pool.next_due() > self.now,
-                    "what was due is due again at once"
+                    "a timer that was handled is due again at once"
                 );
             } else {
                 return;
@@ -199,23 +207,23 @@
             return self.pool.connection_lost(conn, self.now, actions);
         }
         self.conns.get_mut(&conn).unwrap().1 = None;
-        let over = match behavior {
+        let response = match behavior {
             Behavior::Fails => ResponseEnd::Failed { reusable: true },
             _ => ResponseEnd::Completed { reusable: true },
         };
-        self.pool.response_ended(conn, over, self.now, actions);
+        self.pool.response_ended(conn, response, self.now, actions);
     }
 
-    /// Requests at this pace for so long.
-    pub fn load(&mut self, every: TenthMillis, lasts: TenthMillis) {
-        let until = self.now + lasts;
+    /// Sends a request every `interval` for `duration`.
+    pub fn load(&mut self, interval: TenthMillis, duration: TenthMillis) {
+        let until = self.now + duration;
         while self.now < until {
             self.request();
-            self.advance(every);
+            self.advance(interval);
         }
     }
 
-    /// A server goes: its connections end, and nothing listens.
+    /// Stops a server: its connections end, and it refuses new ones.
     pub fn kill(&mut self, server: ServerId) {
         self.behaviors.insert(server, Behavior::Refuses);
         let ends: Vec<ConnId> = self
@@ -225,7 +233,7 @@
             .map(|(conn, _)| *conn)
             .collect();
         for conn in ends {
-            // Another's end may have closed this one.
+            // The pool may have closed this connection in reaction to the end of another.
             if self.conns.remove(&conn).is_some() {
                 self.next.retain(|(_, scheduled)| *scheduled != conn);
                 let mut actions = Vec::new();
@@ -251,37 +259,39 @@
             .count()
     }
 
-    /// Of each slow start: no more than its curve at any time, the health check apart, and no more
-    /// than its runs in all.
+    /// Checks that each slow start sent no more runs than its curve allows at any time, apart from the
+    /// health check.
     pub fn check_slow_starts(&self) {
-        for (server, since) in &self.slow_starts {
+        for (server, started_at) in &self.slow_starts {
             let next = self
                 .slow_starts
                 .iter()
-                .filter(|(started, at)| started == server && at > since)
+                .filter(|(other, at)| other == server && at > started_at)
                 .map(|(_, at)| *at)
                 .min();
-            let until = next.unwrap_or(TenthMillis::MAX).min(since + DURATION);
+            let until = next.unwrap_or(TenthMillis::MAX).min(started_at + DURATION);
             let sent = self
                 .sent
                 .get(server)
                 .into_iter()
                 .flatten()
-                .filter(|at| (*since..until).contains(at));
+                .filter(|at| (*started_at..until).contains(at));
             for (index, at) in sent.enumerate() {
-                let allowed = f64::from(RUNS) * ((at - since) as f64 / DURATION as f64).powi(2);
+                let allowed =
+                    f64::from(RUNS) * ((at - started_at) as f64 / DURATION as f64).powi(2);
                 let count = index + 1;
                 assert!(
                     count as f64 <= allowed.max(1.0) + 1e-6,
-                    "{count} sent {} after its return",
-                    at - since
+                    "{count} runs sent {} tenths of a millisecond after the return",
+                    at - started_at
                 );
             }
         }
     }
 }
 
-/// A pool of one server that was served, went down, and returns just before its next health check.
+/// A pool of one server that served runs, went down, and accepts connections again before its next
+/// health check.
 pub fn recovering_simulation(config: PoolConfig) -> Simulation {
     let mut simulation = Simulation::new(config, 1);
     simulation.load(5 * MILLISECOND, 100 * MILLISECOND);
