--- a/crates/settings/src/json_value.rs
+++ b/crates/settings/src/json_value.rs
@@ -126,8 +126,8 @@
     /// # Errors
     /// The value is not a string, or is not in the table.
     pub(crate) fn one_of<T: Copy>(&self, meanings: &[(&str, T)]) -> Result<T, SettingsError> {
-        let string = self.string()?;
-        match meanings.iter().find(|(known, _)| *known == string) {
+        let text = self.string()?;
+        match meanings.iter().find(|(known, _)| *known == text) {
             Some((_, meaning)) => Ok(*meaning),
             None => Err(self.unexpected(alternatives(meanings))),
         }
@@ -136,7 +136,7 @@
 
 /// Lists the strings of a table as `a, b or c`.
 fn alternatives<T>(meanings: &[(&str, T)]) -> String {
-    let strings: Vec<&str> = meanings.iter().map(|(string, _)| *string).collect();
+    let strings: Vec<&str> = meanings.iter().map(|(text, _)| *text).collect();
     match strings.split_last() {
         Some((last, [])) => (*last).to_string(),
         Some((last, others)) => format!("{} or {last}", others.join(", ")),
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -2,7 +2,7 @@
 //! node's clock and the simulator's protocol.
 //!
 //! Points in time are monotonic and count from an arbitrary origin that is fixed within the process. Conversions
-//! from finer units round to the safe side: deadlines and ages are rounded down, time windows and waits up.
+//! from finer units round in the safe direction: deadlines and ages are rounded down, time windows and waits up.
 
 /// A point in time or a duration, in tenths of a millisecond (100 microseconds).
 pub type TenthMillis = u64;
--- a/crates/upstream/src/action.rs
+++ b/crates/upstream/src/action.rs
@@ -84,7 +84,7 @@
 pub enum RunEnd {
     /// The response reported with [`ResponseEnd::Completed`] is the result of the run.
     Completed,
-    /// A complete response says that the run failed.
+    /// A complete response reports that the run failed.
     Failed,
     /// No byte of the run reached a server, or the server reported that it did not execute the run.
     NotRun,
--- a/crates/upstream/src/pool/dispatch.rs
+++ b/crates/upstream/src/pool/dispatch.rs
@@ -68,9 +68,10 @@
         })
     }
 
-    /// Draws two available servers at random and returns the better one. Compared are, in this order:
-    /// whether the run was tried on the server last, whether a run that can't be retried would become
-    /// a health check, and the load relative to the concurrency that the server's health allows.
+    /// Draws two available servers at random and returns the better one. The criteria are, in this
+    /// order: the run was not tried on the server last, a run that can't be retried does not become a
+    /// health check, and the load is lower relative to the concurrency that the server's health
+    /// allows.
     fn choose_server(&mut self, run: RunId) -> ServerId {
         let count = self.available.len();
         let first = self.rng.usize(0..count);
--- a/crates/upstream/src/slow_start.rs
+++ b/crates/upstream/src/slow_start.rs
@@ -74,8 +74,7 @@
 }
 
 impl SlowStart {
-    /// Begins a slow start. The run of the health check has already been sent, so the credit starts at
-    /// -1.
+    /// Begins a slow start. The run of the health check used no credit, so the balance starts at -1.
     pub(crate) fn begin(config: SlowStartConfig, now: TenthMillis) -> SlowStart {
         let ends_at = now.saturating_add(config.duration.max(1));
         SlowStart {
--- a/crates/upstream/tests/pool/simulation.rs
+++ b/crates/upstream/tests/pool/simulation.rs
@@ -109,8 +109,8 @@
                         "connection {conn} is open already"
                     );
                     let open = self.conns.values().filter(|(at, _)| *at == server).count();
-                    let max = self.max_connections.entry(server).or_default();
-                    *max = open.max(*max);
+                    let peak = self.max_connections.entry(server).or_default();
+                    *peak = open.max(*peak);
                     self.schedule(
                         if self.behaviors[&server] == Behavior::Refuses {
                             2
@@ -128,8 +128,8 @@
                     assert_eq!(carried.replace(run), None, "two runs on one connection");
                     let sent = self.sent.entry(run).or_default();
                     sent.push(*server);
-                    let max = if self.idempotent[&run] { 3 } else { 1 };
-                    assert!(sent.len() <= max, "run {run} was sent to {sent:?}");
+                    let max_attempts = if self.idempotent[&run] { 3 } else { 1 };
+                    assert!(sent.len() <= max_attempts, "run {run} was sent to {sent:?}");
                     let behavior = self.behaviors[server];
                     self.pool.request_sent(conn);
                     match behavior {
@@ -174,7 +174,7 @@
             self.pool.in_use()
         );
         assert!(
-            self.max_connections.values().all(|max| *max <= 4),
+            self.max_connections.values().all(|peak| *peak <= 4),
             "{:?}",
             self.max_connections
         );
