--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,9 +1,9 @@
-//! The node's event loop, on one thread: it reads what is ready, hands it to the admission controller in one
-//! batch, executes the actions that come back, and writes what they leave to be sent.
+//! The node's event loop, which runs on one thread. Each turn reads the sockets that are ready, hands the events
+//! to the admission controller in one batch, executes the actions it returns, and flushes the output.
 //!
-//! [`Node`] owns every socket and all state of the node. The only call that blocks is the poller's wait; files
-//! are read and configurations built on a thread of their own (`reloader`), but for nodes without an
-//! installation file and at the start.
+//! [`Node`] owns every socket and all state of the node. The only call that blocks is the poller's wait: a
+//! separate thread reads files and builds configurations (`reloader`). Two cases do block the loop's thread: the
+//! start, and reloads of a node without an installation file.
 
 mod actions;
 mod admission_driver;
@@ -44,10 +44,10 @@
 use crate::system::clock::Clock;
 use crate::system::signals::{DRAIN_KEY, RELOAD_KEY, Signals};
 
-/// Interval between two checks for idle connections and expired results.
+/// Interval between two scans for idle connections and expired results.
 const MAINTENANCE_INTERVAL: TenthMillis = 25 * MILLISECOND;
-/// Woken so much later than it was due, the process has been suspended.
-const STALL: TenthMillis = 10 * MILLISECOND;
+/// If the poller returns later than this after its due time, the process is taken to have been suspended.
+const SUSPEND_THRESHOLD: TenthMillis = 10 * MILLISECOND;
 
 /// One node of a fleet: its sockets, the admission controller and the requests in flight.
 pub struct Node {
@@ -55,15 +55,15 @@
     reloader: Reloader,
     log: Logger,
     clock: Clock,
-    /// The time of the last wake-up, which all of a turn goes by.
+    /// The time of the last wake-up, used throughout a turn.
     now: TenthMillis,
     poller: Arc<Poller>,
     signals: Signals,
     listeners: Listeners,
-    /// Read from callers' connections and not handled yet.
+    /// Events from callers' connections that are not handled yet.
     listener_events: Vec<ListenerEvent>,
     backend: Backend,
-    /// Read from the backend and not handled yet.
+    /// Events from the backend that are not handled yet.
     backend_events: Vec<BackendEvent>,
     registry: Registry,
     admission: AdmissionDriver,
@@ -71,7 +71,7 @@
     results: ResultTable,
     timers: Timers,
     gauges: GaugeReadings,
-    /// When connections and results are next checked for expiry.
+    /// When idle connections and expired results are next scanned for.
     maintenance_at: TenthMillis,
     summaries: SummarySchedule,
     shutdown: Shutdown,
@@ -81,10 +81,13 @@
 impl Node {
     /// Serves until a graceful shutdown is over.
     ///
-    /// The order within a turn matters in four places. What ended is handled before what arrived, since the
-    /// capacity that it frees is there for the new requests. Timers fire once everything that was read before
-    /// them is in the batch. The last reading before the stop comes after a decision, since what that answers
-    /// makes room for callers who still wait. Writing is last, so that a turn costs one write a connection.
+    /// The order of the steps within a turn matters:
+    ///
+    /// - Backend events are handled before new requests, which can then use the capacity that ended runs free.
+    /// - Timers fire after everything that was read before them is in the batch.
+    /// - The last read before the stop follows a call of the admission controller, whose answers make room for
+    ///   callers that still wait.
+    /// - Output is flushed last, so that each connection is written once per turn.
     ///
     /// # Errors
     /// The poller failed.
@@ -92,14 +95,14 @@
         let mut ready = Events::new();
         self.now = self.clock.now();
         self.summaries.schedule_next(self.now);
-        // Servers count as up from the start: the first request must not find the controller missing.
+        // Application servers count as up from the start: the first request must find the controller started.
         self.backend.maintain(self.now);
         self.flush();
         loop {
             self.backend.maintain(self.now);
             self.registry.heartbeat(self.now);
             self.wait_and_read(&mut ready)?;
-            self.close_idle_if_due();
+            self.run_maintenance_if_due();
             self.handle_backend_events();
             self.handle_listener_events();
             self.fire_timers();
@@ -119,18 +122,18 @@
 
     // --- Waiting and reading ---
 
-    /// Waits until something is ready or due, and reads it.
+    /// Waits until a socket is ready or the next turn is due, and reads what is ready.
     fn wait_and_read(&mut self, ready: &mut Events) -> Result<(), ServeError> {
         let due = self.next_due();
         self.read_ready(due, ready)?;
-        if self.now > due + STALL {
-            // The process was suspended: what arrived meanwhile counts before timers that ran out.
+        if self.now > due + SUSPEND_THRESHOLD {
+            // The process was suspended: events that arrived meanwhile go before timers that expired.
             self.read_ready(due, ready)?;
         }
         Ok(())
     }
 
-    /// When the next turn is due at the latest; never before this one, as what is overdue is due now.
+    /// When the next turn is due at the latest. What is overdue is due now, so the result is never in the past.
     fn next_due(&self) -> TenthMillis {
         let timer = self
             .gauges
@@ -157,8 +160,8 @@
             .max(self.now)
     }
 
-    /// Waits until `due` at the longest, then reads every socket that is ready and applies a configuration
-    /// that has been built.
+    /// Waits until `due` at the latest, reads every socket that is ready, and applies the configurations that have
+    /// been built.
     fn read_ready(&mut self, due: TenthMillis, ready: &mut Events) -> Result<(), ServeError> {
         ready.clear();
         let wait = Duration::from_micros(due.saturating_sub(self.now) * MICROSECONDS_PER_UNIT);
@@ -172,14 +175,14 @@
         let mut reload = false;
         for readiness in ready.iter() {
             match readiness.key {
-                // Last, since whatever else is ready came over links that the reload may close.
+                // Handled last: the other ready sockets may be on links that the reload closes.
                 RELOAD_KEY => reload = true,
                 _ => self.read_socket(readiness, due),
             }
         }
         if reload {
             self.request_reload();
-            // Which of two signals was sent first can't be known where both are read in one turn.
+            // The order of two signals that are read in one turn is unknown.
             if !was_draining && self.shutdown.is_draining() {
                 self.shutdown.expect_reload();
             }
@@ -188,10 +191,10 @@
         Ok(())
     }
 
-    /// Reads one socket by its key in the poller.
+    /// Reads the socket with this poller key.
     fn read_socket(&mut self, readiness: Readiness, due: TenthMillis) {
         match readiness.key {
-            // Woken late, the process was suspended, and the signal may be as old as that.
+            // If the process was suspended, the signal may have come as early as `due`.
             DRAIN_KEY => self.drain(self.now.min(due)),
             key if SUBSYSTEM_KEYS.contains(&key) => {
                 let owners = self.subsystems.iter_mut();
@@ -214,10 +217,10 @@
         }
     }
 
-    // --- The other steps ---
+    // --- Other steps of a turn ---
 
-    /// Closes connections that lay idle and drops expired results, once each interval.
-    fn close_idle_if_due(&mut self) {
+    /// Closes idle connections and removes expired results, once each [`MAINTENANCE_INTERVAL`].
+    fn run_maintenance_if_due(&mut self) {
         if self.now >= self.maintenance_at {
             self.maintenance_at = self.now + MAINTENANCE_INTERVAL;
             self.listeners
@@ -242,8 +245,8 @@
         self.listener_events = events;
     }
 
-    /// Shortly before the stop: answers what can be answered, then reads each connection a last time and
-    /// takes no more requests.
+    /// Closes the listeners shortly before the stop: sends the pending answers, reads each connection a last time,
+    /// and accepts no more requests.
     fn close_listeners_if_due(&mut self) {
         if self.shutdown.begins_refusing(self.now) {
             self.listeners.refuse_handshakes();
@@ -263,8 +266,8 @@
         }
     }
 
-    /// Writes what there is to send, until writing brings nothing new. What broke meanwhile is handled at
-    /// once, since nothing may come to wake the next turn.
+    /// Writes pending output until writing causes no new events. Events caused by writes, such as broken
+    /// connections, are handled at once, as nothing else may wake the loop for them.
     fn flush(&mut self) {
         loop {
             self.listeners.flush(self.now, &mut self.listener_events);
@@ -286,7 +289,7 @@
         }
     }
 
-    /// Whether the stop has come, or the last connection has closed since the listeners did.
+    /// True when the stop time has come, or the last connection has closed after the listeners did.
     fn is_finished(&self) -> bool {
         self.shutdown.is_over(self.now)
             || (self.shutdown.is_flushing() && self.listeners.connection_count() == 0)
--- a/crates/node/src/event_loop/actions.rs
+++ b/crates/node/src/event_loop/actions.rs
@@ -1,5 +1,4 @@
-//! Decisions: the batch of events goes to the admission controller, and the actions that come back are
-//! executed.
+//! Passes the batch of events to the admission controller and executes the actions it returns.
 
 use doortrack_admission::{Action, AdmissionController, Event, RequestId};
 use doortrack_time::TenthMillis;
@@ -11,7 +10,8 @@
 use crate::state::in_flight::Stage;
 
 impl Node {
-    /// The backend is up, and with it the node. Its `age` counts towards the slow start of a cold one.
+    /// Starts the admission controller when the backend comes up. `age` is the time since the backend started, which
+    /// counts towards the slow start of a cold node.
     pub(super) fn start_admission(&mut self, cold: bool, age: TenthMillis) {
         if self.admission.is_started() {
             return;
@@ -32,7 +32,7 @@
         self.announce_drain();
     }
 
-    /// Hands the batch over and executes the actions, until those bring no new events.
+    /// Passes the batch to the admission controller and executes its actions, until these cause no new events.
     pub(super) fn decide(&mut self) {
         let mut actions = Vec::new();
         while self.admission.handle_batch(self.now, &mut actions) {
@@ -62,14 +62,14 @@
             Action::Record { id, ttl } => self.record(id, ttl),
             Action::Forget { id } => {
                 self.results.forget(id);
-                self.settle(id);
+                self.answer_duplicates(id);
             }
             Action::Attach { id } => self.attach(id),
             Action::Health { healthy, .. } => self.set_health(healthy),
             Action::Backpressure { value } => self.listeners.backpressure = Some(value),
             Action::IdleTimeout { timeout } => self.listeners.idle_timeout = timeout,
             Action::SetTimer { at, token } => self.timers.set(at, token),
-            // Refused at the start, as this node can't make downstream calls.
+            // Configurations with downstream calls are refused at the start: this node can't make them.
             Action::Call { id, .. } | Action::SkipCall { id } => {
                 error!(self.log, "unsupported downstream call"; "request" => id);
             }
@@ -83,7 +83,7 @@
         };
         let idempotent = self.config.is_idempotent(request.group);
         let group_name = &self.config.group_names_json[usize::from(request.group)];
-        // The run itself uses up the reservation, at once.
+        // The run takes a server connection at once, so its reservation is released just before.
         let reserved = std::mem::take(&mut request.reservations.admission);
         self.backend.release(request.pool, reserved);
         let sent = self
@@ -92,7 +92,7 @@
         request.stage = Stage::Running { sent };
     }
 
-    /// Gives a request its one answer, unless nobody waits for it.
+    /// Sends the answer to a request's caller, unless it was answered before or the caller has gone.
     fn answer(&mut self, id: RequestId, answer: Answer) {
         let request = self.in_flight.get(id);
         let Some(caller) = request.and_then(|request| request.caller.take()) else {
@@ -102,7 +102,7 @@
         self.drop_if_queued(id);
     }
 
-    /// Stops a run, as far as it may have begun.
+    /// Cancels a run if it may have begun.
     fn cancel(&mut self, id: RequestId) {
         let Some(request) = self.in_flight.get(id) else {
             return;
@@ -111,8 +111,8 @@
             Stage::Running { sent: None } => {
                 self.on_terminated(id, Termination::Unsent, RunOutput::default());
             }
-            // Cancelled for the second time, so it was answered some time ago: to a RUN the engine now says
-            // that it runs, or that nothing is begun for a request that is over.
+            // The second cancellation, so the request was answered some time ago. In reply to a RUN the engine now
+            // reports that the run is under way, or refuses to begin one for a request that is over.
             Stage::InDoubt { cancelled: true } if self.backend.is_up() => self.start_run(id),
             Stage::Running { .. } => self.backend.cancel(id, request, self.now),
             Stage::InDoubt { .. } => {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Keeps the result of a request for its duplicates.
+    /// Opens an entry in the result table, for duplicates of this request.
     fn record(&mut self, id: RequestId, ttl: TenthMillis) {
         let Some(request) = self.in_flight.get(id) else {
             return;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Answers a duplicate with what the request that it repeats comes to.
+    /// Answers a duplicate with the result of the original.
     fn attach(&mut self, id: RequestId) {
         let request = self.in_flight.get(id);
         if let Some(original) = request.and_then(|request| request.duplicate_of) {
--- a/crates/node/src/event_loop/admission_driver.rs
+++ b/crates/node/src/event_loop/admission_driver.rs
@@ -1,4 +1,4 @@
-//! The admission controller with the batch of events that it is to handle next.
+//! The admission controller, with the batch of events for its next call.
 
 use std::collections::HashSet;
 
@@ -7,10 +7,10 @@
 
 use crate::state::results::DedupKey;
 
-/// Batches events for the admission controller, which does no I/O of its own.
+/// Batches events for the admission controller, which does no I/O itself.
 #[derive(Default)]
 pub(super) struct AdmissionDriver {
-    /// None until the backend has come up.
+    /// `None` until the backend is up.
     controller: Option<AdmissionController>,
     batch: Vec<Event>,
     /// Idempotency keys of the requests in the batch.
@@ -36,7 +36,8 @@
         self.batch.extend(event);
     }
 
-    /// Notes the idempotency key of a request in the batch; whether the batch has no other with this key.
+    /// Records the idempotency key of a request in the batch. Returns false if the batch already has a request with
+    /// this key.
     pub(super) fn insert_key(&mut self, key: DedupKey) -> bool {
         self.batch_keys.insert(key)
     }
@@ -45,8 +46,8 @@
         self.batch_keys.clear();
     }
 
-    /// Has the controller handle the batch, which is empty afterwards, and adds the actions that follow. False
-    /// if there was nothing to handle, or nobody to handle it.
+    /// Passes the batch to the controller, clears it, and appends the resulting actions. Returns false if the batch
+    /// is empty or the controller is not started.
     pub(super) fn handle_batch(&mut self, now: TenthMillis, actions: &mut Vec<Action>) -> bool {
         let Some(controller) = self.controller.as_mut().filter(|_| !self.batch.is_empty()) else {
             return false;
--- a/crates/node/src/event_loop/arrivals.rs
+++ b/crates/node/src/event_loop/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests that callers sent: each is given its reservations and put before the admission controller.
+//! New requests from callers: each gets its reservations and is passed to the admission controller.
 
 use doortrack_admission::{Event, Request, RequestId};
 use doortrack_time::TenthMillis;
@@ -35,7 +35,7 @@
         is_late: bool,
     ) {
         if !self.listeners.is_pending(caller) {
-            return; // Cancelled in the turn in which it came.
+            return; // Cancelled in the turn in which it arrived.
         }
         if !self.admission.is_started() {
             return self.listeners.answer(caller, Answer::NoCapacity);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Reserves what the request needs, enters it in the table of requests in flight and submits it.
+    /// Makes the reservations for a request, adds it to the table of requests in flight and submits it.
     fn take_request(
         &mut self,
         caller: Caller,
@@ -59,7 +59,7 @@
         duplicate_of: Option<RequestId>,
     ) {
         let pool = request.pool.map_or(0, |index| index + 1);
-        // A duplicate takes the result of the original: it uses nothing more.
+        // A duplicate gets the result of the original and needs no reservations.
         let (reservations, retry_after) = match duplicate_of {
             None => self.reserve(AdmissionRequest {
                 group: request.group,
@@ -90,8 +90,8 @@
         self.submit(id, request, duplicate_of, retry_after);
     }
 
-    /// Has the batch decided first if it holds a request with the same key, so that the duplicate sees what
-    /// became of that one.
+    /// Processes the current batch first if it has a request with the same key, so that the duplicate finds that
+    /// request's entry.
     fn decide_before_duplicate(&mut self, key: Option<DedupKey>) {
         if let Some(key) = key
             && !self.admission.insert_key(key)
@@ -101,11 +101,11 @@
         }
     }
 
-    /// The request that one with this key repeats, if it has a key and repeats any.
+    /// Finds the request that a request with this key duplicates, if any.
     ///
     /// # Errors
-    /// The answer to one that can't be taken: only where there is no entry for its key, as a duplicate of a
-    /// request that has run is never refused.
+    /// The answer to send instead, when the result table is full or the key was used with another body. The table
+    /// refuses only keys without an entry: a duplicate of a request that has run is never refused for space.
     fn find_original(
         &self,
         key: Option<DedupKey>,
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Reserves what a request needs of its pool's servers and of the fleet's budgets, or says how long its
-    /// caller is to wait before a retry.
+    /// Reserves capacity of the pool's servers and of the fleet's budgets for a request. If there is none, returns no
+    /// reservations and the time after which the caller may retry.
     fn reserve(&mut self, request: AdmissionRequest) -> (Reservations, Option<TenthMillis>) {
         let admission = match self.backend.admit(request.pool, self.now) {
             Ok(admission) => admission,
@@ -139,7 +139,7 @@
         };
         for subsystem in &mut self.subsystems {
             match subsystem.admit(request) {
-                // One subsystem at the most has budgets.
+                // At most one subsystem has budgets.
                 Ok(permit) if permit == Permit::default() => {}
                 Ok(permit) => reservations.permit = permit,
                 Err(retry_after) => {
@@ -151,7 +151,7 @@
         (reservations, None)
     }
 
-    /// Releases what a request holds that will not be run.
+    /// Releases the reservations of a request that will not run.
     pub(super) fn release_unused(&mut self, pool: u16, reservations: Reservations) {
         self.release_permit(reservations.permit, PermitOutcome::Unused);
         self.backend.release(pool, reservations.admission);
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Puts a request into the batch for the admission controller.
+    /// Adds a request to the batch for the admission controller.
     fn submit(
         &mut self,
         id: RequestId,
@@ -173,7 +173,7 @@
         duplicate_of: Option<RequestId>,
         budget_retry_after: Option<TenthMillis>,
     ) {
-        // Times of arrival are whole ms, rounded down: the age is never too small, so no answer comes late.
+        // Arrival times are rounded down to whole ms, so the age is never too small and no answer is late.
         let age = self.now.saturating_sub(request.arrived_at);
         self.summaries.slowest.record_arrival(age);
         let max_timeout = self.config.deadline(request.group);
--- a/crates/node/src/event_loop/completions.rs
+++ b/crates/node/src/event_loop/completions.rs
@@ -1,4 +1,5 @@
-//! How requests end: what the backend says of runs, callers that leave, and duplicates that wait for a result.
+//! Ends of requests: runs that the backend reports as ended, callers that leave, and duplicates that wait for a
+//! result.
 
 use doortrack_admission::{Cancellation, Event, RequestId, RunOutcome};
 use slog::warn;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The engine would not execute a command, as it knows no such request.
+    /// The engine refused a command because it does not know the request.
     fn on_refused_command(&mut self, command: RefusedCommand, attempt_id: Option<AttemptId>) {
         warn!(self.log, "engine refused command"; "command" => %command);
         let termination = if command == RefusedCommand::Run {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// A connection or a run ended, with all that this means for the request it concerns.
+    /// Handles the end of a connection or a run for the request concerned.
     pub(super) fn on_terminated(
         &mut self,
         id: RequestId,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Removes a request that never ran and is owed no answer, its result entry included, so that a later
-    /// attempt may run.
+    /// Removes a request that never ran and needs no answer any more. Its result entry is removed too, so that a
+    /// later attempt may run.
     pub(super) fn drop_if_queued(&mut self, id: RequestId) {
         if !self.in_flight.is_waiting(id) {
             return;
@@ -107,10 +108,10 @@
             self.release_unused(request.pool, request.reservations);
         }
         self.results.forget(id);
-        self.settle(id);
+        self.answer_duplicates(id);
     }
 
-    /// Releases what the request held, answers its caller, and then its duplicates from the result.
+    /// Releases the request's reservations, answers its caller, and answers its duplicates from the result.
     fn on_run_ended(&mut self, id: RequestId, outcome: RunOutcome, output: RunOutput) {
         let Some(request) = self.in_flight.remove(id) else {
             return;
@@ -132,7 +133,7 @@
             RunOutcome::Failed | RunOutcome::Cancelled => self.results.complete(id, Err(NoResult)),
             RunOutcome::NotStarted => self.results.forget(id),
         }
-        self.settle(id);
+        self.answer_duplicates(id);
     }
 
     fn answer_with_run(&mut self, caller: Caller, outcome: RunOutcome, output: RunOutput) {
@@ -145,13 +146,13 @@
     }
 
     /// Answers the duplicates that wait for the result of this request.
-    pub(super) fn settle(&mut self, id: RequestId) {
+    pub(super) fn answer_duplicates(&mut self, id: RequestId) {
         for duplicate in self.in_flight.take_attached(id) {
             self.answer_from(duplicate, id);
         }
     }
 
-    /// Ends a duplicate with the result of the original, or attaches it if that is still running.
+    /// Answers a duplicate with the result of the original, or attaches it to the original if that is in flight.
     pub(super) fn answer_from(&mut self, id: RequestId, original: RequestId) {
         let (headers, body) = match self.results.result(original) {
             StoredResult::Pending => return self.in_flight.attach(id, original),
@@ -168,9 +169,9 @@
         self.on_terminated(id, Termination::Run(RunOutcome::Completed), output);
     }
 
-    /// The link to the engine is up again, and everything that it missed has been read. What was sent before
-    /// the gauge query that was answered has arrived. Of the rest, what was never sent is sent now, and what may have
-    /// arrived is sent again only where it may run twice.
+    /// Sends runs that may have been lost, once the link to the engine is up again and all missed messages have been
+    /// read. Runs sent before the answered gauge query have arrived. Of the others, those never sent are sent now,
+    /// and those that may have arrived are sent again only if they may run twice.
     fn resend_lost(&mut self, answered_cookie: u64) {
         let is_unproven = |sent: Option<u64>| sent.is_none_or(|sent| sent >= answered_cookie);
         let unproven = self
@@ -197,8 +198,8 @@
         if never_sent || may_run_twice || cancellation == Cancellation::Unsupported {
             self.start_run(id);
         } else {
-            // If it runs, it may end before a second RUN is read, and that one would run it again: so its end
-            // is waited for like that of any run. Where runs can't be stopped that could be forever.
+            // If the run is under way, it may end before a second RUN is read, which would run it again. So the node
+            // waits for its end, except above where runs can't be cancelled and the wait might never end.
             request.stage = Stage::InDoubt { cancelled: false };
         }
     }
--- a/crates/node/src/event_loop/config_build.rs
+++ b/crates/node/src/event_loop/config_build.rs
@@ -1,5 +1,5 @@
-//! A configuration that was read from its files and made ready to come into force. Nothing here touches the
-//! state of the loop, so that it may run on another thread; it blocks on reading the files.
+//! Reads the configuration files and builds a configuration that can come into force. This module does not touch
+//! the event loop's state, so it may run on another thread. It blocks on reading the files.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -14,26 +14,26 @@
 use crate::system::panics;
 use crate::system::test_panics::{PanicPlace, panic_if_wanted};
 
-/// What is in force when a build begins.
+/// The installation and rules in force when a build begins.
 pub(super) struct BuildBase {
     pub(super) installation: Arc<Installation>,
-    /// None where the installation has no rules.
+    /// `None` if the installation has no rules.
     pub(super) rule_table: Option<Arc<Table>>,
 }
 
 /// A configuration that can come into force.
 pub(super) struct Candidate {
     pub(super) plan: Plan,
-    /// None where the installation has no rules.
+    /// `None` if the installation has no rules.
     pub(super) rules: Option<RuleTable>,
-    /// How long it took to read and build.
+    /// Time taken to read the files and build the configuration.
     pub(super) build_time: Duration,
 }
 
 /// Why a configuration can't come into force.
 pub(super) struct Rejected {
     pub(super) errors: ConfigErrors,
-    /// What only a restart can change in any case: an error may be due to it.
+    /// Changes that need a restart, which may be the cause of an error.
     pub(super) restart_required: Vec<RestartRequired>,
 }
 
@@ -49,18 +49,18 @@
 /// The result of a build.
 pub(super) type BuildResult = Result<Candidate, Rejected>;
 
-/// Where configurations are read, and what they are read against.
+/// Where configurations are read from, and the started configuration that they are compared with.
 #[derive(Clone)]
 pub(super) struct Sources {
     pub(super) started: Started,
-    /// The operators' own file, if there is one.
+    /// Path of the installation file, if there is one.
     pub(super) installation_path: Option<PathBuf>,
 }
 
-/// Reads and builds configurations, one after the other.
+/// Reads and builds configurations, one at a time.
 pub(super) struct Builder {
     sources: Sources,
-    /// The platform's configuration that was read last, with the digest of its text.
+    /// The platform configuration that was read last, with the digest of its file.
     last_read: (Digest, PlatformRead),
 }
 
@@ -74,10 +74,10 @@
         Builder { sources, last_read }
     }
 
-    /// Reads both files and builds what they say. Rules that are in force already are shared.
+    /// Reads both files and builds a configuration from them. Unchanged rules are shared with the table in force.
     ///
     /// # Errors
-    /// Every error, each with the path of its key; a panic, with its place.
+    /// Every error in the files, with the path of its key. A panic becomes an error with its location.
     pub(super) fn build(&mut self, base: &BuildBase) -> BuildResult {
         panics::catch(|| self.try_build(base)).unwrap_or_else(|panic| {
             Err(ConfigErrors::one("build of the configuration", panic.to_string()).into())
@@ -85,7 +85,7 @@
     }
 
     fn try_build(&mut self, base: &BuildBase) -> BuildResult {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         panic_if_wanted(PanicPlace::Build);
         let platform = self.read_platform()?;
         let installation = match &self.sources.installation_path {
@@ -115,11 +115,11 @@
         Ok(Candidate {
             plan,
             rules,
-            build_time: begun.elapsed(),
+            build_time: started_at.elapsed(),
         })
     }
 
-    /// Reads the platform's configuration; the same bytes as before are not parsed again.
+    /// Reads the platform's configuration. The file is parsed again only if its bytes have changed.
     fn read_platform(&mut self) -> Result<PlatformRead, ConfigErrors> {
         let path = node_config::path()?;
         let bytes = node_config::read_bytes(&path)?;
--- a/crates/node/src/event_loop/error.rs
+++ b/crates/node/src/event_loop/error.rs
@@ -1,4 +1,4 @@
-//! Errors that keep a node from starting, or end it before its shutdown.
+//! Errors that prevent a node from starting or end it before its shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
     /// The installation is invalid, or a file that it names can't be used.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
-    /// The system gives no poller.
+    /// The poller can't be created.
     #[error("poller: {0}")]
     Poller(#[source] io::Error),
     /// The signals can't be watched.
@@ -24,33 +24,33 @@
     Socket {
         /// Path of the key.
         key: String,
-        /// The address that stands there.
+        /// The address configured there.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The link to the other nodes can't be opened.
     #[error(transparent)]
     FleetLink(#[from] OpenLinkError),
-    /// The pools of servers could take more than half of the connections.
+    /// The server pools could take more than half of the available connections.
     #[error(
         "installation.servers.at_once: all pools together may have {servers} connections, more than half of \
-         the {available} for which there are descriptors; raise the limit of {limit} or lower it"
+         the {available} that the descriptor limit of {limit} allows; raise that limit or lower at_once"
     )]
     TooManyServerConnections {
-        /// Connections that all pools together may have.
+        /// Maximum number of connections of all pools together.
         servers: usize,
-        /// Connections for which there are descriptors.
+        /// Number of connections that the descriptor limit allows.
         available: usize,
-        /// The soft limit on descriptors.
+        /// The soft limit on file descriptors.
         limit: usize,
     },
 }
 
-/// What ends a node before its shutdown.
+/// Why a node ended before its shutdown.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// Waiting for readiness failed.
+    /// Waiting for ready sockets failed.
     #[error("poller: {0}")]
     Poller(#[source] io::Error),
 }
--- a/crates/node/src/event_loop/gauge_readings.rs
+++ b/crates/node/src/event_loop/gauge_readings.rs
@@ -1,25 +1,25 @@
-//! Readings of the engine's gauges, and timers that wait for one.
+//! Readings of the engine's gauges, and due timers that wait for a reading.
 
 use doortrack_admission::{Event, Gauges};
 use doortrack_time::{MILLISECOND, TenthMillis};
 
 use super::Node;
 
-/// How long due timers wait for a reading: the engine may be slow or out of reach.
+/// How long due timers wait for a reading, as the engine may be slow or unreachable.
 const READING_TIMEOUT: TenthMillis = 5 * MILLISECOND;
-/// A reading older than this is not used.
+/// Maximum age of a reading that is still used.
 const MAX_STALENESS: TenthMillis = 250 * MILLISECOND;
 
-/// A reading that was asked for.
+/// A gauge query that is not answered yet, or that timers still wait for.
 #[derive(Clone, Copy)]
 struct PendingReading {
-    /// The number that the answer carries.
+    /// The query's number, which the answer repeats.
     cookie: u64,
-    /// When timers stop waiting for it.
+    /// When timers stop waiting for the answer.
     expires_at: TenthMillis,
 }
 
-/// The last reading, and the one that due timers wait for.
+/// The last reading, and the query that due timers wait for.
 #[derive(Default)]
 pub(super) struct GaugeReadings {
     latest: Gauges,
@@ -28,7 +28,7 @@
 }
 
 impl GaugeReadings {
-    /// Until when timers wait for a reading, if one was asked for.
+    /// Until when timers wait for a reading, if a query is pending.
     pub(super) fn pending_until(&self) -> Option<TenthMillis> {
         self.pending.map(|pending| pending.expires_at)
     }
@@ -40,7 +40,7 @@
         });
     }
 
-    /// Stores a reading. If timers wait for it, their wait ends now, and how long it was is returned.
+    /// Stores a reading. If timers wait for it, ends their wait and returns its duration.
     fn record(&mut self, cookie: u64, gauges: Gauges, now: TenthMillis) -> Option<TenthMillis> {
         self.latest = gauges;
         self.read_at = now;
@@ -53,7 +53,7 @@
         Some(waited)
     }
 
-    /// The last reading, or none of its gauges if it is stale.
+    /// The last reading, or no values if it is older than [`MAX_STALENESS`].
     fn fresh(&self, now: TenthMillis) -> Gauges {
         if now.saturating_sub(self.read_at) > MAX_STALENESS {
             Gauges::default()
@@ -64,8 +64,8 @@
 }
 
 impl Node {
-    /// Fires the timers that are due. They carry a reading of the gauges, a new one where the engine answers
-    /// soon enough.
+    /// Fires the timers that are due. Each carries a reading of the gauges: a new one if the engine answers within
+    /// [`READING_TIMEOUT`].
     pub(super) fn fire_timers(&mut self) {
         if !self.timers.is_due(self.now) || self.awaits_gauges() {
             return;
@@ -76,9 +76,9 @@
         }
     }
 
-    /// Whether due timers are to wait for a reading of the gauges, which is asked for if none is pending.
+    /// True if due timers are to wait for a gauge reading. Sends a query if none is pending.
     fn awaits_gauges(&mut self) -> bool {
-        // Close to the stop there is no time to wait: what is due is answered before it.
+        // Close to the stop there is no time to wait: due timers must lead to answers before it.
         let flushing = self.shutdown.is_flush_due(self.now);
         match self.gauges.pending_until() {
             Some(until) if until > self.now && !flushing => true,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The engine answered a query for its gauges.
+    /// Handles the engine's answer to a gauge query.
     pub(super) fn on_gauges(&mut self, cookie: u64, values: &[f32]) {
         let positions = &self.config.node.settings.gauges;
         let value_at =
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -1,5 +1,5 @@
-//! Reload: replaces the configuration while the node serves. What changes is planned beforehand
-//! (`doortrack_config::reload`) and built beside the loop; here it comes into force at once, between two turns.
+//! Reload: replaces the configuration while the node serves. The changes are planned by `doortrack_config::reload`
+//! and built by `reloader`; this module applies them all at once, within one turn of the loop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,11 +21,11 @@
 use crate::system::test_panics::{PanicPlace, panic_if_wanted};
 
 impl Node {
-    /// SIGHUP came: both files are to be read again.
+    /// Handles SIGHUP: both files are read again.
     pub(super) fn request_reload(&mut self) {
         self.signals.acknowledge(RELOAD_KEY);
         panic_if_wanted(PanicPlace::EventLoop);
-        if self.reloader.notice() {
+        if self.reloader.request() {
             self.begin_build();
         }
     }
@@ -40,7 +40,7 @@
         self.reloader.begin(base);
     }
 
-    /// Brings into force what has been built, if anything has.
+    /// Applies the configurations that have been built, if any.
     pub(super) fn apply_built_configs(&mut self) {
         while let Some((result, next_begins)) = self.reloader.poll() {
             let retired = self.apply(result);
@@ -54,9 +54,9 @@
         }
     }
 
-    /// Brings a configuration into force, unless it is invalid or idempotency keys would change their meaning:
-    /// the node then goes on as it was, since ending would lose all that is in flight. Returns what is no
-    /// longer in force, or never was.
+    /// Applies a configuration, unless it is invalid or would change the meaning of idempotency keys in use. In that
+    /// case the node continues with the old one, since exiting would lose the requests in flight. Returns what is not
+    /// in force: the old configuration, or the rejected one.
     fn apply(&mut self, result: BuildResult) -> Retired {
         let candidate = match result {
             Ok(candidate) => candidate,
@@ -75,7 +75,7 @@
             rules,
             build_time,
         } = candidate;
-        self.bring_into_force(plan, rules, build_time)
+        self.apply_plan(plan, rules, build_time)
     }
 
     fn log_rejected(&self, rejected: &Rejected) {
@@ -89,8 +89,8 @@
         }
     }
 
-    /// What an idempotency key means may not change while keys of before are within their window: the same
-    /// request could come again under another key, and run twice.
+    /// Checks that the meaning of idempotency keys does not change while old keys are within their dedup window: the
+    /// same request could come again under another key, and run twice.
     ///
     /// # Errors
     /// One for each endpoint group whose keys can't change their meaning yet.
@@ -109,14 +109,14 @@
         }
     }
 
-    /// Why keys of this endpoint group can't change their meaning, if they can't.
+    /// Why the keys of this endpoint group can't change their meaning now; `None` if they can.
     fn key_conflict(&self, group: usize) -> Option<ConfigError> {
         let wait = match self.results.last_expiry(group as u8)? {
             Some(expires_at) => {
                 let wait = expires_at.saturating_sub(self.now);
-                format!("in {} ms none is", wait.div_ceil(MILLISECOND))
+                format!("the last one expires in {} ms", wait.div_ceil(MILLISECOND))
             }
-            None => "one of them is in hand".to_string(),
+            None => "a request with one of them is in flight".to_string(),
         };
         let name = &self.config.node.settings.group_names[group];
         let conflict = format!(
@@ -125,15 +125,15 @@
         Some(ConfigError::new("installation.rules", conflict))
     }
 
-    /// Changes everything at once and returns what is no longer in force. Requests in flight keep what they
-    /// began under.
-    fn bring_into_force(
+    /// Applies all changes at once and returns what is no longer in force. Requests in flight keep the settings they
+    /// began with.
+    fn apply_plan(
         &mut self,
         plan: Plan,
         rules: Option<RuleTable>,
         build_time: Duration,
     ) -> Retired {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.change_platform(plan.platform, plan.installation.listeners.len());
         self.change_servers(&plan.installation);
         let mut fleet = plan.fleet;
@@ -145,12 +145,12 @@
         self.change_listeners(&plan.installation);
         let old_installation = std::mem::replace(&mut self.config.installation, plan.installation);
         info!(self.log, "configuration in force"; "built_ms" => build_time.as_millis() as u64,
-            "held_us" => begun.elapsed().as_micros() as u64);
+            "held_us" => started_at.elapsed().as_micros() as u64);
         Box::new((old_rules, old_keys, old_installation, fleet))
     }
 
-    /// Changes the addresses of engine and registry, and the time from the notice to drain to the stop. What
-    /// runs goes on, as the engine keeps runs and their ids.
+    /// Changes the addresses of engine and registry, and the stop timeout of a drain. Runs go on, as the engine keeps
+    /// them and their ids.
     fn change_platform(&mut self, read: PlatformRead, listeners: usize) {
         let (engine, registry) = (read.platform.engine, read.platform.registry);
         info!(self.log, "configuration read again"; "engine" => %engine, "registry" => %registry,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Changes the servers of each pool and the pool's settings.
+    /// Changes the servers and the settings of each pool.
     fn change_servers(&mut self, installation: &Installation) {
         let longest: TenthMillis = longest_deadline(&self.config.node);
         if let Backend::Servers(pools) = &mut self.backend {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Replaces the rules for what is read from here on, and returns the old ones.
+    /// Replaces the rules for requests read from now on, and returns the old rules.
     fn change_rules(&mut self, new: Option<RuleTable>) -> Retired {
         if let Some(table) = &new {
             log_rules(&self.log, table);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Opens the listeners that are new and drains those that are gone. A draining node opens none.
+    /// Opens new listeners and drains those that were removed. A draining node opens none.
     fn change_listeners(&mut self, installation: &Installation) {
         let changes = ListenerChanges::between(&self.config.listening, &installation.listeners);
         for closed in &changes.closed {
@@ -203,7 +203,7 @@
         for listener in changes.opened {
             match self.open_listener(&listener) {
                 Ok(()) => self.config.listening.push(listener),
-                // The others go on; the next SIGHUP tries it again.
+                // The other listeners go on; the next SIGHUP tries this one again.
                 Err(e) => {
                     warn!(self.log, "listener not opened"; "address" => %listener.listen, "why" => %e);
                 }
@@ -222,7 +222,7 @@
     }
 }
 
-/// Connections that a listener may have at once, if it bounds them.
+/// Maximum number of concurrent connections of a listener, if it has a limit.
 fn connection_limit(listener: &ListenerConfig) -> Option<usize> {
     listener.connections.map(|limit| limit as usize)
 }
--- a/crates/node/src/event_loop/reloader.rs
+++ b/crates/node/src/event_loop/reloader.rs
@@ -1,5 +1,5 @@
-//! Builds of configurations beside the loop, on a thread of their own that lives from the first build on.
-//! A node without an installation file, as the platform starts it, builds on the loop's thread.
+//! Builds configurations on a separate thread, which is started with the first build and then kept. A node without
+//! an installation file, as the platform starts it, builds on the loop's thread.
 
 use std::any::Any;
 use std::io;
@@ -14,7 +14,7 @@
 use super::config_build::{BuildBase, BuildResult, Builder, Rejected, Sources};
 use crate::system::test_panics::{PanicPlace, panic_if_wanted};
 
-/// Something that is no longer in force. Dropping it takes long where it is large.
+/// A configuration, or parts of one, that is no longer in force. Dropping a large one takes long.
 pub(super) type Retired = Box<dyn Any + Send>;
 
 enum Job {
@@ -22,21 +22,21 @@
     Drop(Retired),
 }
 
-/// Where builds are done.
+/// Where configurations are built.
 enum Executor {
     Inline(Box<Builder>),
-    /// On a thread, which is started with the first build and owns the builder from then on.
+    /// On a separate thread, which is started with the first build and then owns the builder.
     Thread {
         sources: Sources,
         worker: Option<Worker>,
     },
 }
 
-/// Wakes the loop when the thread ends, however it does: nothing else may come to wake an idle node, and the build
-/// under way would be waited for.
-struct WakeAtEnd(Arc<Poller>);
+/// Wakes the loop when the thread ends, also after a panic. Otherwise an idle node might not wake to find out that
+/// the build under way was lost.
+struct WakeOnDrop(Arc<Poller>);
 
-impl Drop for WakeAtEnd {
+impl Drop for WakeOnDrop {
     fn drop(&mut self) {
         _ = self.0.notify();
     }
@@ -47,11 +47,11 @@
     results: Receiver<BuildResult>,
 }
 
-/// Builds configurations, one at a time, and drops those that are retired.
+/// Builds configurations, one at a time, and drops retired ones.
 pub(super) struct Reloader {
     builds: Builds,
     executor: Executor,
-    /// What was built inline, or why no build could begin.
+    /// The result of an inline build, or the reason why no build could begin.
     result: Option<BuildResult>,
     poller: Arc<Poller>,
 }
@@ -74,12 +74,12 @@
         }
     }
 
-    /// The files may have changed; whether [`Reloader::begin`] is to be called.
-    pub(super) fn notice(&mut self) -> bool {
+    /// Notes that the files may have changed. Returns true if [`Reloader::begin`] is to be called.
+    pub(super) fn request(&mut self) -> bool {
         self.builds.notice()
     }
 
-    /// Whether a build has begun and not finished.
+    /// True if a build has begun and not finished.
     pub(super) fn is_under_way(&self) -> bool {
         self.builds.is_under_way()
     }
@@ -90,13 +90,13 @@
             Executor::Inline(builder) => self.result = Some(builder.build(&base)),
             Executor::Thread { sources, worker } => {
                 let begun = Worker::begin(worker, sources, &self.poller, base);
-                self.result = begun.err().map(|e| Err(no_thread(&e.to_string())));
+                self.result = begun.err().map(|e| Err(thread_error(&e.to_string())));
             }
         }
     }
 
-    /// The result of the build under way, once it is there, and whether the files changed since they were
-    /// read, so that [`Reloader::begin`] is to be called.
+    /// The result of the build under way, once it is available. The flag is true if another reload was requested
+    /// meanwhile, so that [`Reloader::begin`] is to be called.
     pub(super) fn poll(&mut self) -> Option<(BuildResult, bool)> {
         if !self.builds.is_under_way() {
             return None;
@@ -113,32 +113,32 @@
             Ok(result) => Some(result),
             Err(TryRecvError::Empty) => None,
             Err(TryRecvError::Disconnected) => {
-                // The next notice starts another.
+                // The next request starts another thread.
                 *worker = None;
-                Some(Err(no_thread("it ended before the build did")))
+                Some(Err(thread_error("ended before the build was complete")))
             }
         }
     }
 
-    /// Has something dropped on the thread, if there is one.
+    /// Drops a retired configuration on the thread, if there is one.
     pub(super) fn retire(&self, retired: Retired) {
         if let Executor::Thread {
             worker: Some(worker),
             ..
         } = &self.executor
         {
-            // Where the thread has ended it is dropped here.
+            // If the thread has ended, the value is dropped here.
             _ = worker.jobs.send(Job::Drop(retired));
         }
     }
 }
 
-fn no_thread(why: &str) -> Rejected {
-    ConfigErrors::one("thread that builds configurations", why.to_string()).into()
+fn thread_error(why: &str) -> Rejected {
+    ConfigErrors::one("configuration build thread", why.to_string()).into()
 }
 
 impl Worker {
-    /// Hands a build to the thread, which is started if there is none or it has ended.
+    /// Sends a build to the thread, which is started if there is none or it has ended.
     fn begin(
         worker: &mut Option<Worker>,
         sources: &Sources,
@@ -154,7 +154,7 @@
         }
         let builder = Builder::new(sources.clone());
         let started = worker.insert(Worker::start(builder, Arc::clone(poller))?);
-        // If it ends before it takes this, `receive` finds out.
+        // If the thread ends before it takes the job, `receive` detects that.
         _ = started.jobs.send(job);
         Ok(())
     }
@@ -163,14 +163,14 @@
         let (jobs, job_queue) = mpsc::channel();
         let (result_sender, results) = mpsc::channel();
         let work = move || {
-            let wake = WakeAtEnd(poller);
-            let result_sender = result_sender; // Dropped before `wake`, so that the loop finds the thread gone.
+            let wake = WakeOnDrop(poller);
+            let result_sender = result_sender; // Dropped before `wake`, so that the loop finds the channel closed.
             for job in job_queue {
                 panic_if_wanted(PanicPlace::BuildThread);
                 match job {
                     Job::Build(base) => {
                         let result = builder.build(&base);
-                        // The last reference to any of it must not be left to the loop.
+                        // Dropped before the result is sent, so that the loop does not drop the last reference.
                         drop(base);
                         if result_sender.send(result).is_err() || wake.0.notify().is_err() {
                             return;
--- a/crates/node/src/event_loop/running_config.rs
+++ b/crates/node/src/event_loop/running_config.rs
@@ -8,19 +8,19 @@
 use doortrack_time::TenthMillis;
 use serde_json::Value;
 
-/// What the node serves by.
+/// The configuration in force, with values derived from it.
 pub(super) struct RunningConfig {
-    /// The platform's configuration as of the start.
+    /// The platform's configuration at the start of the node.
     pub(super) node: Arc<NodeConfig>,
     /// The part of it that a reload may change.
     pub(super) platform: Platform,
-    /// The operators' own file.
+    /// The operators' installation file.
     pub(super) installation: Arc<Installation>,
-    /// What idempotency keys mean by the installation's rules.
+    /// How the installation's rules derive idempotency keys.
     pub(super) key_meanings: KeyMeanings,
     /// The installation's listeners that could be opened.
     pub(super) listening: Vec<ListenerConfig>,
-    /// Names of the endpoint groups, by index, as JSON strings.
+    /// Names of the endpoint groups as JSON strings, by index.
     pub(super) group_names_json: Vec<String>,
 }
 
@@ -43,12 +43,12 @@
         &self.node.settings.admission.groups[usize::from(group)]
     }
 
-    /// Whether a request of this group may run more than once.
+    /// True if a request of this group may run more than once.
     pub(super) fn is_idempotent(&self, group: u8) -> bool {
         self.group(group).effect == Effect::Idempotent
     }
 
-    /// How long a caller of this group waits at the most.
+    /// The longest time that a caller of this group waits.
     pub(super) fn deadline(&self, group: u8) -> TenthMillis {
         self.group(group).deadline
     }
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -1,4 +1,4 @@
-//! The start: opens what the node needs of the system. It may block, on files and on addresses that a former
+//! Start of a node: opens its sockets and reads its rules. It may block, on files and on addresses that a previous
 //! process still holds.
 
 use std::io;
@@ -40,20 +40,20 @@
 use crate::system::descriptors;
 use crate::system::signals::Signals;
 
-/// Rules without effect that are logged one by one.
-const MAX_LOGGED_RULES: usize = 5;
+/// Maximum number of rules without effect that are logged one by one.
+const MAX_LOGGED_SHADOWED_RULES: usize = 5;
 
-/// Logs how many rules there are, and the first of those that can never match.
+/// Logs the number of rules, and the first few of those that can never match.
 pub(super) fn log_rules(log: &Logger, rules: &RuleTable) {
-    for rule in rules.shadowed.iter().take(MAX_LOGGED_RULES) {
+    for rule in rules.shadowed.iter().take(MAX_LOGGED_SHADOWED_RULES) {
         warn!(log, "rule without effect"; "why" => %rule);
     }
     info!(log, "rules"; "rules" => rules.table.len(), "unindexed" => rules.table.unindexed(),
         "without_effect" => rules.shadowed.len(), "reused" => rules.reused);
 }
 
-/// What a node serves with, once it is open.
-struct Opened {
+/// The opened sockets and tables of a node.
+struct OpenedParts {
     backend: Backend,
     listeners: Listeners,
     registry: Registry,
@@ -61,11 +61,11 @@
     results: ResultTable,
 }
 
-/// What everything is opened from.
+/// What the sockets and tables are opened from.
 struct Startup<'a> {
     config: &'a NodeConfig,
     installation: &'a Installation,
-    /// Where the installation was read, if there is a file.
+    /// Path of the installation file, if there is one.
     installation_path: Option<&'a Path>,
     longest_deadline: TenthMillis,
     poller: &'a Arc<Poller>,
@@ -73,7 +73,7 @@
 }
 
 impl Startup<'_> {
-    fn open(&self, clock: Clock) -> Result<Opened, StartError> {
+    fn open(&self, clock: Clock) -> Result<OpenedParts, StartError> {
         let limits = self.limits()?;
         let mut backend = self.open_backend();
         let listeners = self.open_listeners(limits)?;
@@ -86,7 +86,7 @@
             backend.set_slow_start_tokens(|pool| subsystem.slow_start_tokens(pool));
         }
         let (entries, bytes) = (limits.dedup_entries, limits.result_bytes);
-        Ok(Opened {
+        Ok(OpenedParts {
             backend,
             listeners,
             registry,
@@ -95,10 +95,10 @@
         })
     }
 
-    /// The limits of the platform, with no more connections of callers than there are descriptors for.
+    /// The platform's limits, with callers' connections reduced to what the descriptor limit allows.
     ///
     /// # Errors
-    /// The pools of servers could take more than half of the descriptors.
+    /// The server pools could take more than half of the connections that the descriptor limit allows.
     fn limits(&self) -> Result<ResourceLimits, StartError> {
         let mut limits = self.config.limits;
         let wanted = limits.connections;
@@ -120,7 +120,7 @@
         Ok(limits)
     }
 
-    /// What runs requests: the engine, or the application servers where an installation names any.
+    /// Opens what runs requests: the application servers if the installation names any, otherwise the engine.
     fn open_backend(&self) -> Backend {
         let pools: Vec<(String, Servers)> = self
             .installation
@@ -158,7 +158,7 @@
             Listeners::new(self.poller.clone(), names, limits, self.longest_deadline);
         once_free(|| listeners.listen(address, Protocol::FastCgi, None))
             .map_err(socket_error("config.listen", address))?;
-        // Until the controller says more: nothing, or the least rank, at which no request is held back.
+        // Until the controller sets it: none, or the lowest rank, at which no request is held back.
         let backpressure = self.config.settings.admission.backpressure;
         listeners.backpressure = (backpressure == Backpressure::MinRank).then_some(0.0);
         Ok(listeners)
@@ -224,7 +224,7 @@
     Ok(rules)
 }
 
-/// The names by which callers refer to endpoint groups and tenants.
+/// The names that callers use for endpoint groups and tenants.
 fn names(config: &NodeConfig) -> Names {
     let settings = &config.settings;
     let has_keys = |group: &EndpointGroup| group.effect == Effect::Deduplicated;
@@ -236,11 +236,11 @@
 }
 
 impl Node {
-    /// Opens all that the node needs. `installation_path` is where `installation` was read, to be read again
-    /// at SIGHUP.
+    /// Opens everything the node needs. `installation_path` is the file that `installation` was read from; SIGHUP
+    /// reads it again.
     ///
     /// # Errors
-    /// A configuration that can't be served, or a socket that can't be opened.
+    /// The configuration is invalid, or a socket can't be opened.
     pub fn start(
         signals: Signals,
         config: NodeConfig,
--- a/crates/node/src/event_loop/summary.rs
+++ b/crates/node/src/event_loop/summary.rs
@@ -1,4 +1,4 @@
-//! Lines that the log is given at an interval: how the node, its subsystems, pools and listeners fare.
+//! Periodic log lines with the state of the node, its subsystems, pools and listeners.
 
 use std::fs;
 
@@ -12,13 +12,13 @@
 use crate::system::descriptors;
 
 /// Interval between two summaries.
-const INTERVAL: TenthMillis = 10 * SECOND;
-/// Clock ticks of `/proc/self/stat`, in ms.
+const SUMMARY_INTERVAL: TenthMillis = 10 * SECOND;
+/// Length of a clock tick of `/proc/self/stat`, in ms.
 const CLOCK_TICK_MS: u64 = 10;
-/// Fields of `/proc/self/stat` between the process name and `utime`.
+/// Number of fields of `/proc/self/stat` between the process name and `utime`.
 const FIELDS_BEFORE_UTIME: usize = 11;
 
-/// When the next summary is due, and what is measured for it.
+/// When the next summary is due, and the durations measured for it.
 #[derive(Default)]
 pub(super) struct SummarySchedule {
     pub(super) next_at: TenthMillis,
@@ -27,11 +27,11 @@
 
 impl SummarySchedule {
     pub(super) fn schedule_next(&mut self, now: TenthMillis) {
-        self.next_at = now + INTERVAL;
+        self.next_at = now + SUMMARY_INTERVAL;
     }
 }
 
-/// The longest of each since the last summary.
+/// Maximum durations since the last summary.
 #[derive(Default)]
 pub(super) struct Slowest {
     turn: TenthMillis,
@@ -40,17 +40,17 @@
 }
 
 impl Slowest {
-    /// A turn of the loop took so long.
+    /// Records the duration of a turn.
     pub(super) fn record_turn(&mut self, duration: TenthMillis) {
         self.turn = self.turn.max(duration);
     }
 
-    /// Due timers waited so long for a reading of the gauges.
+    /// Records how long due timers waited for a gauge reading.
     pub(super) fn record_reading(&mut self, wait: TenthMillis) {
         self.reading = self.reading.max(wait);
     }
 
-    /// A request was read so long after it arrived.
+    /// Records the age of a request when it was read.
     pub(super) fn record_arrival(&mut self, age: TenthMillis) {
         self.arrival = self.arrival.max(age);
     }
@@ -70,7 +70,7 @@
                 self.log_pool(name, servers);
             }
         }
-        // With the platform's listener alone, the node's line says it all.
+        // If the platform's listener is the only one, the node's line has the same counts.
         if self.listeners.iter().count() > 1 {
             for listener in self.listeners.iter() {
                 self.log_listener(listener);
@@ -115,7 +115,7 @@
     }
 }
 
-/// The most memory that was resident at any time, in kB; 0 where the system does not tell.
+/// Peak resident memory of the process, in kB; 0 if it can't be read.
 fn peak_memory_kb() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -123,10 +123,10 @@
         .unwrap_or(0)
 }
 
-/// Processor time of the process, in ms; 0 where the system does not tell.
+/// Processor time of the process, in ms; 0 if it can't be read.
 fn cpu_time_ms() -> u64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The name may hold spaces; what follows it does not.
+    // The process name may contain spaces, so fields are counted from its closing parenthesis.
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let user_and_system = after_name
         .split_whitespace()
--- a/crates/node/src/event_loop/timers.rs
+++ b/crates/node/src/event_loop/timers.rs
@@ -5,27 +5,27 @@
 
 use doortrack_time::TenthMillis;
 
-/// Timers that the admission controller has set and that have not fired.
+/// Timers that the admission controller has set and that have not fired yet.
 #[derive(Default)]
 pub(super) struct Timers {
-    /// Due time and token, the earliest first.
+    /// Due times and tokens, earliest first.
     queue: BinaryHeap<Reverse<(TenthMillis, u64)>>,
 }
 
 impl Timers {
-    /// Sets a timer; the token comes back when it fires.
+    /// Sets a timer. The token is returned when the timer fires.
     pub(super) fn set(&mut self, at: TenthMillis, token: u64) {
         self.queue.push(Reverse((at, token)));
     }
 
-    /// When the earliest is due; [`TenthMillis::MAX`] if there is none.
+    /// When the earliest timer is due; [`TenthMillis::MAX`] if there is none.
     pub(super) fn next_due(&self) -> TenthMillis {
         self.queue
             .peek()
             .map_or(TenthMillis::MAX, |Reverse((at, _))| *at)
     }
 
-    /// Takes out the earliest timer if it is due, and returns its token.
+    /// Removes the earliest timer if it is due, and returns its token.
     pub(super) fn pop_due(&mut self, now: TenthMillis) -> Option<u64> {
         if self.queue.is_empty() || self.next_due() > now {
             return None;
@@ -33,7 +33,7 @@
         self.queue.pop().map(|Reverse((_, token))| token)
     }
 
-    /// Whether any timer is due.
+    /// True if any timer is due.
     pub(super) fn is_due(&self, now: TenthMillis) -> bool {
         !self.queue.is_empty() && self.next_due() <= now
     }
