--- a/crates/node/src/commands/check.rs
+++ b/crates/node/src/commands/check.rs
@@ -1,13 +1,13 @@
-//! `doortrack check`: every error of an installation file, and of a configuration. It blocks on reading them.
+//! `doortrack check`: reports every error of an installation file and a configuration. It blocks on reading them.
 
 use std::path::Path;
 
 use doortrack_config::{ConfigErrors, ErrorCollector, installation, node_config};
 
-/// What a valid installation says, in one line.
+/// Checks an installation and, if given, a configuration. Returns a one-line summary of the installation.
 ///
 /// # Errors
-/// Every error of both files.
+/// Every error in both files.
 pub fn check(installation: &Path, config: Option<&Path>) -> Result<String, ConfigErrors> {
     let mut errors = ErrorCollector::default();
     let read = errors.collect(installation::read(installation));
--- a/crates/node/src/commands/expr.rs
+++ b/crates/node/src/commands/expr.rs
@@ -1,4 +1,4 @@
-//! `doortrack expr`: checks, evaluates or explains an expression by itself. It blocks on reading files.
+//! `doortrack expr`: checks, evaluates or explains a single expression. It blocks on reading files.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -9,43 +9,43 @@
     Limits, List, LiteralRequest, Program, Request, Scratch, Value, infer, render,
 };
 
-use super::input;
+use super::request_file;
 
-/// What is to be done with an expression.
+/// Commands on an expression.
 #[derive(Subcommand)]
 pub enum ExprCommand {
-    /// Checks the expression in a file, and tells its type and cost
+    /// Checks the expression in a file, and prints its type and cost
     Check {
         #[allow(missing_docs, reason = "a doc comment would be printed by --help")]
         file: PathBuf,
     },
-    /// Evaluates an expression against a request that was written down in JSON
+    /// Evaluates an expression against a request in a JSON file
     Eval {
         #[allow(missing_docs, reason = "a doc comment would be printed by --help")]
         expression: String,
-        /// The request; absent: one with nothing in it
+        /// File with the request; default: an empty request
         #[arg(long, value_name = "FILE")]
         request: Option<PathBuf>,
     },
-    /// Tells type, bound of cost and compiled form of an expression
+    /// Prints type, maximum cost and compiled form of an expression
     Explain {
         #[allow(missing_docs, reason = "a doc comment would be printed by --help")]
         expression: String,
     },
 }
 
-/// Why there is nothing to say of an expression.
+/// Why a command on an expression failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExprError {
-    /// The file of the expression can't be read.
+    /// The expression's file can't be read.
     #[error("{}: {source}", .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The expression is invalid; its errors with the lines that they point at.
+    /// The expression is invalid. The text has its errors, each with the line in question.
     #[error("{0}")]
     Invalid(String),
     /// The request is invalid.
@@ -53,7 +53,7 @@
     Request(#[from] ConfigErrors),
 }
 
-/// Executes a command and returns what is to be printed.
+/// Executes a command and returns the text to print.
 ///
 /// # Errors
 /// A file can't be read, or the expression or the request is invalid.
@@ -66,7 +66,7 @@
         } => {
             let program = compile("expression", expression)?;
             let request = match request {
-                Some(path) => input::read(path)?,
+                Some(path) => request_file::read_request(path)?,
                 None => LiteralRequest::default(),
             };
             Ok(evaluate(&program, &request))
@@ -96,23 +96,23 @@
 fn evaluate(program: &Program, request: &LiteralRequest) -> String {
     let mut scratch = Scratch::default();
     let value = program.eval(request, &mut scratch);
-    let shown = show(&value, &scratch, request);
+    let formatted = format_value(&value, &scratch, request);
     format!(
-        "{shown}\n{}, {} of at most {} steps",
+        "{formatted}\n{}, {} of at most {} steps",
         program.ty(),
         scratch.steps,
         program.cost().steps
     )
 }
 
-/// Compiles an expression; `name` stands for its source in errors.
+/// Compiles an expression. `name` identifies its source in errors.
 fn compile(name: &str, source: &str) -> Result<Program, ExprError> {
     infer(source, Limits::default())
         .map_err(|errors| ExprError::Invalid(render(name, source, &errors).trim_end().to_string()))
 }
 
-/// A value as it is printed.
-fn show(value: &Value, scratch: &Scratch, request: &LiteralRequest) -> String {
+/// Formats a value for printing.
+fn format_value(value: &Value, scratch: &Scratch, request: &LiteralRequest) -> String {
     match value {
         Value::Absent => "absent".into(),
         Value::Bool(truth) => truth.to_string(),
@@ -124,8 +124,8 @@
             Ok(text) => format!("{text:?}"),
             Err(_) => format!("b\"{}\"", scratch.text(*text).escape_ascii()),
         },
-        // Items are made only as they are asked for.
+        // Items of a list are created only on access.
         Value::List(List::Segments { .. }) => format!("the segments of {:?}", request.path()),
-        Value::List(_) => "a list; ask for one of its items, as in `list[0]`".into(),
+        Value::List(_) => "a list; use an index to see an item, as in `list[0]`".into(),
     }
 }
--- a/crates/node/src/commands/fleet.rs
+++ b/crates/node/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! `doortrack fleet`: prints how a running node sees its fleet. It blocks on the node's answers.
+//! `doortrack fleet`: prints a running node's view of its fleet. It blocks on the node's answers.
 
 mod format;
 mod query;
@@ -14,42 +14,42 @@
 
 pub use self::query::{BudgetsView, FleetView, QueryError, query_budgets, query_members};
 
-/// Least interval between two queries of `watch`.
+/// Minimum interval between two queries of `watch`, in ms.
 const MIN_WATCH_INTERVAL_MS: u64 = 50;
 
-/// What is to be printed of a fleet.
+/// Commands that print the state of a fleet.
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// Prints the members as one node sees them
+    /// Prints one node's view of the members
     Status {
-        /// Which node is asked
+        /// The node to query
         #[command(flatten)]
         target: Target,
-        /// As one JSON object
+        /// Print one JSON object
         #[arg(long)]
         json: bool,
     },
     /// Prints a line for each change that one node sees, until stopped
     Watch {
-        /// Which node is asked
+        /// The node to query
         #[command(flatten)]
         target: Target,
-        /// How often the node is asked
+        /// Interval between two queries
         #[arg(long, default_value = "500", value_name = "MS")]
         every_ms: u64,
-        /// Ends after so long; absent: never
+        /// Duration after which the command ends; default: unlimited
         #[arg(long, value_name = "MS")]
         for_ms: Option<u64>,
     },
 }
 
-/// Which node is asked.
+/// The node to query.
 #[derive(Args)]
 pub struct Target {
     /// The node's fleet address
     #[arg(long, value_name = "ADDRESS")]
     peer: SocketAddr,
-    /// The fleet's key, where it has one
+    /// File with the fleet's key, if it has one
     #[arg(long, value_name = "FILE")]
     key_file: Option<PathBuf>,
 }
@@ -60,21 +60,22 @@
     }
 }
 
-/// Why a fleet can't be printed.
+/// Why the state of a fleet can't be printed.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetCommandError {
     /// The fleet's key can't be read.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// The node can't be asked, or does not answer.
+    /// The node can't be queried, or does not answer.
     #[error(transparent)]
     Query(#[from] QueryError),
 }
 
-/// Executes a command; `print` is given each line.
+/// Executes a command and passes each line of output to `print`.
 ///
 /// # Errors
-/// The key can't be read, or the node can't be asked; `watch` goes on once it was answered.
+/// The key can't be read, or the node can't be queried. After its first answer, `watch` continues despite failed
+/// queries.
 pub fn run(command: &FleetCommand, print: impl FnMut(&str)) -> Result<(), FleetCommandError> {
     match command {
         FleetCommand::Status { target, json } => print_status(target, *json, print),
@@ -113,10 +114,10 @@
     mut print: impl FnMut(&str),
 ) -> Result<(), FleetCommandError> {
     let key = target.key()?;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut known = BTreeMap::new();
     let mut unanswered = false;
-    while max_duration.is_none_or(|max| began.elapsed() < max) {
+    while max_duration.is_none_or(|max| started_at.elapsed() < max) {
         match query_members(target.peer, key) {
             Ok(view) => {
                 unanswered = false;
@@ -136,7 +137,7 @@
     Ok(())
 }
 
-/// A line for each member whose state differs from `known`, which is updated.
+/// Returns a line for each member whose state differs from `known`, and updates `known`.
 fn changes(known: &mut BTreeMap<Name, String>, view: &FleetView) -> Vec<String> {
     let number = view.status.view;
     let mut lines = Vec::new();
--- a/crates/node/src/commands/fleet/format.rs
+++ b/crates/node/src/commands/fleet/format.rs
@@ -1,4 +1,4 @@
-//! How a node's view of its fleet is printed: as JSON for programs, as text for people.
+//! Formats a node's view of its fleet, as JSON for programs or as text for people.
 
 use std::fmt::Write;
 
@@ -9,10 +9,10 @@
 use super::query::{BudgetsView, FleetView};
 use crate::peers::peer_message::{BudgetStatus, Status};
 
-/// Allocations of a rate are thousandths on the wire, and requests a second in print.
+/// Rates are thousandths of a request per second in messages, and requests per second in output.
 const RATE_SCALE: f64 = 1_000.0;
 
-/// Everything as one JSON object.
+/// Formats the members and budgets as one JSON object.
 pub(super) fn json(view: &FleetView, budgets: &BudgetsView) -> Value {
     let Status {
         fleet,
@@ -55,7 +55,7 @@
         "granted": budget.granted.map(units), "leader": leader.map(|name| &**name)})
 }
 
-/// Everything as text: a line on the node, then one for each member and each budget.
+/// Formats the members and budgets as text: a line for the node, then one for each member and each budget.
 pub(super) fn text(view: &FleetView, budgets: &BudgetsView) -> String {
     let mut lines = vec![status_line(&view.status)];
     lines.extend(view.members.iter().map(member_line));
@@ -103,7 +103,7 @@
     line
 }
 
-/// A member's state in one word, and whether it is slow.
+/// A member's state in one word, followed by `slow` if it is slow.
 pub(super) fn state(report: &MemberReport) -> String {
     let state = serde_json::to_value(report.state).unwrap_or_default();
     let state = state.as_str().unwrap_or_default();
--- a/crates/node/src/commands/fleet/query.rs
+++ b/crates/node/src/commands/fleet/query.rs
@@ -1,5 +1,5 @@
-//! Status queries to one node, over UDP: each is repeated until it is answered or given up. They block for as
-//! long as the answer takes.
+//! Status queries to one node, over UDP. Each query is repeated until it is answered or the attempts are used up. The
+//! functions block until then.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,29 +10,33 @@
 use crate::peers::datagram_codec::{DatagramCodec, MAX_DATAGRAM_LEN};
 use crate::peers::peer_message::{BudgetPage, BudgetStatus, PeerMessage, Status, StatusQuery};
 
-/// How long one answer is waited for.
+/// How long to wait for one answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum number of attempts for one page of members.
 const MAX_STATUS_ATTEMPTS: usize = 5;
+/// Maximum number of attempts for one page of budgets.
 const MAX_BUDGET_ATTEMPTS: usize = 2;
-/// Members that are queried at the most.
+/// Maximum number of members that are queried.
 const MAX_MEMBERS: usize = 10_000;
 
-/// Why a node's state can't be had.
+/// Why a query failed.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     /// The socket failed.
     #[error("{peer}: {source}")]
     Socket {
-        /// The node that is queried.
+        /// The queried node.
         peer: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The query is too long for a datagram.
-    #[error("too long a name")]
+    #[error("the name of a member is too long for a datagram")]
     NameTooLong,
     /// No answer came.
-    #[error("{0}: no answer; is it a node's fleet address, and the key that fleet's?")]
+    #[error(
+        "{0}: no answer; check that it is a node's fleet address and that the key is the fleet's"
+    )]
     NoAnswer(SocketAddr),
 }
 
@@ -47,26 +51,26 @@
 /// A node's budgets, from all pages of its answer.
 #[derive(Default)]
 pub struct BudgetsView {
-    /// Empty where the fleet has no budgets, or the node's build knows of none.
+    /// Empty if the fleet has no budgets, or the node's build does not support them.
     pub budgets: Vec<BudgetStatus>,
-    /// The leader that the node knows.
+    /// The leader as far as the node knows.
     pub leader: Option<Name>,
 }
 
 /// Queries a node's members, page by page.
 ///
 /// # Errors
-/// The socket fails, or nobody answers.
+/// The socket failed, or the node did not answer.
 pub fn query_members(peer: SocketAddr, key: Option<[u8; 32]>) -> Result<FleetView, QueryError> {
-    let client = Client::open(peer, key)?;
-    let status = client.members(None)?;
+    let client = StatusClient::open(peer, key)?;
+    let status = client.query_member_page(None)?;
     let mut more = status.more;
     let mut members = status.members.clone();
     while more
         && members.len() < MAX_MEMBERS
         && let Some(last) = members.last()
     {
-        let page = client.members(Some(&last.name))?;
+        let page = client.query_member_page(Some(&last.name))?;
         more = page.more && !page.members.is_empty();
         members.extend(page.members);
     }
@@ -76,14 +80,14 @@
 /// Queries a node's budgets, page by page.
 ///
 /// # Errors
-/// The socket fails.
+/// The socket failed.
 pub fn query_budgets(peer: SocketAddr, key: Option<[u8; 32]>) -> Result<BudgetsView, QueryError> {
-    let client = Client::open(peer, key)?;
+    let client = StatusClient::open(peer, key)?;
     let mut view = BudgetsView::default();
     let mut attempts = 0;
     while attempts < MAX_BUDGET_ATTEMPTS {
         attempts += 1;
-        let Some(page) = client.budgets(view.budgets.len())? else {
+        let Some(page) = client.query_budget_page(view.budgets.len())? else {
             continue;
         };
         attempts = 0;
@@ -96,8 +100,8 @@
     Ok(view)
 }
 
-/// A socket on which one node is queried.
-struct Client {
+/// A socket for queries to one node.
+struct StatusClient {
     socket: UdpSocket,
     codec: DatagramCodec,
     peer: SocketAddr,
@@ -107,12 +111,12 @@
 enum Received {
     Message(PeerMessage),
     Unreadable,
-    /// Nothing came in time.
-    Nothing,
+    /// No datagram came in time.
+    TimedOut,
 }
 
-impl Client {
-    fn open(peer: SocketAddr, key: Option<[u8; 32]>) -> Result<Client, QueryError> {
+impl StatusClient {
+    fn open(peer: SocketAddr, key: Option<[u8; 32]>) -> Result<StatusClient, QueryError> {
         let any_address = if peer.is_ipv4() {
             "0.0.0.0:0"
         } else {
@@ -123,7 +127,7 @@
         socket
             .set_read_timeout(Some(ANSWER_TIMEOUT))
             .map_err(failed)?;
-        Ok(Client {
+        Ok(StatusClient {
             socket,
             codec: DatagramCodec::new(key, ""),
             peer,
@@ -142,15 +146,15 @@
     fn receive(&self) -> Received {
         let mut bytes = [0; MAX_DATAGRAM_LEN];
         let Ok((len, _)) = self.socket.recv_from(&mut bytes) else {
-            return Received::Nothing;
+            return Received::TimedOut;
         };
         self.codec
             .decode(&bytes[..len])
             .map_or(Received::Unreadable, Received::Message)
     }
 
-    /// One page of members, after a name; the query is repeated several times.
-    fn members(&self, after: Option<&Name>) -> Result<Status, QueryError> {
+    /// Queries one page of members, after a name. The query is repeated up to [`MAX_STATUS_ATTEMPTS`] times.
+    fn query_member_page(&self, after: Option<&Name>) -> Result<Status, QueryError> {
         for _ in 0..MAX_STATUS_ATTEMPTS {
             let nonce = fastrand::u64(..);
             let query = StatusQuery {
@@ -174,14 +178,14 @@
                     return Some(*status);
                 }
                 Received::Message(_) | Received::Unreadable => {}
-                Received::Nothing => return None,
+                Received::TimedOut => return None,
             }
         }
         None
     }
 
-    /// One page of budgets, from an index on; the query is sent once.
-    fn budgets(&self, from: usize) -> Result<Option<BudgetPage>, QueryError> {
+    /// Queries one page of budgets, starting at an index. The query is sent once.
+    fn query_budget_page(&self, from: usize) -> Result<Option<BudgetPage>, QueryError> {
         let nonce = fastrand::u64(..);
         self.send(&PeerMessage::BudgetQuery {
             nonce,
--- a/crates/node/src/commands/mod.rs
+++ b/crates/node/src/commands/mod.rs
@@ -1,9 +1,9 @@
-//! The commands of the command line, one module each. All but `serve` start no node: they look at files and
-//! expressions, or ask a running node. They block, on files and on answers.
+//! The commands of the command line, one module each. Only `serve` starts a node. The others check files and
+//! expressions, or query a running node, and block on files and answers.
 
 pub mod check;
 pub mod expr;
 pub mod fleet;
-mod input;
+mod request_file;
 pub mod routes;
 pub mod serve;
--- a/crates/node/src/commands/input.rs
+++ b/crates/node/src/commands/request_file.rs
@@ -1,4 +1,4 @@
-//! A request as operators write it in JSON, to try expressions and rules on it.
+//! Requests in JSON files, for testing expressions and rules.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -11,21 +11,21 @@
 
 const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
 
-/// A request in JSON. What is absent is as in an empty request.
+/// A request in JSON. Absent fields have the values of an empty request.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestFile {
     method: String,
     path: String,
     query: String,
-    /// By their HTTP names.
+    /// Headers by HTTP name.
     headers: BTreeMap<String, String>,
-    /// By their CGI names.
+    /// Variables by CGI name.
     variables: BTreeMap<String, String>,
     body: String,
     front: String,
     peer: IpAddr,
-    /// Hours, minutes and seconds since midnight, UTC: `09:30:00`.
+    /// Time of day in UTC, as `09:30` or `09:30:00`.
     time_of_day: String,
 }
 
@@ -46,15 +46,15 @@
 }
 
 impl RequestFile {
-    /// The request; `path` is that of this value in its file.
+    /// Converts to a request. `path` is the path of this value in its file, for errors.
     ///
     /// # Errors
-    /// The time of day is none.
+    /// The time of day is invalid.
     pub fn request(&self, path: &str) -> Result<LiteralRequest, ConfigErrors> {
         let seconds = seconds_since_midnight(&self.time_of_day).ok_or_else(|| {
             ConfigErrors::one(
                 format!("{path}.time_of_day"),
-                "a time as 09:30 or 09:30:00 is wanted",
+                "expected a time as 09:30 or 09:30:00",
             )
         })?;
         let variables = self
@@ -78,7 +78,7 @@
     }
 }
 
-/// Reads `09:30` or `09:30:00`.
+/// Parses `09:30` or `09:30:00`.
 fn seconds_since_midnight(time: &str) -> Option<i64> {
     let parts: Option<Vec<i64>> = time.split(':').map(two_digits).collect();
     let (hours, minutes, seconds) = match parts?[..] {
@@ -90,17 +90,17 @@
     is_time.then_some((hours * 60 + minutes) * 60 + seconds)
 }
 
-/// One or two digits, without a sign.
+/// Parses one or two digits, without a sign.
 fn two_digits(text: &str) -> Option<i64> {
     let are_digits = text.len() <= 2 && text.bytes().all(|byte| byte.is_ascii_digit());
     text.parse().ok().filter(|_| are_digits)
 }
 
-/// A JSON file; `name` stands for it in errors.
+/// Reads a JSON file. `name` identifies it in errors.
 ///
 /// # Errors
-/// It can't be read, or is not JSON.
-pub fn json(path: &Path, name: &str) -> Result<Value, ConfigErrors> {
+/// The file can't be read, or is not JSON.
+pub fn read_json(path: &Path, name: &str) -> Result<Value, ConfigErrors> {
     let text = std::fs::read(path)
         .map_err(|e| ConfigErrors::one(path.display().to_string(), e.to_string()))?;
     serde_json::from_slice(&text).map_err(|e| ConfigErrors::one(name, format!("not JSON: {e}")))
@@ -109,8 +109,8 @@
 /// Reads a request from its file.
 ///
 /// # Errors
-/// Every error, each with the path of its key.
-pub fn read(path: &Path) -> Result<LiteralRequest, ConfigErrors> {
-    let file: RequestFile = deserialize::all_errors(&json(path, "request")?, "request")?;
+/// Every error in the file, with the path of its key.
+pub fn read_request(path: &Path) -> Result<LiteralRequest, ConfigErrors> {
+    let file: RequestFile = deserialize::all_errors(&read_json(path, "request")?, "request")?;
     file.request("request")
 }
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -1,5 +1,5 @@
-//! `doortrack routes`: tries the rules of an installation file on requests that are written down, before they
-//! classify live ones. It blocks on reading the files.
+//! `doortrack routes`: tests the rules of an installation file on sample requests, before the rules classify live
+//! ones. It blocks on reading the files.
 
 use std::fmt::{self, Display, Write};
 use std::path::{Path, PathBuf};
@@ -12,52 +12,52 @@
 use doortrack_time::MILLISECOND;
 use serde::Deserialize;
 
-use super::input::{self, RequestFile};
+use super::request_file::{self, RequestFile};
 
 /// The files with the rules.
 #[derive(Args)]
-pub struct Files {
-    /// The operators' own file, with the rules
+pub struct RuleFiles {
+    /// The operators' installation file, with the rules
     #[arg(long, value_name = "FILE")]
     installation: PathBuf,
-    /// The platform's configuration, whose endpoint groups and tenants are meant; absent: those that the
-    /// rules name
+    /// The platform's configuration, with the endpoint groups and tenants; default: those that the rules
+    /// name
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
 }
 
-/// What is to be tried.
+/// Commands that test rules.
 #[derive(Subcommand)]
 pub enum RoutesCommand {
-    /// Tries cases that are kept beside the rules, and prints where they came to something else
+    /// Runs test cases for the rules, and prints those with unexpected results
     Test {
         /// The files with the rules
         #[command(flatten)]
-        files: Files,
-        /// A list of cases: {"name", "request", "rule", "group"}; rule null means that none takes it
+        files: RuleFiles,
+        /// A list of cases: {"name", "request", "rule", "group"}; rule null means that no rule matches
         #[arg(long, value_name = "FILE")]
         cases: PathBuf,
     },
-    /// Tells which rule takes a request, and why those before it do not
+    /// Prints which rule matches a request, and why those before it do not
     Explain {
         /// The files with the rules
         #[command(flatten)]
-        files: Files,
+        files: RuleFiles,
         #[allow(missing_docs, reason = "a doc comment would be printed by --help")]
         #[arg(long, value_name = "FILE")]
         request: PathBuf,
     },
 }
 
-/// What a request is expected to come to. What is absent is not checked.
+/// A request with its expected classification. Absent expectations are not checked.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Case {
     name: String,
     #[serde(default)]
     request: RequestFile,
-    /// Index of the rule; null where none matches.
-    #[serde(default, deserialize_with = "present")]
+    /// Index of the expected rule; null if no rule should match.
+    #[serde(default, deserialize_with = "deserialize_present")]
     rule: Option<Option<u32>>,
     #[serde(default)]
     group: Option<String>,
@@ -65,17 +65,19 @@
     refused: bool,
 }
 
-/// Tells a null from an absent key.
-fn present<'de, D: serde::Deserializer<'de>>(from: D) -> Result<Option<Option<u32>>, D::Error> {
+/// Distinguishes null from an absent key.
+fn deserialize_present<'de, D: serde::Deserializer<'de>>(
+    from: D,
+) -> Result<Option<Option<u32>>, D::Error> {
     Deserialize::deserialize(from).map(Some)
 }
 
-/// Why rules were not found to do as wanted.
+/// Why a test of rules failed.
 #[derive(Debug)]
 pub enum RoutesError {
     /// A file is invalid.
     Config(ConfigErrors),
-    /// Cases came to something else; the report.
+    /// Cases had unexpected results. The text is the report.
     CasesDiffer(String),
 }
 
@@ -85,7 +87,7 @@
     }
 }
 
-/// Errors of files are in one line each.
+/// Prints each error of a file on its own line.
 impl Display for RoutesError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -100,15 +102,15 @@
 
 impl std::error::Error for RoutesError {}
 
-/// Executes a command and returns what is to be printed.
+/// Executes a command and returns the text to print.
 ///
 /// # Errors
-/// A file is invalid, or a case came to something else.
+/// A file is invalid, or a case had an unexpected result.
 pub fn run(command: &RoutesCommand) -> Result<String, RoutesError> {
     match command {
-        RoutesCommand::Test { files, cases } => test(&files.read()?, cases),
+        RoutesCommand::Test { files, cases } => run_cases(&files.read()?, cases),
         RoutesCommand::Explain { files, request } => {
-            let request = input::read(request)?;
+            let request = request_file::read_request(request)?;
             Ok(files.read()?.explain(&request))
         }
     }
@@ -118,11 +120,11 @@
 struct Rules {
     installation: Installation,
     table: Table,
-    /// Names of the endpoint groups, by their index in the table.
+    /// Names of the endpoint groups, by index in the table.
     group_names: Vec<String>,
 }
 
-impl Files {
+impl RuleFiles {
     fn read(&self) -> Result<Rules, ConfigErrors> {
         let installation = installation::read(&self.installation)?;
         let (table, group_names) = match &self.config {
@@ -146,7 +148,7 @@
 }
 
 impl Rules {
-    /// What a request came to, in words.
+    /// Describes a classification in words.
     fn describe(&self, classification: &Classification) -> String {
         match classification {
             Classification::As(class) => {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// The name of the group that a request came to, if it came to any.
+    /// The name of the classified group, if any.
     fn group_name(&self, classification: &Classification) -> Option<&String> {
         match classification {
             Classification::As(class) => Some(&self.group_names[usize::from(class.group)]),
@@ -176,7 +178,7 @@
         }
     }
 
-    /// What a request came to, the values that its rule gave it, and why no rule before that one matched.
+    /// Describes the classification of a request, the values that its rule assigned, and why no earlier rule matched.
     fn explain(&self, request: &LiteralRequest) -> String {
         let classification = self.table.classify(request, &mut Scratch::default());
         let mut lines = vec![self.describe(&classification)];
@@ -201,7 +203,7 @@
     }
 }
 
-/// A line for each value that a rule gave the request.
+/// Returns a line for each value that the rule assigned to the request.
 fn class_values(classification: &Classification) -> Vec<String> {
     let Classification::As(class) = classification else {
         return Vec::new();
@@ -221,9 +223,10 @@
         .collect()
 }
 
-/// Tries all cases; the report names those that came to something else.
-fn test(rules: &Rules, cases: &Path) -> Result<String, RoutesError> {
-    let cases: Vec<Case> = deserialize::all_errors(&input::json(cases, "cases")?, "cases")?;
+/// Runs all cases. The report names those with unexpected results.
+fn run_cases(rules: &Rules, cases: &Path) -> Result<String, RoutesError> {
+    let cases: Vec<Case> =
+        deserialize::all_errors(&request_file::read_json(cases, "cases")?, "cases")?;
     let mut report = String::new();
     let mut failed = 0;
     let mut scratch = Scratch::default();
@@ -249,7 +252,7 @@
 }
 
 impl Case {
-    /// What differs from what is wanted: two lines each.
+    /// The differences from the expected result, as two lines each.
     fn differences(&self, rules: &Rules, found: &Classification) -> Vec<String> {
         let mut differences = Vec::new();
         let rule = matched_rule(found);
@@ -277,7 +280,7 @@
     rule.map_or("no rule".into(), |rule| format!("rules[{rule}]"))
 }
 
-/// The first part of a rule's condition that does not hold, as it is written.
+/// Names the first part of a rule's condition that is false, as written in the file.
 fn mismatch(rule: &RuleConfig, request: &LiteralRequest, limits: Limits) -> String {
     let Ok(condition) = parse(&rule.when) else {
         return String::new();
--- a/crates/node/src/commands/serve.rs
+++ b/crates/node/src/commands/serve.rs
@@ -10,7 +10,7 @@
 
 use crate::event_loop::{Node, ServeError, StartError};
 use crate::system::clock::Clock;
-use crate::system::log::{self, Format};
+use crate::system::log::{self, LogFormat};
 use crate::system::panics;
 use crate::system::signals::Signals;
 #[cfg(debug_assertions)]
@@ -19,19 +19,19 @@
 /// The arguments of `doortrack serve`.
 #[derive(Args)]
 pub struct ServeArgs {
-    /// The operators' own file, which adds fronts to the platform's listener
+    /// The operators' installation file, which adds listeners to that of the platform
     #[arg(long, value_name = "FILE", env = "DOORTRACK_INSTALLATION")]
     installation: Option<PathBuf>,
-    /// How the log on standard error is written: a plain line or one JSON object for each
+    /// Format of the log on standard error: plain text, or one JSON object per line
     #[arg(long, value_enum, default_value = "text")]
-    log_format: Format,
-    /// The least severe lines written: critical, error, warning, info, debug or trace
+    log_format: LogFormat,
+    /// The lowest severity that is logged: critical, error, warning, info, debug or trace
     #[arg(long, default_value = "info", value_parser = parse_level)]
     log_level: Level,
-    /// Lines a second; what is beyond is counted and left out
+    /// Maximum number of log lines per second; lines beyond are dropped and counted
     #[arg(long, default_value_t = log::DEFAULT_LINES_PER_SECOND, value_name = "COUNT")]
     log_lines: u32,
-    /// Sets this process's clock off by so many ms: for tests of fleets alone
+    /// Offset of this process's clock, in ms; only for tests of fleets
     #[arg(
         long,
         hide = true,
@@ -40,7 +40,7 @@
         value_name = "MS"
     )]
     test_clock_ms: i64,
-    /// Has the fleet's own time gain so many millionths: for tests of fleets alone
+    /// Drift of the fleet's clock, in millionths; only for tests of fleets
     #[arg(
         long,
         hide = true,
@@ -49,16 +49,16 @@
         value_name = "PPM"
     )]
     test_drift_ppm: i32,
-    /// Takes a safeguard of the budgets out: for tests of fleets alone
+    /// Disables a safeguard of the budgets; only for tests of fleets
     #[arg(long, hide = true, value_name = "SAFEGUARD", value_parser = parse_safeguards)]
     test_without: Option<Safeguards>,
-    /// Has the place that this file names panic: for tests alone
+    /// File that names a place in the code that is to panic; only for tests
     #[cfg(debug_assertions)]
     #[arg(long, hide = true, value_name = "FILE")]
     test_panic: Option<PathBuf>,
 }
 
-/// Why a node does not serve, or ended before its shutdown.
+/// Why a node did not start, or ended before its shutdown.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeCommandError {
     /// The signals can't be handled.
@@ -67,11 +67,11 @@
     /// The configuration or the installation is invalid.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
-    /// Arguments that only a node of a fleet may have.
-    #[error("--test-drift-ppm, --test-without: for nodes of a fleet alone")]
+    /// Test arguments were given to a node without a fleet.
+    #[error("--test-drift-ppm, --test-without: allowed only for a node of a fleet")]
     TestsWithoutFleet,
-    /// The same, of the clock.
-    #[error("--test-clock-ms: only a node of a fleet may have its clock set off")]
+    /// A clock offset was given to a node without a fleet.
+    #[error("--test-clock-ms: allowed only for a node of a fleet")]
     ClockWithoutFleet,
     /// The node can't start.
     #[error(transparent)]
@@ -82,7 +82,7 @@
 }
 
 impl ServeCommandError {
-    /// The error in lines; an invalid configuration has one for each of its errors.
+    /// The error as lines. An invalid configuration has a line for each of its errors.
     pub fn lines(&self) -> Vec<String> {
         match self {
             ServeCommandError::Config(errors) => errors.0.iter().map(ToString::to_string).collect(),
@@ -91,7 +91,7 @@
     }
 }
 
-/// The safeguards without the one that is named.
+/// Parses the name of a safeguard and returns the safeguards without it.
 fn parse_safeguards(name: &str) -> Result<Safeguards, String> {
     let mut safeguards = Safeguards::default();
     match name {
@@ -99,14 +99,14 @@
         "confirm" => safeguards.confirm = false,
         "run-out" => safeguards.lease_expiry = false,
         "majority" => safeguards.majority = false,
-        _ => return Err("settle, confirm, run-out or majority is wanted".into()),
+        _ => return Err("expected settle, confirm, run-out or majority".into()),
     }
     Ok(safeguards)
 }
 
 fn parse_level(name: &str) -> Result<Level, String> {
     name.parse()
-        .map_err(|()| "critical, error, warning, info, debug or trace is wanted".into())
+        .map_err(|()| "expected critical, error, warning, info, debug or trace".into())
 }
 
 /// Serves until a graceful shutdown is over.
@@ -114,20 +114,20 @@
 /// # Errors
 /// The node can't start, or its event loop failed.
 pub fn run(args: ServeArgs) -> Result<(), ServeCommandError> {
-    // First of all, as a signal would end the process before this.
+    // This comes first: before it, a signal would end the process.
     let signals = Signals::register().map_err(ServeCommandError::Signals)?;
-    panics::report_in_log(args.log_format, None);
+    panics::install_hook(args.log_format, None);
     #[cfg(debug_assertions)]
     if let Some(path) = &args.test_panic {
-        test_panics::set_file(path.clone());
+        test_panics::set_trigger_file(path.clone());
     }
     let config = node_config::read()?;
-    panics::report_in_log(args.log_format, Some(&config.name));
+    panics::install_hook(args.log_format, Some(&config.name));
     let mut installation = match &args.installation {
         Some(path) => installation::read(path)?,
         None => Installation::default(),
     };
-    set_fleet_tests(&args, &mut installation)?;
+    apply_fleet_test_args(&args, &mut installation)?;
     installation.validate_with(&config)?;
     let log = log::open(
         &config.name,
@@ -144,8 +144,8 @@
     Ok(())
 }
 
-/// Hands the arguments for tests of fleets to the installation's fleet.
-fn set_fleet_tests(
+/// Copies the arguments for tests of fleets to the installation's fleet.
+fn apply_fleet_test_args(
     args: &ServeArgs,
     installation: &mut Installation,
 ) -> Result<(), ServeCommandError> {
--- a/crates/node/src/event_loop/completions.rs
+++ b/crates/node/src/event_loop/completions.rs
@@ -49,7 +49,7 @@
                 result,
                 ..
             } => {
-                if let Some(id) = self.in_flight.find(&attempt_id) {
+                if let Some(id) = self.in_flight.find_by_attempt(&attempt_id) {
                     let output = RunOutput::from(&result[..]);
                     self.on_terminated(id, Termination::Run(outcome), output);
                 }
@@ -71,7 +71,9 @@
         } else {
             Termination::StopRefused
         };
-        if let Some(id) = attempt_id.and_then(|attempt_id| self.in_flight.find(&attempt_id)) {
+        if let Some(id) =
+            attempt_id.and_then(|attempt_id| self.in_flight.find_by_attempt(&attempt_id))
+        {
             self.on_terminated(id, termination, RunOutput::default());
         }
     }
@@ -101,7 +103,7 @@
     /// Removes a request that never ran and needs no answer any more. Its result entry is removed too, so that a
     /// later attempt may run.
     pub(super) fn drop_if_queued(&mut self, id: RequestId) {
-        if !self.in_flight.is_waiting(id) {
+        if !self.in_flight.is_not_begun(id) {
             return;
         }
         if let Some(request) = self.in_flight.remove(id) {
--- a/crates/node/src/event_loop/config_build.rs
+++ b/crates/node/src/event_loop/config_build.rs
@@ -12,7 +12,7 @@
 
 use crate::network::classified::RuleTable;
 use crate::system::panics;
-use crate::system::test_panics::{PanicPlace, panic_if_wanted};
+use crate::system::test_panics::{PanicPlace, panic_if_requested};
 
 /// The installation and rules in force when a build begins.
 pub(super) struct BuildBase {
@@ -86,7 +86,7 @@
 
     fn try_build(&mut self, base: &BuildBase) -> BuildResult {
         let started_at = Instant::now();
-        panic_if_wanted(PanicPlace::Build);
+        panic_if_requested(PanicPlace::Build);
         let platform = self.read_platform()?;
         let installation = match &self.sources.installation_path {
             Some(path) => installation::read(path)?,
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -18,13 +18,13 @@
 use crate::network::backend::Backend;
 use crate::network::classified::{RuleTable, Rules};
 use crate::system::signals::RELOAD_KEY;
-use crate::system::test_panics::{PanicPlace, panic_if_wanted};
+use crate::system::test_panics::{PanicPlace, panic_if_requested};
 
 impl Node {
     /// Handles SIGHUP: both files are read again.
     pub(super) fn request_reload(&mut self) {
         self.signals.acknowledge(RELOAD_KEY);
-        panic_if_wanted(PanicPlace::EventLoop);
+        panic_if_requested(PanicPlace::EventLoop);
         if self.reloader.request() {
             self.begin_build();
         }
--- a/crates/node/src/event_loop/reloader.rs
+++ b/crates/node/src/event_loop/reloader.rs
@@ -12,7 +12,7 @@
 use polling::Poller;
 
 use super::config_build::{BuildBase, BuildResult, Builder, Rejected, Sources};
-use crate::system::test_panics::{PanicPlace, panic_if_wanted};
+use crate::system::test_panics::{PanicPlace, panic_if_requested};
 
 /// A configuration, or parts of one, that is no longer in force. Dropping a large one takes long.
 pub(super) type Retired = Box<dyn Any + Send>;
@@ -166,7 +166,7 @@
             let wake = WakeOnDrop(poller);
             let result_sender = result_sender; // Dropped before `wake`, so that the loop finds the channel closed.
             for job in job_queue {
-                panic_if_wanted(PanicPlace::BuildThread);
+                panic_if_requested(PanicPlace::BuildThread);
                 match job {
                     Job::Build(base) => {
                         let result = builder.build(&base);
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -35,7 +35,7 @@
 use crate::state::in_flight::InFlightTable;
 use crate::state::results::ResultTable;
 use crate::subsystem::Subsystem;
-use crate::system::addresses::once_free;
+use crate::system::addresses::retry_while_in_use;
 use crate::system::clock::Clock;
 use crate::system::descriptors;
 use crate::system::signals::Signals;
@@ -102,10 +102,10 @@
     fn limits(&self) -> Result<ResourceLimits, StartError> {
         let mut limits = self.config.limits;
         let wanted = limits.connections;
-        let available = wanted.min(descriptors::connections());
+        let available = wanted.min(descriptors::available_connections());
         let servers = self.installation.max_server_connections();
         if available < wanted {
-            let limit = descriptors::limit();
+            let limit = descriptors::soft_limit();
             if servers > available / 2 {
                 return Err(StartError::TooManyServerConnections {
                     servers,
@@ -156,7 +156,7 @@
         let names = names(self.config);
         let mut listeners =
             Listeners::new(self.poller.clone(), names, limits, self.longest_deadline);
-        once_free(|| listeners.listen(address, Protocol::FastCgi, None))
+        retry_while_in_use(|| listeners.listen(address, Protocol::FastCgi, None))
             .map_err(socket_error("config.listen", address))?;
         // Until the controller sets it: none, or the lowest rank, at which no request is held back.
         let backpressure = self.config.settings.admission.backpressure;
@@ -294,7 +294,7 @@
         let installation = Arc::clone(&self.config.installation);
         for (index, listener) in installation.listeners.iter().enumerate() {
             let key = format!("installation.fronts[{index}].listen");
-            once_free(|| self.open_listener(listener))
+            retry_while_in_use(|| self.open_listener(listener))
                 .map_err(socket_error(&key, listener.listen))?;
         }
         Ok(())
--- a/crates/node/src/event_loop/summary.rs
+++ b/crates/node/src/event_loop/summary.rs
@@ -90,7 +90,7 @@
             "result_bytes" => self.results.bytes(), "link_losses" => self.backend.link_losses(),
             "turn_ms" => slowest.turn / MILLISECOND, "reading_ms" => slowest.reading / MILLISECOND,
             "read_after_ms" => slowest.arrival / MILLISECOND, "memory_kb" => peak_memory_kb(),
-            "cpu_ms" => cpu_time_ms(), "descriptors" => descriptors::open());
+            "cpu_ms" => cpu_time_ms(), "descriptors" => descriptors::open_count());
     }
 
     fn log_pool(&self, name: &str, servers: &Servers) {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,10 +1,12 @@
-//! One node of a fleet on real sockets.
+//! One node of a fleet, on real sockets.
 //!
-//! [`event_loop`] owns the node and runs its one loop; all decisions are taken by `doortrack_admission`, which
-//! does no I/O. [`network`] holds the sockets and what is written on them, [`state`] the requests in flight and
-//! the results kept for duplicates, [`peers`] the link to the other nodes, as a [`subsystem`] of the loop.
-//! [`system`] is what the node needs of the operating system, [`commands`] what the command line offers beside
-//! serving.
+//! - [`event_loop`] owns the node and runs its loop. Admission decisions are made by `doortrack_admission`, which does
+//!   no I/O.
+//! - [`network`] has the sockets and their protocols.
+//! - [`state`] has the requests in flight and the results kept for duplicates.
+//! - [`peers`] is the link to the other nodes, a [`subsystem`] of the loop.
+//! - [`system`] has the interfaces to the operating system.
+//! - [`commands`] has the commands of the command line.
 
 pub mod commands;
 pub mod event_loop;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,7 +1,7 @@
-//! The program `doortrack`: reads the command line and executes one command.
+//! The program `doortrack`: parses the command line and executes one command.
 //!
-//! It exits with 0, or with 1 on an error. Errors of `serve` and `fleet` are printed on standard error, those
-//! that the other commands find in what they check on standard output.
+//! The exit code is 0, or 1 on an error. `serve` and `fleet` print errors on standard error. The other commands print
+//! the errors they find in their input on standard output.
 
 use std::fmt::Display;
 use std::path::PathBuf;
@@ -15,9 +15,9 @@
 use doortrack_node::commands::routes::{self, RoutesCommand};
 use doortrack_node::commands::serve::{self, ServeArgs};
 
-/// Decides, inside each server of a fleet, what it takes, runs and turns away.
+/// Admission control that runs on each server of a fleet: decides which requests run, wait or are rejected.
 ///
-/// With no command it serves, as `doortrack serve` does. GW_CONFIG names the platform's configuration.
+/// Without a command, this is `doortrack serve`. GW_CONFIG is the path of the platform's configuration.
 #[derive(Parser)]
 #[command(version, args_conflicts_with_subcommands = true)]
 struct Cli {
@@ -29,26 +29,26 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Starts a node, which stays in the foreground until SIGTERM or SIGINT. SIGHUP reads its files again
+    /// Runs a node in the foreground until SIGTERM or SIGINT. SIGHUP reloads its files
     Serve(ServeArgs),
-    /// Prints every fault of an installation file, and of a configuration, and exits with 1 if there is any
+    /// Prints every error of an installation file and a configuration, and exits with 1 if there are any
     Check {
-        /// The operators' own file
+        /// The operators' installation file
         #[arg(long, value_name = "FILE")]
         installation: PathBuf,
-        /// The platform's configuration, as GW_CONFIG would name it
+        /// The platform's configuration, the file that GW_CONFIG is set to when serving
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
     },
     /// Prints the JSON Schema of the installation file
     Schema,
-    /// Looks at an expression by itself
+    /// Checks, evaluates or explains a single expression
     #[command(subcommand)]
     Expr(ExprCommand),
-    /// Tries the rules of an installation file
+    /// Tests the rules of an installation file
     #[command(subcommand)]
     Routes(RoutesCommand),
-    /// Asks a running node how it sees its fleet
+    /// Queries a running node for its view of the fleet
     #[command(subcommand)]
     Fleet(FleetCommand),
 }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Prints errors on standard error, one a line.
+/// Prints errors on standard error, one per line.
 fn fail(errors: &[impl Display]) -> ExitCode {
     for error in errors {
         eprintln!("doortrack: {error}");
@@ -88,7 +88,7 @@
     ExitCode::FAILURE
 }
 
-/// Prints what a check found, right or wrong, on standard output.
+/// Prints the result of a command, whether success or error, on standard output.
 fn print_result(result: Result<String, impl Display>) -> ExitCode {
     match result {
         Ok(text) => {
--- a/crates/node/src/peers/budgets.rs
+++ b/crates/node/src/peers/budgets.rs
@@ -1,5 +1,5 @@
-//! The fleet's budgets at this node: which of them apply to a request, permits, and what is logged and
-//! reported. How budgets are divided is decided by `doortrack-budgets`.
+//! The fleet's budgets at this node: which budgets apply to a request, the permits of requests, log lines and status
+//! reports. `doortrack-budgets` decides how budgets are divided among nodes.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,40 +14,40 @@
 use super::peer_message::{BUDGETS_PER_PAGE, BudgetPage, BudgetStatus};
 use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome};
 
-/// A use that follows the reading of the clock after a longer pause of the process is counted as late.
-const LATE_AFTER: TenthMillis = 5 * MILLISECOND;
+/// If more time than this passes between reading the clock and using the budget, the use is counted as late.
+const LATE_USE_THRESHOLD: TenthMillis = 5 * MILLISECOND;
 
-/// The decisions on budgets, and which budgets apply to which requests.
+/// The budget protocol at this node, with the mapping from requests to budgets.
 pub struct FleetBudgets {
-    /// The decisions on budgets.
+    /// The state machine of the budget protocol.
     pub budgets: Budgets,
     indices: BudgetIndices,
-    /// Left by the decisions, to be executed.
+    /// Actions returned by `budgets` that are not executed yet.
     pub actions: Vec<Action>,
-    /// By index: units used and not cancelled.
+    /// Units used and not cancelled, by budget index.
     used: Vec<u64>,
-    /// By index: the allocation that was logged last.
-    logged: Vec<Units>,
-    /// Uses after a pause of the process, between reading the clock and the use.
-    late: u64,
-    /// Budgets held by abandoned runs, and until when those may go on.
+    /// The last logged allocation, by budget index.
+    logged_allocations: Vec<Units>,
+    /// Number of uses that followed the reading of the clock by more than [`LATE_USE_THRESHOLD`].
+    late_uses: u64,
+    /// Budgets held by abandoned runs, each with the time at which it is released.
     abandoned: BinaryHeap<Reverse<(TenthMillis, u16)>>,
 }
 
 impl FleetBudgets {
-    /// `None` where the installation has no budgets.
+    /// Creates the budgets of an installation; `None` if it has none.
     pub fn open(
         fleet_config: &FleetConfig,
         installation: &Installation,
         config: &NodeConfig,
-        me: NodeId,
+        id: NodeId,
     ) -> Option<FleetBudgets> {
         if installation.budgets.is_empty() {
             return None;
         }
         let list = installation.budget_list(config);
         let budgets = Budgets::new(
-            me,
+            id,
             weight(fleet_config, config),
             fleet_config.budget_parameters(),
             &list,
@@ -59,19 +59,19 @@
             indices: installation.budget_indices(config),
             actions: Vec::new(),
             used: vec![0; list.len()],
-            logged: vec![0; list.len()],
-            late: 0,
+            logged_allocations: vec![0; list.len()],
+            late_uses: 0,
             abandoned: BinaryHeap::new(),
         })
     }
 
-    /// Hands an event to the decisions.
+    /// Passes an event to the budget protocol.
     pub fn handle(&mut self, now: TenthMillis, event: Event) {
         self.budgets.handle(now, event, &mut self.actions);
     }
 
-    /// Takes over changed budgets from a reload; [`FleetBudgets::restart_reason`] says which can't be.
-    pub fn change(&mut self, now: TenthMillis, change: &mut FleetChange) {
+    /// Applies the budgets of a reload. [`FleetBudgets::restart_reason`] must have returned `None` for them.
+    pub fn apply_change(&mut self, now: TenthMillis, change: &mut FleetChange) {
         let list = std::mem::take(&mut change.budgets);
         let names: Vec<_> = self
             .budgets
@@ -87,8 +87,8 @@
         self.handle(now, Event::Changed { list });
     }
 
-    /// Why a change to the budgets of this file takes a restart, if it does: what requests in flight hold is known
-    /// by its index, and votes under two lists of voters, or of two durations, would not count together.
+    /// Why a change to the budgets of this file needs a restart, if it does. Requests in flight refer to budgets by
+    /// index, and votes under different voter lists or durations can't be counted together.
     pub fn restart_reason(&self, fleet_config: &FleetConfig, list: &[Budget]) -> Option<&str> {
         let (old, new) = (self.budgets.parameters(), fleet_config.budget_parameters());
         let times = |parameters: &Parameters| {
@@ -109,16 +109,16 @@
             .map(Budget::id)
             .eq(list.iter().map(Budget::id))
         {
-            Some("some come, go, change places, or are of another kind")
+            Some("budgets were added, removed, reordered or changed in kind")
         } else {
             None
         }
     }
 
-    /// Acquires one unit of each budget that applies to the request, or none. `now` reads the clock.
+    /// Acquires one unit of each budget that applies to the request, or nothing. `now` reads the clock.
     ///
     /// # Errors
-    /// One of them has none left; how long to wait, in tenths of a ms.
+    /// One of the budgets is used up. The value is the time until a retry.
     pub fn admit(
         &mut self,
         request: AdmissionRequest,
@@ -145,12 +145,12 @@
             }
             self.used[index] += 1;
         }
-        self.late += u64::from(now() > read_at + LATE_AFTER);
+        self.late_uses += u64::from(now() > read_at + LATE_USE_THRESHOLD);
         Ok(Permit(indices))
     }
 
-    /// The budget of retries to the pool at this index.
-    pub fn retries(&self, pool: u16) -> Option<u16> {
+    /// Index of the budget for retries to the pool at this index.
+    pub fn retry_budget(&self, pool: u16) -> Option<u16> {
         self.indices
             .retries
             .get(usize::from(pool))
@@ -158,8 +158,8 @@
             .flatten()
     }
 
-    /// The budget of slow starts in the pool at this index.
-    pub fn slow_start(&self, pool: u16) -> Option<u16> {
+    /// Index of the budget for slow starts in the pool at this index.
+    pub fn slow_start_budget(&self, pool: u16) -> Option<u16> {
         self.indices
             .slow_starts
             .get(usize::from(pool))
@@ -167,7 +167,7 @@
             .flatten()
     }
 
-    /// Acquires one unit of the budget at this index; false if none is left.
+    /// Acquires one unit of the budget at this index. Returns false if none is left.
     pub fn acquire_one(&mut self, index: u16, now: TenthMillis) -> bool {
         let acquired = self.budgets.acquire(usize::from(index), now).is_ok();
         self.used[usize::from(index)] += u64::from(acquired);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Releases what a request held, or keeps it for the maximum hold time if its run may still go on.
+    /// Releases the budgets of a request. If its run may still go on, they are kept for the maximum hold time.
     pub fn release(&mut self, permit: Permit, outcome: PermitOutcome, now: TenthMillis) {
         for index in permit.0.into_iter().flatten() {
             let held = self
@@ -199,21 +199,21 @@
         }
     }
 
-    /// Releases what abandoned runs held, once their maximum hold time is over.
+    /// Releases the budgets of abandoned runs whose maximum hold time is over.
     pub fn release_abandoned(&mut self, now: TenthMillis) {
         while let Some(Reverse((_, index))) = self
             .abandoned
             .peek()
             .copied()
-            .filter(|Reverse((till, _))| *till <= now)
+            .filter(|Reverse((release_at, _))| *release_at <= now)
         {
             self.abandoned.pop();
             self.release_one(usize::from(index), true);
         }
     }
 
-    /// The status of one page of budgets, from an index on.
-    pub fn page(&mut self, nonce: u64, from: u16, now: TenthMillis) -> BudgetPage {
+    /// The status of one page of budgets, starting at an index.
+    pub fn status_page(&mut self, nonce: u64, from: u16, now: TenthMillis) -> BudgetPage {
         let count = self.used.len();
         let indices =
             usize::from(from).min(count)..(usize::from(from) + BUDGETS_PER_PAGE).min(count);
@@ -249,10 +249,10 @@
         }
     }
 
-    /// Whether a new allocation differs by over an eighth from the one that was logged last, which it then
-    /// replaces. Allocations follow the load, and the log is bounded.
-    fn is_worth_logging(&mut self, index: usize, allocation: Units) -> bool {
-        let logged = &mut self.logged[index];
+    /// True if a new allocation differs by more than an eighth from the last logged one, which it then replaces.
+    /// Allocations follow the load, so smaller changes would fill the log.
+    fn update_logged_allocation(&mut self, index: usize, allocation: Units) -> bool {
+        let logged = &mut self.logged_allocations[index];
         let differs = allocation.abs_diff(*logged) > (*logged).max(allocation) / 8;
         if differs {
             *logged = allocation;
@@ -260,12 +260,12 @@
         differs
     }
 
-    /// Logs a change; an allocation only if it differs enough from the last one.
+    /// Logs a change. A new allocation is logged only if it differs enough from the last logged one.
     pub fn log(&mut self, log: &Logger, change: &Change) {
         if let Change::Allocation {
             index, allocation, ..
         } = change
-            && !self.is_worth_logging(*index, *allocation)
+            && !self.update_logged_allocation(*index, *allocation)
         {
             return;
         }
@@ -302,10 +302,10 @@
         }
     }
 
-    /// Logs a line on the budgets.
-    pub fn summary(&self, log: &Logger) {
+    /// Logs a line with the state of the budgets.
+    pub fn log_state(&self, log: &Logger) {
         let leader = self.budgets.leader().map_or("", |leader| &leader.name);
         info!(log, "budgets summary"; "leader" => leader, "used" => self.used.iter().sum::<u64>(),
-            "late_uses" => self.late);
+            "late_uses" => self.late_uses);
     }
 }
--- a/crates/node/src/peers/datagram_codec.rs
+++ b/crates/node/src/peers/datagram_codec.rs
@@ -1,8 +1,7 @@
-//! The envelope of each datagram between nodes: version, keyed hash, fleet name. The codec is postcard, the
-//! hash BLAKE3, both from libraries.
+//! Encoding and authentication of the datagrams between nodes. The body is encoded with postcard; the hash is BLAKE3.
 //!
-//! `version (1) | hash (16) | body`. The hash is over version and body, under the fleet's key, or under a
-//! public one where there is none: then it only detects corruption.
+//! The layout is `version (1 byte) | hash (16 bytes) | body`. The hash covers version and body and is keyed with the
+//! fleet's key. A fleet without a key uses a public key, so that the hash only detects corruption.
 
 use std::fmt;
 
@@ -10,35 +9,35 @@
 
 use super::peer_message::PeerMessage;
 
-/// The version of this build. Fields are only ever added at the end of a message within one version.
+/// The protocol version of this build. Within one version, fields are only added at the end of a message.
 pub const VERSION: u8 = 1;
-/// Bytes of the hash.
+/// Length of the hash, in bytes.
 const HASH_LEN: usize = 16;
-/// Maximum bytes of a datagram, sent or received: an Ethernet frame without IP and UDP headers.
+/// Maximum length of a datagram, in bytes: the payload of an Ethernet frame less the IP and UDP headers.
 pub const MAX_DATAGRAM_LEN: usize = 1_472;
 
-/// Seals and opens the datagrams of one fleet.
+/// Encodes, authenticates and decodes the datagrams of one fleet.
 #[derive(Clone)]
 pub struct DatagramCodec {
     key: [u8; 32],
     fleet: String,
 }
 
-/// Why a datagram was refused.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DatagramError {
-    /// Of another version of the program, which is given.
+    /// The datagram has another protocol version, which is given.
     Version(u8),
-    /// Corrupted, or sealed with another key.
+    /// The datagram is corrupted, or was sent with another key.
     Hash,
-    /// Of another fleet.
+    /// The datagram belongs to another fleet.
     Fleet,
-    /// Intact, but no message.
+    /// The datagram is not a valid message.
     Unreadable,
 }
 
 impl DatagramError {
-    /// Its name in counters.
+    /// The error's name in counters.
     pub fn name(self) -> &'static str {
         match self {
             DatagramError::Version(_) => "version",
@@ -55,9 +54,9 @@
             DatagramError::Version(version) => {
                 write!(f, "speaks version {version}, this build {VERSION}")
             }
-            DatagramError::Hash => f.write_str("garbled, or sealed with another key"),
-            DatagramError::Fleet => f.write_str("of another fleet"),
-            DatagramError::Unreadable => f.write_str("no message"),
+            DatagramError::Hash => f.write_str("corrupted, or sent with another key"),
+            DatagramError::Fleet => f.write_str("belongs to another fleet"),
+            DatagramError::Unreadable => f.write_str("not a valid message"),
         }
     }
 }
@@ -66,13 +65,13 @@
 
 #[derive(Serialize, Deserialize)]
 struct Body<'a, T> {
-    /// Empty in a status query.
+    /// The fleet's name; empty in a status query.
     fleet: &'a str,
     message: T,
 }
 
 impl DatagramCodec {
-    /// The seal of the fleet `name`; an empty name for status queries.
+    /// Creates the codec of the fleet `name`. The name is empty for status queries.
     pub fn new(key: Option<[u8; 32]>, name: &str) -> DatagramCodec {
         let key = blake3::derive_key(
             "doortrack 2026-12 fleet datagrams",
@@ -87,12 +86,12 @@
     fn hash(&self, version: u8, body: &[u8]) -> [u8; HASH_LEN] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&[version]).update(body);
-        let mut first = [0; HASH_LEN];
-        first.copy_from_slice(&hasher.finalize().as_bytes()[..HASH_LEN]);
-        first
+        let mut truncated = [0; HASH_LEN];
+        truncated.copy_from_slice(&hasher.finalize().as_bytes()[..HASH_LEN]);
+        truncated
     }
 
-    /// Encodes and seals a message; `None` if the datagram would be longer than [`MAX_DATAGRAM_LEN`].
+    /// Encodes a message and adds its hash. Returns `None` if the datagram would exceed [`MAX_DATAGRAM_LEN`].
     pub fn encode(&self, message: &PeerMessage) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(&Body {
             fleet: &self.fleet,
@@ -106,10 +105,10 @@
         (datagram.len() <= MAX_DATAGRAM_LEN).then_some(datagram)
     }
 
-    /// Verifies and decodes a datagram.
+    /// Verifies and decodes a datagram. The version is checked first, as other versions may have another layout.
     ///
     /// # Errors
-    /// Why it is refused. The version is checked first, as other versions may have another layout.
+    /// The reason why the datagram is rejected.
     pub fn decode(&self, datagram: &[u8]) -> Result<PeerMessage, DatagramError> {
         let (version, rest) = datagram.split_first().ok_or(DatagramError::Unreadable)?;
         if *version != VERSION {
@@ -118,7 +117,7 @@
         let (hash, body) = rest
             .split_at_checked(HASH_LEN)
             .ok_or(DatagramError::Unreadable)?;
-        // Compared in constant time.
+        // The hashes are compared in constant time.
         let difference = hash
             .iter()
             .zip(self.hash(*version, body))
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -1,5 +1,5 @@
-//! The link to the other nodes: messages are handed to the decisions on membership and budgets, and the actions
-//! that come back are executed. Its socket never blocks; it opens the address that it binds to, at the start.
+//! The link to the other nodes. It passes messages to the membership and budget protocols and executes the actions
+//! they return. The socket never blocks, except at the start, when its address may still be in use.
 
 mod budget_actions;
 mod logging;
@@ -22,27 +22,27 @@
 use slog::{Logger, info};
 
 pub use self::socket::{DatagramCounts, PollerRegistration, TestHook};
-use self::socket::{Received, SealedSocket};
+use self::socket::{DatagramSocket, Received};
 use super::budgets::FleetBudgets;
 use super::datagram_codec::DatagramCodec;
 use super::peer_message::PeerMessage;
 use crate::subsystem::SUBSYSTEM_KEYS;
 
-/// The poller's key of the link in a node's own loop.
+/// Poller key of the link in a node's event loop.
 pub const POLLER_KEY: usize = SUBSYSTEM_KEYS.start;
 
-/// The link's monotonic clock, which does not follow the system clock.
+/// The link's monotonic clock, which is independent of the system clock.
 #[derive(Clone, Copy)]
 struct LinkClock {
-    zero: Instant,
-    /// How much faster it runs, in millionths: for tests alone.
+    opened_at: Instant,
+    /// How much faster than real time the clock runs, in millionths; only for tests.
     drift_ppm: i32,
 }
 
 impl LinkClock {
     /// Time since the link was opened.
     fn now(self) -> TenthMillis {
-        let micros = self.zero.elapsed().as_micros() as i64;
+        let micros = self.opened_at.elapsed().as_micros() as i64;
         let gained = micros / 1_000 * i64::from(self.drift_ppm) / 1_000;
         (micros + gained) as TenthMillis / MICROSECONDS_PER_UNIT
     }
@@ -52,12 +52,12 @@
 #[derive(Debug, thiserror::Error)]
 #[error("installation.fleet.listen: {address}: {source}")]
 pub struct OpenLinkError {
-    /// The address that the operators' file gives.
+    /// The address in the installation file.
     address: SocketAddr,
     source: std::io::Error,
 }
 
-/// The node's weight in its fleet: as the operators' file says, else its cores.
+/// The node's weight in its fleet: the configured weight, otherwise its number of cores.
 pub(super) fn weight(fleet_config: &FleetConfig, config: &NodeConfig) -> u32 {
     fleet_config
         .weight
@@ -65,27 +65,27 @@
         .max(1)
 }
 
-/// The link, with the decisions on membership and budgets.
+/// The link to the other nodes, with the state of the membership and budget protocols.
 pub struct PeerLink {
-    socket: SealedSocket,
+    socket: DatagramSocket,
     log: Logger,
-    zero: Instant,
+    opened_at: Instant,
     config: FleetConfig,
     fleet: Fleet,
-    /// Left by the decisions on membership, to be executed.
+    /// Actions returned by the membership protocol that are not executed yet.
     actions: Vec<Action>,
-    /// The fleet's budgets, where there are any.
+    /// The fleet's budgets, if it has any.
     budgets: Option<Rc<RefCell<FleetBudgets>>>,
-    /// When a datagram was last logged as refused, by reason.
-    refusal_logged_at: BTreeMap<&'static str, TenthMillis>,
-    /// The last reading ended at its bound: more datagrams may wait.
+    /// When a rejected datagram was last logged, by reason.
+    rejection_logged_at: BTreeMap<&'static str, TenthMillis>,
+    /// The last read stopped at its limit, so more datagrams may wait.
     may_have_unread: bool,
-    /// Turns for which due timers have waited for them.
+    /// Number of turns for which due timers have waited for unread datagrams.
     deferred_turns: u32,
 }
 
 impl PeerLink {
-    /// Opens the link that the operators' file configures. `unix_ms` is the start time of this process.
+    /// Opens the link that the installation configures. `unix_ms` is the start time of this process.
     ///
     /// # Errors
     /// The address can't be bound.
@@ -100,14 +100,14 @@
     ) -> Result<PeerLink, OpenLinkError> {
         let seal = DatagramCodec::new(key, &fleet_config.name);
         let socket =
-            SealedSocket::bind(fleet_config.listen, registration, seal).map_err(|source| {
+            DatagramSocket::bind(fleet_config.listen, registration, seal).map_err(|source| {
                 OpenLinkError {
                     address: fleet_config.listen,
                     source,
                 }
             })?;
         let random = fastrand::u64(..);
-        let me = MemberUpdate {
+        let own_member = MemberUpdate {
             name: config.name.as_str().into(),
             incarnation: Incarnation::started(unix_ms, random),
             version: 0,
@@ -115,23 +115,28 @@
             address: fleet_config.address(),
             weight: weight(fleet_config, config),
         };
-        info!(log, "fleet"; "fleet" => &fleet_config.name, "listen" => %fleet_config.listen, "incarnation" => %me.incarnation,
+        info!(log, "fleet"; "fleet" => &fleet_config.name, "listen" => %fleet_config.listen, "incarnation" => %own_member.incarnation,
             "sealed" => key.is_some(), "seeds" => fleet_config.seeds.len());
-        let zero = Instant::now();
+        let opened_at = Instant::now();
         let id = NodeId {
-            name: me.name.clone(),
-            incarnation: me.incarnation,
+            name: own_member.name.clone(),
+            incarnation: own_member.incarnation,
         };
         let budgets = FleetBudgets::open(fleet_config, installation, config, id);
         let mut peers = PeerLink {
             socket,
             log,
-            zero,
-            fleet: Fleet::new(me, fleet_config.fleet_parameters(), config.seed ^ random, 0),
+            opened_at,
+            fleet: Fleet::new(
+                own_member,
+                fleet_config.fleet_parameters(),
+                config.seed ^ random,
+                0,
+            ),
             config: fleet_config.clone(),
             actions: Vec::new(),
             budgets: budgets.map(|budgets| Rc::new(RefCell::new(budgets))),
-            refusal_logged_at: BTreeMap::new(),
+            rejection_logged_at: BTreeMap::new(),
             may_have_unread: false,
             deferred_turns: 0,
         };
@@ -139,22 +144,22 @@
         Ok(peers)
     }
 
-    /// Puts a test's tap between this link and its network.
+    /// Installs a test hook that filters datagrams and observes changes.
     pub fn set_test_hook(&mut self, test_hook: Box<dyn TestHook>) {
         self.socket.test_hook = Some(test_hook);
     }
 
-    /// Counts of the link's datagrams.
+    /// Counters of the link's datagrams.
     pub fn counts(&self) -> &DatagramCounts {
         &self.socket.counts
     }
 
-    /// The decisions on membership.
+    /// The state of the membership protocol.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The name of the node that grants the fleet's budgets, as far as this one knows.
+    /// The name of the leader, which grants the fleet's budgets, as far as this node knows.
     pub fn leader(&self) -> Option<Name> {
         let budgets = self.budgets.as_ref()?.borrow();
         budgets.budgets.leader().map(|leader| leader.name.clone())
@@ -162,7 +167,7 @@
 
     fn clock(&self) -> LinkClock {
         LinkClock {
-            zero: self.zero,
+            opened_at: self.opened_at,
             drift_ppm: self.config.tests.drift_ppm,
         }
     }
@@ -171,13 +176,13 @@
         self.clock().now()
     }
 
-    /// Reads and handles one datagram; false if none waited.
+    /// Reads and handles one datagram. Returns false if there was none.
     fn read_one(&mut self) -> bool {
         match self.socket.receive() {
             Received::Empty => return false,
-            Received::Nothing => {}
+            Received::Ignored => {}
             Received::Message { from, message } => self.handle(from, message),
-            Received::Refused { from, reason } => self.refuse(reason, from),
+            Received::Invalid { from, reason } => self.count_rejected(reason, from),
         }
         true
     }
@@ -193,7 +198,7 @@
                 self.execute_actions();
             }
             PeerMessage::StatusQuery(query) => self.answer_status(query, from),
-            // A node that is no member would get no answer, and could fill the leader's ledger.
+            // A node that is not a member would get no answer, and could fill the leader's ledger.
             PeerMessage::Budgets(envelope) if self.is_member(&envelope.from) => {
                 self.handle_budget_event(doortrack_budgets::Event::Received(envelope));
             }
@@ -211,7 +216,7 @@
         self.socket.send(to, message);
     }
 
-    /// Executes the actions that the decisions on membership left.
+    /// Executes the actions that the membership protocol returned.
     fn execute_actions(&mut self) {
         for action in std::mem::take(&mut self.actions) {
             match action {
--- a/crates/node/src/peers/link/budget_actions.rs
+++ b/crates/node/src/peers/link/budget_actions.rs
@@ -1,5 +1,4 @@
-//! Events of the fleet's budgets, and the actions that follow from them. Nothing is done where the fleet has
-//! no budgets.
+//! Events and actions of the budget protocol. They are ignored if the fleet has no budgets.
 
 use doortrack_budgets::{Action, Envelope, Event, NodeId};
 
@@ -7,7 +6,7 @@
 use crate::peers::peer_message::PeerMessage;
 
 impl PeerLink {
-    /// Hands an event to the decisions on budgets and executes the actions that follow.
+    /// Passes an event to the budget protocol and executes the resulting actions.
     pub(super) fn handle_budget_event(&mut self, event: Event) {
         let now = self.now();
         if let Some(budgets) = &self.budgets {
@@ -16,14 +15,14 @@
         }
     }
 
-    /// Hands the present members to the decisions on budgets.
+    /// Passes the current members to the budget protocol.
     pub(super) fn announce_members(&mut self) {
         if self.budgets.is_some() {
             self.handle_budget_event(Event::Members(self.fleet.view().clone()));
         }
     }
 
-    /// Whether this incarnation of a node is a member in this node's view.
+    /// True if this incarnation of a node is a member in this node's view.
     pub(super) fn is_member(&self, id: &NodeId) -> bool {
         self.fleet
             .view()
@@ -32,7 +31,7 @@
             .is_some_and(|member| member.incarnation == id.incarnation)
     }
 
-    /// Executes the actions that the decisions on budgets left.
+    /// Executes the actions that the budget protocol returned.
     pub(super) fn execute_budget_actions(&mut self) {
         let Some(budgets) = self.budgets.clone() else {
             return;
@@ -46,7 +45,7 @@
         }
     }
 
-    /// Sends to the incarnation that is addressed, if it is a member.
+    /// Sends a message to the addressed incarnation, if it is a member.
     fn send_envelope(&mut self, envelope: Envelope) {
         let member = self.fleet.view().members.get(&envelope.to.name).copied();
         let member = member.filter(|member| member.incarnation == envelope.to.incarnation);
--- a/crates/node/src/peers/link/logging.rs
+++ b/crates/node/src/peers/link/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines on changes of members, and on datagrams that were refused.
+//! Log lines about membership changes and rejected datagrams.
 
 use std::net::SocketAddr;
 
@@ -9,27 +9,27 @@
 use super::PeerLink;
 use crate::peers::datagram_codec::DatagramError;
 
-/// Interval between two log lines of one kind about unknown peers, in tenths of a ms.
-const REFUSAL_LOG_INTERVAL: TenthMillis = 600_000;
+/// Minimum interval between two log lines about rejected datagrams with the same reason.
+const REJECTION_LOG_INTERVAL: TenthMillis = 600_000;
 
 impl PeerLink {
-    /// Counts a datagram that was refused, and logs the first of its kind in each interval: a flood must not
-    /// fill the log.
-    pub(super) fn refuse(&mut self, refused: DatagramError, from: SocketAddr) {
-        let name = refused.name();
+    /// Counts a rejected datagram, and logs the first one with each reason per interval, so that a flood does not fill
+    /// the log.
+    pub(super) fn count_rejected(&mut self, error: DatagramError, from: SocketAddr) {
+        let name = error.name();
         *self.socket.counts.refused.entry(name).or_default() += 1;
         let now = self.now();
         let due = self
-            .refusal_logged_at
+            .rejection_logged_at
             .get(name)
-            .is_none_or(|at| now >= at + REFUSAL_LOG_INTERVAL);
+            .is_none_or(|at| now >= at + REJECTION_LOG_INTERVAL);
         if due {
-            self.refusal_logged_at.insert(name, now);
-            warn!(self.log, "unknown peer on the fleet's link"; "from" => %from, "why" => %refused);
+            self.rejection_logged_at.insert(name, now);
+            warn!(self.log, "unknown peer on the fleet's link"; "from" => %from, "why" => %error);
         }
     }
 
-    /// Logs a change of a member or of this node's own state.
+    /// Logs a change of a member or of this node's state.
     pub(super) fn log(&self, change: &Change) {
         let view = self.fleet.view();
         let digest = format!("{:016x}", view.digest);
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether a change of this node's own state calls for an operator.
+/// True if a change of this node's state needs an operator's attention.
 fn needs_attention(change: &Change) -> bool {
     matches!(
         change,
--- a/crates/node/src/peers/link/socket.rs
+++ b/crates/node/src/peers/link/socket.rs
@@ -1,4 +1,4 @@
-//! The link's UDP socket: datagrams are sealed and opened, counted, and passed by a test's tap.
+//! The link's UDP socket, which encodes, decodes and counts datagrams. Tests may filter them with a hook.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -10,26 +10,26 @@
 
 use crate::peers::datagram_codec::{DatagramCodec, DatagramError, MAX_DATAGRAM_LEN};
 use crate::peers::peer_message::PeerMessage;
-use crate::system::addresses::once_free;
+use crate::system::addresses::retry_while_in_use;
 
-/// Counts of datagrams and their bytes, without IP and UDP headers.
+/// Counters of datagrams and their bytes, without IP and UDP headers.
 #[derive(Clone, Debug, Default)]
 pub struct DatagramCounts {
     /// Datagrams received.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes received.
     pub received_bytes: u64,
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Could not be sent: the system had no room, or the message was too long.
+    /// Datagrams that could not be sent: the system had no room, or the message was too long.
     pub unsent: u64,
-    /// Received and refused, by reason.
+    /// Datagrams received and rejected, by reason.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
-/// The poller that watches a link, and the link's key: several links of one process have a key each.
+/// The poller that watches a link, and the link's key in it. Several links in one process each have their own key.
 #[derive(Clone, Copy)]
 pub struct PollerRegistration<'a> {
     /// The poller.
@@ -38,33 +38,33 @@
     pub key: usize,
 }
 
-/// What a test puts between a link and its network.
+/// A hook with which a test filters a link's datagrams and observes its changes.
 pub trait TestHook {
-    /// Whether datagrams to and from this address pass.
+    /// True if datagrams to and from this address are let through.
     fn allows(&self, peer: SocketAddr) -> bool;
 
-    /// What this node has learned of its fleet.
+    /// Called for each change that this node sees in its fleet.
     fn on_change(&mut self, change: &Change);
 }
 
 /// The result of one read.
 pub(super) enum Received {
-    /// Nothing waits to be read.
+    /// There is no datagram to read.
     Empty,
-    /// The read gave nothing to handle; there may be more.
-    Nothing,
+    /// The read gave nothing to handle. There may be more datagrams.
+    Ignored,
     Message {
         from: SocketAddr,
         message: PeerMessage,
     },
-    Refused {
+    Invalid {
         from: SocketAddr,
         reason: DatagramError,
     },
 }
 
-/// A nonblocking socket of one fleet, registered with a poller until it is dropped.
-pub(super) struct SealedSocket {
+/// A nonblocking socket for the datagrams of one fleet, registered with a poller until it is dropped.
+pub(super) struct DatagramSocket {
     socket: UdpSocket,
     poller: Arc<Poller>,
     pub(super) key: usize,
@@ -73,7 +73,7 @@
     pub(super) counts: DatagramCounts,
 }
 
-impl SealedSocket {
+impl DatagramSocket {
     /// Binds the socket and registers it for reading.
     ///
     /// # Errors
@@ -83,13 +83,13 @@
         registration: PollerRegistration,
         codec: DatagramCodec,
     ) -> io::Result<Self> {
-        let socket = once_free(|| UdpSocket::bind(address))?;
+        let socket = retry_while_in_use(|| UdpSocket::bind(address))?;
         socket.set_nonblocking(true)?;
         let PollerRegistration { poller, key } = registration;
-        // SAFETY: the socket is taken out of the poller when it is dropped.
+        // SAFETY: the socket is removed from the poller before it is dropped.
         unsafe { poller.add_with_mode(&socket, Event::readable(key), PollMode::Level)? };
         let counts = DatagramCounts::default();
-        Ok(SealedSocket {
+        Ok(DatagramSocket {
             socket,
             poller: poller.clone(),
             key,
@@ -99,32 +99,32 @@
         })
     }
 
-    /// Reads and opens one datagram.
+    /// Reads and decodes one datagram.
     pub(super) fn receive(&mut self) -> Received {
         let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         let (len, from) = match self.socket.recv_from(&mut bytes) {
             Ok(read) => read,
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Received::Empty,
-            // The fate of an earlier datagram is reported here, and says nothing of the next.
-            Err(_) => return Received::Nothing,
+            // The error concerns an earlier datagram that was sent, not the next one to read.
+            Err(_) => return Received::Ignored,
         };
         if !self.allows(from) {
-            return Received::Nothing;
+            return Received::Ignored;
         }
         self.counts.received += 1;
         self.counts.received_bytes += len as u64;
-        let opened = if len > MAX_DATAGRAM_LEN {
+        let decoded = if len > MAX_DATAGRAM_LEN {
             Err(DatagramError::Unreadable)
         } else {
             self.codec.decode(&bytes[..len])
         };
-        match opened {
+        match decoded {
             Ok(message) => Received::Message { from, message },
-            Err(reason) => Received::Refused { from, reason },
+            Err(reason) => Received::Invalid { from, reason },
         }
     }
 
-    /// Seals and sends a message. A failure is counted, as the datagram may be lost on its way as well.
+    /// Encodes and sends a message. A failure is only counted, as the datagram might as well be lost in the network.
     pub(super) fn send(&mut self, to: SocketAddr, message: &PeerMessage) {
         if !self.allows(to) {
             return;
@@ -149,7 +149,7 @@
     }
 }
 
-impl Drop for SealedSocket {
+impl Drop for DatagramSocket {
     fn drop(&mut self) {
         _ = self.poller.delete(&self.socket);
     }
--- a/crates/node/src/peers/link/status.rs
+++ b/crates/node/src/peers/link/status.rs
@@ -1,4 +1,4 @@
-//! Answers to queries of a node's status, as `doortrack fleet status` sends them.
+//! Answers to the status queries that `doortrack fleet status` sends.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use crate::peers::peer_message::{BudgetPage, MEMBERS_PER_PAGE, PeerMessage, Status, StatusQuery};
 
 impl PeerLink {
-    /// Answers with the node's own state and one page of its members.
+    /// Answers with the node's state and one page of its members.
     pub(super) fn answer_status(&mut self, query: StatusQuery, to: SocketAddr) {
         let (members, more) = self
             .fleet
@@ -28,11 +28,11 @@
         self.send(to, &PeerMessage::Status(Box::new(status)));
     }
 
-    /// Answers with one page of budgets from an index on; an empty one where the fleet has no budgets.
+    /// Answers with one page of budgets, starting at an index. The page is empty if the fleet has no budgets.
     pub(super) fn answer_budget_status(&mut self, nonce: u64, from_index: u16, to: SocketAddr) {
         let now = self.now();
         let page = match &self.budgets {
-            Some(budgets) => budgets.borrow_mut().page(nonce, from_index, now),
+            Some(budgets) => budgets.borrow_mut().status_page(nonce, from_index, now),
             None => BudgetPage {
                 nonce,
                 leader: None,
--- a/crates/node/src/peers/link/subsystem.rs
+++ b/crates/node/src/peers/link/subsystem.rs
@@ -11,9 +11,9 @@
 use crate::network::backend::{RetryGate, SlowStartTokens};
 use crate::subsystem::{AdmissionRequest, Permit, PermitOutcome, Subsystem};
 
-/// Datagrams read in one turn of the loop, so that a flood does not starve other work.
-const MAX_READS: usize = 64;
-/// Turns of the loop for which due timers wait for unread datagrams, so that a flood does not stop them.
+/// Maximum number of datagrams read in one turn of the loop, so that a flood does not starve other work.
+const MAX_READS_PER_TURN: usize = 64;
+/// Maximum number of turns for which due timers wait for unread datagrams, so that a flood does not stop the timers.
 const MAX_DEFERRED_TURNS: u32 = 4;
 
 impl Subsystem for PeerLink {
@@ -22,7 +22,7 @@
     }
 
     fn on_readable(&mut self) {
-        self.may_have_unread = (0..MAX_READS).all(|_| self.read_one());
+        self.may_have_unread = (0..MAX_READS_PER_TURN).all(|_| self.read_one());
     }
 
     fn poll(&mut self) {
@@ -50,13 +50,13 @@
 
     fn reload(&mut self, change: &mut FleetChange) {
         let Some(fleet_config) = change.file.take() else {
-            warn!(self.log, "fleet needs a start"; "why" => "it can't be left under way");
+            warn!(self.log, "fleet needs a start"; "why" => "a running node can't leave its fleet");
             return;
         };
-        if restart_keys(&fleet_config) != restart_keys(&self.config) {
+        if restart_only_settings(&fleet_config) != restart_only_settings(&self.config) {
             warn!(self.log, "fleet needs a start"; "why" => "its name, addresses, key or weight changed");
         }
-        // What needs a restart stays as it was.
+        // Settings that need a restart keep their old values.
         self.config = FleetConfig {
             seeds: fleet_config.seeds.clone(),
             voters: fleet_config.voters.clone(),
@@ -81,10 +81,10 @@
     fn retry_gate(&self, pool: u16) -> Option<RetryGate> {
         let clock = self.clock();
         let budgets = self.budgets.clone()?;
-        // Looked up each time: a reload may add or remove it.
+        // The budget is looked up each time, as a reload may add or remove it.
         Some(Box::new(move || {
             let mut budgets = budgets.borrow_mut();
-            let index = budgets.retries(pool);
+            let index = budgets.retry_budget(pool);
             index.is_none_or(|index| budgets.acquire_one(index, clock.now()))
         }))
     }
@@ -92,10 +92,10 @@
     fn slow_start_tokens(&self, pool: u16) -> Option<SlowStartTokens> {
         let clock = self.clock();
         let budgets = self.budgets.clone()?;
-        // Looked up each time, as for retries.
+        // The budget is looked up each time, as for retries.
         Some(Box::new(move || {
             let mut budgets = budgets.borrow_mut();
-            match budgets.slow_start(pool) {
+            match budgets.slow_start_budget(pool) {
                 None => TokenResponse::Unshared,
                 Some(index) if budgets.acquire_one(index, clock.now()) => TokenResponse::Granted,
                 Some(_) => TokenResponse::Refused,
@@ -120,13 +120,13 @@
             "unsent" => counts.unsent, "refused" => slog::Serde(counts.refused.clone()),
             "out_of_place" => self.fleet.refused());
         if let Some(budgets) = &self.budgets {
-            budgets.borrow().summary(log);
+            budgets.borrow().log_state(log);
         }
     }
 }
 
-/// What of the file can change only with a restart.
-fn restart_keys(fleet_config: &FleetConfig) -> impl PartialEq + use<'_> {
+/// The fleet settings that only a restart can change.
+fn restart_only_settings(fleet_config: &FleetConfig) -> impl PartialEq + use<'_> {
     (
         &fleet_config.name,
         fleet_config.listen,
@@ -137,8 +137,8 @@
 }
 
 impl PeerLink {
-    /// Fires the timers of membership that are due. Unread datagrams arrived before them: an acknowledgement
-    /// among those is not missing.
+    /// Fires the due timers of the membership protocol. Unread datagrams go first: they arrived before the timers
+    /// expired, and may hold the acknowledgement that a timer waits for.
     fn tick_membership(&mut self, now: TenthMillis) {
         let may_have_unread = std::mem::take(&mut self.may_have_unread);
         if now < self.fleet.next_due() {
@@ -162,23 +162,23 @@
         }
     }
 
-    /// Takes over changed budgets, unless only a restart can.
+    /// Applies changed budgets, unless the change needs a restart.
     fn reload_budgets(&mut self, fleet_config: &FleetConfig, change: &mut FleetChange) {
         let now = self.now();
-        let obstacle = match &self.budgets {
+        let restart_cause = match &self.budgets {
             None if change.budgets.is_empty() => None,
-            None => Some("there were none".to_string()),
+            None => Some("the node started without budgets".to_string()),
             Some(budgets) => {
                 let mut budgets = budgets.borrow_mut();
-                let obstacle = budgets.restart_reason(fleet_config, &change.budgets);
-                let obstacle = obstacle.map(str::to_string);
-                if obstacle.is_none() {
-                    budgets.change(now, change);
+                let restart_cause = budgets.restart_reason(fleet_config, &change.budgets);
+                let restart_cause = restart_cause.map(str::to_string);
+                if restart_cause.is_none() {
+                    budgets.apply_change(now, change);
                 }
-                obstacle
+                restart_cause
             }
         };
-        match obstacle {
+        match restart_cause {
             Some(why) => warn!(self.log, "budgets need a start"; "why" => why),
             None => self.execute_budget_actions(),
         }
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! The link to the other nodes of the fleet: one UDP socket, which never blocks. Membership is decided by
-//! `doortrack-membership`, the division of budgets by `doortrack-budgets`.
+//! The link to the other nodes of the fleet, over one nonblocking UDP socket. `doortrack-membership` implements the
+//! membership protocol, `doortrack-budgets` the division of budgets.
 
 pub mod budgets;
 pub mod datagram_codec;
--- a/crates/node/src/state/in_flight.rs
+++ b/crates/node/src/state/in_flight.rs
@@ -1,4 +1,4 @@
-//! The table of requests in flight: those that are owed an answer, and those whose run has yet to end.
+//! The table of requests in flight: those that are not answered yet, and those whose run has not ended.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -12,34 +12,35 @@
 use crate::network::request::AttemptId;
 use crate::subsystem::Permit;
 
-/// Attempts remembered after their end, so that an id that is sent twice is known.
+/// Maximum number of ended attempts that are remembered, to detect an attempt id that is sent twice.
 const MAX_ENDED_ATTEMPTS: usize = 16_384;
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// Its run has not begun.
+    /// The run has not begun.
     Queued,
     /// A duplicate that waits for the result of the original.
     Attached {
         /// The original.
         to: RequestId,
     },
-    /// Handed to the backend.
+    /// Passed to the backend.
     Running {
-        /// Number of the last gauge query sent before it; none while the link is down.
+        /// Number of the last gauge query sent before the run; `None` if the run could not be sent because the link
+        /// was down.
         sent: Option<u64>,
     },
-    /// Sent on a link that was lost, and not heard of since: it runs, or never arrived.
+    /// Sent on a link that was lost, with no news since: the run is under way, or never arrived.
     InDoubt {
-        /// Whether its cancellation was sent.
+        /// True if its cancellation was sent.
         cancelled: bool,
     },
 }
 
 impl Stage {
-    /// Whether its run may have begun.
-    pub fn may_run(self) -> bool {
+    /// True if the run may have begun.
+    pub fn may_have_begun(self) -> bool {
         matches!(self, Stage::Running { .. } | Stage::InDoubt { .. })
     }
 }
@@ -48,59 +49,59 @@
 pub struct InFlightRequest {
     /// The caller's id of this attempt.
     pub attempt_id: AttemptId,
-    /// Index of its endpoint group.
+    /// Index of the endpoint group.
     pub group: u8,
-    /// By what a duplicate of it is known, if its group has idempotency keys.
+    /// The key that its duplicates share, if its group has idempotency keys.
     pub key: Option<DedupKey>,
-    /// When it arrived at the machine, on the Unix clock.
+    /// Arrival time at the machine, on the Unix clock.
     pub arrived_at: TenthMillis,
-    /// Its body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// Its variables as received, where a server is to have them.
+    /// The variables as received, if the backend needs them.
     pub variables: Option<RawVariables>,
-    /// Index of its pool of servers; 0 is the one without a name.
+    /// Index of the server pool; 0 is the unnamed pool.
     pub pool: u16,
-    /// Where its answer goes; none once it is answered or its caller has gone.
+    /// Where the answer goes; `None` after the answer, or after the caller has gone.
     pub caller: Option<Caller>,
-    /// How far it has come.
+    /// Progress of the request.
     pub stage: Stage,
-    /// The request that it duplicates.
+    /// The original, if this request is a duplicate.
     pub duplicate_of: Option<RequestId>,
-    /// What is reserved for it.
+    /// What is reserved for the request.
     pub reservations: Reservations,
 }
 
-/// What a request holds until it ends, or until its run begins.
+/// Budget units and server capacity that are reserved for a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reservations {
-    /// Units of the fleet's budgets, until it ends.
+    /// Units of the fleet's budgets, held until the request ends.
     pub permit: Permit,
-    /// A reservation with its pool's servers, which its run uses up.
+    /// Reservation with the servers of the pool, held until the run begins.
     pub admission: Admission,
 }
 
 /// The table of requests in flight.
 #[derive(Default)]
 pub struct InFlightTable {
-    /// The next id, unless it is in use.
+    /// The next id to try; skipped if it is in use.
     next_id: RequestId,
     by_id: FxHashMap<RequestId, InFlightRequest>,
     by_attempt: HashMap<AttemptId, RequestId>,
-    /// Duplicates by the original whose result they wait for.
+    /// The duplicates that wait for a result, by their original.
     attached: FxHashMap<RequestId, Vec<RequestId>>,
     ended_attempts: HashSet<AttemptId>,
-    /// The same, the oldest first.
+    /// The ended attempts, oldest first.
     ended_order: VecDeque<AttemptId>,
 }
 
 impl InFlightTable {
-    /// Inserts a request under an id that is not in use; none if its attempt has been seen before.
+    /// Inserts a request under an unused id. Returns `None` if its attempt id has been seen before.
     pub fn insert(&mut self, request: InFlightRequest) -> Option<RequestId> {
         let attempt = request.attempt_id;
         if self.by_attempt.contains_key(&attempt) || self.ended_attempts.contains(&attempt) {
             return None;
         }
-        // By the time ids wrap around, the first ones are forgotten everywhere.
+        // When ids wrap around, the old requests with the first ids have long ended.
         while self.next_id == 0 || self.by_id.contains_key(&self.next_id) {
             self.next_id = self.next_id.wrapping_add(1);
         }
@@ -111,23 +112,23 @@
         Some(id)
     }
 
-    /// The request with this id.
+    /// Returns the request with this id.
     pub fn get(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
         self.by_id.get_mut(&id)
     }
 
-    /// The id of the request that was sent as this attempt.
-    pub fn find(&self, attempt: &AttemptId) -> Option<RequestId> {
+    /// Returns the id of the request with this attempt id.
+    pub fn find_by_attempt(&self, attempt: &AttemptId) -> Option<RequestId> {
         self.by_attempt.get(attempt).copied()
     }
 
-    /// Whether this request is in flight and its run has not begun.
-    pub fn is_waiting(&self, id: RequestId) -> bool {
+    /// True if this request is in flight and its run has not begun.
+    pub fn is_not_begun(&self, id: RequestId) -> bool {
         let request = self.by_id.get(&id);
-        request.is_some_and(|request| !request.stage.may_run())
+        request.is_some_and(|request| !request.stage.may_have_begun())
     }
 
-    /// Has a duplicate wait for the result of its original.
+    /// Makes a duplicate wait for the result of its original.
     pub fn attach(&mut self, id: RequestId, original: RequestId) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.stage = Stage::Attached { to: original };
@@ -135,12 +136,12 @@
         }
     }
 
-    /// Takes out the list of duplicates that wait for the result of this request.
+    /// Removes and returns the duplicates that wait for the result of this request.
     pub fn take_attached(&mut self, original: RequestId) -> Vec<RequestId> {
         self.attached.remove(&original).unwrap_or_default()
     }
 
-    /// Removes a request and remembers its attempt as ended.
+    /// Removes a request and remembers its attempt id as ended.
     pub fn remove(&mut self, id: RequestId) -> Option<InFlightRequest> {
         let request = self.by_id.remove(&id)?;
         self.by_attempt.remove(&request.attempt_id);
@@ -170,18 +171,18 @@
         }
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether no request is in flight.
+    /// True if no request is in flight.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// Requests whose run was handed to the backend and is not in doubt, with the number of the last gauge
-    /// query before each.
+    /// Requests whose run was passed to the backend and is not in doubt, each with the number of the last gauge query
+    /// sent before it.
     pub fn running(&self) -> impl Iterator<Item = (RequestId, Option<u64>)> {
         self.by_id
             .iter()
--- a/crates/node/src/state/results.rs
+++ b/crates/node/src/state/results.rs
@@ -1,4 +1,5 @@
-//! The table of results by idempotency key: what became of each key's first request, for its duplicates.
+//! The table of results by idempotency key. It holds the result of the first request with each key, from which
+//! duplicates are answered.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -9,31 +10,31 @@
 
 use crate::network::request::{IdempotencyKey, RunOutput};
 
-/// Times of arrival are whole ms and every timeout on sockets is 50 ms longer than stated; a window is kept open
-/// for a little more than both, since a request that is taken for a duplicate for too long is merely answered from
-/// the table.
+/// Time by which a dedup window is extended. Arrival times are rounded to whole ms, and socket timeouts are 50 ms
+/// longer than stated; the slack exceeds both. Too long a window is harmless: a request that still counts as a
+/// duplicate is answered from the table.
 const WINDOW_SLACK: TenthMillis = 100 * MILLISECOND;
 
-/// Least interval between two removals of expired entries.
+/// Minimum interval between two removals of expired entries.
 const EXPIRY_INTERVAL: TenthMillis = 500 * MILLISECOND;
 
-/// The table keeps capacity for this many entries at least.
+/// Shrinking keeps capacity for at least this many entries, times [`SPARE_CAPACITY`].
 const MIN_CAPACITY: usize = 64;
-/// Capacity is kept for so many times the entries.
+/// Factor by which the capacity kept after shrinking exceeds the number of entries.
 const SPARE_CAPACITY: usize = 4;
 
-/// Index of the endpoint group, and the caller's idempotency key.
+/// Key of a result: index of the endpoint group, and the caller's idempotency key.
 pub type DedupKey = (u8, IdempotencyKey);
 
 struct Entry {
     request: RequestId,
-    /// A keyed hash of the body, to tell it from another body under the same key.
+    /// Keyed hash of the body, to detect another body with the same idempotency key.
     body_hash: u64,
-    /// The last time of arrival within the window.
+    /// Latest arrival time within the dedup window.
     window_ends: TenthMillis,
-    /// When no duplicate can arrive any more.
+    /// When no duplicate can be read any more.
     expires_at: TenthMillis,
-    /// None while the request is in flight.
+    /// `None` while the request is in flight.
     result: Option<Result<StoredOutput, NoResult>>,
 }
 
@@ -42,7 +43,7 @@
         self.result.is_some() && self.expires_at < now
     }
 
-    /// Bytes of the stored output.
+    /// Size of the stored output, in bytes.
     fn size(&self) -> usize {
         match &self.result {
             Some(Ok(output)) => output.bytes.len(),
@@ -53,7 +54,7 @@
 
 /// The output of a run, kept for duplicates.
 struct StoredOutput {
-    /// Headers and body, one after the other.
+    /// Headers, followed by the body.
     bytes: Box<[u8]>,
     body_start: usize,
 }
@@ -72,52 +73,53 @@
     }
 }
 
-/// The request ran, or may have, and there is no output for its duplicates.
+/// The request ran, or may have run, but left no output for its duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoResult;
 
-/// What a request with an idempotency key is to those that came before.
+/// How a request with an idempotency key relates to earlier requests.
 #[derive(Debug, PartialEq)]
 pub enum DuplicateCheck {
-    /// The first with its key.
+    /// The first request with this key.
     FirstUse,
     /// A duplicate of this request.
     Duplicate(RequestId),
-    /// The first with its key, without room for the entry by which its own duplicates would be known.
+    /// The first request with this key, but the table has no room for its entry, so that duplicates of it would not be
+    /// detected.
     TableFull,
-    /// The key is in use for another body, whose result is not for this one.
+    /// The key is in use for a request with another body.
     BodyMismatch,
 }
 
-/// What a duplicate may be answered with.
+/// The result that a duplicate may be answered with.
 #[derive(Debug, PartialEq)]
 pub enum StoredResult<'a> {
     /// The original is in flight.
     Pending,
     /// The output of the original.
     Output(RunOutput<'a>),
-    /// The original left no output, or is not known.
+    /// The original left no output, or is unknown.
     None,
 }
 
-/// The results by idempotency key, bounded in entries and in bytes.
+/// Results by idempotency key, bounded in entries and in bytes.
 pub struct ResultTable {
     entries: HashMap<DedupKey, Entry>,
-    /// Randomly keyed, so that nobody can craft a body with the hash of another.
+    /// Randomly keyed, so that callers can't craft two bodies with the same hash.
     body_hasher: RandomState,
     keys: FxHashMap<RequestId, DedupKey>,
-    /// Bytes of all stored outputs.
+    /// Size of all stored outputs, in bytes.
     bytes: usize,
     max_entries: usize,
     max_bytes: usize,
-    /// A duplicate may be read so long after it arrived.
+    /// Maximum time between the arrival of a duplicate and its reading.
     longest_deadline: TenthMillis,
     /// When expired entries were last removed.
     cleaned_at: TenthMillis,
 }
 
 impl ResultTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(max_entries: usize, max_bytes: usize, longest_deadline: TenthMillis) -> Self {
         ResultTable {
             entries: HashMap::default(),
@@ -131,14 +133,14 @@
         }
     }
 
-    /// Bytes of all stored outputs.
+    /// Size of all stored outputs, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// What a request with this key and body repeats. The window counts from arrival to arrival, so it does
-    /// not matter how late a duplicate is read. `arrived_at` must not be later than now: whatever another clock
-    /// says, it came no later, and a duplicate within the window must not pass for a new request.
+    /// Checks whether a request with this key and body is a duplicate. The dedup window is measured between arrival
+    /// times, so the delay until a duplicate is read does not matter. `arrived_at` must not be later than now: an
+    /// arrival time in the future, from a clock that is ahead, could make a duplicate look like a new request.
     pub fn check_duplicate(
         &self,
         key: &DedupKey,
@@ -162,8 +164,8 @@
         }
     }
 
-    /// Enters a request for a window of which `ttl` is left. If `arrived_at` is ahead of this node's clock,
-    /// nothing of the window is used up yet, and all of it counts from then.
+    /// Adds the entry of a request whose dedup window has `ttl` left. If `arrived_at` is ahead of this node's clock,
+    /// the window counts from `arrived_at`.
     pub fn record(
         &mut self,
         request: RequestId,
@@ -197,7 +199,8 @@
         }
     }
 
-    /// A run has ended. An output that there is no room for is not kept: duplicates find no result.
+    /// Stores the result of a run that has ended. An output for which there is no room is not kept, and duplicates find
+    /// no result.
     pub fn complete(&mut self, request: RequestId, result: Result<RunOutput, NoResult>) {
         let key = self.keys.get(&request);
         let Some(entry) = key.and_then(|key| self.entries.get_mut(key)) else {
@@ -210,7 +213,7 @@
         entry.result = Some(output.map(StoredOutput::new).ok_or(NoResult));
     }
 
-    /// What duplicates of this request may be answered with.
+    /// The result that duplicates of this request may be answered with.
     pub fn result(&self, request: RequestId) -> StoredResult<'_> {
         let key = self.keys.get(&request);
         let Some(entry) = key.and_then(|key| self.entries.get(key)) else {
@@ -223,8 +226,8 @@
         }
     }
 
-    /// When the last of this endpoint group's entries expires: `None` if the group has no entries, `Some(None)`
-    /// if one of them is of a request in flight. It scans all entries.
+    /// When the last entry of this endpoint group expires: `None` if the group has no entries, `Some(None)` if one of
+    /// its requests is in flight. Scans all entries.
     pub fn last_expiry(&self, group: u8) -> Option<Option<TenthMillis>> {
         self.entries
             .iter()
@@ -233,8 +236,8 @@
             .reduce(|latest, expiry| Some(latest?.max(expiry?)))
     }
 
-    /// Removes entries that no duplicate can refer to any more, unless that was done a moment ago, as it scans
-    /// all entries.
+    /// Removes entries that no duplicate can refer to any more. Does so at most once per `EXPIRY_INTERVAL`, as it
+    /// scans all entries.
     pub fn remove_expired(&mut self, now: TenthMillis) {
         if now < self.cleaned_at + EXPIRY_INTERVAL {
             return;
@@ -252,7 +255,7 @@
         self.shrink();
     }
 
-    /// Gives back memory that a peak of entries took.
+    /// Releases memory that a past peak of entries needed.
     fn shrink(&mut self) {
         let enough = SPARE_CAPACITY * self.entries.len().max(MIN_CAPACITY);
         if self.entries.capacity() > 2 * enough {
--- a/crates/node/src/subsystem.rs
+++ b/crates/node/src/subsystem.rs
@@ -1,8 +1,9 @@
-//! What plugs into the event loop beside listeners, backend and registry: the loop does not know what it is.
+//! Interface of optional parts of the event loop, besides listeners, backend and registry. The loop uses them only
+//! through [`Subsystem`].
 //!
-//! A subsystem has a clock of its own and says when it is to be polled next. It may own one of the poller's
-//! keys in [`SUBSYSTEM_KEYS`]. Where an installation asks for none, there is none: no socket, no line in the
-//! log.
+//! A subsystem has its own clock and says when it is to be polled next. It may own one of the poller keys in
+//! [`SUBSYSTEM_KEYS`]. A subsystem that the installation does not configure does not exist: it has no socket and logs
+//! nothing.
 
 use std::ops::Range;
 
@@ -12,77 +13,78 @@
 
 use crate::network::backend::{RetryGate, SlowStartTokens};
 
-/// Keys of the poller for subsystems, one each.
+/// Poller keys for subsystems, one for each.
 pub const SUBSYSTEM_KEYS: Range<usize> = 4..8;
 
-/// What a subsystem is told of a request that was read and duplicates no other.
+/// A request to be admitted, as a subsystem sees it. Duplicates are not passed to subsystems.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Index of its endpoint group.
+    /// Index of the endpoint group.
     pub group: u8,
-    /// Index of its tenant.
+    /// Index of the tenant.
     pub tenant: u16,
-    /// Index of its pool of servers; 0 is the one without a name.
+    /// Index of the server pool; 0 is the unnamed pool.
     pub pool: u16,
 }
 
-/// Indices of the budgets of which a request holds a unit each, until it ends.
+/// Indices of the budgets of which a request holds one unit each until it ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Permit(pub [Option<u16>; 3]);
 
-/// How far a request had come when it released its permit.
+/// Why a request's permit is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitOutcome {
-    /// It was never run.
+    /// The request never ran.
     Unused,
-    /// Its run is over.
+    /// The run has ended.
     RunEnded,
-    /// Nobody waits for its run any more, which may still go on.
+    /// The request has ended, but its run may still go on.
     MayStillRun,
 }
 
 /// A subsystem of the event loop. No call blocks.
 pub trait Subsystem {
-    /// The key of the poller under which its socket is watched.
+    /// The poller key of the subsystem's socket.
     fn key(&self) -> usize;
 
-    /// Its socket is readable: reads it, up to a bound for each turn of the loop.
+    /// Reads the socket when it is readable, up to a limit for each turn of the loop.
     fn on_readable(&mut self);
 
-    /// Does what is due. Called once each turn of the loop, after everything that was ready has been read.
+    /// Performs work that is due. Called once per turn of the loop, after all ready sockets have been read.
     fn poll(&mut self);
 
-    /// Time until it must be polled, in tenths of a ms; [`TenthMillis::MAX`] if nothing is scheduled.
+    /// Time until the next call of [`Subsystem::poll`] is due; [`TenthMillis::MAX`] if nothing is scheduled.
     fn time_to_next_poll(&self) -> TenthMillis;
 
-    /// The node begins a graceful shutdown.
+    /// Called when the node begins a graceful shutdown.
     fn drain(&mut self);
 
-    /// A new configuration comes into force. What is no longer used may be left in `change`, which is dropped
-    /// beside the loop.
+    /// Applies a new configuration. Parts that are no longer used may be left in `change`, which is dropped outside the
+    /// loop's thread.
     fn reload(&mut self, change: &mut FleetChange);
 
-    /// Whether a request may be admitted as far as this subsystem goes; the admission controller decides.
+    /// Reserves this subsystem's resources for a request. The admission controller still decides whether the request
+    /// is admitted.
     ///
     /// # Errors
-    /// Nothing is left for it: how long its caller is to wait before a retry, in tenths of a ms.
+    /// No resources are left. The value is the time after which the caller may retry.
     fn admit(&mut self, _: AdmissionRequest) -> Result<Permit, TenthMillis> {
         Ok(Permit::default())
     }
 
-    /// What each retry to the pool at this index has to pass, if this subsystem bounds retries.
+    /// The gate that each retry to the pool at this index must pass, if this subsystem limits retries.
     fn retry_gate(&self, _pool: u16) -> Option<RetryGate> {
         None
     }
 
-    /// Where the pool at this index gets tokens for slow starts, if this subsystem shares them.
+    /// The source of slow-start tokens for the pool at this index, if this subsystem shares them.
     fn slow_start_tokens(&self, _pool: u16) -> Option<SlowStartTokens> {
         None
     }
 
-    /// An admitted request has ended.
+    /// Releases the permit of a request that has ended.
     fn release(&mut self, _: Permit, _: PermitOutcome) {}
 
-    /// Logs a line on its state; called at an interval.
+    /// Logs a line with the subsystem's state. Called periodically.
     fn log_state(&self, log: &Logger);
 }
--- a/crates/node/src/system/clock.rs
+++ b/crates/node/src/system/clock.rs
@@ -4,17 +4,17 @@
 
 use doortrack_time::{MICROSECONDS_PER_UNIT, MILLISECOND, TenthMillis};
 
-/// A clock that never goes back: where the system's clock does, time stands still until that has caught up.
+/// A clock that never goes back. If the system clock does, this one stands still until the system clock has caught up.
 #[derive(Clone, Copy, Default)]
 pub struct Clock {
-    /// What it showed last.
+    /// The last time that was returned.
     last: TenthMillis,
-    /// How far it is ahead of the system's clock, in ms: for tests alone.
+    /// Offset to the system clock, in ms; only for tests.
     offset_ms: i64,
 }
 
 impl Clock {
-    /// A clock that is so many ms ahead of the system's; behind it, if they are negative.
+    /// Creates a clock that is `offset_ms` ahead of the system clock, or behind it if negative.
     pub fn with_offset(offset_ms: i64) -> Clock {
         Clock { last: 0, offset_ms }
     }
--- a/crates/node/src/system/log.rs
+++ b/crates/node/src/system/log.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, plain or one JSON object each, a bounded number of them a second. It never
-//! blocks: a line that nobody takes is dropped and counted.
+//! The log: lines on standard error, as plain text or one JSON object each, limited to a number per second. Logging
+//! never blocks: a line that can't be written at once is dropped and counted.
 
 use std::fmt::{Arguments, Write as _};
 use std::io::{self, Write as _};
@@ -15,18 +15,19 @@
 use slog::{Serializer, o};
 use slog_json::Json;
 
-/// Lines a second: an error that repeats itself must not slow the node down or fill the log.
+/// Default maximum number of lines per second, so that a recurring error neither slows the node down nor fills the
+/// log.
 pub const DEFAULT_LINES_PER_SECOND: u32 = 20;
-/// Bytes of a line: a pipe that is ready takes 4 kB without blocking.
+/// Maximum length of a line, in bytes: a pipe that is ready takes 4 kB without blocking.
 const MAX_LINE_LEN: usize = 4000;
-/// Bytes of a line that are kept free for the count of dropped lines.
+/// Bytes reserved in a line for the count of dropped lines.
 const DROPPED_COUNT_LEN: usize = 40;
-/// Characters of a value in a line that is written directly; each may take six bytes.
-const MAX_VALUE_LEN: usize = 500;
+/// Maximum number of characters of a value in a line of [`write_directly`]. Each may take six bytes in JSON.
+const MAX_VALUE_CHARS: usize = 500;
 
-/// How a line is written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Format {
+pub enum LogFormat {
     #[allow(missing_docs, reason = "a doc comment would be printed by --help")]
     Text,
     #[allow(missing_docs, reason = "a doc comment would be printed by --help")]
@@ -34,20 +35,20 @@
 }
 
 /// Opens the log of the node `name`, which drops lines below `level` and those beyond `lines_per_second`.
-pub fn open(name: &str, format: Format, level: Level, lines_per_second: u32) -> Logger {
+pub fn open(name: &str, format: LogFormat, level: Level, lines_per_second: u32) -> Logger {
     let writer = match format {
-        Format::Text => Writer::Text,
-        Format::Json => {
+        LogFormat::Text => Writer::Text,
+        LogFormat::Json => {
             let line = LineBuffer::default();
             Writer::Json(line.clone(), Box::new(json_writer(line)))
         }
     };
-    let lines = RateLimited {
+    let drain = RateLimited {
         lines_per_second,
         state: Mutex::new((CurrentSecond::default(), writer)),
     };
     Logger::root(
-        lines.filter_level(level).fuse(),
+        drain.filter_level(level).fuse(),
         o!("node" => name.to_string()),
     )
 }
@@ -70,7 +71,7 @@
         .build()
 }
 
-/// The line that is being written.
+/// Buffer for the line that is being written.
 #[derive(Clone, Default)]
 struct LineBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -124,11 +125,11 @@
 }
 
 fn text_line(record: &Record, values: &OwnedKVList, dropped: u32) -> String {
-    let mut pairs = Pairs(Vec::new());
+    let mut pairs = KeyValuePairs(Vec::new());
     _ = record.kv().serialize(record, &mut pairs);
     _ = values.serialize(record, &mut pairs);
     let mut line = format!("{} {} {}", unix_ms(), record.level(), record.msg());
-    // slog hands them over last one first.
+    // slog passes the values in reverse order.
     pairs.0.iter().rev().for_each(|pair| line.push_str(pair));
     if dropped > 0 {
         _ = write!(line, " lines_left_out={dropped}");
@@ -136,28 +137,33 @@
     one_line(line)
 }
 
-/// Without what could pass for another line or make it longer than a pipe takes.
+/// Removes control characters, so that a logged value can't look like another line, and limits the length to
+/// [`MAX_LINE_LEN`].
 fn one_line(mut line: String) -> String {
-    // A value from elsewhere must not look like a line of its own, nor make the line longer than a pipe takes.
     line.retain(|c| !c.is_control());
     line.truncate(line.floor_char_boundary(MAX_LINE_LEN));
     line
 }
 
-/// Writes one line without a logger and whatever was logged this second, if standard error takes it at once.
-pub(super) fn write_directly(format: Format, level: Level, message: &str, values: &[(&str, &str)]) {
+/// Writes one line without a logger and without the limit per second, if standard error accepts it without blocking.
+pub(super) fn write_directly(
+    format: LogFormat,
+    level: Level,
+    message: &str,
+    values: &[(&str, &str)],
+) {
     let mut line = match format {
-        Format::Text => {
+        LogFormat::Text => {
             let mut line = format!("{} {level} {message}", unix_ms());
             for (key, value) in values {
                 _ = write!(line, " {key}={value}");
             }
             one_line(line)
         }
-        Format::Json => {
+        LogFormat::Json => {
             let mut object = json!({"time": unix_ms(), "level": level.as_str(), "msg": message});
             for (key, value) in values {
-                object[key] = json!(value.chars().take(MAX_VALUE_LEN).collect::<String>());
+                object[key] = json!(value.chars().take(MAX_VALUE_CHARS).collect::<String>());
             }
             object.to_string()
         }
@@ -168,17 +174,17 @@
     }
 }
 
-/// Lines written and dropped.
+/// Counters of lines written and dropped.
 #[derive(Default)]
 struct CurrentSecond {
-    /// The second, since the Unix epoch, in which `written` counts.
-    at: u64,
+    /// The second, since the Unix epoch, that `written` refers to.
+    unix_seconds: u64,
     written: u32,
-    /// Dropped since the last line that was written.
+    /// Lines dropped since the last written line.
     dropped: u32,
 }
 
-/// Writes a bounded number of lines a second to standard error.
+/// Writes at most a given number of lines per second to standard error.
 struct RateLimited {
     lines_per_second: u32,
     state: Mutex<(CurrentSecond, Writer)>,
@@ -194,8 +200,8 @@
             return Ok(());
         };
         let (second, writer) = &mut *state;
-        if second.at != now {
-            (second.at, second.written) = (now, 0);
+        if second.unix_seconds != now {
+            (second.unix_seconds, second.written) = (now, 0);
         }
         second.written += 1;
         if second.written > self.lines_per_second {
@@ -211,7 +217,7 @@
     }
 }
 
-/// Whether standard error takes a line without blocking: nobody may be reading it.
+/// True if standard error accepts a line without blocking. Otherwise its reader may have stopped reading.
 fn stderr_is_writable() -> bool {
     let stderr = io::stderr();
     let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
@@ -223,9 +229,9 @@
 }
 
 /// Collects the values of a record as ` key=value`.
-struct Pairs(Vec<String>);
+struct KeyValuePairs(Vec<String>);
 
-impl Serializer for Pairs {
+impl Serializer for KeyValuePairs {
     fn emit_arguments(&mut self, key: Key, value: &Arguments) -> slog::Result {
         self.0.push(format!(" {key}={value}"));
         Ok(())
--- a/crates/node/src/system/mod.rs
+++ b/crates/node/src/system/mod.rs
@@ -1,4 +1,4 @@
-//! What the node needs of the operating system: clock, log, signals, panics, descriptors and addresses.
+//! Interfaces to the operating system: clock, log, signals, panics, descriptors and addresses.
 
 pub(crate) mod addresses;
 pub mod clock;
--- a/crates/node/src/system/signals.rs
+++ b/crates/node/src/system/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM, SIGINT and SIGHUP as sockets in the poller: one for the first two, which mean the same, and one for the third.
+//! SIGTERM, SIGINT and SIGHUP as sockets in the poller. SIGTERM and SIGINT mean the same and share a socket.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -6,23 +6,23 @@
 use polling::{Event, PollMode, Poller};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// Key in the poller of SIGTERM and SIGINT: the node is to drain and stop.
+/// Poller key of SIGTERM and SIGINT, which make the node drain and stop.
 pub(crate) const DRAIN_KEY: usize = 2;
-/// Key in the poller of SIGHUP: the configuration is to be read again.
+/// Poller key of SIGHUP, which makes the node reload its configuration.
 pub(crate) const RELOAD_KEY: usize = 3;
 
-/// The signals that arrived, kept until the loop reads them.
+/// Signals that arrived and have not been read by the event loop.
 pub struct Signals {
     drain: UnixStream,
     reload: UnixStream,
 }
 
 impl Signals {
-    /// Handles the signals from here on. Before this any of them ends the process, so it is the first thing
-    /// that a start does: reading a large configuration takes a while.
+    /// Registers the signal handlers. Until then each of these signals ends the process, so this is the first step of a
+    /// start: reading a large configuration takes a while.
     ///
     /// # Errors
-    /// The system gives no socket.
+    /// A socket or a handler can't be created.
     pub fn register() -> io::Result<Signals> {
         Ok(Signals {
             drain: register(&[SIGTERM, SIGINT])?,
@@ -30,16 +30,16 @@
         })
     }
 
-    /// Has the poller watch them; those that came before count.
+    /// Registers the sockets with the poller. Signals that arrived earlier are reported too.
     pub(crate) fn watch(&self, poller: &Poller) -> io::Result<()> {
         for (receiver, key) in [(&self.drain, DRAIN_KEY), (&self.reload, RELOAD_KEY)] {
-            // SAFETY: the node keeps the sockets as long as the poller.
+            // SAFETY: the node owns both the sockets and the poller, and keeps them equally long.
             unsafe { poller.add_with_mode(receiver, Event::readable(key), PollMode::Level)? };
         }
         Ok(())
     }
 
-    /// Clears a signal, however often it was sent meanwhile.
+    /// Clears a pending signal, even if it was sent several times.
     pub(crate) fn acknowledge(&mut self, key: usize) {
         let receiver = if key == DRAIN_KEY {
             &mut self.drain
@@ -50,7 +50,7 @@
     }
 }
 
-/// A socket that becomes readable when one of the signals arrives.
+/// Returns a socket that becomes readable when one of the signals arrives.
 fn register(signals: &[i32]) -> io::Result<UnixStream> {
     let (receiver, sender) = UnixStream::pair()?;
     receiver.set_nonblocking(true)?;
--- a/crates/node/src/system/test_panics.rs
+++ b/crates/node/src/system/test_panics.rs
@@ -1,44 +1,44 @@
-//! Panics that tests put into a process. Only a build with debug assertions has them: a release build has neither the
-//! argument that names the file nor the code.
+//! Panics that tests trigger in a process. Only builds with debug assertions have them; a release build has neither the
+//! command-line argument nor the code.
 
 #[cfg(debug_assertions)]
 use std::path::PathBuf;
 #[cfg(debug_assertions)]
 use std::sync::OnceLock;
 
-/// Holds the name of the place that is to panic.
+/// Path of the file that names the place that is to panic.
 #[cfg(debug_assertions)]
-static FILE: OnceLock<PathBuf> = OnceLock::new();
+static TRIGGER_FILE: OnceLock<PathBuf> = OnceLock::new();
 
-/// A place that a test may have panic.
+/// A place in the code where a test may trigger a panic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PanicPlace {
     /// The build of a configuration.
     Build,
-    /// The thread of builds, beside a build.
+    /// The thread that builds configurations, outside a build.
     BuildThread,
     /// The event loop.
     EventLoop,
 }
 
-/// Names the file; at most once.
+/// Sets the path of the file that names the place. Only the first call has an effect.
 #[cfg(debug_assertions)]
-pub fn set_file(path: PathBuf) {
-    _ = FILE.set(path);
+pub fn set_trigger_file(path: PathBuf) {
+    _ = TRIGGER_FILE.set(path);
 }
 
-/// Panics if a test wants this place to.
+/// Panics if the file names this place.
 #[cfg(debug_assertions)]
-pub fn panic_if_wanted(place: PanicPlace) {
-    let wanted = FILE
+pub fn panic_if_requested(place: PanicPlace) {
+    let requested = TRIGGER_FILE
         .get()
         .and_then(|path| std::fs::read_to_string(path).ok());
     assert!(
-        wanted != Some(format!("{place:?}")),
+        requested != Some(format!("{place:?}")),
         "a test wants {place:?} to panic"
     );
 }
 
-/// Nothing, as this is a release build.
+/// Does nothing in a release build.
 #[cfg(not(debug_assertions))]
-pub fn panic_if_wanted(_: PanicPlace) {}
+pub fn panic_if_requested(_: PanicPlace) {}
