--- a/crates/node/src/commands/request_file.rs
+++ b/crates/node/src/commands/request_file.rs
@@ -54,7 +54,7 @@
         let seconds = seconds_since_midnight(&self.time_of_day).ok_or_else(|| {
             ConfigErrors::one(
                 format!("{path}.time_of_day"),
-                "expected a time as 09:30 or 09:30:00",
+                "a time as 09:30 or 09:30:00 is wanted",
             )
         })?;
         let variables = self
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -253,24 +253,31 @@
 
 impl Case {
     /// The differences from the expected result, as two lines each.
-    fn differences(&self, rules: &Rules, found: &Classification) -> Vec<String> {
+    fn differences(&self, rules: &Rules, actual: &Classification) -> Vec<String> {
         let mut differences = Vec::new();
-        let rule = matched_rule(found);
-        if let Some(wanted) = self.rule.filter(|wanted| *wanted != rule) {
+        let rule = matched_rule(actual);
+        if let Some(expected) = self.rule.filter(|expected| *expected != rule) {
             differences.push(format!(
                 "  - {}\n  + {}",
-                rule_name(wanted),
+                rule_name(expected),
                 rule_name(rule)
             ));
         }
-        let group = rules.group_name(found);
-        if let Some(wanted) = self.group.as_ref().filter(|wanted| Some(*wanted) != group) {
-            differences.push(format!("  - group {wanted}\n  + {}", rules.describe(found)));
+        let group = rules.group_name(actual);
+        if let Some(expected) = self
+            .group
+            .as_ref()
+            .filter(|expected| Some(*expected) != group)
+        {
+            differences.push(format!(
+                "  - group {expected}\n  + {}",
+                rules.describe(actual)
+            ));
         }
-        let is_refused = matches!(found, Classification::Rejected { .. });
+        let is_refused = matches!(actual, Classification::Rejected { .. });
         if is_refused != self.refused {
-            let wanted = if self.refused { "refused" } else { "taken" };
-            differences.push(format!("  - {wanted}\n  + {}", rules.describe(found)));
+            let expected = if self.refused { "refused" } else { "taken" };
+            differences.push(format!("  - {expected}\n  + {}", rules.describe(actual)));
         }
         differences
     }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -283,7 +283,7 @@
 
     fn log_summary_if_due(&mut self) {
         let turn = self.clock.now().saturating_sub(self.now);
-        self.summaries.slowest.record_turn(turn);
+        self.summaries.max_durations.record_turn(turn);
         if self.now >= self.summaries.next_at {
             self.log_summary();
         }
--- a/crates/node/src/event_loop/arrivals.rs
+++ b/crates/node/src/event_loop/arrivals.rs
@@ -175,7 +175,7 @@
     ) {
         // Arrival times are rounded down to whole ms, so the age is never too small and no answer is late.
         let age = self.now.saturating_sub(request.arrived_at);
-        self.summaries.slowest.record_arrival(age);
+        self.summaries.max_durations.record_arrival(age);
         let max_timeout = self.config.deadline(request.group);
         self.admission.push(Event::Arrived(Request {
             id,
--- a/crates/node/src/event_loop/gauge_readings.rs
+++ b/crates/node/src/event_loop/gauge_readings.rs
@@ -110,7 +110,7 @@
             connections: value_at(positions.connections),
         };
         if let Some(waited) = self.gauges.record(cookie, gauges, self.now) {
-            self.summaries.slowest.record_reading(waited);
+            self.summaries.max_durations.record_reading(waited);
         }
     }
 }
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -101,10 +101,10 @@
     /// The server pools could take more than half of the connections that the descriptor limit allows.
     fn limits(&self) -> Result<ResourceLimits, StartError> {
         let mut limits = self.config.limits;
-        let wanted = limits.connections;
-        let available = wanted.min(descriptors::available_connections());
+        let configured = limits.connections;
+        let available = configured.min(descriptors::available_connections());
         let servers = self.installation.max_server_connections();
-        if available < wanted {
+        if available < configured {
             let limit = descriptors::soft_limit();
             if servers > available / 2 {
                 return Err(StartError::TooManyServerConnections {
@@ -114,7 +114,7 @@
                 });
             }
             warn!(self.log, "low descriptor limit"; "limit" => limit, "connections" => available,
-                "wanted" => wanted);
+                "wanted" => configured);
         }
         limits.connections = available - servers.min(available / 2);
         Ok(limits)
--- a/crates/node/src/event_loop/summary.rs
+++ b/crates/node/src/event_loop/summary.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub(super) struct SummarySchedule {
     pub(super) next_at: TenthMillis,
-    pub(super) slowest: Slowest,
+    pub(super) max_durations: MaxDurations,
 }
 
 impl SummarySchedule {
@@ -33,13 +33,13 @@
 
 /// Maximum durations since the last summary.
 #[derive(Default)]
-pub(super) struct Slowest {
+pub(super) struct MaxDurations {
     turn: TenthMillis,
     reading: TenthMillis,
     arrival: TenthMillis,
 }
 
-impl Slowest {
+impl MaxDurations {
     /// Records the duration of a turn.
     pub(super) fn record_turn(&mut self, duration: TenthMillis) {
         self.turn = self.turn.max(duration);
@@ -61,7 +61,7 @@
     pub(super) fn log_summary(&mut self) {
         self.summaries.schedule_next(self.now);
         self.log_node();
-        self.summaries.slowest = Slowest::default();
+        self.summaries.max_durations = MaxDurations::default();
         for subsystem in &self.subsystems {
             subsystem.log_state(&self.log);
         }
@@ -80,7 +80,7 @@
 
     fn log_node(&self) {
         let counts = self.listeners.counts();
-        let slowest = &self.summaries.slowest;
+        let max_durations = &self.summaries.max_durations;
         info!(self.log, "summary"; "completed" => counts.completed, "rejected" => counts.rejected,
             "failed" => counts.failed,
             "in_flight" => self.in_flight.len(), "connections" => self.listeners.connection_count(),
@@ -88,8 +88,8 @@
             "no_room" => counts.no_capacity, "checks" => counts.health_checks, "ends" => Serde(counts.terminations.clone()),
             "unread_bytes" => self.listeners.unread_answer_bytes(),
             "result_bytes" => self.results.bytes(), "link_losses" => self.backend.link_losses(),
-            "turn_ms" => slowest.turn / MILLISECOND, "reading_ms" => slowest.reading / MILLISECOND,
-            "read_after_ms" => slowest.arrival / MILLISECOND, "memory_kb" => peak_memory_kb(),
+            "turn_ms" => max_durations.turn / MILLISECOND, "reading_ms" => max_durations.reading / MILLISECOND,
+            "read_after_ms" => max_durations.arrival / MILLISECOND, "memory_kb" => peak_memory_kb(),
             "cpu_ms" => cpu_time_ms(), "descriptors" => descriptors::open_count());
     }
 
--- a/crates/node/src/system/panics.rs
+++ b/crates/node/src/system/panics.rs
@@ -21,13 +21,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Panic {
     /// File, line and column.
-    location: String,
+    source_location: String,
     message: String,
 }
 
 impl Display for Panic {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "panicked at {}: {}", self.location, self.message)
+        write!(f, "panicked at {}: {}", self.source_location, self.message)
     }
 }
 
@@ -35,7 +35,7 @@
     fn new(info: &PanicHookInfo) -> Panic {
         let unknown = || String::from("unknown");
         Panic {
-            location: info.location().map_or_else(unknown, ToString::to_string),
+            source_location: info.location().map_or_else(unknown, ToString::to_string),
             message: info.payload_as_str().map_or_else(unknown, String::from),
         }
     }
@@ -59,7 +59,7 @@
 fn write_line(format: LogFormat, node: Option<&str>, panic: &Panic) {
     let thread = thread::current();
     let mut values = vec![
-        ("place", panic.location.as_str()),
+        ("place", panic.source_location.as_str()),
         ("why", panic.message.as_str()),
         ("thread", thread.name().unwrap_or("unnamed")),
     ];
@@ -77,7 +77,7 @@
     CATCHING.set(false);
     result.map_err(|_| {
         CAUGHT.take().unwrap_or_else(|| Panic {
-            location: "unknown".into(), // `install_hook` was not called.
+            source_location: "unknown".into(), // `install_hook` was not called.
             message: "unknown".into(),
         })
     })
