--- a/crates/membership/src/answers.rs
+++ b/crates/membership/src/answers.rs
@@ -1,24 +1,26 @@
-//! Handles answers to probes: who is reachable, and how fast members respond.
+//! Handles answers to probes: tracks reachability and the response times of members.
 
 use crate::fleet::Fleet;
 use crate::probes::{AnsweredProbe, Probe};
 use crate::{Action, Change, Message};
 use doortrack_time::TenthMillis;
 
-/// Multiples of the time for a direct answer above which a member counts as slow.
+/// A member counts as slow when its response time exceeds this multiple of the acknowledgement
+/// timeout.
 const SLOW_FACTOR: u64 = 3;
 
 impl Fleet {
     pub(crate) fn on_ack(&mut self, now: TenthMillis, nonce: u32, actions: &mut Vec<Action>) {
-        match self.probes.answered(nonce) {
+        match self.probes.take_answered(nonce) {
             AnsweredProbe::InTime(probe) => {
-                self.note_answer(now, actions);
-                self.note_response_time(now, probe, actions);
+                self.record_answer(now, actions);
+                self.update_response_time(now, probe, actions);
             }
             AnsweredProbe::Late(probe) => {
-                self.note_answer(now, actions);
-                self.note_response_time(now, probe, actions);
-                // It is alive, only late: a suspicion begins anew, until the member refutes it.
+                self.record_answer(now, actions);
+                self.update_response_time(now, probe, actions);
+                // The member is alive but slow: its suspicion restarts, which leaves it time for a
+                // refutation.
                 let suspicion = self
                     .table
                     .get_mut(probe.index)
@@ -29,22 +31,22 @@
                 }
             }
             AnsweredProbe::IndirectProbe(probe) => {
-                if let Some(asker) = self.table.index_of(&probe.asker) {
+                if let Some(requester) = self.table.index_of(&probe.requester) {
                     self.send(
-                        asker,
+                        requester,
                         Message::Ack {
-                            nonce: probe.asker_nonce,
+                            nonce: probe.requester_nonce,
                         },
                         actions,
                     );
                 }
             }
-            AnsweredProbe::Nothing => {}
+            AnsweredProbe::Unknown => {}
         }
     }
 
-    /// Smooths a member's response time; a slow member is given longer to answer.
-    fn note_response_time(&mut self, now: TenthMillis, probe: Probe, actions: &mut Vec<Action>) {
+    /// Updates the smoothed response time of a member; a slow member is given longer to answer.
+    fn update_response_time(&mut self, now: TenthMillis, probe: Probe, actions: &mut Vec<Action>) {
         let slow_above = SLOW_FACTOR * self.parameters.ack_timeout;
         let Some(record) = self.table.get_mut(probe.index) else {
             return;
@@ -53,7 +55,8 @@
             return;
         }
         let response_time = now.saturating_sub(probe.sent_at).max(1);
-        // Up at once, down slowly: a wait too short makes suspicions.
+        // The estimate rises at once and falls slowly: a timeout that is too short causes false
+        // suspicions.
         record.response_time = if response_time > record.response_time {
             response_time
         } else {
@@ -69,17 +72,17 @@
             actions.push(Action::Report(Change::Slow {
                 name,
                 incarnation,
-                after: record.response_time,
+                smoothed_response_time: record.response_time,
             }));
         }
         record.slow = slow;
     }
 
-    fn note_answer(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
-        self.answered = true;
+    fn record_answer(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
+        self.answered_this_period = true;
         self.silent_periods = 0;
-        if self.suspects_nobody() {
-            self.resumed_at = now;
+        if self.is_suspicion_paused() {
+            self.reconnected_at = now;
         }
         self.resumed = false;
         if std::mem::take(&mut self.isolated) {
--- a/crates/membership/src/applying.rs
+++ b/crates/membership/src/applying.rs
@@ -1,4 +1,4 @@
-//! Applies updates to the table, the view and the pending updates.
+//! Applies updates to the table, the view and the gossip queue.
 
 use crate::fleet::{Fleet, Timer};
 use crate::suspicion::Suspicion;
@@ -7,7 +7,7 @@
 use doortrack_time::TenthMillis;
 
 impl Fleet {
-    /// Applies an update that takes precedence over what was known. Returns the member's index, or
+    /// Applies an update that takes precedence over the known one. Returns the member's index, or
     /// none if the table is full.
     pub(crate) fn apply(
         &mut self,
@@ -22,7 +22,8 @@
         let old = record.update.clone();
         let restarted = update.incarnation != old.incarnation;
         if restarted {
-            (record.received, record.response_time, record.slow) = (Default::default(), 0, false);
+            (record.replay_window, record.response_time, record.slow) =
+                (Default::default(), 0, false);
         }
         let was_present = old.state.is_present() && !restarted;
         if !matches!(update.state, MemberState::Suspected { .. })
@@ -31,16 +32,16 @@
         {
             record.suspicion = None;
         }
-        // A member that left by itself may come back as often as it likes.
+        // A member that left on its own may return without a penalty.
         let returns = update.state.is_present()
             && old.state != MemberState::Left
             && (restarted || !old.state.is_present());
-        self.table.set(index, update.clone(), now);
+        self.table.set_update(index, update.clone(), now);
         if returns {
-            self.note_return(now, index, actions);
+            self.record_return(now, index, actions);
         }
         self.queue_update(now, index);
-        self.publish_state(
+        self.on_state_change(
             now,
             index,
             &update,
@@ -50,11 +51,11 @@
         Some(index)
     }
 
-    /// Queues the latest update on a member for dissemination.
+    /// Queues the latest update on a member for gossip.
     pub(crate) fn queue_update(&mut self, now: TenthMillis, index: MemberIndex) {
         if let Some(record) = self.table.get(index) {
             self.gossip.add(index, record.revision);
-            self.schedule_updates(now);
+            self.schedule_gossip(now);
         }
     }
 
@@ -70,13 +71,13 @@
         }
         let index = self.table.insert(update.clone(), now);
         self.queue_update(now, index);
-        self.publish_state(now, index, &update, None, actions);
+        self.on_state_change(now, index, &update, None, actions);
         Some(index)
     }
 
-    /// Updates the view and the log after a change of state. `previous` is the state before in the
-    /// same incarnation, if the member was present.
-    fn publish_state(
+    /// Updates the view and reports a change of state. `previous` is the previous state in the same
+    /// incarnation, if the member was present.
+    fn on_state_change(
         &mut self,
         now: TenthMillis,
         index: MemberIndex,
@@ -98,7 +99,7 @@
                 if previous.is_none() {
                     self.add_to_view(now, index, actions);
                 }
-                self.suspected(now, index, by, actions);
+                self.begin_suspicion(now, index, by, actions);
             }
             MemberState::Dead | MemberState::Left => {
                 self.schedule_forget(now, index);
@@ -115,17 +116,17 @@
         }
     }
 
-    /// Schedules when a member that is not present is forgotten.
+    /// Schedules the removal of a member that is not present.
     fn schedule_forget(&mut self, now: TenthMillis, index: MemberIndex) {
         if let Some(record) = self.table.get_mut(index) {
-            record.held_until = None;
+            record.held_back_until = None;
             let forget = Timer::Forget(index, record.revision);
             self.set_timer(now + self.parameters.forget_after, forget);
         }
     }
 
-    /// Begins a suspicion, and may probe the member to confirm or clear it.
-    fn suspected(
+    /// Begins a suspicion, and with some probability probes the member to confirm or clear it.
+    fn begin_suspicion(
         &mut self,
         now: TenthMillis,
         index: MemberIndex,
@@ -140,15 +141,16 @@
         record.suspicion.get_or_insert(Suspicion::new(by, now));
         self.schedule_suspicion_end(now, index);
         actions.push(Action::Report(Change::Suspected { name, incarnation }));
-        // A few of all nodes that learn of it probe the member themselves, however large the fleet.
+        // Of all nodes that learn of the suspicion only about `indirect_probers` probe the member,
+        // however large the fleet.
         let indirect_probers = self.parameters.indirect_probers as f64;
-        if by != self.suspicion_mark && self.rng.f64() * members as f64 <= indirect_probers {
+        if by != self.suspecter_id && self.rng.f64() * members as f64 <= indirect_probers {
             self.probe(now, index, actions);
         }
     }
 
-    /// Counts the suspicion of another node on a member that is suspected already; `false` if it is
-    /// not new.
+    /// Counts another node's suspicion of a member that is already suspected. Returns `false` if it
+    /// was already counted.
     pub(crate) fn confirm_suspicion(
         &mut self,
         now: TenthMillis,
@@ -168,25 +170,25 @@
         };
         suspicion.confirm(by);
         self.schedule_suspicion_end(now, index);
-        // Sent on, as it is independent of the first one.
+        // The confirmation is forwarded, because it is independent of the first suspicion.
         update.state = MemberState::Suspected { by };
-        self.table.set(index, update, now);
+        self.table.set_update(index, update, now);
         self.queue_update(now, index);
         true
     }
 
-    /// Schedules the end of a suspicion, and two final probes before it: an update that cleared it
-    /// may not have reached this node, as dissemination is not certain.
+    /// Schedules the end of a suspicion, and two final probes before it. Gossip is not reliable, so
+    /// that an update which cleared the suspicion may not have reached this node.
     pub(crate) fn schedule_suspicion_end(&mut self, now: TenthMillis, index: MemberIndex) {
-        let (members, resumed_at) = (self.view.members.len(), self.resumed_at);
+        let (members, reconnected_at) = (self.view.members.len(), self.reconnected_at);
         let Some(suspicion) = self.table.get(index).and_then(|record| record.suspicion) else {
             return;
         };
         let ends_at = suspicion
-            .ends_at(&self.parameters, members, resumed_at)
+            .ends_at(&self.parameters, members, reconnected_at)
             .max(now);
-        self.set_timer(ends_at, Timer::Suspicion(index, suspicion.since));
-        let first = self.parameters.final_probes();
+        self.set_timer(ends_at, Timer::SuspicionTimeout(index, suspicion.since));
+        let first = self.parameters.final_probe_lead();
         for before in [first, first / 2] {
             self.set_timer(
                 ends_at.saturating_sub(before).max(now),
@@ -195,12 +197,12 @@
         }
     }
 
-    /// Changes the view, and records when it changed.
+    /// Applies a change to the view, and records when the view changed.
     pub(crate) fn change_view(&mut self, now: TenthMillis, change: impl FnOnce(&mut View)) {
         let before = self.view.number;
         change(&mut self.view);
         if self.view.number != before {
-            self.view_since = now;
+            self.view_changed_at = now;
         }
     }
 }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,41 +1,43 @@
-//! Dissemination: the updates that are still to be sent on, the least often sent first.
+//! Dissemination: the queue of updates to send, those sent least often first.
 
 use std::collections::VecDeque;
 
 use crate::MAX_UPDATES;
 use crate::table::MemberIndex;
 
-/// Entries that wait at once: several times the members of a table, as outdated ones are dropped
-/// only when they come up.
+/// Maximum number of queue entries. Several times the members of a table, because outdated entries
+/// are dropped only when they reach the front.
 const MAX_QUEUED: usize = 20_000;
-/// Updates of one datagram while no more than [`BACKLOG`] wait, so that less depends on each
-/// datagram that is lost.
-const FEW_UPDATES: usize = 10;
-/// Waiting updates above which datagrams are filled, as hundreds would take seconds otherwise.
-const BACKLOG: usize = 100;
-/// Upper bound of [`transmissions`], however large the fleet.
+/// Maximum number of updates in one datagram while at most [`BACKLOG_THRESHOLD`] are queued, so
+/// that a lost datagram loses few updates.
+const MAX_UPDATES_WITHOUT_BACKLOG: usize = 10;
+/// Number of queued updates above which datagrams are filled; hundreds of updates would otherwise
+/// take seconds to spread.
+const BACKLOG_THRESHOLD: usize = 100;
+/// Upper bound of [`transmission_limit`], however large the fleet.
 const MAX_TRANSMISSIONS: usize = 20;
 
-/// How often each node sends an update in a fleet of this size, so that it reaches everyone with
-/// near certainty: it grows with the logarithm of the members.
-fn transmissions(members: usize) -> usize {
+/// How often each node sends an update in a fleet of this size, so that the update reaches every
+/// node with near certainty. The result grows with the logarithm of the members.
+fn transmission_limit(members: usize) -> usize {
     let digits = (members + 1).ilog2() as usize + 1;
     (digits + 2).min(MAX_TRANSMISSIONS)
 }
 
-/// A member, and the revision of its update that is to be sent.
+/// A member, and the revision of its update to send.
 type QueueEntry = (MemberIndex, u32);
 
-/// What a datagram holds of updates already.
+/// The space that a datagram has left for updates, and the updates that it already holds.
 pub struct DatagramFill {
-    /// Bytes that updates may still take.
+    /// Bytes that are left for updates.
     pub free_bytes: usize,
-    /// Updates in it.
+    /// Number of updates in the datagram.
     pub updates: usize,
 }
 
-/// Members whose latest update is still to be sent, by how often it was sent. A member has at most
-/// one entry of its current revision; entries of earlier ones are dropped when they come up.
+/// Queue of members whose latest update is still to be sent, by how often it was sent. A member has
+/// at most one entry of its current revision; entries of earlier revisions are dropped when they
+/// reach the front.
 #[derive(Default)]
 pub struct Gossip {
     by_transmissions: Vec<VecDeque<QueueEntry>>,
@@ -43,14 +45,14 @@
 }
 
 impl Gossip {
-    /// Queues the latest update of a member, which has this revision.
+    /// Queues the latest update of a member, given its revision.
     pub fn add(&mut self, index: MemberIndex, revision: u32) {
         if self.by_transmissions.is_empty() {
             self.by_transmissions
                 .resize_with(MAX_TRANSMISSIONS, VecDeque::new);
         }
         if self.queued >= MAX_QUEUED {
-            // Dropping what was sent most often costs least.
+            // An entry that was sent most often is the least useful one.
             let most_sent = self
                 .by_transmissions
                 .iter_mut()
@@ -62,33 +64,33 @@
         self.queued += 1;
     }
 
-    /// Whether nothing is queued.
+    /// Returns true if nothing is queued.
     pub fn is_empty(&self) -> bool {
         self.queued == 0
     }
 
-    /// Chooses updates for one datagram until it is full, few of them unless many wait, and returns
-    /// their members. `members` is the size of the fleet; `size` is the size in bytes of an entry's
-    /// update, and none if the entry is outdated.
-    pub fn next_updates(
+    /// Selects updates for one datagram and returns their members. Without a backlog the datagram
+    /// holds at most [`MAX_UPDATES_WITHOUT_BACKLOG`]. `members` is the size of the fleet; `size`
+    /// returns the size in bytes of an entry's update, and none if the entry is outdated.
+    pub fn take_updates(
         &mut self,
         mut fill: DatagramFill,
         members: usize,
         size: impl Fn(MemberIndex, u32) -> Option<usize>,
     ) -> Vec<MemberIndex> {
-        let max_updates = if self.queued > BACKLOG {
+        let max_updates = if self.queued > BACKLOG_THRESHOLD {
             MAX_UPDATES
         } else {
-            FEW_UPDATES
+            MAX_UPDATES_WITHOUT_BACKLOG
         };
-        let mut taken: Vec<(usize, QueueEntry)> = Vec::new();
+        let mut selected: Vec<(usize, QueueEntry)> = Vec::new();
         'full: for (sent, queue) in self.by_transmissions.iter_mut().enumerate() {
             while let Some((index, revision)) = queue.pop_front() {
                 self.queued -= 1;
                 let Some(size) = size(index, revision) else {
                     continue;
                 };
-                taken.push((sent + 1, (index, revision)));
+                selected.push((sent + 1, (index, revision)));
                 fill.free_bytes = fill.free_bytes.saturating_sub(size);
                 fill.updates += 1;
                 if fill.free_bytes == 0 || fill.updates >= max_updates {
@@ -96,11 +98,11 @@
                 }
             }
         }
-        self.requeue(&taken, transmissions(members));
-        taken.iter().map(|(_, (index, _))| *index).collect()
+        self.requeue(&selected, transmission_limit(members));
+        selected.iter().map(|(_, (index, _))| *index).collect()
     }
 
-    /// Queues entries again that were sent less often than `max_transmissions`.
+    /// Requeues the entries that were sent less often than `max_transmissions`.
     fn requeue(&mut self, sent_entries: &[(usize, QueueEntry)], max_transmissions: usize) {
         for (sent, entry) in sent_entries {
             if *sent < max_transmissions {
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -1,6 +1,6 @@
-//! Joining, returning and leaving, and names that are used twice.
+//! Joining, returning and leaving, and duplicate names.
 
-use crate::fleet::{Fleet, RETRANSMISSIONS, Stage, Timer};
+use crate::fleet::{ANNOUNCEMENT_ROUNDS, Fleet, Stage, Timer};
 use crate::receiving::MAX_UPDATES_ACCEPTED;
 use crate::table::MemberIndex;
 use crate::{
@@ -8,28 +8,30 @@
 };
 use doortrack_time::TenthMillis;
 
-/// Rounds of join requests that all go to seeds.
-const EARLY_JOIN_REQUESTS: u32 = 5;
-/// Of later rounds one in this many goes to a seed.
-const LATER_REQUESTS_EVERY: u32 = 4;
-/// How often the time that a member is held back is doubled at most.
+/// Number of initial rounds of join requests that ask as many seeds as possible.
+const EARLY_JOIN_ROUNDS: u32 = 5;
+/// One in this many later rounds asks a seed.
+const SEED_ROUND_INTERVAL: u32 = 4;
+/// Maximum number of times that the hold time of a member is doubled.
 const MAX_HOLD_DOUBLINGS: u32 = 20;
-/// Seeds that are asked in one round.
-const MAX_SEEDS_AT_ONCE: usize = 3;
+/// Maximum number of seeds asked in one round.
+const MAX_SEEDS_PER_ROUND: usize = 3;
 
 impl Fleet {
-    /// Sends one round of join requests to nodes that may be present though not in the view: a dead
-    /// member, and seeds, more of them while nobody answers.
+    /// Sends one round of join requests to nodes that may be present although they are not in the
+    /// view: seeds, more of them while nobody answers, and one dead member.
     pub(crate) fn send_join_requests(&mut self, actions: &mut Vec<Action>) {
-        self.join_requests = self.join_requests.saturating_add(1);
-        let alone = self.stage == Stage::Joining || self.isolated || self.table.present() == 0;
-        // Nodes that all start at once form islands at first.
-        let ask_seed = self.join_requests <= EARLY_JOIN_REQUESTS
-            || self.join_requests.is_multiple_of(LATER_REQUESTS_EVERY);
-        let max = if alone || self.join_requests <= EARLY_JOIN_REQUESTS {
-            MAX_SEEDS_AT_ONCE
+        self.join_rounds = self.join_rounds.saturating_add(1);
+        let is_alone =
+            self.stage == Stage::Joining || self.isolated || self.table.present_count() == 0;
+        // The first rounds always ask seeds, because nodes that start at the same time form
+        // separate fleets at first.
+        let asks_seed = self.join_rounds <= EARLY_JOIN_ROUNDS
+            || self.join_rounds.is_multiple_of(SEED_ROUND_INTERVAL);
+        let max = if is_alone || self.join_rounds <= EARLY_JOIN_ROUNDS {
+            MAX_SEEDS_PER_ROUND
         } else {
-            usize::from(ask_seed)
+            usize::from(asks_seed)
         };
         let seeds = self.parameters.seeds.len().min(max);
         let first = self.rng.usize(..self.parameters.seeds.len().max(1));
@@ -45,9 +47,9 @@
         }
     }
 
-    /// Sends a page of the table, in answer to a join request or for a fetch. A join request alone
-    /// makes no member, as it may be replayed: the sender is one once it addresses this
-    /// incarnation.
+    /// Sends a page of the table in answer to a join request or a page request. A join request does
+    /// not make its sender a member, because it may be replayed: the sender becomes one when it
+    /// addresses this incarnation.
     pub(crate) fn send_page(
         &mut self,
         to: &MemberUpdate,
@@ -74,7 +76,7 @@
         );
     }
 
-    /// Puts a present member into the view, unless it is held back.
+    /// Adds a present member to the view, unless it is held back.
     pub(crate) fn add_to_view(
         &mut self,
         now: TenthMillis,
@@ -88,25 +90,25 @@
         else {
             return;
         };
-        if record.held_until.is_some_and(|until| until > now) {
+        if record.held_back_until.is_some_and(|until| until > now) {
             return;
         }
-        record.held_until = None;
+        record.held_back_until = None;
         let update = &record.update;
-        let (name, incarnation, back) =
+        let (name, incarnation, returned) =
             (update.name.clone(), update.incarnation, record.returns > 0);
         let member = update.member();
         self.change_view(now, |view| view.put(&name, member));
         actions.push(Action::Report(Change::Alive {
             name,
             incarnation,
-            back,
+            returned,
         }));
     }
 
-    /// Counts a return from being dead, and holds the member back if it returns repeatedly. The
-    /// first return is free, as after a restart or a broken link.
-    pub(crate) fn note_return(
+    /// Counts a return of a dead member, and holds it back if it returns repeatedly. The first
+    /// return, as after a restart or a broken link, has no penalty.
+    pub(crate) fn record_return(
         &mut self,
         now: TenthMillis,
         index: MemberIndex,
@@ -125,9 +127,9 @@
             return;
         }
         let wait = max_wait.min(first_wait << (record.returns - 2).min(MAX_HOLD_DOUBLINGS));
-        record.held_until = Some(now + wait);
+        record.held_back_until = Some(now + wait);
         let (name, incarnation) = (record.update.name.clone(), record.update.incarnation);
-        self.set_timer(now + wait, Timer::Admit(index));
+        self.set_timer(now + wait, Timer::HoldBackEnd(index));
         self.change_view(now, |view| view.remove(&name));
         actions.push(Action::Report(Change::HeldBack {
             name,
@@ -136,7 +138,7 @@
         }));
     }
 
-    /// Announces that this node leaves, at once and in further rounds.
+    /// Announces that this node leaves, immediately and in further gossip rounds.
     pub(crate) fn on_leave(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         if self.stage == Stage::Leaving {
             return;
@@ -145,12 +147,13 @@
         self.me.state = MemberState::Left;
         let name = self.me.name.clone();
         self.change_view(now, |view| view.remove(&name));
-        self.retransmissions = RETRANSMISSIONS;
-        self.send_updates(now, actions);
+        self.announcement_rounds_left = ANNOUNCEMENT_ROUNDS;
+        self.send_gossip(now, actions);
     }
 
-    /// Handles an update on this node's own name; `direct` if a process of that name sent it.
-    pub(crate) fn on_own_name(
+    /// Handles an update on this node's own name. `direct` is true if a process with that name sent
+    /// it.
+    pub(crate) fn on_update_about_self(
         &mut self,
         now: TenthMillis,
         update: &MemberUpdate,
@@ -163,15 +166,15 @@
             }
         } else if update.incarnation < self.me.incarnation {
             if direct {
-                self.supersede(update, actions);
+                self.notify_superseded(update, actions);
             }
         } else if self.stage == Stage::Joining
             || !update.state.is_present()
             || update.address == self.me.address
         {
-            // That incarnation is over, as only this process is where it was, or this one joins
-            // after it.
-            self.start_incarnation(now, update.incarnation, actions);
+            // The other incarnation left, died or had this process's address, or this process
+            // joins after it: this process stays, under a later incarnation.
+            self.adopt_later_incarnation(now, update.incarnation, actions);
         } else {
             self.stage = Stage::Superseded;
             actions.push(Action::Report(Change::Superseded {
@@ -181,28 +184,28 @@
         }
     }
 
-    /// Refutes what others say about this incarnation, unless a later version has done so.
+    /// Refutes an update on this incarnation, unless a later version has already done so.
     fn refute(&mut self, now: TenthMillis, update: &MemberUpdate, actions: &mut Vec<Action>) {
         let outdated = update.version < self.me.version;
         if update.state == MemberState::Alive || outdated || self.stage == Stage::Leaving {
             return;
         }
         if update.state == MemberState::Left {
-            // Final for that incarnation, which this one therefore can't be.
-            return self.start_incarnation(now, update.incarnation, actions);
+            // Having left is final for an incarnation: this node continues under a new one.
+            return self.adopt_later_incarnation(now, update.incarnation, actions);
         }
         self.me.version = update.version + 1;
-        self.retransmissions = RETRANSMISSIONS;
-        self.schedule_updates(now);
+        self.announcement_rounds_left = ANNOUNCEMENT_ROUNDS;
+        self.schedule_gossip(now);
     }
 
-    /// Notifies an earlier process of this node's name, which learns of this incarnation by the
-    /// head.
-    fn supersede(&mut self, update: &MemberUpdate, actions: &mut Vec<Action>) {
+    /// Notifies an earlier process with this node's name. The header of the datagram tells it this
+    /// incarnation.
+    fn notify_superseded(&mut self, update: &MemberUpdate, actions: &mut Vec<Action>) {
         let (address, incarnation) = (update.address, update.incarnation);
         self.send_to(address, incarnation, Message::Updates, Vec::new(), actions);
-        if self.duplicate != incarnation {
-            self.duplicate = incarnation;
+        if self.reported_duplicate != incarnation {
+            self.reported_duplicate = incarnation;
             actions.push(Action::Report(Change::DuplicateName {
                 incarnation,
                 address,
@@ -210,20 +213,20 @@
         }
     }
 
-    /// Continues under an incarnation later than `than`.
-    fn start_incarnation(
+    /// Continues under an incarnation later than `known`.
+    fn adopt_later_incarnation(
         &mut self,
         now: TenthMillis,
-        than: Incarnation,
+        known: Incarnation,
         actions: &mut Vec<Action>,
     ) {
-        self.me.incarnation = Incarnation(than.0.saturating_add(1 + self.rng.u64(..256)));
+        self.me.incarnation = Incarnation(known.0.saturating_add(1 + self.rng.u64(..256)));
         self.me.version = 0;
         let (name, update) = (self.me.name.clone(), &self.me);
         let member = update.member();
         self.change_view(now, |view| view.put(&name, member));
-        self.retransmissions = RETRANSMISSIONS;
-        self.schedule_updates(now);
+        self.announcement_rounds_left = ANNOUNCEMENT_ROUNDS;
+        self.schedule_gossip(now);
         actions.push(Action::Report(Change::NewIncarnation {
             incarnation: self.me.incarnation,
         }));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,8 @@
 //! Membership: decides which nodes of a fleet are present.
 //!
-//! Every node holds a [`Fleet`]. It is driven by [`Event`]s with the time of each, and returns
-//! [`Action`]s to execute. There are neither sockets nor a clock here, and the same events with the
-//! same seed give the same actions, so that the node, the simulation and the tests drive the same
-//! code.
+//! Every node runs a [`Fleet`], a state machine that takes [`Event`]s with the time of each and
+//! returns [`Action`]s to execute. It does no I/O and reads no clock. The same events with the same
+//! seed give the same actions, so that the node, the simulation and the tests run the same code.
 //!
 //! ```text
 //! let mut fleet = Fleet::new(me, parameters, seed, now);
@@ -11,43 +10,44 @@
 //! fleet.handle(now, Event::Received { from, datagram }, &mut actions);
 //! ```
 //!
-//! The protocol is SWIM: each node probes one other in each period, asks indirect probers to try
-//! before it suspects the member, and updates travel on the datagrams that are sent anyway.
-//! Additions, and why:
+//! The protocol is SWIM: each node probes one other member per period, asks indirect probers to
+//! probe a member before it suspects it, and piggybacks updates on the datagrams that are sent
+//! anyway. The following is added to SWIM:
 //! - **Incarnations.** A node is identified by its name and an [`Incarnation`], a number that is
-//!   never used twice. Updates on an earlier incarnation are ignored, and a datagram names the
-//!   incarnation that it is meant for, so that replays change nothing.
-//! - **A process that was paused suspects nobody.** A tick that comes late by more than
-//!   [`Parameters::max_lateness`] drops all probes and restarts all suspicions; until another node
-//!   has answered, nobody is suspected.
-//! - **A node that nobody answers considers itself isolated**, and declares nobody dead.
-//! - **Confirmations.** Some of the nodes that hear of a suspicion probe the member themselves.
-//!   Each probe that fails shortens the suspicion; an unconfirmed one lasts longest.
-//! - **Left is not dead**, and a member that comes back repeatedly is held back longer each time.
-//! - **[`View`]s.** The members on which decisions may rest, in order, with a number that grows by
-//!   one with each change and a digest that is equal in two nodes exactly when their members are.
+//!   never reused. Updates on an earlier incarnation are ignored, and a datagram names the
+//!   incarnation that it is addressed to, so that replays change nothing.
+//! - **A process that was paused suspects nobody.** A tick that is late by more than
+//!   [`Parameters::max_lateness`] drops all probes and restarts all suspicions. Nobody is suspected
+//!   until another node has answered.
+//! - **A node that receives no answers considers itself isolated**, and declares nobody dead.
+//! - **Confirmations.** Some of the nodes that learn of a suspicion probe the member themselves.
+//!   Each such probe that fails shortens the suspicion; an unconfirmed suspicion lasts longest.
+//! - **A member that left is not dead**, and a member that returns repeatedly is held back longer
+//!   each time.
+//! - **[`View`]s.** A view is the ordered set of present members, with a number that grows by one
+//!   with each change and a digest that is equal on two nodes exactly when their members are.
 //!
-//! Assumptions: the time of events does not go back within one process; it need not agree between
-//! two. Any datagram may be lost, delayed, duplicated or replayed. A member may die, pause and
-//! resume at any point. Two processes may use the same name: the incarnation that joined later
-//! stays. Members of one fleet do not lie; whoever does not hold the key is kept out before
-//! anything gets here.
+//! Assumptions: the time of events never goes back within one process; the clocks of two processes
+//! need not agree. Any datagram may be lost, delayed, duplicated or replayed. A member may die,
+//! pause and resume at any point. Two processes may use the same name: the incarnation that joined
+//! later stays. Members of one fleet do not lie; datagrams of senders without the key are rejected
+//! before they reach this package.
 //!
 //! Not guaranteed: that two nodes have the same view at the same time. A decision that needs this
 //! has to rest on leases or a majority, not on a view.
 //!
-//! Bounds: members ([`Parameters::max_members`]), probes under way, updates in a datagram,
-//! datagrams in a period. The cost of an event grows at most with the logarithm of the members.
+//! Bounded are: members ([`Parameters::max_members`]), pending probes, updates per datagram,
+//! datagrams per period. The cost of an event grows at most with the logarithm of the members.
 
 mod answers;
 mod applying;
-mod evidence;
 mod fleet;
 mod gossip;
 mod joining;
 mod message;
 mod parameters;
 mod probes;
+mod received_updates;
 mod receiving;
 mod report;
 mod sending;
@@ -75,16 +75,16 @@
 /// The name of a node; see [`is_valid_name`].
 pub type Name = Arc<str>;
 
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// One run of a node's process. Of two incarnations of one name the greater one is the later; 0
-/// stands for none.
+/// Identifies one process lifetime of a node. The greater of two incarnations of a name is the
+/// later one; 0 stands for none.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(
-    /// Its number.
+    /// The number of the incarnation.
     pub u64,
 );
 
@@ -95,7 +95,7 @@
 }
 
 impl Incarnation {
-    /// The incarnation of a process started at this Unix time in ms. Its low 16 bits are random, so
+    /// The incarnation of a process started at this Unix time in ms. The low 16 bits are random, so
     /// that two processes started in the same ms differ.
     pub fn from_start_time(unix_ms: u64, random: u64) -> Incarnation {
         Incarnation((unix_ms << 16) | (random & 0xffff))
@@ -105,20 +105,20 @@
 /// An input of [`Fleet::handle`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; due by [`Fleet::next_due`] at the latest.
+    /// Runs the timers that are due. Needed by [`Fleet::next_due`] at the latest.
     Tick,
-    /// A datagram arrived that is intact and belongs to this fleet.
+    /// An authenticated datagram of this fleet arrived.
     Received {
-        /// The address that it came from.
+        /// The source address.
         from: SocketAddr,
         /// The datagram.
         datagram: Datagram,
     },
-    /// The node was asked to leave.
+    /// The node is to leave the fleet.
     Leave,
-    /// The parameters and seeds were changed.
+    /// The parameters, seeds included, were changed.
     ParametersChanged {
-        /// The new ones.
+        /// The new parameters.
         parameters: Box<Parameters>,
     },
 }
@@ -126,14 +126,14 @@
 /// An output of [`Fleet::handle`], to be executed in order.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a datagram to this address; it may get lost.
+    /// Send a datagram; it may be lost.
     Send {
-        /// Where it goes (UDP).
+        /// The destination address (UDP).
         to: SocketAddr,
         /// The datagram.
         datagram: Box<Datagram>,
     },
-    /// Notify the log, and those whose decisions rest on the view.
+    /// Log the change, and notify the users of the view.
     Report(Change),
 }
 
@@ -146,10 +146,10 @@
         name: Name,
         /// Its incarnation.
         incarnation: Incarnation,
-        /// Whether it was dead before.
-        back: bool,
+        /// Whether it was declared dead before.
+        returned: bool,
     },
-    /// A probe of a member failed, here or elsewhere.
+    /// A probe of a member failed, on this node or another.
     Suspected {
         /// The member.
         name: Name,
@@ -163,65 +163,65 @@
         /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// A member was declared dead and left the view.
+    /// A member was declared dead and removed from the view.
     Dead {
         /// The member.
         name: Name,
         /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// A member announced that it leaves, and left the view.
+    /// A member announced that it leaves, and was removed from the view.
     Left {
         /// The member.
         name: Name,
         /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// A member came back too often.
+    /// A member returned too often and is kept out of the view.
     HeldBack {
         /// The member.
         name: Name,
         /// Its incarnation.
         incarnation: Incarnation,
-        /// How long it is kept out of the view.
+        /// How long the member is kept out of the view.
         wait: TenthMillis,
     },
-    /// A member answers, but late.
+    /// A member answers, but slowly.
     Slow {
         /// The member.
         name: Name,
         /// Its incarnation.
         incarnation: Incarnation,
-        /// Its smoothed response time.
-        after: TenthMillis,
+        /// The smoothed response time.
+        smoothed_response_time: TenthMillis,
     },
-    /// Nobody answers this node (`true`), or somebody does again.
+    /// This node became isolated (`true`) or received an answer again (`false`).
     Isolated(bool),
-    /// This process was paused and has resumed.
+    /// This process resumed after a pause.
     Resumed {
-        /// How late it runs by its own clock.
+        /// By how much the timer that was due next is overdue.
         late: TenthMillis,
     },
-    /// This node continues under another incarnation, as a later one of its name was known.
+    /// This node adopted a new incarnation because a later one of its name was already known.
     NewIncarnation {
         /// The new incarnation.
         incarnation: Incarnation,
     },
-    /// Another process of this node's name joined later: this one no longer takes part.
+    /// Another process with this node's name joined later; this process no longer takes part.
     Superseded {
         /// The incarnation of the other process.
         by: Incarnation,
         /// Its address.
         address: SocketAddr,
     },
-    /// Another process of this node's name joined earlier; it is notified that it is superseded.
+    /// Another process with this node's name joined earlier; it is notified that it is superseded.
     DuplicateName {
         /// The incarnation of the other process.
         incarnation: Incarnation,
         /// Its address.
         address: SocketAddr,
     },
-    /// The table is full: a new member was left out.
+    /// A new member was not added because the table is full.
     TableFull {
         /// The member.
         name: Name,
@@ -229,11 +229,13 @@
 }
 
 impl Change {
-    /// Its name in logs and histories.
+    /// The name of the change in logs and histories.
     pub fn name(&self) -> &'static str {
         match self {
-            Change::Alive { back: false, .. } => "alive",
-            Change::Alive { back: true, .. } => "back",
+            Change::Alive {
+                returned: false, ..
+            } => "alive",
+            Change::Alive { returned: true, .. } => "back",
             Change::Suspected { .. } => "suspected",
             Change::Cleared { .. } => "cleared",
             Change::Dead { .. } => "dead",
@@ -250,7 +252,7 @@
         }
     }
 
-    /// The member that it is about, unless that is this node.
+    /// The member that changed; none if the change concerns this node.
     pub fn member(&self) -> Option<(&Name, Incarnation)> {
         match self {
             Change::Alive {
@@ -271,7 +273,7 @@
     }
 }
 
-/// Whether this can be a node's name: 1 to 64 bytes without control characters.
+/// Returns true if this is a valid node name: 1 to 64 bytes without control characters.
 pub fn is_valid_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control)
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -5,21 +5,22 @@
 
 use crate::{Incarnation, MemberUpdate, Name};
 
-/// Updates that one datagram carries at most; builds of this version read 64.
+/// Maximum number of updates that a node puts into one datagram; receivers accept 64.
 pub const MAX_UPDATES: usize = 40;
-/// Bytes of updates past which a datagram takes no more: with the longest update (110) that comes
-/// last, and all else in the datagram (at most 300), it is below 1,472.
+/// Size of the updates in a datagram, in bytes, at which no further update is added. With a last
+/// update of maximum size (110) and the rest of the datagram (at most 300) the total stays below
+/// 1,472.
 pub const UPDATE_BYTES_THRESHOLD: usize = 1_000;
 
-/// The sender of a datagram, and the incarnation that it is meant for.
+/// The header of a datagram: its sender, and the incarnation that it is addressed to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DatagramHeader {
     /// What the sender announces about itself.
     pub sender: MemberUpdate,
-    /// The receiver's incarnation; 0 where the sender does not know it.
+    /// The receiver's incarnation; 0 if the sender does not know it.
     pub to: Incarnation,
-    /// The number of the datagram, which grows within the sender's incarnation: replays are
-    /// recognized by it.
+    /// The sequence number of the datagram, which grows within the sender's incarnation. Replays
+    /// are recognized by it.
     pub sequence: u64,
     /// The digest of the sender's [`View`](crate::View).
     pub digest: u64,
@@ -27,51 +28,51 @@
     pub view: u64,
 }
 
-/// What a datagram is for, beside the updates that it carries.
+/// The purpose of a datagram, apart from the updates that it carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks a node whose incarnation is not known for its table, from the start.
+    /// Requests the table, from its start, of a node whose incarnation is not known.
     Join,
     /// Probes the receiver, which answers with [`Message::Ack`].
     Ping {
-        /// Returned with the answer.
+        /// Returned in the answer.
         nonce: u32,
     },
-    /// Answers a probe, made directly or through the sender.
+    /// Answers a direct probe, or an indirect one that the sender made.
     Ack {
-        /// That of the probe.
+        /// The nonce of the probe or of the request for it.
         nonce: u32,
     },
     /// Asks the receiver to probe another member.
     PingRequest {
-        /// Returned with the answer, if there is one.
+        /// Returned in the answer, if there is one.
         nonce: u32,
         /// The member to probe.
         name: Name,
         /// Its incarnation, as the sender knows it.
         incarnation: Incarnation,
     },
-    /// Carries updates and nothing else.
+    /// Carries only updates.
     Updates,
     /// Requests a page of the table.
     PageRequest {
-        /// The name behind which the page starts; none for the start of the table.
+        /// The page starts after this name; none for the start of the table.
         after: Option<Name>,
     },
     /// A page of the table, as updates.
     Page {
-        /// The name behind which the next page starts, if there is more.
+        /// The next page starts after this name; none on the last page.
         next: Option<Name>,
     },
 }
 
-/// One datagram, before it is sealed.
+/// One datagram, without the envelope that authenticates it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Its sender and receiver.
+    /// The sender and receiver.
     pub head: DatagramHeader,
-    /// Its purpose.
+    /// The purpose of the datagram.
     pub message: Message,
-    /// Updates on any members; at most [`MAX_UPDATES`] but on a page of the table.
+    /// Updates on any members; at most [`MAX_UPDATES`], except on a page of the table.
     pub updates: Vec<MemberUpdate>,
 }
--- a/crates/membership/src/parameters.rs
+++ b/crates/membership/src/parameters.rs
@@ -1,41 +1,42 @@
-//! Timing and bounds of membership, as the operators set them.
+//! Configurable timing and bounds of membership.
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 use std::net::SocketAddr;
 
-/// Timing and bounds. All times are in tenths of a millisecond. The reader of the operators' file
-/// checks their ranges; nothing here does.
+/// Timing and bounds. All times are in tenths of a millisecond. Ranges are checked when the
+/// configuration is read, not here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameters {
-    /// Addresses that join requests go to, at start and now and then later, so that a split fleet
-    /// heals.
+    /// Addresses that join requests are sent to, at start and periodically later, so that the parts
+    /// of a partitioned fleet rejoin.
     pub seeds: Vec<SocketAddr>,
-    /// One member is probed in each period.
+    /// The interval between probes; one member is probed in each period.
     pub probe_period: TenthMillis,
-    /// How long a direct answer is awaited before indirect probers are asked; less than `period`.
+    /// How long to wait for a direct answer before asking indirect probers; less than
+    /// `probe_period`.
     pub ack_timeout: TenthMillis,
-    /// Members that are asked to probe in this node's place when there is no direct answer.
+    /// How many members are asked for an indirect probe when there is no direct answer.
     pub indirect_probers: usize,
-    /// How long a suspicion that others confirmed lasts before the member is declared dead.
+    /// How long a fully confirmed suspicion lasts before the member is declared dead.
     pub suspicion_min: TenthMillis,
-    /// The same for a suspicion that nobody confirmed.
+    /// How long an unconfirmed suspicion lasts before the member is declared dead.
     pub suspicion_max: TenthMillis,
-    /// The interval at which pending updates are sent.
+    /// The interval between gossip rounds.
     pub gossip_interval: TenthMillis,
-    /// Members that each round of updates goes to.
+    /// How many members each gossip round is sent to.
     pub gossip_fanout: usize,
-    /// A process that runs later than it asked for by more than this counts as having been paused.
+    /// A process counts as having been paused if a timer is overdue by more than this.
     pub max_lateness: TenthMillis,
-    /// Periods without any answer after which this node considers itself isolated.
+    /// This node considers itself isolated after more periods than this without any answer.
     pub max_silent_periods: u32,
-    /// How long a member that came back for the second time is kept out of the view; doubled with
+    /// How long a member that returns for the second time is kept out of the view; doubled with
     /// each further return.
     pub initial_hold: TenthMillis,
-    /// The longest time that a member is kept out of the view.
+    /// The longest time that a member is kept out of the view after a return.
     pub max_hold: TenthMillis,
-    /// Dead and left members are forgotten after this.
+    /// How long dead and left members are remembered.
     pub forget_after: TenthMillis,
-    /// Members that the table holds beside this node; further ones are left out.
+    /// Maximum number of members in the table, without this node; further ones are not added.
     pub max_members: usize,
 }
 
@@ -66,13 +67,14 @@
         self.probe_period * 5
     }
 
-    /// How long before its end a suspected member is first probed finally; again after half of it.
-    pub(crate) fn final_probes(&self) -> TenthMillis {
+    /// How long before the end of a suspicion the first final probe is sent; the second one follows
+    /// after half of this time.
+    pub(crate) fn final_probe_lead(&self) -> TenthMillis {
         self.ack_timeout * 3
     }
 
-    /// The longest time that an answer is awaited, however slow the member.
-    pub fn max_wait(&self) -> TenthMillis {
+    /// Upper bound of the time to wait for a direct answer, however slow the member.
+    pub fn max_ack_timeout(&self) -> TenthMillis {
         self.suspicion_max
     }
 }
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -1,5 +1,4 @@
-//! Bookkeeping of probes: those under way, those that failed lately, and those made for other
-//! nodes.
+//! Tracks probes: pending ones, recently failed ones, and those made for other nodes.
 
 use std::collections::VecDeque;
 
@@ -7,73 +6,74 @@
 use crate::{Incarnation, Name};
 use doortrack_time::TenthMillis;
 
-/// Probes under way at once: one each period, and those that confirm suspicions of others.
+/// Maximum number of pending probes: one per period, and those that check suspicions of others.
 const MAX_PENDING: usize = 16;
-/// Failed probes that are remembered, as a late answer shows how slow the member is.
-const MAX_LATE: usize = 32;
-/// Probes made for other nodes that are remembered; the oldest is dropped first.
+/// Maximum number of remembered failed probes. A late answer to one shows how slow the member is.
+const MAX_FAILED: usize = 32;
+/// Maximum number of remembered probes for other nodes; the oldest is dropped first.
 const MAX_INDIRECT: usize = 64;
 
 /// A probe of one member.
 #[derive(Clone, Copy, Debug)]
 pub struct Probe {
-    /// Comes back with the answer.
+    /// Returned in the answer.
     pub nonce: u32,
-    /// The member that is probed.
+    /// The probed member.
     pub index: MemberIndex,
-    /// Its incarnation at that time.
+    /// The member's incarnation when the probe was sent.
     pub incarnation: Incarnation,
-    /// When it was sent, in tenths of a millisecond.
+    /// When the probe was sent, in tenths of a millisecond.
     pub sent_at: TenthMillis,
 }
 
-/// A probe that another node asked for.
+/// A probe made at the request of another node.
 #[derive(Clone, Debug)]
 pub struct IndirectProbe {
-    /// Of this node's ping.
+    /// The nonce of this node's ping.
     pub nonce: u32,
-    /// The node that asked.
-    pub asker: Name,
-    /// The nonce of its request.
-    pub asker_nonce: u32,
+    /// The node that requested the probe.
+    pub requester: Name,
+    /// The nonce of the request.
+    pub requester_nonce: u32,
 }
 
-/// All probes of one node; every list is bounded.
+/// The probes of one node; every list is bounded.
 #[derive(Default)]
 pub struct Probes {
     pending: Vec<Probe>,
-    late: VecDeque<Probe>,
+    failed: VecDeque<Probe>,
     indirect: VecDeque<IndirectProbe>,
 }
 
-/// Which probe an answer belongs to.
+/// The probe that an answer belongs to.
 pub enum AnsweredProbe {
-    /// One under way.
+    /// A pending probe.
     InTime(Probe),
-    /// One that had failed.
+    /// A probe that had already failed.
     Late(Probe),
-    /// One that was made for another node.
+    /// A probe made for another node.
     IndirectProbe(IndirectProbe),
-    /// None that is remembered.
-    Nothing,
+    /// No remembered probe.
+    Unknown,
 }
 
 impl Probes {
-    /// Records a probe; `false` if [`MAX_PENDING`] are under way already and it must not be sent.
-    pub fn begin(&mut self, probe: Probe) -> bool {
-        let accepted = self.pending.len() < MAX_PENDING;
-        if accepted {
+    /// Records a probe. Returns `false` if [`MAX_PENDING`] are pending already, in which case the
+    /// probe must not be sent.
+    pub fn try_begin(&mut self, probe: Probe) -> bool {
+        let is_accepted = self.pending.len() < MAX_PENDING;
+        if is_accepted {
             self.pending.push(probe);
         }
-        accepted
+        is_accepted
     }
 
-    /// Whether a probe of this member is under way.
+    /// Returns true if a probe of this member is pending.
     pub fn is_pending(&self, index: MemberIndex) -> bool {
         self.pending.iter().any(|probe| probe.index == index)
     }
 
-    /// The probe under way with this nonce.
+    /// The pending probe with this nonce.
     pub fn get(&self, nonce: u32) -> Option<Probe> {
         self.pending
             .iter()
@@ -81,44 +81,44 @@
             .copied()
     }
 
-    /// Moves a probe that was not answered in time to the failed ones.
+    /// Moves a pending probe that was not answered in time to the failed ones.
     pub fn fail(&mut self, nonce: u32) -> Option<Probe> {
         let index = self.pending.iter().position(|probe| probe.nonce == nonce)?;
         let probe = self.pending.swap_remove(index);
-        if self.late.len() >= MAX_LATE {
-            self.late.pop_front();
+        if self.failed.len() >= MAX_FAILED {
+            self.failed.pop_front();
         }
-        self.late.push_back(probe);
+        self.failed.push_back(probe);
         Some(probe)
     }
 
-    /// Takes out the probe that an answer belongs to.
-    pub fn answered(&mut self, nonce: u32) -> AnsweredProbe {
+    /// Removes and returns the probe that an answer belongs to.
+    pub fn take_answered(&mut self, nonce: u32) -> AnsweredProbe {
         if let Some(index) = self.pending.iter().position(|probe| probe.nonce == nonce) {
             return AnsweredProbe::InTime(self.pending.swap_remove(index));
         }
-        if let Some(index) = self.late.iter().position(|probe| probe.nonce == nonce) {
+        if let Some(index) = self.failed.iter().position(|probe| probe.nonce == nonce) {
             return self
-                .late
+                .failed
                 .remove(index)
-                .map_or(AnsweredProbe::Nothing, AnsweredProbe::Late);
+                .map_or(AnsweredProbe::Unknown, AnsweredProbe::Late);
         }
         let index = self.indirect.iter().position(|probe| probe.nonce == nonce);
         index
             .and_then(|index| self.indirect.remove(index))
-            .map_or(AnsweredProbe::Nothing, AnsweredProbe::IndirectProbe)
+            .map_or(AnsweredProbe::Unknown, AnsweredProbe::IndirectProbe)
     }
 
     /// Records a probe made for another node.
-    pub fn begin_indirect(&mut self, probe: IndirectProbe) {
+    pub fn record_indirect(&mut self, probe: IndirectProbe) {
         if self.indirect.len() >= MAX_INDIRECT {
             self.indirect.pop_front();
         }
         self.indirect.push_back(probe);
     }
 
-    /// Forgets the probes under way: after a pause of the process they prove nothing.
-    pub fn drop_all(&mut self) {
+    /// Forgets the pending probes, which prove nothing after a pause of the process.
+    pub fn drop_pending(&mut self) {
         self.pending.clear();
     }
 }
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/received_updates.rs
@@ -1,18 +1,18 @@
-//! Evaluates updates: direct evidence of a datagram's sender, and indirect evidence of other
-//! members.
+//! Evaluates received updates: those of a datagram's sender on itself, and those on other members.
 
 use crate::fleet::Fleet;
 use crate::table::MemberIndex;
 use crate::{Action, DatagramHeader, MemberState, MemberUpdate, Message};
 use doortrack_time::TenthMillis;
 
-/// The mark of a suspicion that rests on other nodes' having declared the member dead.
-const DECLARED_DEAD_MARK: u32 = 0;
+/// The suspecter id of a suspicion that began because other nodes declared the member dead.
+const DECLARED_DEAD_ID: u32 = 0;
 
 impl Fleet {
-    /// Applies the sender's update on itself. Returns its index if the rest of the datagram is to
-    /// be handled: it is not replayed, and not of an earlier incarnation or a member that left.
-    pub(crate) fn direct_evidence(
+    /// Applies the sender's update on itself. Returns the sender's index if the rest of the
+    /// datagram is to be handled: it is not replayed, and not from an earlier incarnation or a
+    /// member that left.
+    pub(crate) fn apply_sender_update(
         &mut self,
         now: TenthMillis,
         head: &DatagramHeader,
@@ -21,19 +21,22 @@
     ) -> Option<MemberIndex> {
         let Some(index) = self.table.index_of(&head.sender.name) else {
             let index = self.apply(now, head.sender.clone(), actions)?;
-            self.table.get_mut(index)?.received.insert(head.sequence);
+            self.table
+                .get_mut(index)?
+                .replay_window
+                .insert(head.sequence);
             return Some(index).filter(|_| head.sender.state != MemberState::Left);
         };
         let known = self.table.get(index)?.update.clone();
         if head.sender.incarnation < known.incarnation {
-            self.refuse_earlier(head, known, actions);
+            self.refuse_earlier_incarnation(head, known, actions);
             return None;
         }
         if head.sender.overrides(&known) {
             self.apply(now, head.sender.clone(), actions);
         }
         let record = self.table.get_mut(index)?;
-        if !record.received.insert(head.sequence) {
+        if !record.replay_window.insert(head.sequence) {
             self.refused += 1;
             return None;
         }
@@ -41,17 +44,16 @@
         if state == MemberState::Left {
             return None;
         }
-        // It is alive, but only its own later version convinces the others. The answer to a ping
-        // carries the suspicion anyway.
+        // The sender is alive, but only its own later version overrides the suspicion on the other
+        // nodes. This message carries the suspicion to it; the answer to a ping does so anyway.
         if state != MemberState::Alive && !matches!(message, Message::Ping { .. }) {
             self.send(index, Message::Updates, actions);
         }
         Some(index)
     }
 
-    /// Refuses a datagram of an earlier process of the name, or a late one, whose sender learns
-    /// which process came after it.
-    fn refuse_earlier(
+    /// Refuses a datagram from an earlier incarnation, and tells its sender the later one.
+    fn refuse_earlier_incarnation(
         &mut self,
         head: &DatagramHeader,
         known: MemberUpdate,
@@ -62,8 +64,8 @@
         self.send_to(to, incarnation, Message::Updates, vec![known], actions);
     }
 
-    /// Applies an update on another member than the sender.
-    pub(crate) fn indirect_evidence(
+    /// Applies an update on a member other than the sender.
+    pub(crate) fn apply_relayed_update(
         &mut self,
         now: TenthMillis,
         update: MemberUpdate,
@@ -74,10 +76,10 @@
             return;
         }
         if update.name == self.me.name {
-            return self.on_own_name(now, &update, false, actions);
+            return self.on_update_about_self(now, &update, false, actions);
         }
         let Some(index) = self.table.index_of(&update.name) else {
-            // Of an unknown member only its presence matters.
+            // An unknown member that is not present need not be remembered.
             if update.state.is_present() {
                 self.apply(now, update, actions);
             }
@@ -90,7 +92,7 @@
             update.incarnation == known.incarnation && update.version == known.version;
         if update.state == MemberState::Dead && known.state.is_present() && update.overrides(known)
         {
-            return self.reported_dead(now, index, update, actions);
+            return self.on_reported_dead(now, index, update, actions);
         }
         match (update.state, known.state) {
             (MemberState::Suspected { by }, MemberState::Suspected { .. }) if same_version => {
@@ -101,11 +103,11 @@
         }
     }
 
-    /// Other nodes declared a member dead that is present here, as two halves of a split fleet do
-    /// once they find together. The member is notified and suspected for the shortest time, in
-    /// which it can refute it. Where it was suspected for longer already, there is time for the
-    /// final probes.
-    fn reported_dead(
+    /// Handles an update that declares a member dead which is present in this table, as when the two
+    /// halves of a partitioned fleet rejoin. The member is notified and suspected for the minimum
+    /// time, in which it can refute the update. If it was already suspected for longer, the
+    /// suspicion still leaves time for the final probes.
+    fn on_reported_dead(
         &mut self,
         now: TenthMillis,
         index: MemberIndex,
@@ -113,14 +115,14 @@
         actions: &mut Vec<Action>,
     ) {
         let state = MemberState::Suspected {
-            by: DECLARED_DEAD_MARK,
+            by: DECLARED_DEAD_ID,
         };
         let suspected = MemberUpdate { state, ..update };
-        let is_news = self
+        let is_new = self
             .table
             .get(index)
             .is_some_and(|record| suspected.overrides(&record.update));
-        if is_news {
+        if is_new {
             self.apply(now, suspected, actions);
             self.send(index, Message::Updates, actions);
         }
@@ -131,7 +133,7 @@
         else {
             return;
         };
-        if suspicion.confirm_fully(now + self.parameters.final_probes()) {
+        if suspicion.confirm_fully(now + self.parameters.final_probe_lead()) {
             self.schedule_suspicion_end(now, index);
         }
     }
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -1,14 +1,14 @@
-//! Handles datagrams: checks who sent them and to whom, and handles the message that they carry.
+//! Handles received datagrams: checks their header and handles their message and updates.
 
 use std::net::SocketAddr;
 
-use crate::fleet::{Fleet, RETRANSMISSIONS, Stage};
+use crate::fleet::{ANNOUNCEMENT_ROUNDS, Fleet, Stage};
 use crate::probes::IndirectProbe;
 use crate::table::MemberIndex;
 use crate::{Action, Datagram, DatagramHeader, Incarnation, MemberState, Message, Name};
 use doortrack_time::TenthMillis;
 
-/// Updates in a datagram above which it is refused.
+/// Maximum number of updates in a datagram; datagrams with more are refused.
 pub(crate) const MAX_UPDATES_ACCEPTED: usize = 64;
 
 impl Fleet {
@@ -30,29 +30,29 @@
             return;
         }
         if head.sender.name == self.me.name {
-            return self.on_own_name(now, &head.sender, true, actions);
+            return self.on_update_about_self(now, &head.sender, true, actions);
         }
         if message == Message::Join && head.to == Incarnation(0) {
             return self.on_join(&head, actions);
         }
         if head.to != self.me.incarnation {
-            // Meant for an earlier incarnation, or very old: the sender learns of this one, nothing
-            // else is done.
+            // The datagram is addressed to an earlier incarnation. The reply tells the sender the
+            // current one; the rest of the datagram is ignored.
             self.refused += 1;
             return self.reply(&head, Message::Updates, actions);
         }
-        let Some(index) = self.direct_evidence(now, &head, &message, actions) else {
+        let Some(index) = self.apply_sender_update(now, &head, &message, actions) else {
             return;
         };
         for update in updates {
-            self.indirect_evidence(now, update, actions);
+            self.apply_relayed_update(now, update, actions);
         }
         self.on_first_answer(now);
         self.handle_message(now, index, &head, message, actions);
         self.compare_views(now, index, &head, actions);
     }
 
-    /// Answers a join request with the table, unless its sender knows all of it already.
+    /// Answers a join request with the table, or with an empty page if the sender's view is equal.
     fn on_join(&mut self, head: &DatagramHeader, actions: &mut Vec<Action>) {
         if head.digest == self.view.digest {
             self.reply(head, Message::Page { next: None }, actions);
@@ -61,19 +61,18 @@
         }
     }
 
-    /// Sends a message without updates to the sender of a datagram, whether it is in the table or
-    /// not.
+    /// Sends a message without updates to the sender of a datagram, which need not be in the table.
     fn reply(&mut self, head: &DatagramHeader, message: Message, actions: &mut Vec<Action>) {
         let (to, incarnation) = (head.sender.address, head.sender.incarnation);
         self.send_to(to, incarnation, message, Vec::new(), actions);
     }
 
-    /// The first member to address this incarnation completes its join.
+    /// Completes the join when the first member addresses this incarnation.
     fn on_first_answer(&mut self, now: TenthMillis) {
         if self.stage == Stage::Joining {
             self.stage = Stage::Member;
-            self.retransmissions = RETRANSMISSIONS;
-            self.schedule_updates(now);
+            self.announcement_rounds_left = ANNOUNCEMENT_ROUNDS;
+            self.schedule_gossip(now);
         }
     }
 
@@ -92,14 +91,14 @@
                 nonce,
                 name,
                 incarnation,
-            } => self.probe_for(index, nonce, &name, incarnation, actions),
+            } => self.probe_on_behalf(index, nonce, &name, incarnation, actions),
             Message::PageRequest { after } => {
                 if let Some(update) = self.table.get(index).map(|record| record.update.clone()) {
                     self.send_page(&update, after.as_ref(), actions);
                 }
             }
             Message::Page { next } => {
-                // A table like this node's own is not read to its end.
+                // The fetch stops early once the views are equal.
                 let next = next.filter(|_| head.digest != self.view.digest);
                 self.on_page(now, index, next, actions);
             }
@@ -107,11 +106,11 @@
         }
     }
 
-    /// Probes the member of this name and incarnation for another one, which sent `nonce`.
-    fn probe_for(
+    /// Probes the member with this name and incarnation on behalf of `requester`.
+    fn probe_on_behalf(
         &mut self,
-        asker: MemberIndex,
-        asker_nonce: u32,
+        requester: MemberIndex,
+        requester_nonce: u32,
         name: &str,
         incarnation: Incarnation,
         actions: &mut Vec<Action>,
@@ -121,18 +120,18 @@
                 .get(*target)
                 .is_some_and(|record| record.update.incarnation == incarnation)
         });
-        let asker: Option<Name> = self
+        let requester: Option<Name> = self
             .table
-            .get(asker)
+            .get(requester)
             .map(|record| record.update.name.clone());
-        let (Some(target), Some(asker)) = (target, asker) else {
+        let (Some(target), Some(requester)) = (target, requester) else {
             return;
         };
         let nonce = self.rng.u32(..);
-        self.probes.begin_indirect(IndirectProbe {
+        self.probes.record_indirect(IndirectProbe {
             nonce,
-            asker,
-            asker_nonce,
+            requester,
+            requester_nonce,
         });
         self.send(target, Message::Ping { nonce }, actions);
     }
--- a/crates/membership/src/report.rs
+++ b/crates/membership/src/report.rs
@@ -1,4 +1,4 @@
-//! How a node reports its fleet to operators.
+//! Reports on the fleet for operators.
 
 use std::net::SocketAddr;
 
@@ -9,39 +9,39 @@
 use crate::table::MemberRecord;
 use crate::{Incarnation, MemberState, Name};
 
-/// The state of a member as operators read it. The order of the variants is part of the wire
+/// The state of a member as shown to operators. The order of the variants is part of the wire
 /// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReportedState {
-    /// Not in the view yet: it looks for the fleet, or is held back for coming back too often.
+    /// Not in the view yet: it is joining, or held back because it returned too often.
     Joining,
     /// In the view.
     Alive,
-    /// In the view; a probe of it failed.
+    /// In the view, but a probe of it failed.
     Suspected,
-    /// It announced that it left.
+    /// Out of the view: it announced that it leaves.
     Left,
-    /// Out of the view, as it did not answer. Of the node itself: it was superseded.
+    /// Out of the view: it did not answer. For the reporting node itself: it was superseded.
     Dead,
 }
 
 /// One member as one node sees it. The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// The member.
+    /// The member's name.
     pub name: Name,
-    /// The run of its process.
+    /// The member's incarnation.
     pub incarnation: Incarnation,
-    /// Where it is reached (UDP).
+    /// The member's address (UDP).
     pub address: SocketAddr,
-    /// Its state.
+    /// The member's state.
     pub state: ReportedState,
-    /// Its capacity, in a unit that all members share.
+    /// The member's capacity, in a unit that all members share.
     pub weight: u32,
-    /// How long it has been in this state, in ms.
+    /// How long the member has been in this state, in ms.
     pub for_ms: u64,
-    /// It answers, but late.
+    /// Whether the member answers slowly.
     pub slow: bool,
 }
 
@@ -49,7 +49,9 @@
     fn of_member(record: &MemberRecord, now: TenthMillis) -> MemberReport {
         let update = &record.update;
         let state = match update.state {
-            state if state.is_present() && record.held_until.is_some() => ReportedState::Joining,
+            state if state.is_present() && record.held_back_until.is_some() => {
+                ReportedState::Joining
+            }
             MemberState::Alive => ReportedState::Alive,
             MemberState::Suspected { .. } => ReportedState::Suspected,
             MemberState::Dead => ReportedState::Dead,
@@ -61,14 +63,14 @@
             address: update.address,
             state,
             weight: update.weight,
-            for_ms: now.saturating_sub(record.since) / MILLISECOND,
+            for_ms: now.saturating_sub(record.state_since) / MILLISECOND,
             slow: record.slow,
         }
     }
 }
 
 impl Fleet {
-    /// Up to `max` members behind a name, the node itself among them, in the order of names; and
+    /// Reports up to `max` members after a name, including this node, ordered by name. Also returns
     /// whether there are more.
     pub fn report(
         &self,
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Datagrams refused since the start: replayed, meant for another incarnation, or out of
-    /// bounds.
+    /// Number of datagrams and updates refused since the start: replayed, addressed to another
+    /// incarnation, or invalid.
     pub fn refused(&self) -> u64 {
         self.refused
     }
--- a/crates/membership/src/sending.rs
+++ b/crates/membership/src/sending.rs
@@ -1,4 +1,4 @@
-//! Sends datagrams, with pending updates.
+//! Sends datagrams with queued updates.
 
 use std::net::SocketAddr;
 
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Sends to a member, with pending updates; if it is not known as alive, that comes first, so
-    /// that it can refute it.
+    /// Sends a message to a member, with queued updates. If the member is not known as alive, the
+    /// update that says so comes first, so that the member can refute it.
     pub(crate) fn send(&mut self, index: MemberIndex, message: Message, actions: &mut Vec<Action>) {
         let Some(record) = self.table.get(index) else {
             return;
@@ -37,7 +37,7 @@
         self.send_to(to, incarnation, message, updates, actions);
     }
 
-    /// Adds pending updates to those of a datagram, as far as there is space.
+    /// Adds queued updates to a datagram, as far as there is space.
     fn add_pending_updates(&mut self, updates: &mut Vec<MemberUpdate>) {
         let used: usize = updates.iter().map(MemberUpdate::max_bytes).sum();
         let fill = DatagramFill {
@@ -51,12 +51,12 @@
                 .filter(|record| record.revision == revision)?;
             Some(record.update.max_bytes())
         };
-        let indices = self.gossip.next_updates(fill, members, size);
+        let indices = self.gossip.take_updates(fill, members, size);
         let records = indices.iter().filter_map(|index| table.get(*index));
         updates.extend(records.map(|record| record.update.clone()));
     }
 
-    /// Sends to a node that is not in the table, or in it under another incarnation.
+    /// Sends a message to an address and incarnation that need not match an entry of the table.
     pub(crate) fn send_to(
         &mut self,
         to: SocketAddr,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of all other members that are known, by index and by name.
+//! The table of all known members other than this node, by index and by name.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -7,37 +7,38 @@
 use crate::{MemberState, MemberUpdate, Name};
 use doortrack_time::TenthMillis;
 
-/// Index of a member in the table; reused once that member was forgotten.
+/// Index of a member in the table; reused after the member was removed.
 pub type MemberIndex = usize;
 
-/// Datagrams back from the latest within which a replayed one is recognized.
-const WINDOW: u64 = 128;
+/// Size of the replay window, in sequence numbers.
+const REPLAY_WINDOW: u64 = 128;
 
-/// Which datagrams of one incarnation were received: a sliding window against replays.
+/// A sliding window over the received sequence numbers of one incarnation, which detects replays.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Received {
-    /// The greatest number received.
-    last: u64,
-    /// Bit `n`: number `last - n` was received.
+pub struct ReplayWindow {
+    /// The highest sequence number received.
+    highest: u64,
+    /// Bit `n` is set if sequence number `highest - n` was received.
     bits: u128,
 }
 
-impl Received {
-    /// Records a datagram's number; `false` if it was received before, or is too old to know.
+impl ReplayWindow {
+    /// Records a sequence number. Returns `false` if it was received before or is older than the
+    /// window.
     pub fn insert(&mut self, sequence: u64) -> bool {
-        if sequence > self.last {
-            let advance = sequence - self.last;
-            let kept_bits = if advance < WINDOW {
+        if sequence > self.highest {
+            let advance = sequence - self.highest;
+            let kept_bits = if advance < REPLAY_WINDOW {
                 self.bits << advance
             } else {
                 0
             };
             self.bits = kept_bits | 1;
-            self.last = sequence;
+            self.highest = sequence;
             return true;
         }
-        let age = self.last - sequence;
-        if age >= WINDOW || self.bits & (1 << age) != 0 {
+        let age = self.highest - sequence;
+        if age >= REPLAY_WINDOW || self.bits & (1 << age) != 0 {
             return false;
         }
         self.bits |= 1 << age;
@@ -45,30 +46,31 @@
     }
 }
 
-/// What this node knows of one member.
+/// What this node knows about one member.
 #[derive(Clone, Debug)]
 pub struct MemberRecord {
-    /// The update that takes precedence among all received.
+    /// The update with the highest precedence among all received.
     pub update: MemberUpdate,
-    /// Grows with each change of the update, so that queued copies of earlier ones are recognized.
+    /// Grows with each change of the update, so that queue entries of earlier updates are
+    /// recognized as outdated.
     pub revision: u32,
     /// When the state last changed, in tenths of a millisecond.
-    pub since: TenthMillis,
-    /// Its datagrams of this incarnation.
-    pub received: Received,
+    pub state_since: TenthMillis,
+    /// The sequence numbers received from the current incarnation.
+    pub replay_window: ReplayWindow,
     /// Smoothed response time in tenths of a millisecond; 0 before the first answer.
     pub response_time: TenthMillis,
-    /// Whether it was reported as slow.
+    /// Whether the member was reported as slow.
     pub slow: bool,
-    /// The suspicion under way, if its state is [`MemberState::Suspected`].
+    /// The current suspicion, if the state is [`MemberState::Suspected`].
     pub suspicion: Option<Suspicion>,
-    /// Times that it came back from being dead.
+    /// How often the member returned from being dead.
     pub returns: u32,
-    /// When it last came back.
+    /// When the member last returned.
     pub returned_at: TenthMillis,
-    /// Kept out of the view until then, as it came back too often.
-    pub held_until: Option<TenthMillis>,
-    /// Its position in the list of present members, or of dead ones.
+    /// The member is kept out of the view until this time because it returned too often.
+    pub held_back_until: Option<TenthMillis>,
+    /// The member's position in the list of present members or of dead ones.
     pub list_index: usize,
 }
 
@@ -77,21 +79,21 @@
         MemberRecord {
             update,
             revision: 0,
-            since: now,
-            received: Received::default(),
+            state_since: now,
+            replay_window: ReplayWindow::default(),
             response_time: 0,
             slow: false,
             suspicion: None,
             returns: 0,
             returned_at: 0,
-            held_until: None,
+            held_back_until: None,
             list_index: 0,
         }
     }
 }
 
-/// The table. Present and dead members are listed apart, so that one of either can be drawn at
-/// random in constant time; members that left are found by name only.
+/// The table of members. Present and dead members are kept in separate lists, so that a random one
+/// of either is found in constant time; members that left are found by name only.
 #[derive(Default)]
 pub struct Table {
     slots: Vec<Option<MemberRecord>>,
@@ -99,18 +101,18 @@
     by_name: BTreeMap<Name, MemberIndex>,
     present: Vec<MemberIndex>,
     dead: Vec<MemberIndex>,
-    /// How many of `present`, from its start, were probed in this round.
+    /// How many members, from the start of `present`, were probed in this round.
     probed: usize,
 }
 
 impl Table {
-    /// Members in the table, in whatever state.
+    /// Number of members in the table, in any state.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Members that are present.
-    pub fn present(&self) -> usize {
+    /// Number of members that are present.
+    pub fn present_count(&self) -> usize {
         self.present.len()
     }
 
@@ -119,17 +121,17 @@
         self.by_name.get(name).copied()
     }
 
-    /// The record of a member; none once it was forgotten.
+    /// The record of a member; none if it was removed.
     pub fn get(&self, index: MemberIndex) -> Option<&MemberRecord> {
         self.slots.get(index)?.as_ref()
     }
 
-    /// As [`Table::get`], to change it. The update is changed by [`Table::set`] alone.
+    /// The mutable record of a member. Its update must only be changed by [`Table::set_update`].
     pub fn get_mut(&mut self, index: MemberIndex) -> Option<&mut MemberRecord> {
         self.slots.get_mut(index)?.as_mut()
     }
 
-    /// The members behind a name, in the order of names; all for none.
+    /// The members after a name, ordered by name; all members if there is no name.
     pub fn after(&self, name: Option<&Name>) -> impl Iterator<Item = &MemberRecord> {
         let from = name.map_or(Bound::Unbounded, Bound::Excluded);
         let indices = self
@@ -148,40 +150,40 @@
         let (name, state) = (update.name.clone(), update.state);
         self.slots[index] = Some(MemberRecord::new(update, now));
         self.by_name.insert(name, index);
-        self.list(index, state);
+        self.add_to_list(index, state);
         index
     }
 
-    /// Forgets a member; its index may be used again.
+    /// Removes a member; its index may be reused.
     pub fn remove(&mut self, index: MemberIndex) -> Option<MemberRecord> {
         let state = self.get(index)?.update.state;
-        self.unlist(index, state);
+        self.remove_from_list(index, state);
         let record = self.slots[index].take()?;
         self.by_name.remove(&record.update.name);
         self.free.push(index);
         Some(record)
     }
 
-    /// Replaces a member's update, and moves the member to the list of its new state.
-    pub fn set(&mut self, index: MemberIndex, update: MemberUpdate, now: TenthMillis) {
+    /// Replaces a member's update, and moves the member to the list for its new state.
+    pub fn set_update(&mut self, index: MemberIndex, update: MemberUpdate, now: TenthMillis) {
         let Some(record) = self.get_mut(index) else {
             return;
         };
         let (before, after) = (record.update.state, update.state);
         if std::mem::discriminant(&before) != std::mem::discriminant(&after) {
-            record.since = now;
+            record.state_since = now;
         }
         record.update = update;
         record.revision = record.revision.wrapping_add(1);
-        let kind = |state: MemberState| (state.is_present(), state == MemberState::Dead);
-        if kind(before) != kind(after) {
-            self.unlist(index, before);
-            self.list(index, after);
+        let list_kind = |state: MemberState| (state.is_present(), state == MemberState::Dead);
+        if list_kind(before) != list_kind(after) {
+            self.remove_from_list(index, before);
+            self.add_to_list(index, after);
         }
     }
 
-    /// The list in which members of a state are kept; none for those that left.
-    fn list_of(&mut self, state: MemberState) -> Option<&mut Vec<MemberIndex>> {
+    /// The list that holds the members in a state; none for members that left.
+    fn list_for(&mut self, state: MemberState) -> Option<&mut Vec<MemberIndex>> {
         match state {
             MemberState::Alive | MemberState::Suspected { .. } => Some(&mut self.present),
             MemberState::Dead => Some(&mut self.dead),
@@ -189,8 +191,8 @@
         }
     }
 
-    fn list(&mut self, index: MemberIndex, state: MemberState) {
-        let Some(list) = self.list_of(state) else {
+    fn add_to_list(&mut self, index: MemberIndex, state: MemberState) {
+        let Some(list) = self.list_for(state) else {
             return;
         };
         list.push(index);
@@ -200,22 +202,22 @@
         }
     }
 
-    fn unlist(&mut self, index: MemberIndex, state: MemberState) {
+    fn remove_from_list(&mut self, index: MemberIndex, state: MemberState) {
         let Some(list_index) = self.get(index).map(|record| record.list_index) else {
             return;
         };
         if state.is_present() && list_index < self.probed {
-            // Replaced by the last one probed in this round, so that the others keep their
-            // positions.
+            // The member first swaps places with the last one probed in this round, so that the
+            // probed members stay at the start of the list.
             self.probed -= 1;
-            self.swap(list_index, self.probed);
-            return self.unlist_at(self.probed, state);
+            self.swap_present(list_index, self.probed);
+            return self.remove_from_list_at(self.probed, state);
         }
-        self.unlist_at(list_index, state);
+        self.remove_from_list_at(list_index, state);
     }
 
-    fn unlist_at(&mut self, list_index: usize, state: MemberState) {
-        let Some(list) = self.list_of(state) else {
+    fn remove_from_list_at(&mut self, list_index: usize, state: MemberState) {
+        let Some(list) = self.list_for(state) else {
             return;
         };
         if list_index >= list.len() {
@@ -228,7 +230,7 @@
         }
     }
 
-    fn swap(&mut self, left: usize, right: usize) {
+    fn swap_present(&mut self, left: usize, right: usize) {
         self.present.swap(left, right);
         for list_index in [left, right] {
             let index = self.present[list_index];
@@ -238,9 +240,8 @@
         }
     }
 
-    /// The next member to probe: each present member once a round, in an order drawn as the round
-    /// goes.
-    pub fn next_probe(&mut self, rng: &mut fastrand::Rng) -> Option<MemberIndex> {
+    /// The next member to probe. Each present member is probed once per round, in random order.
+    pub fn next_probe_target(&mut self, rng: &mut fastrand::Rng) -> Option<MemberIndex> {
         if self.present.is_empty() {
             return None;
         }
@@ -248,12 +249,12 @@
             self.probed = 0;
         }
         let picked = rng.usize(self.probed..self.present.len());
-        self.swap(picked, self.probed);
+        self.swap_present(picked, self.probed);
         self.probed += 1;
         self.present.get(self.probed - 1).copied()
     }
 
-    /// Up to `count` different present members drawn at random, none of them `excluded`.
+    /// Up to `count` distinct random present members, without `excluded`.
     pub fn random_present(
         &self,
         count: usize,
@@ -261,7 +262,7 @@
         rng: &mut fastrand::Rng,
     ) -> Vec<MemberIndex> {
         let mut picked = Vec::with_capacity(count);
-        // Enough draws for a small fleet too; a member drawn twice is not replaced.
+        // The number of draws is bounded; in a small fleet fewer than `count` members may result.
         for _ in 0..count * 3 {
             if self.present.is_empty() {
                 break;
@@ -277,7 +278,7 @@
         picked
     }
 
-    /// A dead member drawn at random.
+    /// A random dead member.
     pub fn random_dead(&self, rng: &mut fastrand::Rng) -> Option<MemberIndex> {
         if self.dead.is_empty() {
             None
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,4 +1,4 @@
-//! Handles timers: probes, suspicions that end, rounds of updates.
+//! Handles timers: probes, the end of suspicions, join requests and gossip rounds.
 
 use crate::fleet::{Fleet, Stage, Timer};
 use crate::probes::Probe;
@@ -6,41 +6,44 @@
 use crate::{Action, Change, MemberState, MemberUpdate, Message};
 use doortrack_time::TenthMillis;
 
-/// Smoothed response times for which a direct answer is awaited.
-const RESPONSE_TIMES: u64 = 3;
+/// The wait for a direct answer, as a multiple of the smoothed response time.
+const ACK_TIMEOUT_FACTOR: u64 = 3;
 
 impl Fleet {
     pub(crate) fn on_tick(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
-        while let Some(timer) = self.next_expired(now) {
+        while let Some(timer) = self.pop_expired_timer(now) {
             match timer {
-                Timer::Period => self.on_period(now, actions),
+                Timer::ProbePeriod => self.on_period(now, actions),
                 Timer::AckTimeout(nonce) => self.ask_indirect_probers(nonce, actions),
                 Timer::ProbeTimeout(nonce) => self.on_probe_timeout(now, nonce, actions),
-                Timer::Suspicion(index, since) => self.suspicion_ends(now, index, since, actions),
-                Timer::FinalProbe(index, since) => self.final_probe(index, since, actions),
-                Timer::Admit(index) => self.add_to_view(now, index, actions),
-                Timer::PendingUpdates => {
-                    self.updates_scheduled = false;
-                    self.send_updates(now, actions);
+                Timer::SuspicionTimeout(index, since) => {
+                    self.on_suspicion_timeout(now, index, since, actions)
                 }
-                Timer::JoinRequest => self.repeat_join_request(now, actions),
+                Timer::FinalProbe(index, since) => self.send_final_probe(index, since, actions),
+                Timer::HoldBackEnd(index) => self.add_to_view(now, index, actions),
+                Timer::GossipRound => {
+                    self.gossip_scheduled = false;
+                    self.send_gossip(now, actions);
+                }
+                Timer::JoinRequest => self.on_join_request_timer(now, actions),
                 Timer::Forget(index, revision) => self.forget(index, revision),
             }
         }
     }
 
-    /// Forgets a member, if it is not present and its record still has this revision.
+    /// Removes a member from the table, if it is not present and its record still has this
+    /// revision.
     fn forget(&mut self, index: MemberIndex, revision: u32) {
-        let is_gone = self
+        let is_forgettable = self
             .table
             .get(index)
             .is_some_and(|record| record.revision == revision && !record.update.state.is_present());
-        if is_gone {
+        if is_forgettable {
             self.table.remove(index);
         }
     }
 
-    fn repeat_join_request(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
+    fn on_join_request_timer(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         if self.stage == Stage::Leaving {
             return;
         }
@@ -56,8 +59,8 @@
         if self.stage == Stage::Leaving {
             return;
         }
-        self.set_timer(now + self.parameters.probe_period, Timer::Period);
-        if std::mem::take(&mut self.answered) || self.table.present() == 0 {
+        self.set_timer(now + self.parameters.probe_period, Timer::ProbePeriod);
+        if std::mem::take(&mut self.answered_this_period) || self.table.present_count() == 0 {
             self.silent_periods = 0;
         } else {
             self.silent_periods += 1;
@@ -66,7 +69,7 @@
             self.isolated = true;
             actions.push(Action::Report(Change::Isolated(true)));
         }
-        if let Some(index) = self.table.next_probe(&mut self.rng) {
+        if let Some(index) = self.table.next_probe_target(&mut self.rng) {
             self.probe(now, index, actions);
         }
     }
@@ -83,11 +86,14 @@
         if self.probes.is_pending(index) {
             return;
         }
-        let (min, max) = (self.parameters.ack_timeout, self.parameters.max_wait());
-        let wait = (record.response_time * RESPONSE_TIMES).clamp(min, max.max(min));
+        let (min, max) = (
+            self.parameters.ack_timeout,
+            self.parameters.max_ack_timeout(),
+        );
+        let wait = (record.response_time * ACK_TIMEOUT_FACTOR).clamp(min, max.max(min));
         let nonce = self.rng.u32(..);
         let incarnation = record.update.incarnation;
-        if self.probes.begin(Probe {
+        if self.probes.try_begin(Probe {
             nonce,
             index,
             incarnation,
@@ -100,8 +106,8 @@
         }
     }
 
-    /// Asks other members to probe one that did not answer directly, as only the link to it may be
-    /// broken.
+    /// Asks other members to probe one that did not answer directly, because possibly only the link
+    /// to it is broken.
     fn ask_indirect_probers(&mut self, nonce: u32, actions: &mut Vec<Action>) {
         let Some(probe) = self.probes.get(nonce) else {
             return;
@@ -131,7 +137,7 @@
         let Some(probe) = self.probes.fail(nonce) else {
             return;
         };
-        if self.suspects_nobody() {
+        if self.is_suspicion_paused() {
             return;
         }
         let Some(record) = self.table.get(probe.index) else {
@@ -142,20 +148,25 @@
             _ if update.incarnation != probe.incarnation => {}
             MemberState::Alive => {
                 let state = MemberState::Suspected {
-                    by: self.suspicion_mark,
+                    by: self.suspecter_id,
                 };
                 self.apply(now, MemberUpdate { state, ..update }, actions);
             }
             MemberState::Suspected { .. } => {
-                _ = self.confirm_suspicion(now, probe.index, self.suspicion_mark)
+                _ = self.confirm_suspicion(now, probe.index, self.suspecter_id)
             }
             MemberState::Dead | MemberState::Left => {}
         }
     }
 
-    /// Probes a member once more before its suspicion ends: its answer carries its version, which
-    /// clears the suspicion if it was refuted.
-    fn final_probe(&mut self, index: MemberIndex, since: TenthMillis, actions: &mut Vec<Action>) {
+    /// Probes a member once more before its suspicion ends. The answer carries the member's
+    /// version, which clears the suspicion if the member refuted it.
+    fn send_final_probe(
+        &mut self,
+        index: MemberIndex,
+        since: TenthMillis,
+        actions: &mut Vec<Action>,
+    ) {
         let suspicion = self.table.get(index).and_then(|record| record.suspicion);
         if suspicion.is_some_and(|suspicion| suspicion.since == since) {
             let nonce = self.rng.u32(..);
@@ -163,7 +174,7 @@
         }
     }
 
-    fn suspicion_ends(
+    fn on_suspicion_timeout(
         &mut self,
         now: TenthMillis,
         index: MemberIndex,
@@ -180,14 +191,14 @@
         else {
             return;
         };
-        let ends_at = suspicion.ends_at(&self.parameters, members, self.resumed_at);
-        if self.suspects_nobody() {
+        let ends_at = suspicion.ends_at(&self.parameters, members, self.reconnected_at);
+        if self.is_suspicion_paused() {
             self.set_timer(
                 now + self.parameters.probe_period,
-                Timer::Suspicion(index, since),
+                Timer::SuspicionTimeout(index, since),
             );
         } else if ends_at > now {
-            self.set_timer(ends_at, Timer::Suspicion(index, since));
+            self.set_timer(ends_at, Timer::SuspicionTimeout(index, since));
         } else {
             let dead = MemberUpdate {
                 state: MemberState::Dead,
@@ -197,24 +208,24 @@
         }
     }
 
-    /// Sends one round of pending updates, if there are any.
-    pub(crate) fn send_updates(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
-        if self.gossip.is_empty() && self.retransmissions == 0 {
+    /// Sends one gossip round, if there is anything to send.
+    pub(crate) fn send_gossip(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
+        if self.gossip.is_empty() && self.announcement_rounds_left == 0 {
             return;
         }
-        self.retransmissions = self.retransmissions.saturating_sub(1);
+        self.announcement_rounds_left = self.announcement_rounds_left.saturating_sub(1);
         for index in self
             .table
             .random_present(self.parameters.gossip_fanout, None, &mut self.rng)
         {
             self.send(index, Message::Updates, actions);
         }
-        if !self.updates_scheduled
-            && (self.retransmissions > 0 || !self.gossip.is_empty())
-            && self.table.present() > 0
+        if !self.gossip_scheduled
+            && (self.announcement_rounds_left > 0 || !self.gossip.is_empty())
+            && self.table.present_count() > 0
         {
-            self.updates_scheduled = true;
-            self.set_timer(now + self.parameters.gossip_interval, Timer::PendingUpdates);
+            self.gossip_scheduled = true;
+            self.set_timer(now + self.parameters.gossip_interval, Timer::GossipRound);
         }
     }
 }
--- a/crates/membership/src/update.rs
+++ b/crates/membership/src/update.rs
@@ -1,4 +1,4 @@
-//! Updates on members, and which of two updates on the same member takes precedence.
+//! Updates on members, and the precedence of two updates on the same member.
 
 use std::net::SocketAddr;
 
@@ -6,30 +6,31 @@
 
 use crate::{Incarnation, Member, Name, is_valid_name};
 
-/// The greatest [`MemberUpdate::weight`] that is accepted.
+/// Maximum accepted [`MemberUpdate::weight`].
 pub const MAX_WEIGHT: u32 = 1_000_000;
 
 /// The state of a member, as one node sees it. The order of the variants is part of the wire
 /// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// A probe of it failed; it is declared dead unless it refutes this in time.
+    /// A probe of the member failed; the member is declared dead unless it refutes the suspicion
+    /// in time.
     Suspected {
-        /// A random mark of the node that suspects it, so that a suspicion which is passed on is
-        /// not taken for a second, independent one.
+        /// A random id of the node that suspects the member, so that a forwarded suspicion is not
+        /// counted as an independent one.
         by: u32,
     },
-    /// Its suspicion was not refuted in time. Undone by a later version or incarnation.
+    /// The suspicion was not refuted in time. Overridden by a later version or incarnation.
     Dead,
-    /// It announced that it leaves; final for its incarnation.
+    /// The member announced that it leaves; final for its incarnation.
     Left,
 }
 
 impl MemberState {
-    /// Precedence among updates of one version: the greater one is kept.
-    fn rank(self) -> u8 {
+    /// Precedence among updates of one version; the update with the greater value is kept.
+    fn precedence(self) -> u8 {
         match self {
             MemberState::Alive => 0,
             MemberState::Suspected { .. } => 1,
@@ -38,39 +39,39 @@
         }
     }
 
-    /// Whether the member counts as present: alive, or suspected only.
+    /// Returns true if the member counts as present: alive or suspected.
     pub fn is_present(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspected { .. })
     }
 }
 
-/// The most bytes that an update takes in a datagram beside name and address: the name's length 1,
+/// Maximum encoded size of an update without name and address, in bytes: the name's length 1,
 /// incarnation 10, version 5, state 6, weight 3.
-const OVERHEAD: usize = 25;
-/// The most bytes of an address with its tag and port.
-const IPV4_BYTES: usize = 1 + 4 + 3;
-/// As [`IPV4_BYTES`].
-const IPV6_BYTES: usize = 1 + 16 + 3;
+const MAX_OVERHEAD_BYTES: usize = 25;
+/// Maximum encoded size of an IPv4 address with its tag and port, in bytes.
+const MAX_IPV4_ADDRESS_BYTES: usize = 1 + 4 + 3;
+/// Maximum encoded size of an IPv6 address with its tag and port, in bytes.
+const MAX_IPV6_ADDRESS_BYTES: usize = 1 + 16 + 3;
 
-/// What one node announces about a member. The order of the fields is part of the wire format.
+/// An announcement of a member's state. The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member.
+    /// The member's name.
     pub name: Name,
-    /// The run of its process that the update is about.
+    /// The incarnation that the update is about.
     pub incarnation: Incarnation,
-    /// Raised by the member alone, to refute a suspicion of this incarnation.
+    /// Raised only by the member itself, to refute a suspicion of this incarnation.
     pub version: u32,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
-    /// Where other nodes reach it (UDP).
+    /// The member's address (UDP).
     pub address: SocketAddr,
-    /// Its capacity, 1 to `MAX_WEIGHT`, in any unit that all members share.
+    /// The member's capacity, 1 to `MAX_WEIGHT`, in any unit that all members share.
     pub weight: u32,
 }
 
 impl MemberUpdate {
-    /// The member as it stands in a view.
+    /// The entry of the member in a view.
     pub fn member(&self) -> Member {
         Member {
             incarnation: self.incarnation,
@@ -79,17 +80,17 @@
         }
     }
 
-    /// The most bytes that it takes in a datagram.
+    /// Maximum encoded size of the update, in bytes.
     pub(crate) fn max_bytes(&self) -> usize {
         let address = if self.address.is_ipv4() {
-            IPV4_BYTES
+            MAX_IPV4_ADDRESS_BYTES
         } else {
-            IPV6_BYTES
+            MAX_IPV6_ADDRESS_BYTES
         };
-        self.name.len() + OVERHEAD + address
+        self.name.len() + MAX_OVERHEAD_BYTES + address
     }
 
-    /// Whether every field is within its bounds; updates that are not are ignored.
+    /// Returns true if every field is within its bounds. Invalid updates are ignored.
     pub fn is_valid(&self) -> bool {
         let reachable = self.address.port() != 0 && !self.address.ip().is_unspecified();
         is_valid_name(&self.name)
@@ -98,8 +99,9 @@
             && (1..=MAX_WEIGHT).contains(&self.weight)
     }
 
-    /// Whether this update takes precedence over another on the same name. In order: the later
-    /// incarnation, having left, the later version, the graver state.
+    /// Returns true if this update takes precedence over another on the same name. Compared in this
+    /// order: the later incarnation, having left, the later version, the state of higher
+    /// precedence.
     pub fn overrides(&self, other: &MemberUpdate) -> bool {
         let left = |update: &MemberUpdate| update.state == MemberState::Left;
         let key = |update: &MemberUpdate| {
@@ -107,7 +109,7 @@
                 update.incarnation,
                 left(update),
                 update.version,
-                update.state.rank(),
+                update.state.precedence(),
             )
         };
         key(self) > key(other)
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! Views: the members on which decisions may rest.
+//! Views: the members that count as present.
 
 use std::net::SocketAddr;
 
@@ -9,22 +9,22 @@
 /// One member of a [`View`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The run of its process.
+    /// The member's incarnation.
     pub incarnation: Incarnation,
-    /// Where it is reached (UDP).
+    /// The member's address (UDP).
     pub address: SocketAddr,
-    /// Its capacity, in a unit that all members share.
+    /// The member's capacity, in a unit that all members share.
     pub weight: u32,
 }
 
-/// The present members as one node sees them, itself among them, in the order of their names. A
-/// copy is cheap, as it shares what has not changed since.
+/// The present members as one node sees them, including itself, ordered by name. Cloning is cheap
+/// because clones share structure.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// Grows by one with each change in this node; not comparable between nodes.
+    /// Grows by one with each change on this node; not comparable between nodes.
     pub number: u64,
-    /// Equal in two nodes exactly when their members, incarnations and weights are, but for a
-    /// chance of 2^-64.
+    /// Equal on two nodes exactly when their members, incarnations and weights are, except for a
+    /// collision with probability 2^-64.
     pub digest: u64,
     /// The members by name.
     pub members: OrdMap<Name, Member>,
@@ -36,15 +36,15 @@
             return;
         }
         if let Some(old) = self.members.insert(name.clone(), member) {
-            self.digest ^= mark(name, old);
+            self.digest ^= member_digest(name, old);
         }
-        self.digest ^= mark(name, member);
+        self.digest ^= member_digest(name, member);
         self.number += 1;
     }
 
     pub(crate) fn remove(&mut self, name: &Name) {
         if let Some(old) = self.members.remove(name) {
-            self.digest ^= mark(name, old);
+            self.digest ^= member_digest(name, old);
             self.number += 1;
         }
     }
@@ -58,14 +58,14 @@
     }
 }
 
-/// What a member adds to the digest. The same in every build, as nodes of two builds compare
-/// theirs.
-fn mark(name: &str, member: Member) -> u64 {
+/// The contribution of a member to the digest. It must be the same in every build, because nodes of
+/// different builds compare digests.
+fn member_digest(name: &str, member: Member) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(name.as_bytes());
     hasher.update(&member.incarnation.0.to_le_bytes());
     hasher.update(&member.weight.to_le_bytes());
-    let mut first = [0; 8];
-    first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-    u64::from_le_bytes(first)
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+    u64::from_le_bytes(prefix)
 }
--- a/crates/membership/tests/cases/cluster.rs
+++ b/crates/membership/tests/cases/cluster.rs
@@ -1,4 +1,4 @@
-//! A small cluster whose datagrams are delivered directly.
+//! A small cluster of nodes whose datagrams are delivered directly.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -24,11 +24,11 @@
     }
 }
 
-/// Nodes between which every datagram arrives at once, unless `cut` drops it.
+/// Nodes between which every datagram arrives immediately, unless `is_cut` drops it.
 pub struct Cluster {
     pub fleets: Vec<Fleet>,
     pub now: u64,
-    pub cut: Box<dyn Fn(usize, usize) -> bool>,
+    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     pub stopped: Vec<bool>,
     pub changes: Vec<(usize, Change)>,
     pub sent: Vec<(usize, usize, Datagram)>,
@@ -36,18 +36,20 @@
 
 impl Cluster {
     pub fn new(count: usize) -> Cluster {
-        let fleets = (0..count).map(|node| Cluster::node(node, 100, 0)).collect();
+        let fleets = (0..count)
+            .map(|node| Cluster::new_node(node, 100, 0))
+            .collect();
         Cluster {
             fleets,
             now: 0,
-            cut: Box::new(|_, _| false),
+            is_cut: Box::new(|_, _| false),
             stopped: vec![false; count],
             changes: Vec::new(),
             sent: Vec::new(),
         }
     }
 
-    pub fn node(node: usize, incarnation: u64, now: u64) -> Fleet {
+    pub fn new_node(node: usize, incarnation: u64, now: u64) -> Fleet {
         let parameters = Parameters {
             seeds: vec![address(0), address(1)],
             ..Parameters::default()
@@ -68,7 +70,7 @@
                             continue;
                         };
                         self.sent.push((node, to, (*datagram).clone()));
-                        if !(self.cut)(node, to) && !self.stopped[to] {
+                        if !(self.is_cut)(node, to) && !self.stopped[to] {
                             let from = address(node);
                             queue.push_back((
                                 to,
@@ -84,12 +86,14 @@
         }
     }
 
-    /// Lets time pass, in steps as fine as the timers.
+    /// Advances the time, and handles every timer when it is due.
     pub fn advance(&mut self, ms: u64) {
         let until = self.now + ms * MILLISECOND;
         loop {
-            let up = (0..self.fleets.len()).filter(|node| !self.stopped[*node]);
-            let Some((due, node)) = up.map(|node| (self.fleets[node].next_due(), node)).min()
+            let running = (0..self.fleets.len()).filter(|node| !self.stopped[*node]);
+            let Some((due, node)) = running
+                .map(|node| (self.fleets[node].next_due(), node))
+                .min()
             else {
                 break;
             };
@@ -103,10 +107,11 @@
     }
 
     pub fn reported(&self, node: usize, change_name: &str, member: &str) -> bool {
-        let about = |change: &Change| change.member().is_some_and(|(name, _)| &**name == member);
-        self.changes
-            .iter()
-            .any(|(by, change)| *by == node && change.name() == change_name && about(change))
+        let concerns_member =
+            |change: &Change| change.member().is_some_and(|(name, _)| &**name == member);
+        self.changes.iter().any(|(by, change)| {
+            *by == node && change.name() == change_name && concerns_member(change)
+        })
     }
 
     pub fn state(&self, node: usize, member: usize) -> Option<ReportedState> {
--- a/crates/membership/tests/cases/datagrams.rs
+++ b/crates/membership/tests/cases/datagrams.rs
@@ -1,4 +1,4 @@
-//! Invalid datagrams, and how updates fill datagrams.
+//! Invalid datagrams, and the number of updates per datagram.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use crate::cluster::*;
 
-/// Updates of a sender on itself that are invalid, one field each.
+/// Invalid updates of a sender on itself, each with one invalid field.
 fn invalid_senders(valid: &MemberUpdate) -> [MemberUpdate; 6] {
     [
         MemberUpdate {
@@ -77,10 +77,10 @@
     assert_eq!(cluster.fleets[0].refused(), 7);
 }
 
-/// Updates of the fullest datagram of updates that a node sends once it has learnt of this many
+/// The greatest number of updates in a datagram that a node sends after it has learnt of this many
 /// members at once.
-fn fullest_datagram(members: usize) -> usize {
-    let mut fleet = Cluster::node(0, 100, 0);
+fn max_updates_per_datagram(members: usize) -> usize {
+    let mut fleet = Cluster::new_node(0, 100, 0);
     let mut actions = Vec::new();
     for index in 0..members {
         let name = format!("m{index}").into();
@@ -114,22 +114,23 @@
     while fleet.next_due() < 60 * MILLISECOND {
         fleet.handle(fleet.next_due(), Event::Tick, &mut actions);
     }
-    let news = actions.iter().filter_map(|action| match action {
+    let update_counts = actions.iter().filter_map(|action| match action {
         Action::Send { datagram, .. } if datagram.message == Message::Updates => {
             Some(datagram.updates.len())
         }
         _ => None,
     });
-    news.max().unwrap_or(0)
+    update_counts.max().unwrap_or(0)
 }
 
-/// Where hundreds die or come back at once, ten updates a datagram take seconds to go round.
+/// Guards against slow dissemination: when hundreds of members die or return at once, ten updates
+/// per datagram take seconds to spread.
 #[test]
 fn many_pending_updates_fill_datagrams_and_few_do_not() {
-    assert_eq!(fullest_datagram(50), 10);
+    assert_eq!(max_updates_per_datagram(50), 10);
     assert!(
-        (20..=40).contains(&fullest_datagram(300)),
+        (20..=40).contains(&max_updates_per_datagram(300)),
         "{}",
-        fullest_datagram(300)
+        max_updates_per_datagram(300)
     );
 }
--- a/crates/membership/tests/cases/main.rs
+++ b/crates/membership/tests/cases/main.rs
@@ -1,4 +1,4 @@
-//! Each rule of membership in small clusters without a network.
+//! Tests of each membership rule in small clusters without a network.
 
 mod cluster;
 mod datagrams;
--- a/crates/membership/tests/cases/members.rs
+++ b/crates/membership/tests/cases/members.rs
@@ -1,4 +1,4 @@
-//! Members that join, leave, die, return, and names that are used twice.
+//! Members that join, leave, die and return, and duplicate names.
 
 use doortrack_membership::{
     Change, Datagram, DatagramHeader, Event, Fleet, Incarnation, Message, Parameters, ReportedState,
@@ -35,7 +35,7 @@
     cluster.stopped[4] = true;
     cluster.advance(3_000);
     assert!((0..4).all(|node| cluster.reported(node, "dead", "n4") && cluster.members(node) == 4));
-    cluster.fleets[4] = Cluster::node(4, 200, cluster.now);
+    cluster.fleets[4] = Cluster::new_node(4, 200, cluster.now);
     cluster.stopped[4] = false;
     cluster.advance(3_000);
     assert!(
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_leaving_member_is_left_at_once_and_never_dead() {
+fn a_leaving_member_is_reported_as_left_and_never_as_dead() {
     let mut cluster = Cluster::new(5);
     cluster.advance(2_000);
     cluster.handle(2, Event::Leave);
@@ -74,10 +74,10 @@
 }
 
 #[test]
-fn of_two_processes_of_one_name_the_later_stays() {
+fn of_two_processes_with_the_same_name_the_later_one_stays() {
     let mut cluster = Cluster::new(4);
     cluster.advance(2_000);
-    // A process elsewhere goes by the name of n3, and joins later.
+    // A process at another address also uses the name n3, and joins later.
     let mut duplicate = update(3, 300);
     duplicate.address = address(4);
     let parameters = Parameters {
@@ -101,7 +101,7 @@
     assert_eq!(
         cluster.sent.iter().filter(|(by, ..)| *by == 3).count(),
         sent,
-        "it takes part no more"
+        "the superseded process still sends datagrams"
     );
     assert_eq!(
         cluster.fleets[0]
@@ -114,10 +114,10 @@
 }
 
 #[test]
-fn a_restart_with_the_clock_set_back_takes_a_later_incarnation() {
+fn a_restart_with_the_clock_set_back_adopts_a_later_incarnation() {
     let mut cluster = Cluster::new(4);
     cluster.advance(2_000);
-    cluster.fleets[3] = Cluster::node(3, 50, cluster.now);
+    cluster.fleets[3] = Cluster::new_node(3, 50, cluster.now);
     cluster.advance(4_000);
     assert!(
         cluster.fleets[3].me().incarnation > Incarnation(100) && !cluster.fleets[3].is_superseded(),
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn old_datagrams_change_nothing_after_a_restart() {
+fn replayed_datagrams_change_nothing() {
     let mut cluster = Cluster::new(4);
     cluster.advance(2_000);
     let old: Vec<Datagram> = cluster
@@ -151,9 +151,13 @@
             },
         );
     }
-    assert_eq!(cluster.fleets[0].view().number, view, "to the same process");
+    assert_eq!(
+        cluster.fleets[0].view().number,
+        view,
+        "a replay changed the view of the same process"
+    );
     assert!(cluster.fleets[0].refused() > refused);
-    cluster.fleets[0] = Cluster::node(0, 500, cluster.now);
+    cluster.fleets[0] = Cluster::new_node(0, 500, cluster.now);
     cluster.advance(2_000);
     let view = cluster.fleets[0].view().clone();
     assert_eq!(view.members.len(), 3);
@@ -169,7 +173,7 @@
     assert_eq!(
         cluster.fleets[0].view().number,
         view.number,
-        "to a later one"
+        "a replay changed the view of a restarted process"
     );
 }
 
@@ -180,7 +184,7 @@
     for incarnation in 1..5 {
         cluster.stopped[4] = true;
         cluster.advance(3_000);
-        cluster.fleets[4] = Cluster::node(4, 100 + incarnation, cluster.now);
+        cluster.fleets[4] = Cluster::new_node(4, 100 + incarnation, cluster.now);
         cluster.stopped[4] = false;
         cluster.advance(500);
     }
@@ -202,8 +206,7 @@
 }
 
 #[test]
-
-fn a_full_table_leaves_new_members_out() {
+fn a_full_table_adds_no_new_members() {
     let mut cluster = Cluster::new(2);
     for node in 0..2 {
         let parameters = Parameters {
--- a/crates/membership/tests/cases/suspicion.rs
+++ b/crates/membership/tests/cases/suspicion.rs
@@ -11,10 +11,10 @@
 
 #[test]
 fn a_slow_member_is_distinguished_from_a_dead_one() {
-    // Two nodes by hand: the answer comes after 600 ms, each time.
+    // The datagrams of n2 are dropped by the cluster and delivered here, 300 ms late.
     let mut cluster = Cluster::new(3);
     cluster.advance(2_000);
-    cluster.cut = Box::new(|from, _| from == 2);
+    cluster.is_cut = Box::new(|from, _| from == 2);
     let mut late: VecDeque<(u64, usize, Datagram)> = VecDeque::new();
     cluster.changes.clear();
     for _ in 0..1_200 {
@@ -51,10 +51,10 @@
     assert_eq!(cluster.members(0), 3);
 }
 
-/// Two halves find together: of a member that is suspected for long already, another says that it
-/// is dead, and its refutation has not come by yet.
+/// Guards against a false death when two halves of a fleet rejoin: a member has been suspected for
+/// a while, another node reports it dead, and its refutation has not arrived yet.
 #[test]
-fn a_member_that_others_declared_dead_is_probed_before_it_is_dead_here() {
+fn a_member_reported_dead_is_probed_before_it_is_declared_dead() {
     let mut cluster = Cluster::new(6);
     cluster.advance(3_000);
     let send_update = |cluster: &mut Cluster, from: usize, sequence: u64, state: MemberState| {
@@ -82,24 +82,26 @@
             },
         );
     };
-    // Nothing reaches it for a while, so that nobody clears the suspicion; too short for it to be
-    // isolated.
-    cluster.cut = Box::new(|from, to| from == 0 || to == 0);
+    // n0 is cut off, so that nothing clears the suspicion, but too briefly to become isolated.
+    cluster.is_cut = Box::new(|from, to| from == 0 || to == 0);
     send_update(&mut cluster, 1, 10_000, MemberState::Suspected { by: 0 });
     assert_eq!(cluster.state(0, 2), Some(ReportedState::Suspected));
     cluster.advance(450);
     assert_eq!(cluster.state(0, 2), Some(ReportedState::Suspected));
-    cluster.cut = Box::new(|_, _| false);
+    cluster.is_cut = Box::new(|_, _| false);
     let sent = cluster.sent.len();
     send_update(&mut cluster, 3, 10_000, MemberState::Dead);
     cluster.advance(1);
-    assert!(!cluster.reported(0, "dead", "n2"), "dead at once");
+    assert!(
+        !cluster.reported(0, "dead", "n2"),
+        "declared dead immediately"
+    );
     cluster.advance(2_000);
     let probes = cluster.sent[sent..].iter();
     let probes = probes.filter(|(from, to, datagram)| {
         (*from, *to) == (0, 2) && matches!(datagram.message, Message::Ping { .. })
     });
-    assert!(probes.count() > 0, "no probe of it");
+    assert!(probes.count() > 0, "n2 was not probed");
     assert!(!cluster.reported(0, "dead", "n2"));
     assert_eq!(cluster.state(0, 2), Some(ReportedState::Alive));
 }
--- a/crates/membership/tests/random.rs
+++ b/crates/membership/tests/random.rs
@@ -1,4 +1,5 @@
-//! Any datagrams in any order: nothing panics, views stay consistent, and the state is bounded.
+//! Property test: for any datagrams in any order nothing panics, views stay consistent, and the
+//! state is bounded.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,7 +28,7 @@
 }
 
 prop_compose! {
-    /// On one of 20 names, the node's own (n0) among them.
+    /// An update on one of 20 names, including the node's own (n0).
     fn update()(
         node in 0u8..20, incarnation in 1u64..4, version in 0u32..3, state in state(), weight in 1u32..3,
     ) -> MemberUpdate {
@@ -63,7 +64,7 @@
     Advance(u64),
     Receive {
         sender: MemberUpdate,
-        to_this_incarnation: bool,
+        is_addressed: bool,
         sequence: u64,
         message: Message,
         updates: Vec<MemberUpdate>,
@@ -81,8 +82,8 @@
     );
     prop_oneof![
         30 => (0u64..800).prop_map(Step::Advance),
-        60 => receive.prop_map(|(sender, to_this_incarnation, sequence, message, updates)| {
-            Step::Receive { sender, to_this_incarnation, sequence, message, updates }
+        60 => receive.prop_map(|(sender, is_addressed, sequence, message, updates)| {
+            Step::Receive { sender, is_addressed, sequence, message, updates }
         }),
         1 => Just(Step::Leave),
     ]
@@ -107,8 +108,8 @@
         let seeds = vec![address(1)];
         let parameters = Parameters { seeds, max_members: MAX_MEMBERS, ..Parameters::default() };
         let mut fleet = Fleet::new(me, parameters, seed, 0);
-        let (mut now, mut actions, mut number) = (0, Vec::new(), 0);
-        let mut by_digest: BTreeMap<u64, Vec<(String, Incarnation, u32)>> = BTreeMap::new();
+        let (mut now, mut actions, mut last_number) = (0, Vec::new(), 0);
+        let mut members_by_digest: BTreeMap<u64, Vec<(String, Incarnation, u32)>> = BTreeMap::new();
         let mut incarnation = Incarnation(2);
         for step in steps {
             match step {
@@ -117,12 +118,12 @@
                     while fleet.next_due() <= until {
                         now = now.max(fleet.next_due());
                         fleet.handle(now, Event::Tick, &mut actions);
-                        prop_assert!(fleet.next_due() > now, "a tick leaves nothing due");
+                        prop_assert!(fleet.next_due() > now, "a timer is still due after a tick");
                     }
                     now = until;
                 }
-                Step::Receive { sender, to_this_incarnation, sequence, message, updates } => {
-                    let to = if to_this_incarnation { fleet.me().incarnation } else { Incarnation(0) };
+                Step::Receive { sender, is_addressed, sequence, message, updates } => {
+                    let to = if is_addressed { fleet.me().incarnation } else { Incarnation(0) };
                     let from = sender.address;
                     let head = DatagramHeader { sender, to, sequence, digest: 0, view: 0 };
                     let datagram = Datagram { head, message, updates };
@@ -132,10 +133,10 @@
             }
             for action in actions.drain(..) {
                 if let Action::Send { datagram, .. } = action {
-                    let page = matches!(datagram.message, Message::Page { .. });
-                    prop_assert!(page || datagram.updates.len() <= MAX_UPDATES);
-                    // All but the last fit; beside its name an update with an address of IPv4 takes
-                    // up to 33.
+                    let is_page = matches!(datagram.message, Message::Page { .. });
+                    prop_assert!(is_page || datagram.updates.len() <= MAX_UPDATES);
+                    // Only the last update may exceed the threshold. An update with an IPv4 address
+                    // takes up to 33 bytes and its name.
                     let bytes = datagram.updates.iter().rev().skip(1).map(|update| update.name.len() + 33);
                     prop_assert!(bytes.sum::<usize>() <= UPDATE_BYTES_THRESHOLD);
                     let sender = &datagram.head.sender;
@@ -144,16 +145,16 @@
                 }
             }
             let view = fleet.view();
-            prop_assert!(view.number >= number, "numbers grow");
-            number = view.number;
+            prop_assert!(view.number >= last_number, "the view number went back");
+            last_number = view.number;
             prop_assert!(view.members.len() <= MAX_MEMBERS + 1);
-            let listed = |(name, member): (&Name, &Member)| {
+            let view_entry = |(name, member): (&Name, &Member)| {
                 (name.to_string(), member.incarnation, member.weight)
             };
-            let members: Vec<_> = view.members.iter().map(listed).collect();
-            let known = by_digest.entry(view.digest).or_insert_with(|| members.clone());
-            prop_assert_eq!(known, &members, "one digest, one list");
-            prop_assert!(fleet.me().incarnation >= incarnation, "its own incarnations go forward");
+            let members: Vec<_> = view.members.iter().map(view_entry).collect();
+            let members_with_digest = members_by_digest.entry(view.digest).or_insert_with(|| members.clone());
+            prop_assert_eq!(members_with_digest, &members, "different members have the same digest");
+            prop_assert!(fleet.me().incarnation >= incarnation, "the node's incarnation went back");
             incarnation = fleet.me().incarnation;
             let (reports, more) = fleet.report(None, 100, now);
             prop_assert!(!more && reports.windows(2).all(|pair| pair[0].name < pair[1].name));
