--- a/crates/budgets/src/allocation.rs
+++ b/crates/budgets/src/allocation.rs
@@ -1,41 +1,41 @@
-//! The allocation of one budget at this node, and what of it is in use.
+//! The allocation of one budget at this node, and its usage.
 
 use crate::need::NeedEstimate;
 use crate::token_bucket::TokenBucket;
 use crate::{Budget, Grant, Kind, Parameters, ReportItem, Units};
 use doortrack_time::TenthMillis;
 
-/// How use is counted.
+/// The usage counter of a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Usage {
     /// Each use takes a token.
     Rate(TokenBucket),
-    /// Units held.
+    /// Counts the units held.
     Concurrency { in_use: Units },
 }
 
-/// The allocation of one budget.
+/// The allocation of one budget at this node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Allocation {
     pub budget: Budget,
     reserved: Units,
-    /// When the reserved minimum may be used: what an earlier incarnation held may be in use until
-    /// then.
-    reserved_from: TenthMillis,
+    /// When the reserved minimum may first be used. Units held by an earlier incarnation may be in
+    /// use until then.
+    reserved_usable_from: TenthMillis,
     leased: Units,
     lease_until: TenthMillis,
-    /// The latest report whose answer is in force.
+    /// The number of the latest report whose answer is in force.
     pub accepted: u64,
     usage: Usage,
     need: NeedEstimate,
-    /// What was on a lease that expired, until it is reported.
+    /// The units of an expired lease, until they are reported.
     expired_lease: Option<Units>,
-    /// Requests for a unit that were rejected since the start.
+    /// Number of rejected requests for a unit since the start.
     pub rejected: u64,
 }
 
 impl Allocation {
-    /// Nothing is leased yet; `name` is that of the node.
+    /// Creates an allocation without a lease; `name` is the name of this node.
     pub fn new(
         budget: Budget,
         name: &str,
@@ -48,7 +48,7 @@
         };
         let mut allocation = Allocation {
             reserved: budget.reserved_at(name),
-            reserved_from: now + parameters.max_hold_after_lease(&budget),
+            reserved_usable_from: now + parameters.max_hold_after_lease(&budget),
             budget,
             leased: 0,
             lease_until: 0,
@@ -62,10 +62,10 @@
         allocation
     }
 
-    /// Changes the budget; what is in use stays so.
-    pub fn change(&mut self, budget: Budget, name: &str) {
+    /// Changes the configuration of the budget; units in use stay in use.
+    pub fn change_budget(&mut self, budget: Budget, name: &str) {
         self.reserved = budget.reserved_at(name);
-        // A lower limit holds at once for what this node may use.
+        // A lower limit takes effect immediately.
         self.leased = self
             .leased
             .min(budget.grantable(budget.limit(), budget.reserved()));
@@ -73,13 +73,13 @@
         self.update_capacity();
     }
 
-    /// Takes back everything: nothing may be used any more.
-    pub fn close(&mut self) {
+    /// Revokes the lease and the reserved minimum, so that nothing more may be used.
+    pub fn revoke_all(&mut self) {
         (self.reserved, self.leased, self.lease_until) = (0, 0, 0);
         self.update_capacity();
     }
 
-    /// Adapts the token bucket to what is allocated.
+    /// Adapts the capacity of the token bucket to the allocation.
     fn update_capacity(&mut self) {
         let rate = self.reserved + self.leased;
         if let (Usage::Rate(bucket), Kind::Rate { burst }) = (&mut self.usage, self.budget.kind) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Accounts for the time up to now, and ends a lease that has expired.
+    /// Refills the token bucket up to now, and ends a lease that has expired.
     fn advance(&mut self, now: TenthMillis, parameters: &Parameters) {
         if self.leased > 0 && self.lease_until <= now && parameters.safeguards.lease_expiry {
             self.refill(self.lease_until, parameters);
@@ -105,10 +105,10 @@
         }
     }
 
-    /// What may be used now, the reserved minimum included.
+    /// The units that may be used now, including the reserved minimum.
     pub fn usable(&mut self, now: TenthMillis, parameters: &Parameters) -> Units {
         self.advance(now, parameters);
-        if now >= self.reserved_from {
+        if now >= self.reserved_usable_from {
             self.leased + self.reserved
         } else {
             self.leased
@@ -118,7 +118,7 @@
     /// Acquires one unit.
     ///
     /// # Errors
-    /// None is left: how long to wait before asking again, in tenths of a millisecond.
+    /// If no unit is left: the time to wait before trying again, in tenths of a millisecond.
     pub fn acquire(
         &mut self,
         now: TenthMillis,
@@ -145,7 +145,7 @@
         acquired
     }
 
-    /// Gives back a unit: of a concurrency always, of a rate only if it was not used.
+    /// Releases a unit. A unit of a rate is returned only if it was not used.
     pub fn release(&mut self, used: bool) {
         match &mut self.usage {
             Usage::Rate(_) if used => {}
@@ -154,9 +154,9 @@
         }
     }
 
-    /// Whether requests were rejected since the last round.
-    pub fn is_short(&self) -> bool {
-        self.need.is_short()
+    /// Returns true if requests were rejected in this round.
+    pub fn had_rejections(&self) -> bool {
+        self.need.had_rejections()
     }
 
     /// Units held; 0 for a rate.
@@ -167,17 +167,17 @@
         }
     }
 
-    /// The item of a report; with `round` it ends a round of the measured need.
-    pub fn item(
+    /// The item of this budget in a report. With `ends_round` it ends a round of the need estimate.
+    pub fn report_item(
         &mut self,
         now: TenthMillis,
         parameters: &Parameters,
-        round: bool,
+        ends_round: bool,
         leaving: bool,
     ) -> ReportItem {
         self.advance(now, parameters);
         let in_use = self.in_use();
-        let need = if round {
+        let need = if ends_round {
             self.need.end_round(now, &self.budget, in_use)
         } else {
             self.need.last_reported()
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Applies the leader's answer to report `seq`, whose lease expires at `until`. Returns what
-    /// was leased and what is now.
+    /// Applies the leader's answer to report `seq`, whose lease expires at `until`. Returns the
+    /// leased units before and after.
     pub fn apply_grant(
         &mut self,
         now: TenthMillis,
@@ -208,8 +208,8 @@
     ) -> (Units, Units) {
         self.advance(now, parameters);
         let previous = self.leased;
-        // A leader that prolongs may not know that this has been granted to another since it was
-        // over here.
+        // The lease may have expired here, and its units may have been granted to another holder
+        // without the knowledge of a leader that only prolongs.
         let max = if grant.prolongs && parameters.safeguards.prolong_unexpired_only {
             previous
         } else {
@@ -224,7 +224,7 @@
         (previous, self.leased)
     }
 
-    /// What was on a lease that expired since this was last asked.
+    /// The units of a lease that expired since the last call.
     pub fn take_expired_lease(
         &mut self,
         now: TenthMillis,
@@ -239,12 +239,12 @@
         (self.leased > 0).then_some(self.lease_until)
     }
 
-    /// What is on a lease.
+    /// The leased units.
     pub fn leased(&self) -> Units {
         self.leased
     }
 
-    /// The need as last reported.
+    /// The need that was last reported.
     pub fn need(&self) -> Units {
         self.need.last_reported()
     }
--- a/crates/budgets/src/budgets.rs
+++ b/crates/budgets/src/budgets.rs
@@ -1,4 +1,4 @@
-//! The state of one node's budgets, and how it handles events.
+//! The budgets of one node, and how they handle events.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,11 +11,11 @@
 use crate::voter::Voter;
 use crate::{Action, Budget, BudgetId, Change, Envelope, Event, NodeId, Parameters};
 
-/// Rounds without an answer after which the leader is given up and the voters are asked for
-/// another.
+/// Maximum number of rounds without an answer, after which the leader is given up and the voters
+/// are asked for another one.
 const MAX_UNANSWERED_ROUNDS: u32 = 3;
 
-/// One node's budgets. The crate's documentation says how to drive them.
+/// The budgets state machine of one node. The crate documentation describes its use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budgets {
     pub(crate) me: NodeId,
@@ -24,30 +24,31 @@
     pub(crate) allocations: Vec<Allocation>,
     /// The index of each budget in `allocations`.
     pub(crate) indices: BTreeMap<BudgetId, usize>,
-    /// Present if this node is one of the voters.
+    /// The voter state, if this node is one of the voters.
     pub(crate) voter: Option<Voter>,
     pub(crate) leadership: Leadership,
-    /// What was granted in this term as the leader.
+    /// The grants of this node's term as the leader.
     pub(crate) ledger: Ledger,
     /// The voters that are present.
     pub(crate) voters: BTreeMap<Name, Incarnation>,
     pub(crate) leader: Option<NodeId>,
-    /// Answers to reports before this one are those of an earlier leader.
-    pub(crate) following_since: u64,
+    /// The number of the first report to the current leader. Answers to earlier ones are from an
+    /// earlier leader.
+    pub(crate) first_seq_to_leader: u64,
     /// The number of the last report sent.
     pub(crate) seq: u64,
-    /// Reports, and when each was sent.
-    pub(crate) sent: VecDeque<(u64, TenthMillis)>,
+    /// The numbers of the reports sent, and when each was sent.
+    pub(crate) sent_reports: VecDeque<(u64, TenthMillis)>,
     report_at: TenthMillis,
     pub(crate) unanswered_rounds: u32,
-    /// The voter that was last asked for the leader, as an index that wraps around.
+    /// The index of the voter that was last asked for the leader; it wraps around.
     pub(crate) last_voter_asked: usize,
     pub(crate) ballot: u64,
     rng_state: u64,
     pub(crate) leaving: bool,
     superseded: bool,
     /// Messages to this node itself; empty between events.
-    pub(crate) local: VecDeque<Envelope>,
+    pub(crate) loopback: VecDeque<Envelope>,
 }
 
 fn indices(list: &[Budget]) -> BTreeMap<BudgetId, usize> {
@@ -58,9 +59,9 @@
 }
 
 impl Budgets {
-    /// The budgets of a node that has just started. `weight` is its capacity, in a unit that all
-    /// nodes share; `list` has at most [`crate::MAX_BUDGETS`], each with an id of its own; `now` is
-    /// in tenths of a millisecond.
+    /// Creates the budgets of a node that has just started. `weight` is its capacity, in a unit
+    /// that all nodes share; `list` has at most [`crate::MAX_BUDGETS`], each with a unique id;
+    /// `now` is in tenths of a millisecond.
     pub fn new(
         me: NodeId,
         weight: u32,
@@ -83,14 +84,14 @@
             allocations,
             weight: weight.max(1),
             leadership: Leadership::Follower {
-                try_at: TenthMillis::MAX,
+                election_at: TenthMillis::MAX,
             },
             ledger: Ledger::default(),
             voters: BTreeMap::new(),
             leader: None,
-            following_since: 0,
+            first_seq_to_leader: 0,
             seq: 0,
-            sent: VecDeque::new(),
+            sent_reports: VecDeque::new(),
             report_at: now,
             unanswered_rounds: 0,
             last_voter_asked: 0,
@@ -98,35 +99,35 @@
             rng_state: seed ^ me.incarnation.0,
             leaving: false,
             superseded: false,
-            local: VecDeque::new(),
+            loopback: VecDeque::new(),
             me,
             parameters,
         };
-        budgets.set_first_deadlines(now);
+        budgets.set_initial_deadlines(now);
         budgets
     }
 
-    /// Nodes that start at the same instant must neither request votes at the same instant nor
-    /// report at the same instants ever after.
-    fn set_first_deadlines(&mut self, now: TenthMillis) {
+    /// Sets the first election and report. Random offsets keep nodes that start at the same instant
+    /// from requesting votes and reporting in lockstep.
+    fn set_initial_deadlines(&mut self, now: TenthMillis) {
         let jitter = self.random(self.parameters.report_interval);
         if let Some(voter) = &self.voter {
-            let try_at = voter.free_at() + jitter;
-            self.leadership = Leadership::Follower { try_at };
+            let election_at = voter.free_at() + jitter;
+            self.leadership = Leadership::Follower { election_at };
             let (name, incarnation) = (self.me.name.clone(), self.me.incarnation);
             self.voters.insert(name, incarnation);
         }
         self.report_at = now + self.random(self.parameters.report_interval);
     }
 
-    /// A random number below `below`, or 0.
+    /// A random number below `below`; 0 if `below` is 0.
     pub(crate) fn random(&mut self, below: u64) -> u64 {
         let mut rng = fastrand::Rng::with_seed(self.rng_state);
         self.rng_state = rng.u64(..);
         rng.u64(..below.max(1))
     }
 
-    /// When [`Event::Tick`] is due at the latest; [`TenthMillis::MAX`] for never.
+    /// When the next [`Event::Tick`] is due; [`TenthMillis::MAX`] for never.
     pub fn next_due(&self) -> TenthMillis {
         if self.superseded || self.allocations.is_empty() {
             return TenthMillis::MAX;
@@ -135,8 +136,8 @@
             .min(self.leadership.next_due(&self.parameters))
     }
 
-    /// Handles one event at the time `now`, which must not go back. Actions are added to `actions`,
-    /// in order.
+    /// Handles one event at the time `now`, which must not go back, and appends the resulting
+    /// actions to `actions`.
     pub fn handle(&mut self, now: TenthMillis, event: Event, actions: &mut Vec<Action>) {
         if self.superseded {
             return;
@@ -144,7 +145,7 @@
         match event {
             Event::Tick => self.on_tick(now, actions),
             Event::Received(envelope) => self.on_envelope(now, envelope, actions),
-            Event::ViewChanged(view) => self.on_members(&view),
+            Event::ViewChanged(view) => self.on_view_change(&view),
             Event::Leave => {
                 self.leaving = true;
                 self.resign(now, actions);
@@ -152,29 +153,34 @@
             }
             Event::Superseded => {
                 self.superseded = true;
-                self.allocations.iter_mut().for_each(Allocation::close);
+                self.allocations.iter_mut().for_each(Allocation::revoke_all);
             }
-            Event::BudgetsChanged { list } => self.change(now, list),
+            Event::BudgetsChanged { list } => self.change_budgets(now, list),
         }
-        while let Some(envelope) = self.local.pop_front() {
+        while let Some(envelope) = self.loopback.pop_front() {
             self.on_envelope(now, envelope, actions);
         }
     }
 
     /// Updates which voters are present.
-    fn on_members(&mut self, view: &View) {
-        let present = |name: &Name| {
+    fn on_view_change(&mut self, view: &View) {
+        let voter_in_view = |name: &Name| {
             let member = view.members.get(name)?;
             Some((name.clone(), member.incarnation))
         };
-        self.voters = self.parameters.voters.iter().filter_map(present).collect();
+        self.voters = self
+            .parameters
+            .voters
+            .iter()
+            .filter_map(voter_in_view)
+            .collect();
         if self.voter.is_some() {
             let (name, incarnation) = (self.me.name.clone(), self.me.incarnation);
             self.voters.insert(name, incarnation);
         }
     }
 
-    fn change(&mut self, now: TenthMillis, list: Vec<Budget>) {
+    fn change_budgets(&mut self, now: TenthMillis, list: Vec<Budget>) {
         let mut old: Vec<Option<Allocation>> = std::mem::take(&mut self.allocations)
             .into_iter()
             .map(Some)
@@ -186,7 +192,7 @@
             };
             let allocation = match old.iter_mut().find(same_budget).and_then(Option::take) {
                 Some(mut allocation) => {
-                    allocation.change(budget, &self.me.name);
+                    allocation.change_budget(budget, &self.me.name);
                     allocation
                 }
                 None => Allocation::new(budget, &self.me.name, now, &self.parameters),
@@ -195,7 +201,7 @@
         }
         let list: Vec<Budget> = self.list().cloned().collect();
         self.indices = indices(&list);
-        self.ledger.change(&list);
+        self.ledger.change_budgets(&list);
     }
 
     fn on_tick(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
@@ -203,9 +209,10 @@
         if now < self.report_at {
             return;
         }
-        // A node that is short reports twice as often, to get sooner what others give up.
-        let short = self.allocations.iter().any(Allocation::is_short);
-        let interval = if short {
+        // A node with rejected requests reports twice as often, to receive sooner what others give
+        // up.
+        let has_rejections = self.allocations.iter().any(Allocation::had_rejections);
+        let interval = if has_rejections {
             self.parameters.report_interval.div_ceil(2)
         } else {
             self.parameters.report_interval
@@ -222,6 +229,6 @@
         {
             actions.push(Action::Report(Change::LeaderSilent(leader)));
         }
-        self.report_all(now, true, actions);
+        self.send_full_report(now, true, actions);
     }
 }
--- a/crates/budgets/src/divide.rs
+++ b/crates/budgets/src/divide.rs
@@ -1,5 +1,5 @@
-//! Weighted max-min fair division: no holder gets more than it needs while another that gets less
-//! in proportion to its weight goes short.
+//! Weighted max-min fair division: no allocation exceeds its holder's need while another holder,
+//! whose allocation is smaller in proportion to its weight, is short.
 
 use std::cmp::Ordering;
 
@@ -8,11 +8,11 @@
 /// The demand of one holder in a division.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderDemand {
-    /// What it could use.
+    /// The units that the holder could use.
     pub need: Units,
-    /// Its capacity; at least 1 counts.
+    /// The holder's capacity; 0 counts as 1.
     pub weight: u32,
-    /// What it may have at most.
+    /// The maximum allocation of the holder.
     pub max: Units,
 }
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// The allocations in the order of `demands`: multiples of `step` whose sum is at most `limit`.
-/// What exceeds all needs is divided by weight, up to the maxima. Single steps that can't be
-/// divided go to one holder after the other as `rotation` grows, so that over time they are divided
-/// as well.
+/// Divides a budget and returns the allocations in the order of `demands`: multiples of `step`
+/// whose sum is at most `limit`. The surplus over all needs is divided by weight, up to the maxima.
+/// The indivisible remaining steps go to holders in turn as `rotation` grows, so that over time
+/// they are divided evenly as well.
 pub fn divide(limit: Units, step: Units, demands: &[HolderDemand], rotation: u64) -> Vec<Units> {
     let step = step.max(1);
     let steps = limit / step;
@@ -35,7 +35,7 @@
         .zip(&maxima)
         .map(|(demand, max)| demand.need.min(demand.max).div_ceil(step).min(*max))
         .collect();
-    let mut allocations = fill(steps, demands, &needs, rotation);
+    let mut allocations = water_fill(steps, demands, &needs, rotation);
     let remaining = steps - allocations.iter().sum::<Units>();
     if remaining > 0 {
         let headroom: Vec<Units> = maxima
@@ -43,7 +43,7 @@
             .zip(&allocations)
             .map(|(max, allocation)| max - allocation)
             .collect();
-        let surplus = fill(remaining, demands, &headroom, rotation);
+        let surplus = water_fill(remaining, demands, &headroom, rotation);
         for (allocation, surplus) in allocations.iter_mut().zip(surplus) {
             *allocation += surplus;
         }
@@ -54,9 +54,14 @@
     allocations
 }
 
-/// Fills all holders to one level in proportion to weight (water-filling), each at most to its
-/// bound.
-fn fill(limit: Units, demands: &[HolderDemand], bounds: &[Units], rotation: u64) -> Vec<Units> {
+/// Water-filling: raises the allocations of all holders to one level in proportion to their weight,
+/// each at most to its bound.
+fn water_fill(
+    limit: Units,
+    demands: &[HolderDemand],
+    bounds: &[Units],
+    rotation: u64,
+) -> Vec<Units> {
     let order = fill_order(demands, bounds);
     let mut allocations = vec![0; demands.len()];
     let mut weights: u128 = order.iter().map(|holder| demands[*holder].weight()).sum();
@@ -64,7 +69,8 @@
     for (position, holder) in order.iter().enumerate() {
         let fair = fair_share(remaining, &demands[*holder], weights);
         if bounds[*holder] > fair {
-            // No further holder reaches its bound: each gets its fair share of what remains.
+            // None of the other holders reaches its bound either: each gets its fair share of the
+            // rest.
             let unfilled = &order[position..];
             for holder in unfilled {
                 let fair = fair_share(remaining, &demands[*holder], weights);
@@ -84,7 +90,7 @@
     allocations
 }
 
-/// The holders with a bound above 0, those with the smallest bound for their weight first.
+/// The holders with a bound above 0, ordered by the ratio of bound to weight.
 fn fill_order(demands: &[HolderDemand], bounds: &[Units]) -> Vec<usize> {
     let by_relative_bound = |a: &usize, b: &usize| -> Ordering {
         let left = u128::from(bounds[*a]) * demands[*b].weight();
@@ -98,13 +104,14 @@
     order
 }
 
-/// A holder's part of what remains by its weight among all `weights`; at most `remaining`.
+/// A holder's share of `remaining` by its weight. `weights` is the sum of the weights of all
+/// holders that share it.
 fn fair_share(remaining: Units, demand: &HolderDemand, weights: u128) -> Units {
     (u128::from(remaining) * demand.weight() / weights.max(1)) as Units
 }
 
-/// Gives one step each to holders below their bounds, beginning with one that moves on with
-/// `rotation`.
+/// Gives one remaining step each to holders below their bounds, starting at a position that
+/// advances with `rotation`.
 fn distribute_single_steps(
     remaining: Units,
     bounds: &[Units],
--- a/crates/budgets/src/envelope.rs
+++ b/crates/budgets/src/envelope.rs
@@ -6,30 +6,30 @@
 
 use crate::{BudgetId, Units};
 
-/// Budgets in one message, so that it fits a datagram.
+/// Maximum number of budgets in one message, so that it fits into a datagram.
 pub const MAX_REPORT_ITEMS: usize = 40;
 
-/// One incarnation of a node: its name, and the run of its process.
+/// Identifies one incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId {
     /// The node's name.
     pub name: Name,
-    /// The run of its process.
+    /// The node's incarnation.
     pub incarnation: Incarnation,
 }
 
-/// A message with its sender and receiver. A message for another incarnation is ignored.
+/// A message with its sender and receiver. A message to another incarnation is ignored.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
     pub from: NodeId,
     /// The receiver.
     pub to: NodeId,
-    /// What is sent.
+    /// The message.
     pub message: Message,
 }
 
-/// A message. A ballot is the number of a request for votes, `seq` that of a report.
+/// A message. `ballot` numbers the requests for votes of a node, `seq` its reports.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// A candidate, or the leader, requests a vote.
@@ -37,43 +37,43 @@
         /// The number of the request.
         ballot: u64,
     },
-    /// The voter gives its vote.
+    /// A voter gives its vote.
     Vote {
         /// The number of the request.
         ballot: u64,
     },
-    /// The voter refuses: another has its vote, or it gives none yet.
+    /// A voter refuses its vote, because another node has it or because it still abstains.
     Refused {
         /// The number of the request.
         ballot: u64,
     },
-    /// The candidate gives the vote of this ballot back.
+    /// A candidate or the leader releases the votes of a ballot.
     Release {
         /// The number of the request.
         ballot: u64,
     },
-    /// A holder's needs, and what it may have in use.
+    /// A holder reports its needs, and the units that it may have in use.
     Report {
         /// The number of the report.
         seq: u64,
         /// The holder's capacity, in a unit that all nodes share.
         weight: u32,
-        /// One for each budget; at most [`MAX_REPORT_ITEMS`].
+        /// One item per budget; at most [`MAX_REPORT_ITEMS`].
         items: Vec<ReportItem>,
     },
-    /// The leader's answer to a report: what the holder may use, on a lease that runs from when it
-    /// sent the report.
+    /// The leader answers a report with what the holder may use, on a lease that runs from when the
+    /// holder sent the report.
     Grant {
         /// The number of the report.
         seq: u64,
-        /// One for each budget that the leader knows.
+        /// One grant per budget that the leader knows.
         grants: Vec<Grant>,
     },
-    /// The receiver of the report is not the leader.
+    /// The receiver of a report is not the leader.
     NotLeader {
         /// The number of the report.
         seq: u64,
-        /// The leader, if the receiver knows it.
+        /// The leader, if the receiver of the report knows it.
         leader: Option<NodeId>,
     },
 }
@@ -83,9 +83,10 @@
 pub struct Grant {
     /// The budget.
     pub id: BudgetId,
-    /// Units beyond the reserved minimum.
+    /// Units in addition to the reserved minimum.
     pub allocation: Units,
-    /// It only prolongs what the holder has, and is void if that has expired meanwhile.
+    /// Whether the grant only prolongs the units that the holder has. It grants nothing if their
+    /// lease has expired in the meantime.
     pub prolongs: bool,
 }
 
@@ -94,14 +95,14 @@
 pub struct ReportItem {
     /// The budget.
     pub id: BudgetId,
-    /// Units that could be used now, beyond the reserved minimum.
+    /// Units that the node could use now, in addition to the reserved minimum.
     pub need: Units,
-    /// Units that may be in use at most, beyond the reserved minimum.
+    /// Maximum number of units that may be in use, in addition to the reserved minimum.
     pub holding: Units,
-    /// The latest report whose answer is in force.
+    /// The number of the latest report whose answer is in force.
     pub accepted: u64,
-    /// The limit of the budget as this node is configured.
+    /// The limit of the budget in the sender's configuration.
     pub limit: Units,
-    /// The reserved minimum of the budget as this node is configured.
+    /// The reserved minimum of the budget in the sender's configuration.
     pub reserved: Units,
 }
--- a/crates/budgets/src/holder.rs
+++ b/crates/budgets/src/holder.rs
@@ -1,5 +1,4 @@
-//! The node's part as a holder of allocations: its reports, the leader's answers, and the use of
-//! units.
+//! The node as a holder of allocations: its reports, the leader's answers, and the use of units.
 
 use doortrack_time::TenthMillis;
 
@@ -7,41 +6,42 @@
     Action, Budgets, Change, Envelope, Grant, MAX_REPORT_ITEMS, Message, NodeId, ReportItem,
 };
 
-/// Reports that are remembered, as an answer counts from when its report was sent.
-const MAX_SENT: usize = 128;
+/// Maximum number of remembered reports. Their times are needed because a lease runs from when its
+/// report was sent.
+const MAX_SENT_REPORTS: usize = 128;
 
 impl Budgets {
     /// Acquires one unit of the budget at this index of the list.
     ///
     /// # Errors
-    /// None is left: how long to wait before asking again, in tenths of a millisecond.
+    /// If no unit is left: the time to wait before trying again, in tenths of a millisecond.
     pub fn acquire(&mut self, index: usize, now: TenthMillis) -> Result<(), TenthMillis> {
         self.allocations[index].acquire(now, &self.parameters)
     }
 
-    /// Gives back a unit that was acquired and not used, also of a rate.
+    /// Returns a unit that was acquired but not used.
     pub fn cancel(&mut self, index: usize) {
         self.allocations[index].release(false);
     }
 
-    /// Releases a unit of a concurrency that was used. Of a rate this changes nothing.
+    /// Releases a unit that was used. This has no effect on a rate.
     pub fn release(&mut self, index: usize) {
         self.allocations[index].release(true);
     }
 
-    /// As [`Budgets::report`], for all budgets.
-    pub(crate) fn report_all(
+    /// Reports all budgets; see [`Budgets::send_report`].
+    pub(crate) fn send_full_report(
         &mut self,
         now: TenthMillis,
         ends_round: bool,
         actions: &mut Vec<Action>,
     ) {
         let all: Vec<usize> = (0..self.allocations.len()).collect();
-        self.report(now, &all, ends_round, actions);
+        self.send_report(now, &all, ends_round, actions);
     }
 
-    /// Reports these budgets to the leader, or, if none is known, to a voter that may know one.
-    pub(crate) fn report(
+    /// Reports these budgets to the leader or, if none is known, to a voter that may know it.
+    pub(crate) fn send_report(
         &mut self,
         now: TenthMillis,
         indices: &[usize],
@@ -52,29 +52,29 @@
             return;
         };
         let (parameters, leaving) = (&self.parameters, self.leaving);
-        let items = indices
-            .iter()
-            .map(|index| self.allocations[*index].item(now, parameters, ends_round, leaving));
+        let items = indices.iter().map(|index| {
+            self.allocations[*index].report_item(now, parameters, ends_round, leaving)
+        });
         let items: Vec<ReportItem> = items.collect();
         for items in items.chunks(MAX_REPORT_ITEMS) {
             self.seq += 1;
-            if self.sent.len() >= MAX_SENT {
-                self.sent.pop_front();
+            if self.sent_reports.len() >= MAX_SENT_REPORTS {
+                self.sent_reports.pop_front();
             }
-            self.sent.push_back((self.seq, now));
+            self.sent_reports.push_back((self.seq, now));
             let (seq, weight, items) = (self.seq, self.weight, items.to_vec());
             self.send(to.clone(), Message::Report { seq, weight, items }, actions);
         }
     }
 
-    /// The next of the other voters, in turn.
+    /// The next of the other voters, in round-robin order.
     fn next_voter_to_ask(&mut self) -> Option<NodeId> {
         let voters: Vec<NodeId> = self.other_voters().collect();
         self.last_voter_asked = self.last_voter_asked.wrapping_add(1);
         (!voters.is_empty()).then(|| voters[self.last_voter_asked % voters.len()].clone())
     }
 
-    /// The voters that are present, without this node.
+    /// The voters that are present, except this node.
     pub(crate) fn other_voters(&self) -> impl Iterator<Item = NodeId> {
         self.voters
             .iter()
@@ -85,7 +85,7 @@
             })
     }
 
-    /// Sends a message; to this node itself it is delivered within the same event.
+    /// Sends a message. A message to this node itself is delivered within the same event.
     pub(crate) fn send(&mut self, to: NodeId, message: Message, actions: &mut Vec<Action>) {
         let envelope = Envelope {
             from: self.me.clone(),
@@ -93,18 +93,18 @@
             message,
         };
         if envelope.to == self.me {
-            self.local.push_back(envelope)
+            self.loopback.push_back(envelope)
         } else {
             actions.push(Action::Send(envelope))
         }
     }
 
-    /// Reports to another leader from here on.
-    pub(crate) fn follow(&mut self, leader: Option<NodeId>, actions: &mut Vec<Action>) {
+    /// Changes the leader that this node reports to.
+    pub(crate) fn set_leader(&mut self, leader: Option<NodeId>, actions: &mut Vec<Action>) {
         if leader == self.leader {
             return;
         }
-        self.following_since = self.seq + 1;
+        self.first_seq_to_leader = self.seq + 1;
         self.unanswered_rounds = 0;
         if let Some(leader) = &leader {
             actions.push(Action::Report(Change::Leader(leader.clone())));
@@ -139,15 +139,15 @@
         leader: Option<NodeId>,
         actions: &mut Vec<Action>,
     ) {
-        // Another voter is believed while no leader is known, the present leader always.
-        let believed = self.leader.as_ref().is_none_or(|leader| leader == from);
-        if seq < self.following_since || !believed {
+        // If a leader is known, only its own answer counts; otherwise that of any voter does.
+        let is_authoritative = self.leader.as_ref().is_none_or(|leader| leader == from);
+        if seq < self.first_seq_to_leader || !is_authoritative {
             return;
         }
         let found_leader = leader.is_some() && leader != self.leader;
-        self.follow(leader, actions);
+        self.set_leader(leader, actions);
         if found_leader {
-            self.report_all(now, false, actions);
+            self.send_full_report(now, false, actions);
         }
     }
 
@@ -159,11 +159,11 @@
         grants: &[Grant],
         actions: &mut Vec<Action>,
     ) {
-        let in_order = self.parameters.safeguards.reject_stale_answers;
-        if self.leader.as_ref() != Some(from) || (in_order && seq < self.following_since) {
+        let reject_stale = self.parameters.safeguards.reject_stale_messages;
+        if self.leader.as_ref() != Some(from) || (reject_stale && seq < self.first_seq_to_leader) {
             return;
         }
-        let Some((_, sent_at)) = self.sent.iter().find(|(sent, _)| *sent == seq) else {
+        let Some((_, sent_at)) = self.sent_reports.iter().find(|(sent, _)| *sent == seq) else {
             return;
         };
         let until = sent_at
@@ -174,18 +174,18 @@
         if until <= now && self.parameters.safeguards.lease_expiry {
             return;
         }
-        let lowered: Vec<usize> = grants
+        let lowered_indices: Vec<usize> = grants
             .iter()
             .filter_map(|grant| self.apply_grant(now, seq, *grant, until, actions))
             .collect();
-        // What is given up can be granted to another as soon as this is known.
-        if !lowered.is_empty() {
-            self.report(now, &lowered, false, actions);
+        // Units that were given up can be granted to another holder once the leader knows.
+        if !lowered_indices.is_empty() {
+            self.send_report(now, &lowered_indices, false, actions);
         }
     }
 
-    /// Applies one grant in answer to report `seq`. Returns the index of its budget if less is
-    /// leased than before.
+    /// Applies one grant in answer to report `seq`. Returns the index of its budget if the lease
+    /// became smaller.
     fn apply_grant(
         &mut self,
         now: TenthMillis,
@@ -196,7 +196,7 @@
     ) -> Option<usize> {
         let index = self.indices.get(&grant.id).copied()?;
         let allocation = &mut self.allocations[index];
-        if seq <= allocation.accepted && self.parameters.safeguards.reject_stale_answers {
+        if seq <= allocation.accepted && self.parameters.safeguards.reject_stale_messages {
             return None;
         }
         let (previous, leased) = allocation.apply_grant(now, seq, grant, until, &self.parameters);
--- a/crates/budgets/src/leadership.rs
+++ b/crates/budgets/src/leadership.rs
@@ -1,4 +1,4 @@
-//! Elections: how a voter becomes the leader, remains it and steps down.
+//! Elections: how a voter becomes the leader, stays the leader and steps down.
 
 use doortrack_time::TenthMillis;
 
@@ -10,18 +10,18 @@
 /// The node's role in elections.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Leadership {
-    /// It follows the leader, if there is one.
+    /// The node follows the leader, if there is one.
     Follower {
-        /// When it may start an election; never if it is no voter.
-        try_at: TenthMillis,
+        /// When the node starts an election; never if it is not a voter.
+        election_at: TenthMillis,
     },
-    /// It has requested votes.
+    /// The node has requested votes.
     Candidate {
         election: Election,
-        /// When it abandons the election.
-        until: TenthMillis,
+        /// When the node abandons the election.
+        abandon_at: TenthMillis,
     },
-    /// It holds the votes of a majority.
+    /// The node holds the votes of a majority.
     Leader(Term),
 }
 
@@ -29,12 +29,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Term {
     pub election: Election,
-    /// When votes are requested again.
+    /// When the votes are next renewed.
     pub renew_at: TenthMillis,
-    /// When the term began. A lease of an earlier leader has expired one lease later; what a
-    /// budget's units may be held beyond that is added.
-    pub since: TenthMillis,
-    /// When the budgets are divided next.
+    /// When the term began. Leases of earlier leaders have expired one lease duration later; units
+    /// of a concurrency budget may be held for its maximum hold time beyond that.
+    pub began_at: TenthMillis,
+    /// When the budgets are next divided.
     pub divide_at: TenthMillis,
 }
 
@@ -42,8 +42,8 @@
     /// When the next step is due at the latest.
     pub fn next_due(&self, parameters: &Parameters) -> TenthMillis {
         match self {
-            Leadership::Follower { try_at } => *try_at,
-            Leadership::Candidate { until, .. } => *until,
+            Leadership::Follower { election_at } => *election_at,
+            Leadership::Candidate { abandon_at, .. } => *abandon_at,
             Leadership::Leader(term) => term
                 .renew_at
                 .min(term.divide_at)
@@ -56,13 +56,15 @@
     /// Takes the steps that are due in elections and, as the leader, in divisions.
     pub(crate) fn leadership_tick(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         match &self.leadership {
-            Leadership::Follower { try_at } if now >= *try_at => self.start_election(now, actions),
-            Leadership::Candidate { until, .. } if now >= *until => {
+            Leadership::Follower { election_at } if now >= *election_at => {
+                self.start_election(now, actions)
+            }
+            Leadership::Candidate { abandon_at, .. } if now >= *abandon_at => {
                 self.abandon_election(now, actions)
             }
             Leadership::Leader(term) => {
                 if now >= term.election.held_until(&self.parameters) {
-                    // Another may be leader by now.
+                    // Another node may be the leader by now.
                     self.step_down(now, actions);
                 } else if now >= term.renew_at {
                     self.request_votes(now, actions);
@@ -83,16 +85,16 @@
         let free_at = self.voter.as_ref().map_or(TenthMillis::MAX, Voter::free_at);
         if self.voters.len() < self.parameters.majority() || free_at > now {
             self.leadership = Leadership::Follower {
-                try_at: free_at
+                election_at: free_at
                     .max(now + self.parameters.report_interval)
                     .saturating_add(jitter),
             };
             return;
         }
-        let until = now + self.parameters.report_interval;
+        let abandon_at = now + self.parameters.report_interval;
         self.leadership = Leadership::Candidate {
             election: Election::default(),
-            until,
+            abandon_at,
         };
         self.request_votes(now, actions);
     }
@@ -124,7 +126,7 @@
         self.send_to_voters(&Message::Release { ballot }, actions);
     }
 
-    /// Sends to all voters, this node first.
+    /// Sends a message to all voters, starting with this node.
     fn send_to_voters(&mut self, message: &Message, actions: &mut Vec<Action>) {
         let others: Vec<NodeId> = self.other_voters().collect();
         for voter in [self.me.clone()].into_iter().chain(others) {
@@ -132,32 +134,35 @@
         }
     }
 
-    /// Gives up for want of votes; those given are released, so that another may have them.
+    /// Abandons an election without a majority, and releases its votes for other candidates.
     fn abandon_election(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         self.release_votes(actions);
         let wait =
             self.parameters.report_interval / 2 + self.random(2 * self.parameters.report_interval);
-        self.leadership = Leadership::Follower { try_at: now + wait };
+        self.leadership = Leadership::Follower {
+            election_at: now + wait,
+        };
     }
 
     fn step_down(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
         self.leadership = Leadership::Follower {
-            try_at: now + self.parameters.report_interval,
+            election_at: now + self.parameters.report_interval,
         };
         self.ledger = Ledger::default();
-        self.follow(None, actions);
+        self.set_leader(None, actions);
         actions.push(Action::Report(Change::SteppedDown));
     }
 
-    /// Steps down for good and releases all votes, so that another can be elected at once.
+    /// Steps down permanently and releases all votes, so that another leader can be elected
+    /// immediately.
     pub(crate) fn resign(&mut self, now: TenthMillis, actions: &mut Vec<Action>) {
-        let held = matches!(self.leadership, Leadership::Leader(_));
+        let was_leader = matches!(self.leadership, Leadership::Leader(_));
         self.release_votes(actions);
-        if held {
+        if was_leader {
             self.step_down(now, actions);
         }
         self.leadership = Leadership::Follower {
-            try_at: TenthMillis::MAX,
+            election_at: TenthMillis::MAX,
         };
     }
 
@@ -183,7 +188,7 @@
         self.leadership = Leadership::Leader(Term {
             election,
             renew_at: now + self.parameters.report_interval,
-            since: now,
+            began_at: now,
             divide_at: now,
         });
         let list: Vec<Budget> = self.list().cloned().collect();
@@ -194,10 +199,10 @@
             0
         };
         actions.push(Action::Report(Change::Elected { grants_after }));
-        self.follow(Some(self.me.clone()), actions);
+        self.set_leader(Some(self.me.clone()), actions);
     }
 
-    /// Handles the messages to voters, candidates and leaders.
+    /// Handles messages to voters, candidates and leaders.
     pub(crate) fn on_voter_message(
         &mut self,
         now: TenthMillis,
@@ -237,19 +242,19 @@
         self.send(from, answer, actions);
     }
 
-    /// A candidate gives a vote back: this node may start an election soon.
+    /// Handles the release of a vote, after which this node may start an election soon.
     fn on_release(&mut self, now: TenthMillis, from: &NodeId, ballot: u64) {
         let released = self
             .voter
             .as_mut()
             .is_some_and(|voter| voter.release(from, ballot));
         let earliest = now + self.random(self.parameters.report_interval);
-        if let Leadership::Follower { try_at } = &mut self.leadership
+        if let Leadership::Follower { election_at } = &mut self.leadership
             && released
             && *from != self.me
             && !self.leaving
         {
-            *try_at = earliest.min(*try_at);
+            *election_at = earliest.min(*election_at);
         }
     }
 
@@ -262,12 +267,13 @@
     ) {
         let seq = report.seq;
         let answer = match &self.leadership {
-            // The check of its own votes comes before every allocation that it grants.
+            // A leader checks that it still has a majority before every grant.
             Leadership::Leader(term) if term.election.held_until(&self.parameters) > now => {
-                let (parameters, since) = (&self.parameters, term.since);
+                let (parameters, began_at) = (&self.parameters, term.began_at);
                 let settled = |budget: &Budget| {
-                    let settled_at =
-                        since + parameters.lease_duration + parameters.max_hold_after_lease(budget);
+                    let settled_at = began_at
+                        + parameters.lease_duration
+                        + parameters.max_hold_after_lease(budget);
                     !parameters.safeguards.wait_for_old_leases || now >= settled_at
                 };
                 let grants = self
--- a/crates/budgets/src/ledger.rs
+++ b/crates/budgets/src/ledger.rs
@@ -1,41 +1,42 @@
-//! The leader's ledger: what is granted, to whom and until when.
+//! The leader's ledger: the granted units of each holder, and when they expire.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::{Budget, BudgetId, Grant, HolderDemand, NodeId, Parameters, ReportItem, Units, divide};
 use doortrack_time::TenthMillis;
 
-/// Unconfirmed allocations of a holder that are kept one by one; beyond that the two oldest are
-/// merged into the greater.
-const MAX_SENT: usize = 6;
-/// Divisions after which single steps that can't be divided go to the next holder.
-const ROTATE_AFTER: u64 = 5;
+/// Maximum number of unconfirmed allocations kept per holder and budget; beyond it the two oldest
+/// are merged into the greater one.
+const MAX_UNCONFIRMED: usize = 6;
+/// Number of divisions after which the indivisible remaining steps go to the next holder.
+const DIVISIONS_PER_ROTATION: u64 = 5;
 
-/// What one holder has of one budget.
+/// The account of one holder for one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct HolderAccount {
-    /// The latest report on it. The reports of one round on different budgets may arrive in any
-    /// order.
+    /// The latest report on this budget. Reports of one round on different budgets may arrive in
+    /// any order.
     last_seq: u64,
     need: Units,
-    /// What the holder reported that it may have in use.
+    /// The units that the holder may have in use, as reported.
     in_use: Units,
-    /// Allocations sent since, by report: any of them may be or come into force.
-    sent: VecDeque<(u64, Units)>,
-    /// What it is to have by the last division.
+    /// Allocations that were sent and not yet confirmed, with the number of the report that each
+    /// one answers. Any of them may be in force or come into force.
+    unconfirmed: VecDeque<(u64, Units)>,
+    /// The allocation by the last division.
     target: Units,
-    /// When nothing of this can be in use any more.
+    /// When none of the units can be in use any longer.
     expires_at: TenthMillis,
-    /// The limit of the budget as the holder is configured.
+    /// The limit of the budget in the holder's configuration.
     limit: Units,
-    /// The reserved minimum of the budget as the holder is configured.
+    /// The reserved minimum of the budget in the holder's configuration.
     reserved: Units,
 }
 
 /// A report of one holder.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HolderReport<'a> {
-    /// Its number.
+    /// The number of the report.
     pub seq: u64,
     /// The holder's capacity.
     pub weight: u32,
@@ -48,17 +49,17 @@
     accounts: BTreeMap<usize, HolderAccount>,
 }
 
-/// One budget over all holders.
+/// The account of one budget over all holders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct BudgetAccount {
     budget: Budget,
     granted: Units,
-    /// What can be granted at all: by the lowest limit and the greatest reserved minimum that any
-    /// holder is configured with.
+    /// The total that can be granted, by the lowest limit and the greatest reserved minimum in the
+    /// configuration of any holder.
     grantable: Units,
 }
 
-/// The ledger of one term; it begins empty.
+/// The ledger of one term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Ledger {
     accounts: Vec<BudgetAccount>,
@@ -68,27 +69,27 @@
 }
 
 impl BudgetAccount {
-    /// Lowers what can be granted to what a holder's configuration allows.
+    /// Lowers the grantable total to what the configuration of a holder allows.
     fn lower_grantable(&mut self, item: &ReportItem) {
         let limit = item.limit.min(self.budget.limit());
         let grantable = self.budget.grantable(limit, item.reserved);
         self.grantable = self.grantable.min(grantable);
     }
 
-    /// What can be granted while others have this much.
+    /// The units that can be granted to a holder while the others have `others`.
     fn free(&self, others: Units) -> Units {
         self.grantable.saturating_sub(others)
     }
 }
 
 impl HolderAccount {
-    /// Nothing is known of the holder but its configuration.
+    /// Creates an empty account with the holder's configuration.
     fn new(item: &ReportItem) -> HolderAccount {
         HolderAccount {
             last_seq: 0,
             need: 0,
             in_use: 0,
-            sent: VecDeque::new(),
+            unconfirmed: VecDeque::new(),
             target: 0,
             expires_at: 0,
             limit: item.limit,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Applies an item of report `seq`, which confirms the allocations that it has accepted.
+    /// Applies an item of report `seq`, which confirms allocations.
     fn apply(
         &mut self,
         now: TenthMillis,
@@ -106,7 +107,8 @@
         parameters: &Parameters,
     ) {
         self.last_seq = seq;
-        self.sent.retain(|(sent, _)| *sent > item.accepted);
+        self.unconfirmed
+            .retain(|(unconfirmed, _)| *unconfirmed > item.accepted);
         self.in_use = item.holding.min(budget.limit());
         self.need = item.need;
         self.limit = item.limit;
@@ -114,32 +116,32 @@
         self.expires_at = now + parameters.lease_duration + parameters.max_hold_after_lease(budget);
     }
 
-    /// What the holder is to get: what it has in use, if that is only prolonged, or else its
+    /// The units that the holder is to get: those in use, if the leader only prolongs, or else its
     /// target.
-    fn wanted(&self, prolongs: bool) -> Units {
+    fn entitlement(&self, prolongs: bool) -> Units {
         if prolongs { self.in_use } else { self.target }
     }
 
-    /// The most that the holder may have in use.
+    /// The maximum number of units that the holder may have in use.
     fn outstanding(&self, parameters: &Parameters) -> Units {
         if !parameters.safeguards.await_confirmation {
             return self
-                .sent
+                .unconfirmed
                 .back()
                 .map_or(self.in_use, |(_, allocation)| *allocation);
         }
-        self.sent
+        self.unconfirmed
             .iter()
             .map(|(_, allocation)| *allocation)
             .fold(self.in_use, Units::max)
     }
 
-    /// Records an allocation that is sent in answer to report `seq`.
-    fn send(&mut self, seq: u64, allocation: Units) {
-        self.sent.push_back((seq, allocation));
-        if self.sent.len() > MAX_SENT
-            && let Some((_, oldest)) = self.sent.pop_front()
-            && let Some((_, next)) = self.sent.front_mut()
+    /// Records an allocation sent in answer to report `seq`.
+    fn record_grant(&mut self, seq: u64, allocation: Units) {
+        self.unconfirmed.push_back((seq, allocation));
+        if self.unconfirmed.len() > MAX_UNCONFIRMED
+            && let Some((_, oldest)) = self.unconfirmed.pop_front()
+            && let Some((_, next)) = self.unconfirmed.front_mut()
         {
             *next = oldest.max(*next);
         }
@@ -147,7 +149,7 @@
 }
 
 impl Ledger {
-    /// Nothing is granted yet.
+    /// Creates a ledger without grants.
     pub fn new(list: &[Budget]) -> Ledger {
         let account = |budget: &Budget| BudgetAccount {
             granted: 0,
@@ -166,29 +168,32 @@
         }
     }
 
-    /// Changes the budgets; what is granted of those that remain is kept.
-    pub fn change(&mut self, list: &[Budget]) {
+    /// Replaces the list of budgets; the grants of budgets that remain are kept.
+    pub fn change_budgets(&mut self, list: &[Budget]) {
         let old = std::mem::replace(self, Ledger::new(list));
         for (node, holder) in old.holders {
-            let remaining = holder.accounts.into_iter().filter_map(|(index, holding)| {
-                let index = *self.indices.get(&old.accounts[index].budget.id())?;
-                Some((index, holding))
-            });
+            let remaining = holder
+                .accounts
+                .into_iter()
+                .filter_map(|(index, holder_account)| {
+                    let index = *self.indices.get(&old.accounts[index].budget.id())?;
+                    Some((index, holder_account))
+                });
             let accounts: BTreeMap<usize, HolderAccount> = remaining.collect();
             self.holders.insert(node, Holder { accounts, ..holder });
         }
         for account in &mut self.accounts {
-            let before = old
+            let previous = old
                 .indices
                 .get(&account.budget.id())
                 .map(|index| &old.accounts[*index]);
-            account.granted = before.map_or(0, |before| before.granted);
+            account.granted = previous.map_or(0, |previous| previous.granted);
         }
         self.rotation = old.rotation;
     }
 
-    /// Applies a report and returns what the holder may use; none if the report is outdated.
-    /// `settled` says of a budget whether all that an earlier leader granted of it has expired.
+    /// Applies a report and returns the grants for the holder; none if the report is outdated.
+    /// `settled` returns true if all grants of the budget by earlier leaders have expired.
     pub fn apply_report(
         &mut self,
         now: TenthMillis,
@@ -206,21 +211,24 @@
             };
             let account = &mut self.accounts[index];
             account.lower_grantable(item);
-            let holding = holder
+            let holder_account = holder
                 .accounts
                 .entry(index)
                 .or_insert_with(|| HolderAccount::new(item));
-            if report.seq <= holding.last_seq && parameters.safeguards.reject_stale_answers {
+            if report.seq <= holder_account.last_seq && parameters.safeguards.reject_stale_messages
+            {
                 continue;
             }
-            let before = holding.outstanding(parameters);
-            holding.apply(now, report.seq, item, &account.budget, parameters);
+            let previous = holder_account.outstanding(parameters);
+            holder_account.apply(now, report.seq, item, &account.budget, parameters);
             let prolongs = !settled(&account.budget);
-            // What others may have in use is theirs, whatever this holder needs.
-            let others = account.granted.saturating_sub(before);
-            let allocation = holding.wanted(prolongs).min(account.free(others));
-            holding.send(report.seq, allocation);
-            account.granted = others + holding.outstanding(parameters);
+            // Units that others may have in use cannot be granted to this holder.
+            let others = account.granted.saturating_sub(previous);
+            let allocation = holder_account
+                .entitlement(prolongs)
+                .min(account.free(others));
+            holder_account.record_grant(report.seq, allocation);
+            account.granted = others + holder_account.outstanding(parameters);
             grants.push(Grant {
                 id: item.id,
                 allocation,
@@ -230,7 +238,7 @@
         (!grants.is_empty()).then_some(grants)
     }
 
-    /// Removes what has expired, and divides the budgets anew.
+    /// Removes expired accounts, and sets a new target for every holder.
     pub fn divide(&mut self, now: TenthMillis, parameters: &Parameters) {
         self.rotation += 1;
         self.remove_expired(now, parameters);
@@ -242,25 +250,25 @@
             .zip(&demands)
             .map(|(account, demands)| {
                 let (limit, step) = (account.grantable, account.budget.step());
-                divide(limit, step, demands, self.rotation / ROTATE_AFTER).into_iter()
+                divide(limit, step, demands, self.rotation / DIVISIONS_PER_ROTATION).into_iter()
             })
             .collect();
         for holder in self.holders.values_mut() {
-            for (index, holding) in &mut holder.accounts {
-                holding.target = allocations[*index].next().unwrap_or(0);
+            for (index, holder_account) in &mut holder.accounts {
+                holder_account.target = allocations[*index].next().unwrap_or(0);
             }
         }
     }
 
     fn remove_expired(&mut self, now: TenthMillis, parameters: &Parameters) {
         for holder in self.holders.values_mut() {
-            holder.accounts.retain(|index, holding| {
-                let expired = holding.expires_at <= now;
-                if expired {
+            holder.accounts.retain(|index, holder_account| {
+                let is_expired = holder_account.expires_at <= now;
+                if is_expired {
                     let granted = &mut self.accounts[*index].granted;
-                    *granted = granted.saturating_sub(holding.outstanding(parameters));
+                    *granted = granted.saturating_sub(holder_account.outstanding(parameters));
                 }
-                !expired
+                !is_expired
             });
         }
         self.holders.retain(|_, holder| !holder.accounts.is_empty());
@@ -270,9 +278,9 @@
     fn demands(&self) -> Vec<Vec<HolderDemand>> {
         let mut demands: Vec<Vec<HolderDemand>> = vec![Vec::new(); self.accounts.len()];
         for (node, holder) in &self.holders {
-            for (index, holding) in &holder.accounts {
+            for (index, holder_account) in &holder.accounts {
                 demands[*index].push(HolderDemand {
-                    need: holding.need,
+                    need: holder_account.need,
                     weight: holder.weight,
                     max: self.accounts[*index].budget.max_grant(&node.name),
                 });
@@ -281,8 +289,8 @@
         demands
     }
 
-    /// Computes what can be granted by the lowest limit and the greatest reserved minimum of all
-    /// holders.
+    /// Recomputes the grantable totals from the lowest limit and the greatest reserved minimum in
+    /// the configuration of any holder.
     fn update_grantable(&mut self) {
         let mut bounds: Vec<(Units, Units)> = self
             .accounts
@@ -290,10 +298,10 @@
             .map(|account| (account.budget.limit(), account.budget.reserved()))
             .collect();
         for holder in self.holders.values() {
-            for (index, holding) in &holder.accounts {
+            for (index, holder_account) in &holder.accounts {
                 let (limit, reserved) = &mut bounds[*index];
-                *limit = holding.limit.min(*limit);
-                *reserved = holding.reserved.max(*reserved);
+                *limit = holder_account.limit.min(*limit);
+                *reserved = holder_account.reserved.max(*reserved);
             }
         }
         for (account, (limit, reserved)) in self.accounts.iter_mut().zip(bounds) {
@@ -301,7 +309,7 @@
         }
     }
 
-    /// What is granted of the budget at this index.
+    /// The granted units of the budget at this index.
     pub fn granted(&self, index: usize) -> Units {
         self.accounts
             .get(index)
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,9 +1,10 @@
 //! Fleet-wide budgets: decides how much of each budget this node may use, so that all nodes
-//! together never use more than its limit.
+//! together never exceed its limit.
 //!
-//! Every node holds one [`Budgets`]. It is driven by [`Event`]s with the time of each, returns
-//! [`Action`]s to execute, and is asked before each use ([`Budgets::acquire`]). There are neither
-//! sockets nor a clock here, and the same events with the same seed give the same actions.
+//! Every node runs one [`Budgets`], a state machine that takes [`Event`]s with the time of each and
+//! returns [`Action`]s to execute. Each use of a budget is first acquired from it
+//! ([`Budgets::acquire`]). It does no I/O and reads no clock. The same events with the same seed
+//! give the same actions.
 //!
 //! ```text
 //! let mut budgets = Budgets::new(me, weight, parameters, list, seed, now);
@@ -11,32 +12,33 @@
 //! if let Err(retry_after) = budgets.acquire(index, now) { .. }  // with the clock read just before
 //! ```
 //!
-//! A **leader**, one of the fleet's voters, grants allocations to all nodes on leases. Nothing is
-//! written to disk:
+//! A **leader**, one of the fleet's voters, grants allocations to all nodes on leases. No state is
+//! stored on disk:
 //! - **Votes.** A voter gives its vote to one candidate for [`Parameters::vote_duration`] and to no
-//!   other meanwhile; a candidate with the votes of a majority is the leader, by its own clock from
-//!   when it *asked*. A voter that has just started may have forgotten a vote, and gives none for
-//!   as long as one lasts.
-//! - **Leases.** A lease runs, for its holder, from when it *asked*, and for the leader from when
-//!   it *answered*, so that under any delay the holder's lease ends first. It is shortened for the
-//!   holder by what two clocks may drift apart.
-//! - **Moved allocations.** What one holder is to give up is granted to another only once the first
-//!   has confirmed that it uses no more, or its lease has expired. Whatever was sent and not
-//!   confirmed counts as granted.
-//! - **A new leader** knows nothing of what was granted. Until every lease of an earlier leader has
-//!   expired, it only prolongs what holders report, and only where they still hold it when its
+//!   other during that time. A candidate with the votes of a majority is the leader; it counts the
+//!   duration of a vote from when it *requested* it. A voter that has just started may have
+//!   forgotten a vote, and abstains for the duration of one.
+//! - **Leases.** The holder counts the duration of a lease from when it *requested* it, the leader
+//!   from when it *answered*, so that the holder's lease ends first under any delay. The holder
+//!   also shortens its lease by the maximum drift between two clocks.
+//! - **Moved allocations.** Units that one holder is to give up are granted to another only when
+//!   the first has confirmed that it no longer uses them, or its lease has expired. Whatever was
+//!   sent and not confirmed counts as granted.
+//! - **A new leader** does not know what was granted before. Until every lease of an earlier leader
+//!   has expired, it only prolongs what holders report, and only if they still hold it when the
 //!   answer arrives.
-//! - **Reserved minimums** are set aside from the limit, for named nodes, and need no leader.
+//! - **Reserved minimums** are subtracted from the limit, for named nodes, and need no leader.
 //!
-//! Assumptions: each process's time goes forward, and drifts from true time by no more than
-//! [`Parameters::max_drift_permille`]. Datagrams may be lost, duplicated, delayed without bound and reordered.
-//! Any process may die (and restart with nothing), pause and resume. One process at a time uses a
-//! name; nodes do not lie about what they hold. `docs/budgets.md` says what a broken assumption
-//! costs.
+//! Assumptions: each process's time never goes back, and drifts from true time by no more than
+//! [`Parameters::max_drift_permille`]. Datagrams may be lost, duplicated, delayed without bound and
+//! reordered. Any process may die (and restart without state), pause and resume. Only one process
+//! at a time uses a name; nodes do not lie about what they hold. `docs/budgets.md` describes the
+//! effect of a broken assumption.
 //!
-//! Bounds: budgets ([`MAX_BUDGETS`]), items in a datagram, unconfirmed allocations of a holder. A
-//! check takes constant time; a report costs the leader the logarithm of the holders, and a
-//! division, twice a round, as much for each holder.
+//! The number of budgets ([`MAX_BUDGETS`]), of items per datagram and of unconfirmed allocations
+//! per holder is bounded. Acquiring a unit takes constant time. A report costs the leader time
+//! logarithmic in the number of holders; a division, twice per report interval, costs as much for
+//! each holder.
 
 mod allocation;
 mod budgets;
@@ -48,7 +50,7 @@
 mod ledger;
 mod need;
 mod parameters;
-mod reporting;
+mod status;
 mod token_bucket;
 mod voter;
 
@@ -59,28 +61,28 @@
 pub use divide::{HolderDemand, divide};
 pub use envelope::{Envelope, Grant, MAX_REPORT_ITEMS, Message, NodeId, ReportItem};
 pub use parameters::{Budget, BudgetId, Kind, Parameters, Safeguards, Units, budget_id};
-pub use reporting::AllocationStatus;
+pub use status::AllocationStatus;
 
-/// Budgets that one fleet may have.
+/// Maximum number of budgets of a fleet.
 pub const MAX_BUDGETS: usize = 256;
 
 /// An input of [`Budgets::handle`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; due by [`Budgets::next_due`] at the latest.
+    /// Takes the steps that are due. Needed by [`Budgets::next_due`] at the latest.
     Tick,
     /// A message arrived from another node.
     Received(Envelope),
-    /// The members present have changed.
+    /// The view of present members has changed.
     ViewChanged(View),
-    /// The node is to leave: it asks for nothing more, and steps down as the leader.
+    /// The node is to leave: it reports no more need, and resigns if it is the leader.
     Leave,
-    /// A later process uses this node's name: this one uses nothing more, reserved minimums
-    /// included.
+    /// A later process uses this node's name: this process loses all allocations, including
+    /// reserved minimums.
     Superseded,
-    /// The budgets were changed. Use of those that remain is kept.
+    /// The list of budgets was changed. The usage of budgets that remain is kept.
     BudgetsChanged {
-        /// All budgets from here on, each with an id of its own.
+        /// All budgets, each with a unique id.
         list: Vec<Budget>,
     },
 }
@@ -88,48 +90,48 @@
 /// An output of [`Budgets::handle`], to be executed in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message to the node that it names; it may get lost.
+    /// Send a message to the receiver that it names; it may be lost.
     Send(Envelope),
-    /// Notify the log.
+    /// Log a change.
     Report(Change),
 }
 
-/// A change for the log. Allocations are in [`Units`], times in tenths of a millisecond.
+/// A change to be logged. Allocations are in [`Units`], times in tenths of a millisecond.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// This node became the leader.
     Elected {
-        /// How long it only prolongs leases before it grants what is free.
+        /// How long the leader only prolongs leases before it makes new grants.
         grants_after: TenthMillis,
     },
     /// This node is no longer the leader.
     SteppedDown,
-    /// The leader that this node reports to from here on.
+    /// This node now reports to this leader.
     Leader(NodeId),
-    /// The leader has not answered for some rounds.
+    /// The leader has not answered several reports and was given up.
     LeaderSilent(NodeId),
     /// The allocation of a budget changed.
     Allocation {
         /// The index of the budget.
         index: usize,
-        /// What was on the lease before.
+        /// The leased units before.
         previous: Units,
-        /// What is on the lease now.
+        /// The leased units now.
         allocation: Units,
-        /// How long the lease lasts.
+        /// The remaining time of the lease.
         lease_remaining: TenthMillis,
     },
     /// A lease expired.
     LeaseExpired {
         /// The index of the budget.
         index: usize,
-        /// What was on the lease.
+        /// The units that were leased.
         allocation: Units,
     },
 }
 
 impl Change {
-    /// Its name in logs and histories.
+    /// The name of the change in logs and histories.
     pub fn name(&self) -> &'static str {
         match self {
             Change::Elected { .. } => "elected",
--- a/crates/budgets/src/parameters.rs
+++ b/crates/budgets/src/parameters.rs
@@ -1,18 +1,18 @@
-//! Budgets as they are configured, and the timing of their division.
+//! Configured budgets, and the timing of elections, leases and reports.
 
 use std::sync::Arc;
 
 use doortrack_membership::Name;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
-/// An amount of a budget: units held at once, or thousandths of a unit a second.
+/// An amount of a budget: units held concurrently, or thousandths of a unit per second.
 pub type Units = u64;
 
 /// Identifies a budget between nodes: a hash of its name and kind, the same in every build. Nodes
-/// configured with another kind under the same name do not mistake one another's units.
+/// configured with different kinds under the same name do not confuse each other's units.
 pub type BudgetId = u32;
 
-/// The id of a budget; unique within an installation, which is checked when its file is read.
+/// The id of a budget. Uniqueness within an installation is checked when its configuration is read.
 pub fn budget_id(name: &str, kind: Kind) -> BudgetId {
     let mut hasher = blake3::Hasher::new();
     hasher
@@ -26,15 +26,15 @@
 /// What a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// Units a second. In any span the fleet uses at most `limit` times the span, and `burst`
-    /// beyond.
+    /// Units per second. In any time span the fleet uses at most `limit` times the span, plus
+    /// `burst`.
     Rate {
-        /// Units.
+        /// The burst size in units.
         burst: u32,
     },
-    /// Units held at once.
+    /// Units held concurrently.
     Concurrency {
-        /// The longest that a unit is held, in tenths of a millisecond, also by a node that is
+        /// The maximum time that a unit is held, in tenths of a millisecond, also by a node that is
         /// isolated or has died.
         max_hold: TenthMillis,
     },
@@ -43,22 +43,22 @@
 /// One budget of the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// Its name; unique within an installation together with the kind.
+    /// The name; unique within an installation together with the kind.
     pub name: Arc<str>,
-    /// What it limits.
+    /// What the budget limits.
     pub kind: Kind,
-    /// Of the whole fleet: units a second, or units held at once.
+    /// The limit of the whole fleet: units per second, or units held concurrently.
     pub limit: u32,
     /// The minimum reserved for each of `reserved_for`, in the same unit.
     pub reserved: u32,
     /// The names of the nodes that have a reserved minimum.
     pub reserved_for: Arc<[Name]>,
-    /// The most that one node may have, its reserved minimum included.
+    /// The maximum for one node, including its reserved minimum.
     pub max_per_node: u32,
 }
 
 impl Budget {
-    /// [`Units`] of one unit.
+    /// The number of [`Units`] per unit.
     fn scale(&self) -> Units {
         match self.kind {
             Kind::Rate { .. } => 1_000,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// See [`BudgetId`].
+    /// The id of the budget.
     pub fn id(&self) -> BudgetId {
         budget_id(&self.name, self.kind)
     }
@@ -81,17 +81,18 @@
         Units::from(self.reserved) * self.scale()
     }
 
-    /// What can be granted to all nodes together, given the limit and the reserved minimum of each.
+    /// The total that can be granted to all nodes, given the limit and the reserved minimum of each
+    /// node in `reserved_for`.
     pub fn grantable(&self, limit: Units, reserved: Units) -> Units {
         limit.saturating_sub(reserved * self.reserved_for.len() as Units)
     }
 
-    /// The most that the node of this name may be granted.
+    /// The maximum that the node with this name may be granted.
     pub fn max_grant(&self, name: &str) -> Units {
         (Units::from(self.max_per_node) * self.scale()).saturating_sub(self.reserved_at(name))
     }
 
-    /// The reserved minimum of the node of this name.
+    /// The reserved minimum of the node with this name.
     pub fn reserved_at(&self, name: &str) -> Units {
         if self.reserved_for.iter().any(|node| **node == *name) {
             self.reserved()
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Allocations are multiples of this: a smaller one holds less than one unit of the burst, and
-    /// is useless.
+    /// Allocations are multiples of this step: the burst of a smaller one is less than one unit,
+    /// which makes it useless.
     pub fn step(&self) -> Units {
         match self.kind {
             Kind::Rate { burst } => self.limit().div_ceil(Units::from(burst.max(1))).max(1),
@@ -109,7 +110,7 @@
         }
     }
 
-    /// How long after its lease a unit may still be in use, in tenths of a millisecond.
+    /// How long after the end of its lease a unit may still be in use, in tenths of a millisecond.
     pub fn max_hold(&self) -> TenthMillis {
         match self.kind {
             Kind::Rate { .. } => 0,
@@ -118,10 +119,10 @@
     }
 }
 
-/// Timing and voters, the same on all nodes of a fleet. Times are in tenths of a millisecond.
+/// Voters and timing, equal on all nodes of a fleet. Times are in tenths of a millisecond.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Parameters {
-    /// The names of the nodes of which a majority elects the leader.
+    /// The names of the voters, of which a majority elects the leader.
     pub voters: Arc<[Name]>,
     /// The interval at which holders report.
     pub report_interval: TenthMillis,
@@ -129,9 +130,9 @@
     pub vote_duration: TenthMillis,
     /// How long a lease lasts.
     pub lease_duration: TenthMillis,
-    /// How far a clock may gain or lose against true time, in thousandths.
+    /// How much a clock may gain or lose against true time, in thousandths.
     pub max_drift_permille: u64,
-    /// All on but in tests.
+    /// The safeguards in force: all of them, except in tests.
     pub safeguards: Safeguards,
 }
 
@@ -149,7 +150,8 @@
 }
 
 impl Parameters {
-    /// A span that has passed by the slowest admissible clock before `span` has by the fastest.
+    /// Shortens a time span so that it has passed on the slowest admissible clock before `span` has
+    /// passed on the fastest.
     pub(crate) fn shortened_by_drift(&self, span: TenthMillis) -> TenthMillis {
         if self.safeguards.drift_margin {
             span * (1_000 - self.max_drift_permille) / (1_000 + self.max_drift_permille)
@@ -158,7 +160,8 @@
         }
     }
 
-    /// How long after its lease a unit of this budget counts as in use, in tenths of a millisecond.
+    /// How long after the end of its lease a unit of this budget counts as in use, in tenths of a
+    /// millisecond.
     pub(crate) fn max_hold_after_lease(&self, budget: &Budget) -> TenthMillis {
         if self.safeguards.count_max_hold {
             budget.max_hold()
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Votes that make a majority.
+    /// The number of votes that makes a majority.
     pub(crate) fn majority(&self) -> usize {
         if self.safeguards.majority_vote {
             self.voters.len() / 2 + 1
@@ -177,28 +180,29 @@
     }
 }
 
-/// The rules that keep the sum within the limit. All are on; tests show that each is needed.
+/// The rules that keep the sum of all allocations within the limit. All are on by default; tests
+/// show that each is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Safeguards {
-    /// A voter that has just started gives no vote for as long as one lasts.
+    /// A voter that has just started abstains for the duration of a vote.
     pub abstain_after_start: bool,
-    /// A majority of the voters elects a leader, not a single one.
+    /// A leader needs the votes of a majority, not of a single voter.
     pub majority_vote: bool,
-    /// A new leader grants nothing new until the leases of earlier ones have expired.
+    /// A new leader makes no new grants until the leases of earlier leaders have expired.
     pub wait_for_old_leases: bool,
-    /// What was granted counts until the holder has confirmed that it gave it up.
+    /// Granted units count as in use until the holder has confirmed that it gave them up.
     pub await_confirmation: bool,
-    /// A holder checks whether its lease has expired.
+    /// A holder stops using units when their lease has expired.
     pub lease_expiry: bool,
-    /// Leases are shortened for their holders by what clocks may drift.
+    /// Votes, leases and rates are reduced by the maximum drift of clocks.
     pub drift_margin: bool,
-    /// A holder accepts only answers to its reports to the present leader, and none older than the
-    /// last.
-    pub reject_stale_answers: bool,
-    /// Only what is still in force is prolonged.
+    /// Outdated messages are rejected: answers to reports to an earlier leader, and answers and
+    /// reports that are older than the last one.
+    pub reject_stale_messages: bool,
+    /// A leader that only prolongs cannot renew units whose lease has expired at the holder.
     pub prolong_unexpired_only: bool,
-    /// Units of a concurrency count as in use for as long as they may be held, beyond a lease and
-    /// after a start.
+    /// Units of a concurrency budget count as in use for their maximum hold time after the end of a
+    /// lease and after a start.
     pub count_max_hold: bool,
 }
 
@@ -211,7 +215,7 @@
             await_confirmation: true,
             lease_expiry: true,
             drift_margin: true,
-            reject_stale_answers: true,
+            reject_stale_messages: true,
             prolong_unexpired_only: true,
             count_max_hold: true,
         }
--- a/crates/budgets/src/reporting.rs
+++ b/crates/budgets/src/status.rs
@@ -1,30 +1,30 @@
-//! The state of the budgets, for operators and tests.
+//! The status of the budgets, for operators and tests.
 
 use crate::leadership::Leadership;
 use crate::{Budget, Budgets, Kind, NodeId, Parameters, Units};
 use doortrack_time::TenthMillis;
 
-/// The state of one budget at one node.
+/// The status of one budget at one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AllocationStatus {
-    /// What this node may use now, its reserved minimum included.
+    /// The units that this node may use now, including its reserved minimum.
     pub allocation: Units,
-    /// Of the allocation what is on a lease.
+    /// The leased part of the allocation.
     pub leased: Units,
     /// Units in use; 0 for a rate.
     pub in_use: Units,
-    /// What the node could use, as last reported.
+    /// The need that was last reported.
     pub need: Units,
-    /// Requests for a unit that were rejected since the start.
+    /// Number of rejected requests for a unit since the start.
     pub rejected: u64,
-    /// How long the lease still lasts, in tenths of a millisecond.
+    /// The remaining time of the lease, in tenths of a millisecond.
     pub lease_remaining: Option<TenthMillis>,
-    /// What this node has granted to all, if it is the leader.
+    /// The units granted to all holders, if this node is the leader.
     pub granted: Option<Units>,
 }
 
 impl Budgets {
-    /// This node.
+    /// The identity of this node.
     pub fn me(&self) -> &NodeId {
         &self.me
     }
@@ -39,7 +39,7 @@
         self.leader.as_ref()
     }
 
-    /// Whether this node holds the votes of a majority at `now`.
+    /// Returns true if this node holds the votes of a majority at `now`.
     pub fn is_leader(&self, now: TenthMillis) -> bool {
         match &self.leadership {
             Leadership::Leader(term) => term.election.held_until(&self.parameters) > now,
@@ -52,7 +52,7 @@
         self.allocations.iter().map(|allocation| &allocation.budget)
     }
 
-    /// The state of the budget at this index.
+    /// The status of the budget at this index.
     pub fn status(&mut self, index: usize, now: TenthMillis) -> AllocationStatus {
         let leader = self.is_leader(now);
         let allocation = &mut self.allocations[index];
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What may be in use at most at `now`, without changing anything: for tests of the sum over
+    /// The maximum number of units that may be in use at `now`. Changes no state; tests sum it over
     /// all nodes.
     pub fn max_in_use(&self, index: usize, now: TenthMillis) -> Units {
         let mut allocation = self.allocations[index].clone();
--- a/crates/budgets/src/token_bucket.rs
+++ b/crates/budgets/src/token_bucket.rs
@@ -1,24 +1,24 @@
-//! The token bucket by which the use of a rate is counted.
+//! The token bucket that limits the use of a rate budget.
 
 use crate::{Parameters, Units};
 use doortrack_time::TenthMillis;
 
-/// Fractions of one token: a rate of one thousandth of a unit a second adds one fraction in a tenth
-/// of a millisecond.
+/// Number of fractions per token. A rate of one thousandth of a unit per second adds one fraction
+/// per tenth of a millisecond.
 const FRACTIONS_PER_TOKEN: u64 = 10_000_000;
 
-/// Tokens, each for one use, that accrue at a rate up to a capacity.
+/// A token bucket. Each use takes one token; tokens accrue at a rate, up to a capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct TokenBucket {
     /// Fractions of tokens as of `refilled_at`.
     fractions: u64,
-    /// The most fractions that are kept.
+    /// Maximum number of fractions.
     capacity: u64,
     refilled_at: TenthMillis,
 }
 
 impl TokenBucket {
-    /// An empty bucket without capacity.
+    /// Creates an empty bucket without capacity.
     pub fn new(now: TenthMillis) -> TokenBucket {
         TokenBucket {
             fractions: 0,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Sets the capacity to the part of `burst` that `rate` is of `limit`.
+    /// Sets the capacity to the fraction `rate / limit` of `burst`.
     pub fn set_capacity(&mut self, burst: u32, rate: Units, limit: Units) {
         let full = u128::from(burst) * u128::from(FRACTIONS_PER_TOKEN);
         let part = full * u128::from(rate.min(limit)) / u128::from(limit.max(1));
@@ -35,12 +35,12 @@
         self.fractions = self.fractions.min(self.capacity);
     }
 
-    /// Adds the tokens that accrued at `rate` since the last time.
+    /// Adds the tokens that accrued at `rate` since the last refill.
     pub fn refill(&mut self, now: TenthMillis, rate: Units, parameters: &Parameters) {
         let elapsed = now.saturating_sub(self.refilled_at);
         let mut added = rate.saturating_mul(elapsed);
         if parameters.safeguards.drift_margin {
-            // A clock that is too fast must not make more of a second than there is.
+            // A fast clock must not add more tokens than accrue in true time.
             added = added.saturating_mul(1_000) / (1_000 + parameters.max_drift_permille);
         }
         self.fractions = self.fractions.saturating_add(added).min(self.capacity);
@@ -50,7 +50,8 @@
     /// Takes one token.
     ///
     /// # Errors
-    /// There is none: how long until there is one at `rate`; none if there never will be.
+    /// If no token is left: the time until the next one accrues at `rate`, or none if none ever
+    /// will.
     pub fn try_take(&mut self, rate: Units) -> Result<(), Option<TenthMillis>> {
         if self.fractions >= FRACTIONS_PER_TOKEN {
             self.fractions -= FRACTIONS_PER_TOKEN;
@@ -63,7 +64,7 @@
         Err(Some(missing.div_ceil(rate).max(1)))
     }
 
-    /// Returns a token that was not used.
+    /// Puts an unused token back.
     pub fn put_back(&mut self) {
         self.fractions = (self.fractions + FRACTIONS_PER_TOKEN).min(self.capacity);
     }
--- a/crates/budgets/tests/holder.rs
+++ b/crates/budgets/tests/holder.rs
@@ -1,4 +1,4 @@
-//! A holder by itself: how it applies a leader's answers, whenever they arrive.
+//! Tests of a single holder: how it applies a leader's answers, whenever they arrive.
 
 use std::sync::Arc;
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Lets time pass until the next report; its number.
+    /// Advances the time to the next report, and returns its number.
     fn next_report(&mut self) -> u64 {
         loop {
             self.now = self.now.max(self.budgets.next_due());
@@ -100,8 +100,8 @@
         self.budgets.max_in_use(0, self.now)
     }
 
-    /// Following its leader, with ten units leased.
-    fn with_ten_units(safeguards: Safeguards) -> Holder {
+    /// A holder that follows its leader, with ten units leased.
+    fn following_with_ten_units(safeguards: Safeguards) -> Holder {
         let mut holder = Holder::new(safeguards);
         let seq = holder.next_report();
         let leader = Some(holder.leader.clone());
@@ -112,30 +112,31 @@
     }
 }
 
-/// A leader that stepped down and was elected again knows nothing of what another granted in
-/// between. Its answer to a report that was delayed must not bring back what has expired meanwhile.
-fn late_prolongation(safeguards: Safeguards) -> u64 {
-    let mut holder = Holder::with_ten_units(safeguards);
+/// A leader that stepped down and was elected again does not know what another leader granted in
+/// between. Its answer to a delayed report must not restore a lease that has expired in the
+/// meantime.
+fn leased_after_late_prolongation(safeguards: Safeguards) -> u64 {
+    let mut holder = Holder::following_with_ten_units(safeguards);
     let granted_at = holder.now;
     let mut late_seq = 0;
     while holder.now < granted_at + 400 * MILLISECOND {
         late_seq = holder.next_report();
     }
-    // It is paused, so that it keeps its leader; its report was sent, and is delayed.
+    // The holder is paused, so that it keeps its leader; its last report is delayed.
     holder.now = granted_at + 1_500 * MILLISECOND;
     assert_eq!(
         holder.budgets.max_in_use(0, holder.now),
         0,
-        "its lease has expired"
+        "the lease has not expired"
     );
     holder.apply_grant(late_seq, 10, true)
 }
 
 #[test]
 fn an_expired_lease_is_not_prolonged() {
-    assert_eq!(late_prolongation(Safeguards::default()), 0);
+    assert_eq!(leased_after_late_prolongation(Safeguards::default()), 0);
     assert_eq!(
-        late_prolongation(Safeguards {
+        leased_after_late_prolongation(Safeguards {
             prolong_unexpired_only: false,
             ..Safeguards::default()
         }),
@@ -144,8 +145,8 @@
 }
 
 #[test]
-fn a_lease_in_force_is_prolonged_and_never_raised_by_that() {
-    let mut holder = Holder::with_ten_units(Safeguards::default());
+fn a_lease_in_force_is_prolonged_but_never_raised() {
+    let mut holder = Holder::following_with_ten_units(Safeguards::default());
     let seq = holder.next_report();
     assert_eq!(holder.apply_grant(seq, 15, true), 10);
     let seq = holder.next_report();
@@ -157,7 +158,7 @@
 
 #[test]
 fn a_superseded_node_uses_nothing_more() {
-    let mut holder = Holder::with_ten_units(Safeguards::default());
+    let mut holder = Holder::following_with_ten_units(Safeguards::default());
     holder
         .budgets
         .handle(holder.now, Event::Superseded, &mut Vec::new());
--- a/crates/budgets/tests/model/machine.rs
+++ b/crates/budgets/tests/model/machine.rs
@@ -1,4 +1,4 @@
-//! A fleet as a state machine: its states, steps and properties.
+//! The model of a fleet: its states, steps and properties.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,18 +10,18 @@
 use doortrack_time::TenthMillis;
 use stateright::{Model, Property};
 
-/// Times in ticks: the smallest at which votes and leases still differ from a round.
-pub const ROUND: TenthMillis = 1;
-pub const VOTE: TenthMillis = 2;
-pub const LEASE: TenthMillis = 4;
+/// Durations in ticks: the smallest at which a vote and a lease are longer than a report interval.
+pub const REPORT_INTERVAL: TenthMillis = 1;
+pub const VOTE_DURATION: TenthMillis = 2;
+pub const LEASE_DURATION: TenthMillis = 4;
 
 pub struct Fleet {
     pub nodes: usize,
     pub safeguards: Safeguards,
-    /// Bounds of the search: ticks, faults of either kind, envelopes in the network.
-    pub ticks: TenthMillis,
-    pub faults: u8,
-    pub envelopes: usize,
+    /// Bounds of the search: ticks, faults of any kind, and envelopes in the network.
+    pub max_ticks: TenthMillis,
+    pub max_faults: u8,
+    pub max_envelopes: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -31,19 +31,19 @@
     pub paused: Vec<bool>,
     pub network: BTreeSet<Envelope>,
     pub faults: u8,
-    pub incarnation: u64,
+    pub next_incarnation: u64,
     pub ends_at: TenthMillis,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     Tick,
-    /// It arrives; as a fault it is also kept, to arrive again.
-    Delivered(Envelope, bool),
-    Lost(Envelope),
-    Restarts(usize),
-    Pauses(usize),
-    Resumes(usize),
+    /// Delivers an envelope. If true, it is duplicated: it stays in the network, which is a fault.
+    Deliver(Envelope, bool),
+    Lose(Envelope),
+    Restart(usize),
+    Pause(usize),
+    Resume(usize),
 }
 
 impl Fleet {
@@ -52,9 +52,9 @@
             voters: (0..self.nodes)
                 .map(|index| Name::from(format!("n{index}")))
                 .collect(),
-            report_interval: ROUND,
-            vote_duration: VOTE,
-            lease_duration: LEASE,
+            report_interval: REPORT_INTERVAL,
+            vote_duration: VOTE_DURATION,
+            lease_duration: LEASE_DURATION,
             max_drift_permille: 0,
             safeguards: self.safeguards,
         }
@@ -68,7 +68,7 @@
     }
 
     pub fn start(&self, index: usize, incarnation: u64, now: TenthMillis) -> Budgets {
-        // A rate, so that what may be used counts as used.
+        // With a rate budget everything that may be used counts as used.
         let kind = Kind::Rate { burst: 1 };
         let reserved_for = Arc::new([]);
         let budget = Budget {
@@ -109,9 +109,9 @@
         let mut actions = Vec::new();
         state.nodes[index].handle(state.now, event, &mut actions);
         for action in actions {
-            // A refusal changes nothing for its receiver.
+            // A refusal has no effect on its receiver.
             if let Action::Send(envelope) = action
-                && state.network.len() < self.envelopes
+                && state.network.len() < self.max_envelopes
                 && !matches!(envelope.message, Message::Refused { .. })
             {
                 state.network.insert(envelope);
@@ -134,15 +134,16 @@
             paused: vec![false; self.nodes],
             network: BTreeSet::new(),
             faults: 0,
-            incarnation: self.nodes as u64 + 1,
+            next_incarnation: self.nodes as u64 + 1,
             ends_at: TenthMillis::MAX,
         };
         let view = Self::view(&state);
         (0..self.nodes)
             .for_each(|index| self.handle(&mut state, index, Event::ViewChanged(view.clone())));
-        // All messages arrive at once until an allocation is granted: the search begins there.
+        // Until an allocation is granted, all messages arrive immediately. The search starts from
+        // there.
         let lossless = Fleet {
-            envelopes: 1_000,
+            max_envelopes: 1_000,
             ..*self
         };
         while state
@@ -155,35 +156,35 @@
                 lossless.handle(&mut state, index, Event::Tick);
                 while let Some(envelope) = state.network.first().cloned() {
                     state = lossless
-                        .next_state(&state, Step::Delivered(envelope, false))
+                        .next_state(&state, Step::Deliver(envelope, false))
                         .unwrap();
                 }
             }
-            assert!(state.now < 50, "nothing is ever granted");
+            assert!(state.now < 50, "no allocation was granted within 50 ticks");
         }
-        state.ends_at = state.now + self.ticks;
+        state.ends_at = state.now + self.max_ticks;
         vec![state]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        let may_fail = state.faults < self.faults;
+        let may_fail = state.faults < self.max_faults;
         if state.now < state.ends_at {
             steps.push(Step::Tick);
         }
         for envelope in &state.network {
-            steps.push(Step::Delivered(envelope.clone(), false));
+            steps.push(Step::Deliver(envelope.clone(), false));
             if may_fail {
-                steps.push(Step::Delivered(envelope.clone(), true));
-                steps.push(Step::Lost(envelope.clone()));
+                steps.push(Step::Deliver(envelope.clone(), true));
+                steps.push(Step::Lose(envelope.clone()));
             }
         }
         for index in 0..self.nodes {
             if state.paused[index] {
-                steps.push(Step::Resumes(index));
+                steps.push(Step::Resume(index));
             } else {
                 if may_fail {
-                    steps.push(Step::Restarts(index));
-                    steps.push(Step::Pauses(index));
+                    steps.push(Step::Restart(index));
+                    steps.push(Step::Pause(index));
                 }
             }
         }
@@ -200,7 +201,7 @@
                     }
                 }
             }
-            Step::Delivered(envelope, duplicated) => {
+            Step::Deliver(envelope, duplicated) => {
                 let index: usize = envelope.to.name[1..].parse().ok()?;
                 if state.paused[index] {
                     return None;
@@ -212,25 +213,25 @@
                 }
                 self.handle(&mut state, index, Event::Received(envelope));
             }
-            Step::Lost(envelope) => {
+            Step::Lose(envelope) => {
                 state.faults += 1;
                 state.network.remove(&envelope);
             }
-            Step::Restarts(index) => {
+            Step::Restart(index) => {
                 state.faults += 1;
                 let now = state.now;
-                state.nodes[index] = self.start(index, state.incarnation, now);
-                state.incarnation += 1;
+                state.nodes[index] = self.start(index, state.next_incarnation, now);
+                state.next_incarnation += 1;
                 let view = Self::view(&state);
                 (0..self.nodes).for_each(|index| {
                     self.handle(&mut state, index, Event::ViewChanged(view.clone()))
                 });
             }
-            Step::Pauses(index) => {
+            Step::Pause(index) => {
                 state.faults += 1;
                 state.paused[index] = true;
             }
-            Step::Resumes(index) => {
+            Step::Resume(index) => {
                 state.paused[index] = false;
                 self.handle(&mut state, index, Event::Tick);
             }
@@ -240,7 +241,7 @@
 
     fn properties(&self) -> Vec<Property<Fleet>> {
         vec![
-            Property::always("never more than the limit", |_, state: &State| {
+            Property::always("the limit is never exceeded", |_, state: &State| {
                 let used: u64 = state
                     .nodes
                     .iter()
@@ -248,22 +249,25 @@
                     .sum();
                 used <= 1_000
             }),
-            Property::sometimes("an allocation is granted anew", |_, state: &State| {
-                state.nodes.iter().any(|node| {
-                    node.me().incarnation.0 > state.nodes.len() as u64
-                        && node.max_in_use(0, state.now) > 0
-                })
-            }),
+            Property::sometimes(
+                "an allocation is granted to a restarted node",
+                |_, state: &State| {
+                    state.nodes.iter().any(|node| {
+                        node.me().incarnation.0 > state.nodes.len() as u64
+                            && node.max_in_use(0, state.now) > 0
+                    })
+                },
+            ),
         ]
     }
 }
 
-pub fn fleet(nodes: usize, safeguards: Safeguards) -> Fleet {
+pub fn bounded_fleet(nodes: usize, safeguards: Safeguards) -> Fleet {
     Fleet {
         nodes,
         safeguards,
-        ticks: 6,
-        faults: 1,
-        envelopes: 3,
+        max_ticks: 6,
+        max_faults: 1,
+        max_envelopes: 3,
     }
 }
--- a/crates/budgets/tests/model/main.rs
+++ b/crates/budgets/tests/model/main.rs
@@ -1,7 +1,7 @@
-//! Leaders, votes and leases as a state machine, searched exhaustively within small bounds: whatever node
-//! restarts or pauses, and whatever message is lost, duplicated or reordered, the allocations that may be
-//! used never exceed the limit. The model drives the package that the node runs. Without any one of the
-//! safeguards it must fail.
+//! Model checking of elections and leases, exhaustively within small bounds: whichever node
+//! restarts or pauses, and whichever message is lost, duplicated or reordered, the allocations that
+//! may be used never exceed the limit. The model runs the same code as the node. Without any one of
+//! the safeguards it must fail.
 
 mod machine;
 mod safeguards;
--- a/crates/budgets/tests/model/safeguards.rs
+++ b/crates/budgets/tests/model/safeguards.rs
@@ -1,10 +1,10 @@
-//! Each safeguard is needed: without it a known history exceeds the limit.
+//! Each safeguard is needed: without it a known sequence of steps exceeds the limit.
 
 use doortrack_budgets::{Event, Safeguards};
 use stateright::Model;
 
 use crate::machine::*;
-use crate::search::walk;
+use crate::search::first_violation;
 
 #[test]
 fn each_safeguard_is_needed() {
@@ -46,32 +46,32 @@
             "in order",
             11629,
             Safeguards {
-                reject_stale_answers: false,
+                reject_stale_messages: false,
                 ..all
             },
         ),
     ];
     for (safeguard, from, safeguards) in without {
-        // Known to exceed the limit without the safeguard.
-        let found = walk(3, safeguards, from..from + 1);
-        assert!(found.is_some(), "{safeguard}: nothing changed without it");
-        assert_eq!(walk(3, all, from..from + 1), None, "{safeguard}");
+        // The walk from this seed is known to exceed the limit without the safeguard.
+        let found = first_violation(3, safeguards, from..from + 1);
+        assert!(found.is_some(), "{safeguard}: the limit holds without it");
+        assert_eq!(first_violation(3, all, from..from + 1), None, "{safeguard}");
     }
 }
 
-/// A voter that forgets its vote makes a second leader while the first still is one: no random walk
-/// of thousands meets this, as the first term is nearly over then.
-fn exposed_after_forgotten_vote(safeguards: Safeguards) -> u64 {
+/// A restarted voter that forgets its vote elects a second leader while the first still is one.
+/// Thousands of random walks do not reach this, because the first term is nearly over by then.
+fn max_in_use_after_forgotten_vote(safeguards: Safeguards) -> u64 {
     let fleet = Fleet {
-        envelopes: 1_000,
-        ..fleet(3, safeguards)
+        max_envelopes: 1_000,
+        ..bounded_fleet(3, safeguards)
     };
     let mut state = fleet.init_states().remove(0);
     let leader = (0..3)
         .find(|index| state.nodes[*index].is_leader(state.now))
         .unwrap();
     let (voter, candidate) = ((leader + 1) % 3, (leader + 2) % 3);
-    // One tick of these nodes, and all messages that follow between connected pairs.
+    // Ticks these nodes, and delivers all resulting messages between connected pairs.
     let tick = |state: &mut State, nodes: &[usize], pairs: &[(usize, usize)]| {
         for index in nodes {
             fleet.handle(state, *index, Event::Tick);
@@ -80,23 +80,23 @@
                     .map(|node_id| node_id.name[1..].parse::<usize>().unwrap());
                 let delivered = pairs.contains(&(from, to)) || pairs.contains(&(to, from));
                 let step = if delivered {
-                    Step::Delivered(envelope, false)
+                    Step::Deliver(envelope, false)
                 } else {
-                    Step::Lost(envelope)
+                    Step::Lose(envelope)
                 };
                 *state = fleet.next_state(state, step).unwrap();
             }
         }
     };
-    for _ in 0..4 * LEASE {
+    for _ in 0..4 * LEASE_DURATION {
         state.now += 1;
         _ = state.nodes[leader].acquire(0, state.now);
         tick(&mut state, &[leader, voter], &[(leader, voter)]);
     }
-    state = fleet.next_state(&state, Step::Restarts(voter)).unwrap();
+    state = fleet.next_state(&state, Step::Restart(voter)).unwrap();
     tick(&mut state, &[candidate, voter], &[(candidate, voter)]);
-    let mut max_exposed = 0;
-    for _ in 0..3 * LEASE {
+    let mut max_sum = 0;
+    for _ in 0..3 * LEASE_DURATION {
         state.now += 1;
         for index in [candidate, leader] {
             _ = state.nodes[index].acquire(0, state.now);
@@ -106,7 +106,7 @@
             &[candidate, voter, leader],
             &[(candidate, voter)],
         );
-        max_exposed = max_exposed.max(
+        max_sum = max_sum.max(
             state
                 .nodes
                 .iter()
@@ -114,14 +114,17 @@
                 .sum(),
         );
     }
-    max_exposed
+    max_sum
 }
 
 #[test]
-fn a_restarted_voter_gives_no_vote() {
-    assert_eq!(exposed_after_forgotten_vote(Safeguards::default()), 1_000);
+fn a_restarted_voter_abstains() {
     assert_eq!(
-        exposed_after_forgotten_vote(Safeguards {
+        max_in_use_after_forgotten_vote(Safeguards::default()),
+        1_000
+    );
+    assert_eq!(
+        max_in_use_after_forgotten_vote(Safeguards {
             abstain_after_start: false,
             ..Safeguards::default()
         }),
--- a/crates/budgets/tests/model/search.rs
+++ b/crates/budgets/tests/model/search.rs
@@ -7,11 +7,12 @@
 
 use crate::machine::*;
 
-/// Exhaustive up to so many steps from where an allocation is granted.
-fn search(nodes: usize, faults: u8, depth: usize) -> usize {
+/// Searches all sequences of up to `depth` steps from the first granted allocation. Returns the
+/// number of states.
+fn explore(nodes: usize, max_faults: u8, depth: usize) -> usize {
     let fleet_with_faults = Fleet {
-        faults,
-        ..fleet(nodes, Safeguards::default())
+        max_faults,
+        ..bounded_fleet(nodes, Safeguards::default())
     };
     let checker = fleet_with_faults
         .checker()
@@ -19,37 +20,37 @@
         .target_max_depth(depth)
         .spawn_bfs()
         .join();
-    checker.assert_no_discovery("never more than the limit");
+    checker.assert_no_discovery("the limit is never exceeded");
     checker.unique_state_count()
 }
 
 #[test]
 fn within_small_bounds_the_limit_is_never_exceeded() {
-    assert!(search(2, 1, 9) > 10_000);
-    assert!(search(3, 2, 7) > 20_000);
-    assert_eq!(walk(3, Safeguards::default(), 0..100), None);
+    assert!(explore(2, 1, 9) > 10_000);
+    assert!(explore(3, 2, 7) > 20_000);
+    assert_eq!(first_violation(3, Safeguards::default(), 0..100), None);
 }
 
-/// A minute or two; by hand, as `cargo test --release -p doortrack-budgets -- --ignored`.
+/// Takes a minute or two. Run it with `cargo test --release -p doortrack-budgets -- --ignored`.
 #[test]
 #[ignore = "takes minutes"]
-fn within_wider_bounds_as_well() {
-    for (nodes, faults, depth) in [(2, 1, 14), (2, 2, 12), (3, 1, 11), (3, 2, 10)] {
+fn within_wider_bounds_the_limit_is_never_exceeded() {
+    for (nodes, max_faults, depth) in [(2, 1, 14), (2, 2, 12), (3, 1, 11), (3, 2, 10)] {
         println!(
-            "{nodes} nodes, {faults} faults, {depth} steps: {} states",
-            search(nodes, faults, depth)
+            "{nodes} nodes, {max_faults} faults, {depth} steps: {} states",
+            explore(nodes, max_faults, depth)
         );
     }
-    assert_eq!(walk(3, Safeguards::default(), 0..50_000), None);
+    assert_eq!(first_violation(3, Safeguards::default(), 0..50_000), None);
 }
 
-/// Walks drawn from seeds; the first that exceeds the limit.
-pub fn walk(nodes: usize, safeguards: Safeguards, mut seeds: Range<u64>) -> Option<u64> {
+/// The first seed whose random walk exceeds the limit.
+pub fn first_violation(nodes: usize, safeguards: Safeguards, mut seeds: Range<u64>) -> Option<u64> {
     let fleet = Fleet {
-        faults: 4,
-        ticks: 16,
-        envelopes: 10,
-        ..fleet(nodes, safeguards)
+        max_faults: 4,
+        max_ticks: 16,
+        max_envelopes: 10,
+        ..bounded_fleet(nodes, safeguards)
     };
     let first = fleet.init_states().remove(0);
     let holds = |state: &State| (fleet.properties()[0].condition)(&fleet, state);
@@ -58,24 +59,24 @@
         for _ in 0..120 {
             let mut steps = Vec::new();
             fleet.actions(&state, &mut steps);
-            // Most messages arrive; faults are rare, and time passes now and then.
+            // Most messages arrive, faults are rare, and time passes occasionally.
             let weight = |step: &Step| match step {
                 Step::Tick => 3,
-                Step::Delivered(_, false) => 4,
-                Step::Resumes(_) => 1,
-                Step::Delivered(_, true) | Step::Lost(_) | Step::Restarts(_) | Step::Pauses(_) => 1,
+                Step::Deliver(_, false) => 4,
+                Step::Resume(_) => 1,
+                Step::Deliver(_, true) | Step::Lose(_) | Step::Restart(_) | Step::Pause(_) => 1,
             };
             let sum: u32 = steps.iter().map(weight).sum();
             if sum == 0 {
                 break;
             }
             let mut drawn = rng.u32(..sum);
-            let taken = steps.into_iter().find(|step| {
+            let chosen = steps.into_iter().find(|step| {
                 let found = drawn < weight(step);
                 drawn = drawn.saturating_sub(weight(step));
                 found
             });
-            if let Some(next) = taken.and_then(|step| fleet.next_state(&state, step)) {
+            if let Some(next) = chosen.and_then(|step| fleet.next_state(&state, step)) {
                 state = next;
             }
             if !holds(&state) {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -36,8 +36,9 @@
 //! Not guaranteed: that two nodes have the same view at the same time. A decision that needs this
 //! has to rest on leases or a majority, not on a view.
 //!
-//! Bounded are: members ([`Parameters::max_members`]), pending probes, updates per datagram,
-//! datagrams per period. The cost of an event grows at most with the logarithm of the members.
+//! The number of members ([`Parameters::max_members`]), of pending probes, of updates per datagram
+//! and of datagrams per period is bounded. The cost of an event grows at most with the logarithm of
+//! the number of members.
 
 mod answers;
 mod applying;
--- a/crates/membership/src/received_updates.rs
+++ b/crates/membership/src/received_updates.rs
@@ -103,9 +103,9 @@
         }
     }
 
-    /// Handles an update that declares a member dead which is present in this table, as when the two
-    /// halves of a partitioned fleet rejoin. The member is notified and suspected for the minimum
-    /// time, in which it can refute the update. If it was already suspected for longer, the
+    /// Handles an update that declares a member dead which is present in this table, as when the
+    /// two halves of a partitioned fleet rejoin. The member is notified and suspected for the
+    /// minimum time, in which it can refute the update. If it was already suspected for longer, the
     /// suspicion still leaves time for the final probes.
     fn on_reported_dead(
         &mut self,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -51,7 +51,8 @@
     }
 
     /// Marks the suspicion as fully confirmed, because other nodes have already declared the member
-    /// dead. It still ends no earlier than `not_before`. Returns true if confirmations were missing.
+    /// dead. It still ends no earlier than `not_before`. Returns true if confirmations were
+    /// missing.
     pub fn confirm_fully(&mut self, not_before: TenthMillis) -> bool {
         let missing =
             std::mem::replace(&mut self.confirmations, MAX_CONFIRMATIONS) < MAX_CONFIRMATIONS;
