--- a/crates/bench/src/bin/bad-servers.rs
+++ b/crates/bench/src/bin/bad-servers.rs
@@ -165,7 +165,10 @@
 }
 
 fn installation(case: &Case, listener: SocketAddr, servers: &[Server]) -> Value {
-    let addresses: Vec<String> = servers.iter().map(|server| server.at.to_string()).collect();
+    let addresses: Vec<String> = servers
+        .iter()
+        .map(|server| server.address.to_string())
+        .collect();
     let failures = if case.ejection {
         EJECTION_FAILURES
     } else {
--- a/crates/bench/src/bin/reload/site.rs
+++ b/crates/bench/src/bin/reload/site.rs
@@ -110,7 +110,7 @@
 }
 
 fn installation(rules: usize, listener: SocketAddr, servers: &[Server], version: usize) -> Value {
-    let pool = |server: &Server| json!({"protocol": "uwsgi", "addresses": [server.at.to_string()], "at_once": 64});
+    let pool = |server: &Server| json!({"protocol": "uwsgi", "addresses": [server.address.to_string()], "at_once": 64});
     let pools: Map<String, Value> = (0..servers.len())
         .map(pool_name)
         .zip(servers.iter().map(pool))
--- a/crates/bench/src/bin/storm.rs
+++ b/crates/bench/src/bin/storm.rs
@@ -135,7 +135,7 @@
         runner.run();
         Behavior::ok("done")
     });
-    let installation = policy.installation(server.at);
+    let installation = policy.installation(server.address);
     let mut rig = Rig::new(Path::new(PROGRAM), NODES, 1).expect("a rig");
     (0..NODES).for_each(|node| rig.start(node, node, &installation).expect("a process"));
     thread::sleep(START_TIME);
--- a/crates/bench/src/target.rs
+++ b/crates/bench/src/target.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
-use doortrack_fakes::instant;
+use doortrack_fakes::immediate;
 use doortrack_protocols::Protocol;
 use rustix::process::Pid;
 use rustix::thread::{CpuSet, sched_setaffinity};
@@ -155,10 +155,10 @@
         Backend::Engine => {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             plan.config["engine"] = json!(listener.local_addr()?.to_string());
-            instant::engine(listener);
+            immediate::start_engine(listener);
         }
         Backend::Server(protocol) => {
-            let address = instant::server(protocol, SERVER_CONCURRENCY)?;
+            let address = immediate::start_server(protocol, SERVER_CONCURRENCY)?;
             installation["servers"] = json!({
                 "protocol": protocol.name(),
                 "addresses": [address.to_string()],
--- a/crates/fakes/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -13,41 +13,41 @@
 /// field is left out, and what is named twice is sent twice.
 #[derive(Clone, Debug)]
 pub struct CallerRequest<'a> {
-    pub nth: u64,
+    pub attempt_number: u64,
     pub script: &'a str,
-    pub more: Vec<(&'a str, &'a str)>,
+    pub overrides: Vec<(&'a str, &'a str)>,
     pub body: &'a [u8],
 }
 
 impl<'a> CallerRequest<'a> {
-    pub fn new(nth: u64, script: &'a str, body: &'a [u8]) -> CallerRequest<'a> {
+    pub fn new(attempt_number: u64, script: &'a str, body: &'a [u8]) -> CallerRequest<'a> {
         CallerRequest {
-            nth,
+            attempt_number,
             script,
-            more: Vec::new(),
+            overrides: Vec::new(),
             body,
         }
     }
 
     pub fn with(mut self, name: &'a str, value: &'a str) -> CallerRequest<'a> {
-        self.more.push((name, value));
+        self.overrides.push((name, value));
         self
     }
 
     /// The bytes of the whole request.
     pub fn bytes(&self, protocol: Protocol) -> Vec<u8> {
-        let (nth, now) = (attempt_id(self.nth), unix_ms().to_string());
+        let (id, now) = (attempt_id(self.attempt_number), unix_ms().to_string());
         let mut fields = vec![
             ("SCRIPT_NAME", self.script),
             ("REQUEST_METHOD", "POST"),
-            ("HTTP_X_REQUEST_ID", &nth),
+            ("HTTP_X_REQUEST_ID", &id),
             ("HTTP_X_REQUEST_START", &*now),
             ("HTTP_X_CALLER", "1"),
             ("HTTP_X_MEMORY_KB", "2.5"),
             ("HTTP_X_RANK", "0.5"),
         ];
-        fields.retain(|(name, _)| self.more.iter().all(|(other, _)| other != name));
-        fields.extend(self.more.iter().filter(|(_, value)| !value.is_empty()));
+        fields.retain(|(name, _)| self.overrides.iter().all(|(other, _)| other != name));
+        fields.extend(self.overrides.iter().filter(|(_, value)| !value.is_empty()));
         let pairs: Vec<_> = fields
             .iter()
             .map(|(name, value)| (name.as_bytes(), value.as_bytes()))
@@ -120,12 +120,15 @@
             Err(e) if e.kind() == ErrorKind::ConnectionReset => {}
             Err(e) => panic!("no end of the connection: {e}"),
         }
-        read(self.protocol, &bytes)
+        parse_response(self.protocol, &bytes)
     }
 }
 
 /// What the bytes of one connection say.
-pub fn read(protocol: Protocol, bytes: &[u8]) -> (CallerOutcome, BTreeMap<String, String>) {
+pub fn parse_response(
+    protocol: Protocol,
+    bytes: &[u8],
+) -> (CallerOutcome, BTreeMap<String, String>) {
     let mut reader = ResponseReader::new(protocol, 1, usize::MAX);
     let mut input = bytes;
     let answered = match reader.read(&mut input) {
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -12,89 +12,94 @@
 
 /// One link to the node.
 pub struct Engine {
-    pub lines: BufReader<TcpStream>,
+    pub reader: BufReader<TcpStream>,
     /// What the gauge of busy cores reads.
-    pub busy: f32,
+    pub busy_cores: f32,
     /// Number of the last notice told with `end`.
-    pub serial: u64,
+    pub last_serial: u64,
 }
 
 impl Engine {
-    pub fn on(sock: TcpStream) -> Engine {
+    pub fn new(sock: TcpStream) -> Engine {
         Engine {
-            lines: BufReader::new(sock),
-            busy: 0.0,
-            serial: 0,
+            reader: BufReader::new(sock),
+            busy_cores: 0.0,
+            last_serial: 0,
         }
     }
 
     /// A result as it stands in a notice.
-    pub fn blob(result: &[u8]) -> String {
+    pub fn encode_result(result: &[u8]) -> String {
         STANDARD.encode(result)
     }
 
     /// The next command; none once the link has ended.
-    pub fn try_line(&mut self) -> Option<Value> {
+    pub fn try_read_command(&mut self) -> Option<Value> {
         let mut line = String::new();
-        match self.lines.read_line(&mut line) {
+        match self.reader.read_line(&mut line) {
             Ok(n) if n > 0 => serde_json::from_str(&line).ok(),
             _ => None,
         }
     }
 
     /// Tells a notice; whether the link still takes it.
-    pub fn try_tell(&mut self, notice: &Value) -> bool {
-        self.lines
+    pub fn try_send(&mut self, notice: &Value) -> bool {
+        self.reader
             .get_mut()
             .write_all(format!("{notice}\n").as_bytes())
             .is_ok()
     }
 
-    pub fn line(&mut self) -> Value {
+    pub fn read_command(&mut self) -> Value {
         let mut line = String::new();
         assert!(
-            self.lines.read_line(&mut line).unwrap() > 0,
+            self.reader.read_line(&mut line).unwrap() > 0,
             "the node closed its link"
         );
         serde_json::from_str(&line).unwrap()
     }
 
-    pub fn tell(&mut self, notice: Value) {
-        self.lines
+    pub fn send(&mut self, notice: Value) {
+        self.reader
             .get_mut()
             .write_all(format!("{notice}\n").as_bytes())
             .unwrap();
     }
 
     pub fn answer_stat(&mut self, command: &Value) {
-        self.tell(json!({"msg": "STATS", "cookie": command["cookie"], "stats": [self.busy, 3]}));
+        self.send(
+            json!({"msg": "STATS", "cookie": command["cookie"], "stats": [self.busy_cores, 3]}),
+        );
     }
 
     /// Takes the link up; `last` is what the node should say that it read.
-    pub fn hello(&mut self, last: u64) {
-        self.hello_as(last, "WARM", 60_000);
+    pub fn handshake(&mut self, last: u64) {
+        self.handshake_as(last, "WARM", 60_000);
     }
 
-    pub fn hello_as(&mut self, last: u64, how: &str, age_ms: u64) {
-        assert_eq!(self.line(), json!({"msg": "ATTACH", "serial": last}));
-        self.tell(json!({"msg": "HELLO", "how": how, "duration": age_ms}));
+    pub fn handshake_as(&mut self, last: u64, how: &str, age_ms: u64) {
+        assert_eq!(
+            self.read_command(),
+            json!({"msg": "ATTACH", "serial": last})
+        );
+        self.send(json!({"msg": "HELLO", "how": how, "duration": age_ms}));
     }
 
     /// Answers so many readings, between which there must be no other command.
-    pub fn readings(&mut self, count: usize) {
+    pub fn answer_stats(&mut self, count: usize) {
         for _ in 0..count {
-            let stat = self.line();
+            let stat = self.read_command();
             assert_eq!(stat["msg"], "STAT", "{stat}");
             self.answer_stat(&stat);
         }
     }
 
     /// The next command other than STAT, which is answered on the way.
-    pub fn command(&mut self) -> Value {
+    pub fn next_command(&mut self) -> Value {
         let until = Instant::now() + MAX_WAIT;
         loop {
             assert!(Instant::now() < until, "no command but STAT");
-            let command = self.line();
+            let command = self.read_command();
             if command["msg"] != "STAT" {
                 return command;
             }
@@ -103,9 +108,9 @@
     }
 
     /// The next command other than STAT, if one comes before so many readings were asked for.
-    pub fn command_within_readings(&mut self, count: usize) -> Option<Value> {
+    pub fn next_command_within_stats(&mut self, count: usize) -> Option<Value> {
         for _ in 0..count {
-            let command = self.line();
+            let command = self.read_command();
             if command["msg"] != "STAT" {
                 return Some(command);
             }
@@ -115,22 +120,22 @@
     }
 
     /// The next RUN: its id and body.
-    pub fn run(&mut self) -> (String, Vec<u8>) {
-        let command = self.command();
+    pub fn next_run(&mut self) -> (String, Vec<u8>) {
+        let command = self.next_command();
         assert_eq!(command["msg"], "RUN", "{command}");
         let body = STANDARD.decode(command["blob"].as_str().unwrap()).unwrap();
         (command["call"].as_str().unwrap().to_string(), body)
     }
 
     /// Tells the end of a run under the next number.
-    pub fn end(&mut self, call: &str, how: &str, result: &[u8]) {
-        self.serial += 1;
-        self.done(self.serial, call, how, result);
+    pub fn finish_run(&mut self, call: &str, how: &str, result: &[u8]) {
+        self.last_serial += 1;
+        self.send_done(self.last_serial, call, how, result);
     }
 
-    pub fn done(&mut self, serial: u64, call: &str, how: &str, result: &[u8]) {
+    pub fn send_done(&mut self, serial: u64, call: &str, how: &str, result: &[u8]) {
         let blob = STANDARD.encode(result);
-        self.tell(
+        self.send(
             json!({"msg": "DONE", "serial": serial, "call": call, "how": how, "duration": 12, "blob": blob}),
         );
     }
--- a/crates/fakes/src/fixture.rs
+++ b/crates/fakes/src/fixture.rs
@@ -41,7 +41,7 @@
     /// Arguments of the command line after `serve`.
     pub arguments: Vec<String>,
     /// The soft limit on its descriptors (RLIMIT_NOFILE), where it is to have a lower one than the test.
-    pub descriptors: Option<u64>,
+    pub descriptor_limit: Option<u64>,
     /// Whether it is killed when the thread that starts it ends.
     pub ends_with_parent: bool,
     engine_listener: TcpListener,
@@ -63,7 +63,7 @@
             config,
             installation: None,
             arguments: Vec::new(),
-            descriptors: None,
+            descriptor_limit: None,
             ends_with_parent: false,
             engine_listener: door,
             registry,
@@ -80,7 +80,7 @@
         let folder = ScratchFolder::create(&name).unwrap();
         let file = folder.join("config.json");
         std::fs::write(&file, self.config.to_string()).unwrap();
-        let mut command = match self.descriptors {
+        let mut command = match self.descriptor_limit {
             None => Command::new(&self.program),
             Some(limit) => {
                 let mut shell = Command::new("/bin/sh");
@@ -120,7 +120,7 @@
     pub fn start_with_engine(self) -> (NodeFixture, Engine) {
         let fixture = self.start();
         let mut engine = fixture.accept_engine();
-        engine.hello(0);
+        engine.handshake(0);
         (fixture, engine)
     }
 }
@@ -149,7 +149,7 @@
         };
         sock.set_nonblocking(false).unwrap();
         sock.set_read_timeout(Some(MAX_WAIT)).unwrap();
-        Engine::on(sock)
+        Engine::new(sock)
     }
 
     pub fn client(&self) -> Client {
--- a/crates/fakes/src/idle.rs
+++ b/crates/fakes/src/idle.rs
@@ -22,19 +22,19 @@
     /// It connects and never speaks.
     Silent,
     /// One health check, then nothing more.
-    SpokeOnce,
+    HealthCheck,
     /// The first half of a request, and never the rest.
     HalfRequest,
     /// A health check, then the first half of a request.
-    SpokeThenHalf,
+    HealthCheckThenHalfRequest,
 }
 
 impl IdleBehavior {
     pub const ALL: [IdleBehavior; 4] = [
         IdleBehavior::Silent,
-        IdleBehavior::SpokeOnce,
+        IdleBehavior::HealthCheck,
         IdleBehavior::HalfRequest,
-        IdleBehavior::SpokeThenHalf,
+        IdleBehavior::HealthCheckThenHalfRequest,
     ];
 
     fn bytes(self, nth: u64) -> Vec<u8> {
@@ -42,9 +42,9 @@
         let half = || record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0]);
         match self {
             IdleBehavior::Silent => Vec::new(),
-            IdleBehavior::SpokeOnce => check(),
+            IdleBehavior::HealthCheck => check(),
             IdleBehavior::HalfRequest => half(),
-            IdleBehavior::SpokeThenHalf => [check(), half()].concat(),
+            IdleBehavior::HealthCheckThenHalfRequest => [check(), half()].concat(),
         }
     }
 }
@@ -58,7 +58,7 @@
 
 impl IdleClients {
     /// `count` connections for each of the habits.
-    pub fn hold(at: SocketAddr, habits: &[IdleBehavior], count: usize) -> IdleClients {
+    pub fn start(at: SocketAddr, habits: &[IdleBehavior], count: usize) -> IdleClients {
         let (stop, opened) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
--- a/crates/fakes/src/instant.rs
+++ b/crates/fakes/src/immediate.rs
@@ -15,7 +15,7 @@
 
 /// An engine for any number of nodes, one after the other, that ends each run at once and is never busy. It
 /// goes on as long as the process.
-pub fn engine(door: TcpListener) {
+pub fn start_engine(door: TcpListener) {
     thread::spawn(move || {
         for link in door.incoming().flatten() {
             thread::spawn(move || serve_link(link));
@@ -72,7 +72,7 @@
 
 /// A server that answers every request at once, with a few threads that each take connections and serve one
 /// after the other to its end. It goes on as long as the process.
-pub fn server(protocol: Protocol, threads: usize) -> std::io::Result<SocketAddr> {
+pub fn start_server(protocol: Protocol, threads: usize) -> std::io::Result<SocketAddr> {
     let door = TcpListener::bind("127.0.0.1:0")?;
     let at = door.local_addr()?;
     for _ in 0..threads {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod engine;
 pub mod fixture;
 pub mod idle;
-pub mod instant;
+pub mod immediate;
 pub mod interrupt;
 pub mod records;
 pub mod rules;
@@ -34,7 +34,7 @@
 }
 
 /// A stream cut at these places, in whatever order they are named.
-pub fn cut_at(stream: &[u8], mut places: Vec<usize>) -> Vec<&[u8]> {
+pub fn split_at_offsets(stream: &[u8], mut places: Vec<usize>) -> Vec<&[u8]> {
     places.sort_unstable();
     let (mut parts, mut from) = (Vec::new(), 0);
     for place in places {
--- a/crates/fakes/src/records.rs
+++ b/crates/fakes/src/records.rs
@@ -79,7 +79,7 @@
         self.sock.write_all(bytes).unwrap();
     }
 
-    pub fn look(&mut self, id: u16, nth: u64) {
+    pub fn send_look(&mut self, id: u16, nth: u64) {
         self.send(&request(id, nth, "/svc/look", &[], b"body"));
     }
 
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -9,12 +9,12 @@
 /// One try as its caller knows it. Times are Unix ms.
 #[derive(Clone, Debug)]
 pub struct CallerAttempt {
-    pub nth: u64,
+    pub attempt_number: u64,
     /// The idempotency key, where it is deduplicated.
     pub idempotency_key: Option<String>,
     pub sent: u64,
     /// What it was told, and when; none where its caller left before.
-    pub told: Option<(CallerOutcome, u64)>,
+    pub outcome: Option<(CallerOutcome, u64)>,
 }
 
 /// One run as who did it knows it: of which try, with which idempotency key.
@@ -36,7 +36,7 @@
         ExecutedRun {
             attempt_id,
             idempotency_key: text("HTTP_IDEMPOTENCY_KEY"),
-            at: got.at,
+            at: got.received_at_ms,
         }
     }
 }
@@ -45,11 +45,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// The deadline, and what a slow machine may add, in ms.
-    pub within: u64,
+    pub max_latency_ms: u64,
     /// Nothing that was sent after this may be run: notice and grace, where the node was told to leave.
-    pub closed: Option<u64>,
+    pub accepts_until_ms: Option<u64>,
     /// Tries that one repeatable request may have.
-    pub tries: usize,
+    pub max_attempts: usize,
 }
 
 /// What is broken, in words; empty where all is kept. `result` tells what a run of this try brings.
@@ -71,29 +71,32 @@
     for (key, runs) in by_key.iter().filter(|(_, runs)| runs.len() > 1) {
         violations.push(format!("rule 2: {key} ran {} times: {runs:?}", runs.len()));
     }
-    for (attempt_id, runs) in by_try.iter().filter(|(_, runs)| runs.len() > bounds.tries) {
+    for (attempt_id, runs) in by_try
+        .iter()
+        .filter(|(_, runs)| runs.len() > bounds.max_attempts)
+    {
         violations.push(format!("{attempt_id} was tried {} times", runs.len()));
     }
     for tried in tried {
-        let id = attempt_id(tried.nth);
+        let id = attempt_id(tried.attempt_number);
         let runs: Vec<&ExecutedRun> = match &tried.idempotency_key {
             Some(key) => by_key.get(key.as_str()).cloned().unwrap_or_default(),
             None => by_try.get(id.as_str()).cloned().unwrap_or_default(),
         };
         if bounds
-            .closed
+            .accepts_until_ms
             .is_some_and(|closed| tried.sent > closed && by_try.contains_key(id.as_str()))
         {
             violations.push(format!(
                 "rule 3: {id} was sent after notice and grace, and run"
             ));
         }
-        let Some((seen, at)) = &tried.told else {
+        let Some((seen, at)) = &tried.outcome else {
             continue;
         };
         match seen {
             CallerOutcome::Nothing => violations.push(format!("rule 1: {id} was told nothing")),
-            _ if *at > tried.sent + bounds.within => {
+            _ if *at > tried.sent + bounds.max_latency_ms => {
                 violations.push(format!(
                     "rule 1: {id} was told {} ms after it was sent",
                     at - tried.sent
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -18,13 +18,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedRequest {
     pub id: u16,
-    pub keep: bool,
+    pub keep_alive: bool,
     pub variables: Vec<(String, Vec<u8>)>,
     pub body: Vec<u8>,
     /// The connection on which it came, counted from 0.
     pub connection: usize,
     /// When it was whole, in Unix ms.
-    pub at: u64,
+    pub received_at_ms: u64,
 }
 
 impl ReceivedRequest {
@@ -67,12 +67,12 @@
 
 /// A request whose answer waits for the test's word.
 pub struct HeldRequest {
-    pub got: ReceivedRequest,
+    pub request: ReceivedRequest,
     act: Sender<Behavior>,
 }
 
 impl HeldRequest {
-    pub fn act(self, act: Behavior) {
+    pub fn respond(self, act: Behavior) {
         // Its connection may be gone.
         _ = self.act.send(act);
     }
@@ -94,7 +94,7 @@
 
 /// Serves in threads of its own until dropped: one for each connection.
 pub struct Server {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub protocol: Protocol,
     got: Arc<Mutex<Vec<ReceivedRequest>>>,
     connections: Arc<AtomicUsize>,
@@ -109,7 +109,7 @@
         let server = Server::start(protocol, move |got| {
             let (act, word) = channel();
             _ = held.send(HeldRequest {
-                got: got.clone(),
+                request: got.clone(),
                 act,
             });
             word.recv().unwrap_or(Behavior::Hang)
@@ -132,7 +132,7 @@
     ) -> Server {
         let door = TcpListener::bind(at).unwrap();
         let server = Server {
-            at: door.local_addr().unwrap(),
+            address: door.local_addr().unwrap(),
             protocol,
             got: Arc::default(),
             connections: Arc::default(),
@@ -164,7 +164,7 @@
     }
 
     /// What was read so far.
-    pub fn got(&self) -> Vec<ReceivedRequest> {
+    pub fn received(&self) -> Vec<ReceivedRequest> {
         self.got.lock().unwrap().clone()
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// The same, with what it had read by then.
-    pub fn kill_and_tell(self) -> Vec<ReceivedRequest> {
+    pub fn kill_and_collect(self) -> Vec<ReceivedRequest> {
         let got = self.got.clone();
         drop(self);
         got.lock().unwrap().clone()
@@ -182,7 +182,7 @@
 
     /// Ends as one that is killed: every connection broken, nothing listening any more.
     pub fn kill(self) -> SocketAddr {
-        self.at
+        self.address
     }
 }
 
@@ -190,12 +190,12 @@
     fn drop(&mut self) {
         self.over.store(true, Ordering::SeqCst);
         // The one who accepts is woken by a last connection, and lets go of its listener.
-        drop(TcpStream::connect(self.at));
+        drop(TcpStream::connect(self.address));
         for sock in self.open.lock().unwrap().values() {
             break_off(sock);
             _ = sock.shutdown(Shutdown::Both);
         }
-        while TcpStream::connect(self.at).is_ok() {
+        while TcpStream::connect(self.address).is_ok() {
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -233,13 +233,13 @@
             match piece {
                 RequestEvent::Begin {
                     id,
-                    keep_connection: keep,
+                    keep_connection: keep_alive,
                     ..
                 } => {
                     (got, block) = (
                         ReceivedRequest {
                             id,
-                            keep,
+                            keep_alive,
                             connection,
                             ..ReceivedRequest::default()
                         },
@@ -257,7 +257,7 @@
                         .iter()
                         .map(|(name, value)| (word(name), value.to_vec()))
                         .collect();
-                    got.at = unix_ms();
+                    got.received_at_ms = unix_ms();
                     all.lock().unwrap().push(got.clone());
                     if !act(&mut sock, protocol, &got, script(&got)) {
                         return sock;
@@ -295,7 +295,7 @@
                 },
                 &body,
             );
-            sock.write_all(&out).is_ok() && got.keep && protocol == Protocol::FastCgi
+            sock.write_all(&out).is_ok() && got.keep_alive && protocol == Protocol::FastCgi
         }
         Behavior::Cut { body, at, how } => {
             write_response(
--- a/crates/fault-harness/src/drains/client.rs
+++ b/crates/fault-harness/src/drains/client.rs
@@ -97,7 +97,7 @@
             return; // The node never had it whole.
         }
         let (answer, end) = read_answer(&mut sock, self.protocol);
-        let (outcome, _) = caller::read(self.protocol, &answer);
+        let (outcome, _) = caller::parse_response(self.protocol, &answer);
         let is_kept = end.is_none() && self.protocol == Protocol::FastCgi;
         self.connection = is_kept.then_some(sock);
         self.records.push(RequestRecord {
--- a/crates/fault-harness/src/drains/judge.rs
+++ b/crates/fault-harness/src/drains/judge.rs
@@ -93,16 +93,16 @@
             ));
         }
         attempts.push(CallerAttempt {
-            nth: record.number,
+            attempt_number: record.number,
             idempotency_key: record.idempotency_key,
             sent: record.sent,
-            told: (!crossed).then_some((record.outcome, record.answered)),
+            outcome: (!crossed).then_some((record.outcome, record.answered)),
         });
     }
     let bounds = Bounds {
-        within: MAX_ANSWER_MS,
-        closed: Some(times.told + times.grace_ms + NOTICE_MARGIN_MS),
-        tries: MAX_ATTEMPTS,
+        max_latency_ms: MAX_ANSWER_MS,
+        accepts_until_ms: Some(times.told + times.grace_ms + NOTICE_MARGIN_MS),
+        max_attempts: MAX_ATTEMPTS,
     };
     violations.extend(find_violations(&attempts, ran, bounds, expected_body));
     (counts, violations)
--- a/crates/fault-harness/src/drains/run.rs
+++ b/crates/fault-harness/src/drains/run.rs
@@ -61,7 +61,7 @@
     let (code, log) = fixture.wait_for_exit();
     let ran: Vec<ExecutedRun> = servers
         .iter()
-        .flat_map(Server::got)
+        .flat_map(Server::received)
         .map(|got| ExecutedRun::from(&got))
         .collect();
     let (counts, mut violations) = judge(records, &ran, times);
@@ -125,7 +125,10 @@
         (setup.port(FASTCGI_PORT), Protocol::FastCgi),
         (setup.port(UWSGI_PORT), Protocol::Uwsgi),
     ];
-    let addresses: Vec<String> = servers.iter().map(|server| server.at.to_string()).collect();
+    let addresses: Vec<String> = servers
+        .iter()
+        .map(|server| server.address.to_string())
+        .collect();
     setup.installation = Some(json!({
         "fronts": own.map(|(at, protocol)| json!({"protocol": protocol.name(), "listen": at.to_string()})),
         "servers": {"protocol": scenario.server_protocol.name(), "addresses": addresses,
--- a/crates/fault-harness/src/load.rs
+++ b/crates/fault-harness/src/load.rs
@@ -103,7 +103,7 @@
 
     /// The part of a node's installation file that names the server.
     pub fn installation(&self) -> Value {
-        let addresses = [self.server.at.to_string()];
+        let addresses = [self.server.address.to_string()];
         json!({"servers": {"protocol": "fastcgi", "addresses": addresses, "at_once": SERVER_CONCURRENCY}})
     }
 
@@ -139,7 +139,7 @@
             .collect();
         let run_ms = self.profile.run_time.as_millis() as u64;
         let (mut unkeyed, mut keyed, mut runs) = (Vec::new(), Vec::new(), Vec::new());
-        for received in self.server.got() {
+        for received in self.server.received() {
             let ran = ExecutedRun::from(&received);
             let Some(request) = by_attempt.get(&ran.attempt_id) else {
                 continue;
--- a/crates/fault-harness/src/scale/added.rs
+++ b/crates/fault-harness/src/scale/added.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
-use doortrack_fakes::instant;
+use doortrack_fakes::immediate;
 use doortrack_protocols::Protocol;
 use indicatif::ProgressBar;
 use serde::{Deserialize, Serialize};
@@ -92,7 +92,7 @@
     progress: &ProgressBar,
 ) -> Result<AddedReport, ScaleError> {
     let ports = Ports::hold()?;
-    let server = instant::server(Protocol::FastCgi, terms.real * AT_ONCE);
+    let server = immediate::start_server(Protocol::FastCgi, terms.real * AT_ONCE);
     let server = server.map_err(ScaleError::io("the server behind the nodes"))?;
     let servers =
         json!({"protocol": "fastcgi", "addresses": [server.to_string()], "at_once": AT_ONCE});
--- a/crates/fault-harness/src/scale/node_cost/bench.rs
+++ b/crates/fault-harness/src/scale/node_cost/bench.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use doortrack_fakes::fixture::open_registry;
-use doortrack_fakes::instant;
+use doortrack_fakes::immediate;
 use doortrack_protocols::Protocol;
 use serde_json::Value;
 
@@ -32,7 +32,7 @@
     /// # Errors
     /// No socket can be had.
     pub fn open(program: &'a Path) -> Result<Bench<'a>, MeasureError> {
-        let server = instant::server(Protocol::FastCgi, SERVER_THREADS)?;
+        let server = immediate::start_server(Protocol::FastCgi, SERVER_THREADS)?;
         Ok(Bench {
             program,
             registry: open_registry(),
--- a/crates/fault-harness/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -49,7 +49,7 @@
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.server.at
+        self.server.address
     }
 
     /// The part of a node's installation file that names the server, which it reaches at `address`.
@@ -112,7 +112,12 @@
     /// described. Requests to processes that exited need no answer.
     pub fn finish(self, backend: &Backend, exits: &[ProcessExit]) -> (TrafficCounts, Vec<String>) {
         let records = self.stop();
-        let ran: Vec<ExecutedRun> = backend.server.got().iter().map(ExecutedRun::from).collect();
+        let ran: Vec<ExecutedRun> = backend
+            .server
+            .received()
+            .iter()
+            .map(ExecutedRun::from)
+            .collect();
         records.judge(&ran, exits)
     }
 }
--- a/crates/fault-harness/src/traffic/caller.rs
+++ b/crates/fault-harness/src/traffic/caller.rs
@@ -91,10 +91,10 @@
         };
         let answer = pending.outcome();
         let record = CallerAttempt {
-            nth: self.last_attempt,
+            attempt_number: self.last_attempt,
             idempotency_key: key.map(str::to_string),
             sent,
-            told: Some((answer.clone(), unix_ms())),
+            outcome: Some((answer.clone(), unix_ms())),
         };
         self.requests.push((listener, record));
         Some(answer)
--- a/crates/fault-harness/src/traffic/records.rs
+++ b/crates/fault-harness/src/traffic/records.rs
@@ -77,16 +77,16 @@
         let completed = requests
             .iter()
             .filter(|request| completed_at(request).is_some());
-        let unanswered = requests.iter().filter(|request| request.told.is_none());
+        let unanswered = requests.iter().filter(|request| request.outcome.is_none());
         let counts = TrafficCounts {
             sent: requests.len(),
             completed: completed.count(),
             unanswered: unanswered.count(),
         };
         let bounds = Bounds {
-            within: MAX_ANSWER_MS,
-            closed: None,
-            tries: MAX_ATTEMPTS,
+            max_latency_ms: MAX_ANSWER_MS,
+            accepts_until_ms: None,
+            max_attempts: MAX_ATTEMPTS,
         };
         let mut violations = find_violations(&requests, ran, bounds, expected_body);
         if self.stalled > 0 {
@@ -100,7 +100,7 @@
 }
 
 fn completed_at(request: &CallerAttempt) -> Option<u64> {
-    match request.told {
+    match request.outcome {
         Some((CallerOutcome::Completed(_), at)) => Some(at),
         _ => None,
     }
@@ -120,7 +120,8 @@
                 && exit.at <= until
         })
     };
-    let is_excused = matches!(request.told, Some((CallerOutcome::Nothing, at)) if has_exited(at));
-    request.told = request.told.filter(|_| !is_excused);
+    let is_excused =
+        matches!(request.outcome, Some((CallerOutcome::Nothing, at)) if has_exited(at));
+    request.outcome = request.outcome.filter(|_| !is_excused);
     request
 }
--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -359,7 +359,7 @@
     let mut rig = Rig::new(program(), 3, 3).unwrap();
     let own = json!({"fleet": {"voters": ["n0", "n1", "n2"]},
         "servers": {"protocol": "fastcgi", "at_once": 8,
-            "addresses": servers.each_ref().map(|of| of.at.to_string()),
+            "addresses": servers.each_ref().map(|of| of.address.to_string()),
             "aside": {"failures": 1000}, "retries": {"share": 1.0, "burst": 1000, "tries": 3}},
         "budgets": [{"name": "again", "kind": "rate", "limit": 12, "burst": 6,
             "for": {"retries": "servers"}}]});
@@ -381,7 +381,7 @@
     let requests = load.finish().requests.len();
     let lasted = doortrack_fakes::unix_ms() - began;
     let mut tries = std::collections::BTreeMap::new();
-    for got in servers.iter().flat_map(Server::got) {
+    for got in servers.iter().flat_map(Server::received) {
         *tries
             .entry(got.variable("HTTP_X_REQUEST_ID").map(<[u8]>::to_vec))
             .or_insert(0u64) += 1;
@@ -429,7 +429,7 @@
 fn alone(server: &Server, answer_within_ms: u32, budget: Value) -> Rig {
     let mut rig = Rig::new(program(), 1, 3).unwrap();
     let own = json!({"fleet": {"voters": ["n0"]}, "budgets": [budget],
-        "servers": {"protocol": "fastcgi", "addresses": [server.at.to_string()], "at_once": 8,
+        "servers": {"protocol": "fastcgi", "addresses": [server.address.to_string()], "at_once": 8,
             "answer_within_ms": answer_within_ms, "aside": {"failures": 1000}, "retries": {"tries": 1}}});
     rig.start(0, 0, &own).unwrap();
     drop(doortrack_fakes::fixture::connect(rig.listener_address(0)));
@@ -461,9 +461,9 @@
     }
     assert!(rejected > 0, "the budget was never empty");
     assert!(
-        server.got().len() <= 2,
+        server.received().len() <= 2,
         "{} runs of two keys",
-        server.got().len()
+        server.received().len()
     );
 }
 
@@ -476,7 +476,7 @@
     let rig = alone(&server, 100, budget);
     let until = std::time::Instant::now() + Duration::from_secs(30);
     let mut nth = 0;
-    while server.got().len() < 3 {
+    while server.received().len() < 3 {
         nth += 1;
         assert!(!matches!(
             seen(&rig, nth, None),
@@ -485,11 +485,15 @@
         assert!(
             std::time::Instant::now() < until,
             "{} runs",
-            server.got().len()
+            server.received().len()
         );
         std::thread::sleep(Duration::from_millis(10));
     }
-    let at: Vec<u64> = server.got().iter().map(|got| got.at).collect();
+    let at: Vec<u64> = server
+        .received()
+        .iter()
+        .map(|got| got.received_at_ms)
+        .collect();
     // Each waits for the permit of the one before, which was given up after 0.1 s.
     assert!(at.windows(2).all(|two| two[1] >= two[0] + 3_000), "{at:?}");
 }
--- a/crates/node/tests/fleet/ramp.rs
+++ b/crates/node/tests/fleet/ramp.rs
@@ -203,7 +203,11 @@
         }
     }
     callers.finish();
-    let got: Vec<u64> = second.got().iter().map(|got| got.at).collect();
+    let got: Vec<u64> = second
+        .received()
+        .iter()
+        .map(|got| got.received_at_ms)
+        .collect();
     let within = |from: u64| {
         got.iter()
             .filter(|at| (from..from + OVER_MS).contains(at))
@@ -246,7 +250,7 @@
 /// Starts so many nodes before a server that is up.
 pub fn started(nodes: usize, more: impl Fn(SocketAddr) -> Value) -> (Rig, Server) {
     let server = server("127.0.0.1:0".parse().unwrap());
-    let own = more(server.at);
+    let own = more(server.address);
     let mut rig = Rig::new(program(), nodes, 3).unwrap();
     rig.start_clock();
     (0..nodes).for_each(|of| rig.start(of, of, &own).unwrap());
@@ -380,21 +384,21 @@
     });
     let second = server("127.0.0.1:0".parse().unwrap());
     let added = unix_ms();
-    let mut own = installation(first.at, ramp(RUNS));
-    own["servers"]["addresses"] = json!([first.at.to_string(), second.at.to_string()]);
+    let mut own = installation(first.address, ramp(RUNS));
+    own["servers"]["addresses"] = json!([first.address.to_string(), second.address.to_string()]);
     rig.reload(0, &own).unwrap();
     std::thread::sleep(Duration::from_millis(OVER_MS));
     callers.finish();
     let got = second
-        .got()
+        .received()
         .iter()
-        .filter(|got| got.at < added + OVER_MS)
+        .filter(|got| got.received_at_ms < added + OVER_MS)
         .count();
     assert!((5..=RUNS as usize).contains(&got), "{got} on the new one");
     assert!(
-        first.got().len() > got,
+        first.received().len() > got,
         "{} on the first",
-        first.got().len()
+        first.received().len()
     );
     let bad = callers.sum(|tally| &tally.rejected) + callers.sum(|tally| &tally.failed);
     assert_eq!(
--- a/crates/node/tests/fleet/rolling.rs
+++ b/crates/node/tests/fleet/rolling.rs
@@ -44,7 +44,10 @@
 }
 
 fn installation(servers: &[Server]) -> Value {
-    let addresses: Vec<String> = servers.iter().map(|server| server.at.to_string()).collect();
+    let addresses: Vec<String> = servers
+        .iter()
+        .map(|server| server.address.to_string())
+        .collect();
     json!({"servers": {"protocol": "fastcgi", "addresses": addresses, "at_once": 4,
         "answer_within_ms": 3_000}})
 }
@@ -121,7 +124,7 @@
     let offers = asked.offers();
     let ran: Vec<ExecutedRun> = servers
         .iter()
-        .flat_map(Server::got)
+        .flat_map(Server::received)
         .map(|got| ExecutedRun::from(&got))
         .collect();
     let (served, broken) = asked.judge(&ran, &deaths);
--- a/crates/node/tests/fleet/unnoticed.rs
+++ b/crates/node/tests/fleet/unnoticed.rs
@@ -55,7 +55,11 @@
     witnesses.finish();
     callers.finish();
     let within = |at: u64| (listening..listening + OVER_MS).contains(&at);
-    second.got().iter().filter(|got| within(got.at)).count()
+    second
+        .received()
+        .iter()
+        .filter(|got| within(got.received_at_ms))
+        .count()
 }
 
 /// Guards against a node that starts beside a cold server and takes it for warm.
--- a/crates/node/tests/node/accepts.rs
+++ b/crates/node/tests/node/accepts.rs
@@ -19,7 +19,7 @@
     plan.config["stop_ms"] = json!(500);
     plan.installation = Some(json!({
         "fronts": [{"protocol": "uwsgi", "listen": front.to_string()}],
-        "servers": {"protocol": "fastcgi", "addresses": [server.at.to_string()], "at_once": 8}
+        "servers": {"protocol": "fastcgi", "addresses": [server.address.to_string()], "at_once": 8}
     }));
     plan.start()
 }
@@ -135,7 +135,7 @@
     // In hand before the others come: beside them it could be rejected, which is no fault.
     let until = Instant::now() + MAX_WAIT;
     while server
-        .got()
+        .received()
         .iter()
         .filter(|got| got.body == b"slow")
         .count()
--- a/crates/node/tests/node/conformance.rs
+++ b/crates/node/tests/node/conformance.rs
@@ -31,14 +31,14 @@
     fn run(&mut self) -> (String, Vec<u8>, Run) {
         match self {
             Work::Engine(engine) => {
-                let (call, body) = engine.run();
+                let (call, body) = engine.next_run();
                 (call.clone(), body, Run::Engine(call))
             }
             Work::Server(_, held) => {
                 let held = held.recv_timeout(MAX_WAIT).expect("no run comes");
                 let call =
-                    String::from_utf8(held.got.variable("HTTP_X_REQUEST_ID").unwrap().to_vec());
-                (call.unwrap(), held.got.body.clone(), Run::Server(held))
+                    String::from_utf8(held.request.variable("HTTP_X_REQUEST_ID").unwrap().to_vec());
+                (call.unwrap(), held.request.body.clone(), Run::Server(held))
             }
         }
     }
@@ -64,9 +64,9 @@
                 } else {
                     b""
                 };
-                engine.end(&call, how, result);
+                engine.finish_run(&call, how, result);
             }
-            (_, Run::Server(held)) => held.act(act),
+            (_, Run::Server(held)) => held.respond(act),
             _ => unreachable!("a run of another kind of work"),
         }
     }
@@ -114,7 +114,7 @@
             let server = behind.map(Server::held);
             if let Some((server, _)) = &server {
                 installation["servers"] = json!({"protocol": server.protocol.name(),
-                    "addresses": [server.at.to_string()], "at_once": 6});
+                    "addresses": [server.address.to_string()], "at_once": 6});
             }
             plan.installation = Some(installation);
             let (fixture, work) = match server {
@@ -306,7 +306,7 @@
         "fronts": fronts.map(|(front, at)| json!({"protocol": front.name(), "listen": at.to_string()})),
         "servers": {
             "protocol": servers[0].protocol.name(),
-            "addresses": servers.iter().map(|server| server.at.to_string()).collect::<Vec<_>>()
+            "addresses": servers.iter().map(|server| server.address.to_string()).collect::<Vec<_>>()
         }
     });
     change(&mut installation["servers"]);
@@ -382,11 +382,11 @@
                 with_servers(&[&server], |servers| servers["aside"] = keeps_in);
             // Repeatable: tried again, and completed.
             let waits = CallerRequest::new(1, "/svc/look", b"").send(at, front);
-            held.recv_timeout(MAX_WAIT).unwrap().act(act.clone());
+            held.recv_timeout(MAX_WAIT).unwrap().respond(act.clone());
             let again = held
                 .recv_timeout(MAX_WAIT)
                 .unwrap_or_else(|_| panic!("{protocol}: {what}: not tried again"));
-            again.act(Behavior::ok("at last"));
+            again.respond(Behavior::ok("at last"));
             assert_eq!(
                 waits.outcome(),
                 CallerOutcome::Completed(b"at last".into()),
@@ -399,14 +399,14 @@
                     .send(at, front)
             };
             let waits = pay(2);
-            held.recv_timeout(MAX_WAIT).unwrap().act(act);
+            held.recv_timeout(MAX_WAIT).unwrap().respond(act);
             assert_eq!(waits.outcome(), CallerOutcome::Failed, "{protocol}: {what}");
             assert_eq!(
                 pay(3).outcome(),
                 CallerOutcome::Failed,
                 "{protocol}: {what}"
             );
-            assert_eq!(server.got().len(), 3, "{protocol}: {what}");
+            assert_eq!(server.received().len(), 3, "{protocol}: {what}");
         }
     }
 }
@@ -420,7 +420,7 @@
         let more = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody and more".to_vec();
         held.recv_timeout(MAX_WAIT)
             .unwrap()
-            .act(Behavior::Garbage(more));
+            .respond(Behavior::Garbage(more));
         assert_eq!(waits.outcome(), CallerOutcome::Completed(b"body".into()));
         let key = format!("{n:032x}");
         let pay = |n| {
@@ -431,11 +431,11 @@
         let waits = pay(10 + n as u64);
         let run = held.recv_timeout(MAX_WAIT).unwrap();
         assert_eq!(
-            run.got.variable("HTTP_X_CALLER"),
+            run.request.variable("HTTP_X_CALLER"),
             Some(&b"1"[..]),
             "variables go on as they came"
         );
-        run.act(Behavior::ok("paid"));
+        run.respond(Behavior::ok("paid"));
         let first = waits.outcome_with_headers();
         assert_eq!(first.1["Content-Type"], "text/plain");
         assert_eq!(
@@ -461,8 +461,10 @@
             servers["aside"] =
                 json!({"failures": 1, "first_ms": 200, "longest_ms": 400, "floor": 0.5});
         });
-        let echo =
-            std::thread::spawn(move || held.iter().for_each(|run| run.act(Behavior::ok("sound"))));
+        let echo = std::thread::spawn(move || {
+            held.iter()
+                .for_each(|run| run.respond(Behavior::ok("sound")))
+        });
         let mut n = 0;
         let mut look = || {
             n += 1;
@@ -511,8 +513,8 @@
             .with("HTTP_IDEMPOTENCY_KEY", &format!("{n:032x}"))
             .send(at, front);
         let run = held.recv_timeout(MAX_WAIT).unwrap();
-        assert!(run.got.keep);
-        run.act(act);
+        assert!(run.request.keep_alive);
+        run.respond(act);
         waits.outcome()
     };
     assert!((0..5).all(|_| pay(Behavior::ok("")) == CallerOutcome::Completed(Vec::new())));
@@ -555,7 +557,7 @@
             &json!({"fronts": fronts, "servers": {"protocol": protocol, "addresses": [at.to_string()]}}),
         );
     };
-    install("uwsgi", two.at);
+    install("uwsgi", two.address);
     let until = std::time::Instant::now() + MAX_WAIT;
     while look() != CallerOutcome::Completed(b"two".into()) {
         assert!(
@@ -565,7 +567,7 @@
     }
     assert!((0..10).all(|_| look() == CallerOutcome::Completed(b"two".into())));
     // What is spoken can't change under way: told, and the servers stay.
-    install("fastcgi", one.at);
+    install("fastcgi", one.address);
     std::thread::sleep(std::time::Duration::from_millis(50));
     assert!((0..10).all(|_| look() == CallerOutcome::Completed(b"two".into())));
     fixture.signal("-TERM");
@@ -591,7 +593,7 @@
         plan.installation = Some(json!({
             "fronts": [{"protocol": "uwsgi", "listen": at.to_string()}],
             "servers": {"protocol": protocol.name(), "at_once": 16,
-                "addresses": [killed.at.to_string(), other.at.to_string()]}
+                "addresses": [killed.address.to_string(), other.address.to_string()]}
         }));
         let _bed = plan.start();
         let ask = |n, script| {
@@ -617,7 +619,7 @@
                 let until = std::time::Instant::now() + MAX_WAIT;
                 let ran = |server: &Server| {
                     server
-                        .got()
+                        .received()
                         .iter()
                         .any(|got| got.variable("HTTP_X_REQUEST_ID") == Some(id.as_bytes()))
                 };
@@ -637,18 +639,18 @@
             }
         }
         for (run, waits) in elsewhere {
-            run.act(Behavior::ok("elsewhere"));
+            run.respond(Behavior::ok("elsewhere"));
             assert_eq!(
                 waits.outcome(),
                 CallerOutcome::Completed(b"elsewhere".into())
             );
         }
-        drop(killed.kill_and_tell());
+        drop(killed.kill_and_collect());
         drop(held);
         // The one that may run twice does so on the other; nothing else is sent there.
         let run = held_too.recv_timeout(MAX_WAIT).unwrap();
-        assert_eq!(run.got.variable("SCRIPT_NAME"), Some(&b"/svc/look"[..]));
-        run.act(Behavior::ok("again"));
+        assert_eq!(run.request.variable("SCRIPT_NAME"), Some(&b"/svc/look"[..]));
+        run.respond(Behavior::ok("again"));
         for (script, waits) in waiting {
             let wanted = if script == "/svc/look" {
                 CallerOutcome::Completed(b"again".into())
--- a/crates/node/tests/node/ends.rs
+++ b/crates/node/tests/node/ends.rs
@@ -120,7 +120,7 @@
     /// One that has a request open.
     fn busy_caller(&mut self, nth: u64) -> Client {
         let (mut client, open) = (self.caller(), self.requests.len());
-        client.look(1, nth);
+        client.send_look(1, nth);
         self.until(|table| table.requests.len() > open);
         client
     }
@@ -135,7 +135,7 @@
     /// Sends one more request on a connection that is about to end, which is refused as never run.
     fn refuses(&mut self, client: &mut Client, id: u16, nth: u64) {
         let refused = self.listeners.counts().no_capacity;
-        client.look(id, nth);
+        client.send_look(id, nth);
         self.until(|table| table.listeners.counts().no_capacity > refused);
         let reply = client.reply();
         assert_eq!((reply.id, reply.status), (id, 2));
@@ -170,7 +170,7 @@
     let mut newest = table.caller();
     let longest_idle = &mut callers[0];
     assert!(has_ended(longest_idle));
-    longest_idle.look(1, 20);
+    longest_idle.send_look(1, 20);
     table.turn();
     assert_eq!(
         longest_idle.sock.take_error().unwrap().map(|e| e.kind()),
@@ -249,7 +249,7 @@
         has_ended(&mut idle),
         "one that is idle goes before a part of a request"
     );
-    first.look(1, 12);
+    first.send_look(1, 12);
     table.until(|table| table.requests.len() == 1);
     table.pass(EVICTION_GRACE);
     let mut second = table.caller();
@@ -266,7 +266,7 @@
     let mut table = Table::new(8);
     let mut client = table.caller();
     client.send(&record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0]));
-    client.look(1, 1);
+    client.send_look(1, 1);
     table.until(|table| table.requests.len() == 1);
     table.pass(3 * S);
     let slow = client.reply();
@@ -289,7 +289,7 @@
         .listen(front, Protocol::FastCgi, None)
         .unwrap();
     let mut client = table.connect(front);
-    client.look(1, 1);
+    client.send_look(1, 1);
     table.until(|table| table.requests.len() == 1);
     table
         .listeners
--- a/crates/node/tests/node/fronts.rs
+++ b/crates/node/tests/node/fronts.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use doortrack_fakes::caller::{CallerOutcome, CallerRequest, PendingAnswer, read};
+use doortrack_fakes::caller::{CallerOutcome, CallerRequest, PendingAnswer, parse_response};
 use doortrack_fakes::engine::Engine;
 use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
 use doortrack_fakes::records::IDEMPOTENCY_KEY;
@@ -55,18 +55,18 @@
         let mut all = Vec::new();
         let waits = CallerRequest::new(base, "/svc/look", &body).send(at, protocol);
         assert_eq!(
-            engine.run(),
+            engine.next_run(),
             (attempt_id(base), body.clone()),
             "a body passes unchanged"
         );
-        engine.end(&attempt_id(base), "OK", &result);
+        engine.finish_run(&attempt_id(base), "OK", &result);
         let (seen, mut headers) = waits.outcome_with_headers();
         assert_eq!(seen, CallerOutcome::Completed(result.clone()));
         headers.remove("Content-Length");
         all.push(format!("{headers:?}"));
         let waits = CallerRequest::new(base + 1, "/svc/look", b"").send(at, protocol);
-        engine.run();
-        engine.end(&attempt_id(base + 1), "ERROR", b"");
+        engine.next_run();
+        engine.finish_run(&attempt_id(base + 1), "ERROR", b"");
         let (seen, mut headers) = waits.outcome_with_headers();
         headers.remove("Content-Length");
         all.push(format!("{seen:?} {headers:?}"));
@@ -131,11 +131,11 @@
                 (attempt_id(nth), ask.send(at, protocol))
             };
             let (call, one) = ask(first);
-            assert_eq!(engine.run().0, call);
+            assert_eq!(engine.next_run().0, call);
             // While it runs: attached. Nothing but readings may come of it.
             let (_, two) = ask(again);
-            engine.readings(4);
-            engine.end(&call, how, b"moored");
+            engine.answer_stats(4);
+            engine.finish_run(&call, how, b"moored");
             let wanted = if how == "OK" {
                 CallerOutcome::Completed(b"moored".into())
             } else {
@@ -149,8 +149,8 @@
             // After its end: its result, or a failure; what never ran may run now.
             let (call, three) = ask(again);
             if how == "MOOT" {
-                assert_eq!(engine.run().0, call);
-                engine.end(&call, "OK", b"at last");
+                assert_eq!(engine.next_run().0, call);
+                engine.finish_run(&call, "OK", b"at last");
                 assert_eq!(three.outcome(), CallerOutcome::Completed(b"at last".into()));
             } else {
                 assert_eq!(three.outcome(), wanted, "{how}");
@@ -169,9 +169,9 @@
         let ask =
             |n| CallerRequest::new(base + n, "/svc/pay", b"x").with("HTTP_IDEMPOTENCY_KEY", &key);
         // The one core is taken, so the next is held.
-        engine.readings(2);
+        engine.answer_stats(2);
         let busy = CallerRequest::new(base + 1, "/svc/look", b"").send(fast.1, fast.0);
-        assert_eq!(engine.run().0, attempt_id(base + 1));
+        assert_eq!(engine.next_run().0, attempt_id(base + 1));
         // Both are read in one turn: the process stands still while they are sent.
         fixture.signal("-STOP");
         let one = ask(2).send(first.1, first.0);
@@ -179,15 +179,15 @@
         std::thread::sleep(Duration::from_millis(30));
         fixture.signal("-CONT");
         let held = ask(4).send(first.1, first.0);
-        engine.end(&attempt_id(base + 1), "OK", b"");
+        engine.finish_run(&attempt_id(base + 1), "OK", b"");
         assert!(matches!(busy.outcome(), CallerOutcome::Completed(_)));
-        let (call, _) = engine.run();
+        let (call, _) = engine.next_run();
         assert!(
             [2, 3, 4].map(|n| attempt_id(base + n)).contains(&call),
             "{call}"
         );
-        engine.readings(4);
-        engine.end(&call, "OK", b"once");
+        engine.answer_stats(4);
+        engine.finish_run(&call, "OK", b"once");
         for waits in [one, two, held] {
             assert_eq!(waits.outcome(), CallerOutcome::Completed(b"once".into()));
         }
@@ -235,13 +235,13 @@
             1 => pending.reset(),
             2 => {
                 pending.half_close();
-                let (call, _) = engine.run();
-                engine.end(&call, "OK", &result);
+                let (call, _) = engine.next_run();
+                engine.finish_run(&call, "OK", &result);
                 assert_eq!(pending.outcome(), CallerOutcome::Completed(result.clone()));
             }
             _ => {
-                let (call, _) = engine.run();
-                engine.end(&call, "OK", &result);
+                let (call, _) = engine.next_run();
+                engine.finish_run(&call, "OK", &result);
                 let mut sock = &pending.sock;
                 sock.read_exact(&mut [0; 40]).unwrap();
                 pending.reset();
@@ -250,13 +250,13 @@
         let mut again = Some(ask(n + 1).send(fast.1, FastCgi));
         if round < 2 {
             // A broken connection may stop the run; then the repeat is told that it was.
-            let (call, _) = engine.run();
+            let (call, _) = engine.next_run();
             assert_eq!(call, attempt_id(n));
             let halted = round == 1
                 && engine
-                    .command_within_readings(6)
+                    .next_command_within_stats(6)
                     .is_some_and(|c| c["msg"] == "HALT");
-            engine.end(&call, if halted { "STOPPED" } else { "OK" }, &result);
+            engine.finish_run(&call, if halted { "STOPPED" } else { "OK" }, &result);
             let seen = again.take().unwrap().outcome();
             let wanted = if halted {
                 CallerOutcome::Failed
@@ -313,8 +313,8 @@
     let mut sock = connect(at);
     sock.write_all(&[sound.bytes(Uwsgi), vec![0; 5000]].concat())
         .unwrap();
-    let (call, _) = engine.run();
-    engine.end(&call, "OK", b"done");
+    let (call, _) = engine.next_run();
+    engine.finish_run(&call, "OK", b"done");
     assert_eq!(
         PendingAnswer {
             sock,
@@ -394,8 +394,8 @@
     }
     for n in 100..130 {
         let waits = CallerRequest::new(n, "/svc/look", b"").send(uwsgi.1, Uwsgi);
-        let (call, _) = engine.run();
-        engine.end(&call, "OK", b"heard");
+        let (call, _) = engine.next_run();
+        engine.finish_run(&call, "OK", b"heard");
         assert_eq!(waits.outcome(), CallerOutcome::Completed(b"heard".into()));
     }
     assert_eq!(deaf.len(), 40);
@@ -431,7 +431,7 @@
                     let mut answer = Vec::new();
                     sock.read_to_end(&mut answer).unwrap();
                     assert!(matches!(
-                        read(Uwsgi, &answer).0,
+                        parse_response(Uwsgi, &answer).0,
                         CallerOutcome::Completed(_)
                     ));
                 }
@@ -443,8 +443,8 @@
     play(9000);
     // Served after all the others, so what those left is known to be gone.
     let waits = CallerRequest::new(1, "/svc/look", b"").send(at, Uwsgi);
-    let (call, _) = engine.run();
-    engine.end(&call, "OK", b"");
+    let (call, _) = engine.next_run();
+    engine.finish_run(&call, "OK", b"");
     assert!(matches!(waits.outcome(), CallerOutcome::Completed(_)));
     let (after, kb_after) = (descriptors(), kb());
     assert!(after <= before + 2, "{before} descriptors, then {after}");
@@ -511,10 +511,10 @@
     let waits = [fast, uwsgi].map(|(protocol, at)| {
         CallerRequest::new(at.port().into(), "/svc/look", b"").send(at, protocol)
     });
-    let calls = [engine.run().0, engine.run().0];
+    let calls = [engine.next_run().0, engine.next_run().0];
     // A file that can't be served changes nothing.
     fixture.replace_installation(&json!({"fronts": [front(Uwsgi, new), front(FastCgi, new)]}));
-    engine.readings(4);
+    engine.answer_stats(4);
     assert!(matches!(
         CallerRequest::new(7, "/status/live", b"")
             .send(uwsgi.1, Uwsgi)
@@ -537,7 +537,7 @@
     ));
     assert!(TcpStream::connect(fast.1).is_err(), "it still listens");
     for (call, pending) in calls.iter().zip(waits) {
-        engine.end(call, "OK", b"kept");
+        engine.finish_run(call, "OK", b"kept");
         assert_eq!(pending.outcome(), CallerOutcome::Completed(b"kept".into()));
     }
     fixture.replace_installation(&json!({}));
@@ -563,10 +563,14 @@
         CallerRequest::new(nth, "/svc/look", b"").send(at, protocol)
     };
     let runs = [ask(fast), ask(uwsgi), ask(fast)];
-    let mut calls = [engine.run().0, engine.run().0, engine.run().0];
+    let mut calls = [
+        engine.next_run().0,
+        engine.next_run().0,
+        engine.next_run().0,
+    ];
     calls.sort_unstable();
     let held = [ask(fast), ask(uwsgi)];
-    engine.readings(2);
+    engine.answer_stats(2);
     fixture.signal("-TERM");
     fixture.wait_for_report("draining");
     let stamp = (unix_ms() + 10).to_string();
@@ -588,7 +592,7 @@
         .unwrap();
     let [one, two, three] = runs;
     for (call, pending) in calls[..2].iter().zip([one, two]) {
-        engine.end(call, "OK", b"in time");
+        engine.finish_run(call, "OK", b"in time");
         assert_eq!(
             pending.outcome(),
             CallerOutcome::Completed(b"in time".into())
--- a/crates/node/tests/node/idle.rs
+++ b/crates/node/tests/node/idle.rs
@@ -58,7 +58,7 @@
     for lane in plan.config["settings"]["lanes"].as_array_mut().unwrap() {
         (lane["deadline"], lane["target"]) = (json!(DEADLINE_US), json!(DEADLINE_US));
     }
-    plan.descriptors = bound.descriptors;
+    plan.descriptor_limit = bound.descriptors;
     (plan, registry)
 }
 
@@ -115,7 +115,7 @@
         });
         while !caller.is_finished() {
             assert!(Instant::now() < until, "an exchange never ran");
-            if let Some(command) = engine.command_within_readings(1) {
+            if let Some(command) = engine.next_command_within_stats(1) {
                 assert_eq!(
                     (&command["msg"], &command["call"]),
                     (&json!("RUN"), &json!(attempt_id(nth)))
@@ -134,7 +134,7 @@
 /// One request that is run and answered.
 fn works(fixture: &NodeFixture, engine: &mut Engine, tries: &mut u64) {
     let caller = begins(fixture, engine, tries);
-    engine.end(&attempt_id(*tries), "OK", b"worked");
+    engine.finish_run(&attempt_id(*tries), "OK", b"worked");
     assert_eq!(
         caller.join().unwrap(),
         CallerOutcome::Completed(b"worked".into()),
@@ -148,7 +148,7 @@
     // In hand before the pressure begins, and answered under it.
     let mut tries = 0;
     let early = begins(&fixture, &mut engine, &mut tries);
-    let idle = IdleClients::hold(fixture.address, habits, IDLE / habits.len());
+    let idle = IdleClients::start(fixture.address, habits, IDLE / habits.len());
     idle.wait_until_opened(IDLE);
     let mut longest = (Duration::ZERO, Duration::ZERO);
     for round in 0..ROUNDS {
@@ -167,18 +167,18 @@
     );
     // A link that breaks needs a descriptor of its own again; what was read meanwhile is not lost with it.
     let over_the_loss = begins(&fixture, &mut engine, &mut tries);
-    let serial = engine.serial;
+    let serial = engine.last_serial;
     drop(engine);
     let mut engine = fixture.accept_engine();
-    engine.hello(serial);
-    engine.serial = serial;
-    engine.end(&attempt_id(tries), "OK", b"crossed");
+    engine.handshake(serial);
+    engine.last_serial = serial;
+    engine.finish_run(&attempt_id(tries), "OK", b"crossed");
     assert_eq!(
         over_the_loss.join().unwrap(),
         CallerOutcome::Completed(b"crossed".into())
     );
     works(&fixture, &mut engine, &mut tries);
-    engine.end(&attempt_id(1), "OK", b"kept");
+    engine.finish_run(&attempt_id(1), "OK", b"kept");
     assert_eq!(
         early.join().unwrap(),
         CallerOutcome::Completed(b"kept".into())
@@ -198,7 +198,7 @@
 fn clients_that_spoke_once_keep_nobody_out() {
     [BY_SETTINGS, BY_SYSTEM, BY_BOTH]
         .into_iter()
-        .for_each(|bound| stays_reachable(&[IdleBehavior::SpokeOnce], bound));
+        .for_each(|bound| stays_reachable(&[IdleBehavior::HealthCheck], bound));
 }
 
 #[test]
@@ -212,7 +212,7 @@
 fn half_requests_after_whole_ones_keep_nobody_out() {
     [BY_SETTINGS, BY_SYSTEM]
         .into_iter()
-        .for_each(|bound| stays_reachable(&[IdleBehavior::SpokeThenHalf], bound));
+        .for_each(|bound| stays_reachable(&[IdleBehavior::HealthCheckThenHalfRequest], bound));
 }
 
 #[test]
@@ -231,12 +231,12 @@
         // A connection for each run, so that descriptors are wanted all the time.
         plan.installation = Some(
             json!({"servers": {"protocol": protocol.name(), "idle_ms": 0,
-            "at_once": 4, "addresses": [server.at.to_string()]}}),
+            "at_once": 4, "addresses": [server.address.to_string()]}}),
         );
         let fixture = plan.start();
-        let idle = IdleClients::hold(
+        let idle = IdleClients::start(
             fixture.address,
-            &[IdleBehavior::Silent, IdleBehavior::SpokeOnce],
+            &[IdleBehavior::Silent, IdleBehavior::HealthCheck],
             IDLE / 2,
         );
         idle.wait_until_opened(IDLE);
@@ -283,7 +283,7 @@
 fn a_limit_that_is_lowered_under_way_keeps_nobody_out() {
     let (plan, registry) = plan(BY_SETTINGS);
     let (fixture, mut engine) = plan.start_with_engine();
-    let idle = IdleClients::hold(fixture.address, &[IdleBehavior::SpokeOnce], IDLE);
+    let idle = IdleClients::start(fixture.address, &[IdleBehavior::HealthCheck], IDLE);
     idle.wait_until_opened(IDLE);
     let id = Pid::from_raw(fixture.program.id() as i32);
     let maximum = prlimit(
--- a/crates/node/tests/node/instants.rs
+++ b/crates/node/tests/node/instants.rs
@@ -41,22 +41,22 @@
     let (mut idle, mut client) = (fixture.client(), fixture.client());
     idle.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(idle.reply().status, 200);
-    client.look(1, 2);
-    let (call, _) = engine.run();
-    engine.readings(3);
+    client.send_look(1, 2);
+    let (call, _) = engine.next_run();
+    engine.answer_stats(3);
     ends_in_order(
         &mut idle,
         &request(1, 3, "/svc/look", &[], b"crosses"),
         || {
-            client.look(2, 4);
+            client.send_look(2, 4);
             assert_eq!(
-                engine.run().0,
+                engine.next_run().0,
                 attempt_id(4),
                 "one that came after the end was run"
             );
         },
     );
-    engine.end(&call, "OK", b"as ever");
+    engine.finish_run(&call, "OK", b"as ever");
     assert_eq!(client.reply().body, b"as ever");
 }
 
@@ -78,8 +78,8 @@
 fn a_node_that_stood_still_over_its_stop_answers_what_it_had_read() {
     let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(400));
     let mut client = fixture.client();
-    client.look(1, 1);
-    engine.run();
+    client.send_look(1, 1);
+    engine.next_run();
     fixture.signal("-TERM");
     fixture.wait_for_report("draining");
     fixture.signal("-STOP");
@@ -114,7 +114,7 @@
     fixture.wait_for_report("draining");
     // The process may have learnt of the notice up to its next due time later.
     wait_until(noticed + GRACE + 400);
-    client.look(2, 2);
+    client.send_look(2, 2);
     assert_eq!(client.reply().status, 503, "it came after the grace");
 }
 
@@ -127,10 +127,10 @@
     let reported = unix_ms();
     wait_until(reported + GRACE);
     let mut engine = fixture.accept_engine();
-    engine.hello(0);
-    engine.readings(1);
+    engine.handshake(0);
+    engine.answer_stats(1);
     let mut client = fixture.client();
-    client.look(1, 1);
+    client.send_look(1, 1);
     assert_eq!(client.reply().status, 503, "it came after the grace");
 }
 
@@ -145,13 +145,13 @@
     // Eight are taken in and run; three more wait where only the system has them.
     for n in 0..11 {
         let mut client = fixture.client();
-        client.look(1, n);
+        client.send_look(1, n);
         clients.push(client);
         if n < 8 {
-            engine.run();
+            engine.next_run();
         }
     }
-    assert_eq!(engine.command_within_readings(2), None);
+    assert_eq!(engine.next_command_within_stats(2), None);
     fixture.signal("-TERM");
     for client in &mut clients[..8] {
         assert_eq!(
@@ -179,10 +179,10 @@
     let mut clients = Vec::new();
     for n in 0..11 {
         let mut client = fixture.client();
-        client.look(1, n);
+        client.send_look(1, n);
         clients.push(client);
         if n < 8 {
-            engine.run();
+            engine.next_run();
         }
     }
     fixture.signal("-TERM");
@@ -214,12 +214,12 @@
     mut engine: Engine,
     client: &mut Client,
 ) -> Engine {
-    engine.readings(1);
+    engine.answer_stats(1);
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
-    while engine.line()["msg"] != "RUN" {}
+    while engine.read_command()["msg"] != "RUN" {}
     drop(engine);
     let mut engine = fixture.accept_engine();
-    engine.hello(0);
+    engine.handshake(0);
     engine
 }
 
@@ -228,10 +228,14 @@
     let (fixture, engine) = up();
     let mut client = fixture.client();
     let mut engine = loses_the_link_over_a_run(&fixture, engine, &mut client);
-    engine.readings(3);
-    client.look(2, 2);
-    assert_eq!(engine.run().0, attempt_id(2), "what may run was sent again");
-    engine.end(&attempt_id(1), "OK", b"paid once");
+    engine.answer_stats(3);
+    client.send_look(2, 2);
+    assert_eq!(
+        engine.next_run().0,
+        attempt_id(2),
+        "what may run was sent again"
+    );
+    engine.finish_run(&attempt_id(1), "OK", b"paid once");
     assert_eq!(client.reply().body, b"paid once");
 }
 
@@ -242,17 +246,17 @@
     let mut client = fixture.client();
     let mut engine = loses_the_link_over_a_run(&fixture, engine, &mut client);
     assert_eq!(
-        engine.command(),
+        engine.next_command(),
         json!({"msg": "HALT", "call": attempt_id(1)})
     );
     assert_eq!(client.reply().status, 500, "whether it ran is not known");
     // The engine may know nothing of it, or keep silent; to a RUN it has to say what became of it.
-    assert_eq!(engine.run().0, attempt_id(1));
-    engine.end(&attempt_id(1), "MOOT", b"");
-    engine.readings(1);
+    assert_eq!(engine.next_run().0, attempt_id(1));
+    engine.finish_run(&attempt_id(1), "MOOT", b"");
+    engine.answer_stats(1);
     client.send(&request(2, 2, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
-    assert_eq!(engine.run().0, attempt_id(2));
-    engine.end(&attempt_id(2), "OK", b"paid");
+    assert_eq!(engine.next_run().0, attempt_id(2));
+    engine.finish_run(&attempt_id(2), "OK", b"paid");
     assert_eq!(client.reply().body, b"paid");
 }
 
@@ -260,9 +264,9 @@
 fn a_notice_cut_in_the_middle_by_a_lost_link_is_told_whole_on_the_next() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (call, _) = engine.run();
-    let sock = engine.lines.get_mut();
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
+    let sock = engine.reader.get_mut();
     write!(
         sock,
         "{{\"msg\":\"DONE\",\"serial\":1,\"call\":\"{call}\",\"how\":\"OK\",\"dura"
@@ -270,11 +274,11 @@
     .unwrap();
     drop(engine);
     let mut engine = fixture.accept_engine();
-    engine.hello(0);
-    engine.done(1, &call, "OK", b"whole");
+    engine.handshake(0);
+    engine.send_done(1, &call, "OK", b"whole");
     assert_eq!(client.reply().body, b"whole");
     // Seen twice under one number, it answers nothing twice.
-    engine.done(1, &call, "OK", b"again");
+    engine.send_done(1, &call, "OK", b"again");
     client.send(&request(2, 2, "/status/live", &[], b""));
     assert_eq!(client.reply().id, 2);
 }
@@ -283,15 +287,15 @@
 fn an_end_that_crosses_the_halt_of_an_aborted_run_is_no_fault() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (call, _) = engine.run();
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
     client.send(&record(2, 1, b""));
-    assert_eq!(engine.command(), json!({"msg": "HALT", "call": call}));
-    engine.end(&call, "OK", b"nobody waits");
-    engine.tell(json!({"msg": "NO", "how": "HALT", "call": call}));
-    client.look(1, 2);
-    let (second, _) = engine.run();
-    engine.end(&second, "OK", b"the second");
+    assert_eq!(engine.next_command(), json!({"msg": "HALT", "call": call}));
+    engine.finish_run(&call, "OK", b"nobody waits");
+    engine.send(json!({"msg": "NO", "how": "HALT", "call": call}));
+    client.send_look(1, 2);
+    let (second, _) = engine.next_run();
+    engine.finish_run(&second, "OK", b"the second");
     assert_eq!(client.reply().body, b"the second");
 }
 
@@ -299,8 +303,8 @@
 fn a_second_notice_and_a_reload_during_the_drain_change_nothing_of_it() {
     let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(900));
     let mut client = fixture.client();
-    client.look(1, 1);
-    engine.run();
+    client.send_look(1, 1);
+    engine.next_run();
     let config = std::fs::read_to_string(fixture.folder.join("config.json")).unwrap();
     fixture.signal("-TERM");
     fixture.wait_for_report("draining");
@@ -322,9 +326,9 @@
     plan.config["registry"] = json!(gone.to_string());
     let (fixture, mut engine) = plan.start_with_engine();
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (call, _) = engine.run();
-    engine.end(&call, "OK", b"served");
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
+    engine.finish_run(&call, "OK", b"served");
     assert_eq!(client.reply().body, b"served");
     // More than one report was refused by now, as they go out every 0.3 s.
     let since = unix_ms();
@@ -342,8 +346,8 @@
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
-    let (call, _) = engine.run();
-    engine.end(&call, "OK", b"paid once");
+    let (call, _) = engine.next_run();
+    engine.finish_run(&call, "OK", b"paid once");
     assert_eq!(client.reply().body, b"paid once");
     // The window is 60 s; by this stamp it would be over, though it has hardly begun.
     let ahead = (unix_ms() + 100_000).to_string();
@@ -354,8 +358,8 @@
         &[IDEMPOTENCY_KEY, ("HTTP_X_REQUEST_START", &ahead)],
         b"",
     ));
-    client.look(3, 3);
-    assert_eq!(engine.run().0, attempt_id(3), "it was run again");
+    client.send_look(3, 3);
+    assert_eq!(engine.next_run().0, attempt_id(3), "it was run again");
     assert_eq!(client.reply().body, b"paid once");
 }
 
@@ -369,7 +373,7 @@
     assert_eq!(whole.reply().status, 200);
     fixture.signal("-STOP");
     fixture.signal("-TERM");
-    whole.look(2, 2);
+    whole.send_look(2, 2);
     let stopped = unix_ms();
     wait_until(stopped + 400);
     fixture.signal("-CONT");
@@ -410,14 +414,14 @@
     std::fs::set_permissions(&own, PermissionsExt::from_mode(0o755)).unwrap();
     let (fixture, mut engine) = NodeSetup::new(&own).start_with_engine();
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (call, _) = engine.run();
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
     // More than it can take in, though by its configuration it could.
     let mut others: Vec<Client> = (0..60).map(|_| fixture.client()).collect();
-    engine.end(&call, "OK", b"served");
+    engine.finish_run(&call, "OK", b"served");
     assert_eq!(client.reply().body, b"served");
     let (spent_before, since) = (spent(fixture.program.id()), unix_ms());
-    engine.readings(10);
+    engine.answer_stats(10);
     wait_until(since + 500);
     let (spent, passed) = (
         spent(fixture.program.id()) - spent_before,
--- a/crates/node/tests/node/interrupts.rs
+++ b/crates/node/tests/node/interrupts.rs
@@ -15,17 +15,17 @@
 fn drains(first: &str, second: Option<&str>) {
     let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(STOP_MS));
     let mut client = fixture.client();
-    client.look(1, 1);
-    client.look(2, 2);
-    let (call, _) = engine.run();
-    engine.run();
+    client.send_look(1, 1);
+    client.send_look(2, 2);
+    let (call, _) = engine.next_run();
+    engine.next_run();
     let began = Instant::now();
     match second {
         None => fixture.signal(first),
         Some(second) => signals(&fixture, [first, second]),
     }
     fixture.wait_for_report("draining");
-    engine.done(1, &call, "OK", b"in time");
+    engine.send_done(1, &call, "OK", b"in time");
     assert_eq!(client.reply().body, b"in time");
     let failed = client.reply();
     assert_eq!(
--- a/crates/node/tests/node/late_answers.rs
+++ b/crates/node/tests/node/late_answers.rs
@@ -26,12 +26,12 @@
     let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     plan.config["stop_ms"] = json!(STOP_MS);
     plan.installation = Some(
-        json!({"servers": {"protocol": "fastcgi", "addresses": [server.at.to_string()],
+        json!({"servers": {"protocol": "fastcgi", "addresses": [server.address.to_string()],
         "answer_within_ms": 200, "retries": {"tries": 1}}}),
     );
     let fixture = plan.start();
     let mut late = fixture.client();
-    late.look(1, 1);
+    late.send_look(1, 1);
     let _run = held.recv_timeout(MAX_WAIT).unwrap();
     fixture.signal("-STOP");
     let mut callers: Vec<Client> = (1..=CALLERS).map(|_| fixture.client()).collect();
--- a/crates/node/tests/node/late_repeats.rs
+++ b/crates/node/tests/node/late_repeats.rs
@@ -19,8 +19,8 @@
     let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(STOP_MS));
     let (mut first, mut second) = (fixture.client(), fixture.client());
     first.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b"berth"));
-    let (call, _) = engine.run();
-    engine.end(&call, "OK", b"paid");
+    let (call, _) = engine.next_run();
+    engine.finish_run(&call, "OK", b"paid");
     assert_eq!(first.reply().body, b"paid");
     fixture.signal("-TERM");
     let repeat = request(1, 2, "/svc/pay", &[IDEMPOTENCY_KEY], b"berth");
--- a/crates/node/tests/node/late_stops.rs
+++ b/crates/node/tests/node/late_stops.rs
@@ -22,13 +22,13 @@
     // Eight are taken in and run; three more wait where only the system has them.
     for n in 0..11 {
         let mut client = fixture.client();
-        client.look(1, n);
+        client.send_look(1, n);
         clients.push(client);
         if n < 8 {
-            engine.run();
+            engine.next_run();
         }
     }
-    assert_eq!(engine.command_within_readings(2), None);
+    assert_eq!(engine.next_command_within_stats(2), None);
     fixture.signal(LEAVE);
     fixture.wait_for_report("draining");
     let told = unix_ms();
--- a/crates/node/tests/node/near_stops.rs
+++ b/crates/node/tests/node/near_stops.rs
@@ -26,10 +26,10 @@
     stands_still: bool,
 ) {
     let mut client = fixture.client();
-    client.look(1, 1);
-    client.look(2, 2);
-    let (first, _) = engine.run();
-    engine.run();
+    client.send_look(1, 1);
+    client.send_look(2, 2);
+    let (first, _) = engine.next_run();
+    engine.next_run();
     rewrite(&fixture, |config| config["stop_ms"] = json!(after));
     if stands_still {
         fixture.signal("-STOP");
@@ -39,7 +39,7 @@
         fixture.signal("-CONT");
     }
     fixture.wait_for_report("draining");
-    engine.end(&first, "OK", b"in time");
+    engine.finish_run(&first, "OK", b"in time");
     assert_eq!(client.reply().body, b"in time");
     assert_eq!(client.reply().status, 500, "the stop is the near one");
     assert!(client.is_closed());
--- a/crates/node/tests/node/notices.rs
+++ b/crates/node/tests/node/notices.rs
@@ -73,14 +73,14 @@
             .zip(fronts)
             .map(|(n, (protocol, at))| CallerRequest::new(n, "/svc/look", b"").send(at, protocol))
             .collect();
-        let calls = [engine.run().0, engine.run().0];
+        let calls = [engine.next_run().0, engine.next_run().0];
         std::fs::write(fixture.folder.join("config.json"), "{").unwrap();
         std::fs::write(fixture.folder.join("installation.json"), "{\"fronts\": 3}").unwrap();
         signals(&fixture, order);
         fixture.wait_for_report("draining");
         calls
             .iter()
-            .for_each(|call| engine.end(call, "OK", b"in time"));
+            .for_each(|call| engine.finish_run(call, "OK", b"in time"));
         for pending in waits {
             assert_eq!(
                 pending.outcome(),
@@ -102,10 +102,10 @@
             CallerRequest::new(n, "/svc/look", b"body").send(at, protocol)
         };
         let in_time = fronts.map(|front| ask(front.1.port().into(), front));
-        let calls = [engine.run().0, engine.run().0];
+        let calls = [engine.next_run().0, engine.next_run().0];
         let at_the_stop = fronts.map(|front| ask(u64::from(front.1.port()) + 10, front));
-        engine.run();
-        engine.run();
+        engine.next_run();
+        engine.next_run();
         let halves = fronts.map(|(protocol, at)| {
             let bytes = CallerRequest::new(50, "/svc/look", b"body").bytes(protocol);
             let mut sock = doortrack_fakes::fixture::connect(at);
@@ -117,7 +117,7 @@
         fixture.wait_for_report("draining");
         calls
             .iter()
-            .for_each(|call| engine.end(call, "OK", b"in time"));
+            .for_each(|call| engine.finish_run(call, "OK", b"in time"));
         for pending in in_time {
             assert_eq!(
                 pending.outcome(),
@@ -149,12 +149,12 @@
     let mut stays = Client {
         sock: doortrack_fakes::fixture::connect(withdrawn),
     };
-    stays.look(1, 100);
-    let (call, _) = engine.run();
+    stays.send_look(1, 100);
+    let (call, _) = engine.next_run();
     let mut busy: Vec<Client> = (0..7).map(|_| fixture.client()).collect();
     for (n, client) in busy.iter_mut().enumerate() {
-        client.look(1, n as u64);
-        engine.run();
+        client.send_look(1, n as u64);
+        engine.next_run();
     }
     std::fs::write(fixture.folder.join("installation.json"), "{}").unwrap();
     fixture.signal(RELOAD);
@@ -169,7 +169,7 @@
     }
     fixture.signal(LEAVE);
     fixture.wait_for_report("draining");
-    engine.end(&call, "OK", b"in time");
+    engine.finish_run(&call, "OK", b"in time");
     assert_eq!(stays.reply().body, b"in time");
     // Told the end, it stays open as long as its peer does not close it.
     assert!(stays.is_closed());
@@ -188,12 +188,12 @@
     for order in BOTH_ORDERS {
         let (mut fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(SOON));
         let mut client = fixture.client();
-        client.look(1, 1);
-        client.look(2, 2);
-        let (first, _) = engine.run();
-        engine.run();
+        client.send_look(1, 1);
+        client.send_look(2, 2);
+        let (first, _) = engine.next_run();
+        engine.next_run();
         // What was sent before an answered reading is known to have arrived.
-        engine.readings(2);
+        engine.answer_stats(2);
         (fixture.engine_listener, fixture.registry) =
             (TcpListener::bind("127.0.0.1:0").unwrap(), open_registry());
         let (door, registry) = (
@@ -206,8 +206,8 @@
         });
         signals(&fixture, order);
         let mut engine = fixture.accept_engine();
-        engine.hello(0);
-        engine.end(&first, "OK", b"in time");
+        engine.handshake(0);
+        engine.finish_run(&first, "OK", b"in time");
         assert_eq!(client.reply().body, b"in time", "{order:?}");
         fixture.wait_for_report("draining");
         assert_eq!(client.reply().status, 500);
@@ -220,8 +220,8 @@
 fn an_engine_that_moves_out_of_reach_beside_the_notice_leaves_nothing_unanswered() {
     let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(SOON));
     let (mut client, mut half) = (fixture.client(), fixture.client());
-    client.look(1, 1);
-    engine.run();
+    client.send_look(1, 1);
+    engine.next_run();
     half.send(&record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]));
     // Nobody listens there.
     let nowhere = TcpListener::bind("127.0.0.1:0")
--- a/crates/node/tests/node/parts.rs
+++ b/crates/node/tests/node/parts.rs
@@ -7,8 +7,8 @@
 
 use doortrack_admission::RunOutcome;
 use doortrack_config::{ResourceLimits, node_config};
-use doortrack_fakes::cut_at;
 use doortrack_fakes::fixture::config;
+use doortrack_fakes::split_at_offsets;
 use doortrack_node::network::engine_protocol::{self, EngineMessage};
 use doortrack_node::network::listeners::{FIRST_CONNECTION_KEY, Listeners};
 use doortrack_node::network::registry::{self, Registry};
@@ -108,7 +108,7 @@
         prop_assert_eq!(fault, None);
         let places: Vec<usize> = cuts.iter().map(|cut| cut.index(stream.len())).collect();
         let from = places.iter().copied().max().unwrap_or(0);
-        let parts = cut_at(&stream, places);
+        let parts = split_at_offsets(&stream, places);
         prop_assert_eq!(&pieces(&parts).0, &whole);
         // Cut short anywhere, it is a beginning of the whole and no fault.
         let (start, fault) = pieces(&[&stream[..from]]);
--- a/crates/node/tests/node/pieces.rs
+++ b/crates/node/tests/node/pieces.rs
@@ -9,7 +9,7 @@
 use doortrack_fakes::caller::{CallerOutcome, CallerRequest, PendingAnswer};
 use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
 use doortrack_fakes::records::{Client, record, request};
-use doortrack_fakes::{MAX_WAIT, attempt_id, instant, unix_ms};
+use doortrack_fakes::{MAX_WAIT, attempt_id, immediate, unix_ms};
 use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::json;
 
@@ -53,7 +53,7 @@
     plan.installation =
         Some(json!({"fronts": [{"protocol": "uwsgi", "listen": uwsgi.to_string()}]}));
     let fixture = plan.start();
-    instant::engine(fixture.engine_listener.try_clone().unwrap());
+    immediate::start_engine(fixture.engine_listener.try_clone().unwrap());
     until_served(fixture.address);
     (fixture, uwsgi)
 }
--- a/crates/node/tests/node/play.rs
+++ b/crates/node/tests/node/play.rs
@@ -73,7 +73,7 @@
     /// One try by chance: of a key that others use too, or of none; whoever asks may leave at any byte.
     fn ask(&mut self) {
         self.nth += 1;
-        let (nth, (protocol, at)) = (self.nth, self.fronts[self.rng.usize(0..2)]);
+        let (attempt_number, (protocol, at)) = (self.nth, self.fronts[self.rng.usize(0..2)]);
         let key = self
             .rng
             .bool()
@@ -83,7 +83,7 @@
         } else {
             "/svc/look"
         };
-        let mut ask = CallerRequest::new(nth, script, b"berth");
+        let mut ask = CallerRequest::new(attempt_number, script, b"berth");
         if let Some(key) = &key {
             ask = ask.with("HTTP_IDEMPOTENCY_KEY", key);
         }
@@ -103,10 +103,10 @@
             return;
         };
         let mut tried = CallerAttempt {
-            nth,
+            attempt_number,
             idempotency_key: key,
             sent,
-            told: None,
+            outcome: None,
         };
         let all = self.tried.clone();
         match leaves {
@@ -120,7 +120,7 @@
         }
         self.waiting.push(thread::spawn(move || {
             let seen = PendingAnswer::outcome(pending);
-            tried.told = Some((seen, unix_ms()));
+            tried.outcome = Some((seen, unix_ms()));
             all.lock().unwrap().push(tried);
         }));
     }
@@ -162,15 +162,15 @@
     assert!(!log.contains("panicked"), "{log}");
     let (tried, runs) = (callers.over(), runs());
     let bounds = Bounds {
-        within: TIMEOUT_MS + SLOW_MACHINE_MS,
-        closed: Some(closed),
-        tries: 3,
+        max_latency_ms: TIMEOUT_MS + SLOW_MACHINE_MS,
+        accepts_until_ms: Some(closed),
+        max_attempts: 3,
     };
     let violations = find_violations(&tried, &runs, bounds, result);
     assert!(violations.is_empty(), "{violations:#?}\n{log}");
     let completed = |tried: &&CallerAttempt| {
         matches!(
-            &tried.told,
+            &tried.outcome,
             Some((doortrack_fakes::caller::CallerOutcome::Completed(_), _))
         )
     };
@@ -186,7 +186,10 @@
         let mut servers: Vec<Server> = (0..3)
             .map(|nth| Server::start(protocol, move |got| act(got, seed * 10 + nth)))
             .collect();
-        let addresses: Vec<String> = servers.iter().map(|server| server.at.to_string()).collect();
+        let addresses: Vec<String> = servers
+            .iter()
+            .map(|server| server.address.to_string())
+            .collect();
         let part = |most: usize| {
             json!({"protocol": protocol.name(), "addresses": addresses[..most], "answer_within_ms": 300,
                 "aside": {"first_ms": 50, "longest_ms": 200}, "retries": {"share": 0.5}})
@@ -203,9 +206,9 @@
                 // Killed while it runs, and back at the same place.
                 100 => {
                     let server = servers.remove(0);
-                    let at = server.at;
+                    let at = server.address;
                     thread::sleep(Duration::from_millis(2));
-                    gone.extend(server.kill_and_tell().iter().map(ExecutedRun::from));
+                    gone.extend(server.kill_and_collect().iter().map(ExecutedRun::from));
                     servers.insert(
                         0,
                         Server::start_at(at, protocol, move |got| act(got, seed * 10)),
@@ -222,7 +225,7 @@
             gone.extend(
                 servers
                     .iter()
-                    .flat_map(|server| server.got())
+                    .flat_map(|server| server.received())
                     .map(|got| ExecutedRun::from(&got)),
             );
             gone
@@ -242,22 +245,22 @@
         sock.set_nonblocking(false).unwrap();
         sock.set_read_timeout(Some(Duration::from_millis(500)))
             .unwrap();
-        let mut engine = Engine::on(sock);
-        let Some(attach) = engine.try_line() else {
+        let mut engine = Engine::new(sock);
+        let Some(attach) = engine.try_read_command() else {
             continue;
         };
         let last = attach["serial"].as_u64().unwrap() as usize;
-        let mut ok = engine.try_tell(&json!({"msg": "HELLO", "how": "WARM", "duration": 60_000}));
+        let mut ok = engine.try_send(&json!({"msg": "HELLO", "how": "WARM", "duration": 60_000}));
         notices[last.min(notices.len())..]
             .iter()
-            .for_each(|notice| ok &= engine.try_tell(notice));
-        while ok && let Some(command) = engine.try_line() {
+            .for_each(|notice| ok &= engine.try_send(notice));
+        while ok && let Some(command) = engine.try_read_command() {
             let call = command["call"].as_str().unwrap_or_default().to_string();
             match command["msg"].as_str().unwrap() {
                 "STAT" => {
                     let stats =
                         json!({"msg": "STATS", "cookie": command["cookie"], "stats": [0.0, 1]});
-                    ok &= engine.try_tell(&stats);
+                    ok &= engine.try_send(&stats);
                 }
                 "RUN" if !runs.iter().any(|run| run.attempt_id == call) => {
                     let how = ["OK", "OK", "OK", "OK", "ERROR"][rng.usize(0..5)];
@@ -267,11 +270,11 @@
                         idempotency_key: None,
                         at: unix_ms(),
                     });
-                    let blob = Engine::blob(&result(&call));
+                    let blob = Engine::encode_result(&result(&call));
                     notices.push(
                         json!({"msg": "DONE", "serial": serial, "call": call, "how": how, "blob": blob}),
                     );
-                    ok &= engine.try_tell(&notices[notices.len() - 1]);
+                    ok &= engine.try_send(&notices[notices.len() - 1]);
                     // Broken between two notices; what was told last may not have arrived.
                     ok &= rng.u8(0..60) != 0;
                 }
@@ -308,7 +311,7 @@
         for run in &mut runs {
             let of = tried
                 .iter()
-                .find(|tried| doortrack_fakes::attempt_id(tried.nth) == run.attempt_id);
+                .find(|tried| doortrack_fakes::attempt_id(tried.attempt_number) == run.attempt_id);
             run.idempotency_key = of.and_then(|tried| tried.idempotency_key.clone());
         }
         runs
--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -51,7 +51,7 @@
 /// The file in its version `nth`: the first and the last rule send their requests to the pool of that place,
 /// and one rule in the middle is another one.
 fn installation(size: Size, front: SocketAddr, servers: &[Server], nth: usize) -> Value {
-    let pool = |server: &Server| json!({"protocol": "uwsgi", "addresses": [server.at.to_string()], "at_once": 8});
+    let pool = |server: &Server| json!({"protocol": "uwsgi", "addresses": [server.address.to_string()], "at_once": 8});
     let names = (0..servers.len()).map(|place| format!("p{place}"));
     let pools: serde_json::Map<String, Value> = names.zip(servers.iter().map(pool)).collect();
     let rule = |place: usize| {
--- a/crates/node/tests/node/restart.rs
+++ b/crates/node/tests/node/restart.rs
@@ -11,7 +11,7 @@
 
 use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
 use doortrack_fakes::fixture::{NodeFixture, NodeSetup};
-use doortrack_fakes::instant;
+use doortrack_fakes::immediate;
 use doortrack_protocols::Protocol::FastCgi;
 use serde_json::{Value, json};
 
@@ -78,7 +78,7 @@
         }
         let has_installation = plan.installation.is_some();
         let fixture = plan.start();
-        instant::engine(fixture.engine_listener.try_clone().unwrap());
+        immediate::start_engine(fixture.engine_listener.try_clone().unwrap());
         Node {
             fixture,
             has_installation,
--- a/crates/node/tests/node/rules.rs
+++ b/crates/node/tests/node/rules.rs
@@ -54,7 +54,7 @@
     waits.sock.set_nonblocking(true).unwrap();
     let mut run = None;
     while run.is_none() && waits.sock.peek(&mut [0]).is_err() {
-        run = engine.command_within_readings(1);
+        run = engine.next_command_within_stats(1);
     }
     waits.sock.set_nonblocking(false).unwrap();
     let run = run?;
@@ -95,15 +95,15 @@
     let (fixture, mut engine, fronts) = up(rules());
     for (nth, (protocol, at)) in fronts.into_iter().enumerate() {
         let waits = bare(at, protocol, "/find/berth", &[], b"when?");
-        let (call, body) = engine.run();
+        let (call, body) = engine.next_run();
         assert_eq!(body, b"when?");
-        engine.end(&call, "OK", b"found");
+        engine.finish_run(&call, "OK", b"found");
         assert_eq!(waits.outcome(), CallerOutcome::Completed(b"found".into()));
         // The idempotency key is what the rule says, over both fronts: only the first time is run.
         let waits = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
         if nth == 0 {
-            let (call, _) = engine.run();
-            engine.end(&call, "OK", b"confirmed");
+            let (call, _) = engine.next_run();
+            engine.finish_run(&call, "OK", b"confirmed");
         }
         assert_eq!(
             waits.outcome(),
@@ -131,9 +131,9 @@
     }
     // The platform's own listener is not concerned.
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (call, _) = engine.run();
-    engine.end(&call, "OK", b"as ever");
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
+    engine.finish_run(&call, "OK", b"as ever");
     assert_eq!(client.reply().body, b"as ever");
     fixture.signal("-TERM");
     let (_, log) = fixture.wait_for_exit();
@@ -149,7 +149,7 @@
     let (fixture, mut engine, fronts) = up_within(rules(), 30_000_000, 200_000);
     let (protocol, at) = fronts[1];
     let waits = bare(at, protocol, "/find/x", &[], b"before");
-    let (call, _) = engine.run();
+    let (call, _) = engine.next_run();
     // One good rule and one bad: nothing changes. Twice within one turn: the last one counts.
     fixture.signal("-STOP");
     fixture.replace_installation(&installation(
@@ -163,7 +163,7 @@
         json!([{"when": "path == \"/new\"", "group": "none"}]),
     ));
     fixture.signal("-CONT");
-    engine.readings(3);
+    engine.answer_stats(3);
     assert_eq!(
         bare(at, protocol, "/new", &[], b"").outcome(),
         CallerOutcome::Unreadable(404, String::new())
@@ -183,13 +183,13 @@
         }
         assert!(std::time::Instant::now() < until, "it is never taken up");
     };
-    engine.end(&call_of_new, "OK", b"by default");
+    engine.finish_run(&call_of_new, "OK", b"by default");
     assert_eq!(
         waits_of_new.outcome(),
         CallerOutcome::Completed(b"by default".into())
     );
     // What was in hand stays what it was.
-    engine.end(&call, "OK", b"kept");
+    engine.finish_run(&call, "OK", b"kept");
     assert_eq!(waits.outcome(), CallerOutcome::Completed(b"kept".into()));
     fixture.signal("-TERM");
     let (_, log) = fixture.wait_for_exit();
@@ -205,8 +205,8 @@
     let (fixture, mut engine, fronts) = up_within(rules(), 1_000_000, 3_000_000);
     let (protocol, at) = fronts[0];
     let waits = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
-    let (call, _) = engine.run();
-    engine.end(&call, "OK", b"confirmed");
+    let (call, _) = engine.next_run();
+    engine.finish_run(&call, "OK", b"confirmed");
     assert_eq!(
         waits.outcome(),
         CallerOutcome::Completed(b"confirmed".into())
@@ -215,7 +215,7 @@
     let mut new = rules();
     new[0]["idempotency_key"] = json!("(header(\"x-order\") ?? \"\") + path");
     fixture.replace_installation(&installation(&fronts, new.clone()));
-    engine.readings(3);
+    engine.answer_stats(3);
     let again = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
     assert_eq!(
         again.outcome(),
@@ -231,7 +231,7 @@
         // An empty order is an idempotency key by the new rules, and a refusal by the old ones.
         let waits = bare(at, protocol, "/confirm/5", &[], b"berth 5");
         if let Some(call) = run_unless_refused(&waits, &mut engine) {
-            engine.end(&call, "OK", b"by the new rules");
+            engine.finish_run(&call, "OK", b"by the new rules");
             assert_eq!(
                 waits.outcome(),
                 CallerOutcome::Completed(b"by the new rules".into())
@@ -261,7 +261,7 @@
     let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     let at = plan.port(9091);
     let pool = |server: &Server| {
-        let addresses = [server.at.to_string()];
+        let addresses = [server.address.to_string()];
         json!({"protocol": server.protocol.name(), "addresses": addresses, "at_once": 8})
     };
     let mut file = installation(
@@ -284,7 +284,11 @@
         assert_eq!(look("/else"), CallerOutcome::Completed(b"main".into()));
     }
     assert_eq!(
-        (main.got().len(), quick.got().len(), quick.connections()),
+        (
+            main.received().len(),
+            quick.received().len(),
+            quick.connections()
+        ),
         (20, 20, 1)
     );
     // A pool that is not there yet takes its rules with it.
--- a/crates/node/tests/node/silences.rs
+++ b/crates/node/tests/node/silences.rs
@@ -5,7 +5,7 @@
 
 use doortrack_fakes::caller::{CallerOutcome, CallerRequest, PendingAnswer};
 use doortrack_fakes::fixture::{NodeFixture, NodeSetup, open_registry};
-use doortrack_fakes::instant;
+use doortrack_fakes::immediate;
 use doortrack_fakes::{MAX_WAIT, unix_ms};
 use doortrack_node::network::registry::Registry;
 use doortrack_protocols::Protocol::{FastCgi, Uwsgi};
@@ -36,18 +36,18 @@
     let mut client = fixture.client();
     fixture.wait_for_report("ready");
     let at = registry_goes(&mut fixture);
-    client.look(1, 1);
-    let (first, _) = engine.run();
+    client.send_look(1, 1);
+    let (first, _) = engine.next_run();
     // Reports go out every 0.3 s, so some are refused meanwhile.
     sleep_ms(700);
-    engine.end(&first, "OK", b"as ever");
+    engine.finish_run(&first, "OK", b"as ever");
     assert_eq!(client.reply().body, b"as ever");
-    client.look(2, 2);
-    let (second, _) = engine.run();
+    client.send_look(2, 2);
+    let (second, _) = engine.next_run();
     fixture.signal("-TERM");
     registry_comes_back(&mut fixture, at);
     fixture.wait_for_report("draining");
-    engine.end(&second, "OK", b"in time");
+    engine.finish_run(&second, "OK", b"in time");
     assert_eq!(client.reply().body, b"in time");
     // It goes once more, for good, and the drain ends all the same.
     registry_goes(&mut fixture);
@@ -83,7 +83,7 @@
     plan.installation = Some(json!({"fronts": listed}));
     plan.config["stop_ms"] = json!(300);
     let fixture = plan.start();
-    instant::engine(fixture.engine_listener.try_clone().unwrap());
+    immediate::start_engine(fixture.engine_listener.try_clone().unwrap());
     super::pieces::until_served(fronts[0].1);
     for burst in 0..3 {
         // They come while the node stands still, so that it reads all of them in one turn.
--- a/crates/node/tests/node/sockets.rs
+++ b/crates/node/tests/node/sockets.rs
@@ -44,23 +44,23 @@
     // Byte by byte at the front, so that a record's head is split too.
     bytes[..20].iter().for_each(|byte| client.send(&[*byte]));
     client.send(&bytes[20..]);
-    let (first, second) = (engine.run(), engine.run());
+    let (first, second) = (engine.next_run(), engine.next_run());
     assert_eq!(
         (&first, &second),
         (&(attempt_id(1), body.clone()), &(attempt_id(2), Vec::new()))
     );
     let result: Vec<u8> = body.iter().rev().copied().cycle().take(4096).collect();
-    engine.done(1, &second.0, "OK", b"");
-    engine.done(2, &first.0, "OK", &result);
+    engine.send_done(1, &second.0, "OK", b"");
+    engine.send_done(2, &first.0, "OK", &result);
     let (one, two) = (client.reply(), client.reply());
     assert_eq!((one.id, one.status, one.body), (2, 200, Vec::new()));
     assert_eq!((two.id, two.status), (1, 200));
     assert!(two.body == result, "a result was changed");
     assert!(two.head.contains("X-Load-Signal: 0\r\n"), "{}", two.head);
     // The id is free again.
-    client.look(1, 3);
-    let (call, _) = engine.run();
-    engine.done(3, &call, "ERROR", b"");
+    client.send_look(1, 3);
+    let (call, _) = engine.next_run();
+    engine.send_done(3, &call, "ERROR", b"");
     let failed = client.reply();
     assert_eq!((failed.id, failed.status), (1, 500));
 }
@@ -73,7 +73,7 @@
     assert_eq!(client.reply().status, 200);
     assert_eq!(fixture.next_report(), "BEAT n1 ready");
     // A request that comes too early never ran.
-    client.look(2, 2);
+    client.send_look(2, 2);
     assert_eq!(
         client.reply(),
         Reply {
@@ -112,16 +112,16 @@
     let (mut one, mut two) = (fixture.client(), fixture.client());
     let pay = |id, nth| request(id, nth, "/svc/pay", &[IDEMPOTENCY_KEY], b"one boat");
     one.send(&[pay(1, 1), pay(2, 2)].concat());
-    let (call, body) = engine.run();
+    let (call, body) = engine.next_run();
     assert_eq!(
         (call.as_str(), body.as_slice()),
         (&*attempt_id(1), &b"one boat"[..])
     );
     two.send(&pay(1, 3));
     // Its order among other requests shows that none of the repeats was run.
-    two.look(2, 4);
-    assert_eq!(engine.run().0, attempt_id(4));
-    engine.done(1, &call, "OK", b"paid");
+    two.send_look(2, 4);
+    assert_eq!(engine.next_run().0, attempt_id(4));
+    engine.send_done(1, &call, "OK", b"paid");
     assert_eq!(
         (one.reply().body, one.reply().body, two.reply().body),
         (b"paid".into(), b"paid".into(), b"paid".into())
@@ -139,8 +139,8 @@
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
-    let (call, _) = engine.run();
-    engine.done(1, &call, "ERROR", b"");
+    let (call, _) = engine.next_run();
+    engine.send_done(1, &call, "ERROR", b"");
     assert_eq!(client.reply().status, 500);
     client.send(&request(2, 2, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     assert_eq!(client.reply().status, 500);
@@ -152,10 +152,10 @@
     let mut client = fixture.client();
     let pay = |id, nth, body| request(id, nth, "/svc/pay", &[IDEMPOTENCY_KEY], body);
     client.send(&pay(1, 1, b"one boat"));
-    let (call, _) = engine.run();
+    let (call, _) = engine.next_run();
     client.send(&pay(2, 2, b"two boats"));
     assert_eq!(client.reply().status, 400, "while the first runs");
-    engine.done(1, &call, "OK", b"paid");
+    engine.send_done(1, &call, "OK", b"paid");
     assert_eq!(client.reply().body, b"paid");
     client.send(&[pay(3, 3, b"two boats"), pay(4, 4, b"one boat")].concat());
     let (other, same) = (client.reply(), client.reply());
@@ -171,13 +171,13 @@
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
-    let (call, _) = engine.run();
-    engine.tell(json!({"msg": "NO", "how": "RUN", "call": call}));
+    let (call, _) = engine.next_run();
+    engine.send(json!({"msg": "NO", "how": "RUN", "call": call}));
     assert_eq!(client.reply().status, 500);
     client.send(&request(2, 2, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
-    let (call, _) = engine.run();
+    let (call, _) = engine.next_run();
     assert_eq!(call, attempt_id(2));
-    engine.done(1, &call, "OK", b"paid");
+    engine.send_done(1, &call, "OK", b"paid");
     assert_eq!(client.reply().body, b"paid");
 }
 
@@ -188,19 +188,19 @@
         config["settings"]["lanes"][1]["window"] = json!(1000);
     });
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (first, _) = engine.run();
+    client.send_look(1, 1);
+    let (first, _) = engine.next_run();
     // With a gauge that reads idle the next is held, not rejected.
-    engine.readings(2);
+    engine.answer_stats(2);
     client.send(&request(2, 2, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     // Each reading is a turn later: by then the entry has run out for the decisions, and the try is held.
-    engine.readings(3);
+    engine.answer_stats(3);
     client.send(&records::record(2, 2, b""));
-    engine.readings(2);
+    engine.answer_stats(2);
     client.send(&request(3, 3, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
-    engine.readings(2);
-    engine.done(1, &first, "OK", b"");
-    assert_eq!(engine.run().0, attempt_id(3));
+    engine.answer_stats(2);
+    engine.send_done(1, &first, "OK", b"");
+    assert_eq!(engine.next_run().0, attempt_id(3));
 }
 
 #[test]
@@ -211,17 +211,17 @@
             config["settings"]["safety"]["ramp_time"] = json!(3_600_000_000u64);
         });
         let mut engine = fixture.accept_engine();
-        engine.hello_as(0, "COLD", age_ms);
-        engine.readings(2);
+        engine.handshake_as(0, "COLD", age_ms);
+        engine.answer_stats(2);
         let mut client = fixture.client();
         let bytes: Vec<u8> = (1..=7)
             .flat_map(|n| request(n, n.into(), "/svc/look", &[], b""))
             .collect();
         client.send(&bytes);
         for nth in 1..=at_once {
-            assert_eq!(engine.run().0, attempt_id(nth), "{age_ms} ms old");
+            assert_eq!(engine.next_run().0, attempt_id(nth), "{age_ms} ms old");
         }
-        engine.readings(2);
+        engine.answer_stats(2);
     }
 }
 
@@ -229,8 +229,8 @@
 fn an_aborted_exchange_is_stopped_and_its_id_may_be_used_anew() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (call, _) = engine.run();
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
     // The end of the first run comes after its id was taken by another request.
     client.send(
         &[
@@ -239,12 +239,12 @@
         ]
         .concat(),
     );
-    let mut commands = [engine.command(), engine.command()];
+    let mut commands = [engine.next_command(), engine.next_command()];
     commands.sort_by_key(|command| command["msg"].to_string());
     assert_eq!(commands[0], json!({"msg": "HALT", "call": call}));
     assert_eq!(commands[1]["call"], attempt_id(2));
-    engine.done(1, &call, "OK", b"of the first");
-    engine.done(2, &attempt_id(2), "OK", b"of the second");
+    engine.send_done(1, &call, "OK", b"of the first");
+    engine.send_done(2, &attempt_id(2), "OK", b"of the second");
     assert_eq!(client.reply().body, b"of the second");
 }
 
@@ -252,51 +252,55 @@
 fn a_lost_link_is_taken_up_with_the_last_serial_and_nothing_is_lost_or_run_twice() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
-    (1..=3).for_each(|n| client.look(n as u16, n));
-    let calls = [engine.run().0, engine.run().0, engine.run().0];
-    engine.done(1, &calls[0], "OK", b"first");
+    (1..=3).for_each(|n| client.send_look(n as u16, n));
+    let calls = [
+        engine.next_run().0,
+        engine.next_run().0,
+        engine.next_run().0,
+    ];
+    engine.send_done(1, &calls[0], "OK", b"first");
     assert_eq!(client.reply().body, b"first");
     // An answered STAT proves that what was sent before it arrived.
-    engine.readings(2);
+    engine.answer_stats(2);
     drop(engine);
-    client.look(4, 4);
+    client.send_look(4, 4);
     let mut engine = fixture.accept_engine();
-    engine.hello(1);
+    engine.handshake(1);
     // The notice missed comes with one that was seen before; then the STAT is answered.
-    engine.done(1, &calls[0], "OK", b"again");
-    engine.done(2, &calls[1], "OK", b"second");
+    engine.send_done(1, &calls[0], "OK", b"again");
+    engine.send_done(2, &calls[1], "OK", b"second");
     assert_eq!(
-        engine.run().0,
+        engine.next_run().0,
         attempt_id(4),
         "only what had not arrived is sent"
     );
-    engine.done(3, &calls[2], "OK", b"third");
+    engine.send_done(3, &calls[2], "OK", b"third");
     assert_eq!(
         (client.reply().body, client.reply().body),
         (b"second".to_vec(), b"third".to_vec())
     );
-    engine.done(4, &attempt_id(4), "OK", b"fourth");
+    engine.send_done(4, &attempt_id(4), "OK", b"fourth");
     assert_eq!(client.reply().body, b"fourth");
     // One that comes late again does not set the count back.
-    engine.done(2, &calls[1], "OK", b"second");
-    engine.readings(2);
+    engine.send_done(2, &calls[1], "OK", b"second");
+    engine.answer_stats(2);
     drop(engine);
-    fixture.accept_engine().hello(4);
+    fixture.accept_engine().handshake(4);
 }
 
 #[test]
 fn a_replaced_configuration_moves_engine_and_registry_and_what_runs_goes_on() {
     let (mut fixture, mut engine) = up();
     let mut client = fixture.client();
-    client.look(1, 1);
-    client.look(2, 2);
-    let (first, second) = (engine.run().0, engine.run().0);
-    engine.done(1, &first, "OK", b"before");
+    client.send_look(1, 1);
+    client.send_look(2, 2);
+    let (first, second) = (engine.next_run().0, engine.next_run().0);
+    engine.send_done(1, &first, "OK", b"before");
     assert_eq!(client.reply().body, b"before");
-    engine.readings(2);
+    engine.answer_stats(2);
     // One that can't be served changes nothing.
     fixture.reload("{");
-    engine.readings(3);
+    engine.answer_stats(3);
     (fixture.engine_listener, fixture.registry) =
         (TcpListener::bind("127.0.0.1:0").unwrap(), open_registry());
     let mut text = config();
@@ -305,13 +309,17 @@
     text["registry"] = json!(fixture.registry.local_addr().unwrap().to_string());
     fixture.reload(&text.to_string());
     let mut engine = fixture.accept_engine();
-    engine.hello(1);
+    engine.handshake(1);
     assert_eq!(fixture.next_report(), "BEAT n1 ready");
-    client.look(3, 3);
-    assert_eq!(engine.run().0, attempt_id(3), "what runs is not sent again");
-    engine.done(2, &second, "OK", b"meanwhile");
+    client.send_look(3, 3);
+    assert_eq!(
+        engine.next_run().0,
+        attempt_id(3),
+        "what runs is not sent again"
+    );
+    engine.send_done(2, &second, "OK", b"meanwhile");
     assert_eq!(client.reply().body, b"meanwhile");
-    engine.done(3, &attempt_id(3), "OK", b"after");
+    engine.send_done(3, &attempt_id(3), "OK", b"after");
     assert_eq!(client.reply().body, b"after");
 }
 
@@ -319,20 +327,20 @@
 fn a_run_that_may_not_have_arrived_is_sent_again_once_the_notices_missed_are_in() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
-    engine.readings(1);
-    client.look(1, 1);
-    client.look(2, 2);
+    engine.answer_stats(1);
+    client.send_look(1, 1);
+    client.send_look(2, 2);
     // Both are read, but the node can't know: no STAT after them is answered.
     let mut seen = 0;
     while seen < 2 {
-        seen += usize::from(engine.line()["msg"] == "RUN");
+        seen += usize::from(engine.read_command()["msg"] == "RUN");
     }
     drop(engine);
     let mut engine = fixture.accept_engine();
-    engine.hello(0);
-    engine.done(1, &attempt_id(1), "OK", b"one");
-    assert_eq!(engine.run().0, attempt_id(2));
-    engine.done(2, &attempt_id(2), "OK", b"two");
+    engine.handshake(0);
+    engine.send_done(1, &attempt_id(1), "OK", b"one");
+    assert_eq!(engine.next_run().0, attempt_id(2));
+    engine.send_done(2, &attempt_id(2), "OK", b"two");
     let bodies = (client.reply().body, client.reply().body);
     assert_eq!(bodies, (b"one".to_vec(), b"two".to_vec()));
 }
@@ -341,21 +349,29 @@
 fn engine_lines_that_cannot_be_read_are_survived() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (call, _) = engine.run();
-    engine.lines.get_mut().write_all(b"not a notice\n").unwrap();
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
+    engine
+        .reader
+        .get_mut()
+        .write_all(b"not a notice\n")
+        .unwrap();
     // The link is made anew, as the line may have held an end; the same again is lived with.
     let mut engine = fixture.accept_engine();
-    engine.hello(0);
-    engine.lines.get_mut().write_all(b"not a notice\n").unwrap();
+    engine.handshake(0);
+    engine
+        .reader
+        .get_mut()
+        .write_all(b"not a notice\n")
+        .unwrap();
     engine
-        .tell(json!({"msg": "DONE", "serial": 1, "call": attempt_id(77), "how": "OK", "blob": ""}));
-    engine.tell(json!({"msg": "NOTE", "serial": 2, "how": "nothing"}));
-    engine.done(3, &call, "OK", b"good");
+        .send(json!({"msg": "DONE", "serial": 1, "call": attempt_id(77), "how": "OK", "blob": ""}));
+    engine.send(json!({"msg": "NOTE", "serial": 2, "how": "nothing"}));
+    engine.send_done(3, &call, "OK", b"good");
     assert_eq!(client.reply().body, b"good");
-    client.look(2, 2);
-    let (call, _) = engine.run();
-    engine.tell(json!({"msg": "NO", "how": "RUN", "call": call}));
+    client.send_look(2, 2);
+    let (call, _) = engine.next_run();
+    engine.send(json!({"msg": "NO", "how": "RUN", "call": call}));
     assert_eq!(
         client.reply().status,
         500,
@@ -369,12 +385,12 @@
     // More than a pipe holds, in lines that are logged at the usual level.
     let text = "x".repeat(20_000);
     for serial in 1..=40 {
-        engine.tell(json!({"msg": "NOTE", "serial": serial, "how": text}));
+        engine.send(json!({"msg": "NOTE", "serial": serial, "how": text}));
     }
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (call, _) = engine.run();
-    engine.done(41, &call, "OK", b"on time");
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
+    engine.send_done(41, &call, "OK", b"on time");
     assert_eq!(client.reply().body, b"on time");
 }
 
@@ -395,7 +411,7 @@
     fn commands(&mut self, engine: &mut Engine) -> bool {
         let mut any = false;
         loop {
-            let command = engine.line();
+            let command = engine.read_command();
             let call = command["call"].as_str().unwrap_or_default().to_string();
             match command["msg"].as_str().unwrap() {
                 "STAT" => {
@@ -476,15 +492,15 @@
                 play.end(&call, "OK");
             }
             engine = fixture.accept_engine();
-            let attach = engine.line();
+            let attach = engine.read_command();
             assert_eq!(attach["msg"], "ATTACH");
             told = attach["serial"].as_u64().unwrap() as usize;
-            engine.tell(json!({"msg": "HELLO", "how": "WARM", "duration": 1}));
+            engine.send(json!({"msg": "HELLO", "how": "WARM", "duration": 1}));
             // What had ended meanwhile is told first; then nothing ends until runs were sent again, since
             // that is the one moment in which the node can't know.
             play.notices[told..]
                 .iter()
-                .for_each(|notice| engine.tell(notice.clone()));
+                .for_each(|notice| engine.send(notice.clone()));
             told = play.notices.len();
             play.commands(&mut engine);
         }
@@ -504,7 +520,7 @@
         }
         play.notices[told..]
             .iter()
-            .for_each(|notice| engine.tell(notice.clone()));
+            .for_each(|notice| engine.send(notice.clone()));
         told = play.notices.len();
     }
     for (nth, client) in clients.iter_mut().enumerate() {
@@ -536,18 +552,18 @@
 fn a_broken_record_ends_its_connection_after_what_is_open_was_answered() {
     let (fixture, mut engine) = up();
     let (mut broken, mut other) = (fixture.client(), fixture.client());
-    broken.look(1, 1);
-    let (call, _) = engine.run();
+    broken.send_look(1, 1);
+    let (call, _) = engine.next_run();
     // One is half read when a record of another version comes.
     broken.send(&records::record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0]));
     broken.send(&[9, 1, 0, 1, 0, 0, 0, 0]);
     let half = broken.reply();
     assert_eq!((half.id, half.status), (2, 400));
-    other.look(1, 2);
-    let (second, _) = engine.run();
-    engine.done(1, &second, "OK", b"untouched");
+    other.send_look(1, 2);
+    let (second, _) = engine.next_run();
+    engine.send_done(1, &second, "OK", b"untouched");
     assert_eq!(other.reply().body, b"untouched");
-    engine.done(2, &call, "OK", b"whole");
+    engine.send_done(2, &call, "OK", b"whole");
     assert_eq!(broken.reply().body, b"whole");
     assert!(broken.is_closed());
 }
@@ -581,14 +597,14 @@
     // A role that is no Responder is refused in the protocol's own words.
     client.send(&records::record(1, 1, &[0, 2, 1, 0, 0, 0, 0, 0]));
     assert_eq!(client.reply().status, 3);
-    client.look(1, 1);
-    let (call, _) = engine.run();
-    client.look(2, 1);
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
+    client.send_look(2, 1);
     let doubled = client.reply();
     assert_eq!((doubled.id, doubled.status), (2, 400));
-    engine.done(1, &call, "OK", b"once");
+    engine.send_done(1, &call, "OK", b"once");
     assert_eq!(client.reply().body, b"once");
-    client.look(3, 1);
+    client.send_look(3, 1);
     assert_eq!(client.reply().status, 400);
 }
 
@@ -632,20 +648,20 @@
     let (fixture, mut engine) =
         up_with(|config| config["settings"]["family_info"]["cores"] = json!(100));
     let mut client = fixture.client();
-    (1..=33).for_each(|n| client.look(n as u16, n));
+    (1..=33).for_each(|n| client.send_look(n as u16, n));
     let refused = client.reply();
     assert_eq!((refused.id, refused.status), (33, 2));
-    assert_eq!(engine.run().0, attempt_id(1));
+    assert_eq!(engine.next_run().0, attempt_id(1));
 }
 
 #[test]
 fn a_half_closed_connection_still_gets_its_answers() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
-    client.look(1, 1);
+    client.send_look(1, 1);
     client.sock.shutdown(Shutdown::Write).unwrap();
-    let (call, _) = engine.run();
-    engine.done(1, &call, "OK", b"yours");
+    let (call, _) = engine.next_run();
+    engine.send_done(1, &call, "OK", b"yours");
     assert_eq!(client.reply().body, b"yours");
     assert!(client.is_closed());
 }
@@ -654,18 +670,18 @@
 fn what_a_broken_connection_had_open_is_stopped() {
     let (fixture, mut engine) = up();
     let (mut gone, mut client) = (fixture.client(), fixture.client());
-    gone.look(1, 1);
-    let (call, _) = engine.run();
-    engine.done(1, &call, "OK", b"never read");
-    gone.look(2, 2);
-    let (call, _) = engine.run();
+    gone.send_look(1, 1);
+    let (call, _) = engine.next_run();
+    engine.send_done(1, &call, "OK", b"never read");
+    gone.send_look(2, 2);
+    let (call, _) = engine.next_run();
     // The first answer lies unread, so closing resets the connection.
     drop(gone);
-    assert_eq!(engine.command(), json!({"msg": "HALT", "call": call}));
-    engine.done(2, &call, "STOPPED", b"");
-    client.look(1, 3);
-    let (call, _) = engine.run();
-    engine.done(3, &call, "OK", b"on it goes");
+    assert_eq!(engine.next_command(), json!({"msg": "HALT", "call": call}));
+    engine.send_done(2, &call, "STOPPED", b"");
+    client.send_look(1, 3);
+    let (call, _) = engine.next_run();
+    engine.send_done(3, &call, "OK", b"on it goes");
     assert_eq!(client.reply().body, b"on it goes");
 }
 
@@ -675,12 +691,12 @@
     let (fixture, mut engine) =
         up_with(|config| config["settings"]["family_info"]["gauges"] = gauges);
     let (mut idle, mut client) = (fixture.client(), fixture.client());
-    client.look(1, 1);
-    let (call, _) = engine.run();
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
     // How long one may lie idle is decided with a reading of the gauges.
-    engine.readings(3);
+    engine.answer_stats(3);
     assert!(idle.is_closed());
-    engine.done(1, &call, "OK", b"still here");
+    engine.send_done(1, &call, "OK", b"still here");
     assert_eq!(client.reply().body, b"still here");
 }
 
@@ -747,19 +763,19 @@
         }
     });
     let mut client = fixture.client();
-    client.look(1, 1);
-    client.look(2, 2);
-    let (first, second) = (engine.run().0, engine.run().0);
+    client.send_look(1, 1);
+    client.send_look(2, 2);
+    let (first, second) = (engine.next_run().0, engine.next_run().0);
     fixture.signal("-STOP");
-    engine.done(1, &first, "OK", b"came meanwhile");
-    (3..=5).for_each(|n| client.look(n, n.into()));
+    engine.send_done(1, &first, "OK", b"came meanwhile");
+    (3..=5).for_each(|n| client.send_look(n, n.into()));
     std::thread::sleep(Duration::from_millis(2200));
     fixture.signal("-CONT");
     let mut replies: Vec<Reply> = (1..=5).map(|_| client.reply()).collect();
     replies.sort_by_key(|reply| reply.id);
     let statuses: Vec<u16> = replies.iter().map(|reply| reply.status).collect();
     assert_eq!(statuses, [200, 500, 503, 503, 503]);
-    engine.done(2, &second, "OK", b"too late for any answer");
+    engine.send_done(2, &second, "OK", b"too late for any answer");
     client.send(&request(9, 9, "/status/live", &[], b""));
     assert_eq!(client.reply().id, 9, "one was answered twice");
 }
@@ -773,12 +789,12 @@
         }
     });
     let mut client = fixture.client();
-    client.look(1, 1);
-    let (call, _) = engine.run();
+    client.send_look(1, 1);
+    let (call, _) = engine.next_run();
     fixture.wait_for_report("draining");
     client.send(&request(2, 2, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 503);
-    engine.done(1, &call, "OK", b"at last");
+    engine.send_done(1, &call, "OK", b"at last");
     assert_eq!(client.reply().body, b"at last");
     fixture.wait_for_report("ready");
 }
@@ -788,22 +804,22 @@
     let (fixture, mut engine) = up_with(|config| config["limits"]["sockets"] = json!(32));
     let mut clients: Vec<Client> = (0..8).map(|_| fixture.client()).collect();
     for (n, client) in clients.iter_mut().enumerate().skip(1) {
-        client.look(1, n as u64);
+        client.send_look(1, n as u64);
     }
-    let runs: Vec<String> = (0..6).map(|_| engine.run().0).collect();
+    let runs: Vec<String> = (0..6).map(|_| engine.next_run().0).collect();
     // The ninth takes the place of the one that has nothing open and never asked for anything.
     let mut ninth = fixture.client();
     ninth.send(&request(1, 9, "/status/live", &[], b""));
     assert_eq!(ninth.reply().status, 200);
     assert!(clients[0].is_closed());
     // A tenth waits in the backlog until there is room again.
-    ninth.look(2, 10);
+    ninth.send_look(2, 10);
     let mut tenth = fixture.client();
     tenth.send(&request(1, 11, "/status/live", &[], b""));
-    engine.readings(2);
+    engine.answer_stats(2);
     runs.iter()
         .zip(1..)
-        .for_each(|(call, serial)| engine.done(serial, call, "OK", b"well"));
+        .for_each(|(call, serial)| engine.send_done(serial, call, "OK", b"well"));
     assert_eq!(clients[1].reply().body, b"well");
     assert_eq!(tenth.reply().status, 200);
 }
@@ -832,9 +848,9 @@
         .collect();
     let stuck = (0..4000).any(|_| deaf.sock.write_all(&bytes).is_err());
     assert!(stuck, "the node went on reading");
-    client.look(1, 99_999);
-    let (call, _) = engine.run();
-    engine.done(1, &call, "OK", b"as ever");
+    client.send_look(1, 99_999);
+    let (call, _) = engine.next_run();
+    engine.send_done(1, &call, "OK", b"as ever");
     assert_eq!(client.reply().body, b"as ever");
     let status = std::fs::read_to_string(format!("/proc/{}/status", fixture.program.id())).unwrap();
     let peak = status
@@ -852,10 +868,10 @@
         config["settings"]["safety"]["drain_grace"] = json!(0);
     });
     let mut client = fixture.client();
-    client.look(1, 1);
-    client.look(2, 2);
-    let (call, _) = engine.run();
-    engine.run();
+    client.send_look(1, 1);
+    client.send_look(2, 2);
+    let (call, _) = engine.next_run();
+    engine.next_run();
     assert_eq!(fixture.next_report(), "BEAT n1 ready");
     fixture.signal("-TERM");
     fixture.wait_for_report("draining");
@@ -872,7 +888,7 @@
     assert_eq!((late.id, late.status), (3, 503), "it came after the grace");
     client.send(&request(4, 4, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 503);
-    engine.done(1, &call, "OK", b"in time");
+    engine.send_done(1, &call, "OK", b"in time");
     assert_eq!(client.reply().body, b"in time");
     let cut = client.reply();
     assert_eq!(
--- a/crates/protocols/tests/codecs/any_bytes.rs
+++ b/crates/protocols/tests/codecs/any_bytes.rs
@@ -1,6 +1,6 @@
 //! Random streams, split into any parts.
 
-use doortrack_fakes::cut_at;
+use doortrack_fakes::split_at_offsets;
 use doortrack_protocols::{
     Protocol, ProtocolError, Response, ResponseHead, ResponseOutcome, ResponseReader, Variable,
     write_request, write_response,
@@ -74,7 +74,7 @@
     ) {
         let whole = events(protocol, &[&stream]);
         let cuts = cuts.iter().map(|offset| offset.index(stream.len() + 1)).collect();
-        let parts = cut_at(&stream, cuts);
+        let parts = split_at_offsets(&stream, cuts);
         let cut = events(protocol, &parts);
         prop_assert_eq!(&cut.1, &whole.1);
         // Before an error a part of its own event may have been passed on already, or not.
