--- a/crates/config/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -129,7 +129,7 @@
             vote_duration: from_millis(times.vote_ms),
             lease_duration: from_millis(times.lease_ms),
             max_drift_permille: u64::from(times.drift_permille),
-            safeguards: self.tests.safeguards,
+            safeguards: self.fault_injection.safeguards,
         }
     }
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -58,12 +58,12 @@
     pub leases: LeaseTimes,
     /// Never read from a file.
     #[serde(skip)]
-    pub tests: FleetTests,
+    pub fault_injection: FaultInjection,
 }
 
 /// Faults that tests of fleets inject into one process, by hidden arguments of the command line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FleetTests {
+pub struct FaultInjection {
     /// By how many millionths the clock of membership and budgets is fast.
     pub drift_ppm: i32,
     /// Which safeguards are in force.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use budgets::{BudgetConfig, BudgetIndices, BudgetKind, BudgetScope, LeaseTimes};
 pub use error::{ConfigError, ConfigErrorKind, ConfigErrors, ErrorCollector};
-pub use fleet::{FleetConfig, FleetTests, FleetTimes};
+pub use fleet::{FaultInjection, FleetConfig, FleetTimes};
 pub use installation::{Installation, ListenerConfig, ProtocolName};
 pub use limits::ResourceLimits;
 pub use node_config::NodeConfig;
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -5,8 +5,9 @@
 mod keys;
 mod plan;
 
-pub use builds::Builds;
+pub use builds::BuildScheduler;
 pub use keys::KeyMeanings;
 pub use plan::{
-    FleetChange, ListenerChanges, Plan, Platform, PlatformRead, RestartRequired, Started, plan,
+    FleetChange, ListenerChanges, Plan, PlatformReload, ReloadablePlatform, RestartRequired,
+    StartupConfig, plan,
 };
--- a/crates/config/src/reload/builds.rs
+++ b/crates/config/src/reload/builds.rs
@@ -2,13 +2,13 @@
 
 /// Tracks the build under way and the one waiting: at most one of each, however many notices come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Builds {
+pub struct BuildScheduler {
     under_way: bool,
     /// Notices came since the build under way began: it may have read the files before they changed.
     waiting: bool,
 }
 
-impl Builds {
+impl BuildScheduler {
     /// Records a notice that the files changed; whether a build has to begin now.
     pub fn notice(&mut self) -> bool {
         let begin = !self.under_way;
--- a/crates/config/src/reload/plan.rs
+++ b/crates/config/src/reload/plan.rs
@@ -16,7 +16,7 @@
 
 /// What of the platform's configuration may change while a node serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Platform {
+pub struct ReloadablePlatform {
     /// Where the engine listens.
     pub engine: SocketAddr,
     /// Where the registry listens.
@@ -27,10 +27,10 @@
     pub seed: u64,
 }
 
-impl Platform {
+impl ReloadablePlatform {
     /// The part of `config` that may change.
-    pub fn new(config: &NodeConfig) -> Platform {
-        Platform {
+    pub fn new(config: &NodeConfig) -> ReloadablePlatform {
+        ReloadablePlatform {
             engine: config.engine,
             registry: config.registry,
             stop_after: config.stop_after,
@@ -41,18 +41,18 @@
 
 /// The platform's configuration as it was read, as far as a reload goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PlatformRead {
+pub struct PlatformReload {
     /// What may change while the node serves.
-    pub platform: Platform,
+    pub platform: ReloadablePlatform,
     /// Something else differs from what the node was started with.
     pub requires_restart: bool,
 }
 
-impl PlatformRead {
+impl PlatformReload {
     /// What was `read` by a node that was `started` with another configuration, or the same.
-    pub fn new(started: &NodeConfig, read: &NodeConfig) -> PlatformRead {
-        PlatformRead {
-            platform: Platform::new(read),
+    pub fn new(started: &NodeConfig, read: &NodeConfig) -> PlatformReload {
+        PlatformReload {
+            platform: ReloadablePlatform::new(read),
             requires_restart: FixedConfig::new(started) != FixedConfig::new(read),
         }
     }
@@ -69,7 +69,7 @@
 
 impl<'a> FixedConfig<'a> {
     fn new(config: &'a NodeConfig) -> FixedConfig<'a> {
-        // Without `..`, so that a new field is sorted either here or into `Platform`.
+        // Without `..`, so that a new field is sorted either here or into `ReloadablePlatform`.
         let NodeConfig {
             name,
             listen,
@@ -92,7 +92,7 @@
 
 /// What a node was started with.
 #[derive(Clone, Debug)]
-pub struct Started {
+pub struct StartupConfig {
     /// The platform's configuration.
     pub config: Arc<NodeConfig>,
     /// Whether it joined a fleet.
@@ -153,7 +153,7 @@
 #[derive(Debug)]
 pub struct Plan {
     /// The platform's configuration.
-    pub platform: PlatformRead,
+    pub platform: PlatformReload,
     /// The installation as it will be in force.
     pub installation: Arc<Installation>,
     /// Changes that the installation in force does not have.
@@ -169,9 +169,9 @@
 /// # Errors
 /// Everything in which the new installation does not go together with the platform's configuration.
 pub fn plan(
-    started: &Started,
+    started: &StartupConfig,
     running: &Installation,
-    platform: PlatformRead,
+    platform: PlatformReload,
     read: Installation,
 ) -> Result<Plan, ConfigErrors> {
     let config = &started.config;
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -4,7 +4,7 @@
 
 use doortrack_admission::Effect;
 use doortrack_expr::Limits;
-use doortrack_routes::{Built, GroupName, Names, Rule, RuleError, Table};
+use doortrack_routes::{BuildOutput, GroupName, Names, Rule, RuleError, Table};
 use doortrack_settings::DeploymentSettings;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -125,7 +125,10 @@
     ///
     /// # Errors
     /// Every error of the rules, each with its path.
-    pub fn table(&self, settings: &DeploymentSettings) -> Result<Option<Built>, ConfigErrors> {
+    pub fn table(
+        &self,
+        settings: &DeploymentSettings,
+    ) -> Result<Option<BuildOutput>, ConfigErrors> {
         self.table_from(None, settings)
     }
 
@@ -137,7 +140,7 @@
         &self,
         previous: Option<&Table>,
         settings: &DeploymentSettings,
-    ) -> Result<Option<Built>, ConfigErrors> {
+    ) -> Result<Option<BuildOutput>, ConfigErrors> {
         let groups = settings.group_names.iter().zip(&settings.admission.groups);
         let names = Names {
             groups: groups
@@ -155,7 +158,7 @@
     ///
     /// # Errors
     /// Every error of the rules, each with its path.
-    pub fn table_without_deployment(&self) -> Result<Option<Built>, ConfigErrors> {
+    pub fn table_without_deployment(&self) -> Result<Option<BuildOutput>, ConfigErrors> {
         let groups = self.groups_in_rules();
         let names = Names {
             groups: groups
@@ -180,7 +183,7 @@
         &self,
         previous: Option<&Table>,
         names: &Names,
-    ) -> Result<Option<Built>, ConfigErrors> {
+    ) -> Result<Option<BuildOutput>, ConfigErrors> {
         if self.rules.is_empty() {
             return Ok(None);
         }
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -4,8 +4,8 @@
 
 use doortrack_config::node_config;
 use doortrack_config::reload::{
-    Builds, KeyMeanings, ListenerChanges, Plan, Platform, PlatformRead, RestartRequired, Started,
-    plan,
+    BuildScheduler, KeyMeanings, ListenerChanges, Plan, PlatformReload, ReloadablePlatform,
+    RestartRequired, StartupConfig, plan,
 };
 use doortrack_config::{ConfigErrors, Installation, ListenerConfig, NodeConfig, installation};
 use proptest::prelude::*;
@@ -19,8 +19,8 @@
     node_config::parse(value.to_string().as_bytes()).unwrap()
 }
 
-fn started(in_fleet: bool) -> Started {
-    Started {
+fn started(in_fleet: bool) -> StartupConfig {
+    StartupConfig {
         config: Arc::new(node_config(|_| {})),
         in_fleet,
     }
@@ -30,8 +30,8 @@
     installation::parse(value.to_string().as_bytes()).unwrap()
 }
 
-fn planned(started: &Started, old: &Value, new: &Value) -> Result<Plan, ConfigErrors> {
-    let platform = PlatformRead::new(&started.config, &started.config);
+fn planned(started: &StartupConfig, old: &Value, new: &Value) -> Result<Plan, ConfigErrors> {
+    let platform = PlatformReload::new(&started.config, &started.config);
     plan(started, &installation(old), platform, installation(new))
 }
 
@@ -48,8 +48,8 @@
         value["stop_ms"] = json!(4000);
         value["seed"] = json!("1");
     });
-    let read = PlatformRead::new(&started, &moved);
-    let wanted = Platform {
+    let read = PlatformReload::new(&started, &moved);
+    let wanted = ReloadablePlatform {
         engine: "127.0.0.1:4499".parse().unwrap(),
         registry: "127.0.0.1:2399".parse().unwrap(),
         stop_after: 40_000,
@@ -57,7 +57,7 @@
     };
     assert_eq!(
         read,
-        PlatformRead {
+        PlatformReload {
             platform: wanted,
             requires_restart: false
         }
@@ -69,7 +69,7 @@
         |value: &mut Value| value["settings"]["lanes"][0]["deadline"] = json!(1_000_000),
         |value: &mut Value| value["settings"]["parties"][0]["name"] = json!("south"),
     ] {
-        assert!(PlatformRead::new(&started, &node_config(change)).requires_restart);
+        assert!(PlatformReload::new(&started, &node_config(change)).requires_restart);
     }
 }
 
@@ -330,7 +330,7 @@
 
 #[test]
 fn at_most_one_build_is_under_way_and_one_waits() {
-    let mut builds = Builds::default();
+    let mut builds = BuildScheduler::default();
     assert!(!builds.is_under_way());
     assert!(builds.notice(), "the first begins at once");
     assert!(
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -124,7 +124,7 @@
         ..LiteralRequest::default()
     };
     match table.classify(&request, &mut Scratch::default()) {
-        Classification::As(class) => Some(class.group),
+        Classification::Matched(class) => Some(class.group),
         Classification::Rejected { .. } | Classification::NoRule => None,
     }
 }
--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -149,7 +149,7 @@
     /// What a request came to, in words.
     fn describe(&self, classification: &Classification) -> String {
         match classification {
-            Classification::As(class) => {
+            Classification::Matched(class) => {
                 let group = &self.group_names[usize::from(class.group)];
                 format!("rules[{}], group {group}", class.rule)
             }
@@ -170,7 +170,7 @@
     /// The name of the group that a request came to, if it came to any.
     fn group_name(&self, classification: &Classification) -> Option<&String> {
         match classification {
-            Classification::As(class) => Some(&self.group_names[usize::from(class.group)]),
+            Classification::Matched(class) => Some(&self.group_names[usize::from(class.group)]),
             Classification::Rejected { .. } => None,
             Classification::NoRule => self.installation.fallback_group.as_ref(),
         }
@@ -195,7 +195,7 @@
 /// Index of the rule that matched, if any did.
 fn matched_rule(classification: &Classification) -> Option<u32> {
     match classification {
-        Classification::As(class) => Some(class.rule),
+        Classification::Matched(class) => Some(class.rule),
         Classification::Rejected { rule, .. } => Some(*rule),
         Classification::NoRule => None,
     }
@@ -203,7 +203,7 @@
 
 /// A line for each value that a rule gave the request.
 fn class_values(classification: &Classification) -> Vec<String> {
-    let Classification::As(class) = classification else {
+    let Classification::Matched(class) = classification else {
         return Vec::new();
     };
     let session_key = class.session_key.map(|key| format!("subject: {key:016x}"));
--- a/crates/node/src/commands/serve.rs
+++ b/crates/node/src/commands/serve.rs
@@ -5,7 +5,7 @@
 
 use clap::Args;
 use doortrack_budgets::Safeguards;
-use doortrack_config::{ConfigErrors, FleetTests, Installation, installation, node_config};
+use doortrack_config::{ConfigErrors, FaultInjection, Installation, installation, node_config};
 use slog::Level;
 
 use crate::event_loop::{Node, ServeError, StartError};
@@ -149,13 +149,13 @@
     args: &ServeArgs,
     installation: &mut Installation,
 ) -> Result<(), ServeCommandError> {
-    let tests = FleetTests {
+    let tests = FaultInjection {
         drift_ppm: args.test_drift_ppm,
         safeguards: args.test_without.unwrap_or_default(),
     };
     match &mut installation.fleet {
-        Some(fleet) => fleet.tests = tests,
-        None if tests == FleetTests::default() => {}
+        Some(fleet) => fleet.fault_injection = tests,
+        None if tests == FaultInjection::default() => {}
         None => return Err(ServeCommandError::TestsWithoutFleet),
     }
     Ok(())
--- a/crates/node/src/event_loop/config_build.rs
+++ b/crates/node/src/event_loop/config_build.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use doortrack_config::node_config::{self, Digest};
-use doortrack_config::reload::{Plan, PlatformRead, RestartRequired, Started, plan};
+use doortrack_config::reload::{Plan, PlatformReload, RestartRequired, StartupConfig, plan};
 use doortrack_config::{ConfigErrors, Installation, installation};
 use doortrack_routes::Table;
 
@@ -52,7 +52,7 @@
 /// Where configurations are read, and what they are read against.
 #[derive(Clone)]
 pub(super) struct Sources {
-    pub(super) started: Started,
+    pub(super) started: StartupConfig,
     /// The operators' own file, if there is one.
     pub(super) installation_path: Option<PathBuf>,
 }
@@ -61,7 +61,7 @@
 pub(super) struct Builder {
     sources: Sources,
     /// The platform's configuration that was read last, with the digest of its text.
-    last_read: (Digest, PlatformRead),
+    last_read: (Digest, PlatformReload),
 }
 
 impl Builder {
@@ -69,7 +69,7 @@
         let node_config = &sources.started.config;
         let last_read = (
             node_config.source,
-            PlatformRead::new(node_config, node_config),
+            PlatformReload::new(node_config, node_config),
         );
         Builder { sources, last_read }
     }
@@ -120,13 +120,13 @@
     }
 
     /// Reads the platform's configuration; the same bytes as before are not parsed again.
-    fn read_platform(&mut self) -> Result<PlatformRead, ConfigErrors> {
+    fn read_platform(&mut self) -> Result<PlatformReload, ConfigErrors> {
         let path = node_config::path()?;
         let bytes = node_config::read_bytes(&path)?;
         let digest = node_config::digest(&bytes);
         if digest != self.last_read.0 {
             let read = node_config::parse_file(&path, &bytes)?;
-            let platform = PlatformRead::new(&self.sources.started.config, &read);
+            let platform = PlatformReload::new(&self.sources.started.config, &read);
             self.last_read = (digest, platform);
         }
         Ok(self.last_read.1)
--- a/crates/node/src/event_loop/reload.rs
+++ b/crates/node/src/event_loop/reload.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use doortrack_config::reload::{KeyMeanings, ListenerChanges, Plan, PlatformRead, RestartRequired};
+use doortrack_config::reload::{
+    KeyMeanings, ListenerChanges, Plan, PlatformReload, RestartRequired,
+};
 use doortrack_config::{ConfigError, ConfigErrors, Installation, ListenerConfig};
 use doortrack_time::{MILLISECOND, TenthMillis};
 use slog::{debug, info, warn};
@@ -151,7 +153,7 @@
 
     /// Changes the addresses of engine and registry, and the time from the notice to drain to the stop. What
     /// runs goes on, as the engine keeps runs and their ids.
-    fn change_platform(&mut self, read: PlatformRead, listeners: usize) {
+    fn change_platform(&mut self, read: PlatformReload, listeners: usize) {
         let (engine, registry) = (read.platform.engine, read.platform.registry);
         info!(self.log, "configuration read again"; "engine" => %engine, "registry" => %registry,
             "listeners" => listeners, "rest_requires_restart" => read.requires_restart);
--- a/crates/node/src/event_loop/reloader.rs
+++ b/crates/node/src/event_loop/reloader.rs
@@ -8,7 +8,7 @@
 use std::thread;
 
 use doortrack_config::ConfigErrors;
-use doortrack_config::reload::Builds;
+use doortrack_config::reload::BuildScheduler;
 use polling::Poller;
 
 use super::config_build::{BuildBase, BuildResult, Builder, Rejected, Sources};
@@ -49,7 +49,7 @@
 
 /// Builds configurations, one at a time, and drops those that are retired.
 pub(super) struct Reloader {
-    builds: Builds,
+    builds: BuildScheduler,
     executor: Executor,
     /// What was built inline, or why no build could begin.
     result: Option<BuildResult>,
@@ -67,7 +67,7 @@
             Executor::Inline(Box::new(Builder::new(sources)))
         };
         Reloader {
-            builds: Builds::default(),
+            builds: BuildScheduler::default(),
             executor,
             result: None,
             poller,
--- a/crates/node/src/event_loop/running_config.rs
+++ b/crates/node/src/event_loop/running_config.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use doortrack_admission::{Effect, EndpointGroup};
-use doortrack_config::reload::{KeyMeanings, Platform};
+use doortrack_config::reload::{KeyMeanings, ReloadablePlatform};
 use doortrack_config::{Installation, ListenerConfig, NodeConfig};
 use doortrack_time::TenthMillis;
 use serde_json::Value;
@@ -13,7 +13,7 @@
     /// The platform's configuration as of the start.
     pub(super) node: Arc<NodeConfig>,
     /// The part of it that a reload may change.
-    pub(super) platform: Platform,
+    pub(super) platform: ReloadablePlatform,
     /// The operators' own file.
     pub(super) installation: Arc<Installation>,
     /// What idempotency keys mean by the installation's rules.
@@ -30,7 +30,7 @@
         let group_names = &node.settings.group_names;
         let as_json = |name: &String| Value::from(name.as_str()).to_string();
         RunningConfig {
-            platform: Platform::new(&node),
+            platform: ReloadablePlatform::new(&node),
             key_meanings: KeyMeanings::new(&installation, group_names),
             listening: installation.listeners.clone(),
             group_names_json: group_names.iter().map(as_json).collect(),
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use doortrack_admission::{Backpressure, Effect, EndpointGroup};
-use doortrack_config::reload::Started;
+use doortrack_config::reload::StartupConfig;
 use doortrack_config::{Installation, NodeConfig, ResourceLimits, ServerPool};
 use doortrack_protocols::Protocol;
 use doortrack_time::{MILLISECOND, TenthMillis};
@@ -306,7 +306,7 @@
     installation_path: Option<PathBuf>,
     poller: &Arc<Poller>,
 ) -> Reloader {
-    let started = Started {
+    let started = StartupConfig {
         config: Arc::clone(&config.node),
         in_fleet: config.installation.fleet.is_some(),
     };
--- a/crates/node/src/network/classifier.rs
+++ b/crates/node/src/network/classifier.rs
@@ -11,7 +11,7 @@
 use doortrack_config::Installation;
 use doortrack_expr::{Request as _, Scratch};
 use doortrack_protocols::Protocol;
-use doortrack_routes::{Built, Class, Classification, Rejection, Shadowed, Table};
+use doortrack_routes::{BuildOutput, Class, Classification, Rejection, ShadowedRule, Table};
 use doortrack_settings::DeploymentSettings;
 use doortrack_time::{MILLISECOND, TenthMillis};
 
@@ -33,7 +33,7 @@
     /// The endpoint group of requests that no rule matches.
     default_group: Option<u8>,
     /// Rules that can never match.
-    pub shadowed: Vec<Shadowed>,
+    pub shadowed: Vec<ShadowedRule>,
     /// How many rules the table shares with the one before it.
     pub reused: usize,
 }
@@ -41,14 +41,14 @@
 impl RuleTable {
     /// The rules of `installation`, with its names looked up in the deployment's settings.
     pub fn new(
-        built: Built,
+        built: BuildOutput,
         installation: &Installation,
         settings: &DeploymentSettings,
     ) -> RuleTable {
         let group_index =
             |name: &String| settings.group_names.iter().position(|group| group == name);
         let default_group = installation.fallback_group.as_ref().and_then(group_index);
-        let Built {
+        let BuildOutput {
             table,
             shadowed,
             reused,
@@ -176,7 +176,7 @@
     /// What the first matching rule says of a request; none where no rule matches.
     fn classify(&mut self, view: &RequestView) -> Result<Option<Class>, Unreadable> {
         match self.rules.table.classify(view, &mut self.scratch) {
-            Classification::As(class) => Ok(Some(class)),
+            Classification::Matched(class) => Ok(Some(class)),
             Classification::NoRule => Ok(None),
             Classification::Rejected {
                 why: Rejection::Tenant,
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -163,7 +163,7 @@
     fn clock(&self) -> LinkClock {
         LinkClock {
             zero: self.zero,
-            drift_ppm: self.config.tests.drift_ppm,
+            drift_ppm: self.config.fault_injection.drift_ppm,
         }
     }
 
--- a/crates/routes/src/build.rs
+++ b/crates/routes/src/build.rs
@@ -8,7 +8,7 @@
 use crate::compile::{Compiled, Compiler, source_digest};
 use crate::index::Index;
 use crate::rule::{Environment, Names, Rule, RuleError};
-use crate::shadowing::{Digest, Shadowed, Shadows};
+use crate::shadowing::{Digest, ShadowedRule, Shadows};
 use crate::table::{MAX_RULES, Table};
 
 /// Errors after which no more are looked for.
@@ -16,11 +16,11 @@
 
 /// A table, and what was found while it was built.
 #[derive(Debug)]
-pub struct Built {
+pub struct BuildOutput {
     /// The table.
     pub table: Table,
     /// Rules that can never win.
-    pub shadowed: Vec<Shadowed>,
+    pub shadowed: Vec<ShadowedRule>,
     /// Rules that were taken over from the previous table, compiled as they were.
     pub reused: usize,
 }
@@ -36,7 +36,7 @@
         rules: &[Rule],
         names: &Names,
         limits: Limits,
-    ) -> Result<(Table, Vec<Shadowed>), Vec<RuleError>> {
+    ) -> Result<(Table, Vec<ShadowedRule>), Vec<RuleError>> {
         Table::build_from(None, rules, names, limits).map(|built| (built.table, built.shadowed))
     }
 
@@ -50,7 +50,7 @@
         rules: &[Rule],
         names: &Names,
         limits: Limits,
-    ) -> Result<Built, Vec<RuleError>> {
+    ) -> Result<BuildOutput, Vec<RuleError>> {
         if rules.len() > MAX_RULES {
             let message = format!("at most {MAX_RULES} are wanted, found {}", rules.len());
             return Err(vec![RuleError {
@@ -95,7 +95,7 @@
             tenants,
             environment,
         };
-        Ok(Built {
+        Ok(BuildOutput {
             table,
             shadowed: shadows.into_shadowed(),
             reused,
--- a/crates/routes/src/classify.rs
+++ b/crates/routes/src/classify.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Classification {
     /// A rule matched.
-    As(Class),
+    Matched(Class),
     /// A rule matched, but lacks something that the request has to have.
     Rejected {
         /// The index of the rule.
@@ -107,7 +107,7 @@
             .timeout
             .as_ref()
             .and_then(|program| timeout(program.eval(request, scratch)));
-        Classification::As(Class {
+        Classification::Matched(Class {
             rule: index,
             group: rule.group,
             tenant,
--- a/crates/routes/src/shadowing.rs
+++ b/crates/routes/src/shadowing.rs
@@ -11,14 +11,14 @@
 
 /// A rule that can never win, as an earlier one takes all that it could.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shadowed {
+pub struct ShadowedRule {
     /// The index of the rule.
     pub rule: usize,
     /// The index of the earlier rule.
     pub by: usize,
 }
 
-impl fmt::Display for Shadowed {
+impl fmt::Display for ShadowedRule {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
@@ -70,14 +70,14 @@
     /// Path prefixes that are a condition by themselves.
     prefixes: BTreeMap<String, usize>,
     always: Option<usize>,
-    found: Vec<Shadowed>,
+    found: Vec<ShadowedRule>,
 }
 
 impl Shadows {
     /// Takes the next rule; rules are to come in their order.
     pub(crate) fn add(&mut self, rule: usize, condition: &Condition, predicates: &[Predicate]) {
         if let Some(by) = self.first_before(condition, predicates) {
-            self.found.push(Shadowed { rule, by });
+            self.found.push(ShadowedRule { rule, by });
             return;
         }
         if condition.always {
@@ -90,7 +90,7 @@
         }
     }
 
-    pub(crate) fn into_shadowed(self) -> Vec<Shadowed> {
+    pub(crate) fn into_shadowed(self) -> Vec<ShadowedRule> {
         self.found
     }
 
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -54,7 +54,7 @@
         "{request:?}"
     );
     match found {
-        Classification::As(class) => Some(class.rule),
+        Classification::Matched(class) => Some(class.rule),
         Classification::Rejected { rule, .. } => Some(rule),
         Classification::NoRule => None,
     }
@@ -135,21 +135,21 @@
     let asked = path("/pay/berth-4")
         .header("x-yard", "South")
         .header("x-order", "77");
-    let Classification::As(one) = class(&asked) else {
+    let Classification::Matched(one) = class(&asked) else {
         panic!()
     };
     assert_eq!(
         (one.rule, one.group, one.tenant, one.pool, one.rank),
         (0, 1, Some(1), Some(1), Some(0.25))
     );
-    let Classification::As(again) = class(&asked) else {
+    let Classification::Matched(again) = class(&asked) else {
         panic!()
     };
     assert_eq!(one, again);
     let other = path("/pay/berth-5")
         .header("x-yard", "South")
         .header("x-order", "78");
-    let Classification::As(other) = class(&LiteralRequest {
+    let Classification::Matched(other) = class(&LiteralRequest {
         body: vec![0; 20],
         ..other
     }) else {
@@ -182,7 +182,7 @@
     ] {
         assert_eq!(class(&request), Classification::Rejected { rule: 0, why });
     }
-    let Classification::As(none) = class(
+    let Classification::Matched(none) = class(
         &path("/pay/")
             .header("x-order", "1")
             .header("x-yard", "north"),
@@ -191,7 +191,7 @@
     };
     assert_eq!(none.session_key, None);
     let due_of = |request: &LiteralRequest| {
-        if let Classification::As(class) = class(request) {
+        if let Classification::Matched(class) = class(request) {
             class.timeout
         } else {
             None
