--- a/crates/node/src/commands/routes.rs
+++ b/crates/node/src/commands/routes.rs
@@ -151,7 +151,7 @@
     /// Describes a classification in words.
     fn describe(&self, classification: &Classification) -> String {
         match classification {
-            Classification::As(class) => {
+            Classification::Matched(class) => {
                 let group = &self.group_names[usize::from(class.group)];
                 format!("rules[{}], group {group}", class.rule)
             }
@@ -172,7 +172,7 @@
     /// The name of the classified group, if any.
     fn group_name(&self, classification: &Classification) -> Option<&String> {
         match classification {
-            Classification::As(class) => Some(&self.group_names[usize::from(class.group)]),
+            Classification::Matched(class) => Some(&self.group_names[usize::from(class.group)]),
             Classification::Rejected { .. } => None,
             Classification::NoRule => self.installation.fallback_group.as_ref(),
         }
@@ -197,7 +197,7 @@
 /// Index of the rule that matched, if any did.
 fn matched_rule(classification: &Classification) -> Option<u32> {
     match classification {
-        Classification::As(class) => Some(class.rule),
+        Classification::Matched(class) => Some(class.rule),
         Classification::Rejected { rule, .. } => Some(*rule),
         Classification::NoRule => None,
     }
@@ -205,7 +205,7 @@
 
 /// Returns a line for each value that the rule assigned to the request.
 fn class_values(classification: &Classification) -> Vec<String> {
-    let Classification::As(class) = classification else {
+    let Classification::Matched(class) = classification else {
         return Vec::new();
     };
     let session_key = class.session_key.map(|key| format!("subject: {key:016x}"));
--- a/crates/node/src/peers/link.rs
+++ b/crates/node/src/peers/link.rs
@@ -168,7 +168,7 @@
     fn clock(&self) -> LinkClock {
         LinkClock {
             opened_at: self.opened_at,
-            drift_ppm: self.config.tests.drift_ppm,
+            drift_ppm: self.config.fault_injection.drift_ppm,
         }
     }
 
