--- a/crates/routes/src/build.rs
+++ b/crates/routes/src/build.rs
@@ -1,37 +1,37 @@
-//! From rules as they were written to a table, or to every error of theirs.
+//! Builds a table from rules in source form, or reports all their errors.
 
 use std::sync::Arc;
 
 use doortrack_expr::Limits;
 use rustc_hash::FxHashMap;
 
-use crate::compile::{Compiled, Compiler, source_digest};
+use crate::compile::{CompiledRule, Compiler, source_digest};
 use crate::index::Index;
 use crate::rule::{Environment, Names, Rule, RuleError};
-use crate::shadowing::{Digest, ShadowedRule, Shadows};
+use crate::shadowing::{Digest, ShadowDetector, ShadowedRule};
 use crate::table::{MAX_RULES, Table};
 
-/// Errors after which no more are looked for.
+/// Number of errors after which no further rules are compiled.
 const MAX_ERRORS: usize = 50;
 
-/// A table, and what was found while it was built.
+/// A table and the findings of its build.
 #[derive(Debug)]
 pub struct BuildOutput {
-    /// The table.
+    /// The table that was built.
     pub table: Table,
-    /// Rules that can never win.
+    /// Rules that can never match.
     pub shadowed: Vec<ShadowedRule>,
-    /// Rules that were taken over from the previous table, compiled as they were.
+    /// Number of compiled rules that are shared with the previous table.
     pub reused: usize,
 }
 
-type Tenants = FxHashMap<Box<str>, u16>;
+type TenantIndices = FxHashMap<Box<str>, u16>;
 
 impl Table {
-    /// Reads, checks and compiles all rules.
+    /// Parses, checks and compiles all rules.
     ///
     /// # Errors
-    /// Every error, up to fifty, in the order of the rules.
+    /// Returns the errors in rule order; compilation stops after the rule that brings them to fifty or more.
     pub fn build(
         rules: &[Rule],
         names: &Names,
@@ -40,11 +40,11 @@
         Table::build_from(None, rules, names, limits).map(|built| (built.table, built.shadowed))
     }
 
-    /// As [`Table::build`], where rules that stand in `previous` as well are shared with it and neither read
-    /// nor checked again. The outcome is the same table.
+    /// As [`Table::build`], but rules that are also in `previous` are shared with it instead of being compiled
+    /// again. The resulting table is the same.
     ///
     /// # Errors
-    /// Every error, up to fifty, in the order of the rules.
+    /// Returns the errors in rule order; compilation stops after the rule that brings them to fifty or more.
     pub fn build_from(
         previous: Option<&Table>,
         rules: &[Rule],
@@ -59,25 +59,27 @@
             }]);
         }
         let environment = Environment::new(names, limits);
-        let known = previous
+        let previous_rules = previous
             .filter(|table| table.environment == environment)
             .map_or_else(
                 FxHashMap::default,
-                |table| -> FxHashMap<Digest, &Arc<Compiled>> {
+                |table| -> FxHashMap<Digest, &Arc<CompiledRule>> {
                     table.rules.iter().map(|rule| (rule.source, rule)).collect()
                 },
             );
         let mut compiler = Compiler::new(&environment);
-        let (mut compiled, mut shadows) = (Vec::with_capacity(rules.len()), Shadows::default());
+        let (mut compiled, mut shadows) =
+            (Vec::with_capacity(rules.len()), ShadowDetector::default());
         let mut reused = 0;
         for (index, rule) in rules.iter().enumerate() {
             if compiler.errors.len() >= MAX_ERRORS {
                 break;
             }
             let source = source_digest(rule);
-            let known = known.get(&source).map(|rule| Arc::clone(rule));
-            reused += usize::from(known.is_some());
-            let Some(rule) = known.or_else(|| compiler.rule(index, rule, source).map(Arc::new))
+            let reused_rule = previous_rules.get(&source).map(|rule| Arc::clone(rule));
+            reused += usize::from(reused_rule.is_some());
+            let Some(rule) =
+                reused_rule.or_else(|| compiler.compile_rule(index, rule, source).map(Arc::new))
             else {
                 continue;
             };
@@ -88,7 +90,7 @@
             return Err(compiler.errors);
         }
         let rule_index = Index::new(compiled.iter().map(|rule| &rule.predicates[..]));
-        let tenants = tenants(previous, &names.tenants);
+        let tenants = tenant_indices(previous, &names.tenants);
         let table = Table {
             rules: compiled,
             index: rule_index,
@@ -103,9 +105,9 @@
     }
 }
 
-/// The indices of tenants by their names, shared with the previous table where they are the same.
-fn tenants(previous: Option<&Table>, names: &[String]) -> Arc<Tenants> {
-    let same = |tenants: &Tenants| {
+/// Returns the tenant indices by name, shared with the previous table if they are the same.
+fn tenant_indices(previous: Option<&Table>, names: &[String]) -> Arc<TenantIndices> {
+    let same = |tenants: &TenantIndices| {
         let has =
             |(index, name): (usize, &String)| tenants.get(name.as_str()) == Some(&(index as u16));
         tenants.len() == names.len() && names.iter().enumerate().all(has)
--- a/crates/routes/src/classify.rs
+++ b/crates/routes/src/classify.rs
@@ -1,41 +1,42 @@
-//! Classifying one request by the first rule that matches.
+//! Classifies a request by the first rule that matches.
 
 use doortrack_expr::{Request, Scratch, Value};
 use doortrack_time::{MICROSECONDS_PER_UNIT, TenthMillis};
 use sha2::{Digest, Sha256};
 
-use crate::compile::Compiled;
+use crate::compile::CompiledRule;
 use crate::fnv1a;
 use crate::table::Table;
 
-/// What a rule says of a request. What it does not say is taken from the request's own fields.
+/// The properties that a rule assigns to a request. Those that are `None` are taken from the variables of the
+/// request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// The index of the rule that matched.
+    /// Index of the rule that matched.
     pub rule: u32,
-    /// The index of its endpoint group.
+    /// Index of the endpoint group.
     pub group: u8,
-    /// The index of its tenant.
+    /// Index of the tenant.
     pub tenant: Option<u16>,
-    /// Identifies its session, if it has one. Never 0.
+    /// Hash of the session key, if there is one. Never 0.
     pub session_key: Option<u64>,
-    /// A digest of its idempotency key.
+    /// SHA-256 digest of the idempotency key.
     pub idempotency_key: Option<[u8; 32]>,
-    /// From 0 to under 1.
+    /// Rank, at least 0 and less than 1.
     pub rank: Option<f32>,
-    /// How long its caller waits.
+    /// How long the caller waits.
     pub timeout: Option<TenthMillis>,
-    /// The index of the pool of servers that it goes to.
+    /// Index of the server pool that the request is sent to.
     pub pool: Option<u16>,
 }
 
-/// Why a request that a rule took can't be classed.
+/// Why a request that matches a rule can't be classified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Its tenant is absent, or none of those known.
+    /// The tenant is absent or unknown.
     Tenant,
-    /// Its group is deduplicated and its key is absent or empty: with an empty one all would be one
-    /// request.
+    /// The group is deduplicated and the idempotency key is absent or empty. With an empty key all such requests
+    /// would count as duplicates of one another.
     IdempotencyKey,
 }
 
@@ -44,24 +45,24 @@
 pub enum Classification {
     /// A rule matched.
     Matched(Class),
-    /// A rule matched, but lacks something that the request has to have.
+    /// A rule matched, but the request lacks a property that it needs.
     Rejected {
-        /// The index of the rule.
+        /// Index of the rule.
         rule: u32,
-        /// What is missing.
+        /// The missing property.
         why: Rejection,
     },
     /// No rule matched.
     NoRule,
 }
 
-/// The largest float under 1.
-const UNDER_ONE: f32 = 1.0 - f32::EPSILON / 2.0;
+/// The largest `f32` below 1.
+const MAX_RANK: f32 = 1.0 - f32::EPSILON / 2.0;
 
 impl Table {
-    /// Classes one request by the first rule whose condition holds.
+    /// Classifies a request by the first rule whose condition holds.
     pub fn classify<R: Request>(&self, request: &R, scratch: &mut Scratch) -> Classification {
-        let found = self.index.first(request, |rule| {
+        let found = self.index.first_match(request, |rule| {
             self.rules[rule as usize].when.is_true(request, scratch)
         });
         found.map_or(Classification::NoRule, |rule| {
@@ -69,7 +70,7 @@
         })
     }
 
-    /// The same with every rule asked in its order; for comparison.
+    /// As [`Table::classify`], but evaluates all rules in order without the index. Tests compare the two.
     pub fn classify_in_order<R: Request>(
         &self,
         request: &R,
@@ -121,7 +122,7 @@
 
     fn tenant<R: Request>(
         &self,
-        rule: &Compiled,
+        rule: &CompiledRule,
         request: &R,
         scratch: &mut Scratch,
     ) -> Result<Option<u16>, Rejection> {
@@ -136,10 +137,11 @@
         }
     }
 
-    /// A digest of the idempotency key; none where the group has no keys, or the rule does not say.
+    /// Returns a digest of the idempotency key, or `None` if the group is not deduplicated or the rule does not
+    /// determine a key.
     fn idempotency_key<R: Request>(
         &self,
-        rule: &Compiled,
+        rule: &CompiledRule,
         request: &R,
         scratch: &mut Scratch,
     ) -> Result<Option<[u8; 32]>, Rejection> {
@@ -157,17 +159,17 @@
 
 fn session_key(value: Value, scratch: &Scratch) -> Option<u64> {
     if let Value::Int(n) = value {
-        return Some(spread(n as u64));
+        return Some(splitmix64(n as u64));
     }
     match text(value, scratch) {
         [] => None,
-        bytes => Some(spread(fnv1a::hash(bytes))),
+        bytes => Some(splitmix64(fnv1a::hash(bytes))),
     }
 }
 
 fn rank(value: Value) -> Option<f32> {
     match value {
-        Value::Float(rank) => Some((rank as f32).clamp(0.0, UNDER_ONE)),
+        Value::Float(rank) => Some((rank as f32).clamp(0.0, MAX_RANK)),
         _ => None,
     }
 }
@@ -179,7 +181,7 @@
     }
 }
 
-/// Bytes of a text; none where it is absent.
+/// Returns the bytes of a string; an absent string has none.
 fn text<'s, 'v: 's>(value: Value<'v>, scratch: &'s Scratch) -> &'s [u8] {
     if let Value::Text(text) = value {
         scratch.text(text)
@@ -188,16 +190,16 @@
     }
 }
 
-/// SplitMix64: spreads a number over all bits, so that neighbours are far apart; 0 is kept free, as it stands for no
-/// session.
-fn spread(n: u64) -> u64 {
+/// Mixes the bits of a number with SplitMix64, so that consecutive numbers do not give related keys. The result is
+/// never 0, which stands for no session key.
+fn splitmix64(n: u64) -> u64 {
     let mut n = n.wrapping_add(0x9e37_79b9_7f4a_7c15);
     n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     n = (n ^ (n >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     (n ^ (n >> 31)).max(1)
 }
 
-/// From microseconds, rounded down; a negative duration is none.
+/// Converts microseconds, rounded down. A negative duration becomes 0.
 fn from_microseconds(microseconds: i64) -> TenthMillis {
     microseconds.max(0) as u64 / MICROSECONDS_PER_UNIT
 }
--- a/crates/routes/src/compile.rs
+++ b/crates/routes/src/compile.rs
@@ -1,4 +1,4 @@
-//! One rule, from its sources to the form that requests are asked with.
+//! Compiles one rule from its source expressions.
 
 use doortrack_expr::{Expr, Program, Type, infer, infer_parsed, parse};
 use rustc_hash::FxHashMap;
@@ -8,10 +8,10 @@
 use crate::rule::{Environment, Rule, RuleError};
 use crate::shadowing::{Condition, Digest};
 
-/// One rule, checked and compiled. Tables that have the same rule in the same environment share it.
+/// A checked and compiled rule. Tables that have the same rule in the same environment share it.
 #[derive(Debug)]
-pub(crate) struct Compiled {
-    /// A digest of the rule as it was written.
+pub(crate) struct CompiledRule {
+    /// Digest of the rule in source form.
     pub(crate) source: Digest,
     pub(crate) when: Program,
     pub(crate) group: u8,
@@ -21,12 +21,12 @@
     pub(crate) rank: Option<Program>,
     pub(crate) timeout: Option<Program>,
     pub(crate) pool: Option<u16>,
-    /// What of its condition can be looked up.
+    /// The parts of the condition that can be looked up in the index.
     pub(crate) predicates: Box<[Predicate]>,
     pub(crate) condition: Condition,
 }
 
-/// A digest of all that a rule says.
+/// Returns a digest of all fields of a rule.
 pub(crate) fn source_digest(rule: &Rule) -> Digest {
     let Rule {
         when,
@@ -43,7 +43,7 @@
         .into_iter()
         .chain([tenant, session_key, idempotency_key, rank, timeout, pool].map(Option::as_ref))
     {
-        // Lengths keep texts apart, and an absent one from an empty one.
+        // The lengths separate adjacent strings and distinguish an absent string from an empty one.
         digest.update(
             text.map_or(u64::MAX, |text| text.len() as u64)
                 .to_le_bytes(),
@@ -53,7 +53,7 @@
     digest.finalize().into()
 }
 
-/// Compiles rules, and collects what is wrong with them.
+/// Compiles rules and collects their errors.
 pub(crate) struct Compiler<'e> {
     environment: &'e Environment,
     groups: FxHashMap<&'e str, usize>,
@@ -75,17 +75,22 @@
         }
     }
 
-    /// The rule at this index, or nothing where it has errors.
-    pub(crate) fn rule(&mut self, index: usize, rule: &Rule, source: Digest) -> Option<Compiled> {
-        let parsed = self.parsed(index, &rule.when);
+    /// Compiles the rule at this index, or returns `None` if it has errors.
+    pub(crate) fn compile_rule(
+        &mut self,
+        index: usize,
+        rule: &Rule,
+        source: Digest,
+    ) -> Option<CompiledRule> {
+        let parsed = self.parse_condition(index, &rule.when);
         let when = parsed
             .as_ref()
-            .and_then(|expr| self.condition(index, &rule.when, expr));
-        let group = self.group(index, &rule.group);
+            .and_then(|expr| self.compile_condition(index, &rule.when, expr));
+        let group = self.group_index(index, &rule.group);
         let mut optional = |key: &str, source: &Option<String>, types: &[Type]| {
             source
                 .as_ref()
-                .map(|source| self.program(index, key, source, types))
+                .map(|source| self.compile_expression(index, key, source, types))
         };
         let tenant = optional("customer", &rule.tenant, &[Type::Str]);
         let session_key = optional(
@@ -100,21 +105,21 @@
         );
         let rank = optional("rank", &rule.rank, &[Type::Float]);
         let timeout = optional("due", &rule.timeout, &[Type::Duration]);
-        let pool = rule.pool.as_ref().map(|name| self.pool(index, name));
+        let pool = rule.pool.as_ref().map(|name| self.pool_index(index, name));
         if key.is_some() && group.is_some_and(|group| !self.environment.groups[group].deduplicated)
         {
-            let what = format!(
+            let message = format!(
                 "exchanges of '{}' are not deduplicated and carry none",
                 rule.group
             );
-            self.error(index, "idempotency_key", what);
+            self.error(index, "idempotency_key", message);
         }
         if tenant.is_some() && !self.environment.has_tenants {
             self.error(index, "customer", "the deployment has no customers");
         }
         let expr = parsed?;
-        // An expression with an error was reported, and fails the rule.
-        Some(Compiled {
+        // Errors were reported above; a rule with an error is not compiled.
+        Some(CompiledRule {
             source,
             when: when?,
             group: group? as u8,
@@ -136,7 +141,7 @@
         });
     }
 
-    fn parsed(&mut self, index: usize, when: &str) -> Option<Expr> {
+    fn parse_condition(&mut self, index: usize, when: &str) -> Option<Expr> {
         let report = |errors: Vec<_>| {
             errors
                 .iter()
@@ -147,33 +152,33 @@
         parse(when).map_err(report).ok()
     }
 
-    fn condition(&mut self, index: usize, source: &str, when: &Expr) -> Option<Program> {
-        let found = infer_parsed(when, self.environment.limits);
-        self.of_type(index, "when", source, found, &[Type::Bool])
+    fn compile_condition(&mut self, index: usize, source: &str, when: &Expr) -> Option<Program> {
+        let result = infer_parsed(when, self.environment.limits);
+        self.check_type(index, "when", source, result, &[Type::Bool])
     }
 
-    fn program(
+    fn compile_expression(
         &mut self,
         index: usize,
         key: &str,
         source: &str,
         types: &[Type],
     ) -> Option<Program> {
-        let found = infer(source, self.environment.limits);
-        self.of_type(index, key, source, found, types)
+        let result = infer(source, self.environment.limits);
+        self.check_type(index, key, source, result, types)
     }
 
-    /// What was compiled, if its value is of one of these types; of a condition the type itself, of anything
-    /// else also an optional one.
-    fn of_type(
+    /// Returns the compiled program if its type is one of `types`, or an optional of one of them unless `key` is
+    /// `when`; reports an error otherwise.
+    fn check_type(
         &mut self,
         index: usize,
         key: &str,
         source: &str,
-        found: Result<Program, Vec<doortrack_expr::Diagnostic>>,
+        result: Result<Program, Vec<doortrack_expr::Diagnostic>>,
         types: &[Type],
     ) -> Option<Program> {
-        match found {
+        match result {
             Ok(program) => {
                 let inner = if let Type::Optional(inner) = program.ty() {
                     inner
@@ -184,12 +189,12 @@
                     return Some(program);
                 }
                 let wanted: Vec<String> = types.iter().map(Type::to_string).collect();
-                let what = format!(
+                let message = format!(
                     "{} is wanted, this is {}",
                     wanted.join(" or "),
                     program.ty()
                 );
-                self.error(index, key, what);
+                self.error(index, key, message);
             }
             Err(errors) => errors
                 .iter()
@@ -198,7 +203,7 @@
         None
     }
 
-    fn group(&mut self, index: usize, name: &str) -> Option<usize> {
+    fn group_index(&mut self, index: usize, name: &str) -> Option<usize> {
         let group = self.groups.get(name).copied();
         if group.is_none() {
             let known: Vec<&str> = self
@@ -207,16 +212,16 @@
                 .iter()
                 .map(|group| group.name.as_str())
                 .collect();
-            let what = format!(
+            let message = format!(
                 "'{name}' is none of the endpoint groups {}",
                 known.join(", ")
             );
-            self.error(index, "group", what);
+            self.error(index, "group", message);
         }
         group
     }
 
-    fn pool(&mut self, index: usize, name: &str) -> Option<u16> {
+    fn pool_index(&mut self, index: usize, name: &str) -> Option<u16> {
         let pool = self.environment.pools.iter().position(|pool| pool == name);
         if pool.is_none() {
             let known = self.environment.pools.join(", ");
@@ -230,14 +235,14 @@
     }
 }
 
-/// `Some(None)` where the rule has no such key, `None` where its expression has an error.
+/// Returns `Some(None)` if the rule does not have the key, and `None` if its expression has an error.
 #[expect(
     clippy::option_option,
-    reason = "three cases that each mean something else"
+    reason = "absent, failed and compiled are three different cases"
 )]
 fn compiled<T>(part: Option<Option<T>>) -> Option<Option<T>> {
     match part {
         None => Some(None),
-        Some(found) => found.map(Some),
+        Some(result) => result.map(Some),
     }
 }
--- a/crates/routes/src/index.rs
+++ b/crates/routes/src/index.rs
@@ -1,5 +1,5 @@
-//! From a request to the rules whose conditions may hold: a superset, in order. Texts are kept by their hashes
-//! alone, since a rule found by a collision is evaluated like any other.
+//! Index from a request to the rules whose conditions may hold: a superset of the matching rules, in rule order.
+//! Strings are indexed by hash only: a rule that is found by a hash collision is evaluated like any other.
 
 use std::collections::BTreeMap;
 
@@ -9,30 +9,31 @@
 use crate::fnv1a;
 use crate::predicates::{Attribute, Predicate};
 
-/// Attributes that are looked up for each request; rules over further ones are evaluated in order.
+/// Maximum number of attributes that are looked up for each request. Predicates on further attributes are not
+/// indexed.
 const MAX_ATTRIBUTES: usize = 32;
-/// Lists of rules that are merged without an allocation.
+/// Number of rule lists that [`Candidates`] merges without a heap allocation.
 const INLINE_LISTS: usize = 48;
 
-/// Where a rule is found: the index of an attribute, or [`PREFIX`], and the hash of its text.
+/// Key of a posting list: the index of an attribute, or [`PREFIX`], and the hash of the compared string.
 type Key = (u16, u64);
-/// Stands for a prefix of the path in a [`Key`].
+/// Marks a [`Key`] of a path prefix.
 const PREFIX: u16 = u16::MAX;
 
 #[derive(Debug, Default)]
 pub(crate) struct Index {
     /// Attributes that are looked up for each request.
     attributes: Vec<Attribute>,
-    /// Rules by key, in order.
+    /// Posting lists: rule indices by key, ascending.
     postings: FxHashMap<Key, Vec<u32>>,
-    /// Lengths of path prefixes, ascending.
+    /// Lengths of the indexed path prefixes in bytes, ascending.
     prefix_lengths: Vec<usize>,
-    /// Rules that are under no key, in order.
+    /// Rules that are in no posting list, ascending.
     unindexed: Vec<u32>,
 }
 
 impl Index {
-    /// Files each rule under the predicate of its condition that it shares with the fewest rules.
+    /// Indexes each rule by the predicate of its condition that the fewest rules share.
     pub(crate) fn new<'p>(rules: impl Iterator<Item = &'p [Predicate]> + Clone) -> Index {
         let mut index = Index {
             attributes: most_used_attributes(rules.clone().flatten()),
@@ -55,7 +56,7 @@
                 .iter()
                 .filter_map(|predicate| keys(predicate).map(|keys| (cost(&keys), predicate, keys)));
             match candidates.min_by_key(|(cost, ..)| *cost) {
-                Some((_, predicate, keys)) => index.file(rule as u32, predicate, keys),
+                Some((_, predicate, keys)) => index.insert(rule as u32, predicate, keys),
                 None => index.unindexed.push(rule as u32),
             }
         }
@@ -64,26 +65,26 @@
         index
     }
 
-    fn file(&mut self, rule: u32, predicate: &Predicate, keys: Vec<Key>) {
-        if let Predicate::Prefix(start) = predicate {
-            self.prefix_lengths.push(start.len());
+    fn insert(&mut self, rule: u32, predicate: &Predicate, keys: Vec<Key>) {
+        if let Predicate::Prefix(prefix) = predicate {
+            self.prefix_lengths.push(prefix.len());
         }
         for key in keys {
             let postings = self.postings.entry(key).or_default();
-            // A text may stand twice in one list of texts.
+            // A list of strings may contain the same string twice.
             if postings.last() != Some(&rule) {
                 postings.push(rule);
             }
         }
     }
 
-    /// Rules that are under no key, and so are evaluated for every request.
+    /// The number of rules in no posting list, which are evaluated for every request.
     pub(crate) fn unindexed(&self) -> usize {
         self.unindexed.len()
     }
 
-    /// The first rule, of those that may match, for which `holds` is true.
-    pub(crate) fn first<R: Request>(
+    /// Returns the first candidate rule for which `holds` returns true.
+    pub(crate) fn first_match<R: Request>(
         &self,
         request: &R,
         mut holds: impl FnMut(u32) -> bool,
@@ -104,16 +105,16 @@
             overflow: Vec::new(),
         };
         candidates.push(&self.unindexed);
-        self.find_prefixes(request.path().as_bytes(), &mut candidates);
+        self.push_prefixes(request.path().as_bytes(), &mut candidates);
         for (nth, attribute) in self.attributes.iter().enumerate() {
             if let Some(text) = attribute_text(request, attribute) {
-                candidates.find(self, (nth as u16, fnv1a::hash(text)));
+                candidates.push_postings(self, (nth as u16, fnv1a::hash(text)));
             }
         }
         candidates
     }
 
-    fn find_prefixes<'i>(&'i self, path: &[u8], candidates: &mut Candidates<'i>) {
+    fn push_prefixes<'i>(&'i self, path: &[u8], candidates: &mut Candidates<'i>) {
         let mut prefix_hash = fnv1a::EMPTY;
         let mut lengths = self.prefix_lengths.iter().peekable();
         for (nth, byte) in path.iter().enumerate() {
@@ -122,13 +123,13 @@
             }
             prefix_hash = fnv1a::add(prefix_hash, *byte);
             if lengths.next_if(|length| **length == nth + 1).is_some() {
-                candidates.find(self, (PREFIX, prefix_hash));
+                candidates.push_postings(self, (PREFIX, prefix_hash));
             }
         }
     }
 }
 
-/// The attributes that the most predicates compare, up to [`MAX_ATTRIBUTES`].
+/// Returns the [`MAX_ATTRIBUTES`] attributes that occur in the most predicates.
 fn most_used_attributes<'p>(predicates: impl Iterator<Item = &'p Predicate>) -> Vec<Attribute> {
     let mut uses: BTreeMap<&Attribute, usize> = BTreeMap::new();
     for predicate in predicates {
@@ -145,10 +146,10 @@
         .collect()
 }
 
-/// The keys under which a rule with this predicate can be found; none where its attribute is not looked up.
+/// Returns the keys that index a rule by this predicate, or `None` if the attribute is not looked up.
 fn keys_of(predicate: &Predicate, indices: &BTreeMap<Attribute, u16>) -> Option<Vec<Key>> {
     match predicate {
-        Predicate::Prefix(start) => Some(vec![(PREFIX, fnv1a::hash(start.as_bytes()))]),
+        Predicate::Prefix(prefix) => Some(vec![(PREFIX, fnv1a::hash(prefix.as_bytes()))]),
         Predicate::OneOf(attribute, texts) => {
             let index = *indices.get(attribute)?;
             let key = |text: &String| (index, fnv1a::hash(text.as_bytes()));
@@ -171,10 +172,10 @@
     }
 }
 
-/// Ascending lists of rules, merged as they are read.
+/// Merges ascending rule lists while they are read.
 struct Candidates<'i> {
     inline: [&'i [u32]; INLINE_LISTS],
-    /// Lists in `inline`.
+    /// Number of lists in `inline`.
     count: usize,
     overflow: Vec<&'i [u32]>,
 }
@@ -193,13 +194,14 @@
         }
     }
 
-    fn find(&mut self, index: &'i Index, key: Key) {
+    fn push_postings(&mut self, index: &'i Index, key: Key) {
         if let Some(list) = index.postings.get(&key) {
             self.push(list);
         }
     }
 
-    /// The next rule in order. One is in two lists only by a clash of hashes, and asked twice then.
+    /// Returns the next rule in order. A rule is in two lists only after a hash collision, and is then returned
+    /// twice.
     fn next(&mut self) -> Option<u32> {
         let all = self.inline[..self.count]
             .iter_mut()
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,12 +1,14 @@
-//! A table of rules that classes requests: which endpoint group, tenant, subject, key, rank, due time
-//! and pool of servers each has. It never admits or rejects; that is the decisions' job.
+//! A rule table that classifies requests: it determines the endpoint group, tenant, session key, idempotency key,
+//! rank, timeout and server pool of each request. Admission control is the job of `doortrack-admission`.
 //!
-//! Rules are tried in order and the first whose condition holds wins. [`Table::build`] reads and checks all
-//! of them and gives a table that does not change, with [`ShadowedRule`]s on rules that can never win; or every
-//! [`RuleError`]. Conditions that compare the path, a segment, a header or the like with known texts are lifted
-//! into an index, so that what a match costs does not grow with the number of rules; what the index offers
-//! is still asked its whole condition, in order, so the outcome is that of trying all. No I/O, no clock.
-//! [`Table::build_from`] takes over from a previous table what did not change.
+//! The first rule whose condition holds wins. [`Table::build`] parses, checks and compiles the rules into an
+//! immutable table and reports every [`ShadowedRule`], or returns every [`RuleError`]. [`Table::build_from`]
+//! reuses the unchanged rules of a previous table.
+//!
+//! Conditions that compare the path, a path segment, a header or a similar attribute with string literals are
+//! indexed, so the cost of a match does not grow with the number of rules. The full condition of each rule that
+//! the index returns is evaluated, in rule order, so the outcome is the same as evaluating all rules. The package
+//! does no I/O and reads no clock.
 
 mod build;
 mod classify;
--- a/crates/routes/src/predicates.rs
+++ b/crates/routes/src/predicates.rs
@@ -1,31 +1,33 @@
-//! The parts of a condition that an index can look up: comparisons of an attribute of the request with literal
-//! texts, where they are the whole condition or one of several parts that must all hold.
+//! Extracts the parts of a condition that an index can look up: comparisons of a request attribute with string
+//! literals that are the whole condition or one of its conjuncts.
 
 use doortrack_expr::{Expr, Kind, Op, cgi_name};
 
-/// A value of a request that is one text.
+/// A request attribute whose value is a string.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum Attribute {
     Path,
     Method,
     Front,
-    /// By its CGI name.
+    /// A variable, by its CGI name.
     Variable(String),
+    /// A path segment, by its index.
     Segment(usize),
 }
 
-/// One part of a condition that can be looked up.
+/// A part of a condition that can be looked up in the index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Predicate {
-    /// The path begins so.
+    /// The path starts with this string.
     Prefix(String),
-    /// This attribute is one of these texts.
+    /// The attribute equals one of these strings.
     OneOf(Attribute, Vec<String>),
 }
 
-/// Texts beyond which a list is not lifted: each is an entry of the index.
+/// Maximum length of a string list that is indexed. Each string is an entry of the index.
 const MAX_TEXTS: usize = 256;
 
+/// Returns the conjuncts of `when` that can be looked up.
 pub(crate) fn predicates(when: &Expr) -> Vec<Predicate> {
     match &when.kind {
         Kind::All(parts) => parts.iter().filter_map(predicate).collect(),
@@ -33,8 +35,8 @@
     }
 }
 
-/// Conditions side by side that must all hold; by these two can be told to be the same, or one to be
-/// contained.
+/// Returns the parts of a condition that must all hold. They are compared to find out whether two conditions are
+/// equal or one contains the other.
 pub(crate) fn conjuncts(when: &Expr) -> &[Expr] {
     match &when.kind {
         Kind::All(parts) => parts,
@@ -46,10 +48,10 @@
     match &expr.kind {
         Kind::Call { name, args, .. } if name == "starts_with" => {
             match (&args[..], &args.get(1)?.kind) {
-                ([of, _], Kind::Str(start))
-                    if attribute(of, &[]) == Some(Attribute::Path) && !start.is_empty() =>
+                ([operand, _], Kind::Str(prefix))
+                    if attribute(operand, &[]) == Some(Attribute::Path) && !prefix.is_empty() =>
                 {
-                    Some(Predicate::Prefix(start.clone()))
+                    Some(Predicate::Prefix(prefix.clone()))
                 }
                 _ => None,
             }
@@ -59,7 +61,7 @@
             (Kind::Str(text), _) => one_of(right, vec![text.clone()]),
             _ => None,
         },
-        Kind::Binary(Op::In, of, list) => {
+        Kind::Binary(Op::In, operand, list) => {
             let Kind::List(items) = &list.kind else {
                 return None;
             };
@@ -70,22 +72,22 @@
                     None
                 }
             });
-            one_of(of, texts.collect::<Option<Vec<String>>>()?)
+            one_of(operand, texts.collect::<Option<Vec<String>>>()?)
         }
         _ => None,
     }
 }
 
-fn one_of(of: &Expr, texts: Vec<String>) -> Option<Predicate> {
-    // What is too long or absent reads as an empty text here and there, so those are asked.
+fn one_of(operand: &Expr, texts: Vec<String>) -> Option<Predicate> {
+    // Some absent or overlong values read as an empty string, so a comparison with one is not indexed.
     if texts.len() > MAX_TEXTS || texts.iter().any(String::is_empty) {
         return None;
     }
-    Some(Predicate::OneOf(attribute(of, &texts)?, texts))
+    Some(Predicate::OneOf(attribute(operand, &texts)?, texts))
 }
 
-/// What of the request this is the text of. Where it may be absent, what stands for it must be none of the
-/// texts.
+/// Returns the attribute that `expr` reads, or `None` if it can't be indexed. An optional attribute can be indexed
+/// only if its default is not one of `texts`: the index finds no rule for an absent attribute.
 fn attribute(expr: &Expr, texts: &[String]) -> Option<Attribute> {
     match &expr.kind {
         Kind::Name(name) => match name.as_str() {
@@ -94,14 +96,14 @@
             "front" => Some(Attribute::Front),
             _ => None,
         },
-        Kind::Binary(Op::Else, of, other) => {
-            let Kind::Str(other) = &other.kind else {
+        Kind::Binary(Op::Else, operand, default_value) => {
+            let Kind::Str(default_value) = &default_value.kind else {
                 return None;
             };
-            if texts.contains(other) {
+            if texts.contains(default_value) {
                 return None;
             }
-            let Kind::Call { name, args, .. } = &of.kind else {
+            let Kind::Call { name, args, .. } = &operand.kind else {
                 return None;
             };
             match (name.as_str(), args.first().map(|arg| &arg.kind)) {
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -1,40 +1,41 @@
-//! Rules as they are written, the names that they may use, and what can be wrong with them.
+//! Rules as written by operators, the names they may refer to, and their errors.
 
 use doortrack_expr::Limits;
 
-/// A rule as operators write it. All but `group` and `servers` are expressions.
+/// A rule in source form. All fields except `group` and `pool` are expressions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rule {
-    /// Its condition, a bool.
+    /// Condition of type bool.
     pub when: String,
-    /// The name of an endpoint group.
+    /// Name of an endpoint group.
     pub group: String,
-    /// The name of a tenant: string, or optional string.
+    /// Tenant name, of type string or optional string.
     pub tenant: Option<String>,
-    /// Identifies its session: string, bytes or int, or optional. Absent and empty are no session.
+    /// Session key, of type string, bytes, int or an optional of these. A request whose value is absent or empty
+    /// has no session key.
     pub session_key: Option<String>,
-    /// The idempotency key of a deduplicated request: string or bytes, or optional. Absent and empty
-    /// ones are rejected.
+    /// Idempotency key of a deduplicated request, of type string, bytes or an optional of these. A request whose
+    /// value is absent or empty is rejected.
     pub idempotency_key: Option<String>,
-    /// From 0 to 1: float, or optional float.
+    /// Rank from 0 to 1, of type float or optional float.
     pub rank: Option<String>,
-    /// How long its caller waits: duration, or optional duration.
+    /// How long the caller waits, of type duration or optional duration.
     pub timeout: Option<String>,
-    /// The name of a pool of servers.
+    /// Name of a server pool.
     pub pool: Option<String>,
 }
 
-/// The name of an endpoint group.
+/// Name of an endpoint group and whether its requests are deduplicated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupName {
-    /// The name.
+    /// Name as rules refer to it.
     pub name: String,
-    /// Whether its requests carry an idempotency key.
+    /// Whether requests of the group carry an idempotency key.
     pub deduplicated: bool,
 }
 
 impl GroupName {
-    /// A group of this name.
+    /// Creates a group of this name.
     pub fn new(name: impl Into<String>, deduplicated: bool) -> GroupName {
         GroupName {
             name: name.into(),
@@ -43,14 +44,14 @@
     }
 }
 
-/// Names that rules may use, in the order of their indices.
+/// Names that rules may refer to. A position in each list is the index in a compiled rule.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// Endpoint groups.
     pub groups: Vec<GroupName>,
     /// Tenants.
     pub tenants: Vec<String>,
-    /// Pools of application servers.
+    /// Server pools.
     pub pools: Vec<String>,
 }
 
@@ -58,18 +59,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {message}")]
 pub struct RuleError {
-    /// The path of the key, such as `rules[3].when`.
+    /// Path of the key, such as `rules[3].when`.
     pub path: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub message: String,
 }
 
-/// What a rule's compiled form depends on beside its own source.
+/// Everything besides its source that the compiled form of a rule depends on.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Environment {
     pub(crate) groups: Vec<GroupName>,
     pub(crate) pools: Vec<String>,
-    /// Which tenants there are is looked up for each request, and is no part of a compiled rule.
+    /// Whether there are tenants. The tenants themselves are looked up for each request and are not part of a
+    /// compiled rule.
     pub(crate) has_tenants: bool,
     pub(crate) limits: Limits,
 }
--- a/crates/routes/src/shadowing.rs
+++ b/crates/routes/src/shadowing.rs
@@ -1,4 +1,4 @@
-//! Rules that can never win, since an earlier one takes all that they could.
+//! Detects rules that can never match, since an earlier rule matches all their requests.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,12 +9,12 @@
 
 use crate::predicates::{self, Attribute, Predicate};
 
-/// A rule that can never win, as an earlier one takes all that it could.
+/// A rule that can never match, since an earlier rule matches all its requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShadowedRule {
-    /// The index of the rule.
+    /// Index of the rule that can never match.
     pub rule: usize,
-    /// The index of the earlier rule.
+    /// Index of the earlier rule.
     pub by: usize,
 }
 
@@ -22,23 +22,23 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
-            "rules[{}] can never win: rules[{}] before it takes all that it could",
+            "rules[{}] can never match: the earlier rules[{}] matches all its requests",
             self.rule, self.by
         )
     }
 }
 
-/// Stands for a text of any length.
+/// SHA-256 digest of a text.
 pub(crate) type Digest = [u8; 32];
 
-/// What of a condition is compared with other conditions: digests of its parts.
+/// Digests of the parts of a condition, for comparison with other conditions.
 #[derive(Debug)]
 pub(crate) struct Condition {
-    /// The parts that must all hold, in the order of their digests, each once.
+    /// Digests of the conjuncts, sorted and without duplicates.
     conjuncts: Vec<Digest>,
-    /// All of them together.
+    /// Digest of all conjuncts.
     all: Digest,
-    /// It is `true`.
+    /// Whether the condition is the literal `true`.
     always: bool,
 }
 
@@ -59,24 +59,25 @@
     }
 }
 
-/// Finds rules that are shadowed by an earlier one, as far as that can be found at a cost that does not grow with
-/// the number of rules: by the same condition, by one that always holds, by one that is a part of theirs.
+/// Finds rules that are shadowed by an earlier rule. The cost per rule does not grow with the number of rules, so
+/// only these cases are found: the earlier condition is the same, is `true`, or is one of the conjuncts.
 #[derive(Default)]
-pub(crate) struct Shadows {
-    /// Conditions with one part only, by that part.
+pub(crate) struct ShadowDetector {
+    /// Rules with a single conjunct, by its digest.
     single: FxHashMap<Digest, usize>,
-    /// Conditions with several parts, by all of them.
+    /// Rules with several conjuncts, by the digest of all.
     compound: FxHashMap<Digest, usize>,
-    /// Path prefixes that are a condition by themselves.
+    /// Rules whose whole condition is a path prefix, by the prefix.
     prefixes: BTreeMap<String, usize>,
+    /// Rule whose condition is `true`.
     always: Option<usize>,
     found: Vec<ShadowedRule>,
 }
 
-impl Shadows {
-    /// Takes the next rule; rules are to come in their order.
+impl ShadowDetector {
+    /// Adds the next rule. Rules have to be added in order.
     pub(crate) fn add(&mut self, rule: usize, condition: &Condition, predicates: &[Predicate]) {
-        if let Some(by) = self.first_before(condition, predicates) {
+        if let Some(by) = self.first_shadowing(condition, predicates) {
             self.found.push(ShadowedRule { rule, by });
             return;
         }
@@ -84,7 +85,7 @@
             self.always = Some(rule);
         }
         match (&condition.conjuncts[..], predicates) {
-            ([_], [Predicate::Prefix(start)]) => _ = self.prefixes.insert(start.clone(), rule),
+            ([_], [Predicate::Prefix(prefix)]) => _ = self.prefixes.insert(prefix.clone(), rule),
             ([conjunct], _) => _ = self.single.insert(*conjunct, rule),
             _ => _ = self.compound.insert(condition.all, rule),
         }
@@ -94,21 +95,21 @@
         self.found
     }
 
-    /// The first rule that takes all that this condition could.
-    fn first_before(&self, condition: &Condition, predicates: &[Predicate]) -> Option<usize> {
+    /// Returns the first rule that matches all requests for which the condition holds.
+    fn first_shadowing(&self, condition: &Condition, predicates: &[Predicate]) -> Option<usize> {
         let mut first: Option<usize> = self.always;
-        let mut earlier =
+        let mut consider =
             |found: Option<&usize>| first = first.into_iter().chain(found.copied()).min();
         condition
             .conjuncts
             .iter()
-            .for_each(|conjunct| earlier(self.single.get(conjunct)));
-        earlier(self.compound.get(&condition.all));
+            .for_each(|conjunct| consider(self.single.get(conjunct)));
+        consider(self.compound.get(&condition.all));
         for part in predicates {
             match part {
-                Predicate::Prefix(start) => self.prefixes_of(start, &mut earlier),
+                Predicate::Prefix(prefix) => self.prefixes_of(prefix, &mut consider),
                 Predicate::OneOf(Attribute::Path, texts) if texts.len() == 1 => {
-                    self.prefixes_of(&texts[0], &mut earlier)
+                    self.prefixes_of(&texts[0], &mut consider)
                 }
                 Predicate::OneOf(..) => {}
             }
@@ -116,14 +117,14 @@
         first
     }
 
-    fn prefixes_of(&self, path: &str, earlier: &mut impl FnMut(Option<&usize>)) {
+    fn prefixes_of(&self, path: &str, consider: &mut impl FnMut(Option<&usize>)) {
         for end in (1..=path.len()).filter(|end| path.is_char_boundary(*end)) {
-            earlier(self.prefixes.get(&path[..end]));
+            consider(self.prefixes.get(&path[..end]));
         }
     }
 }
 
-/// An expression without its spans, so that the same one reads the same wherever it stands.
+/// Formats an expression without its spans, so that equal expressions at different positions have equal texts.
 fn without_spans(expr: &Expr) -> String {
     let all = |exprs: &[Expr]| {
         exprs
--- a/crates/routes/tests/in_part.rs
+++ b/crates/routes/tests/incremental_build.rs
@@ -1,4 +1,4 @@
-//! A table built in part, over rules of which some stood in the table before, is the table built whole.
+//! A table that is built from a previous table and a table that is built from scratch are the same.
 
 use doortrack_expr::Limits;
 use doortrack_routes::{GroupName, Names, Rule, Table};
@@ -11,11 +11,12 @@
     Remove(usize),
     Replace(usize, Rule),
     Swap(usize, usize),
-    When(usize, &'static str),
-    Key(usize, Option<&'static str>),
-    Servers(usize, Option<&'static str>),
-    /// Names and limits that rules are read with.
+    Condition(usize, &'static str),
+    IdempotencyKey(usize, Option<&'static str>),
+    Pool(usize, Option<&'static str>),
+    /// Replaces the names that rules may refer to.
     Names(Names),
+    /// Replaces the cost limit of expressions.
     MaxCost(u64),
 }
 
@@ -32,7 +33,7 @@
 ];
 
 fn when() -> impl Strategy<Value = &'static str> {
-    // A fault now and then: most tables are to be good.
+    // Invalid conditions are rare, so that most tables build without errors.
     prop_oneof![
         30 => prop::sample::select(CONDITIONS[..8].to_vec()),
         1 => Just(CONDITIONS[8]),
@@ -45,11 +46,11 @@
 
 fn rule() -> impl Strategy<Value = Rule> {
     let group = prop::sample::select(vec!["look", "pay"]);
-    (when(), group, any::<bool>(), pool()).prop_map(|(when, group, has_key, servers)| Rule {
+    (when(), group, any::<bool>(), pool()).prop_map(|(when, group, has_key, pool_name)| Rule {
         when: when.into(),
         group: group.into(),
         idempotency_key: (has_key && group == "pay").then(|| "header(\"x-order\")".into()),
-        pool: servers.map(String::from),
+        pool: pool_name.map(String::from),
         ..Rule::default()
     })
 }
@@ -74,22 +75,22 @@
 }
 
 fn edit() -> impl Strategy<Value = Edit> {
-    let place = 0..40usize;
+    let index = 0..40usize;
     prop_oneof![
-        3 => (place.clone(), rule()).prop_map(|(place, rule)| Edit::Insert(place, rule)),
-        2 => place.clone().prop_map(Edit::Remove),
-        3 => (place.clone(), rule()).prop_map(|(place, rule)| Edit::Replace(place, rule)),
-        2 => (place.clone(), place.clone()).prop_map(|(one, other)| Edit::Swap(one, other)),
-        2 => (place.clone(), when()).prop_map(|(place, when)| Edit::When(place, when)),
-        1 => (place.clone(), prop::sample::select(vec![None, Some("path"), Some("query")]))
-            .prop_map(|(place, key)| Edit::Key(place, key)),
-        1 => (place, pool()).prop_map(|(place, pool)| Edit::Servers(place, pool)),
+        3 => (index.clone(), rule()).prop_map(|(index, rule)| Edit::Insert(index, rule)),
+        2 => index.clone().prop_map(Edit::Remove),
+        3 => (index.clone(), rule()).prop_map(|(index, rule)| Edit::Replace(index, rule)),
+        2 => (index.clone(), index.clone()).prop_map(|(one, other)| Edit::Swap(one, other)),
+        2 => (index.clone(), when()).prop_map(|(index, when)| Edit::Condition(index, when)),
+        1 => (index.clone(), prop::sample::select(vec![None, Some("path"), Some("query")]))
+            .prop_map(|(index, key)| Edit::IdempotencyKey(index, key)),
+        1 => (index, pool()).prop_map(|(index, pool)| Edit::Pool(index, pool)),
         1 => names().prop_map(Edit::Names),
         1 => prop::sample::select(vec![20_000, 400, 3]).prop_map(Edit::MaxCost),
     ]
 }
 
-/// What rules are read from.
+/// The arguments of a table build.
 #[derive(Clone, Debug)]
 struct Sources {
     rules: Vec<Rule>,
@@ -102,22 +103,24 @@
         let rules = &mut self.rules;
         let len = rules.len();
         match edit {
-            Edit::Insert(place, rule) => rules.insert(place % (len + 1), rule),
+            Edit::Insert(index, rule) => rules.insert(index % (len + 1), rule),
             Edit::Names(names) => self.names = names,
             Edit::MaxCost(max_cost) => self.limits.max_cost = max_cost,
             _ if len == 0 => {}
-            Edit::Remove(place) => _ = rules.remove(place % len),
-            Edit::Replace(place, rule) => rules[place % len] = rule,
+            Edit::Remove(index) => _ = rules.remove(index % len),
+            Edit::Replace(index, rule) => rules[index % len] = rule,
             Edit::Swap(one, other) => rules.swap(one % len, other % len),
-            Edit::When(place, when) => rules[place % len].when = when.into(),
-            Edit::Key(place, key) => rules[place % len].idempotency_key = key.map(String::from),
-            Edit::Servers(place, pool) => rules[place % len].pool = pool.map(String::from),
+            Edit::Condition(index, when) => rules[index % len].when = when.into(),
+            Edit::IdempotencyKey(index, key) => {
+                rules[index % len].idempotency_key = key.map(String::from)
+            }
+            Edit::Pool(index, pool) => rules[index % len].pool = pool.map(String::from),
         }
     }
 }
 
-/// All that there is in a table, as text.
-fn whole(table: &Table) -> String {
+/// Formats everything that a table contains.
+fn debug_text(table: &Table) -> String {
     format!("{table:?}")
 }
 
@@ -128,7 +131,7 @@
     })]
 
     #[test]
-    fn a_table_built_in_part_is_the_table_built_whole(
+    fn incremental_and_full_builds_give_the_same_table(
         rules in prop::collection::vec(rule(), 0..30),
         names in names(),
         edits in prop::collection::vec(edit(), 1..12),
@@ -138,24 +141,24 @@
         for edit in edits {
             sources.edit(edit);
             let Sources { rules, names, limits } = &sources;
-            let in_part = Table::build_from(previous.as_ref(), rules, names, *limits);
-            let at_once = Table::build(rules, names, *limits);
-            match (in_part, at_once) {
-                (Ok(built), Ok((table, notes))) => {
-                    prop_assert_eq!(whole(&built.table), whole(&table));
-                    prop_assert_eq!(built.shadowed, notes);
+            let incremental = Table::build_from(previous.as_ref(), rules, names, *limits);
+            let full = Table::build(rules, names, *limits);
+            match (incremental, full) {
+                (Ok(built), Ok((table, shadowed))) => {
+                    prop_assert_eq!(debug_text(&built.table), debug_text(&table));
+                    prop_assert_eq!(built.shadowed, shadowed);
                     previous = Some(built.table);
                 }
-                (Err(faults), Err(wanted)) => prop_assert_eq!(faults, wanted),
-                (in_part, at_once) => {
-                    prop_assert!(false, "{:?} and {:?}", in_part.is_ok(), at_once.is_ok());
+                (Err(errors), Err(expected)) => prop_assert_eq!(errors, expected),
+                (incremental, full) => {
+                    prop_assert!(false, "incremental ok: {:?}, full ok: {:?}", incremental.is_ok(), full.is_ok());
                 }
             }
         }
     }
 }
 
-fn many(count: usize) -> Sources {
+fn sources_with_rules(count: usize) -> Sources {
     let rule = |nth: usize| Rule {
         when: format!("path.starts_with(\"/yard-{nth}/\")"),
         group: "look".into(),
@@ -174,8 +177,8 @@
 }
 
 #[test]
-fn only_the_rule_that_changed_is_built_again() {
-    let mut sources = many(500);
+fn unchanged_rules_are_reused() {
+    let mut sources = sources_with_rules(500);
     let build = |previous: Option<&Table>, sources: &Sources| {
         Table::build_from(previous, &sources.rules, &sources.names, sources.limits).unwrap()
     };
@@ -184,11 +187,11 @@
     sources.rules[77].when = "path == \"/other\"".into();
     let second = build(Some(&first.table), &sources);
     assert_eq!(second.reused, 499);
-    // Places do not matter, nor do rules that went.
+    // Neither moved nor removed rules affect the others.
     sources.rules.swap(3, 400);
     sources.rules.remove(10);
     assert_eq!(build(Some(&second.table), &sources).reused, 499);
-    // Other tenants are looked up for each request; whether there are any is part of what is checked.
+    // Rules are checked against whether there are tenants, not which: those are looked up for each request.
     sources.names.tenants.push("another".into());
     assert_eq!(build(Some(&second.table), &sources).reused, 499);
     sources.names.tenants.clear();
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,5 +1,5 @@
-//! The table: the index against trying all in order, what each rule makes of a request, what is told at
-//! load.
+//! Rule tables: the index compared with evaluating all rules in order, the classification of requests, and the
+//! errors and shadowed rules that a build reports.
 
 #![allow(
     clippy::too_many_lines,
@@ -31,11 +31,11 @@
     Table::build(rules, &names(), Limits::default()).unwrap().0
 }
 
-fn faults(rules: &[Rule]) -> Vec<String> {
-    let faults = Table::build(rules, &names(), Limits::default())
+fn errors(rules: &[Rule]) -> Vec<String> {
+    let errors = Table::build(rules, &names(), Limits::default())
         .err()
         .unwrap_or_default();
-    faults.iter().map(ToString::to_string).collect()
+    errors.iter().map(ToString::to_string).collect()
 }
 
 fn path(path: &str) -> LiteralRequest {
@@ -45,7 +45,7 @@
     }
 }
 
-fn which(table: &Table, request: &LiteralRequest) -> Option<u32> {
+fn matched_rule(table: &Table, request: &LiteralRequest) -> Option<u32> {
     let mut scratch = Scratch::default();
     let found = table.classify(request, &mut scratch);
     assert_eq!(
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_first_rule_that_holds_wins() {
+fn the_first_rule_whose_condition_holds_matches() {
     let table = table(&[
         rule("path == \"/book/special\"", "look"),
         rule(
@@ -74,7 +74,7 @@
         rule("method in [\"GET\", \"HEAD\"]", "look"),
     ]);
     assert_eq!((table.len(), table.unindexed()), (6, 1));
-    for (request, wanted) in [
+    for (request, expected) in [
         (path("/book/special"), Some(0)),
         (path("/book/x").header("x-yard", "north"), Some(1)),
         (path("/book/x").header("x-yard", "south"), Some(3)),
@@ -102,13 +102,13 @@
         ),
         (path(""), None),
     ] {
-        assert_eq!(which(&table, &request), wanted, "{request:?}");
+        assert_eq!(matched_rule(&table, &request), expected, "{request:?}");
     }
 }
 
 #[test]
-fn a_rule_says_what_an_exchange_is() {
-    let full = Rule {
+fn a_rule_determines_the_class_of_a_request() {
+    let complete = Rule {
         tenant: Some("lower(header(\"x-yard\") ?? \"\")".into()),
         session_key: Some("segment(1)".into()),
         idempotency_key: Some("header(\"x-order\")".into()),
@@ -122,27 +122,27 @@
         ..rule("true", "look")
     };
     assert!(
-        faults(&[due])
+        errors(&[due])
             .iter()
-            .any(|fault| fault.contains("rules[0].due: duration is wanted"))
+            .any(|error| error.contains("rules[0].due: duration is wanted"))
     );
     let due = Rule {
         timeout: Some("1ms * (int(header(\"x-wait-ms\") ?? \"\") ?? -5)".into()),
         ..rule("true", "look")
     };
-    let table = table(&[full, due]);
+    let table = table(&[complete, due]);
     let class = |request: &LiteralRequest| table.classify(request, &mut Scratch::default());
-    let asked = path("/pay/berth-4")
+    let complete_request = path("/pay/berth-4")
         .header("x-yard", "South")
         .header("x-order", "77");
-    let Classification::Matched(one) = class(&asked) else {
+    let Classification::Matched(one) = class(&complete_request) else {
         panic!()
     };
     assert_eq!(
         (one.rule, one.group, one.tenant, one.pool, one.rank),
         (0, 1, Some(1), Some(1), Some(0.25))
     );
-    let Classification::Matched(again) = class(&asked) else {
+    let Classification::Matched(again) = class(&complete_request) else {
         panic!()
     };
     assert_eq!(one, again);
@@ -158,9 +158,9 @@
     assert!(other.session_key != one.session_key && other.idempotency_key != one.idempotency_key);
     assert!(
         other.rank.is_some_and(|rank| rank < 1.0 && rank > 0.999),
-        "kept under 1"
+        "a rank is less than 1"
     );
-    // An empty idempotency key would make all requests one; an empty subject is none.
+    // With an empty idempotency key all requests would be duplicates; an empty session key counts as absent.
     for (request, why) in [
         (
             path("/pay/x").header("x-yard", "south"),
@@ -190,20 +190,23 @@
         panic!()
     };
     assert_eq!(none.session_key, None);
-    let due_of = |request: &LiteralRequest| {
+    let timeout_of = |request: &LiteralRequest| {
         if let Classification::Matched(class) = class(request) {
             class.timeout
         } else {
             None
         }
     };
-    assert_eq!(due_of(&path("/").header("x-wait-ms", "250")), Some(2500));
-    assert_eq!(due_of(&path("/")), Some(0));
+    assert_eq!(
+        timeout_of(&path("/").header("x-wait-ms", "250")),
+        Some(2500)
+    );
+    assert_eq!(timeout_of(&path("/")), Some(0));
 }
 
 #[test]
-fn every_fault_is_told_with_its_rule_and_key() {
-    let told = faults(&[
+fn every_error_names_its_rule_and_key() {
+    let reported = errors(&[
         rule("pth == \"a\"", "look"),
         Rule {
             tenant: Some("1".into()),
@@ -231,14 +234,14 @@
         "rules[3].subject: 1:2: something is wanted here",
     ] {
         assert!(
-            told.iter().any(|fault| fault.starts_with(part)),
-            "{part}\n{told:#?}"
+            reported.iter().any(|error| error.starts_with(part)),
+            "{part}\n{reported:#?}"
         );
     }
 }
 
 #[test]
-fn rules_that_can_never_win_are_told() {
+fn shadowed_rules_are_reported() {
     let rules = [
         rule("path.starts_with(\"/a/\")", "look"),
         rule("path.starts_with(\"/a/b\")", "look"),
@@ -251,13 +254,16 @@
         rule("true", "look"),
         rule("path == \"/c\"", "look"),
     ];
-    let (_, notes) = Table::build(&rules, &names(), Limits::default()).unwrap();
-    let found: Vec<(usize, usize)> = notes.iter().map(|note| (note.rule, note.by)).collect();
+    let (_, shadowed) = Table::build(&rules, &names(), Limits::default()).unwrap();
+    let found: Vec<(usize, usize)> = shadowed
+        .iter()
+        .map(|entry| (entry.rule, entry.by))
+        .collect();
     assert_eq!(found, [(1, 0), (2, 0), (4, 3), (6, 5), (9, 8)]);
 }
 
 #[test]
-fn a_hundred_thousand_rules_are_taken_or_refused_in_bounded_time() {
+fn a_hundred_thousand_rules_are_accepted_or_rejected_in_bounded_time() {
     let mut rules: Vec<Rule> = (0..100_000)
         .map(|n| {
             rule(
@@ -269,16 +275,19 @@
     let table = table(&rules);
     assert_eq!(table.unindexed(), 0);
     for n in [0, 1, 77, 99_999] {
-        assert_eq!(which(&table, &path(&format!("/yard-{n}/book"))), Some(n));
+        assert_eq!(
+            matched_rule(&table, &path(&format!("/yard-{n}/book"))),
+            Some(n)
+        );
     }
     rules.push(rule("true", "look"));
-    assert!(faults(&rules)[0].contains("at most 100000 are wanted"));
-    // All of them wrong: the first fifty are told and no more are looked at.
+    assert!(errors(&rules)[0].contains("at most 100000 are wanted"));
+    // If all rules are invalid, no further ones are compiled after fifty errors.
     rules
         .iter_mut()
         .for_each(|rule| rule.when = "(".repeat(8000));
     rules.pop();
-    assert!((50..60).contains(&faults(&rules).len()));
+    assert!((50..60).contains(&errors(&rules).len()));
 }
 
 const WORDS: [&str; 5] = ["a", "b", "north", "é", "x/y"];
@@ -343,16 +352,16 @@
     })]
 
     #[test]
-    fn the_index_finds_what_trying_in_order_finds(
+    fn the_index_finds_the_rule_that_evaluation_in_order_finds(
         conditions in prop::collection::vec(condition(), 0..60),
         requests in prop::collection::vec(request(), 1..20),
     ) {
         let rules: Vec<Rule> = conditions.iter().map(|when| rule(when, "look")).collect();
-        let (table, notes) = Table::build(&rules, &names(), Limits::default()).unwrap();
+        let (table, shadowed) = Table::build(&rules, &names(), Limits::default()).unwrap();
         for request in &requests {
-            let found = which(&table, request);
-            // A rule that was told to be without hope never wins.
-            prop_assert!(notes.iter().all(|note| found != Some(note.rule as u32)), "{found:?} {notes:?}");
+            let found = matched_rule(&table, request);
+            // A rule that is reported as shadowed never matches.
+            prop_assert!(shadowed.iter().all(|entry| found != Some(entry.rule as u32)), "{found:?} {shadowed:?}");
         }
     }
 }
