--- a/crates/protocols/src/fastcgi.rs
+++ b/crates/protocols/src/fastcgi.rs
@@ -1,4 +1,4 @@
-//! Records of FastCGI 1.0, read and written without sockets.
+//! Codec for FastCGI 1.0 records.
 
 mod record_reader;
 mod request_splitter;
@@ -9,12 +9,12 @@
 pub use self::response_splitter::{ResponseRecord, ResponseSplitter};
 use crate::{ProtocolError, Variable};
 
-/// The role of an application that answers requests, `FCGI_RESPONDER`.
+/// Role of an application that responds to requests, `FCGI_RESPONDER`.
 pub const RESPONDER: u16 = 1;
 
 const VERSION: u8 = 1;
 
-// Types of records, `FCGI_BEGIN_REQUEST` and so on.
+// Record types, such as `FCGI_BEGIN_REQUEST`.
 const BEGIN_REQUEST: u8 = 1;
 const ABORT_REQUEST: u8 = 2;
 const END_REQUEST: u8 = 3;
@@ -29,30 +29,30 @@
 
 /// The request id of management records.
 const MANAGEMENT_ID: u16 = 0;
-/// Bytes of the content of `BEGIN_REQUEST` and `END_REQUEST`.
+/// Content length of `BEGIN_REQUEST` and `END_REQUEST` in bytes.
 const BODY_BYTES: usize = 8;
-/// The flag of `BEGIN_REQUEST` by which the connection stays open after the response.
+/// Flag of `BEGIN_REQUEST` that keeps the connection open after the response.
 const KEEP_CONNECTION: u8 = 1;
-/// The longest name or value whose length takes one byte.
+/// Maximum length of a name or value that is encoded in one byte.
 const MAX_SHORT_LENGTH: u8 = 0x7f;
-/// Marks a length of four bytes.
+/// Marks a length that is encoded in four bytes.
 const LONG_LENGTH_FLAG: u32 = 1 << 31;
 
-/// How a request ended, `protocolStatus` of `END_REQUEST`.
+/// The `protocolStatus` of `END_REQUEST`, which tells how a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolStatus {
     /// The response is complete.
     Complete = 0,
-    /// The application does not take several requests on one connection.
+    /// The application does not accept several requests on one connection.
     CantMultiplex = 1,
     /// The application has no capacity for the request.
     Overloaded = 2,
-    /// The application does not have the role of the request.
+    /// The application does not support the role of the request.
     UnknownRole = 3,
 }
 
 impl ProtocolStatus {
-    /// The status of this number, if there is one.
+    /// Returns the status with this number, if there is one.
     pub fn from_byte(byte: u8) -> Option<ProtocolStatus> {
         [
             Self::Complete,
@@ -81,7 +81,7 @@
     out.extend(content);
 }
 
-/// Writes a stream in as many records as it needs, with the empty one that ends it.
+/// Writes a stream in as many records as it needs, and the empty record that ends it.
 fn write_stream(out: &mut Vec<u8>, record_type: u8, id: u16, content: &[u8]) {
     for chunk in content.chunks(u16::MAX.into()) {
         write_record(out, record_type, id, chunk);
@@ -99,8 +99,8 @@
     write_record(out, END_REQUEST, id, &[0, 0, 0, 0, status as u8, 0, 0, 0]);
 }
 
-/// Answers a request for values. All known ones are sent; the peer ignores those that it did not
-/// name.
+/// Writes the response to `GET_VALUES`. All known values are sent; the peer ignores those that it
+/// did not ask for.
 pub fn write_values(out: &mut Vec<u8>, max_connections: usize, max_requests: usize) {
     let max_connections = max_connections.to_string();
     let max_requests = max_requests.to_string();
@@ -116,13 +116,13 @@
     write_record(out, GET_VALUES_RESULT, MANAGEMENT_ID, &content);
 }
 
-/// Answers a management record of an unknown type.
+/// Writes the response to a management record of an unknown type.
 pub fn write_unknown_type(out: &mut Vec<u8>, record_type: u8) {
     let content = [record_type, 0, 0, 0, 0, 0, 0, 0];
     write_record(out, UNKNOWN_TYPE, MANAGEMENT_ID, &content);
 }
 
-/// Writes a complete request, without bounds on its variables.
+/// Writes a complete request. The size of the variables is not limited.
 pub fn write_request<'a>(
     out: &mut Vec<u8>,
     id: u16,
@@ -144,7 +144,7 @@
     write_stream(out, STDIN, id, body);
 }
 
-/// Writes the length of a name or value, in one byte up to 127, in four beyond.
+/// Writes the length of a name or value: in one byte up to 127, otherwise in four.
 fn write_length(out: &mut Vec<u8>, length: usize) {
     match u8::try_from(length) {
         Ok(short) if short <= MAX_SHORT_LENGTH => out.push(short),
@@ -152,7 +152,7 @@
     }
 }
 
-/// Writes that the response to a request is no longer awaited.
+/// Writes an `ABORT_REQUEST`: the response to the request is no longer needed.
 pub fn write_abort(out: &mut Vec<u8>, id: u16) {
     write_record(out, ABORT_REQUEST, id, &[]);
 }
@@ -160,14 +160,14 @@
 /// Reads the variables of a complete parameter stream.
 ///
 /// # Errors
-/// A length leads past the end of the stream.
+/// A length exceeds the rest of the stream, or the stream is truncated.
 pub fn read_variables(mut stream: &[u8]) -> Result<Vec<Variable<'_>>, ProtocolError> {
     let mut variables = Vec::with_capacity(16);
     while !stream.is_empty() {
         let name_length = read_length(&mut stream)?;
         let value_length = read_length(&mut stream)?;
         if name_length.saturating_add(value_length) > stream.len() {
-            return Err(ProtocolError("a parameter that is longer than its stream"));
+            return Err(ProtocolError("a parameter is longer than its stream"));
         }
         let name = split_front(&mut stream, name_length);
         variables.push((name, split_front(&mut stream, value_length)));
@@ -177,7 +177,7 @@
 
 /// Reads a length of one byte, or of four with the highest bit set.
 fn read_length(stream: &mut &[u8]) -> Result<usize, ProtocolError> {
-    const CUT_SHORT: ProtocolError = ProtocolError("a parameter's length that is cut short");
+    const CUT_SHORT: ProtocolError = ProtocolError("truncated parameter length");
     match *split_front(stream, 1) {
         [short] if short <= MAX_SHORT_LENGTH => Ok(short.into()),
         [first] => match *split_front(stream, 3) {
--- a/crates/protocols/src/fastcgi/record_reader.rs
+++ b/crates/protocols/src/fastcgi/record_reader.rs
@@ -1,28 +1,28 @@
-//! Reads FastCGI records whichever side sent them: a header of eight bytes, content, and padding
-//! that is skipped.
+//! Reads FastCGI records of either side: a header of eight bytes, content, and padding, which is
+//! skipped.
 
 const HEADER_BYTES: usize = 8;
 
-/// What a [`RecordReader`] found next in the stream.
+/// An event in a stream of records.
 pub(super) enum RecordEvent<'a> {
-    /// A header is complete: type, request id and content length are known.
+    /// The header is complete: the type, request id and content length are known.
     Header,
     /// A part of the content.
     Content(&'a [u8]),
 }
 
-/// The position within a stream of records.
+/// Decodes a stream of records that may arrive in parts of any length.
 #[derive(Debug, Default)]
 pub(super) struct RecordReader {
     header: [u8; HEADER_BYTES],
-    /// Bytes of the header that were read.
+    /// Number of bytes of the header that were read.
     header_len: usize,
     content_remaining: usize,
     padding_remaining: usize,
 }
 
 impl RecordReader {
-    /// Whether the last record was read to its end.
+    /// Returns true if the last record was read completely.
     pub(super) fn at_boundary(&self) -> bool {
         self.header_len == 0
     }
@@ -39,12 +39,12 @@
         u16::from_be_bytes([self.header[2], self.header[3]])
     }
 
-    /// Bytes of the content that were not read yet.
+    /// Returns the number of bytes of the content that are still to be read.
     pub(super) fn content_remaining(&self) -> usize {
         self.content_remaining
     }
 
-    /// The next event of `input`, which is advanced past it; none once the input is used up.
+    /// Returns the next event and advances `input` past it, or `None` if `input` is exhausted.
     pub(super) fn next<'a>(&mut self, input: &mut &'a [u8]) -> Option<RecordEvent<'a>> {
         loop {
             if self.header_len < HEADER_BYTES {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reads bytes of the header; whether it is complete.
+    /// Reads bytes of the header. Returns true if the header is complete.
     fn read_header(&mut self, input: &mut &[u8]) -> bool {
         let bytes = split_front(input, HEADER_BYTES - self.header_len);
         self.header[self.header_len..self.header_len + bytes.len()].copy_from_slice(bytes);
--- a/crates/protocols/src/fastcgi/request_splitter.rs
+++ b/crates/protocols/src/fastcgi/request_splitter.rs
@@ -1,4 +1,4 @@
-//! Splits what a web server sends into the events of its requests.
+//! Splits the bytes of a FastCGI connection from a web server into events.
 
 use super::record_reader::{RecordEvent, RecordReader};
 use super::{
@@ -7,26 +7,26 @@
 };
 use crate::{ProtocolError, RequestEvent};
 
-/// Splits a stream of bytes, which may arrive in parts of any length, into events.
+/// Splits a byte stream, which may arrive in parts of any length, into events.
 #[derive(Debug, Default)]
 pub struct RequestSplitter {
     records: RecordReader,
-    /// The content of a `BEGIN_REQUEST`.
+    /// Content of the current `BEGIN_REQUEST`.
     begin: [u8; BODY_BYTES],
-    /// Bytes of it that were read.
+    /// Number of bytes of `begin` that were read.
     begin_len: usize,
 }
 
 impl RequestSplitter {
-    /// Whether the last record was read to its end.
+    /// Returns true if the last record was read completely.
     pub fn at_boundary(&self) -> bool {
         self.records.at_boundary()
     }
 
-    /// The next event of `input`, which is advanced past it; none once the input is used up.
+    /// Returns the next event and advances `input` past it, or `None` if `input` is exhausted.
     ///
     /// # Errors
-    /// The stream is not that of a web server.
+    /// The stream contains a record that a web server must not send.
     pub fn next<'a>(
         &mut self,
         input: &mut &'a [u8],
@@ -43,13 +43,13 @@
         Ok(None)
     }
 
-    /// The event of a header by itself.
+    /// Returns the event of a record that is determined by its header.
     fn on_header(&mut self) -> Result<Option<RequestEvent<'static>>, ProtocolError> {
         let (record_type, id) = (self.records.record_type(), self.records.request_id());
         let length = self.records.content_remaining();
         self.begin_len = 0;
         if self.records.version() != VERSION {
-            return Err(ProtocolError("another version than 1"));
+            return Err(ProtocolError("unsupported version"));
         }
         let event = match (record_type, id) {
             (GET_VALUES, MANAGEMENT_ID) => Some(RequestEvent::GetValues),
@@ -57,10 +57,12 @@
                 Some(RequestEvent::UnknownType { record_type })
             }
             (BEGIN_REQUEST..=DATA, MANAGEMENT_ID) => {
-                return Err(ProtocolError("a record of an application with the id 0"));
+                return Err(ProtocolError("an application record with request id 0"));
             }
             (BEGIN_REQUEST, _) if length != BODY_BYTES => {
-                return Err(ProtocolError("a BEGIN_REQUEST that is not 8 bytes long"));
+                return Err(ProtocolError(
+                    "the content of a BEGIN_REQUEST is not 8 bytes long",
+                ));
             }
             (BEGIN_REQUEST | DATA, _) => None,
             (ABORT_REQUEST, _) => Some(RequestEvent::Abort { id }),
@@ -69,7 +71,7 @@
             (PARAMS | STDIN, _) => None,
             _ => {
                 return Err(ProtocolError(
-                    "a record that only an application sends, or of an unknown kind",
+                    "a record that only an application sends, or of an unknown type",
                 ));
             }
         };
--- a/crates/protocols/src/fastcgi/response_splitter.rs
+++ b/crates/protocols/src/fastcgi/response_splitter.rs
@@ -1,4 +1,4 @@
-//! Splits what an application sends into the records of its responses.
+//! Splits the bytes of a FastCGI connection from an application into records of responses.
 
 use super::record_reader::{RecordEvent, RecordReader};
 use super::{
@@ -7,49 +7,49 @@
 };
 use crate::ProtocolError;
 
-/// The byte of an `END_REQUEST` that holds its status.
+/// Offset of the status in the content of an `END_REQUEST`.
 const STATUS_OFFSET: usize = 4;
 
-/// A part of a response.
+/// A record of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseRecord<'a> {
     /// Standard output.
     Stdout {
-        /// The request.
+        /// Request id.
         id: u16,
-        /// A part of the output, as it was read.
+        /// A part of the output, as it arrived.
         bytes: &'a [u8],
     },
-    /// The response has ended.
+    /// The end of the response.
     End {
-        /// The request.
+        /// Request id.
         id: u16,
-        /// None if the status is unknown.
+        /// Status, or `None` if it is unknown.
         status: Option<ProtocolStatus>,
     },
 }
 
-/// Splits what an application sends, in parts of any length. Standard error and answers to
+/// Splits a byte stream, which may arrive in parts of any length, into records. Standard error and
 /// management records are skipped.
 #[derive(Debug, Default)]
 pub struct ResponseSplitter {
     records: RecordReader,
-    /// The content of an `END_REQUEST`.
+    /// Content of the current `END_REQUEST`.
     end: [u8; BODY_BYTES],
-    /// Bytes of it that were read.
+    /// Number of bytes of `end` that were read.
     end_len: usize,
 }
 
 impl ResponseSplitter {
-    /// Whether the last record was read to its end.
+    /// Returns true if the last record was read completely.
     pub fn at_boundary(&self) -> bool {
         self.records.at_boundary()
     }
 
-    /// The next record of `input`, which is advanced past it; none once the input is used up.
+    /// Returns the next record and advances `input` past it, or `None` if `input` is exhausted.
     ///
     /// # Errors
-    /// The stream is not that of an application.
+    /// The stream contains a record that an application must not send.
     pub fn next<'a>(
         &mut self,
         input: &mut &'a [u8],
@@ -78,12 +78,12 @@
     fn on_header(&mut self) -> Result<(), ProtocolError> {
         self.end_len = 0;
         match (self.records.version(), self.records.record_type()) {
-            (VERSION, END_REQUEST) if self.records.content_remaining() != BODY_BYTES => {
-                Err(ProtocolError("an end of another length than 8"))
-            }
+            (VERSION, END_REQUEST) if self.records.content_remaining() != BODY_BYTES => Err(
+                ProtocolError("the content of an END_REQUEST is not 8 bytes long"),
+            ),
             (VERSION, END_REQUEST | STDOUT | STDERR | GET_VALUES_RESULT | UNKNOWN_TYPE) => Ok(()),
             (VERSION, _) => Err(ProtocolError("a record that only a web server sends")),
-            _ => Err(ProtocolError("another version than 1")),
+            _ => Err(ProtocolError("unsupported version")),
         }
     }
 }
--- a/crates/protocols/src/lib.rs
+++ b/crates/protocols/src/lib.rs
@@ -1,15 +1,15 @@
-//! FastCGI and uwsgi without sockets: bytes are read into events and responses, and written from
-//! them.
+//! Codecs for FastCGI and uwsgi. They do no I/O: bytes are decoded into events and responses, and
+//! encoded from them.
 //!
-//! Two protocols, [`fastcgi`] 1.0 and [`uwsgi`], each for both sides. The side that responds reads
-//! with a [`RequestReader`], which yields the same [`RequestEvent`]s for both, and writes with
-//! [`write_response`]. The side that requests writes with [`write_request`] and reads with a
-//! [`ResponseReader`], which yields one complete [`Response`]. Variables are pairs of bytes, whose
-//! meaning is left to the caller.
+//! Both protocols, [`fastcgi`] 1.0 and [`uwsgi`], are supported on both sides of a connection. The
+//! responding side reads with a [`RequestReader`], which yields the same [`RequestEvent`]s for both
+//! protocols, and writes with [`write_response`]. The requesting side writes with [`write_request`]
+//! and reads with a [`ResponseReader`], which yields one complete [`Response`]. Variables are pairs
+//! of byte strings that the codecs do not interpret, except for the length of a uwsgi body.
 //!
-//! No length that a peer announces ever sizes a buffer: contents are passed on in the parts they
-//! came in, and every reader keeps a small, fixed state of its own. Sizes are in bytes. A reader
-//! that returned a [`ProtocolError`] can't continue; its connection is to be closed.
+//! No buffer is sized by a length that a peer announces: request contents are passed on in the
+//! parts in which they arrive. Sizes are in bytes. After a [`ProtocolError`] a reader can't
+//! continue, and its connection has to be closed.
 
 pub mod fastcgi;
 mod request_event;
@@ -24,9 +24,9 @@
 /// The protocol of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Protocol {
-    /// FastCGI 1.0, role Responder; many requests on one connection, in any order.
+    /// FastCGI 1.0, role Responder: many requests on one connection, in any order.
     FastCgi,
-    /// uwsgi, modifier 0; one request on each connection, which ends with its response.
+    /// uwsgi, modifier 0: one request per connection, which ends with its response.
     Uwsgi,
 }
 
@@ -34,7 +34,7 @@
     /// Every protocol.
     pub const ALL: [Protocol; 2] = [Protocol::FastCgi, Protocol::Uwsgi];
 
-    /// Its name in logs and settings.
+    /// Returns the name in logs and settings.
     pub fn name(self) -> &'static str {
         match self {
             Protocol::FastCgi => "fastcgi",
@@ -45,7 +45,7 @@
     /// Reads the variables of a complete block.
     ///
     /// # Errors
-    /// A length leads past the end of the block.
+    /// A length exceeds the rest of the block.
     pub fn read_variables(self, block: &[u8]) -> Result<Vec<Variable<'_>>, ProtocolError> {
         match self {
             Protocol::FastCgi => fastcgi::read_variables(block),
@@ -60,10 +60,10 @@
     }
 }
 
-/// Why a stream is not of the protocol, so that nothing after it can be read.
+/// A violation of the protocol, after which nothing more can be read from the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProtocolError(
-    /// What was found.
+    /// Description of the violation.
     pub &'static str,
 );
 
@@ -75,15 +75,15 @@
 
 impl std::error::Error for ProtocolError {}
 
-/// Name and value of a variable, as they came.
+/// Name and value of a variable, as received.
 pub type Variable<'a> = (&'a [u8], &'a [u8]);
 
-/// Writes a complete request. On FastCGI it has the id `id`, and the connection stays open after it
-/// if `keep_connection` is set; uwsgi has neither. `CONTENT_LENGTH` is added; the variables must
-/// not hold one.
+/// Writes a complete request. `id` is the FastCGI request id; if `keep_connection` is set, the
+/// FastCGI connection stays open after the response. uwsgi ignores both. `CONTENT_LENGTH` is added
+/// and must not be among the variables.
 ///
 /// # Errors
-/// A block of variables that the protocol can't carry: with uwsgi over 65,535 bytes in all.
+/// The block of variables is too large for the protocol: with uwsgi more than 65,535 bytes.
 pub fn write_request(
     protocol: Protocol,
     out: &mut Vec<u8>,
--- a/crates/protocols/src/request_event.rs
+++ b/crates/protocols/src/request_event.rs
@@ -1,68 +1,68 @@
-//! The events into which a connection with requests is split, the same for both protocols.
+//! Events of a connection that carries requests, the same for both protocols.
 
 use crate::{Protocol, ProtocolError, fastcgi, uwsgi};
 
-/// What one connection carried from the side that sends requests, in order. Contents come in parts
-/// as they are read. `id` is that of the request; 0 with uwsgi.
+/// An event on a connection from the requesting side. Contents are passed on in parts, as they
+/// arrive. `id` is the request id, which is 0 with uwsgi.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEvent<'a> {
     /// A request begins.
     Begin {
-        /// The request.
+        /// Request id.
         id: u16,
-        /// What is asked of this side; see [`fastcgi::RESPONDER`].
+        /// Role that this side is to take; see [`fastcgi::RESPONDER`].
         role: u16,
         /// Whether the connection stays open after the response.
         keep_connection: bool,
     },
-    /// The response is no longer awaited.
+    /// The peer no longer waits for the response.
     Abort {
-        /// The request.
+        /// Request id.
         id: u16,
     },
     /// A part of the block of variables.
     Params {
-        /// The request.
+        /// Request id.
         id: u16,
-        /// The part.
+        /// Bytes of the part.
         bytes: &'a [u8],
     },
     /// The block of variables is complete.
     ParamsEnd {
-        /// The request.
+        /// Request id.
         id: u16,
     },
     /// A part of the body.
     Stdin {
-        /// The request.
+        /// Request id.
         id: u16,
-        /// The part.
+        /// Bytes of the part.
         bytes: &'a [u8],
     },
     /// The body is complete.
     StdinEnd {
-        /// The request.
+        /// Request id.
         id: u16,
     },
-    /// The length of the body; before any part of it, where the protocol needs the length.
+    /// The length of the body, reported before its first part. Only uwsgi reports it.
     BodyLength {
-        /// The request.
+        /// Request id.
         id: u16,
-        /// Bytes.
+        /// Length in bytes.
         length: u64,
     },
-    /// The peer asks for the values whose names follow.
+    /// The peer queries values of this side (`FCGI_GET_VALUES`).
     GetValues,
-    /// The peer asks whether this side is healthy.
+    /// The peer sends a health check.
     Ping,
     /// A management record of an unknown type.
     UnknownType {
-        /// Its type.
+        /// Type of the record.
         record_type: u8,
     },
 }
 
-/// Reads requests in either protocol.
+/// Splits the bytes of a connection that carries requests into events, in either protocol.
 #[derive(Debug)]
 pub enum RequestReader {
     /// Reads FastCGI records.
@@ -72,7 +72,7 @@
 }
 
 impl RequestReader {
-    /// A reader at the start of a connection.
+    /// Creates a reader for a new connection.
     pub fn new(protocol: Protocol) -> RequestReader {
         match protocol {
             Protocol::FastCgi => RequestReader::FastCgi(fastcgi::RequestSplitter::default()),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The protocol that it reads.
+    /// Returns the protocol that the reader decodes.
     pub fn protocol(&self) -> Protocol {
         match self {
             RequestReader::FastCgi(_) => Protocol::FastCgi,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Whether nothing is read in part.
+    /// Returns true if no record or request has been read only in part.
     pub fn at_boundary(&self) -> bool {
         match self {
             RequestReader::FastCgi(splitter) => splitter.at_boundary(),
@@ -96,10 +96,10 @@
         }
     }
 
-    /// The next event of `input`, which is advanced past it; none once the input is used up.
+    /// Returns the next event and advances `input` past it, or `None` if `input` is exhausted.
     ///
     /// # Errors
-    /// The stream is not of the protocol; nothing after it can be read.
+    /// The stream violates the protocol; nothing after the violation can be read.
     pub fn next<'a>(
         &mut self,
         input: &mut &'a [u8],
--- a/crates/protocols/src/response.rs
+++ b/crates/protocols/src/response.rs
@@ -1,5 +1,4 @@
-//! Responses: written from head and body, and read from the bytes that arrive, complete or not at
-//! all.
+//! Responses: written from a head and a body, and read as a whole from bytes that arrive in parts.
 
 mod head;
 mod reader;
@@ -8,21 +7,22 @@
 use crate::fastcgi::{self, ProtocolStatus};
 use crate::{Protocol, ProtocolError};
 
-/// Bytes that the head of a response may have.
+/// Maximum size of the head of a response in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// The head of a response to write: a status line and headers, each name and value as it is sent.
+/// Status and headers of a response to write, as they are sent.
 pub struct ResponseHead<'a> {
-    /// Number and reason, as `200 OK`.
+    /// Status code and reason, such as `200 OK`.
     pub status: &'a str,
-    /// Names and values.
+    /// Names and values of headers.
     pub headers: &'a [(&'a str, &'a str)],
-    /// Further header lines as they are sent, each with its end of line.
+    /// Further complete header lines, each with its line end.
     pub extra_lines: &'a [u8],
 }
 
 impl ResponseHead<'_> {
-    /// Writes the status without what precedes the number, the headers, and the empty line.
+    /// Writes the status, the headers and the empty line. The caller has written `Status: ` or the
+    /// HTTP version before.
     fn write(&self, out: &mut Vec<u8>) {
         out.extend(self.status.bytes());
         out.extend(b"\r\n");
@@ -36,8 +36,8 @@
     }
 }
 
-/// Writes a complete response to request `id`. A uwsgi response ends with its connection, so it
-/// carries its length as well, by which a truncated one is recognized.
+/// Writes a complete response to request `id`. A uwsgi response gets a `Content-Length` header, by
+/// which the peer detects a truncated response: it would otherwise end with the connection.
 pub fn write_response(
     protocol: Protocol,
     out: &mut Vec<u8>,
@@ -72,19 +72,19 @@
 /// A complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// The number of its status, 100 to 599.
+    /// Status code, 100 to 599.
     pub status: u16,
-    /// Names as they came, values without spaces around them.
+    /// Names as received, and values without surrounding spaces.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Its body.
+    /// Body, without bytes beyond its announced length.
     pub body: Vec<u8>,
-    /// More came than its head announced. The rest was skipped, and its connection must not carry
-    /// another request.
+    /// Whether more bytes arrived than `Content-Length` announced. They were skipped, and the
+    /// connection must not carry another request.
     pub excess: bool,
 }
 
 impl Response {
-    /// The first value of a header, whose name may be written in any case.
+    /// Returns the first value of a header. The name is not case-sensitive.
     pub fn header(&self, name: &str) -> Option<&[u8]> {
         self.headers
             .iter()
@@ -92,9 +92,9 @@
             .map(|(_, value)| &value[..])
     }
 
-    /// The body's length by `Content-Length`, if there is one.
+    /// Returns the value of `Content-Length`, if there is one.
     fn content_length(&self) -> Result<Option<usize>, ProtocolError> {
-        const UNREADABLE: ProtocolError = ProtocolError("a Content-Length that can't be read");
+        const INVALID: ProtocolError = ProtocolError("invalid Content-Length");
         let mut lengths = self
             .headers
             .iter()
@@ -102,12 +102,12 @@
         let value = match (lengths.next(), lengths.next()) {
             (None, _) => return Ok(None),
             (Some((_, value)), None) => value,
-            _ => return Err(UNREADABLE),
+            _ => return Err(INVALID),
         };
         if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
-            return Err(UNREADABLE);
+            return Err(INVALID);
         }
-        let digits = std::str::from_utf8(value).map_err(|_| UNREADABLE)?;
-        digits.parse().map(Some).map_err(|_| UNREADABLE)
+        let digits = std::str::from_utf8(value).map_err(|_| INVALID)?;
+        digits.parse().map(Some).map_err(|_| INVALID)
     }
 }
--- a/crates/protocols/src/response/reader.rs
+++ b/crates/protocols/src/response/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a response from the bytes that arrive, complete or not at all.
+//! Reads a complete response from bytes that arrive in parts.
 
 use super::head::{find_head_end, parse_head};
 use super::{MAX_HEAD_BYTES, Response};
@@ -8,22 +8,22 @@
 /// How a response ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponseOutcome {
-    /// It is complete.
+    /// The response is complete.
     Complete(Response),
-    /// The peer says that it did not run the request.
+    /// The peer reports that it did not run the request.
     Refused(ProtocolStatus),
 }
 
 /// Reads the response to one request, which may arrive in parts of any length. A FastCGI response
-/// is complete with its end record; a uwsgi one with as many bytes as its `Content-Length` says, or
-/// with the end of its connection where it says none.
+/// is complete after its end record. A uwsgi response is complete after `Content-Length` bytes of
+/// body or, without that header, when the peer closes the connection.
 #[derive(Debug)]
 pub struct ResponseReader {
     protocol: Protocol,
-    /// The request, with FastCGI.
+    /// Request id, used with FastCGI only.
     id: u16,
     records: ResponseSplitter,
-    /// Bytes of the head, until it is complete.
+    /// Bytes of the head while it is incomplete.
     raw_head: Vec<u8>,
     head_complete: bool,
     content_length: Option<usize>,
@@ -32,7 +32,8 @@
 }
 
 impl ResponseReader {
-    /// A reader for the response to request `id`, whose body may have up to `max_body_bytes`.
+    /// Creates a reader for the response to request `id`, whose body may have up to
+    /// `max_body_bytes`.
     pub fn new(protocol: Protocol, id: u16, max_body_bytes: usize) -> ResponseReader {
         ResponseReader {
             protocol,
@@ -46,17 +47,17 @@
         }
     }
 
-    /// Whether any byte of a response was read.
+    /// Returns true if any byte of a response was read.
     pub fn has_begun(&self) -> bool {
         self.head_complete || !self.raw_head.is_empty()
     }
 
-    /// Reads `input` up to the end of the response; the response, once it is complete. Nothing more
-    /// may be read after that.
+    /// Reads `input` up to the end of the response and returns the response once it is complete.
+    /// The reader must not be used after that.
     ///
     /// # Errors
-    /// What is no response: a head that can't be read or is too long, a body longer than the bound,
-    /// an end too soon.
+    /// The head is invalid or too long, the body exceeds its maximum size, or the response ends
+    /// too early.
     pub fn read(&mut self, input: &mut &[u8]) -> Result<Option<ResponseOutcome>, ProtocolError> {
         match self.protocol {
             Protocol::Uwsgi => {
@@ -85,7 +86,7 @@
                 ResponseRecord::End { id, status } if id == self.id => {
                     outcome = Some(self.on_end(status)?);
                 }
-                // Of a request that was aborted.
+                // Records of a request that was aborted.
                 _ => {}
             }
         }
@@ -97,34 +98,34 @@
         match status {
             Some(ProtocolStatus::Complete) => self.complete().map(ResponseOutcome::Complete),
             Some(status) if !self.has_begun() => Ok(ResponseOutcome::Refused(status)),
-            _ => Err(ProtocolError("an end of no known kind")),
+            _ => Err(ProtocolError("invalid end record")),
         }
     }
 
-    /// The peer closed the connection in order: the response, if that completes it.
+    /// Handles that the peer closed the connection; returns the response if that completes it.
     ///
     /// # Errors
     /// The response is incomplete.
     pub fn on_close(&mut self) -> Result<Response, ProtocolError> {
         match self.protocol {
             Protocol::Uwsgi => self.complete(),
-            Protocol::FastCgi => Err(ProtocolError("closed before its end record")),
+            Protocol::FastCgi => Err(ProtocolError("connection closed before the end record")),
         }
     }
 
     fn complete(&mut self) -> Result<Response, ProtocolError> {
         if !self.has_begun() {
-            return Err(ProtocolError("nothing"));
+            return Err(ProtocolError("empty response"));
         }
         if !self.head_complete {
-            return Err(ProtocolError("a head cut short"));
+            return Err(ProtocolError("truncated head"));
         }
         let body_bytes = self.response.body.len();
         if self
             .content_length
             .is_some_and(|length| body_bytes < length)
         {
-            return Err(ProtocolError("a body cut short"));
+            return Err(ProtocolError("truncated body"));
         }
         Ok(self.take_response())
     }
@@ -133,7 +134,7 @@
         std::mem::take(&mut self.response)
     }
 
-    /// Reads bytes of head and body, whatever carried them.
+    /// Reads bytes of the head and body, without the framing of the protocol.
     fn read_content(&mut self, mut bytes: &[u8]) -> Result<(), ProtocolError> {
         if !self.head_complete && !self.read_head(&mut bytes)? {
             return Ok(());
@@ -144,13 +145,13 @@
         self.response.excess |= bytes.len() > remaining;
         let bytes = &bytes[..bytes.len().min(remaining)];
         if self.response.body.len() + bytes.len() > self.max_body_bytes {
-            return Err(ProtocolError("a body longer than any may be"));
+            return Err(ProtocolError("the body exceeds its maximum size"));
         }
         self.response.body.extend(bytes);
         Ok(())
     }
 
-    /// Reads bytes of the head, which `bytes` is advanced past; whether it is complete.
+    /// Reads bytes of the head and advances `bytes` past them. Returns true if the head is complete.
     fn read_head(&mut self, bytes: &mut &[u8]) -> Result<bool, ProtocolError> {
         let before = self.raw_head.len();
         let taken = bytes.len().min(MAX_HEAD_BYTES - before);
@@ -159,7 +160,7 @@
             if self.raw_head.len() < MAX_HEAD_BYTES {
                 return Ok(false);
             }
-            return Err(ProtocolError("a head without end"));
+            return Err(ProtocolError("the head exceeds its maximum size"));
         };
         *bytes = &bytes[end - before..];
         let raw = std::mem::take(&mut self.raw_head);
--- a/crates/protocols/src/uwsgi.rs
+++ b/crates/protocols/src/uwsgi.rs
@@ -1,9 +1,9 @@
-//! Packets of uwsgi, read and written without sockets.
+//! Codec for uwsgi packets.
 //!
-//! A packet is a header of four bytes (modifier 1, the size of what follows in 16 bits with the low
-//! byte first, modifier 2) and a block of variables, each name and value behind its length in 16
-//! bits of the same order. A body of `CONTENT_LENGTH` bytes follows outside the packet. A
-//! connection carries one request.
+//! A packet has a header of four bytes (modifier 1, the 16-bit little-endian size of the block,
+//! modifier 2) and a block of variables. Each name and value is preceded by its 16-bit
+//! little-endian length. A body of `CONTENT_LENGTH` bytes follows the packet. A connection carries
+//! one request.
 
 mod block_scanner;
 mod request_splitter;
@@ -12,23 +12,22 @@
 use crate::fastcgi::split_front;
 use crate::{ProtocolError, Variable};
 
-/// Modifier 1 of a request as any web server sends it.
+/// Modifier 1 of a request with CGI variables.
 pub const REQUEST: u8 = 0;
-/// Modifier 1 of a health check and its answer.
+/// Modifier 1 of a health check and its response.
 pub const PING: u8 = 100;
-/// Modifier 2 of the answer to a health check.
+/// Modifier 2 of the response to a health check.
 const PONG: u8 = 1;
 
 const HEADER_BYTES: usize = 4;
 
-const CUT_SHORT: ProtocolError = ProtocolError("variables that are cut short");
-const LONGER_THAN_PACKET: ProtocolError =
-    ProtocolError("a variable that is longer than its packet");
+const CUT_SHORT: ProtocolError = ProtocolError("truncated variables");
+const LONGER_THAN_PACKET: ProtocolError = ProtocolError("a variable is longer than its packet");
 
 /// Reads the variables of a complete block.
 ///
 /// # Errors
-/// A length leads past the end of the block.
+/// A length exceeds the rest of the block, or the block is truncated.
 pub fn read_variables(mut block: &[u8]) -> Result<Vec<Variable<'_>>, ProtocolError> {
     let mut variables = Vec::with_capacity(16);
     while !block.is_empty() {
@@ -37,7 +36,7 @@
     Ok(variables)
 }
 
-/// Reads a name or value behind its length.
+/// Reads a length and the name or value after it.
 fn read_string<'a>(block: &mut &'a [u8]) -> Result<&'a [u8], ProtocolError> {
     let [low, high] = *split_front(block, 2) else {
         return Err(CUT_SHORT);
@@ -50,7 +49,7 @@
     Ok(string)
 }
 
-/// Answers a health check, with a warning unless this side is healthy.
+/// Writes the response to a health check, with a warning if this side is not healthy.
 pub fn write_pong(out: &mut Vec<u8>, healthy: bool) {
     let warning: &[u8] = if healthy { b"" } else { b"not ready" };
     let [low, high] = (warning.len() as u16).to_le_bytes();
@@ -58,10 +57,10 @@
     out.extend(warning);
 }
 
-/// Writes a complete request: packet and body.
+/// Writes a complete request: the packet and the body.
 ///
 /// # Errors
-/// The variables take more than the 65,535 bytes of a packet; nothing is written then.
+/// The variables take more than the 65,535 bytes of a packet. Nothing is written in this case.
 pub fn write_request<'a>(
     out: &mut Vec<u8>,
     variables: impl Iterator<Item = Variable<'a>>,
@@ -73,10 +72,10 @@
         for string in [name, value] {
             out.extend((string.len() as u16).to_le_bytes());
             out.extend(string);
-            // Also catches a string whose length does not fit its 16 bits.
+            // Also detects a string whose length does not fit in 16 bits.
             if out.len() - start - HEADER_BYTES > u16::MAX.into() {
                 out.truncate(start);
-                return Err(ProtocolError("more variables than a packet holds"));
+                return Err(ProtocolError("the variables do not fit in a packet"));
             }
         }
     }
--- a/crates/protocols/src/uwsgi/block_scanner.rs
+++ b/crates/protocols/src/uwsgi/block_scanner.rs
@@ -1,17 +1,17 @@
-//! Checks a block of variables while it arrives, and finds the length of the body in it.
+//! Validates a block of variables while it arrives, and extracts the length of the body.
 
 use super::{CUT_SHORT, LONGER_THAN_PACKET};
 use crate::ProtocolError;
 use crate::fastcgi::split_front;
 
-/// The variable that holds the length of the body.
-const LENGTH_NAME: &[u8] = b"CONTENT_LENGTH";
-/// Digits that a length may have.
+/// Name of the variable that holds the length of the body.
+const CONTENT_LENGTH_NAME: &[u8] = b"CONTENT_LENGTH";
+/// Maximum number of digits in `CONTENT_LENGTH`. Numbers of this length can't overflow a `u64`.
 const MAX_DIGITS: usize = 18;
-/// Bytes of the length before each name and value.
+/// Size in bytes of the length before each name and value.
 const LENGTH_BYTES: u8 = 2;
 
-const BAD_LENGTH: ProtocolError = ProtocolError("CONTENT_LENGTH");
+const INVALID_CONTENT_LENGTH: ProtocolError = ProtocolError("CONTENT_LENGTH");
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum StringKind {
@@ -19,24 +19,25 @@
     Value,
 }
 
-/// Scans the variables as they arrive, only to check that their lengths add up and to read
+/// Scans the variables as they arrive to check that their lengths are consistent and to read
 /// `CONTENT_LENGTH`.
 #[derive(Debug)]
 pub(super) struct BlockScanner {
     kind: StringKind,
-    /// Bytes of the string's length that were read.
+    /// Number of bytes read of the length of the current string.
     length_bytes_read: u8,
-    /// The low byte of the length.
+    /// Low byte of that length.
     length_low: u8,
-    /// Bytes of the string that were not read yet.
+    /// Number of bytes of the string that are still to be read.
     remaining: usize,
-    /// Bytes of the name that match [`LENGTH_NAME`]; none once one does not.
+    /// Number of bytes of the name that match [`CONTENT_LENGTH_NAME`], or `None` after a mismatch.
     matched: Option<usize>,
-    /// Digits of the length's value that were read.
+    /// Number of digits read of the value of `CONTENT_LENGTH`.
     digits: usize,
+    /// Value of these digits.
     number: u64,
-    /// Whether the value is that of [`LENGTH_NAME`].
-    is_length_value: bool,
+    /// Whether the current value is that of `CONTENT_LENGTH`.
+    is_content_length: bool,
     body_length: Option<u64>,
 }
 
@@ -50,14 +51,14 @@
             matched: Some(0),
             digits: 0,
             number: 0,
-            is_length_value: false,
+            is_content_length: false,
             body_length: None,
         }
     }
 }
 
 impl BlockScanner {
-    /// Scans bytes of the block, which has `block_remaining` left after them.
+    /// Scans `bytes`, after which `block_remaining` bytes of the block are still to come.
     pub(super) fn scan(
         &mut self,
         mut bytes: &[u8],
@@ -98,13 +99,13 @@
         match self.kind {
             StringKind::Name => {
                 self.matched = self.matched.filter(|matched| {
-                    let expected = LENGTH_NAME.get(*matched..);
+                    let expected = CONTENT_LENGTH_NAME.get(*matched..);
                     expected.is_some_and(|expected| expected.starts_with(part))
                 });
                 self.matched = self.matched.map(|matched| matched + part.len());
                 Ok(())
             }
-            StringKind::Value if self.is_length_value => self.scan_digits(part),
+            StringKind::Value if self.is_content_length => self.scan_digits(part),
             StringKind::Value => Ok(()),
         }
     }
@@ -113,7 +114,7 @@
         for byte in part {
             self.digits += 1;
             if !byte.is_ascii_digit() || self.digits > MAX_DIGITS {
-                return Err(BAD_LENGTH);
+                return Err(INVALID_CONTENT_LENGTH);
             }
             self.number = self.number * 10 + u64::from(byte - b'0');
         }
@@ -125,23 +126,25 @@
         match self.kind {
             StringKind::Name => {
                 self.kind = StringKind::Value;
-                self.is_length_value = self.matched == Some(LENGTH_NAME.len());
+                self.is_content_length = self.matched == Some(CONTENT_LENGTH_NAME.len());
                 (self.digits, self.number) = (0, 0);
             }
             StringKind::Value => {
-                // Refused if it occurs twice: two readers could use different ones.
-                if self.is_length_value && self.body_length.replace(self.number).is_some() {
-                    return Err(BAD_LENGTH);
+                // A repeated CONTENT_LENGTH is an error: this side and the server could use
+                // different values.
+                if self.is_content_length && self.body_length.replace(self.number).is_some() {
+                    return Err(INVALID_CONTENT_LENGTH);
                 }
                 self.kind = StringKind::Name;
-                self.is_length_value = false;
+                self.is_content_length = false;
                 self.matched = Some(0);
             }
         }
         Ok(())
     }
 
-    /// The length of the body, once the block is complete; 0 if it is absent or empty.
+    /// Returns the length of the body after the block is complete: 0 if `CONTENT_LENGTH` is absent
+    /// or empty.
     pub(super) fn finish(&self) -> Result<u64, ProtocolError> {
         if self.kind != StringKind::Name || self.length_bytes_read != 0 {
             return Err(CUT_SHORT);
--- a/crates/protocols/src/uwsgi/request_splitter.rs
+++ b/crates/protocols/src/uwsgi/request_splitter.rs
@@ -1,11 +1,11 @@
-//! Splits what a web server sends into the events of its request.
+//! Splits the bytes of a uwsgi connection from a web server into events.
 
 use super::block_scanner::BlockScanner;
 use super::{HEADER_BYTES, PING, REQUEST};
 use crate::fastcgi::{RESPONDER, split_front};
 use crate::{ProtocolError, RequestEvent};
 
-/// The id of the one request on a connection.
+/// Id of the only request on a connection.
 const REQUEST_ID: u16 = 0;
 
 const BEGIN: RequestEvent = RequestEvent::Begin {
@@ -14,29 +14,29 @@
     keep_connection: false,
 };
 
-/// What is read next.
+/// What the splitter reads next.
 #[derive(Debug, PartialEq)]
 enum State {
     Header,
     Block,
-    /// The block is complete; the length of the body is reported next.
+    /// The block is complete, and the length of the body is to be reported.
     BlockEnd,
     Body,
-    /// A header that begins no request. It is reported as one all the same, so that its sender gets
-    /// a response.
-    Refused(ProtocolError),
-    /// Nothing more is expected; further input is skipped.
+    /// The header does not begin a request. A `Begin` event is still reported before the error, so
+    /// that the sender gets a response.
+    Invalid(ProtocolError),
+    /// The request is complete. Further input is skipped.
     Done,
 }
 
-/// Splits a stream of bytes, which may arrive in parts of any length, into events.
+/// Splits a byte stream, which may arrive in parts of any length, into events.
 #[derive(Debug)]
 pub struct RequestSplitter {
     state: State,
     header: [u8; HEADER_BYTES],
-    /// Bytes of the header that were read.
+    /// Number of bytes of the header that were read.
     header_len: usize,
-    /// Bytes of the block, then of the body, that were not read yet.
+    /// Number of bytes of the block, or then of the body, that are still to be read.
     remaining: u64,
     block: BlockScanner,
 }
@@ -54,15 +54,15 @@
 }
 
 impl RequestSplitter {
-    /// Whether nothing is read in part: no byte was read, or all were.
+    /// Returns true if nothing or the whole request has been read.
     pub fn at_boundary(&self) -> bool {
         self.state == State::Done || (self.state == State::Header && self.header_len == 0)
     }
 
-    /// The next event of `input`, which is advanced past it; none once the input is used up.
+    /// Returns the next event and advances `input` past it, or `None` if `input` is exhausted.
     ///
     /// # Errors
-    /// The stream is not a request, or its variables can't be read.
+    /// The stream is not a valid request.
     pub fn next<'a>(
         &mut self,
         input: &mut &'a [u8],
@@ -78,7 +78,7 @@
                 }))
             }
             State::Body => Ok(self.read_body(input)),
-            State::Refused(error) => Err(error),
+            State::Invalid(error) => Err(error),
             State::Done => {
                 *input = &[];
                 Ok(None)
@@ -98,13 +98,10 @@
         let (state, event) = match modifier {
             REQUEST => (State::Block, BEGIN),
             PING if self.remaining == 0 => (State::Done, RequestEvent::Ping),
-            PING => (
-                State::Refused(ProtocolError("a ping with a content")),
-                BEGIN,
-            ),
+            PING => (State::Invalid(ProtocolError("a ping with content")), BEGIN),
             _ => {
-                let error = ProtocolError("a modifier that is not served here");
-                (State::Refused(error), BEGIN)
+                let error = ProtocolError("unsupported modifier");
+                (State::Invalid(error), BEGIN)
             }
         };
         self.state = state;
--- a/crates/protocols/tests/codecs/any_bytes.rs
+++ b/crates/protocols/tests/codecs/any_bytes.rs
@@ -1,4 +1,4 @@
-//! Random streams, split into any parts.
+//! Property tests: valid, corrupted and random streams that arrive in arbitrary parts.
 
 use doortrack_fakes::cut_at;
 use doortrack_protocols::{
@@ -24,7 +24,7 @@
     prop::collection::vec(any::<u8>(), 0..max_len)
 }
 
-/// A byte stream that one side may send: valid, valid but for one byte, or random.
+/// A stream from the requesting side: valid, valid except for one byte, or random.
 fn streams() -> impl Strategy<Value = (Protocol, Vec<u8>)> {
     let protocol = prop_oneof![Just(Protocol::FastCgi), Just(Protocol::Uwsgi)];
     let fields = prop::collection::vec(
@@ -68,7 +68,7 @@
     })]
 
     #[test]
-    fn any_bytes_in_any_parts_read_the_same(
+    fn a_stream_gives_the_same_events_in_any_parts(
         (protocol, stream) in streams(),
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
     ) {
@@ -77,14 +77,14 @@
         let parts = cut_at(&stream, cuts);
         let cut = events(protocol, &parts);
         prop_assert_eq!(&cut.1, &whole.1);
-        // Before an error a part of its own event may have been passed on already, or not.
+        // The last event before an error may be reported or not, depending on the parts.
         let valid = whole.0.len() - usize::from(whole.1.is_some() && !whole.0.is_empty());
         prop_assert_eq!(&cut.0[..valid.min(cut.0.len())], &whole.0[..valid]);
         prop_assert!(whole.1.is_some() || cut.0 == whole.0);
     }
 
     #[test]
-    fn a_request_is_read_as_it_was_written(
+    fn a_written_request_is_read_back(
         names in prop::collection::vec(bytes(300), 0..5),
         body in bytes(3000),
     ) {
@@ -109,7 +109,7 @@
     }
 
     #[test]
-    fn any_response_in_any_parts_reads_the_same(
+    fn a_response_gives_the_same_outcome_in_any_parts(
         random_bytes in bytes(200),
         body in bytes(200),
         change in any::<Option<(u16, u8)>>(),
@@ -131,7 +131,7 @@
                     Ok(None) => reader.read(&mut &second[..]),
                     ended => ended,
                 };
-                // Bytes past an announced length show only if they arrive with it.
+                // Bytes beyond the announced length are detected only if they arrive with the last part.
                 let comparable = |read: Result<Option<ResponseOutcome>, ProtocolError>| {
                     read.map(|read| read.map(without_excess))
                 };
--- a/crates/protocols/tests/codecs/fixture.rs
+++ b/crates/protocols/tests/codecs/fixture.rs
@@ -1,4 +1,4 @@
-//! Reads whole streams in given parts.
+//! Helpers that read complete streams in given parts.
 
 use doortrack_protocols::{
     Protocol, ProtocolError, RequestEvent, RequestReader, ResponseOutcome, ResponseReader,
@@ -14,8 +14,8 @@
     out
 }
 
-/// The events of a stream that arrives in these parts, with contents joined so that the parts do
-/// not show.
+/// Returns the events of a stream that arrives in `parts`, and the error that ended it. Adjacent
+/// content events are joined, so that the result does not depend on the parts.
 pub fn events(
     protocol: Protocol,
     parts: &[&[u8]],
--- a/crates/protocols/tests/codecs/main.rs
+++ b/crates/protocols/tests/codecs/main.rs
@@ -1,4 +1,4 @@
-//! Both protocols on both sides.
+//! Both protocols, on both sides of a connection.
 
 mod any_bytes;
 mod fixture;
--- a/crates/protocols/tests/codecs/requests.rs
+++ b/crates/protocols/tests/codecs/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: known bytes, health checks, lengths.
+//! Requests: a known packet, health checks, and invalid or oversized lengths.
 
 use doortrack_protocols::{
     Protocol, ProtocolError, ResponseHead, Variable, uwsgi, write_request, write_response,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_ping_is_recognized_and_answered_with_a_warning() {
+fn a_ping_gets_a_response_with_a_warning_if_not_ready() {
     assert_eq!(
         events(Protocol::Uwsgi, &[&[100, 0, 0, 0, 9, 9]]).0,
         [("Ping".to_string(), vec![])]
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn bad_lengths_and_other_modifiers_are_refused() {
+fn invalid_lengths_and_unsupported_modifiers_are_errors() {
     for modifier in (1..=255).filter(|m| *m != uwsgi::PING) {
         assert!(
             events(Protocol::Uwsgi, &[&[modifier, 0, 0, 0]]).1.is_some(),
@@ -74,25 +74,25 @@
         );
     }
     for block in [
-        &b"\x05\x00AB"[..],    // a name past the packet's end
-        b"\x01\x00A\x09\x00B", // a value past it
-        b"\x01\x00A",          // a name with no value
-        b"\x01\x00A\x01",      // half a length
-        b"\x01",               // half the first
-        b"\xff\xff",           // the longest name there is, and nothing of it
+        &b"\x05\x00AB"[..],    // a name beyond the end of the packet
+        b"\x01\x00A\x09\x00B", // a value beyond the end of the packet
+        b"\x01\x00A",          // a name without a value
+        b"\x01\x00A\x01",      // a truncated length of a value
+        b"\x01",               // a truncated length of a name
+        b"\xff\xff",           // a name of maximum length without content
     ] {
         let bytes = [&[0, block.len() as u8, 0, 0], block, &[0; 70_000]].concat();
         let (events_read, error) = events(Protocol::Uwsgi, &[&bytes]);
         assert!(error.is_some(), "{block:?}: {events_read:?}");
         assert!(uwsgi::read_variables(block).is_err(), "{block:?}");
     }
-    // An empty packet is valid: no variables, no body.
+    // An empty packet is valid: it has no variables and no body.
     let (events_read, error) = events(Protocol::Uwsgi, &[&[0; 4]]);
     assert_eq!((events_read.len(), error), (4, None), "{events_read:?}");
 }
 
 #[test]
-fn a_body_length_is_one_number_or_absent() {
+fn a_body_length_is_a_single_number_or_absent() {
     let body_length = |values: &[&str]| {
         let variables: Vec<Variable> = values
             .iter()
@@ -105,7 +105,7 @@
             .map(|(name, _)| name.clone());
         (reported, error)
     };
-    for (values, wanted) in [
+    for (values, expected) in [
         (&[][..], "0"),
         (&[""], "0"),
         (&["0"], "0"),
@@ -115,14 +115,14 @@
         assert_eq!(
             body_length(values),
             (
-                Some(format!("BodyLength {{ id: 0, length: {wanted} }}")),
+                Some(format!("BodyLength {{ id: 0, length: {expected} }}")),
                 None
             )
         );
     }
     assert!(
         body_length(&["999999999999999999"]).0.is_some(),
-        "reported, for the caller to refuse"
+        "a large length is reported; the caller rejects it"
     );
     for invalid in [
         &["-1"][..],
@@ -140,12 +140,12 @@
         );
     }
     // Only the exact name counts.
-    let near: [Variable; 3] = [
+    let similar: [Variable; 3] = [
         (b"CONTENT_LENGT", b"x"),
         (b"CONTENT_LENGTHS", b"x"),
         (b"content_length", b"x"),
     ];
-    assert_eq!(events(Protocol::Uwsgi, &[&packet(&near, b"")]).1, None);
+    assert_eq!(events(Protocol::Uwsgi, &[&packet(&similar, b"")]).1, None);
 }
 
 #[test]
--- a/crates/protocols/tests/codecs/responses.rs
+++ b/crates/protocols/tests/codecs/responses.rs
@@ -27,7 +27,7 @@
         assert!(reader.on_close().is_err(), "cut at {cut}");
         assert_eq!(reader.has_begun(), cut > 0);
     }
-    // Without a length it ends with the connection.
+    // A response without a length ends with the connection.
     let mut reader = ResponseReader::new(Protocol::Uwsgi, 1, 4096);
     assert_eq!(
         reader.read(&mut &b"HTTP/1.0 404 Not Found\nA:  b \n\nbo"[..]),
@@ -39,16 +39,16 @@
         (response.status, &response.body[..], response.header("a")),
         (404, &b"body"[..], Some(&b"b"[..]))
     );
-    // More than announced: what was announced counts, and the rest is reported.
+    // Bytes beyond the announced length are skipped, and reported as excess.
     let more = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nbody";
     let Ok(Some(ResponseOutcome::Complete(response))) = read_response(Protocol::Uwsgi, more) else {
         panic!()
     };
     assert_eq!((&response.body[..], response.excess), (&b"bo"[..], true));
-    let mut fast = Vec::new();
+    let mut fastcgi = Vec::new();
     write_response(
         Protocol::FastCgi,
-        &mut fast,
+        &mut fastcgi,
         1,
         ResponseHead {
             status: "201 Made",
@@ -57,12 +57,12 @@
         },
         b"body",
     );
-    for cut in 0..fast.len() {
+    for cut in 0..fastcgi.len() {
         let mut reader = ResponseReader::new(Protocol::FastCgi, 1, 4096);
-        assert_eq!(reader.read(&mut &fast[..cut]), Ok(None));
+        assert_eq!(reader.read(&mut &fastcgi[..cut]), Ok(None));
         assert!(reader.on_close().is_err(), "no end record at {cut}");
     }
-    let Ok(Some(ResponseOutcome::Complete(response))) = read_response(Protocol::FastCgi, &fast)
+    let Ok(Some(ResponseOutcome::Complete(response))) = read_response(Protocol::FastCgi, &fastcgi)
     else {
         panic!()
     };
