--- a/crates/config/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -1,6 +1,7 @@
-//! The section of the operators' file on budgets: limits of the whole fleet, and the times of their leases.
+//! The section of the installation file on budgets: limits that apply to the whole fleet, and the timing of their
+//! leases.
 //!
-//! Doc comments of the file's types are the descriptions in its schema.
+//! Doc comments of the types that are read from the file are the descriptions in its schema.
 
 mod assignment;
 mod validate;
@@ -120,7 +121,7 @@
 }
 
 impl FleetConfig {
-    /// What the division of budgets is configured with.
+    /// Returns the parameters of budget division.
     pub fn budget_parameters(&self) -> Parameters {
         let times = self.leases;
         Parameters {
@@ -135,9 +136,9 @@
 }
 
 impl BudgetConfig {
-    /// The budget in a fleet with these `voters`; `longest_deadline` is how long one of a concurrency is held
-    /// where the file does not say it.
-    fn budget(&self, voters: &[String], longest_deadline: TenthMillis) -> Budget {
+    /// Returns the budget in a fleet with these `voters`. `longest_deadline` is the maximum hold time of a
+    /// concurrency budget for which the file sets none.
+    fn to_budget(&self, voters: &[String], longest_deadline: TenthMillis) -> Budget {
         let kind = match self.kind {
             BudgetKind::Rate => Kind::Rate {
                 burst: self.burst.unwrap_or(1),
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Names of the nodes that have a reserved minimum.
+    /// Returns the names of the nodes that have a reserved minimum.
     fn nodes_with_reserve<'a>(&'a self, voters: &'a [String]) -> &'a [String] {
         self.reserved_for.as_deref().unwrap_or(voters)
     }
--- a/crates/config/src/budgets/assignment.rs
+++ b/crates/config/src/budgets/assignment.rs
@@ -1,4 +1,4 @@
-//! Which budget applies to which requests.
+//! Determines which budget applies to which requests.
 
 use std::collections::HashMap;
 
@@ -7,36 +7,36 @@
 use super::BudgetScope;
 use crate::{Installation, NodeConfig};
 
-/// Indices of the budgets that apply to requests, by group, tenant and pool; `None` where there is no budget.
+/// Indices of the budgets that apply to requests, by group, tenant and pool, or `None` where no budget applies.
 /// An index is a position in [`Installation::budget_list`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BudgetIndices {
-    /// By endpoint group, in the order of the platform's configuration.
+    /// Budgets of endpoint groups, in the order of the platform's configuration.
     pub groups: Vec<Option<u16>>,
-    /// By tenant, in the same order.
+    /// Budgets of tenants, in the order of the platform's configuration.
     pub tenants: Vec<Option<u16>>,
-    /// By pool of servers, in the order of [`Installation::named_pools`].
+    /// Budgets of server pools, in the order of [`Installation::named_pools`].
     pub pools: Vec<Option<u16>>,
-    /// Of retries, by pool.
+    /// Budgets of retries, by pool.
     pub retries: Vec<Option<u16>>,
-    /// Of first runs on servers in slow start, by pool.
+    /// Budgets of runs on servers in slow start, by pool.
     pub slow_starts: Vec<Option<u16>>,
 }
 
 impl Installation {
-    /// The budgets in the order of the file. A concurrency without a maximum hold time has the longest
-    /// deadline of all endpoint groups.
+    /// Returns the budgets in the order of the file. The maximum hold time of a concurrency budget defaults to the
+    /// longest deadline of all endpoint groups.
     pub fn budget_list(&self, config: &NodeConfig) -> Vec<Budget> {
         let groups = &config.settings.admission.groups;
         let longest_deadline = groups.iter().map(|group| group.deadline).max().unwrap_or(0);
         let voters = self.voters();
         self.budgets
             .iter()
-            .map(|budget| budget.budget(voters, longest_deadline))
+            .map(|budget| budget.to_budget(voters, longest_deadline))
             .collect()
     }
 
-    /// Which budgets apply to which requests.
+    /// Returns the budgets that apply to each group, tenant and pool.
     pub fn budget_indices(&self, config: &NodeConfig) -> BudgetIndices {
         let indices: HashMap<&BudgetScope, u16> = self
             .budgets
--- a/crates/config/src/budgets/validate.rs
+++ b/crates/config/src/budgets/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of budgets that their types do not make.
+//! Validation of budgets beyond what their types enforce.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -9,20 +9,20 @@
 use crate::range::check_range;
 use crate::{ConfigErrorKind, ErrorCollector, Installation, NodeConfig};
 
-/// Where the budgets are found in the operators' file.
+/// Path of the budgets in the installation file.
 const BUDGETS: &str = "installation.budgets";
-/// Upper bound of a limit, reserved minimum, maximum per node, and burst.
+/// Maximum of a limit, reserved minimum, maximum per node and burst.
 const MAX_UNITS: u32 = 10_000_000;
 const MAX_HOLD_MS: u32 = 3_600_000;
 const MAX_ROUND_MS: u32 = 10_000;
 const MAX_VOTE_MS: u32 = 60_000;
 const MAX_LEASE_MS: u32 = 600_000;
 const MAX_DRIFT_PERMILLE: u32 = 200;
-/// Rounds that a vote lasts at least.
+/// Minimum duration of a vote, in rounds.
 const MIN_ROUNDS_PER_VOTE: u32 = 3;
 
 impl LeaseTimes {
-    /// Adds an error for every time that is out of its range.
+    /// Adds an error for every value that is out of its range.
     pub(crate) fn validate(&self, errors: &mut ErrorCollector) {
         let mut check = |key: &str, value: u32, min: u32, max: u32| {
             let path = format!("installation.fleet.leases.{key}");
@@ -38,7 +38,7 @@
 }
 
 impl BudgetConfig {
-    /// Adds every error of the budget, which is found at `path`.
+    /// Adds all errors of the budget at `path`.
     fn validate(&self, path: &str, voters: &[String], errors: &mut ErrorCollector) {
         if !doortrack_membership::is_valid_name(&self.name) {
             errors.push(format!("{path}.name"), NAME_RULE);
@@ -49,8 +49,8 @@
             .max_hold_ms
             .is_some_and(|millis| !(1..=MAX_HOLD_MS).contains(&millis))
         {
-            let rule = format!("1 to {MAX_HOLD_MS} is wanted");
-            errors.push(format!("{path}.max_hold_ms"), rule);
+            let message = format!("1 to {MAX_HOLD_MS} is wanted");
+            errors.push(format!("{path}.max_hold_ms"), message);
         }
         self.validate_reserved(path, voters, errors);
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Keys that only one kind of budget has, and what only a rate can be for.
+    /// Checks keys that only one kind of budget has, and scopes that need a rate.
     fn validate_kind(&self, path: &str, errors: &mut ErrorCollector) {
         match (self.kind, self.burst) {
             (BudgetKind::Rate, None) => {
@@ -96,13 +96,13 @@
         }
     }
 
-    /// What is reserved against the limit, the maximum per node and the burst.
+    /// Checks the reserved minimum against the limit, the maximum per node and the burst.
     fn validate_reserved(&self, path: &str, voters: &[String], errors: &mut ErrorCollector) {
         let (limit, reserved) = (u64::from(self.limit), u64::from(self.reserved));
         let nodes = self.nodes_with_reserve(voters).len() as u64;
         if reserved * nodes > limit {
-            let rule = format!("{reserved} for each of {nodes} nodes are more than the limit");
-            errors.push(format!("{path}.reserved"), rule);
+            let message = format!("{reserved} for each of {nodes} nodes are more than the limit");
+            errors.push(format!("{path}.reserved"), message);
         }
         if self.max_per_node.is_some_and(|max| max < self.reserved) {
             errors.push(format!("{path}.max_per_node"), "less than what is reserved");
@@ -110,25 +110,26 @@
         self.validate_reserved_rate(path, errors);
     }
 
-    /// What is reserved of a rate has to hold a whole request: `burst` units in the time of `limit` requests.
+    /// Checks that the reserved part of a rate has room for a whole request: `reserved * burst / limit` has to be at
+    /// least 1.
     fn validate_reserved_rate(&self, path: &str, errors: &mut ErrorCollector) {
         let (limit, reserved) = (u64::from(self.limit), u64::from(self.reserved));
         let burst = u64::from(self.burst.unwrap_or(1));
-        let burst_in_range = burst > 0; // Otherwise it has an error of its own.
+        let burst_in_range = burst > 0; // Otherwise `validate_ranges` adds an error.
         if self.kind != BudgetKind::Rate || reserved == 0 || !burst_in_range {
             return;
         }
         if reserved * burst < limit {
             let min = limit.div_ceil(burst);
-            let rule =
+            let message =
                 format!("at least {min} (limit / burst) is wanted, or it holds no whole one");
-            errors.push(format!("{path}.reserved"), rule);
+            errors.push(format!("{path}.reserved"), message);
         }
     }
 }
 
 impl Installation {
-    /// Adds every error of the section on budgets, as far as the file alone shows it.
+    /// Adds all errors of the budgets that the file alone shows.
     pub(crate) fn validate_budgets(&self, errors: &mut ErrorCollector) {
         if self.budgets.is_empty() {
             return;
@@ -153,22 +154,22 @@
             let path = format!("{BUDGETS}[{index}]");
             budget.validate(&path, voters, errors);
             if let Some(other) = names.insert(&budget.name, index) {
-                let rule = format!("the name of {BUDGETS}[{other}]");
-                errors.push(format!("{path}.name"), rule);
-            } else if let Some(other) = ids.insert(budget.budget(voters, 0).id(), index) {
-                let rule = format!(
+                let message = format!("the name of {BUDGETS}[{other}]");
+                errors.push(format!("{path}.name"), message);
+            } else if let Some(other) = ids.insert(budget.to_budget(voters, 0).id(), index) {
+                let message = format!(
                     "nodes could not tell it from that of {BUDGETS}[{other}]: take another"
                 );
-                errors.push(format!("{path}.name"), rule);
+                errors.push(format!("{path}.name"), message);
             }
             if let Some(other) = scopes.insert(&budget.applies_to, index) {
-                let rule = format!("under {BUDGETS}[{other}] already");
-                errors.push(format!("{path}.for"), rule);
+                let message = format!("under {BUDGETS}[{other}] already");
+                errors.push(format!("{path}.for"), message);
             }
         }
     }
 
-    /// Adds an error for every budget that does not fit the platform's configuration.
+    /// Adds an error for every budget that is inconsistent with the platform's configuration.
     pub(crate) fn validate_budgets_with(&self, config: &NodeConfig, errors: &mut ErrorCollector) {
         if self.budgets.is_empty() {
             return;
@@ -200,7 +201,8 @@
         }
     }
 
-    /// A budget for the slow start of a pool that has none, or one that grants more than it needs.
+    /// Adds an error if a slow start budget is for a pool without slow start, or its limit exceeds what the slow
+    /// start can use.
     fn validate_slow_start_budget(
         &self,
         limit: u32,
@@ -219,10 +221,10 @@
         };
         let max = slow_start.tokens_per_second();
         if u64::from(limit) > max {
-            let rule = format!(
+            let message = format!(
                 "at most {max} is wanted, 2 * runs / over_ms a second of {pool_path}.ramp; found {limit}"
             );
-            errors.push(format!("{path}.limit"), rule);
+            errors.push(format!("{path}.limit"), message);
         }
     }
 }
--- a/crates/config/src/stable.rs
+++ b/crates/config/src/consistent_read.rs
@@ -1,14 +1,14 @@
-//! Reads files that may be written meanwhile.
+//! Reads files that may be written at the same time.
 
 use std::fs::{File, Metadata};
 use std::io::{self, Read};
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-/// Attempts at reading a file that is written each time.
+/// Maximum number of attempts to read a file that changes during each of them.
 const MAX_ATTEMPTS: usize = 5;
 
-/// Identifies a version of a file, as far as the file system's clock resolves it.
+/// Identifies a version of a file, within the resolution of the file system's timestamps.
 #[derive(PartialEq)]
 struct Version {
     modified_seconds: i64,
@@ -26,11 +26,12 @@
     }
 }
 
-/// Reads a file. Where it is written meanwhile it is read again, so that two versions are not mixed. A writer
-/// that pauses between two writes is not noticed; renaming another file over it never leaves half of one.
+/// Reads a file. If the file changes during the read, it is read again, so that two versions are not mixed. A
+/// file that is written in several steps can still be read between two of them; replacing a file by a rename
+/// avoids this.
 ///
 /// # Errors
-/// Those of the system, and that the file is written each time it is read.
+/// The file can't be read, or changed during each attempt.
 pub fn read(path: &Path) -> io::Result<Vec<u8>> {
     for _ in 0..MAX_ATTEMPTS {
         let mut file = File::open(path)?;
@@ -41,5 +42,5 @@
             return Ok(bytes);
         }
     }
-    Err(io::Error::other("it is written while it is read"))
+    Err(io::Error::other("the file changes while it is read"))
 }
--- a/crates/config/src/deserialize.rs
+++ b/crates/config/src/deserialize.rs
@@ -1,7 +1,7 @@
-//! Deserializes JSON with all errors, and not only the first.
+//! Deserializes JSON and reports all errors instead of only the first.
 //!
-//! serde stops at the first error. The key at which it stopped is removed from a copy, and the rest is
-//! deserialized again, until that succeeds or says nothing new.
+//! serde stops at the first error. The key with the error is then removed from a copy, and the rest is deserialized
+//! again, until this succeeds or no key can be removed.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -9,16 +9,16 @@
 
 use crate::{ConfigErrorKind, ConfigErrors, ErrorCollector};
 
-/// Errors reported of one value. A text that is wrong throughout is not read over and over.
+/// Maximum number of errors that are reported for a value, which bounds the number of deserializations.
 const MAX_ERRORS: usize = 50;
 
-/// Deserializes `value`, which is found at `root` in its file.
+/// Deserializes `value`, whose path in its file is `root`.
 ///
 /// # Errors
-/// Every key that is unknown, of a wrong type or missing, each with its path; of several that are missing
-/// from one object the first.
+/// Every key that is unknown, has a wrong type or is missing, each with its path. Of several keys that are missing
+/// from one object only the first is reported.
 pub fn all_errors<T: DeserializeOwned>(value: &Value, root: &str) -> Result<T, ConfigErrors> {
-    // A value without errors is read once, and neither copied nor followed by its paths.
+    // A value without errors is deserialized only once, without copying it or tracking paths.
     if let Ok(read) = T::deserialize(value) {
         return Ok(read);
     }
@@ -41,7 +41,7 @@
     Err(errors.into_errors())
 }
 
-/// Adds the error at `path`, unless a key is missing only because it was removed for an error of its own.
+/// Adds the error at `path`, unless a key is missing only because it was removed after an error.
 fn report(path: &str, error: &serde_json::Error, errors: &mut ErrorCollector) {
     let reason = error.to_string();
     let Some(key) = missing_field(&reason) else {
@@ -54,16 +54,16 @@
     }
 }
 
-/// The field that serde finds missing.
+/// Returns the name of the field if serde reports a missing field.
 fn missing_field(reason: &str) -> Option<&str> {
     reason.strip_prefix("missing field `")?.split('`').next()
 }
 
-/// A value from which the keys with errors are removed one after the other.
+/// A copy of a value, from which keys with errors are removed one after the other.
 struct Remainder<'a> {
     root: &'a str,
     value: Value,
-    /// Items that were removed from lists: the list's path, and the index in the file.
+    /// Items that were removed from lists: the path of the list, and the index in the file.
     removed_items: Vec<(String, usize)>,
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The path in the file, where no items were removed from lists.
+    /// Returns the path in the file, in which no items were removed from lists.
     fn original_path<'s>(&self, segments: impl IntoIterator<Item = &'s Segment>) -> String {
         let mut original = self.root.to_string();
         for segment in segments {
@@ -93,7 +93,7 @@
         original
     }
 
-    /// The index in the file of the item that is now at `index` of a list.
+    /// Returns the index in the file of the item that is now at `index` of a list.
     fn original_index(&self, list: &str, index: usize) -> usize {
         let mut removed: Vec<usize> = self
             .removed_items
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Removes what is at `path`; whether there was anything.
+    /// Removes the value at `path`. Returns true if there was a value.
     fn remove(&mut self, path: &Path) -> bool {
         let segments: Vec<&Segment> = path.iter().collect();
         let Some((last, parents)) = segments.split_last() else {
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a configuration, and where.
+//! Errors of configurations, with their paths.
 
 use std::borrow::Cow;
 use std::fmt::{self, Display};
@@ -8,18 +8,18 @@
 use doortrack_settings::{SettingsError, SettingsErrorKind};
 use thiserror::Error;
 
-/// What is wrong with one key, file or variable.
+/// An error of a key, file or environment variable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{path}: {kind}")]
 pub struct ConfigError {
-    /// The file or variable, and the keys that lead to the value, as in `installation.fronts[1].listen`.
+    /// The file or variable, and the keys that lead to the value, such as `installation.fronts[1].listen`.
     pub path: String,
-    /// What is wrong there.
+    /// The kind of the error.
     pub kind: ConfigErrorKind,
 }
 
 impl ConfigError {
-    /// The error `kind` at `path`.
+    /// Creates the error `kind` at `path`.
     pub fn new(path: impl Into<String>, kind: impl Into<ConfigErrorKind>) -> ConfigError {
         ConfigError {
             path: path.into(),
@@ -34,76 +34,76 @@
     }
 }
 
-/// What is wrong.
+/// The kind of a configuration error.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigErrorKind {
     /// The environment variable has no value.
     #[error("is not set")]
     VariableNotSet,
-    /// The file can't be read; the system's reason.
+    /// The file can't be read. Holds the error of the system.
     #[error("{0}")]
     Unreadable(String),
-    /// The text is not JSON; the parser's reason.
+    /// The text is not JSON. Holds the error of the parser.
     #[error("not JSON: {0}")]
     NotJson(String),
-    /// The value is not of the type that the key has; the deserializer's reason.
+    /// The value does not have the type of the key. Holds the error of the deserializer.
     #[error("{0}")]
     WrongType(String),
-    /// The key is missing, or holds a value that is not accepted.
+    /// The key is missing, or its value is not accepted.
     #[error(transparent)]
     Value(#[from] SettingsErrorKind),
-    /// A list has more items than are accepted.
+    /// A list has too many items.
     #[error("at most {max} are wanted, found {found}")]
     TooMany {
-        /// Items that are accepted.
+        /// Maximum number of items.
         max: usize,
-        /// Items that there are.
+        /// Number of items.
         found: usize,
     },
-    /// An item is in its list twice.
+    /// A list contains an item twice.
     #[error("{0} stands there twice")]
     Duplicate(String),
-    /// The address is that of another listener.
+    /// The address conflicts with that of another listener.
     #[error("{address} is taken by {owner}")]
     AddressInUse {
-        /// The address that both are to listen on.
+        /// The conflicting address.
         address: SocketAddr,
-        /// The path of the other listener.
+        /// Path of the other listener.
         owner: String,
     },
-    /// Nothing has the name that the key holds.
+    /// The key refers to a name that does not exist.
     #[error("there is no {kind} '{name}'")]
     UnknownName {
-        /// What the name is expected to be one of.
+        /// What the name should refer to.
         kind: &'static str,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
-    /// The deployment asks for something that the node can't do.
+    /// The deployment requires a feature that the node does not support.
     #[error("{0} can't be served by this node yet")]
     Unsupported(&'static str),
-    /// A rule on this key, or on several together, is broken; the rule in words.
+    /// A constraint on this key, or on several keys together, is violated. Holds its description.
     #[error("{0}")]
     Invalid(Cow<'static, str>),
 }
 
 impl ConfigErrorKind {
-    /// The system's reason for which a file can't be read.
+    /// Converts an error of the system.
     pub(crate) fn unreadable(error: &io::Error) -> ConfigErrorKind {
         ConfigErrorKind::Unreadable(error.to_string())
     }
 
-    /// The parser's reason for which a text is not JSON.
+    /// Converts an error of the JSON parser.
     pub(crate) fn not_json(error: &serde_json::Error) -> ConfigErrorKind {
         ConfigErrorKind::NotJson(error.to_string())
     }
 
-    /// A needed key is missing.
+    /// Creates the error for a missing required key.
     pub(crate) fn missing_key(key: &str) -> ConfigErrorKind {
         SettingsErrorKind::MissingKey { key: key.into() }.into()
     }
 
-    /// The value is `found` and not one of the `expected` ones.
+    /// Creates the error for the value `found` where `expected` describes the accepted values.
     pub(crate) fn unexpected(
         expected: impl Into<Cow<'static, str>>,
         found: impl Display,
@@ -114,23 +114,23 @@
 }
 
 impl From<String> for ConfigErrorKind {
-    fn from(rule: String) -> ConfigErrorKind {
-        ConfigErrorKind::Invalid(rule.into())
+    fn from(message: String) -> ConfigErrorKind {
+        ConfigErrorKind::Invalid(message.into())
     }
 }
 
 impl From<&'static str> for ConfigErrorKind {
-    fn from(rule: &'static str) -> ConfigErrorKind {
-        ConfigErrorKind::Invalid(rule.into())
+    fn from(message: &'static str) -> ConfigErrorKind {
+        ConfigErrorKind::Invalid(message.into())
     }
 }
 
-/// Everything that is wrong with a configuration; never empty.
+/// All errors of a configuration; never empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
 impl ConfigErrors {
-    /// A single error.
+    /// Creates a list of one error.
     pub fn one(path: impl Into<String>, kind: impl Into<ConfigErrorKind>) -> ConfigErrors {
         ConfigErrors(vec![ConfigError::new(path, kind)])
     }
@@ -148,7 +148,7 @@
     }
 }
 
-/// In one line, for a log.
+/// Formats all errors on one line, for log lines.
 impl Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (index, error) in self.0.iter().enumerate() {
@@ -161,7 +161,7 @@
 
 impl std::error::Error for ConfigErrors {}
 
-/// Collects errors while checks go on, so that all of them are reported at once.
+/// Collects the errors of several checks, so that all are reported together.
 #[derive(Debug, Default)]
 pub struct ErrorCollector(Vec<ConfigError>);
 
@@ -171,25 +171,25 @@
         self.0.push(ConfigError::new(path, kind));
     }
 
-    /// The value of a check that succeeded; the errors of one that did not are added.
+    /// Returns the value of a successful check, or adds the errors of a failed one.
     pub fn collect<T, E: Into<ConfigErrors>>(&mut self, result: Result<T, E>) -> Option<T> {
         result.map_err(|errors| self.0.extend(errors.into().0)).ok()
     }
 
-    /// The errors that were collected, at least one.
+    /// Returns the collected errors, of which there has to be at least one.
     pub(crate) fn into_errors(self) -> ConfigErrors {
         ConfigErrors(self.0)
     }
 
-    /// The errors so far.
+    /// Returns the errors collected so far.
     pub fn errors(&self) -> &[ConfigError] {
         &self.0
     }
 
-    /// `value`, which is none only where [`ErrorCollector::collect`] returned none for a part of it.
+    /// Returns `value`, which must be `None` only if [`ErrorCollector::collect`] returned `None` for a part of it.
     ///
     /// # Errors
-    /// All that were collected.
+    /// All collected errors.
     pub fn finish_some<T>(self, value: Option<T>) -> Result<T, ConfigErrors> {
         match value {
             Some(value) => self.finish(value),
@@ -197,10 +197,10 @@
         }
     }
 
-    /// `value`, if there were no errors.
+    /// Returns `value` if there were no errors.
     ///
     /// # Errors
-    /// All that were collected.
+    /// All collected errors.
     pub fn finish<T>(self, value: T) -> Result<T, ConfigErrors> {
         if self.0.is_empty() {
             Ok(value)
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,6 +1,6 @@
-//! The section of the operators' file on the fleet: how this node and others know of one another.
+//! The section of the installation file on the fleet: how this node and others find and monitor one another.
 //!
-//! Doc comments of the file's types are the descriptions in its schema.
+//! Doc comments of the types that are read from the file are the descriptions in its schema.
 
 mod key;
 mod validate;
@@ -61,12 +61,12 @@
     pub fault_injection: FaultInjection,
 }
 
-/// Faults that tests of fleets inject into one process, by hidden arguments of the command line.
+/// Faults that fleet tests inject into one process through hidden command line arguments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultInjection {
-    /// By how many millionths the clock of membership and budgets is fast.
+    /// Clock drift of membership and budgets in parts per million; a positive clock is fast.
     pub drift_ppm: i32,
-    /// Which safeguards are in force.
+    /// The safeguards of budget division that are in force.
     pub safeguards: Safeguards,
 }
 
@@ -108,7 +108,7 @@
 }
 
 impl FleetConfig {
-    /// What membership is configured with.
+    /// Returns the parameters of membership.
     pub fn fleet_parameters(&self) -> Parameters {
         let times = self.times;
         Parameters {
@@ -122,15 +122,15 @@
         }
     }
 
-    /// The address at which other nodes reach this one.
+    /// Returns the address at which other nodes reach this node.
     pub fn address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// The fleet's key, if it has one; `folder` is that of the operators' file.
+    /// Returns the key of the fleet, if it has one. `folder` is the folder of the installation file.
     ///
     /// # Errors
-    /// The key's file can't be read, or does not hold 64 hex digits.
+    /// The key file can't be read, or does not contain 64 hex digits.
     pub fn key(&self, folder: &Path) -> Result<Option<FleetKey>, ConfigErrors> {
         let Some(file) = &self.key_file else {
             return Ok(None);
--- a/crates/config/src/fleet/key.rs
+++ b/crates/config/src/fleet/key.rs
@@ -1,4 +1,4 @@
-//! The key that the nodes of a fleet share.
+//! Reads the key that the nodes of a fleet share.
 
 use std::fs;
 use std::io;
@@ -11,24 +11,24 @@
 const KEY_BYTES: usize = 32;
 const HEX_DIGITS: usize = 2 * KEY_BYTES;
 
-/// A fleet's key.
+/// The key of a fleet.
 pub type FleetKey = [u8; KEY_BYTES];
 
-/// Why a key can't be had.
+/// Why a key can't be read.
 #[derive(Debug, Error)]
 pub enum KeyError {
-    /// Its file can't be read.
+    /// The key file can't be read.
     #[error("{}: {source}", .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// The system's reason.
+        /// The error of the system.
         source: io::Error,
     },
-    /// Its file holds something else.
+    /// The key file contains something other than 64 hex digits.
     #[error("{}: {HEX_DIGITS} hex digits are wanted", .path.display())]
     NotHex {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
     },
 }
@@ -36,7 +36,7 @@
 /// Reads a key of 64 hex digits; white space around them is ignored.
 ///
 /// # Errors
-/// The file can't be read, or holds something else.
+/// The file can't be read, or contains something other than 64 hex digits.
 pub fn read_key(path: &Path) -> Result<FleetKey, KeyError> {
     let text = fs::read_to_string(path).map_err(|source| KeyError::Unreadable {
         path: path.into(),
--- a/crates/config/src/fleet/validate.rs
+++ b/crates/config/src/fleet/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of the section on the fleet that its types do not make.
+//! Validation of the section on the fleet beyond what its types enforce.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 use crate::range::check_integer;
 use crate::{ConfigErrorKind, ErrorCollector, NodeConfig};
 
-/// What every name in a fleet has to be.
+/// Error message for invalid names of fleets, nodes and budgets.
 pub(crate) const NAME_RULE: &str = "1 to 64 bytes without control characters are wanted";
 
-/// Where the section is found in the operators' file.
+/// Path of the section in the installation file.
 const FLEET: &str = "installation.fleet";
 const MAX_SEEDS: usize = 64;
 const MAX_VOTERS: usize = 9;
@@ -23,7 +23,7 @@
 const MAX_FORGET_AFTER_MS: u32 = 86_400_000;
 
 impl FleetConfig {
-    /// Adds every error of the section, as far as the file alone shows it.
+    /// Adds all errors of the section that the file alone shows.
     pub(crate) fn validate(&self, errors: &mut ErrorCollector) {
         if !is_valid_name(&self.name) {
             errors.push(format!("{FLEET}.name"), NAME_RULE);
@@ -37,7 +37,7 @@
         self.leases.validate(errors);
     }
 
-    /// Other nodes have to be able to send to each address.
+    /// Checks that other nodes can send to each address.
     fn validate_addresses(&self, errors: &mut ErrorCollector) {
         let own = [
             (".listen".to_string(), Some(self.listen)),
@@ -51,8 +51,8 @@
         for (key, address) in own.into_iter().chain(seeds) {
             let Some(address) = address else { continue };
             if address.port() == 0 || address.ip().is_unspecified() {
-                let rule = format!("{address} can't be reached by others");
-                errors.push(format!("{FLEET}{key}"), rule);
+                let message = format!("{address} can't be reached by others");
+                errors.push(format!("{FLEET}{key}"), message);
             }
         }
     }
@@ -84,17 +84,17 @@
         }
     }
 
-    /// Adds an error where the section does not fit the platform's configuration.
+    /// Adds an error if the section is inconsistent with the platform's configuration.
     pub(crate) fn validate_with(&self, config: &NodeConfig, errors: &mut ErrorCollector) {
         if !is_valid_name(&config.name) {
-            let rule = format!("names this node in its fleet: {NAME_RULE}");
-            errors.push("config.name", rule);
+            let message = format!("names this node in its fleet: {NAME_RULE}");
+            errors.push("config.name", message);
         }
     }
 }
 
 impl FleetTimes {
-    /// Adds an error for every time that is out of its range.
+    /// Adds an error for every value that is out of its range.
     fn validate(&self, errors: &mut ErrorCollector) {
         let mut check = |key: &str, value: u32, min: u32, max: u32| {
             check_integer(errors, format!("{FLEET}.times.{key}"), value, min..=max);
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -1,8 +1,8 @@
-//! The operators' own file: what an installation adds to the platform's configuration. JSON; its schema is
+//! The operators' installation file, which extends the platform's configuration. The file is JSON; its schema is
 //! printed by `doortrack schema` and kept as `deploy/installation.schema.json`.
 //!
-//! The file's keys and the names in its schema are kept by `rename`, and so are doc comments of its types,
-//! which are the schema's descriptions.
+//! `rename` attributes keep the keys of the file and the names in its schema. Doc comments of the types that are
+//! read from the file are the descriptions in its schema.
 
 mod validate;
 
@@ -20,14 +20,14 @@
 use crate::rules::{ExpressionLimits, RuleConfig};
 use crate::{
     BudgetConfig, ConfigErrorKind, ConfigErrors, ErrorCollector, FleetConfig, ServerPool,
-    deserialize, stable,
+    consistent_read, deserialize,
 };
 
-/// The name of the file's outermost object in paths.
+/// Name of the outermost object in paths of errors.
 const ROOT: &str = "installation";
-/// The name by which the pool without one goes.
+/// Name of the default pool.
 const DEFAULT_POOL: &str = "servers";
-/// Keys that hold a list of objects.
+/// Keys whose values are lists of objects.
 const OBJECT_LISTS: [&str; 3] = ["fronts", "rules", "budgets"];
 
 /// What an installation adds to the platform's configuration.
@@ -92,7 +92,7 @@
 }
 
 impl ProtocolName {
-    /// The name in lower case.
+    /// Returns the name in lower case.
     pub fn name(self) -> &'static str {
         Protocol::from(self).name()
     }
@@ -107,22 +107,22 @@
     }
 }
 
-/// Reads and checks the file.
+/// Reads and validates the file.
 ///
 /// # Errors
-/// It can't be read, or as [`parse`].
+/// The file can't be read, or as [`parse`].
 pub fn read(path: &Path) -> Result<Installation, ConfigErrors> {
-    let text = stable::read(path).map_err(|error| {
+    let text = consistent_read::read(path).map_err(|error| {
         let path = path.display().to_string();
         ConfigErrors::one(path, ConfigErrorKind::unreadable(&error))
     })?;
     parse(&text)
 }
 
-/// Reads and checks a text.
+/// Parses and validates the content of the file.
 ///
 /// # Errors
-/// All that the text alone shows, each with the path of its key.
+/// All errors that the file alone shows, each with the path of its key.
 pub fn parse(text: &[u8]) -> Result<Installation, ConfigErrors> {
     let value: Value = serde_json::from_slice(text)
         .map_err(|error| ConfigErrors::one(ROOT, ConfigErrorKind::not_json(&error)))?;
@@ -133,7 +133,7 @@
     errors.finish(installation)
 }
 
-/// Refuses lists where objects are wanted: serde takes the items of a list for the fields of a struct in their
+/// Rejects lists in place of objects: serde would accept the items of a list as the fields of a struct, in
 /// order.
 fn check_objects(root: &Value) -> Result<(), ConfigErrors> {
     let mut errors = ErrorCollector::default();
@@ -156,7 +156,7 @@
 }
 
 impl Installation {
-    /// All pools of servers with the paths at which they are found; the one without a name first.
+    /// Returns all server pools with their paths in the file, the default pool first.
     pub fn pools_with_paths(&self) -> impl Iterator<Item = (String, &ServerPool)> {
         let default = self
             .default_pool
@@ -169,31 +169,31 @@
         default.chain(named)
     }
 
-    /// All pools of servers with their names; the one without a name comes first and goes by `servers`.
+    /// Returns all server pools with their names, the default pool first; its name is `servers`.
     pub fn named_pools(&self) -> impl Iterator<Item = (&str, &ServerPool)> {
         let default = self.default_pool.iter().map(|pool| (DEFAULT_POOL, pool));
         let named = self.pools.iter().map(|(name, pool)| (name.as_str(), pool));
         default.chain(named)
     }
 
-    /// The names of [`Installation::named_pools`].
+    /// Returns the names of [`Installation::named_pools`].
     pub(crate) fn pool_names(&self) -> impl Iterator<Item = &str> {
         self.named_pools().map(|(name, _)| name)
     }
 
-    /// Names of the nodes of whom a majority decides; none where there is no fleet.
+    /// Returns the names of the voters, or none without a fleet.
     pub(crate) fn voters(&self) -> &[String] {
         self.fleet.as_ref().map_or(&[], |fleet| &fleet.voters)
     }
 
-    /// Connections to all servers together that may be open at once.
+    /// Returns the maximum number of open connections to all servers together.
     pub fn max_server_connections(&self) -> usize {
         self.named_pools()
             .map(|(_, pool)| pool.max_connections())
             .sum()
     }
 
-    /// What the file adds, in one line for `doortrack check`.
+    /// Summarizes the file in one line for `doortrack check`.
     pub fn summary(&self) -> String {
         let listeners: Vec<String> = self
             .listeners
@@ -226,7 +226,7 @@
     }
 }
 
-/// The JSON Schema of the file, as it is kept in `deploy/`.
+/// Returns the JSON Schema of the file, as it is kept in `deploy/`.
 pub fn schema() -> String {
     let mut text = serde_json::to_string_pretty(&schema_for!(Installation)).unwrap_or_default();
     text.push('\n');
--- a/crates/config/src/installation/validate.rs
+++ b/crates/config/src/installation/validate.rs
@@ -1,17 +1,18 @@
-//! Checks of the operators' file that its types do not make, by itself and beside the platform's configuration.
+//! Validation of the installation file beyond what its types enforce, both of the file alone and together with the
+//! platform's configuration.
 
 use std::net::SocketAddr;
 
 use super::{Installation, ROOT};
 use crate::{ConfigErrorKind, ConfigErrors, ErrorCollector, NodeConfig};
 
-/// Listeners that one node may have beside the platform's own.
+/// Maximum number of listeners besides that of the platform's configuration.
 const MAX_LISTENERS: usize = 8;
-/// Pools of servers beside the one without a name.
+/// Maximum number of server pools besides the default pool.
 pub const MAX_POOLS: usize = 64;
 
 impl Installation {
-    /// Adds every error that the file alone shows.
+    /// Adds all errors that the file alone shows.
     pub(super) fn validate(&self, errors: &mut ErrorCollector) {
         self.validate_listeners(errors);
         self.validate_pools(errors);
@@ -21,8 +22,8 @@
         }
         self.validate_budgets(errors);
         if self.fallback_group.is_some() && self.rules.is_empty() {
-            let rule = "without rules there is nothing else";
-            errors.push(format!("{ROOT}.otherwise"), rule);
+            let message = "without rules there is nothing else";
+            errors.push(format!("{ROOT}.otherwise"), message);
         }
     }
 
@@ -59,8 +60,9 @@
             pool.validate(&path, errors);
         }
         if self.default_pool.is_none() && !self.pools.is_empty() {
-            let rule = "needed key 'servers' is missing: what no rule sends to a pool goes there";
-            errors.push(ROOT, rule);
+            let message =
+                "needed key 'servers' is missing: what no rule sends to a pool goes there";
+            errors.push(ROOT, message);
         }
         let (max, found) = (MAX_POOLS, self.pools.len());
         if found > max {
@@ -69,10 +71,10 @@
         }
     }
 
-    /// Checks the file beside the platform's configuration.
+    /// Checks the file together with the platform's configuration.
     ///
     /// # Errors
-    /// Everything in which they do not go together.
+    /// All inconsistencies between the two.
     pub fn validate_with(&self, config: &NodeConfig) -> Result<(), ConfigErrors> {
         let mut errors = ErrorCollector::default();
         for (index, listener) in self.listeners.iter().enumerate() {
@@ -90,20 +92,21 @@
         errors.finish(())
     }
 
-    /// Half of the connections are left to callers.
+    /// Checks that at least half of the connections are left to callers.
     fn validate_connections_with(&self, config: &NodeConfig, errors: &mut ErrorCollector) {
         let (found, max) = (self.max_server_connections(), config.limits.connections);
         if found > max / 2 {
-            let rule = format!(
+            let message = format!(
                 "all pools together may have {found} connections, more than half of the {max} that the \
                  node may have; raise config.limits.sockets or lower it"
             );
-            errors.push(format!("{ROOT}.servers.at_once"), rule);
+            errors.push(format!("{ROOT}.servers.at_once"), message);
         }
     }
 }
 
-/// Whether two listeners can't both be opened: the same port on the same address, or on all addresses.
+/// Returns true if two listeners can't both be opened: they have the same port, and the same address or one of them
+/// listens on all addresses.
 fn conflict(one: SocketAddr, other: SocketAddr) -> bool {
     let all_addresses = one.ip().is_unspecified() || other.ip().is_unspecified();
     one.port() == other.port() && (all_addresses || one.ip() == other.ip())
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,13 +1,14 @@
-//! The configuration that a node is started with: read, checked and given its defaults in this one place.
+//! Reads the configuration of a node, validates it and fills in its defaults.
 //!
-//! It has two parts: the platform's configuration ([`node_config`], named by `GW_CONFIG`) and the operators'
-//! own file ([`installation`]), which adds what the platform does not know. What changes while a node serves
-//! is worked out in [`reload`].
+//! The configuration has two parts: the platform's configuration ([`node_config`], the file that `GW_CONFIG`
+//! names) and the operators' installation file ([`installation`]). [`reload`] determines what changes with a new
+//! configuration while a node serves.
 //!
-//! Both are read as a whole before any of it is used, and every [`ConfigError`] names the path of its key, as
-//! in `installation.fronts[1].listen`. Nothing here opens a socket or looks at a clock.
+//! Both files are read and validated completely before any part is used. Every [`ConfigError`] names the path of
+//! its key, such as `installation.fronts[1].listen`. The package opens no sockets and reads no clock.
 
 pub mod budgets;
+mod consistent_read;
 pub mod deserialize;
 mod error;
 pub mod fleet;
@@ -18,7 +19,6 @@
 pub mod reload;
 pub mod rules;
 pub mod servers;
-mod stable;
 
 pub use budgets::{BudgetConfig, BudgetIndices, BudgetKind, BudgetScope, LeaseTimes};
 pub use error::{ConfigError, ConfigErrorKind, ConfigErrors, ErrorCollector};
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on everything that a node keeps, worked out from the memory and the descriptors that it may use.
+//! Resource limits of a node, derived from the memory and the file descriptors that it may use.
 
 use doortrack_settings::JsonValue;
 
@@ -8,35 +8,38 @@
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 const DEFAULT_SOCKETS: f64 = 1024.0;
 const MIN_MEMORY_MB: f64 = 16.0;
-/// Connections of callers without which a node is of no use.
+/// Minimum number of connections of callers that a node has to accept.
 const MIN_CONNECTIONS: usize = 8;
-/// Descriptors of the node itself: those of the poller, the listener, its own connections and the signals.
+/// File descriptors that the node itself uses: for the poller, the listener, its own connections and signals.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Bytes of an idle connection, an open request, and an entry in the table of deduplicated requests.
+/// Memory of an idle connection in bytes.
 const CONNECTION_BYTES: usize = 20_000;
+/// Memory of an open request in bytes.
 const REQUEST_BYTES: usize = 10_500;
+/// Memory of an entry in the table of deduplicated requests in bytes.
 const DEDUP_ENTRY_BYTES: usize = 300;
 
-/// How much of everything there may be at once.
+/// Maximum amounts of resources in use at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
     /// Connections of callers.
     pub connections: usize,
-    /// Open requests, each with its parameters and body.
+    /// Open requests, including their parameters and bodies.
     pub open_requests: usize,
-    /// Entries of the table of deduplicated requests.
+    /// Entries in the table of deduplicated requests.
     pub dedup_entries: usize,
     /// Bytes of the results in that table.
     pub result_bytes: usize,
-    /// Bytes of answers that callers have not read.
+    /// Bytes of responses that callers have not read.
     pub unread_answer_bytes: usize,
-    /// Bytes of commands that the engine has not read. Beyond this it counts as hung and is connected anew.
+    /// Bytes of commands that the engine has not read. Beyond this limit the engine counts as hung and is
+    /// reconnected.
     pub engine_command_bytes: usize,
 }
 
 impl ResourceLimits {
-    /// Shares of the memory that come to five sixths of it if all are used up at once; the rest is for the
-    /// decisions and the program itself.
+    /// Derives the limits from shares of the memory that add up to about five sixths. The rest is for admission
+    /// control and the program itself.
     fn within(memory_mb: f64, sockets: usize) -> ResourceLimits {
         let bytes = (memory_mb * 1e6) as usize;
         ResourceLimits {
@@ -51,10 +54,10 @@
         }
     }
 
-    /// Reads the section `limits`; what it does not name has its default.
+    /// Reads the section `limits`. Missing keys have their default.
     ///
     /// # Errors
-    /// Every limit that is no number or too small.
+    /// Every limit that is not a number or is too small.
     pub(crate) fn read(root: &JsonValue) -> Result<ResourceLimits, ConfigErrors> {
         let section = root.get("limits");
         let mut errors = ErrorCollector::default();
--- a/crates/config/src/node_config.rs
+++ b/crates/config/src/node_config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration of one node: the JSON file that the environment variable `GW_CONFIG` names.
+//! The platform's configuration of a node: the JSON file that the environment variable `GW_CONFIG` names.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,43 +9,45 @@
 use sha2::{Digest as _, Sha256};
 
 use crate::range::is_hex;
-use crate::{ConfigError, ConfigErrorKind, ConfigErrors, ErrorCollector, ResourceLimits, stable};
+use crate::{
+    ConfigError, ConfigErrorKind, ConfigErrors, ErrorCollector, ResourceLimits, consistent_read,
+};
 
 const VARIABLE: &str = "GW_CONFIG";
-/// Endpoint groups are numbered by a byte.
+/// Maximum number of endpoint groups, whose index is one byte.
 const MAX_GROUPS: usize = 256;
-/// Tenants are numbered by two bytes.
+/// Maximum number of tenants, whose index is two bytes.
 const MAX_TENANTS: usize = 65_536;
-/// Milliseconds from the request to shut down to the stop; seven weeks.
+/// Maximum time in milliseconds from the shutdown request to the stop: seven weeks.
 const MAX_STOP_MS: f64 = u32::MAX as f64;
 
-/// What a node is started with.
+/// The platform's configuration of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeConfig {
-    /// The node's name.
+    /// Name of the node.
     pub name: String,
-    /// Where the platform's callers connect.
+    /// Address of the platform's listener.
     pub listen: SocketAddr,
-    /// Where the engine listens.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// Where the registry listens.
+    /// Address of the registry.
     pub registry: SocketAddr,
-    /// Of the node's random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Time from the request to shut down until the process stops.
+    /// Time from the shutdown request until the process stops.
     pub stop_after: TenthMillis,
-    /// Bounds on everything that the node keeps.
+    /// Resource limits of the node.
     pub limits: ResourceLimits,
-    /// The settings of its deployment.
+    /// Settings of the deployment.
     pub settings: DeploymentSettings,
-    /// Digest of the text that all this was read from.
+    /// Digest of the file content.
     pub source: Digest,
 }
 
 /// A SHA-256 digest.
 pub type Digest = [u8; 32];
 
-/// The digest by which two versions of a text are told apart.
+/// Returns the SHA-256 digest of a text.
 pub fn digest(text: &[u8]) -> Digest {
     Sha256::digest(text).into()
 }
@@ -58,7 +60,7 @@
     read_file(&path()?)
 }
 
-/// The path in `GW_CONFIG`.
+/// Returns the path in `GW_CONFIG`.
 ///
 /// # Errors
 /// The variable is not set.
@@ -68,29 +70,29 @@
         .ok_or_else(|| ConfigErrors::one(VARIABLE, ConfigErrorKind::VariableNotSet))
 }
 
-/// Reads and checks a file.
+/// Reads and validates a file.
 ///
 /// # Errors
-/// It can't be read, or as [`parse_file`].
+/// The file can't be read, or as [`parse_file`].
 pub fn read_file(path: &Path) -> Result<NodeConfig, ConfigErrors> {
     parse_file(path, &read_bytes(path)?)
 }
 
-/// Reads a file without looking at its content.
+/// Reads a file without parsing it.
 ///
 /// # Errors
-/// It can't be read.
+/// The file can't be read.
 pub fn read_bytes(path: &Path) -> Result<Vec<u8>, ConfigErrors> {
-    stable::read(path).map_err(|error| {
+    consistent_read::read(path).map_err(|error| {
         let path = format!("{VARIABLE}: {}", path.display());
         ConfigErrors::one(path, ConfigErrorKind::unreadable(&error))
     })
 }
 
-/// Reads and checks the content of a file.
+/// Parses and validates the content of the file at `path`.
 ///
 /// # Errors
-/// As [`parse`], each with the name of the file before the path of the key.
+/// As [`parse`], with the path of the file before the path of each key.
 pub fn parse_file(path: &Path, text: &[u8]) -> Result<NodeConfig, ConfigErrors> {
     let in_file = |error: ConfigError| {
         ConfigError::new(format!("{}: {}", path.display(), error.path), error.kind)
@@ -98,10 +100,10 @@
     parse(text).map_err(|errors| ConfigErrors(errors.0.into_iter().map(in_file).collect()))
 }
 
-/// Reads and checks a text.
+/// Parses and validates a text.
 ///
 /// # Errors
-/// Those of all keys at the top and of the limits, and the first of the settings.
+/// All errors of the top-level keys and of the limits, and the first error of the settings.
 pub fn parse(text: &[u8]) -> Result<NodeConfig, ConfigErrors> {
     let value: Value = serde_json::from_slice(text)
         .map_err(|error| ConfigErrors::one("config", ConfigErrorKind::not_json(&error)))?;
@@ -145,7 +147,8 @@
         .map_err(|_| node.unexpected("an address and port"))
 }
 
-/// Up to sixteen hex digits. Zero where the key is absent: the random numbers are the same at each start.
+/// Reads the seed of up to sixteen hex digits. Without a seed it is zero, so that the random numbers are the same
+/// at each start.
 fn seed(root: &JsonValue) -> Result<u64, SettingsError> {
     let Some(node) = root.get("seed") else {
         return Ok(0);
@@ -172,7 +175,7 @@
     Ok(settings)
 }
 
-/// Refuses what a deployment may ask for and this node can't do.
+/// Rejects a deployment that requires a feature this node does not support.
 fn check_supported(settings: &DeploymentSettings) -> Result<(), ConfigError> {
     let groups = &settings.admission.groups;
     let calls_downstream = groups.iter().any(|group| group.calls_downstream);
@@ -196,10 +199,10 @@
     ))
 }
 
-/// Refuses more endpoint groups or tenants than their numbers have room for, and a deployment without a group.
+/// Rejects a deployment without endpoint groups, or with more groups or tenants than their indices allow.
 fn check_counts(settings: &DeploymentSettings) -> Result<(), ConfigError> {
     let (groups, tenants) = (settings.group_names.len(), settings.tenant_names.len());
-    let (key, rule) = if groups == 0 {
+    let (key, message) = if groups == 0 {
         ("lanes", "at least one is wanted".to_string())
     } else if groups > MAX_GROUPS {
         ("lanes", format!("at most {MAX_GROUPS} are wanted"))
@@ -208,5 +211,5 @@
     } else {
         return Ok(());
     };
-    Err(ConfigError::new(format!("config.settings.{key}"), rule))
+    Err(ConfigError::new(format!("config.settings.{key}"), message))
 }
--- a/crates/config/src/range.rs
+++ b/crates/config/src/range.rs
@@ -1,10 +1,10 @@
-//! Checks of numbers against their range.
+//! Range checks of numbers.
 
 use std::ops::RangeInclusive;
 
 use crate::{ConfigErrorKind, ErrorCollector};
 
-/// Adds an error at `path` where `value` is out of `range`.
+/// Adds an error at `path` if `value` is out of `range`.
 pub(crate) fn check_integer(
     errors: &mut ErrorCollector,
     path: String,
@@ -17,7 +17,7 @@
     }
 }
 
-/// Adds an error at `path` where `value` is out of `range`, in fewer words than [`check_integer`].
+/// Adds an error at `path` if `value` is out of `range`. The message is shorter than that of [`check_integer`].
 pub(crate) fn check_range(
     errors: &mut ErrorCollector,
     path: String,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Adds an error at `path` where `share` is not from 0 to 1.
+/// Adds an error at `path` if `share` is not from 0 to 1.
 pub(crate) fn check_share(errors: &mut ErrorCollector, path: String, share: f32) {
     if !(0.0..=1.0).contains(&share) {
         let kind = ConfigErrorKind::unexpected("a share from 0 to 1", share);
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether all characters are hex digits: unlike the numbers of the standard library, without a sign.
+/// Returns true if all characters are hex digits. `from_str_radix` also accepts a sign.
 pub(crate) fn is_hex(digits: &str) -> bool {
     digits.bytes().all(|digit| digit.is_ascii_hexdigit())
 }
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -1,5 +1,5 @@
-//! What a new configuration changes while a node serves, and what takes a restart. Decided here from the old
-//! and the new configuration, without I/O or a clock; the node applies it.
+//! Determines what a new configuration changes while a node serves, and which changes require a restart. The
+//! decisions are made from the old and the new configuration, without I/O or a clock; the node applies them.
 
 mod builds;
 mod keys;
--- a/crates/config/src/reload/builds.rs
+++ b/crates/config/src/reload/builds.rs
@@ -1,31 +1,31 @@
-//! When configurations are built: one at a time, and one more for all notices that came meanwhile.
+//! Schedules builds of configurations: one at a time, and one more for all change notices during a build.
 
-/// Tracks the build under way and the one waiting: at most one of each, however many notices come.
+/// Tracks the running build and the pending one. There is at most one of each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BuildScheduler {
-    under_way: bool,
-    /// Notices came since the build under way began: it may have read the files before they changed.
-    waiting: bool,
+    running: bool,
+    /// Whether a notice arrived since the running build began, which may have read the files before they changed.
+    pending: bool,
 }
 
 impl BuildScheduler {
-    /// Records a notice that the files changed; whether a build has to begin now.
+    /// Records a notice that the files changed. Returns true if a build has to begin now.
     pub fn notice(&mut self) -> bool {
-        let begin = !self.under_way;
-        self.waiting = self.under_way;
-        self.under_way = true;
+        let begin = !self.running;
+        self.pending = self.running;
+        self.running = true;
         begin
     }
 
-    /// Whether a build is under way.
+    /// Returns true if a build is running.
     pub fn is_under_way(&self) -> bool {
-        self.under_way
+        self.running
     }
 
-    /// Records that the build under way ended, with or without a result; whether the next one has to begin,
-    /// which is under way from here on.
+    /// Records that the running build ended, with or without a result. Returns true if the pending build has to
+    /// begin; it then counts as running.
     pub fn finished(&mut self) -> bool {
-        self.under_way = std::mem::take(&mut self.waiting);
-        self.under_way
+        self.running = std::mem::take(&mut self.pending);
+        self.running
     }
 }
--- a/crates/config/src/reload/keys.rs
+++ b/crates/config/src/reload/keys.rs
@@ -1,5 +1,5 @@
-//! What idempotency keys mean by the rules of an installation. While keys are within their window it must
-//! not change: the same request could come again under another one, and run twice.
+//! How the rules of an installation determine idempotency keys. This must not change while keys are within their
+//! dedup window: the same request could arrive again with another key and run twice.
 
 use std::collections::HashMap;
 
@@ -9,20 +9,20 @@
 use crate::node_config::Digest;
 use crate::rules::ExpressionLimits;
 
-/// For each endpoint group a digest of everything that its keys depend on: which requests belong to the group,
-/// and which key each of them has.
+/// Digests, by endpoint group, of everything that the idempotency keys of the group depend on: which requests belong
+/// to the group, and which key each of them has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyMeanings {
-    /// Whether requests of listeners are classified by rules, or by the platform's variables.
+    /// Whether requests are classified by rules instead of the platform's variables.
     by_rules: bool,
-    /// Whether there are listeners, to which the rules apply.
+    /// Whether the installation has listeners, to which the rules apply.
     has_listeners: bool,
-    /// By the index of the group; none where neither a rule nor `otherwise` names it.
+    /// Digests by group index, `None` for groups that neither a rule nor `otherwise` names.
     groups: Vec<Option<Digest>>,
 }
 
 impl KeyMeanings {
-    /// Reads each rule once, at a cost that does not grow with the number of groups.
+    /// Computes the digests in one pass over the rules.
     pub fn new(installation: &Installation, group_names: &[String]) -> KeyMeanings {
         let indices: HashMap<&str, usize> = group_names
             .iter()
@@ -30,7 +30,7 @@
             .map(|(index, name)| (name.as_str(), index))
             .collect();
         let index_of = |name: &str| indices.get(name).copied();
-        // All conditions so far: an earlier rule may match what a later one matched before.
+        // Includes all earlier conditions: an earlier rule may match requests that a later one matched before.
         let mut conditions = limits_digest(installation.expressions);
         let mut groups: Vec<Option<Sha256>> = vec![None; group_names.len()];
         for (position, rule) in installation.rules.iter().enumerate() {
@@ -56,9 +56,9 @@
         }
     }
 
-    /// The indices of the groups whose keys mean something else by `new`.
+    /// Returns the indices of the groups whose keys are determined differently by `new`.
     pub fn changed(&self, new: &KeyMeanings) -> Vec<usize> {
-        // Variables may have put any request into any group.
+        // Without rules, variables may have put any request into any group.
         let all = self.has_listeners && !self.by_rules && new.by_rules;
         let indices = 0..self.groups.len().max(new.groups.len());
         let differs = |index: &usize| all || self.groups.get(*index) != new.groups.get(*index);
@@ -66,7 +66,7 @@
     }
 }
 
-/// A digest begun with what expressions see of a request.
+/// Starts a digest with the limits that determine which part of a request expressions can read.
 fn limits_digest(limits: ExpressionLimits) -> Sha256 {
     let mut digest = Sha256::new();
     for limit in [limits.max_cost, limits.variable_bytes, limits.body_bytes] {
@@ -75,7 +75,8 @@
     digest
 }
 
-/// Adds a text with its length, which keeps texts apart, and an absent one apart from an empty one.
+/// Adds a string and its length, which separates adjacent strings and distinguishes an absent string from an empty
+/// one.
 fn add_text(digest: &mut Sha256, text: Option<&str>) {
     let length = text.map_or(u64::MAX, |text| text.len() as u64);
     digest.update(length.to_le_bytes());
--- a/crates/config/src/reload/plan.rs
+++ b/crates/config/src/reload/plan.rs
@@ -1,4 +1,4 @@
-//! Works out what changes from the configuration in force to the one that was read.
+//! Determines the changes from the configuration in force to the one that was read.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,21 +14,21 @@
     ProtocolName, ResourceLimits,
 };
 
-/// What of the platform's configuration may change while a node serves.
+/// The part of the platform's configuration that may change while a node serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReloadablePlatform {
-    /// Where the engine listens.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// Where the registry listens.
+    /// Address of the registry.
     pub registry: SocketAddr,
-    /// Time from the request to shut down until the process stops.
+    /// Time from the shutdown request until the process stops.
     pub stop_after: TenthMillis,
-    /// Of the node's random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 impl ReloadablePlatform {
-    /// The part of `config` that may change.
+    /// Extracts the part of `config` that may change.
     pub fn new(config: &NodeConfig) -> ReloadablePlatform {
         ReloadablePlatform {
             engine: config.engine,
@@ -39,17 +39,17 @@
     }
 }
 
-/// The platform's configuration as it was read, as far as a reload goes.
+/// The outcome of reloading the platform's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlatformReload {
-    /// What may change while the node serves.
+    /// The part that may change while the node serves.
     pub platform: ReloadablePlatform,
-    /// Something else differs from what the node was started with.
+    /// Whether the rest differs from the configuration that the node was started with.
     pub requires_restart: bool,
 }
 
 impl PlatformReload {
-    /// What was `read` by a node that was `started` with another configuration, or the same.
+    /// Compares the configuration that was `read` with the one that the node was `started` with.
     pub fn new(started: &NodeConfig, read: &NodeConfig) -> PlatformReload {
         PlatformReload {
             platform: ReloadablePlatform::new(read),
@@ -58,7 +58,7 @@
     }
 }
 
-/// What of the platform's configuration can't change while a node serves.
+/// The part of the platform's configuration that can't change while a node serves.
 #[derive(PartialEq)]
 struct FixedConfig<'a> {
     name: &'a str,
@@ -69,7 +69,7 @@
 
 impl<'a> FixedConfig<'a> {
     fn new(config: &'a NodeConfig) -> FixedConfig<'a> {
-        // Without `..`, so that a new field is sorted either here or into `ReloadablePlatform`.
+        // Without `..`, so that each new field has to be added here or to `ReloadablePlatform`.
         let NodeConfig {
             name,
             listen,
@@ -90,26 +90,26 @@
     }
 }
 
-/// What a node was started with.
+/// The configuration that a node was started with.
 #[derive(Clone, Debug)]
 pub struct StartupConfig {
     /// The platform's configuration.
     pub config: Arc<NodeConfig>,
-    /// Whether it joined a fleet.
+    /// Whether the node joined a fleet.
     pub in_fleet: bool,
 }
 
-/// A change that is ignored, as it takes a restart.
+/// A change that is not applied, since it requires a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartRequired {
-    /// Pools of servers are added or removed, or change their protocol. They and their servers stay.
+    /// Server pools are added or removed, or change their protocol. All pools and their servers stay as they are.
     Pools,
     /// The node is to join a fleet.
     JoinFleet,
 }
 
 impl RestartRequired {
-    /// The message of the log.
+    /// Returns the log event.
     pub fn subject(self) -> &'static str {
         match self {
             RestartRequired::Pools => "servers need a start",
@@ -121,25 +121,25 @@
 impl fmt::Display for RestartRequired {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            RestartRequired::Pools => "pools come or go, or speak something else",
-            RestartRequired::JoinFleet => "it can't be joined under way",
+            RestartRequired::Pools => "pools are added or removed, or change their protocol",
+            RestartRequired::JoinFleet => "a running node can't join a fleet",
         })
     }
 }
 
-/// The new configuration of membership and budgets, with all that takes time worked out beforehand.
+/// The new configuration of membership and budgets. All that takes time is computed in advance.
 #[derive(Debug)]
 pub struct FleetChange {
-    /// None where the new configuration has no fleet.
+    /// The fleet, or `None` if the new configuration has none.
     pub file: Option<FleetConfig>,
-    /// The budgets in the order of the file.
+    /// The budgets, in the order of the file.
     pub budgets: Vec<Budget>,
-    /// Which of them apply to which requests.
+    /// Indices of the budgets that apply to requests.
     pub indices: BudgetIndices,
 }
 
 impl FleetChange {
-    /// The change to `installation` of a node that was started with `config`.
+    /// Computes the change to `installation` for a node that was started with `config`.
     pub fn new(installation: &Installation, config: &NodeConfig) -> FleetChange {
         FleetChange {
             file: installation.fleet.clone(),
@@ -149,25 +149,25 @@
     }
 }
 
-/// Everything that changes with a new configuration.
+/// All changes of a new configuration.
 #[derive(Debug)]
 pub struct Plan {
     /// The platform's configuration.
     pub platform: PlatformReload,
-    /// The installation as it will be in force.
+    /// The installation that will be in force.
     pub installation: Arc<Installation>,
-    /// Changes that the installation in force does not have.
+    /// Changes that are not applied.
     pub restart_required: Vec<RestartRequired>,
-    /// What idempotency keys mean by its rules.
+    /// How the rules determine idempotency keys.
     pub keys: KeyMeanings,
     /// The configuration of membership and budgets.
     pub fleet: FleetChange,
 }
 
-/// Decides what changes; `running` is the installation in force, `read` the one that is to replace it.
+/// Plans the change from `running`, the installation in force, to `read`, the new one.
 ///
 /// # Errors
-/// Everything in which the new installation does not go together with the platform's configuration.
+/// All inconsistencies between the new installation and the platform's configuration.
 pub fn plan(
     started: &StartupConfig,
     running: &Installation,
@@ -197,7 +197,7 @@
     })
 }
 
-/// The name and protocol of each pool. Requests in flight are encoded in that protocol.
+/// Returns the name and protocol of each pool. The protocol can't change, since it encodes requests in flight.
 fn pool_protocols(installation: &Installation) -> Vec<(&str, ProtocolName)> {
     installation
         .named_pools()
@@ -205,20 +205,20 @@
         .collect()
 }
 
-/// Which listeners are to be opened and which closed.
+/// The listeners to open, close and retain.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ListenerChanges {
-    /// Those to be closed, once their connections are drained.
+    /// Listeners to close, whose connections are drained.
     pub closed: Vec<ListenerConfig>,
-    /// Those to be opened.
+    /// Listeners to open.
     pub opened: Vec<ListenerConfig>,
-    /// Those that stay, with their new limits.
+    /// Listeners that stay open, with their new limits.
     pub retained: Vec<ListenerConfig>,
 }
 
 impl ListenerChanges {
-    /// The changes from the `current` listeners to the `new` ones. Address and protocol together identify a
-    /// listener.
+    /// Determines the changes from the `current` listeners to the `new` ones. A listener is identified by its
+    /// address and protocol.
     pub fn between(current: &[ListenerConfig], new: &[ListenerConfig]) -> ListenerChanges {
         let (retained, opened) = new
             .iter()
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -1,6 +1,6 @@
-//! The section of the operators' file on rules: how requests of the installation's listeners are classified.
+//! The section of the installation file on rules, by which requests of the installation's listeners are classified.
 //!
-//! Doc comments of the file's types are the descriptions in its schema.
+//! Doc comments of the types that are read from the file are the descriptions in its schema.
 
 use doortrack_admission::Effect;
 use doortrack_expr::Limits;
@@ -74,7 +74,7 @@
 }
 
 impl ExpressionLimits {
-    /// The limits for the evaluator.
+    /// Returns the limits for the evaluator.
     pub fn limits(self) -> Limits {
         Limits {
             max_cost: self.max_cost,
@@ -121,10 +121,10 @@
 }
 
 impl Installation {
-    /// The table of its rules over the deployment's names; none where it has no rules.
+    /// Builds the rule table with the names of the deployment. Returns `None` if there are no rules.
     ///
     /// # Errors
-    /// Every error of the rules, each with its path.
+    /// The errors of the rules and of the fallback group, each with its path.
     pub fn table(
         &self,
         settings: &DeploymentSettings,
@@ -135,7 +135,7 @@
     /// As [`Installation::table`]; rules that are also in the `previous` table are shared with it.
     ///
     /// # Errors
-    /// Every error of the rules, each with its path.
+    /// The errors of the rules and of the fallback group, each with its path.
     pub fn table_from(
         &self,
         previous: Option<&Table>,
@@ -154,10 +154,10 @@
         Ok(table)
     }
 
-    /// The table where the deployment is not known: its names are taken to be those that the rules use.
+    /// Builds the rule table without a deployment: the names that the rules use are assumed to exist.
     ///
     /// # Errors
-    /// Every error of the rules, each with its path.
+    /// The errors of the rules, each with its path.
     pub fn table_without_deployment(&self) -> Result<Option<BuildOutput>, ConfigErrors> {
         let groups = self.groups_in_rules();
         let names = Names {
@@ -171,7 +171,7 @@
         self.build_table(None, &names)
     }
 
-    /// The endpoint groups that its rules name, each once, in the order of their names.
+    /// Returns the endpoint groups that the rules name, sorted and without duplicates.
     pub fn groups_in_rules(&self) -> Vec<String> {
         let mut groups: Vec<String> = self.rules.iter().map(|rule| rule.group.clone()).collect();
         groups.sort_unstable();
@@ -195,13 +195,13 @@
         }
     }
 
-    /// The group of what no rule takes has to be one of the deployment's.
+    /// Checks that the group of requests that match no rule is one of the deployment.
     fn check_fallback_group(&self, group_names: &[String]) -> Result<(), ConfigErrors> {
         match &self.fallback_group {
             Some(name) if !group_names.contains(name) => {
                 let known = group_names.join(", ");
-                let rule = format!("'{name}' is none of the endpoint groups {known}");
-                Err(ConfigErrors::one("installation.otherwise", rule))
+                let message = format!("'{name}' is none of the endpoint groups {known}");
+                Err(ConfigErrors::one("installation.otherwise", message))
             }
             _ => Ok(()),
         }
--- a/crates/config/src/servers.rs
+++ b/crates/config/src/servers.rs
@@ -1,6 +1,7 @@
-//! Sections of the operators' file on pools of application servers.
+//! The sections of the installation file on server pools.
 //!
-//! The file's keys and the names of its types are translated in `file_types`.
+//! `file_types` has the types that are read from the file. Their names there appear in the schema and in serde's
+//! error messages, so they are re-exported under other names here.
 
 mod file_types;
 mod validate;
@@ -15,21 +16,21 @@
 use crate::ProtocolName;
 
 impl SlowStart {
-    /// Tokens per second, rounded up, that the budget of a fleet needs for it. Each is worth the part of a run
-    /// that corresponds to how much of the slow start is over.
+    /// Returns the tokens per second, rounded up, that a slow start can use of a fleet's budget. A token is worth the
+    /// fraction of a run that equals the elapsed fraction of the slow start.
     pub fn tokens_per_second(&self) -> u64 {
         (2_000 * u64::from(self.runs)).div_ceil(u64::from(self.duration_ms.max(1)))
     }
 }
 
 impl ServerPool {
-    /// The configuration of the pool. `longest_deadline`, of all endpoint groups, bounds responses where the
-    /// file does not.
+    /// Returns the configuration of the pool. The response timeout defaults to `longest_deadline`, that of all
+    /// endpoint groups.
     pub fn pool_config(&self, longest_deadline: TenthMillis) -> PoolConfig {
         let (ejection, retries) = (self.ejection, self.retries);
         let idle_timeout = match self.protocol {
             ProtocolName::FastCgi => from_millis(self.idle_timeout_ms),
-            // Each connection carries one request.
+            // A connection carries only one request, so it is not kept open.
             ProtocolName::Uwsgi => 0,
         };
         let response_timeout = self
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Connections to all servers of the pool that may be open at once.
+    /// Returns the maximum number of open connections to all servers of the pool.
     pub fn max_connections(&self) -> usize {
         self.addresses.len() * self.max_concurrency as usize
     }
 
-    /// One line for `doortrack check`.
+    /// Summarizes the pool for `doortrack check`.
     pub(crate) fn summary(&self) -> String {
         format!(
             "{} servers over {}, {} runs at once",
--- a/crates/config/src/servers/file_types.rs
+++ b/crates/config/src/servers/file_types.rs
@@ -1,5 +1,6 @@
-//! The types that are read from the file, under the names that its schema and serde's messages show to
-//! operators; the module above gives them ours. Their doc comments are the schema's descriptions.
+//! The types of server pools that are read from the installation file. Operators see their names in its schema and
+//! in serde's error messages, and their doc comments as descriptions in the schema; the parent module re-exports them
+//! under the names that the code uses.
 
 use std::net::SocketAddr;
 
--- a/crates/config/src/servers/validate.rs
+++ b/crates/config/src/servers/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of a pool of servers that its types do not make.
+//! Validation of server pools beyond what their types enforce.
 
 use std::collections::BTreeSet;
 
@@ -6,14 +6,14 @@
 use crate::range::{check_integer, check_share};
 use crate::{ConfigErrorKind, ErrorCollector};
 
-/// Servers that one pool may have.
+/// Maximum number of servers in a pool.
 const MAX_SERVERS: usize = 1000;
-/// Upper bound of what the body of a response may be allowed to have.
+/// Maximum of the configurable body size of a response.
 const MAX_RESPONSE_BYTES: u32 = 1 << 20;
 const HOUR_MS: u32 = 3_600_000;
 
 impl ServerPool {
-    /// Adds every error of the pool, which is found at `path`.
+    /// Adds all errors of the pool at `path`.
     pub(crate) fn validate(&self, path: &str, errors: &mut ErrorCollector) {
         let mut check = |key: &str, value: u32, min: u32, max: u32| {
             check_integer(errors, format!("{path}.{key}"), value, min..=max);
@@ -48,8 +48,8 @@
     fn validate_addresses(&self, path: &str, errors: &mut ErrorCollector) {
         if !(1..=MAX_SERVERS).contains(&self.addresses.len()) {
             let found = self.addresses.len();
-            let rule = format!("1 to {MAX_SERVERS} are wanted, found {found}");
-            errors.push(path, rule);
+            let message = format!("1 to {MAX_SERVERS} are wanted, found {found}");
+            errors.push(path, message);
         }
         let mut seen = BTreeSet::new();
         for (index, address) in self.addresses.iter().enumerate() {
@@ -65,7 +65,7 @@
 }
 
 impl OutlierEjection {
-    /// Has `check` look at each key, value, lower and upper bound.
+    /// Calls `check` with each key, its value, and its minimum and maximum.
     fn validate_integers(&self, check: &mut impl FnMut(&str, u32, u32, u32)) {
         check("aside.failures", self.failures, 1, 1000);
         check("aside.first_ms", self.base_duration_ms, 1, HOUR_MS);
@@ -79,7 +79,7 @@
 }
 
 impl RetryLimits {
-    /// Has `check` look at each key, value, lower and upper bound.
+    /// Calls `check` with each key, its value, and its minimum and maximum.
     fn validate_integers(&self, check: &mut impl FnMut(&str, u32, u32, u32)) {
         check("retries.burst", self.burst, 0, 100_000);
         check("retries.tries", self.max_attempts, 1, 10);
@@ -87,7 +87,7 @@
 }
 
 impl SlowStart {
-    /// Has `check` look at each key, value, lower and upper bound.
+    /// Calls `check` with each key, its value, and its minimum and maximum.
     fn validate_integers(&self, check: &mut impl FnMut(&str, u32, u32, u32)) {
         check("ramp.over_ms", self.duration_ms, 10, HOUR_MS);
         check("ramp.runs", self.runs, 1, 10_000_000);
--- a/crates/config/tests/numbers.rs
+++ b/crates/config/tests/number_parsing.rs
@@ -1,4 +1,4 @@
-//! Numbers and digits of the node's configuration that were read as something else than what stands there.
+//! Numbers and hex digits of the configuration that were parsed to a different value.
 
 use doortrack_config::fleet::read_key;
 use doortrack_config::node_config;
@@ -11,9 +11,9 @@
     node_config::parse(config.to_string().as_bytes()).map_err(|errors| errors.to_string())
 }
 
-/// Guards against a stop that is rounded to what 32 bits of a float hold, and one that overflows the unit of time.
+/// Guards against a stop time that is rounded to a 32-bit float, or that overflows the unit of time.
 #[test]
-fn the_time_to_the_stop_is_read_exactly_or_refused() {
+fn the_stop_time_is_exact_or_rejected() {
     let exact = parse("stop_ms", json!(16_777_217)).unwrap().stop_after;
     assert_eq!(exact, 16_777_217 * MILLISECOND);
     let tenths = parse("stop_ms", json!(1500.5)).unwrap().stop_after;
@@ -24,9 +24,9 @@
     }
 }
 
-/// Guards against a sign that the standard library takes in front of digits.
+/// Guards against a sign before the digits, which the number parsers of the standard library accept.
 #[test]
-fn a_seed_and_a_key_are_hex_digits_and_nothing_else() {
+fn seeds_and_keys_consist_of_hex_digits_only() {
     assert_eq!(parse("seed", json!("00fF")).unwrap().seed, 255);
     let error = parse("seed", json!("+ff")).unwrap_err();
     assert!(error.starts_with("config.seed: "), "{error}");
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -1,9 +1,9 @@
-//! What the readers of the node's configuration and of the operators' file say of each key that is missing or
-//! holds the wrong thing. Operators and their tools read these texts: they are compared to the letter.
+//! Error messages of the node's configuration and of the installation file for each key that is missing or has an
+//! invalid value. Operators and their tools read these messages, so they are compared exactly.
 
 #![allow(
     clippy::too_many_lines,
-    reason = "a scenario is read from its start to its end"
+    reason = "a list of cases is read from start to end"
 )]
 
 use std::path::Path;
@@ -14,7 +14,7 @@
 
 const EXPECTED: &str = include_str!("data/refusals.txt");
 
-/// An installation file in which every key is used.
+/// An installation file that uses every key.
 fn complete_installation() -> Value {
     json!({
         "fronts": [
@@ -54,7 +54,7 @@
     })
 }
 
-/// Installation files that take more than one key to be refused.
+/// Installation files whose errors involve more than one key.
 fn conflicting_installations() -> Vec<Value> {
     let mut all = Vec::new();
     let mut conflict = |change: &dyn Fn(&mut Value)| {
@@ -114,7 +114,7 @@
     all
 }
 
-/// Values that stand in for the right one.
+/// Invalid values that replace the valid one.
 fn replacements() -> [Value; 7] {
     [
         json!(null),
@@ -127,7 +127,7 @@
     ]
 }
 
-/// JSON pointers of everything that `value` holds, outermost first.
+/// Collects the JSON pointers of everything in `value`, parents before children.
 fn pointers(value: &Value, prefix: &str, found: &mut Vec<String>) {
     let children: Vec<(String, &Value)> = match value {
         Value::Object(object) => object
@@ -153,11 +153,11 @@
     match value.pointer_mut(parent).unwrap() {
         Value::Object(object) => _ = object.remove(key),
         Value::Array(list) => _ = list.remove(key.parse().unwrap()),
-        other => panic!("{other} holds nothing"),
+        other => panic!("{other} is neither an object nor an array"),
     }
 }
 
-/// A line for each key of `complete` that is removed or replaced.
+/// Adds a line for each key of `complete` that is removed, and for each that is replaced.
 fn one_key_at_a_time(
     name: &str,
     complete: &Value,
@@ -179,7 +179,7 @@
     }
 }
 
-/// All errors of a node's configuration, or that there were none.
+/// Returns all errors of a node's configuration, or `accepted`.
 fn config_outcome(config: &Value) -> String {
     let path = Path::new("/etc/config.json");
     match node_config::parse_file(path, config.to_string().as_bytes()) {
@@ -188,7 +188,7 @@
     }
 }
 
-/// All errors of an installation file, by itself or beside the node's configuration, or that there were none.
+/// Returns all errors of an installation file, alone or together with the node's configuration, or its summary.
 fn installation_outcome(installation: &Value) -> String {
     let node =
         node_config::parse(doortrack_fakes::fixture::config().to_string().as_bytes()).unwrap();
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn each_key_is_refused_in_the_same_words() {
+fn error_messages_are_unchanged() {
     let mut lines = Vec::new();
     let config = doortrack_fakes::fixture::config();
     one_key_at_a_time("config", &config, config_outcome, &mut lines);
@@ -222,16 +222,16 @@
     if actual != EXPECTED {
         let path = concat!(env!("CARGO_TARGET_TMPDIR"), "/config-refusals.txt");
         std::fs::write(path, &actual).unwrap();
-        let differing = actual
+        let difference = actual
             .lines()
             .zip(EXPECTED.lines())
-            .find(|(now, before)| now != before);
-        panic!("first difference: {differing:?}; all that is said now is in {path}");
+            .find(|(actual_line, expected_line)| actual_line != expected_line);
+        panic!("first difference: {difference:?}; the actual messages are in {path}");
     }
 }
 
 #[test]
-fn errors_of_several_items_of_a_list_name_their_indices_in_the_file() {
+fn errors_of_several_list_items_have_their_indices_in_the_file() {
     let mut value = complete_installation();
     value["fleet"]["seeds"] = json!(["x", "127.0.0.1:1", 7, "127.0.0.1:2", "y"]);
     value["servers"]["addresses"] = json!(["127.0.0.1:1", "x", "y"]);
@@ -249,32 +249,32 @@
     );
 }
 
-/// Numbers at the ends of their ranges, and just beyond them.
+/// Numbers at the bounds of ranges, and just beyond them.
 const EDGE_NUMBERS: [u64; 8] = [0, 1, 2, 10, 600, 10_000_000, u32::MAX as u64, u64::MAX];
 
 proptest! {
-    /// Guards against a check that relies on another key being within its range: it panicked on such a file.
+    /// Guards against a check that panics because it relies on another key being within its range.
     #[test]
-    fn numbers_out_of_range_are_refused_or_accepted_and_never_panic(
+    fn numbers_out_of_range_never_cause_a_panic(
         changes in proptest::collection::vec((any::<prop::sample::Index>(), 0..EDGE_NUMBERS.len()), 1..4)
     ) {
         let mut installation = complete_installation();
         let mut all = Vec::new();
         pointers(&installation, "", &mut all);
         all.retain(|pointer| installation.pointer(pointer).is_some_and(Value::is_number));
-        for (place, number) in changes {
-            let pointer: &String = place.get(all.as_slice());
+        for (position, number) in changes {
+            let pointer: &String = position.get(all.as_slice());
             *installation.pointer_mut(pointer).unwrap() = json!(EDGE_NUMBERS[number]);
         }
         prop_assert!(!installation_outcome(&installation).is_empty());
     }
 }
 
-/// Changes a node's configuration.
+/// A change to a node's configuration.
 type Change<'a> = &'a dyn Fn(&mut Value);
 
 #[test]
-fn deployments_that_the_node_cannot_serve_are_refused() {
+fn deployments_that_the_node_does_not_support_are_rejected() {
     let lanes = |count: usize| {
         move |v: &mut Value| {
             let lane = v["settings"]["lanes"][0].clone();
--- a/crates/config/tests/reload.rs
+++ b/crates/config/tests/reload.rs
@@ -1,4 +1,4 @@
-//! What a new configuration changes while a node serves, what requires a restart, and when builds begin.
+//! Reloads: what a new configuration changes while a node serves, what requires a restart, and when builds begin.
 
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn four_keys_of_the_platform_change_and_the_rest_requires_a_restart() {
+fn four_platform_keys_change_without_a_restart() {
     let started = node_config(|_| {});
     let moved = node_config(|value| {
         value["engine"] = json!("127.0.0.1:4499");
@@ -74,17 +74,17 @@
 }
 
 #[test]
-fn added_or_removed_pools_require_a_restart_and_leave_the_old_ones() {
+fn adding_or_removing_pools_requires_a_restart_and_keeps_the_old_ones() {
     let started = started(false);
     let old = json!({"servers": pool(7001, "uwsgi"), "pools": {"slow": pool(7002, "uwsgi")}});
-    // The servers of a pool change.
+    // The servers of a pool may change.
     let new = json!({"servers": pool(7009, "uwsgi"), "pools": {"slow": pool(7002, "uwsgi")}});
     let changed = planned(&started, &old, &new).unwrap();
     assert_eq!(
         (changed.restart_required, &*changed.installation),
         (vec![], &installation(&new))
     );
-    // The set of pools and their protocols do not; the rest of the file is applied.
+    // The set of pools and their protocols may not; the rest of the file is applied.
     for pools in [
         json!({"servers": pool(7009, "uwsgi")}),
         json!({"servers": pool(7009, "fastcgi"), "pools": {"slow": pool(7002, "uwsgi")}}),
@@ -109,12 +109,12 @@
     let fleet = json!({"fleet": {"name": "f", "listen": "127.0.0.1:7401"}});
     let changed = planned(&started(false), &json!({}), &fleet).unwrap();
     assert_eq!(changed.restart_required, [RestartRequired::JoinFleet]);
-    // Reported each time, though the installation in force has it by then.
+    // Reported at each reload, although the installation in force already has the fleet.
     let again = planned(&started(false), &fleet, &fleet).unwrap();
     assert_eq!(again.restart_required, [RestartRequired::JoinFleet]);
     let member = planned(&started(true), &fleet, &fleet).unwrap();
     assert_eq!(member.restart_required, []);
-    // A node that left the fleet and joins again has been started in it.
+    // A node that was started in a fleet may leave it and join it again.
     assert_eq!(
         planned(&started(true), &json!({}), &fleet)
             .unwrap()
@@ -124,21 +124,21 @@
 }
 
 #[test]
-fn conflicts_with_the_platform_are_refused_with_their_path() {
-    let front = |at: &str| json!({"fronts": [{"protocol": "uwsgi", "listen": at}]});
-    let clash = planned(&started(false), &json!({}), &front("127.0.0.1:9090"))
+fn conflicts_with_the_platform_are_rejected_with_their_path() {
+    let listener = |address: &str| json!({"fronts": [{"protocol": "uwsgi", "listen": address}]});
+    let conflict = planned(&started(false), &json!({}), &listener("127.0.0.1:9090"))
         .err()
         .unwrap();
     assert!(
-        clash
+        conflict
             .to_string()
             .starts_with("installation.fronts[0].listen: "),
-        "{clash}"
+        "{conflict}"
     );
     let fleet = json!({"name": "f", "listen": "127.0.0.1:7401", "voters": ["n1"]});
     let budget =
-        |of: Value| json!({"name": "b", "kind": "rate", "limit": 10, "burst": 10, "for": of});
-    let budgets = |of: Value| json!({"fleet": fleet, "budgets": [budget(of)]});
+        |scope: Value| json!({"name": "b", "kind": "rate", "limit": 10, "burst": 10, "for": scope});
+    let budgets = |scope: Value| json!({"fleet": fleet, "budgets": [budget(scope)]});
     let known = planned(
         &started(true),
         &json!({}),
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn keys_keep_their_meaning_only_where_everything_they_depend_on_stays() {
+fn keys_change_if_anything_that_they_depend_on_changes() {
     let rule = |when: &str, group: &str, key: Option<&str>| {
         let (when, group, key) = (json!(when), json!(group), json!(key));
         json!({"when": when, "group": group, "idempotency_key": key})
@@ -221,7 +221,7 @@
     let base = json!({"rules": [look, pay, book]});
     let with = |rules: Value| json!({"rules": rules});
     assert_eq!(changed(&base, &base), [""; 0]);
-    // Rules after the last one of a group do not matter to it.
+    // Rules after the last rule of a group do not affect the group.
     assert_eq!(
         changed(
             &base,
@@ -230,7 +230,7 @@
         ["look"]
     );
     assert_eq!(changed(&base, &with(json!([look, pay]))), ["book"]);
-    // An earlier rule may match what a later one matched before.
+    // An earlier rule may match requests that a later one matched before.
     assert_eq!(changed(&base, &with(json!([pay, book]))), GROUPS);
     assert_eq!(
         changed(
@@ -257,15 +257,15 @@
         ),
         ["pay"]
     );
-    // A rule without a key that changes its group takes its requests with it.
+    // If a rule without a key changes its group, both groups are affected.
     let last = rule("path == \"/last\"", "book", None);
     let keyless = with(json!([look, book, last]));
-    let gone = with(json!([look, rule("path == \"/book\"", "look", None), last]));
-    assert_eq!(changed(&keyless, &gone), ["look", "book"]);
+    let moved = with(json!([look, rule("path == \"/book\"", "look", None), last]));
+    assert_eq!(changed(&keyless, &moved), ["look", "book"]);
 }
 
 #[test]
-fn the_fallback_group_and_the_limits_are_part_of_the_meaning() {
+fn keys_depend_on_the_fallback_group_and_the_limits() {
     let rule = json!({"when": "path == \"/pay\"", "group": "pay"});
     let base = json!({"rules": [rule], "otherwise": "book"});
     assert_eq!(
@@ -273,21 +273,21 @@
         ["look", "book"]
     );
     assert_eq!(changed(&base, &json!({"rules": [rule]})), ["book"]);
-    // Any further rule may match what went to the fallback group.
+    // A further rule may match requests that went to the fallback group.
     let more = json!({"when": "path == \"/x\"", "group": "look"});
     assert_eq!(
         changed(&base, &json!({"rules": [rule, more], "otherwise": "book"})),
         ["look", "book"]
     );
-    let longer =
+    let limited =
         json!({"rules": [rule], "otherwise": "book", "expressions": {"variable_bytes": 100}});
-    assert_eq!(changed(&base, &longer), ["pay", "book"]);
-    // With listeners and without rules, variables put requests into any group.
-    let front = json!([{"protocol": "uwsgi", "listen": "127.0.0.1:9091"}]);
-    let classified = json!({"fronts": front, "rules": [rule]});
-    assert_eq!(changed(&json!({"fronts": front}), &classified), GROUPS);
+    assert_eq!(changed(&base, &limited), ["pay", "book"]);
+    // With listeners but without rules, variables may put requests into any group.
+    let listeners = json!([{"protocol": "uwsgi", "listen": "127.0.0.1:9091"}]);
+    let classified = json!({"fronts": listeners, "rules": [rule]});
+    assert_eq!(changed(&json!({"fronts": listeners}), &classified), GROUPS);
     assert_eq!(changed(&json!({}), &classified), ["pay"]);
-    assert_eq!(changed(&json!({"fronts": front}), &json!({})), [""; 0]);
+    assert_eq!(changed(&json!({"fronts": listeners}), &json!({})), [""; 0]);
 }
 
 proptest! {
@@ -296,8 +296,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Against the rules themselves: the conditions up to the last rule of a group, which of those rules are
-    /// of the group, and their keys.
+    /// Compares the digests with the rules themselves: the conditions up to the last rule of a group, and the keys
+    /// of those rules that belong to the group.
     #[test]
     fn digests_differ_exactly_where_the_rules_differ(
         old in prop::collection::vec((0..4u8, 0..3usize, 0..3u8), 0..6),
@@ -318,34 +318,37 @@
             };
             json!({"rules": rules.iter().map(rule).collect::<Vec<_>>()})
         };
-        let meaning = |rules: &[(u8, usize, u8)], group: usize| -> Vec<(u8, Option<u8>)> {
+        let group_rules = |rules: &[(u8, usize, u8)], group: usize| -> Vec<(u8, Option<u8>)> {
             let last = rules.iter().rposition(|rule| rule.1 == group).map_or(0, |last| last + 1);
             rules[..last].iter().map(|rule| (rule.0, (rule.1 == group).then_some(rule.2))).collect()
         };
-        let differs = |group: &usize| meaning(&old, *group) != meaning(&new, *group);
-        let wanted: Vec<&str> = (0..3).filter(differs).map(|group| GROUPS[group]).collect();
-        prop_assert_eq!(changed(&value(&old), &value(&new)), wanted);
+        let differs = |group: &usize| group_rules(&old, *group) != group_rules(&new, *group);
+        let expected: Vec<&str> = (0..3).filter(differs).map(|group| GROUPS[group]).collect();
+        prop_assert_eq!(changed(&value(&old), &value(&new)), expected);
     }
 }
 
 #[test]
-fn at_most_one_build_is_under_way_and_one_waits() {
+fn at_most_one_build_runs_and_one_is_pending() {
     let mut builds = BuildScheduler::default();
     assert!(!builds.is_under_way());
-    assert!(builds.notice(), "the first begins at once");
+    assert!(builds.notice(), "the first build begins at once");
     assert!(
         (0..100).all(|_| !builds.notice()),
-        "notices that come meanwhile wait together"
+        "notices during a build do not begin another one"
     );
-    assert!(builds.finished(), "the next one begins");
+    assert!(builds.finished(), "the pending build begins");
     assert!(builds.is_under_way());
     assert!(!builds.finished());
     assert!(!builds.is_under_way() && builds.notice());
-    assert!(!builds.finished(), "earlier notices no longer count");
+    assert!(
+        !builds.finished(),
+        "notices before the build began have no further effect"
+    );
 }
 
 #[test]
-fn a_file_replaced_while_it_is_read_is_read_in_one_version() {
+fn a_file_that_is_replaced_during_a_read_gives_a_single_version() {
     let folder = std::env::temp_dir().join(format!("doortrack-replaced-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let (path, next) = (folder.join("installation.json"), folder.join("next.json"));
--- a/crates/config/tests/zero_burst.rs
+++ b/crates/config/tests/zero_burst.rs
@@ -1,11 +1,11 @@
-//! A rate budget whose burst is zero is refused as any other number out of range, also where the budget has a
+//! A rate budget with a burst of zero is rejected like any other number out of range, also if the budget has a
 //! reserved minimum.
 
 use doortrack_config::installation;
 use serde_json::json;
 
 #[test]
-fn a_burst_of_zero_beside_a_reserved_minimum_is_refused() {
+fn a_burst_of_zero_with_a_reserved_minimum_is_rejected() {
     let file = json!({
         "fleet": {"name": "delta", "listen": "127.0.0.1:7401", "voters": ["n1", "n2", "n3"]},
         "budgets": [{"name": "rate", "kind": "rate", "limit": 600, "burst": 0, "for": {"group": "pay"},
--- a/crates/protocols/src/lib.rs
+++ b/crates/protocols/src/lib.rs
@@ -8,8 +8,8 @@
 //! of byte strings that the codecs do not interpret, except for the length of a uwsgi body.
 //!
 //! No buffer is sized by a length that a peer announces: request contents are passed on in the
-//! parts in which they arrive. Sizes are in bytes. After a [`ProtocolError`] a reader can't
-//! continue, and its connection has to be closed.
+//! parts in which they arrive, and a request reader keeps a small state of fixed size. Sizes are in
+//! bytes. After a [`ProtocolError`] a reader can't continue, and its connection has to be closed.
 
 pub mod fastcgi;
 mod request_event;
