--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -64,7 +64,7 @@
 /// Faults that fleet tests inject into one process through hidden command line arguments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultInjection {
-    /// Clock drift of membership and budgets in parts per million; a positive clock is fast.
+    /// Clock drift of membership and budgets in parts per million; a positive value makes the clock fast.
     pub drift_ppm: i32,
     /// The safeguards of budget division that are in force.
     pub safeguards: Safeguards,
--- a/crates/config/src/node_config.rs
+++ b/crates/config/src/node_config.rs
@@ -13,7 +13,7 @@
     ConfigError, ConfigErrorKind, ConfigErrors, ErrorCollector, ResourceLimits, consistent_read,
 };
 
-const VARIABLE: &str = "GW_CONFIG";
+const CONFIG_VARIABLE: &str = "GW_CONFIG";
 /// Maximum number of endpoint groups, whose index is one byte.
 const MAX_GROUPS: usize = 256;
 /// Maximum number of tenants, whose index is two bytes.
@@ -65,9 +65,9 @@
 /// # Errors
 /// The variable is not set.
 pub fn path() -> Result<PathBuf, ConfigErrors> {
-    std::env::var_os(VARIABLE)
+    std::env::var_os(CONFIG_VARIABLE)
         .map(PathBuf::from)
-        .ok_or_else(|| ConfigErrors::one(VARIABLE, ConfigErrorKind::VariableNotSet))
+        .ok_or_else(|| ConfigErrors::one(CONFIG_VARIABLE, ConfigErrorKind::VariableNotSet))
 }
 
 /// Reads and validates a file.
@@ -84,7 +84,7 @@
 /// The file can't be read.
 pub fn read_bytes(path: &Path) -> Result<Vec<u8>, ConfigErrors> {
     consistent_read::read(path).map_err(|error| {
-        let path = format!("{VARIABLE}: {}", path.display());
+        let path = format!("{CONFIG_VARIABLE}: {}", path.display());
         ConfigErrors::one(path, ConfigErrorKind::unreadable(&error))
     })
 }
--- a/crates/protocols/src/fastcgi.rs
+++ b/crates/protocols/src/fastcgi.rs
@@ -177,7 +177,7 @@
 
 /// Reads a length of one byte, or of four with the highest bit set.
 fn read_length(stream: &mut &[u8]) -> Result<usize, ProtocolError> {
-    const CUT_SHORT: ProtocolError = ProtocolError("truncated parameter length");
+    const TRUNCATED: ProtocolError = ProtocolError("truncated parameter length");
     match *split_front(stream, 1) {
         [short] if short <= MAX_SHORT_LENGTH => Ok(short.into()),
         [first] => match *split_front(stream, 3) {
@@ -185,8 +185,8 @@
                 let length = u32::from_be_bytes([first, second, third, fourth]);
                 Ok((length & !LONG_LENGTH_FLAG) as usize)
             }
-            _ => Err(CUT_SHORT),
+            _ => Err(TRUNCATED),
         },
-        _ => Err(CUT_SHORT),
+        _ => Err(TRUNCATED),
     }
 }
--- a/crates/protocols/src/response/head.rs
+++ b/crates/protocols/src/response/head.rs
@@ -74,5 +74,7 @@
         .parse()
         .ok()
         .filter(|status| three_digits && (100..600).contains(status))
-        .ok_or(ProtocolError("the status is not a three-digit number from 100 to 599"))
+        .ok_or(ProtocolError(
+            "the status is not a three-digit number from 100 to 599",
+        ))
 }
--- a/crates/protocols/src/response/reader.rs
+++ b/crates/protocols/src/response/reader.rs
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Handles that the peer closed the connection; returns the response if that completes it.
+    /// Handles an orderly close by the peer; returns the response if that completes it.
     ///
     /// # Errors
     /// The response is incomplete.
--- a/crates/protocols/src/uwsgi.rs
+++ b/crates/protocols/src/uwsgi.rs
@@ -21,7 +21,7 @@
 
 const HEADER_BYTES: usize = 4;
 
-const CUT_SHORT: ProtocolError = ProtocolError("truncated variables");
+const TRUNCATED: ProtocolError = ProtocolError("truncated variables");
 const LONGER_THAN_PACKET: ProtocolError = ProtocolError("a variable is longer than its packet");
 
 /// Reads the variables of a complete block.
@@ -39,7 +39,7 @@
 /// Reads a length and the name or value after it.
 fn read_string<'a>(block: &mut &'a [u8]) -> Result<&'a [u8], ProtocolError> {
     let [low, high] = *split_front(block, 2) else {
-        return Err(CUT_SHORT);
+        return Err(TRUNCATED);
     };
     let length = u16::from_le_bytes([low, high]).into();
     let string = split_front(block, length);
--- a/crates/protocols/src/uwsgi/block_scanner.rs
+++ b/crates/protocols/src/uwsgi/block_scanner.rs
@@ -1,6 +1,6 @@
 //! Validates a block of variables while it arrives, and extracts the length of the body.
 
-use super::{CUT_SHORT, LONGER_THAN_PACKET};
+use super::{LONGER_THAN_PACKET, TRUNCATED};
 use crate::ProtocolError;
 use crate::fastcgi::split_front;
 
@@ -147,7 +147,7 @@
     /// or empty.
     pub(super) fn finish(&self) -> Result<u64, ProtocolError> {
         if self.kind != StringKind::Name || self.length_bytes_read != 0 {
-            return Err(CUT_SHORT);
+            return Err(TRUNCATED);
         }
         Ok(self.body_length.unwrap_or(0))
     }
--- a/crates/routes/src/classify.rs
+++ b/crates/routes/src/classify.rs
@@ -8,8 +8,8 @@
 use crate::fnv1a;
 use crate::table::Table;
 
-/// The properties that a rule assigns to a request. Those that are `None` are taken from the variables of the
-/// request.
+/// The properties that a rule assigns to a request. Those that are `None` are determined without the rule, such as
+/// from the variables of the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// Index of the rule that matched.
--- a/crates/routes/src/shadowing.rs
+++ b/crates/routes/src/shadowing.rs
@@ -60,7 +60,8 @@
 }
 
 /// Finds rules that are shadowed by an earlier rule. The cost per rule does not grow with the number of rules, so
-/// only these cases are found: the earlier condition is the same, is `true`, or is one of the conjuncts.
+/// only these cases are found: the earlier condition is the same, is `true`, is one of the conjuncts, or is a path
+/// prefix that a conjunct implies.
 #[derive(Default)]
 pub(crate) struct ShadowDetector {
     /// Rules with a single conjunct, by its digest.
@@ -117,6 +118,7 @@
         first
     }
 
+    /// Calls `consider` with each rule whose path prefix is a prefix of `path`.
     fn prefixes_of(&self, path: &str, consider: &mut impl FnMut(Option<&usize>)) {
         for end in (1..=path.len()).filter(|end| path.is_char_boundary(*end)) {
             consider(self.prefixes.get(&path[..end]));
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -11,7 +11,7 @@
 /// Maximum number of rules in a table.
 pub const MAX_RULES: usize = 100_000;
 
-/// CompiledRule rules in order, with an index over their conditions. A table is immutable and is replaced as a whole.
+/// Compiled rules in order, with an index over their conditions. A table is immutable and is replaced as a whole.
 #[derive(Debug)]
 pub struct Table {
     pub(crate) rules: Vec<Arc<CompiledRule>>,
