--- a/crates/config/src/reload/plan.rs
+++ b/crates/config/src/reload/plan.rs
@@ -131,7 +131,7 @@
 #[derive(Debug)]
 pub struct FleetChange {
     /// The configuration of the fleet, or `None` if the new configuration has none.
-    pub config: Option<FleetConfig>,
+    pub fleet_config: Option<FleetConfig>,
     /// The budgets, in the order of the file.
     pub budgets: Vec<Budget>,
     /// Indices of the budgets that apply to requests.
@@ -142,7 +142,7 @@
     /// Computes the change to `installation` for a node that was started with `config`.
     pub fn new(installation: &Installation, config: &NodeConfig) -> FleetChange {
         FleetChange {
-            config: installation.fleet.clone(),
+            fleet_config: installation.fleet.clone(),
             budgets: installation.budget_list(config),
             indices: installation.budget_indices(config),
         }
--- a/crates/node/src/peers/link/subsystem.rs
+++ b/crates/node/src/peers/link/subsystem.rs
@@ -49,7 +49,7 @@
     }
 
     fn reload(&mut self, change: &mut FleetChange) {
-        let Some(fleet_config) = change.config.take() else {
+        let Some(fleet_config) = change.fleet_config.take() else {
             warn!(self.log, "fleet needs a start"; "why" => "it can't be left under way");
             return;
         };
