--- a/crates/node/src/network/backend.rs
+++ b/crates/node/src/network/backend.rs
@@ -9,7 +9,7 @@
 
 use super::engine::{ENGINE_KEY, EngineLink};
 use super::engine_protocol::EngineMessage;
-use super::servers::{POOL_KEYS, PoolClient, SERVER_KEY};
+use super::servers::{FIRST_SERVER_KEY, KEYS_PER_POOL, PoolClient};
 use super::termination::Termination;
 use crate::state::in_flight::InFlightRequest;
 
@@ -84,7 +84,7 @@
 
     /// Whether this key of the poller is the backend's.
     pub fn has_key(&self, key: usize) -> bool {
-        key == ENGINE_KEY || key >= SERVER_KEY
+        key == ENGINE_KEY || key >= FIRST_SERVER_KEY
     }
 
     /// Handles what the poller reports under one of the backend's keys.
@@ -92,7 +92,7 @@
         match self {
             Backend::Engine(link) => link.on_event(event, now, events),
             Backend::Servers(pools) => {
-                let index = event.key.saturating_sub(SERVER_KEY) / POOL_KEYS;
+                let index = event.key.saturating_sub(FIRST_SERVER_KEY) / KEYS_PER_POOL;
                 if let Some((_, pool)) = pools.get_mut(index) {
                     pool.on_event(event, now);
                 }
--- a/crates/node/src/network/classifier.rs
+++ b/crates/node/src/network/classifier.rs
@@ -18,7 +18,7 @@
 use self::view::RequestView;
 use super::request::{
     AttemptId, DecodedRequest, DeploymentNames, Fields, HEALTH_CHECK_PATH, IdempotencyKey,
-    IncomingRequest, Unreadable, checked_memory_kb, checked_rank,
+    IncomingRequest, Unreadable, validate_memory_kb, validate_rank,
 };
 
 /// The rank of a request of which nothing is said.
@@ -128,12 +128,13 @@
         let fields = Fields(&pairs);
         // A request that does not say how much memory it needs takes as much as was read of it.
         let read_kb = (variables.len() + body.len()) as f32 / 1024.0;
-        let request = self.build(group, class.as_ref(), &fields, read_kb, origin.now, names)?;
+        let request =
+            self.build_request(group, class.as_ref(), &fields, read_kb, origin.now, names)?;
         Ok(DecodedRequest::Request(request))
     }
 
     /// Puts together what the rule and the variables say. What the rule says has precedence.
-    fn build(
+    fn build_request(
         &mut self,
         group: u8,
         class: Option<&Class>,
@@ -161,8 +162,8 @@
             tenant,
             caller: fields.find_number("HTTP_X_CALLER")?.unwrap_or(0),
             retry: fields.is_retry()?,
-            memory_kb: checked_memory_kb(memory_kb.unwrap_or(default_memory_kb))?,
-            rank: checked_rank(rank)?,
+            memory_kb: validate_memory_kb(memory_kb.unwrap_or(default_memory_kb))?,
+            rank: validate_rank(rank)?,
             idempotency_key: idempotency_key(names, group, class, fields)?,
             session_key: match class.and_then(|class| class.session_key) {
                 Some(session_key) => session_key,
--- a/crates/node/src/network/connection.rs
+++ b/crates/node/src/network/connection.rs
@@ -10,7 +10,7 @@
 use doortrack_protocols::{Protocol, RequestReader};
 use doortrack_time::TenthMillis;
 
-pub use self::expiry::{EvictionRank, Timeouts};
+pub use self::expiry::{EvictionPriority, Timeouts};
 pub use self::pending::{CompleteRequest, PendingRequest, PendingRequests, Stream};
 pub use self::write_buffer::WriteBuffer;
 use super::bounds::{MAX_CLOSING_SWEEPS, MAX_INCOMPLETE_BYTES, MAX_UNREAD_ANSWER_BYTES};
@@ -146,7 +146,7 @@
     pub fn is_closing(&self) -> bool {
         matches!(
             self.lifecycle.close_when_answered,
-            Some(Termination::Slow | Termination::ListenerClosed | Termination::Shutdown)
+            Some(Termination::RequestTimeout | Termination::ListenerClosed | Termination::Shutdown)
         )
     }
 
@@ -230,7 +230,7 @@
     }
 
     /// Accounts for bytes that were split; whether too many have come without completing a request.
-    pub fn account_split(&mut self, bytes: usize, now: TenthMillis) -> bool {
+    pub fn record_parsed(&mut self, bytes: usize, now: TenthMillis) -> bool {
         let between_requests = self.input.reader.at_boundary() && !self.pending.any_incomplete();
         if between_requests && self.input.carried_request {
             self.input.request_due_since = None;
@@ -241,7 +241,7 @@
     }
 
     /// Accounts for bytes that were discarded while it lingers; whether that is enough of them.
-    pub fn account_discarded(&mut self, bytes: usize) -> bool {
+    pub fn record_discarded(&mut self, bytes: usize) -> bool {
         self.exceeds_incomplete_bytes(bytes)
     }
 
@@ -267,7 +267,7 @@
     }
 
     /// To be called by each sweep: whether half requests have stayed so for too long while it is being closed.
-    pub fn has_late_halves(&mut self) -> bool {
+    pub fn incomplete_requests_overdue(&mut self) -> bool {
         if !self.is_closing() || !self.pending.any_incomplete() {
             return false;
         }
--- a/crates/node/src/network/connection/expiry.rs
+++ b/crates/node/src/network/connection/expiry.rs
@@ -9,7 +9,7 @@
 
 /// What a connection on which no caller waits is worth keeping for, the least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum EvictionRank {
+pub enum EvictionPriority {
     /// It never carried a request, or it lingers.
     Unused,
     /// It carried requests and may carry more.
@@ -37,13 +37,13 @@
     }
 
     /// What it is worth keeping for, if no caller waits on it.
-    pub fn eviction_rank(&self) -> EvictionRank {
+    pub fn eviction_priority(&self) -> EvictionPriority {
         if !self.input.carried_request || self.lifecycle.lingering {
-            EvictionRank::Unused
+            EvictionPriority::Unused
         } else if self.is_idle() {
-            EvictionRank::Idle
+            EvictionPriority::Idle
         } else {
-            EvictionRank::PartialRequest
+            EvictionPriority::PartialRequest
         }
     }
 
@@ -66,7 +66,7 @@
         } else if !self.out.is_empty() && inactive > timeouts.unread_answers {
             Some(Termination::UnreadAnswers)
         } else {
-            overdue.then_some(Termination::Slow)
+            overdue.then_some(Termination::RequestTimeout)
         }
     }
 
--- a/crates/node/src/network/engine.rs
+++ b/crates/node/src/network/engine.rs
@@ -31,7 +31,7 @@
     #[error("closed by the engine")]
     Closed,
     #[error("the engine moved")]
-    Moved,
+    AddressChanged,
     #[error("commands stay unread")]
     CommandsUnread,
     #[error("a line without end")]
@@ -81,7 +81,7 @@
     /// The number of the last gauge query answered while the link was up.
     answered_cookie: u64,
     /// The last notice before a line that made no sense, if the link was made again for that.
-    doubted_serial: Option<u64>,
+    reconnected_at_serial: Option<u64>,
     /// That the engine can't be reached is in the log already.
     unreachable_logged: bool,
     losses: u64,
@@ -110,7 +110,7 @@
             last_serial: 0,
             last_cookie: 0,
             answered_cookie: 0,
-            doubted_serial: None,
+            reconnected_at_serial: None,
             unreachable_logged: false,
             losses: 0,
         }
@@ -151,7 +151,7 @@
 
     fn connect(&mut self) -> io::Result<TcpStream> {
         let sock = connect_nonblocking(self.address)?;
-        // SAFETY: the socket is taken out of the poller in `lose`, before it is dropped.
+        // SAFETY: the socket is taken out of the poller in `disconnect`, before it is dropped.
         unsafe {
             self.poller
                 .add_with_mode(&sock, Event::all(ENGINE_KEY), PollMode::Level)?
@@ -167,7 +167,7 @@
         }
     }
 
-    fn lose(&mut self, error: &LinkError, now: TenthMillis, events: &mut Vec<BackendEvent>) {
+    fn disconnect(&mut self, error: &LinkError, now: TenthMillis, events: &mut Vec<BackendEvent>) {
         if let Some(sock) = self.sock.take() {
             _ = self.poller.delete(&sock);
         }
@@ -197,19 +197,19 @@
         self.address = address;
         self.unreachable_logged = false;
         if self.state != State::Down {
-            self.lose(&LinkError::Moved, now, events);
+            self.disconnect(&LinkError::AddressChanged, now, events);
         }
         self.next_attempt = now;
     }
 
     /// Handles what the poller reports of the link.
     pub fn on_event(&mut self, event: Event, now: TenthMillis, events: &mut Vec<BackendEvent>) {
-        if let Err(error) = self.try_on_event(event, events) {
-            self.lose(&error, now, events);
+        if let Err(error) = self.handle_event(event, events) {
+            self.disconnect(&error, now, events);
         }
     }
 
-    fn try_on_event(
+    fn handle_event(
         &mut self,
         event: Event,
         events: &mut Vec<BackendEvent>,
@@ -277,7 +277,7 @@
             return;
         }
         if let Err(error) = self.write_commands() {
-            self.lose(&error, now, events);
+            self.disconnect(&error, now, events);
         }
     }
 
--- a/crates/node/src/network/engine/messages.rs
+++ b/crates/node/src/network/engine/messages.rs
@@ -41,7 +41,7 @@
             Ok(message) => message,
             Err(error) => {
                 warn!(self.log, "engine line ignored"; "why" => %error);
-                return self.doubt(LinkError::UnreadableLine);
+                return self.reconnect_once(LinkError::UnreadableLine);
             }
         };
         if self.is_repeated(&message)? {
@@ -59,7 +59,7 @@
             return Ok(true);
         }
         if serial > self.last_serial + 1 {
-            self.doubt(LinkError::MissingNotices)?;
+            self.reconnect_once(LinkError::MissingNotices)?;
         }
         self.last_serial = serial;
         Ok(false)
@@ -78,7 +78,7 @@
                 let cookie = self.query_gauges();
                 self.state = State::CatchingUp { cookie };
             }
-            EngineMessage::Hello { .. } => return self.doubt(LinkError::UnexpectedHello),
+            EngineMessage::Hello { .. } => return self.reconnect_once(LinkError::UnexpectedHello),
             EngineMessage::Stats { cookie, .. } if self.state == (State::CatchingUp { cookie }) => {
                 self.state = State::Up;
                 let answered_cookie = std::mem::replace(&mut self.answered_cookie, cookie);
@@ -97,9 +97,9 @@
 
     /// Has the link made again for an error, once for each position in the notices. If that did not help, the
     /// error is ignored.
-    fn doubt(&mut self, error: LinkError) -> Result<(), LinkError> {
-        let is_repeated = self.doubted_serial == Some(self.last_serial);
-        self.doubted_serial = Some(self.last_serial);
+    fn reconnect_once(&mut self, error: LinkError) -> Result<(), LinkError> {
+        let is_repeated = self.reconnected_at_serial == Some(self.last_serial);
+        self.reconnected_at_serial = Some(self.last_serial);
         if is_repeated { Ok(()) } else { Err(error) }
     }
 }
--- a/crates/node/src/network/listeners/accept.rs
+++ b/crates/node/src/network/listeners/accept.rs
@@ -16,7 +16,7 @@
 use crate::network::connection::Connection;
 
 /// Whether the process (EMFILE) or the whole system (ENFILE) has no descriptor left.
-fn lacks_descriptor(error: &io::Error) -> bool {
+fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
         Some(Errno::MFILE | Errno::NFILE)
@@ -118,7 +118,7 @@
             Ok((sock, peer)) => {
                 // If this fails, the connection is dropped before anything was read from it.
                 _ = self.insert(sock, peer.ip(), listener, now);
-                self.evict_ahead(listener, inactive_since, now, events);
+                self.evict_proactively(listener, inactive_since, now, events);
                 ControlFlow::Continue(())
             }
             Err(e) => self.accept_failed(listener, &e, is_first, inactive_since, events),
@@ -138,7 +138,7 @@
             ErrorKind::WouldBlock => ControlFlow::Break(false),
             // The system reserves a descriptor before it looks for a connection, so from the second attempt on
             // this does not mean that one is waiting.
-            _ if lacks_descriptor(error) => {
+            _ if is_out_of_descriptors(error) => {
                 if is_first && self.evict_now(EvictionScope::Table, inactive_since, events) {
                     ControlFlow::Continue(())
                 } else {
--- a/crates/node/src/network/listeners/backlog.rs
+++ b/crates/node/src/network/listeners/backlog.rs
@@ -47,7 +47,7 @@
         }
         if let Some(input) = connection.take_suspended() {
             self.suspended_bytes -= input.len();
-            self.split(slot, &input, now, events);
+            self.parse_input(slot, &input, now, events);
         }
     }
 
--- a/crates/node/src/network/listeners/close.rs
+++ b/crates/node/src/network/listeners/close.rs
@@ -62,7 +62,7 @@
     /// To be called at a steady pace while [`Listeners::needs_sweep`].
     pub fn sweep(&mut self, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
         self.resume_paused();
-        self.refuse_late_halves();
+        self.refuse_overdue_requests();
         let timeouts = Timeouts {
             idle: self.idle_timeout,
             request_read: bounds::request_read_timeout(self.longest_deadline),
@@ -85,12 +85,14 @@
     }
 
     /// Refuses half requests that stay so on connections that are being closed.
-    fn refuse_late_halves(&mut self) {
+    fn refuse_overdue_requests(&mut self) {
         let connections = self.connections.iter_mut();
-        let late: Vec<usize> = connections
-            .filter_map(|(slot, connection)| connection.has_late_halves().then_some(slot))
+        let overdue: Vec<usize> = connections
+            .filter_map(|(slot, connection)| {
+                connection.incomplete_requests_overdue().then_some(slot)
+            })
             .collect();
-        for slot in late {
+        for slot in overdue {
             self.answer_incomplete(slot, Answer::NoCapacity);
         }
     }
@@ -115,7 +117,7 @@
             _ if self.connections[slot].is_lingering() => self.close(slot, termination, events),
             Termination::Idle => self.linger(slot, termination, now, events),
             // A dispatcher that relays a slow client's request may have others pending here.
-            Termination::Slow => {
+            Termination::RequestTimeout => {
                 self.answer_incomplete(slot, Answer::Unreadable(Unreadable::Field("record")));
                 self.close_when_answered(slot, termination);
             }
--- a/crates/node/src/network/listeners/eviction.rs
+++ b/crates/node/src/network/listeners/eviction.rs
@@ -7,7 +7,7 @@
 
 use super::{ListenerEvent, Listeners};
 use crate::network::bounds::{self, MAX_EVICTIONS};
-use crate::network::connection::{Connection, EvictionRank};
+use crate::network::connection::{Connection, EvictionPriority};
 use crate::network::termination::Termination;
 
 /// The connections among which one is evicted.
@@ -38,7 +38,7 @@
 /// A connection that may be evicted. The least is evicted first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    rank: EvictionRank,
+    priority: EvictionPriority,
     last_activity: TenthMillis,
     slot: usize,
 }
@@ -55,13 +55,13 @@
     ) -> bool {
         let candidates = self.eviction_candidates(scope, inactive_since);
         let max_unused = candidates
-            .partition_point(|candidate| candidate.rank == EvictionRank::Unused)
+            .partition_point(|candidate| candidate.priority == EvictionPriority::Unused)
             .min(MAX_EVICTIONS);
         let before = self.connections.len();
-        for Candidate { rank, slot, .. } in candidates {
-            let max_evictions = match rank {
-                EvictionRank::Unused => max_unused,
-                EvictionRank::Idle | EvictionRank::PartialRequest => 1,
+        for Candidate { priority, slot, .. } in candidates {
+            let max_evictions = match priority {
+                EvictionPriority::Unused => max_unused,
+                EvictionPriority::Idle | EvictionPriority::PartialRequest => 1,
             };
             if before - self.connections.len() >= max_evictions {
                 break;
@@ -77,7 +77,7 @@
     /// Begins to close some connections while slots are left, so that a request that crosses the close meets no
     /// reset. [`Listeners::evict_now`] is needed only for clients that arrive faster than evicted peers close,
     /// and where the table is too small for spare slots.
-    pub(super) fn evict_ahead(
+    pub(super) fn evict_proactively(
         &mut self,
         listener: usize,
         inactive_since: TenthMillis,
@@ -98,7 +98,7 @@
         let closable = candidates
             .into_iter()
             .map(|candidate| candidate.slot)
-            .filter(|slot| can_close_in_order(&self.connections[*slot]));
+            .filter(|slot| can_close_gracefully(&self.connections[*slot]));
         let chosen: Vec<usize> = closable.take(wanted).collect();
         for slot in chosen {
             self.linger(slot, Termination::Evicted, now, events);
@@ -150,7 +150,7 @@
             .filter(|(_, connection)| is_evictable(connection, inactive_since))
             .filter(|(_, connection)| scope.includes(connection))
             .map(|(slot, connection)| Candidate {
-                rank: connection.eviction_rank(),
+                priority: connection.eviction_priority(),
                 last_activity: connection.last_activity,
                 slot,
             })
@@ -165,6 +165,6 @@
     connection.is_lingering() || (is_inactive && connection.has_no_waiting_caller())
 }
 
-fn can_close_in_order(connection: &Connection) -> bool {
+fn can_close_gracefully(connection: &Connection) -> bool {
     !connection.is_lingering() && connection.pending.is_empty() && connection.nothing_to_read()
 }
--- a/crates/node/src/network/listeners/reading.rs
+++ b/crates/node/src/network/listeners/reading.rs
@@ -46,7 +46,7 @@
             self.discard(slot, received, events);
         } else {
             match received {
-                Ok(count) => self.split(slot, &buffer[..count], now, events),
+                Ok(count) => self.parse_input(slot, &buffer[..count], now, events),
                 Err(Termination::Reset) => self.close(slot, Termination::Reset, events),
                 Err(termination) => self.stop_reading(slot, termination),
             }
@@ -63,7 +63,7 @@
         events: &mut Vec<ListenerEvent>,
     ) {
         let connection = &mut self.connections[slot];
-        let is_over = received.map_or(true, |count| connection.account_discarded(count));
+        let is_over = received.map_or(true, |count| connection.record_discarded(count));
         if is_over {
             let termination = connection.deferred_close();
             self.close(slot, termination.unwrap_or(Termination::Closed), events);
@@ -71,7 +71,7 @@
     }
 
     /// Splits input into requests, as far as the connection's unread answers allow; the rest waits for them.
-    pub(super) fn split(
+    pub(super) fn parse_input(
         &mut self,
         slot: usize,
         mut input: &[u8],
@@ -83,18 +83,18 @@
             match self.connections[slot].reader().next(&mut input) {
                 Ok(Some(request_event)) => self.on_request_event(slot, request_event, now, events),
                 Ok(None) => break,
-                Err(_) => self.give_up(slot),
+                Err(_) => self.reject_malformed(slot),
             }
         }
         let connection = &mut self.connections[slot];
-        if connection.account_split(size - input.len(), now) && connection.is_reading() {
-            self.give_up(slot);
+        if connection.record_parsed(size - input.len(), now) && connection.is_reading() {
+            self.reject_malformed(slot);
         }
         self.suspend_if_backlogged(slot, input);
     }
 
     /// Stops reading a connection whose input is malformed. Complete requests on it are still answered.
-    fn give_up(&mut self, slot: usize) {
+    fn reject_malformed(&mut self, slot: usize) {
         self.answer_incomplete(slot, Answer::Unreadable(Unreadable::Field("record")));
         self.stop_reading(slot, Termination::Malformed);
     }
@@ -141,7 +141,7 @@
     fn begin(&mut self, slot: usize, wire_id: u16, role: u16, keep_connection: bool) {
         let connection = &mut self.connections[slot];
         if connection.pending.find_wire_id(wire_id).is_some() {
-            return self.give_up(slot);
+            return self.reject_malformed(slot);
         }
         if !keep_connection && !connection.is_closing() {
             connection.close_when_answered(Termination::Closed);
@@ -219,7 +219,7 @@
         };
         let connection_closing = self.connections[slot].is_closing();
         match self.decode(slot, &complete, now) {
-            Ok(inbound) if connection_closing && !may_be_repeat(&inbound) => {
+            Ok(inbound) if connection_closing && !has_idempotency_key(&inbound) => {
                 self.answer(caller, Answer::NoCapacity);
             }
             Ok(DecodedRequest::Request(request)) => events.push(ListenerEvent::Request {
@@ -277,6 +277,6 @@
 }
 
 /// Whether a request may repeat one that ran.
-fn may_be_repeat(inbound: &DecodedRequest) -> bool {
+fn has_idempotency_key(inbound: &DecodedRequest) -> bool {
     matches!(inbound, DecodedRequest::Request(request) if request.idempotency_key.is_some())
 }
--- a/crates/node/src/network/request.rs
+++ b/crates/node/src/network/request.rs
@@ -156,8 +156,8 @@
         tenant,
         caller: fields.required_number("HTTP_X_CALLER")?,
         retry: fields.is_retry()?,
-        memory_kb: checked_memory_kb(memory_kb)?,
-        rank: checked_rank(rank)?,
+        memory_kb: validate_memory_kb(memory_kb)?,
+        rank: validate_rank(rank)?,
         idempotency_key: match names.idempotency_keyed[group] {
             true => Some(fields.required_hex("HTTP_IDEMPOTENCY_KEY")?),
             false => None,
@@ -169,12 +169,12 @@
 }
 
 /// Memory in KiB, if a request may need that much.
-pub(super) fn checked_memory_kb(memory_kb: f32) -> Result<f32, Unreadable> {
+pub(super) fn validate_memory_kb(memory_kb: f32) -> Result<f32, Unreadable> {
     let valid = memory_kb > 0.0 && memory_kb < MAX_MEMORY_KB;
     in_range(memory_kb, valid, "HTTP_X_MEMORY_KB")
 }
 
 /// A rank, if it is one.
-pub(super) fn checked_rank(rank: f32) -> Result<f32, Unreadable> {
+pub(super) fn validate_rank(rank: f32) -> Result<f32, Unreadable> {
     in_range(rank, (0.0..1.0).contains(&rank), "HTTP_X_RANK")
 }
--- a/crates/node/src/network/request/answer.rs
+++ b/crates/node/src/network/request/answer.rs
@@ -115,11 +115,11 @@
         return fastcgi::write_end_request(out, wire_id, status);
     }
     let (status, body) = answer.status_and_body();
-    let more = answer.server_headers();
+    let header_lines = answer.server_headers();
     let backpressure = backpressure.map(|value| value.to_string());
     let retry_after = answer.retry_after_ms().map(|ms| ms.to_string());
     let mut headers = Vec::with_capacity(4);
-    if more.is_empty() {
+    if header_lines.is_empty() {
         headers.push(("Content-Type", DEFAULT_CONTENT_TYPE));
     }
     if let Some(value) = &backpressure {
@@ -134,7 +134,7 @@
     let head = ResponseHead {
         status,
         headers: &headers,
-        extra_lines: more,
+        extra_lines: header_lines,
     };
     doortrack_protocols::write_response(protocol, out, wire_id, head, body);
 }
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -25,9 +25,9 @@
 use super::listeners::RawVariables;
 
 /// The poller's key of the first connection to a server.
-pub const SERVER_KEY: usize = 1 << 40;
+pub const FIRST_SERVER_KEY: usize = 1 << 40;
 /// How many keys each pool has.
-pub const POOL_KEYS: usize = 1 << 24;
+pub const KEYS_PER_POOL: usize = 1 << 24;
 /// The wire id of every request, as a connection carries one at a time.
 const WIRE_ID: u16 = 1;
 /// Bytes of framing that an encoded request is expected to need beside variables and body.
@@ -76,7 +76,7 @@
         let mut servers = PoolClient {
             poller,
             log,
-            first_key: SERVER_KEY + index * POOL_KEYS,
+            first_key: FIRST_SERVER_KEY + index * KEYS_PER_POOL,
             pool: Pool::new(settings.pool_config(longest_deadline), seed),
             protocol: settings.protocol.into(),
             keep_alive: false,
@@ -107,25 +107,25 @@
         self.max_response_bytes = settings.max_response_bytes as usize;
         self.pool.reconfigure(config, now, &mut self.actions);
         self.execute_actions(now);
-        let members = self.members();
+        let server_ids = self.server_ids();
         // Servers are added first, so that what the removed ones had to do has somewhere to go.
         for address in &settings.addresses {
-            if !members.contains_key(address) {
+            if !server_ids.contains_key(address) {
                 self.add(*address, now);
             }
         }
         let listed: BTreeSet<SocketAddr> = settings.addresses.iter().copied().collect();
-        for (address, server) in &members {
+        for (address, server) in &server_ids {
             if !listed.contains(address) {
                 self.pool.remove_server(*server, now, &mut self.actions);
                 self.execute_actions(now);
             }
         }
-        self.forget_removed();
+        self.drop_removed_servers();
     }
 
     /// The pool's servers by address.
-    fn members(&self) -> BTreeMap<SocketAddr, ServerId> {
+    fn server_ids(&self) -> BTreeMap<SocketAddr, ServerId> {
         let known = self.addresses.iter();
         known
             .filter(|(server, _)| self.pool.is_member(**server))
@@ -145,7 +145,7 @@
     }
 
     /// Drops the addresses of servers that the pool does not need any more.
-    fn forget_removed(&mut self) {
+    fn drop_removed_servers(&mut self) {
         let pool = &self.pool;
         self.addresses.retain(|server, _| pool.is_known(*server));
     }
--- a/crates/node/src/network/servers/actions.rs
+++ b/crates/node/src/network/servers/actions.rs
@@ -61,8 +61,8 @@
         RunEnd::Completed => Termination::Run(RunOutcome::Completed),
         RunEnd::Failed => Termination::Run(RunOutcome::Failed),
         RunEnd::Cancelled => Termination::Run(RunOutcome::Cancelled),
-        RunEnd::NotRun => Termination::Unreached,
+        RunEnd::NotRun => Termination::NoServerAccepted,
         RunEnd::Lost => Termination::ServerLost,
-        RunEnd::TimedOut => Termination::ServerLate,
+        RunEnd::TimedOut => Termination::ServerTimeout,
     }
 }
--- a/crates/node/src/network/servers/transfer.rs
+++ b/crates/node/src/network/servers/transfer.rs
@@ -139,7 +139,7 @@
             ResponseOutcome::Refused(_) => ResponseEnd::Refused { reusable },
         };
         self.pool.response_ended(id, end, now, &mut self.actions);
-        self.forget_removed();
+        self.drop_removed_servers();
     }
 
     /// Stores the response of a run that has completed, until the pool reports its end.
--- a/crates/node/src/network/termination.rs
+++ b/crates/node/src/network/termination.rs
@@ -20,7 +20,7 @@
     /// What arrives on the connection can't be read any further.
     Malformed,
     /// No complete request arrived in time.
-    Slow,
+    RequestTimeout,
     /// Answers were not read for longer than any caller waits, or piled up.
     UnreadAnswers,
     /// Closed at the end of the process.
@@ -36,11 +36,11 @@
     /// The run was cancelled before it was sent.
     Unsent,
     /// No server accepted the run.
-    Unreached,
+    NoServerAccepted,
     /// A run was sent to a server, and the connection broke before the answer was complete.
     ServerLost,
     /// A run was sent to a server, and no complete answer came in time.
-    ServerLate,
+    ServerTimeout,
     /// The link to the engine broke. Runs go on, and their ends are reported on the next link.
     LinkLost,
 }
@@ -70,15 +70,15 @@
             | Termination::Idle
             | Termination::Evicted
             | Termination::Malformed
-            | Termination::Slow
+            | Termination::RequestTimeout
             | Termination::ListenerClosed
             | Termination::LinkLost => Outcome::AnswerPending,
             Termination::Run(outcome) => Outcome::RunEnded(outcome),
-            Termination::RunRefused | Termination::Unsent | Termination::Unreached => {
+            Termination::RunRefused | Termination::Unsent | Termination::NoServerAccepted => {
                 Outcome::RunEnded(RunOutcome::NotStarted)
             }
             // It may have run, so it may not be repeated.
-            Termination::ServerLost | Termination::ServerLate => {
+            Termination::ServerLost | Termination::ServerTimeout => {
                 Outcome::RunEnded(RunOutcome::Failed)
             }
             Termination::CancelRefused => Outcome::RunEnded(RunOutcome::Cancelled),
@@ -95,7 +95,7 @@
             Termination::Idle => "idle",
             Termination::Evicted => "evicted",
             Termination::Malformed => "malformed",
-            Termination::Slow => "slow",
+            Termination::RequestTimeout => "slow",
             Termination::UnreadAnswers => "unread",
             Termination::Shutdown => "left",
             Termination::ListenerClosed => "withdrawn",
@@ -106,9 +106,9 @@
             Termination::RunRefused => "run_refused",
             Termination::CancelRefused => "stop_refused",
             Termination::Unsent => "unsent",
-            Termination::Unreached => "unreached",
+            Termination::NoServerAccepted => "unreached",
             Termination::ServerLost => "server_lost",
-            Termination::ServerLate => "server_late",
+            Termination::ServerTimeout => "server_late",
             Termination::LinkLost => "link_lost",
         }
     }
