--- a/crates/node/src/network/backend.rs
+++ b/crates/node/src/network/backend.rs
@@ -1,4 +1,4 @@
-//! Where requests run: at the platform's engine, over its link, or at pools of application servers.
+//! The backend, which runs requests: the platform's engine, or pools of application servers.
 
 use std::net::SocketAddr;
 
@@ -13,19 +13,19 @@
 use super::termination::Termination;
 use crate::state::in_flight::InFlightRequest;
 
-/// What happened at the backend, in order.
+/// An event at the backend.
 pub enum BackendEvent {
-    /// It is up, from now on or again.
+    /// The backend is up, for the first time or again.
     Up {
-        /// It came up with cold caches.
+        /// The backend started with cold caches.
         cold: bool,
-        /// How long ago it came up.
+        /// The time since the backend's start.
         uptime: TenthMillis,
     },
     /// The link to the engine is up, and all notices that were missed have been passed on.
     CaughtUp {
-        /// The number of the last gauge query that was answered on the link before. Runs sent after that query
-        /// may not have arrived.
+        /// The number of the last gauge query that was answered before the link was lost. The engine may not have
+        /// received runs that were sent after that query.
         answered_cookie: u64,
     },
     /// A message from the engine.
@@ -36,33 +36,33 @@
         id: RequestId,
         /// How the run ended.
         termination: Termination,
-        /// Header lines of the server's answer that go on to the caller.
+        /// Header lines of the server's response that are forwarded to the caller.
         headers: Vec<u8>,
-        /// The body of the server's answer.
+        /// The body of the server's response.
         body: Vec<u8>,
     },
     /// The link to the engine has ended.
     LinkEnded(Termination),
 }
 
-/// Asks whether a retry may be sent.
+/// Returns true if a retry may be sent.
 pub type RetryGate = Box<dyn FnMut() -> bool>;
-/// Asks for a token of a slow start.
+/// Requests a token for a run at a server in slow start.
 pub type SlowStartTokens = Box<dyn FnMut() -> TokenResponse>;
 
-/// A pool of servers and its name.
+/// A pool's name and its client.
 pub type NamedPool = (String, PoolClient);
 
-/// Where requests run.
+/// The backend that runs requests.
 pub enum Backend {
-    /// At the engine.
+    /// The engine.
     Engine(Box<EngineLink>),
-    /// At pools of servers; the first one has no name.
+    /// Pools of servers; the first one has no name.
     Servers(Vec<NamedPool>),
 }
 
 impl Backend {
-    /// Does what is due: makes the link, ends what took too long.
+    /// Performs work that is due: connects the engine link, or ticks the pools.
     pub fn maintain(&mut self, now: TenthMillis) {
         match self {
             Backend::Engine(link) => link.maintain(now),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// When [`Backend::maintain`] is due; [`TenthMillis::MAX`] for never.
+    /// Returns when [`Backend::maintain`] is due; [`TenthMillis::MAX`] for never.
     pub fn next_due(&self) -> TenthMillis {
         match self {
             Backend::Engine(link) => link.next_due(),
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Whether this key of the poller is the backend's.
+    /// Returns true if this poller key belongs to the backend.
     pub fn has_key(&self, key: usize) -> bool {
         key == ENGINE_KEY || key >= FIRST_SERVER_KEY
     }
 
-    /// Handles what the poller reports under one of the backend's keys.
+    /// Handles an event that the poller reports for one of the backend's keys.
     pub fn on_event(&mut self, event: Event, now: TenthMillis, events: &mut Vec<BackendEvent>) {
         match self {
             Backend::Engine(link) => link.on_event(event, now, events),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Has pools ask before they retry; `gate` gives each pool's gate by its index, if it has one.
+    /// Sets the retry gates of the pools; `gate` returns a pool's gate by its index, if it has one.
     pub fn set_retry_gates(&mut self, mut gate: impl FnMut(u16) -> Option<RetryGate>) {
         for (index, (_, pool)) in self.pools_mut().iter_mut().enumerate() {
             if let Some(gate) = gate(index as u16) {
@@ -109,19 +109,23 @@
         }
     }
 
-    /// Has pools ask for tokens of their slow starts; `gate` gives each pool's gate by its index, if it has one.
-    pub fn set_slow_start_tokens(&mut self, mut gate: impl FnMut(u16) -> Option<SlowStartTokens>) {
+    /// Sets the sources of slow start tokens of the pools; `gate` returns a pool's source by its index, if it has
+    /// one.
+    pub fn set_slow_start_tokens(
+        &mut self,
+        mut source: impl FnMut(u16) -> Option<SlowStartTokens>,
+    ) {
         for (index, (_, pool)) in self.pools_mut().iter_mut().enumerate() {
-            if let Some(gate) = gate(index as u16) {
-                pool.set_slow_start_tokens(gate);
+            if let Some(source) = source(index as u16) {
+                pool.set_slow_start_tokens(source);
             }
         }
     }
 
-    /// Admits one more request to the pool at this index, as far as its servers go.
+    /// Admits a request to the pool at this index if its servers have capacity.
     ///
     /// # Errors
-    /// They are busy; when to retry.
+    /// The servers are busy; the error says when to retry.
     pub fn admit(&mut self, pool: u16, now: TenthMillis) -> Result<Admission, TenthMillis> {
         match self.pool_or_default(pool) {
             Some(pool) => pool.admit(now),
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Gives back a reservation: its request is run next, or never.
+    /// Releases the reservation of an admission, right before its request is run or when the request will not run.
     pub fn release(&mut self, pool: u16, admission: Admission) {
         if admission != Admission::Reserved {
             return;
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Whether commands are sent at once.
+    /// Returns true if commands can be sent now.
     pub fn is_up(&self) -> bool {
         match self {
             Backend::Engine(link) => link.is_up(),
@@ -147,13 +151,13 @@
         }
     }
 
-    /// Whether a run needs its request's variables.
+    /// Returns true if a run needs the CGI variables of its request.
     pub fn needs_variables(&self) -> bool {
         matches!(self, Backend::Servers(_))
     }
 
-    /// Begins a run; `group` is the endpoint group's name as JSON. None if it can't be sent at present;
-    /// otherwise the number of the last gauge query before it.
+    /// Begins a run; `group` is the endpoint group's name as JSON. Returns `None` if the run cannot be sent now;
+    /// otherwise the number of the last gauge query before the run, which is 0 for servers.
     pub fn run(
         &mut self,
         id: RequestId,
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Cancels a run that was begun.
+    /// Cancels a run that has begun.
     pub fn cancel(&mut self, id: RequestId, request: &InFlightRequest, now: TenthMillis) {
         match self {
             Backend::Engine(link) if link.is_up() => link.cancel(&request.attempt_id),
@@ -191,7 +195,8 @@
         }
     }
 
-    /// Queries the gauges; the number that the answer will carry, or none where there are no gauges.
+    /// Queries the gauges. Returns the query's number, which the answer carries, or `None` if the link is down or
+    /// the backend has no gauges.
     pub fn query_gauges(&mut self) -> Option<u64> {
         match self {
             Backend::Engine(link) => link.is_up().then(|| link.query_gauges()),
@@ -199,7 +204,7 @@
         }
     }
 
-    /// Writes commands, and passes on how runs at servers ended.
+    /// Writes commands to the engine, or appends the pools' events to `events`.
     pub fn flush(&mut self, now: TenthMillis, events: &mut Vec<BackendEvent>) {
         match self {
             Backend::Engine(link) => link.flush(now, events),
@@ -207,7 +212,7 @@
         }
     }
 
-    /// Makes the link to the engine at another address.
+    /// Changes the engine's address.
     pub fn set_address(
         &mut self,
         address: SocketAddr,
@@ -219,7 +224,7 @@
         }
     }
 
-    /// How often the link to the engine has been lost.
+    /// Returns how often the link to the engine has been lost.
     pub fn link_losses(&self) -> u64 {
         match self {
             Backend::Engine(link) => link.losses(),
@@ -234,7 +239,7 @@
         }
     }
 
-    /// The pool at this index, or the first one where there is none; none at the engine.
+    /// Returns the pool at this index, or the first pool if there is none; `None` for the engine.
     fn pool_or_default(&mut self, pool: u16) -> Option<&mut PoolClient> {
         let pools = self.pools_mut();
         let index = existing_or_default(pool, pools.len());
@@ -242,7 +247,8 @@
     }
 }
 
-/// The index of a pool that exists: a request that was classified before a reload may name one that is gone.
+/// Returns the index if that pool exists, otherwise 0: a request that was classified before a reload may name a pool
+/// that has been removed since.
 fn existing_or_default(pool: u16, pools: usize) -> u16 {
     if usize::from(pool) < pools { pool } else { 0 }
 }
--- a/crates/node/src/network/classifier.rs
+++ b/crates/node/src/network/classifier.rs
@@ -1,7 +1,7 @@
-//! Reads requests of the installation's listeners by its rules.
+//! Decodes requests of the installation's listeners and classifies them by its rules.
 //!
-//! Their clients may know nothing of the platform's variables: what neither a rule nor a variable says has a
-//! default.
+//! The clients of these listeners may not send the platform's variables: a property that neither a rule nor a
+//! variable sets has a default.
 
 mod view;
 
@@ -21,25 +21,25 @@
     IncomingRequest, Unreadable, validate_memory_kb, validate_rank,
 };
 
-/// The rank of a request of which nothing is said.
+/// The rank of a request if neither a rule nor a variable sets one.
 const DEFAULT_RANK: f32 = 0.5;
-/// The digits 0 to 15 of generated ids.
+/// The digits 0 to 15 of generated ids, none of which is a hex digit.
 const GENERATED_ID_DIGITS: &[u8; 16] = b"ghijklmnopqrstuv";
 
-/// The rules of an installation. They do not change once built.
+/// The rules of an installation, immutable once built.
 pub struct RuleTable {
     /// The compiled rules.
     pub table: Arc<Table>,
-    /// The endpoint group of requests that no rule matches.
+    /// The endpoint group of requests that match no rule.
     default_group: Option<u8>,
     /// Rules that can never match.
     pub shadowed: Vec<Shadowed>,
-    /// How many rules the table shares with the one before it.
+    /// Number of rules that the table shares with the previous one.
     pub reused: usize,
 }
 
 impl RuleTable {
-    /// The rules of `installation`, with its names looked up in the deployment's settings.
+    /// Creates the rule table of `installation`; its names are resolved by the deployment's settings.
     pub fn new(
         built: Built,
         installation: &Installation,
@@ -62,27 +62,27 @@
     }
 }
 
-/// Classifies requests by the rules in force.
+/// Classifies requests by the current rules.
 pub struct RequestClassifier {
     rules: RuleTable,
     scratch: Scratch,
-    /// Attempts that came without an id and were given one.
+    /// Number of attempts that arrived without an id and got a generated one.
     generated_ids: u64,
 }
 
-/// How a request came to the node.
+/// Where a request came from, and when.
 #[derive(Clone, Copy)]
 pub struct Origin {
-    /// The protocol that its client spoke.
+    /// The client's protocol.
     pub protocol: Protocol,
-    /// Its client's address.
+    /// The client's address.
     pub peer: IpAddr,
-    /// When it was complete.
+    /// When the request had arrived completely.
     pub now: TenthMillis,
 }
 
 impl RequestClassifier {
-    /// Classifies by these rules.
+    /// Creates a classifier with these rules.
     pub fn new(rules: RuleTable) -> RequestClassifier {
         RequestClassifier {
             rules,
@@ -91,20 +91,20 @@
         }
     }
 
-    /// The compiled rules in force.
+    /// Returns the current compiled rules.
     pub fn table(&self) -> &Arc<Table> {
         &self.rules.table
     }
 
-    /// Puts other rules into force and returns the ones before. Generated ids stay unique.
+    /// Replaces the rules and returns the previous ones. Generated ids stay unique.
     pub fn replace(&mut self, new: RuleTable) -> RuleTable {
         std::mem::replace(&mut self.rules, new)
     }
 
-    /// Reads a complete request.
+    /// Decodes and classifies a complete request.
     ///
     /// # Errors
-    /// A variable that can't be read, or a request that no rule matches where there is no default group.
+    /// A variable is invalid, or no rule matches and there is no default group.
     pub fn read(
         &mut self,
         variables: &[u8],
@@ -126,14 +126,14 @@
             .or(self.rules.default_group)
             .ok_or(Unreadable::NoRule)?;
         let fields = Fields(&pairs);
-        // A request that does not say how much memory it needs takes as much as was read of it.
+        // The default for a request's memory is its size.
         let read_kb = (variables.len() + body.len()) as f32 / 1024.0;
         let request =
             self.build_request(group, class.as_ref(), &fields, read_kb, origin.now, names)?;
         Ok(DecodedRequest::Request(request))
     }
 
-    /// Puts together what the rule and the variables say. What the rule says has precedence.
+    /// Combines the properties that the rule and the variables set. The rule takes precedence.
     fn build_request(
         &mut self,
         group: u8,
@@ -174,7 +174,7 @@
         })
     }
 
-    /// What the first matching rule says of a request; none where no rule matches.
+    /// Returns the class that the first matching rule assigns; `None` if no rule matches.
     fn classify(&mut self, view: &RequestView) -> Result<Option<Class>, Unreadable> {
         match self.rules.table.classify(view, &mut self.scratch) {
             Classification::As(class) => Ok(Some(class)),
@@ -190,8 +190,8 @@
         }
     }
 
-    /// A new id for an attempt that came without one. It holds letters that are no hex digits, so that it is
-    /// never a client's.
+    /// Generates an id for an attempt without one. The id contains letters that are not hex digits, so it never
+    /// equals a client's id.
     fn generate_id(&mut self) -> AttemptId {
         self.generated_ids += 1;
         let mut id = *b"n---------------";
@@ -204,7 +204,7 @@
     }
 }
 
-/// The rule's key or that of the variable, where requests of the group carry one.
+/// Returns the idempotency key that the rule or the variable sets, if requests of the group carry one.
 fn idempotency_key(
     names: &DeploymentNames,
     group: u8,
--- a/crates/node/src/network/classifier/view.rs
+++ b/crates/node/src/network/classifier/view.rs
@@ -1,4 +1,4 @@
-//! A request as the expressions of rules see it.
+//! The view of a request that the expressions of rules evaluate.
 
 use std::net::IpAddr;
 
@@ -12,7 +12,7 @@
 const DAY: TenthMillis = 86_400_000 * MILLISECOND;
 const MICROSECONDS_PER_TENTH_MILLI: i64 = 100;
 
-/// A request that has been read, without copies.
+/// A view of a decoded request that borrows all its parts.
 pub(super) struct RequestView<'r> {
     pairs: &'r [Variable<'r>],
     method: &'r str,
@@ -24,7 +24,7 @@
 
 impl<'r> RequestView<'r> {
     /// # Errors
-    /// A variable that has a part in the path, the query or the method is doubled or not UTF-8.
+    /// A variable that contributes to the path, the query or the method is duplicated or not UTF-8.
     pub(super) fn new(
         pairs: &'r [Variable<'r>],
         body: &'r [u8],
@@ -47,12 +47,13 @@
     }
 }
 
-/// The path of the request's URI where a front end passes it on; otherwise the script's name or the rest of the
-/// path, one of which is usually empty.
+/// Returns the path of the request's URI if the front end forwards it; otherwise `SCRIPT_NAME` or `PATH_INFO`, one
+/// of which is usually empty.
 fn path<'r>(uri_path: &'r str, script: &'r str, rest: &'r str) -> &'r str {
     match (uri_path, script) {
         ("", "") => rest,
-        // With a rest the whole path would have to be put together; the script's name has to do.
+        // If both are set, the full path would have to be concatenated, which the borrowed view cannot do;
+        // `SCRIPT_NAME` is used alone.
         ("", script) => script,
         (uri_path, _) => uri_path,
     }
--- a/crates/node/src/network/connect.rs
+++ b/crates/node/src/network/connect.rs
@@ -6,11 +6,11 @@
 use rustix::io::Errno;
 use socket2::{Domain, Socket, Type};
 
-/// Begins to connect without blocking. The socket becomes writable once that has succeeded or failed;
+/// Starts a nonblocking connect. The socket becomes writable once the connect has succeeded or failed;
 /// [`TcpStream::take_error`] tells which.
 ///
 /// # Errors
-/// The system refuses at once.
+/// The socket cannot be created, or the connect fails at once.
 pub(super) fn connect_nonblocking(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
--- a/crates/node/src/network/connection.rs
+++ b/crates/node/src/network/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its pending requests, what was read of them, and the answers still to be written.
+//! One client connection: its pending requests, the state of reading them, and the answers still to be written.
 
 mod expiry;
 mod pending;
@@ -16,50 +16,52 @@
 use super::bounds::{MAX_CLOSING_SWEEPS, MAX_INCOMPLETE_BYTES, MAX_UNREAD_ANSWER_BYTES};
 use super::termination::Termination;
 
-/// What the poller is to report of a socket.
+/// The events that the poller reports for a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// That it can be read.
+    /// The poller reports when the socket can be read.
     pub readable: bool,
-    /// That it can be written.
+    /// The poller reports when the socket can be written.
     pub writable: bool,
 }
 
-/// How far the reading of requests has come.
+/// The state of reading requests from a connection.
 struct ReadState {
     reader: RequestReader,
-    /// A complete request has arrived, or a ping of the protocol.
+    /// A complete request or a protocol-level ping has arrived.
     carried_request: bool,
-    /// Since when a complete request is due: from the start, and while one is incomplete.
+    /// Since when the node has waited for a complete request: set on a new connection and while a request is
+    /// incomplete.
     request_due_since: Option<TenthMillis>,
-    /// Bytes split since the last complete request.
+    /// Bytes parsed since the last complete request, or discarded while the connection lingers.
     incomplete_bytes: usize,
-    /// Input that was read and waits to be split until the peer has read answers.
+    /// Input that was read and is parsed once the peer has read enough answers.
     suspended: Option<Vec<u8>>,
-    /// Sweeps that met a half request while the connection was being closed.
+    /// Number of sweeps that found an incomplete request while the connection was being closed.
     closing_sweeps: u8,
-    /// Something unreadable arrived: it is not read again before the next sweep, which bounds how often a
-    /// client can repeat that. A dispatcher that passed it on for its client waits as long.
+    /// An unreadable request arrived. The connection is not read again before the next sweep, which limits how
+    /// often a client can send such requests. A dispatcher that forwarded one for its client waits as long.
     paused: bool,
 }
 
-/// How far a connection is on its way to being closed.
+/// The state of closing a connection.
 struct Lifecycle {
-    /// Requests are read. Not so once the peer has half-closed it, sent what is malformed, or it lingers.
+    /// Requests are read. False once the peer has half-closed the connection or sent malformed input, and while
+    /// the connection lingers.
     reading: bool,
-    /// This side has half-closed it and discards what still comes until the peer closes too.
+    /// The node has half-closed the connection and discards input until the peer closes too.
     lingering: bool,
-    /// The peer has sent its last byte.
+    /// The peer has closed its sending side.
     peer_finished: bool,
-    /// It is closed, for this reason, once all pending requests are answered.
+    /// Why the connection is to be closed once all pending requests are answered.
     close_when_answered: Option<Termination>,
-    /// It is closed, for this reason, at the end of the present turn.
+    /// Why the connection is to be closed at the end of the current turn.
     close_now: Option<Termination>,
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Connection {
-    /// Nonblocking; registered with the poller while the connection is in the table.
+    /// The nonblocking socket, registered with the poller while the connection is in the table.
     pub sock: TcpStream,
     /// The client's address.
     pub peer: IpAddr,
@@ -67,20 +69,20 @@
     pub listener: usize,
     /// Requests that have not been answered.
     pub pending: PendingRequests,
-    /// Answers that the peer has not taken.
+    /// Answers that have not been written to the socket.
     pub out: WriteBuffer,
-    /// When anything was last read, or the peer last took a part of an answer.
+    /// When bytes were last read from or written to the socket.
     pub last_activity: TenthMillis,
-    /// What the poller reports of it at present.
+    /// The events that the poller currently reports for the connection.
     pub registered: Interest,
-    /// It is in the table's flush queue.
+    /// The connection is in the table's flush queue.
     pub flush_queued: bool,
     input: ReadState,
     lifecycle: Lifecycle,
 }
 
 impl Connection {
-    /// A connection that was accepted just now and is registered for reading.
+    /// Creates the state of a new connection, which is registered with the poller for reading.
     pub fn new(
         sock: TcpStream,
         peer: IpAddr,
@@ -121,28 +123,29 @@
 
     // --- State ---
 
-    /// The protocol that the client speaks.
+    /// Returns the client's protocol.
     pub fn protocol(&self) -> Protocol {
         self.input.reader.protocol()
     }
 
-    /// Whether requests are read from it.
+    /// Returns true if requests are read from the connection.
     pub fn is_reading(&self) -> bool {
         self.lifecycle.reading
     }
 
-    /// Whether this side has half-closed it and waits for the peer to close.
+    /// Returns true if the node has half-closed the connection and waits for the peer to close it too.
     pub fn is_lingering(&self) -> bool {
         self.lifecycle.lingering
     }
 
-    /// Whether no request is pending and no answer unread.
+    /// Returns true if no request is pending or partly read, and all answers have been written.
     pub fn is_idle(&self) -> bool {
-        let nothing_read = self.input.reader.at_boundary() && !self.is_suspended();
-        self.pending.is_empty() && self.out.is_empty() && nothing_read
+        let no_partial_input = self.input.reader.at_boundary() && !self.is_suspended();
+        self.pending.is_empty() && self.out.is_empty() && no_partial_input
     }
 
-    /// Whether this node closes it once all pending requests are answered: one that begins now is too late.
+    /// Returns true if the node closes the connection once all pending requests are answered, so that new requests
+    /// are rejected.
     pub fn is_closing(&self) -> bool {
         matches!(
             self.lifecycle.close_when_answered,
@@ -150,52 +153,52 @@
         )
     }
 
-    /// Whether so many answers are unread that its requests have to wait.
+    /// Returns true if so many bytes of answers are unread that further requests have to wait.
     pub fn is_backlogged(&self) -> bool {
         self.out.len() >= MAX_UNREAD_ANSWER_BYTES
     }
 
-    /// Whether input that was read waits to be split.
+    /// Returns true if input that was read waits to be parsed.
     pub fn is_suspended(&self) -> bool {
         self.input.suspended.is_some()
     }
 
-    /// Whether further requests of it can be taken at present.
+    /// Returns true if further requests can currently be parsed from the connection's input.
     pub fn accepts_requests(&self) -> bool {
         self.lifecycle.reading && self.lifecycle.close_now.is_none() && !self.is_backlogged()
     }
 
-    /// Bytes that are kept because its peer does not read: answers, and input that waits for them.
+    /// Returns the bytes kept because the peer does not read its answers: the answers and the suspended input.
     pub fn backlog_bytes(&self) -> usize {
         self.out.len() + self.suspended_bytes()
     }
 
-    /// Bytes of input that was read and waits to be split.
+    /// Returns the bytes of input that was read and waits to be parsed.
     pub fn suspended_bytes(&self) -> usize {
         self.input.suspended.as_ref().map_or(0, Vec::len)
     }
 
-    /// What the poller should report of it.
+    /// Returns the events that the poller should report for the connection.
     pub fn interest(&self) -> Interest {
-        let reads = self.lifecycle.reading && !self.input.paused && !self.is_backlogged();
+        let may_read = self.lifecycle.reading && !self.input.paused && !self.is_backlogged();
         Interest {
-            readable: reads || self.lifecycle.lingering,
+            readable: may_read || self.lifecycle.lingering,
             writable: !self.out.is_empty(),
         }
     }
 
     // --- Reading ---
 
-    /// Reads once without blocking; how many bytes came.
+    /// Reads once without blocking and returns the number of bytes read.
     ///
     /// # Errors
-    /// The peer has finished, or the connection is broken.
+    /// The peer has closed its sending side, or the connection is broken.
     pub fn read(&mut self, buffer: &mut [u8], now: TenthMillis) -> Result<usize, Termination> {
         let Lifecycle {
             reading, lingering, ..
         } = self.lifecycle;
         match self.sock.read(buffer) {
-            // The poller reports nothing but errors of a connection that is not read.
+            // For a connection that is not read, the poller reports nothing but errors.
             Ok(_) if !reading && !lingering => Err(Termination::Reset),
             Ok(0) => {
                 self.lifecycle.peer_finished = true;
@@ -214,22 +217,22 @@
         }
     }
 
-    /// Keeps input that was read, to be split once the peer has read answers.
+    /// Keeps input that was read, to be parsed once the peer has read enough answers.
     pub fn suspend(&mut self, input: &[u8]) {
         self.input.suspended = Some(input.to_vec());
     }
 
-    /// Takes the input that waits to be split, if any does.
+    /// Takes the input that waits to be parsed, if there is any.
     pub fn take_suspended(&mut self) -> Option<Vec<u8>> {
         self.input.suspended.take()
     }
 
-    /// Splits what was read into events of requests.
+    /// Returns the parser that turns input into request events.
     pub fn reader(&mut self) -> &mut RequestReader {
         &mut self.input.reader
     }
 
-    /// Accounts for bytes that were split; whether too many have come without completing a request.
+    /// Counts bytes that were parsed. Returns true if too many have arrived without completing a request.
     pub fn record_parsed(&mut self, bytes: usize, now: TenthMillis) -> bool {
         let between_requests = self.input.reader.at_boundary() && !self.pending.any_incomplete();
         if between_requests && self.input.carried_request {
@@ -240,7 +243,7 @@
         self.exceeds_incomplete_bytes(bytes)
     }
 
-    /// Accounts for bytes that were discarded while it lingers; whether that is enough of them.
+    /// Counts bytes that were discarded while the connection lingers. Returns true if there were too many.
     pub fn record_discarded(&mut self, bytes: usize) -> bool {
         self.exceeds_incomplete_bytes(bytes)
     }
@@ -250,7 +253,7 @@
         self.input.incomplete_bytes > MAX_INCOMPLETE_BYTES
     }
 
-    /// Ends one stream of a request; the request, if that completes it.
+    /// Ends one stream of a request. Returns the request if that completes it.
     pub fn end_stream(&mut self, wire_id: u16, stream: Stream) -> Option<CompleteRequest> {
         let request = self.pending.end_stream(wire_id, stream)?;
         self.input.carried_request = true;
@@ -259,14 +262,16 @@
         Some(request)
     }
 
-    /// The peer sent its protocol's health check, after which nothing else can come.
+    /// Handles a protocol-level health check, after which the peer sends nothing else: the connection closes once
+    /// the health check is answered.
     pub fn finish_with_ping(&mut self) {
         self.input.carried_request = true;
         self.input.request_due_since = None;
         self.close_when_answered(Termination::Closed);
     }
 
-    /// To be called by each sweep: whether half requests have stayed so for too long while it is being closed.
+    /// Returns true if the connection is being closed and has had incomplete requests for more than
+    /// [`MAX_CLOSING_SWEEPS`] sweeps. Each sweep calls this once.
     pub fn incomplete_requests_overdue(&mut self) -> bool {
         if !self.is_closing() || !self.pending.any_incomplete() {
             return false;
@@ -275,19 +280,19 @@
         self.input.closing_sweeps > MAX_CLOSING_SWEEPS
     }
 
-    /// Reads nothing more before the next sweep.
+    /// Stops reading until the next sweep.
     pub fn pause_reading(&mut self) {
         self.input.paused = true;
     }
 
-    /// Reads again; whether it was paused.
+    /// Resumes reading. Returns true if reading was paused.
     pub fn resume_reading(&mut self) -> bool {
         std::mem::take(&mut self.input.paused)
     }
 
     // --- Writing and closing ---
 
-    /// Writes what the peer takes.
+    /// Writes as many bytes of the answers as the socket accepts.
     ///
     /// # Errors
     /// The connection is broken.
@@ -299,7 +304,7 @@
         written
     }
 
-    /// Writes what the peer takes before the end of the turn; that counts as activity with the next
+    /// Like [`Connection::write`], but before the end of the turn. Progress counts as activity only at the next
     /// [`Connection::write`].
     ///
     /// # Errors
@@ -308,43 +313,43 @@
         self.out.write_to(&self.sock)
     }
 
-    /// Closes it at the end of the present turn, whatever is pending.
+    /// Schedules the connection to be closed at the end of the current turn, whatever is pending.
     pub fn close_now(&mut self, termination: Termination) {
         self.lifecycle.close_now = Some(termination);
     }
 
-    /// Why it is to be closed at the end of the present turn, if it is.
+    /// Returns why the connection is to be closed at the end of the current turn, if it is.
     pub fn immediate_close(&self) -> Option<Termination> {
         self.lifecycle.close_now
     }
 
-    /// Closes it once all pending requests are answered.
+    /// Schedules the connection to be closed once all pending requests are answered.
     pub fn close_when_answered(&mut self, termination: Termination) {
         self.lifecycle.close_when_answered = Some(termination);
     }
 
-    /// Why it is to be closed after the last answer, if it is.
+    /// Returns why the connection is to be closed after the last answer, if it is.
     pub fn deferred_close(&self) -> Option<Termination> {
         self.lifecycle.close_when_answered
     }
 
-    /// Why it is to be closed now that the last answer has been written, if it is.
+    /// Returns why the connection is to be closed if it is to be closed and the last answer has been written.
     pub fn due_close(&self) -> Option<Termination> {
         self.lifecycle
             .close_when_answered
             .filter(|_| self.pending.is_empty() && self.out.is_empty() && !self.is_suspended())
     }
 
-    /// Reads no more requests and drops incomplete ones, whose rest can't come; how many those were.
+    /// Stops reading requests and removes incomplete ones, whose rest cannot arrive. Returns the number removed.
     pub fn stop_reading(&mut self, termination: Termination) -> usize {
         self.lifecycle.reading = false;
         self.close_when_answered(termination);
         self.pending.remove_incomplete()
     }
 
-    /// Half-closes it after the last answer, to discard what comes until the peer closes too; false if there is
-    /// nothing to wait for. Closing at once, with bytes unread or on their way, would make the system reset the
-    /// connection, and the peer could lose an answer that it has not read yet.
+    /// Half-closes the connection after the last answer; input is then discarded until the peer closes too. Returns
+    /// false if there is nothing to wait for. If the connection were closed at once, with input unread or on its
+    /// way, the operating system would reset it, and the peer could lose an answer that it has not read yet.
     pub fn linger(&mut self, termination: Termination, now: TenthMillis) -> bool {
         self.lifecycle.reading = false;
         self.close_when_answered(termination);
--- a/crates/node/src/network/connection/expiry.rs
+++ b/crates/node/src/network/connection/expiry.rs
@@ -1,4 +1,4 @@
-//! When a connection is to be closed, and which one where a slot is needed.
+//! Decides when a connection is to be closed, and how suitable it is for eviction.
 
 use std::io::ErrorKind;
 
@@ -7,36 +7,37 @@
 use super::Connection;
 use crate::network::termination::Termination;
 
-/// What a connection on which no caller waits is worth keeping for, the least first.
+/// The order in which connections without a waiting caller are evicted; the least is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionPriority {
-    /// It never carried a request, or it lingers.
+    /// The connection has never carried a request, or it lingers.
     Unused,
-    /// It carried requests and may carry more.
+    /// The connection has carried requests and may carry more.
     Idle,
-    /// It carried requests, and a part of the next one has arrived.
+    /// The connection has carried requests, and a part of the next one has arrived.
     PartialRequest,
 }
 
 /// The times after which a connection is closed.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// For one that is idle.
+    /// Timeout of an idle connection.
     pub idle: TenthMillis,
-    /// For one that does not deliver a request that it began, or a first one.
+    /// Timeout for delivering a request, from its first byte, or from the accept for the first request.
     pub request_read: TenthMillis,
-    /// For one whose answers are not read.
+    /// Timeout for reading answers.
     pub unread_answers: TenthMillis,
 }
 
 impl Connection {
-    /// Whether no caller waits for an answer: it is idle, or all that is pending on it is incomplete.
+    /// Returns true if no caller waits for an answer: the connection is idle, or all its pending requests are
+    /// incomplete.
     pub fn has_no_waiting_caller(&self) -> bool {
         let is_answered = self.out.is_empty() && !self.is_suspended();
         self.is_idle() || (self.lifecycle.reading && is_answered && self.pending.all_incomplete())
     }
 
-    /// What it is worth keeping for, if no caller waits on it.
+    /// Returns the eviction priority of a connection on which no caller waits.
     pub fn eviction_priority(&self) -> EvictionPriority {
         if !self.input.carried_request || self.lifecycle.lingering {
             EvictionPriority::Unused
@@ -47,30 +48,31 @@
         }
     }
 
-    /// Whether the system holds no unread byte of it and no end. Checked right before an idle connection is
-    /// closed, as a request that has arrived since would be lost.
+    /// Returns true if the socket has neither unread bytes nor an end of input. This is checked right before an
+    /// idle connection is closed, as a request that has arrived in the meantime would be lost.
     pub fn nothing_to_read(&self) -> bool {
         self.sock
             .peek(&mut [0])
             .is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Why it has to be closed by now, if it has to.
+    /// Returns why the connection has to be closed by now, if it has to.
     pub fn expiry(&self, now: TenthMillis, timeouts: &Timeouts) -> Option<Termination> {
-        let inactive = now.saturating_sub(self.last_activity);
+        let inactive_for = now.saturating_sub(self.last_activity);
         let overdue = self.is_request_overdue(now, timeouts.request_read);
         if self.lifecycle.lingering {
             self.lifecycle.close_when_answered.filter(|_| overdue)
-        } else if self.is_idle() && inactive >= timeouts.idle && self.nothing_to_read() {
+        } else if self.is_idle() && inactive_for >= timeouts.idle && self.nothing_to_read() {
             Some(Termination::Idle)
-        } else if !self.out.is_empty() && inactive > timeouts.unread_answers {
+        } else if !self.out.is_empty() && inactive_for > timeouts.unread_answers {
             Some(Termination::UnreadAnswers)
         } else {
             overdue.then_some(Termination::RequestTimeout)
         }
     }
 
-    /// Whether a complete request has been due for too long: nothing came, or it trickles in.
+    /// Returns true if the node has waited too long for a complete request, because nothing arrived or because the
+    /// request arrives too slowly.
     fn is_request_overdue(&self, now: TenthMillis, timeout: TenthMillis) -> bool {
         let lingering = self.lifecycle.lingering;
         let is_due = (self.lifecycle.reading && !self.is_closing()) || lingering;
--- a/crates/node/src/network/connection/pending.rs
+++ b/crates/node/src/network/connection/pending.rs
@@ -1,10 +1,10 @@
-//! Requests of one connection that have not been answered yet.
+//! The requests of one connection that have not been answered yet.
 
 use doortrack_admission::RequestId;
 
 use crate::network::bounds::{MAX_BODY_BYTES, MAX_PARAMS_BYTES, MAX_PENDING_REQUESTS};
 
-/// The two streams that a request arrives in.
+/// The two streams of which a request consists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stream {
     /// The CGI variables.
@@ -13,24 +13,24 @@
     Body,
 }
 
-/// A request that was read to its end.
+/// A request that has been read completely.
 pub struct CompleteRequest {
-    /// Its number in the table, see [`PendingRequest::number`].
+    /// The request's number in the table, see [`PendingRequest::number`].
     pub number: u64,
-    /// The CGI variables as they were sent.
+    /// The encoded CGI variables as received.
     pub params: Vec<u8>,
-    /// The body as it was sent.
+    /// The body as received.
     pub body: Vec<u8>,
 }
 
 /// A request that has not been answered; it may be incomplete.
 #[derive(Default)]
 pub struct PendingRequest {
-    /// The peer's id for it, unique among its pending requests.
+    /// The peer's id of the request, unique among the connection's pending requests.
     pub wire_id: u16,
-    /// Its number in the table. Unlike wire ids and slots, numbers are never used again.
+    /// The request's number in the table. Unlike wire ids and slots, numbers are never reused.
     pub number: u64,
-    /// Its id in the admission controller, once it has one.
+    /// The request's id in the admission controller, once it has one.
     pub id: Option<RequestId>,
     params: Vec<u8>,
     body: Vec<u8>,
@@ -39,12 +39,12 @@
 }
 
 impl PendingRequest {
-    /// Whether a part of it has not arrived yet.
+    /// Returns true if a part of the request has not arrived yet.
     pub fn is_incomplete(&self) -> bool {
         !(self.params_complete && self.body_complete)
     }
 
-    /// Stores a part of a stream; false if the stream is longer than its bound with that.
+    /// Appends bytes to a stream. Returns false if the stream would exceed its bound.
     fn append(&mut self, stream: Stream, bytes: &[u8]) -> bool {
         let (buffer, max_bytes) = match stream {
             Stream::Params => (&mut self.params, MAX_PARAMS_BYTES),
@@ -78,53 +78,53 @@
 pub struct PendingRequests(Vec<PendingRequest>);
 
 impl PendingRequests {
-    /// How many there are.
+    /// Returns the number of pending requests.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is none.
+    /// Returns true if no request is pending.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// All of them, in no particular order.
+    /// Iterates over all pending requests, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &PendingRequest> {
         self.0.iter()
     }
 
-    /// Whether any of them is incomplete.
+    /// Returns true if any pending request is incomplete.
     pub fn any_incomplete(&self) -> bool {
         self.0.iter().any(PendingRequest::is_incomplete)
     }
 
-    /// Whether all of them are incomplete.
+    /// Returns true if all pending requests are incomplete.
     pub fn all_incomplete(&self) -> bool {
         self.0.iter().all(PendingRequest::is_incomplete)
     }
 
-    /// The numbers of those that are incomplete.
+    /// Returns the numbers of the incomplete requests.
     pub fn incomplete_numbers(&self) -> Vec<u64> {
         let incomplete = self.0.iter().filter(|request| request.is_incomplete());
         incomplete.map(|request| request.number).collect()
     }
 
-    /// The request with this wire id.
+    /// Returns the request with this wire id.
     pub fn find_wire_id(&self, wire_id: u16) -> Option<&PendingRequest> {
         self.0.iter().find(|request| request.wire_id == wire_id)
     }
 
-    /// The request with this number.
+    /// Returns the request with this number.
     pub fn find(&self, number: u64) -> Option<&PendingRequest> {
         self.0.iter().find(|request| request.number == number)
     }
 
-    /// The request with this number.
+    /// Returns the request with this number.
     pub fn find_mut(&mut self, number: u64) -> Option<&mut PendingRequest> {
         self.0.iter_mut().find(|request| request.number == number)
     }
 
-    /// Adds a request; false if the connection has more than [`MAX_PENDING_REQUESTS`] with it.
+    /// Adds a request. Returns false if the connection then has more than [`MAX_PENDING_REQUESTS`].
     pub fn begin(&mut self, wire_id: u16, number: u64) -> bool {
         self.0.push(PendingRequest {
             wire_id,
@@ -134,11 +134,11 @@
         self.0.len() <= MAX_PENDING_REQUESTS
     }
 
-    /// Stores a part of an incomplete request. What comes for any other belongs to a request that was answered
-    /// early and is dropped.
+    /// Appends bytes to a stream of an incomplete request. Bytes for any other wire id belong to a request that was
+    /// answered before its end, and are dropped.
     ///
     /// # Errors
-    /// The request is longer than any may be; its number.
+    /// The stream would exceed its bound; the error is the request's number.
     pub fn append(&mut self, wire_id: u16, stream: Stream, bytes: &[u8]) -> Result<(), u64> {
         let Some(request) = self.find_incomplete(wire_id) else {
             return Ok(());
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Ends one stream of an incomplete request; the request, if that completes it.
+    /// Ends one stream of an incomplete request. Returns the request if that completes it.
     pub fn end_stream(&mut self, wire_id: u16, stream: Stream) -> Option<CompleteRequest> {
         let request = self.find_incomplete(wire_id)?;
         request.end_stream(stream);
@@ -167,7 +167,7 @@
         self.remove_where(|request| request.number == number)
     }
 
-    /// Removes the incomplete ones; how many those were.
+    /// Removes the incomplete requests. Returns the number removed.
     pub fn remove_incomplete(&mut self) -> usize {
         let before = self.0.len();
         self.0.retain(|request| !request.is_incomplete());
--- a/crates/node/src/network/connection/write_buffer.rs
+++ b/crates/node/src/network/connection/write_buffer.rs
@@ -1,39 +1,39 @@
-//! Answers of one connection on their way to the peer.
+//! The write buffer of one connection.
 
 use std::io::{ErrorKind, Write};
 
 use crate::network::bounds::RETAINED_WRITE_BUFFER_BYTES;
 use crate::network::termination::Termination;
 
-/// Encoded answers that the peer has not taken yet.
+/// Encoded answers that have not been written to the socket yet.
 #[derive(Default)]
 pub struct WriteBuffer {
     bytes: Vec<u8>,
-    /// How many of `bytes` the system has taken.
+    /// How many of `bytes` have been written to the socket.
     written: usize,
-    /// The peer has taken something since [`WriteBuffer::take_progress`].
+    /// Bytes have been written since the last call of [`WriteBuffer::take_progress`].
     progressed: bool,
 }
 
 impl WriteBuffer {
-    /// Bytes that the peer has not taken.
+    /// Returns the number of bytes that have not been written.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.written
     }
 
-    /// Whether the peer has taken everything.
+    /// Returns true if all bytes have been written.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Appends what `encode` writes; how many bytes that was.
+    /// Appends what `encode` writes. Returns the number of bytes appended.
     pub fn append(&mut self, encode: impl FnOnce(&mut Vec<u8>)) -> usize {
         let before = self.bytes.len();
         encode(&mut self.bytes);
         self.bytes.len() - before
     }
 
-    /// Drops everything; how many bytes that was.
+    /// Discards all unwritten bytes. Returns their number.
     pub fn discard(&mut self) -> usize {
         let discarded = self.len();
         *self = WriteBuffer {
@@ -43,12 +43,12 @@
         discarded
     }
 
-    /// Whether the peer has taken anything since the last call.
+    /// Returns true if bytes have been written since the last call.
     pub fn take_progress(&mut self) -> bool {
         std::mem::take(&mut self.progressed)
     }
 
-    /// Writes as much as `peer` takes without blocking.
+    /// Writes as many bytes as `peer` accepts without blocking.
     ///
     /// # Errors
     /// The connection is broken.
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Drops what was written. A slow peer may never empty the buffer, so that is not waited for.
+    /// Removes written bytes from the buffer, also before the buffer is empty, as a slow peer may never empty it.
     fn release_memory(&mut self) {
         if self.is_empty() || self.written > RETAINED_WRITE_BUFFER_BYTES {
             self.bytes.drain(..self.written);
--- a/crates/node/src/network/engine.rs
+++ b/crates/node/src/network/engine.rs
@@ -1,4 +1,5 @@
-//! The link to the engine. It is made again whenever it is lost, and each notice is passed on once.
+//! The link to the engine, a TCP connection. The node reconnects whenever the link is lost, and each notice of the
+//! engine is handled once.
 
 mod messages;
 
@@ -17,10 +18,10 @@
 use super::engine_protocol;
 use super::termination::Termination;
 
-/// The poller's key of the link.
+/// The link's key in the poller.
 pub const ENGINE_KEY: usize = 1;
 
-/// How long after one attempt to connect the next one may begin.
+/// Minimum interval between two attempts to connect.
 const RECONNECT_INTERVAL: TenthMillis = 100 * MILLISECOND;
 
 /// Why the link was lost.
@@ -30,17 +31,17 @@
     Io(#[from] io::Error),
     #[error("closed by the engine")]
     Closed,
-    #[error("the engine moved")]
+    #[error("the engine's address changed")]
     AddressChanged,
-    #[error("commands stay unread")]
+    #[error("too many bytes of commands are unread")]
     CommandsUnread,
-    #[error("a line without end")]
+    #[error("line too long")]
     LineTooLong,
-    #[error("a line that can't be read")]
+    #[error("unreadable line")]
     UnreadableLine,
     #[error("notices are missing")]
     MissingNotices,
-    #[error("HELLO out of turn")]
+    #[error("unexpected HELLO")]
     UnexpectedHello,
 }
 
@@ -48,9 +49,9 @@
 enum State {
     Down,
     Connecting,
-    /// `ATTACH` has been sent. `HELLO` may take as long as the engine needs to come up.
+    /// `ATTACH` has been queued. `HELLO` may take as long as the engine needs to start.
     Attaching,
-    /// `HELLO` was read. The answer to the gauge query of this number comes after all missed notices.
+    /// `HELLO` has been read, and a gauge query with this number sent. Its answer follows all missed notices.
     CatchingUp {
         cookie: u64,
     },
@@ -62,17 +63,18 @@
     address: SocketAddr,
     poller: Arc<Poller>,
     log: Logger,
-    /// Bytes of commands that the engine may leave unread before the link is given up.
+    /// Maximum bytes of commands that the engine may leave unread before the link is closed.
     max_unread_command_bytes: usize,
     state: State,
     /// Present unless the link is down.
     sock: Option<TcpStream>,
-    /// When the link may be made again.
+    /// When the next attempt to connect may begin.
     next_attempt: TenthMillis,
     /// The beginning of a line whose end has not arrived.
     input: Vec<u8>,
     /// Commands that have not been written.
     out: Vec<u8>,
+    /// The poller reports when the link can be written.
     watching_writes: bool,
     /// The number of the last notice read.
     last_serial: u64,
@@ -80,16 +82,16 @@
     last_cookie: u64,
     /// The number of the last gauge query answered while the link was up.
     answered_cookie: u64,
-    /// The last notice before a line that made no sense, if the link was made again for that.
+    /// The value of `last_serial` when the node last reconnected because of an unexpected line.
     reconnected_at_serial: Option<u64>,
-    /// That the engine can't be reached is in the log already.
+    /// That the engine is unreachable has already been logged.
     unreachable_logged: bool,
     losses: u64,
 }
 
 impl EngineLink {
-    /// A link that is down; [`EngineLink::maintain`] makes it. It is given up when the engine leaves more than
-    /// `max_unread_command_bytes` of commands unread.
+    /// Creates a link that is down; [`EngineLink::maintain`] connects it. The link is closed when the engine leaves
+    /// more than `max_unread_command_bytes` of commands unread.
     pub fn new(
         address: SocketAddr,
         poller: Arc<Poller>,
@@ -116,17 +118,17 @@
         }
     }
 
-    /// Whether all missed notices are read, so that commands may be sent.
+    /// Returns true if all missed notices have been read, so that commands may be sent.
     pub fn is_up(&self) -> bool {
         self.state == State::Up
     }
 
-    /// How often the link has been lost.
+    /// Returns how often the link has been lost.
     pub fn losses(&self) -> u64 {
         self.losses
     }
 
-    /// When [`EngineLink::maintain`] has something to do; [`TenthMillis::MAX`] while there is a link.
+    /// Returns when [`EngineLink::maintain`] is due; [`TenthMillis::MAX`] unless the link is down.
     pub fn next_due(&self) -> TenthMillis {
         match self.state {
             State::Down => self.next_attempt,
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Makes the link if it is down.
+    /// Connects if the link is down and the next attempt is due.
     pub fn maintain(&mut self, now: TenthMillis) {
         if self.state != State::Down || now < self.next_attempt {
             return;
@@ -151,7 +153,7 @@
 
     fn connect(&mut self) -> io::Result<TcpStream> {
         let sock = connect_nonblocking(self.address)?;
-        // SAFETY: the socket is taken out of the poller in `disconnect`, before it is dropped.
+        // SAFETY: the socket is removed from the poller in `disconnect`, before it is dropped.
         unsafe {
             self.poller
                 .add_with_mode(&sock, Event::all(ENGINE_KEY), PollMode::Level)?
@@ -160,7 +162,7 @@
         Ok(sock)
     }
 
-    /// Logged once until the engine is back, however often the link is tried.
+    /// Logs that the engine is unreachable, once until it is reachable again.
     fn log_unreachable(&mut self, error: &LinkError) {
         if !std::mem::replace(&mut self.unreachable_logged, true) {
             warn!(self.log, "engine out of reach"; "why" => %error);
@@ -184,7 +186,7 @@
         self.out.clear();
     }
 
-    /// Makes the link to another address, if it is another.
+    /// Changes the engine's address and reconnects if the address differs.
     pub fn set_address(
         &mut self,
         address: SocketAddr,
@@ -202,7 +204,7 @@
         self.next_attempt = now;
     }
 
-    /// Handles what the poller reports of the link.
+    /// Handles an event that the poller reports for the link.
     pub fn on_event(&mut self, event: Event, now: TenthMillis, events: &mut Vec<BackendEvent>) {
         if let Err(error) = self.handle_event(event, events) {
             self.disconnect(&error, now, events);
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Appends what has arrived to the input; false if nothing has.
+    /// Appends received bytes to the input. Returns false if there were none.
     fn receive(&mut self) -> Result<bool, LinkError> {
         let Some(sock) = &mut self.sock else {
             return Ok(false);
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Handles the complete lines of the input.
+    /// Handles all complete lines of the input and keeps the rest.
     fn read_lines(&mut self, events: &mut Vec<BackendEvent>) -> Result<(), LinkError> {
         let input = std::mem::take(&mut self.input);
         let mut rest = &input[..];
@@ -271,7 +273,7 @@
         Ok(())
     }
 
-    /// Writes the commands that the engine takes.
+    /// Writes as many bytes of commands as the socket accepts.
     pub fn flush(&mut self, now: TenthMillis, events: &mut Vec<BackendEvent>) {
         if self.state == State::Connecting {
             return;
@@ -304,7 +306,7 @@
         Ok(())
     }
 
-    /// Has the poller report that the link can be written, or not.
+    /// Sets whether the poller reports that the link can be written.
     fn watch_writes(&mut self, wanted: bool) {
         let Some(sock) = self
             .sock
--- a/crates/node/src/network/engine/messages.rs
+++ b/crates/node/src/network/engine/messages.rs
@@ -1,4 +1,4 @@
-//! What is sent and received on the link to the engine.
+//! Sends commands on the link to the engine and handles its messages.
 
 use doortrack_time::MILLISECOND;
 use slog::{info, warn};
@@ -9,15 +9,15 @@
 use crate::network::request::AttemptId;
 
 impl EngineLink {
-    /// Queries the gauges; the number that the answer will carry.
+    /// Queries the gauges. Returns the query's number, which the answer carries.
     pub fn query_gauges(&mut self) -> u64 {
         self.last_cookie += 1;
         engine_protocol::write_gauge_query(&mut self.out, self.last_cookie);
         self.last_cookie
     }
 
-    /// Begins a run; `group` is the endpoint group's name as JSON. Returns the number of the last gauge query
-    /// before it: once a later one is answered, the run has arrived.
+    /// Begins a run; `group` is the endpoint group's name as JSON. Returns the number of the last gauge query sent
+    /// before the run: once a later query is answered, the engine has received the run.
     pub fn run(&mut self, attempt_id: &AttemptId, group: &str, body: &[u8]) -> u64 {
         engine_protocol::write_run(&mut self.out, attempt_id, group, body);
         self.last_cookie
@@ -31,7 +31,7 @@
     /// Handles one line.
     ///
     /// # Errors
-    /// The link is to be made again, so that missed notices are repeated.
+    /// The node has to reconnect, so that the engine repeats missed notices.
     pub(super) fn on_line(
         &mut self,
         line: &[u8],
@@ -50,7 +50,8 @@
         self.on_message(message, events)
     }
 
-    /// Whether a message is a notice that was read on the link before. A new notice is counted.
+    /// Returns true if a message is a notice that has been read before, on this connection or an earlier one. The
+    /// number of a new notice is recorded.
     fn is_repeated(&mut self, message: &EngineMessage) -> Result<bool, LinkError> {
         let Some(serial) = message.serial() else {
             return Ok(false);
@@ -95,8 +96,8 @@
         Ok(())
     }
 
-    /// Has the link made again for an error, once for each position in the notices. If that did not help, the
-    /// error is ignored.
+    /// Returns the error, so that the node reconnects, once for each position in the sequence of notices. If the
+    /// error recurs at the same position, it is ignored.
     fn reconnect_once(&mut self, error: LinkError) -> Result<(), LinkError> {
         let is_repeated = self.reconnected_at_serial == Some(self.last_serial);
         self.reconnected_at_serial = Some(self.last_serial);
--- a/crates/node/src/network/engine_protocol.rs
+++ b/crates/node/src/network/engine_protocol.rs
@@ -1,7 +1,7 @@
-//! The engine's line protocol, encoded and decoded without sockets: JSON objects, one per line.
+//! Encodes and decodes the engine's line protocol, without sockets: JSON objects, one per line.
 //!
-//! Its words are used in this file alone: `HALT` cancels a run, `STAT` queries the gauges, `call` is an attempt's
-//! id, `service` an endpoint group, `blob` a body in base64, and `how` is the detail of each message.
+//! The protocol's own terms are used in this file only: `HALT` cancels a run, `STAT` queries the gauges, `call` is
+//! an attempt's id, `service` an endpoint group, `blob` a body in base64, and `how` the detail of each message.
 
 use std::fmt;
 
@@ -17,11 +17,11 @@
 /// A message from the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineMessage {
-    /// `HELLO`: the engine is up. All notices after the last one that was read follow.
+    /// `HELLO`: the engine is up. All notices after the last one that the node has read follow.
     Hello {
-        /// It came up with cold caches.
+        /// The engine started with cold caches.
         cold: bool,
-        /// How long ago that was.
+        /// The time since the engine's start.
         uptime: TenthMillis,
     },
     /// `DONE`: a run has ended.
@@ -30,26 +30,26 @@
         serial: u64,
         /// The attempt that ran.
         attempt_id: AttemptId,
-        /// How it ended.
+        /// How the run ended.
         outcome: RunOutcome,
-        /// Its result; empty unless it completed.
+        /// The run's result; empty unless it completed.
         result: Vec<u8>,
     },
     /// `STATS`: the gauges.
     Stats {
         /// The number of the query.
         cookie: u64,
-        /// In the order of the deployment's settings; NaN for one that is absent.
+        /// The gauges' values in the order of the deployment's settings; NaN for one that is absent.
         values: Vec<f32>,
     },
     /// `NO`: a command was not carried out.
     Refused {
         /// The command.
         command: RefusedCommand,
-        /// The attempt that it was about.
+        /// The attempt that the command referred to.
         attempt_id: Option<AttemptId>,
     },
-    /// `NOTE`: a remark without a meaning.
+    /// `NOTE`: a remark, which is only logged.
     Note {
         /// The notice's number.
         serial: u64,
@@ -59,7 +59,7 @@
 }
 
 impl EngineMessage {
-    /// The number of a notice; other messages have none.
+    /// Returns the number of a notice; other messages have none.
     pub fn serial(&self) -> Option<u64> {
         match self {
             EngineMessage::Done { serial, .. } | EngineMessage::Note { serial, .. } => {
@@ -75,7 +75,7 @@
 pub enum RefusedCommand {
     /// `RUN`.
     Run,
-    /// Any other, by the engine's word for it.
+    /// Any other command, by its name in the protocol.
     Other(String),
 }
 
@@ -88,16 +88,16 @@
     }
 }
 
-/// What is wrong with a line from the engine.
+/// Why a line from the engine cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LineError {
-    /// It is not a JSON value.
+    /// The line is not a JSON value.
     #[error("not JSON")]
     NotJson,
-    /// It has no message type.
-    #[error("no msg")]
+    /// The line has no message type.
+    #[error("no msg field")]
     NoMessageType,
-    /// Its message type is unknown.
+    /// The message type is unknown.
     #[error("unknown msg")]
     UnknownMessageType,
     /// A field is absent or has the wrong type.
@@ -108,8 +108,8 @@
         /// The field.
         field: &'static str,
     },
-    /// The engine's state at its start is unknown.
-    #[error("HELLO that is neither COLD nor WARM")]
+    /// `HELLO` does not tell whether the engine started with cold caches.
+    #[error("HELLO is neither COLD nor WARM")]
     UnknownStartState,
 }
 
@@ -144,7 +144,7 @@
 /// Decodes one line.
 ///
 /// # Errors
-/// The line is not a message.
+/// The line is not a valid message.
 pub fn read(line: &[u8]) -> Result<EngineMessage, LineError> {
     let object: Value = serde_json::from_slice(line).map_err(|_| LineError::NotJson)?;
     let message = object.get("msg").and_then(Value::as_str);
@@ -179,7 +179,7 @@
         ("OK", Ok(_)) => RunOutcome::Completed,
         ("STOPPED", _) => RunOutcome::Cancelled,
         ("MOOT", _) => RunOutcome::NotStarted,
-        // An unknown end, or a result that can't be decoded, is an end all the same.
+        // The run has also ended if the outcome is unknown or the result cannot be decoded.
         _ => RunOutcome::Failed,
     };
     Ok(EngineMessage::Done {
--- a/crates/node/src/network/headers.rs
+++ b/crates/node/src/network/headers.rs
@@ -1,8 +1,8 @@
-//! Headers of a server's response that go on to the caller.
+//! Selects the headers of a server's response that are forwarded to the caller.
 
 use doortrack_protocols::Response;
 
-/// Headers that concern the server's connection alone (RFC 9110, 7.6.1), and those that this node sets itself.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1) and headers that the node sets itself.
 const NOT_FORWARDED: [&str; 12] = [
     "Connection",
     "Keep-Alive",
@@ -18,7 +18,7 @@
     "X-Dont-Retry",
 ];
 
-/// The headers of a response that go on to the caller, as lines.
+/// Returns the forwarded headers of a response, each as a line with its line end.
 pub(super) fn forwarded_headers(response: &Response) -> Vec<u8> {
     let mut lines = Vec::new();
     for (name, value) in &response.headers {
--- a/crates/node/src/network/listeners.rs
+++ b/crates/node/src/network/listeners.rs
@@ -1,7 +1,7 @@
-//! The node's listeners and the table of all clients' connections, whatever protocol they speak.
+//! The node's listeners and the table of all client connections, for all protocols.
 //!
-//! The table keeps within [`bounds`](super::bounds) by construction. Nothing here blocks: each call does what
-//! the sockets allow at once, and [`Listeners::flush`] ends a turn of the event loop.
+//! The table never exceeds [`bounds`](super::bounds). No call blocks: each one does what the sockets allow at once,
+//! and [`Listeners::flush`] ends a turn of the event loop.
 
 mod accept;
 mod answers;
@@ -31,52 +31,53 @@
 use super::request::{DeploymentNames, IncomingRequest};
 use super::termination::Termination;
 
-/// The poller's key of the first listener; the others follow.
+/// The poller key of the first listener; the others follow.
 pub const FIRST_LISTENER_KEY: usize = 8;
-/// The poller's key of the first connection; the others follow.
+/// The poller key of the first connection; the others follow.
 pub const FIRST_CONNECTION_KEY: usize = FIRST_LISTENER_KEY + MAX_LISTENERS;
 
-/// Where an answer goes: the connection's slot in the table and the request's number there.
+/// The destination of an answer: the connection's slot in the table and the number of the pending request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
     slot: usize,
     request: u64,
 }
 
-/// A request's CGI variables as they were sent, and the protocol that encodes them.
+/// A request's encoded CGI variables as received, and the protocol that encodes them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RawVariables {
-    /// The protocol that the client spoke.
+    /// The client's protocol.
     pub protocol: Protocol,
     /// The encoded variables, at most [`MAX_PARAMS_BYTES`](super::bounds::MAX_PARAMS_BYTES).
     pub bytes: Vec<u8>,
 }
 
-/// What happened on the clients' connections.
+/// An event on client connections.
 pub enum ListenerEvent {
-    /// A complete, readable request arrived.
+    /// A complete, valid request arrived.
     Request {
-        /// Where its answer goes.
+        /// The destination of the answer.
         caller: Caller,
-        /// What admission needs to know of it.
+        /// The properties that admission needs.
         request: IncomingRequest,
-        /// Its variables, for whoever runs it.
+        /// The variables, passed on to a server that runs the request.
         variables: RawVariables,
-        /// Its body, for whoever runs it.
+        /// The body, passed on to the engine or server that runs the request.
         body: Vec<u8>,
-        /// Its connection is being closed: it is not run, and answered only from what is known of its key.
+        /// The request's connection is being closed: the request is not run, and it is answered only from what is
+        /// known of its idempotency key.
         connection_closing: bool,
     },
-    /// A request's connection, or its caller's interest in it, came to an end.
+    /// A request was aborted, or its connection was closed.
     Ended {
         /// The request.
         id: RequestId,
-        /// How it ended.
+        /// How the request or its connection ended.
         termination: Termination,
     },
 }
 
-/// All listeners, and the connections that they accepted.
+/// All listeners and the connections that they have accepted.
 pub struct Listeners {
     poller: Arc<Poller>,
     listeners: Slab<Listener>,
@@ -85,31 +86,31 @@
     /// Classifies the requests of the installation's listeners, if it has rules.
     pub rules: Option<RequestClassifier>,
     limits: ResourceLimits,
-    /// Requests pending on all connections.
+    /// Number of requests pending on all connections.
     pending_requests: usize,
-    /// Requests begun since the start; the number of the last one.
+    /// Number of requests begun since the start, which is also the number of the last one.
     requests_begun: u64,
-    /// Bytes of answers on all connections that the peers have not taken.
+    /// Bytes of answers on all connections that have not been written to the sockets.
     unread_answer_bytes: usize,
-    /// Bytes of input on all connections that waits for that.
+    /// Bytes of input on all connections that waits until answers are read.
     suspended_bytes: usize,
-    /// Slots of the connections that the next flush is to look at.
+    /// Slots of the connections that the next flush handles.
     flush_queue: Vec<usize>,
     read_buffer: Vec<u8>,
     /// No caller waits for longer than this.
     longest_deadline: TenthMillis,
-    /// The load signal that goes out with each answer, if the deployment has one.
+    /// The backpressure value sent with each answer, if the deployment has one.
     pub backpressure: Option<f32>,
-    /// What health checks are answered.
+    /// The result of health checks.
     pub healthy: bool,
     /// How long a connection may be idle before it is closed.
     pub idle_timeout: TenthMillis,
-    /// The sum of the counts of listeners that have been removed.
+    /// The sum of the counts of all removed listeners.
     removed_counts: Counts,
 }
 
 impl Listeners {
-    /// An empty table, without any listener.
+    /// Creates an empty table without listeners.
     pub fn new(
         poller: Arc<Poller>,
         names: DeploymentNames,
@@ -137,17 +138,17 @@
         }
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// The listeners that are open or draining.
+    /// Iterates over the listeners that are open or draining.
     pub fn iter(&self) -> impl Iterator<Item = &Listener> {
         self.listeners.iter().map(|(_, listener)| listener)
     }
 
-    /// What all listeners have counted since the start.
+    /// Returns the counts of all listeners since the start.
     pub fn counts(&self) -> Counts {
         let mut total = self.removed_counts.clone();
         for listener in self.iter() {
@@ -156,7 +157,7 @@
         total
     }
 
-    /// The indices of the listeners that are open at this address; one at the most.
+    /// Returns the indices of the listeners that are open at this address, of which there is at most one.
     fn open_at(&self, address: SocketAddr) -> Vec<usize> {
         let open = self.listeners.iter();
         open.filter(|(_, listener)| listener.is_open_at(address))
--- a/crates/node/src/network/listeners/accept.rs
+++ b/crates/node/src/network/listeners/accept.rs
@@ -15,7 +15,7 @@
 use crate::network::bounds::{self, EVICTION_GRACE, MAX_ACCEPTS_PER_EVENT, MAX_LISTENERS};
 use crate::network::connection::Connection;
 
-/// Whether the process (EMFILE) or the whole system (ENFILE) has no descriptor left.
+/// Returns true if the process (`EMFILE`) or the whole system (`ENFILE`) has no file descriptor left.
 fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
@@ -24,11 +24,11 @@
 }
 
 impl Listeners {
-    /// Opens a listener. `max_connections` bounds its connections; those of all listeners together keep within
-    /// the node's own bound.
+    /// Opens a listener. `max_connections` bounds its connections; the connections of all listeners together are
+    /// bounded by the node's own limit.
     ///
     /// # Errors
-    /// There are [`MAX_LISTENERS`] already, or the system refuses the address.
+    /// There are already [`MAX_LISTENERS`], or the address cannot be listened on.
     pub fn listen(
         &mut self,
         address: SocketAddr,
@@ -37,25 +37,25 @@
     ) -> io::Result<()> {
         if self.listeners.len() >= MAX_LISTENERS {
             return Err(io::Error::other(
-                "too many fronts, those that are drained included",
+                "too many fronts, including those that are draining",
             ));
         }
         let socket = listener::bind(address, bounds::backlog(self.limits.connections))?;
         let entry = self.listeners.vacant_entry();
         let key = FIRST_LISTENER_KEY + entry.key();
-        // SAFETY: the socket is taken out of the poller in `drain`, or lives as long as it.
+        // SAFETY: the socket is removed from the poller in `drain`, or lives as long as the poller.
         unsafe {
             self.poller
                 .add_with_mode(&socket, Event::readable(key), PollMode::Level)?
         };
-        // The platform's listener is opened first and never removed.
+        // The platform's own listener is opened first and never removed.
         let is_platform = key == FIRST_LISTENER_KEY;
         let listener = Listener::new(address, protocol, socket, max_connections, is_platform);
         entry.insert(listener);
         Ok(())
     }
 
-    /// Changes the bound on a listener's connections; those that are open stay.
+    /// Changes the bound on a listener's connections; open connections are kept.
     pub fn set_max_connections(&mut self, address: SocketAddr, max_connections: Option<usize>) {
         for index in self.open_at(address) {
             self.listeners[index].max_connections = max_connections.unwrap_or(usize::MAX);
@@ -63,7 +63,7 @@
         self.resume_accepting();
     }
 
-    /// Accepts connections that wait at a listener; whether more may be waiting.
+    /// Accepts connections that wait at a listener. Returns true if more may be waiting.
     pub fn accept(
         &mut self,
         listener: usize,
@@ -73,8 +73,8 @@
         self.accept_evicting(listener, now.saturating_sub(EVICTION_GRACE), now, events)
     }
 
-    /// Like [`Listeners::accept`]; where that takes an eviction, only connections without activity since
-    /// `inactive_since` are evicted.
+    /// Like [`Listeners::accept`]. If a connection has to be evicted, only those without activity since
+    /// `inactive_since` are considered.
     pub(super) fn accept_evicting(
         &mut self,
         listener: usize,
@@ -95,7 +95,8 @@
         true
     }
 
-    /// Accepts one connection. Breaks, with whether more may be waiting, where it makes no sense to go on.
+    /// Accepts one connection. Breaks if no further connection can be accepted now; the value is true if more may be
+    /// waiting.
     fn accept_one(
         &mut self,
         listener: usize,
@@ -105,7 +106,7 @@
         events: &mut Vec<ListenerEvent>,
     ) -> ControlFlow<bool> {
         let scope = self.eviction_scope(listener);
-        // Only the first is known to be waiting, so nothing is evicted for the others.
+        // Only the first connection is known to be waiting, so nothing is evicted for further ones.
         let has_slot =
             !self.is_full(listener) || (is_first && self.evict_now(scope, inactive_since, events));
         if !has_slot {
@@ -116,7 +117,7 @@
         };
         match socket.accept() {
             Ok((sock, peer)) => {
-                // If this fails, the connection is dropped before anything was read from it.
+                // If this fails, the connection is dropped before anything has been read from it.
                 _ = self.insert(sock, peer.ip(), listener, now);
                 self.evict_proactively(listener, inactive_since, now, events);
                 ControlFlow::Continue(())
@@ -136,8 +137,8 @@
         match error.kind() {
             ErrorKind::Interrupted | ErrorKind::ConnectionAborted => ControlFlow::Continue(()),
             ErrorKind::WouldBlock => ControlFlow::Break(false),
-            // The system reserves a descriptor before it looks for a connection, so from the second attempt on
-            // this does not mean that one is waiting.
+            // The operating system reserves a descriptor before it looks for a connection, so from the second
+            // attempt on this error does not mean that a connection is waiting.
             _ if is_out_of_descriptors(error) => {
                 if is_first && self.evict_now(EvictionScope::Table, inactive_since, events) {
                     ControlFlow::Continue(())
@@ -146,15 +147,15 @@
                 }
             }
             _ => {
-                // The socket may stay ready; the next sweep tries again.
+                // The socket may stay ready, so it is not polled until the next sweep tries again.
                 self.set_accepting(listener, false);
                 ControlFlow::Break(false)
             }
         }
     }
 
-    /// Leaves the rest in the backlog. If not even the first could be accepted, the poller stays silent until a
-    /// connection closes.
+    /// Leaves the remaining connections in the backlog. If not even the first one could be accepted, the poller
+    /// stops reporting the listener until a connection closes or a sweep finds that one can be evicted.
     fn defer_accepting(&mut self, listener: usize, is_first: bool) -> ControlFlow<bool> {
         self.set_accepting(listener, !is_first);
         ControlFlow::Break(!is_first)
@@ -175,7 +176,7 @@
         sock.set_nodelay(true)?;
         let entry = self.connections.vacant_entry();
         let interest = Event::readable(FIRST_CONNECTION_KEY + entry.key());
-        // SAFETY: the socket is taken out of the poller in `close`, before it is dropped.
+        // SAFETY: the socket is removed from the poller in `close`, before it is dropped.
         unsafe {
             self.poller
                 .add_with_mode(&sock, interest, PollMode::Level)?
@@ -187,7 +188,7 @@
         Ok(())
     }
 
-    /// Has the poller report new connections at a listener, or not.
+    /// Sets whether the poller reports new connections at a listener.
     pub(super) fn set_accepting(&mut self, listener: usize, accepting: bool) {
         let Some(entry) = self.listeners.get_mut(listener) else {
             return;
@@ -208,14 +209,14 @@
         }
     }
 
-    /// Has the poller report new connections at all listeners.
+    /// Lets the poller report new connections at all listeners.
     pub(super) fn resume_accepting(&mut self) {
         for listener in self.listener_indices() {
             self.set_accepting(listener, true);
         }
     }
 
-    /// A range that holds the indices of all listeners.
+    /// Returns a range that includes the indices of all listeners.
     pub(super) fn listener_indices(&self) -> std::ops::Range<usize> {
         0..self.listeners.capacity().min(MAX_LISTENERS)
     }
--- a/crates/node/src/network/listeners/answers.rs
+++ b/crates/node/src/network/listeners/answers.rs
@@ -1,4 +1,4 @@
-//! Answers requests, and writes what the clients take of the answers.
+//! Answers requests and writes the answers to the clients.
 
 use doortrack_admission::RequestId;
 use doortrack_time::TenthMillis;
@@ -8,13 +8,13 @@
 use crate::network::request::{self, Answer};
 
 impl Listeners {
-    /// Whether an answer can still go there.
+    /// Returns true if the request is still pending, so that it can be answered.
     pub fn is_pending(&self, caller: Caller) -> bool {
         let connection = self.connections.get(caller.slot);
         connection.is_some_and(|connection| connection.pending.find(caller.request).is_some())
     }
 
-    /// Tells under which id the admission controller knows a request from here on.
+    /// Sets the id by which the admission controller identifies a request.
     pub fn bind_request(&mut self, caller: Caller, id: RequestId) {
         let Some(connection) = self.connections.get_mut(caller.slot) else {
             return;
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Answers a request. It is no longer pending then, so a second answer has no effect.
+    /// Answers a request, which is then no longer pending, so a second answer has no effect.
     pub fn answer(&mut self, caller: Caller, answer: Answer) {
         let Some(connection) = self.connections.get_mut(caller.slot) else {
             return;
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Appends what `encode` writes to a connection's answers, unless it is about to be closed.
+    /// Appends what `encode` writes to a connection's write buffer, unless the connection is closed at the end of the
+    /// turn.
     pub(super) fn write(&mut self, slot: usize, encode: impl FnOnce(&mut Vec<u8>)) {
         self.limit_backlog();
         let connection = &mut self.connections[slot];
@@ -60,7 +61,7 @@
         self.queue_flush(slot);
     }
 
-    /// Has the next flush look at a connection.
+    /// Adds a connection to the queue of the next flush.
     pub(super) fn queue_flush(&mut self, slot: usize) {
         let connection = &mut self.connections[slot];
         if !connection.flush_queued {
@@ -69,9 +70,9 @@
         }
     }
 
-    /// Writes what the present turn produced, and closes what is to be closed.
+    /// Writes the answers of the current turn, and closes connections that are to be closed.
     pub fn flush(&mut self, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
-        // Grows meanwhile: what the peer takes lets further requests of it be answered.
+        // The queue can grow in the loop: once answers are written, suspended requests can be parsed and answered.
         let mut index = 0;
         while let Some(slot) = self.flush_queue.get(index).copied() {
             self.flush_connection(slot, now, events);
@@ -81,7 +82,7 @@
     }
 
     fn flush_connection(&mut self, slot: usize, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
-        // The slot may have been closed since, and taken by another connection.
+        // The connection may have been closed since, and its slot reused by another one.
         let connection = self.connections.get_mut(slot);
         let Some(connection) = connection.filter(|connection| connection.flush_queued) else {
             return;
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Tells the poller what to report of a connection, if that has changed.
+    /// Updates the events that the poller reports for a connection, if they have changed.
     pub(super) fn update_interest(&mut self, slot: usize) {
         let connection = &mut self.connections[slot];
         let interest = connection.interest();
--- a/crates/node/src/network/listeners/backlog.rs
+++ b/crates/node/src/network/listeners/backlog.rs
@@ -1,8 +1,8 @@
-//! Bounds what is kept for clients that do not read their answers.
+//! Bounds the memory used for clients that do not read their answers, called the backlog.
 //!
-//! A connection takes no further request while its unread answers meet [`MAX_UNREAD_ANSWER_BYTES`]: input that was read
-//! with the last one is suspended, at most [`READ_BUFFER_BYTES`]. Over all connections, unread answers and suspended
-//! input keep within `ResourceLimits::unread_answer_bytes`, plus the one answer or the one read that meets it.
+//! A connection accepts no further request while its unread answers reach [`MAX_UNREAD_ANSWER_BYTES`]; the rest of the
+//! input that was already read is suspended, at most [`READ_BUFFER_BYTES`]. Over all connections, unread answers and
+//! suspended input are bounded by `ResourceLimits::unread_answer_bytes`, plus the one answer or read that reaches it.
 //!
 //! [`MAX_UNREAD_ANSWER_BYTES`]: crate::network::bounds::MAX_UNREAD_ANSWER_BYTES
 //! [`READ_BUFFER_BYTES`]: crate::network::bounds::READ_BUFFER_BYTES
@@ -13,28 +13,28 @@
 use crate::network::termination::Termination;
 
 impl Listeners {
-    /// Bytes of answers on all connections that the peers have not taken.
+    /// Returns the bytes of answers on all connections that have not been written to the sockets.
     pub fn unread_answer_bytes(&self) -> usize {
         self.unread_answer_bytes
     }
 
-    /// Bytes that are kept because peers do not read: answers, and input that waits for them.
+    /// Returns the bytes kept because peers do not read their answers: the answers and the suspended input.
     pub fn backlog_bytes(&self) -> usize {
         self.unread_answer_bytes + self.suspended_bytes
     }
 
-    /// Keeps the rest of a connection's input if it can't be split now.
+    /// Suspends the rest of a connection's input if the connection is backlogged.
     pub(super) fn suspend_if_backlogged(&mut self, slot: usize, rest: &[u8]) {
         let connection = &mut self.connections[slot];
-        let waits = connection.is_reading() && connection.immediate_close().is_none();
-        if waits && connection.is_backlogged() {
+        let can_wait = connection.is_reading() && connection.immediate_close().is_none();
+        if can_wait && connection.is_backlogged() {
             connection.suspend(rest);
             self.suspended_bytes += rest.len();
             self.limit_backlog();
         }
     }
 
-    /// Goes on with a connection's suspended input once its peer has read enough answers.
+    /// Parses a connection's suspended input once its peer has read enough answers.
     pub(super) fn resume_suspended(
         &mut self,
         slot: usize,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Makes room where the backlog of all connections meets its bound: writes what peers take, and then closes the
-    /// connections with the largest backlogs.
+    /// Reduces the backlog of all connections when it reaches its bound: writes what the sockets accept, and then
+    /// closes the connections with the largest backlogs.
     pub(super) fn limit_backlog(&mut self) {
         if !self.is_backlog_full() {
             return;
@@ -70,13 +70,13 @@
         self.backlog_bytes() >= self.limits.unread_answer_bytes
     }
 
-    /// Writes what the present turn produced so far.
+    /// Writes the answers that the current turn has produced so far.
     fn write_queued(&mut self) {
         for index in 0..self.flush_queue.len() {
             let slot = self.flush_queue[index];
             let connection = self.connections.get_mut(slot);
             let Some(connection) = connection.filter(|connection| connection.flush_queued) else {
-                continue; // Closed, or flushed already: what a flush leaves is not to be written unnoticed by it.
+                continue; // Closed or already flushed. Only a flush may write what an earlier flush has left.
             };
             let before = connection.out.len();
             let written = connection.write_early();
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The connection with the largest backlog, if any has one.
+    /// Returns the slot of the connection with the largest backlog, if any has one.
     fn largest_backlog(&self) -> Option<usize> {
         let backlogs = self
             .connections
@@ -99,7 +99,7 @@
             .map(|(_, slot)| slot)
     }
 
-    /// Drops a connection's backlog and has it closed at the end of the turn.
+    /// Discards a connection's backlog and schedules the connection to be closed at the end of the turn.
     fn discard_backlog(&mut self, slot: usize, termination: Termination) {
         let connection = &mut self.connections[slot];
         self.unread_answer_bytes -= connection.out.discard();
--- a/crates/node/src/network/listeners/close.rs
+++ b/crates/node/src/network/listeners/close.rs
@@ -1,4 +1,4 @@
-//! Closes connections: in order, at once, or after a timeout.
+//! Closes connections: gracefully, at once, or after a timeout.
 
 use doortrack_time::TenthMillis;
 
@@ -9,9 +9,9 @@
 use crate::network::termination::Termination;
 
 impl Listeners {
-    /// Closes a connection in order once nothing is owed on it: half-closes it, discards what still comes, and
-    /// drops it once the peer has closed too. A request that crosses this is never run; its caller sees an
-    /// orderly end and may send it again.
+    /// Closes a connection gracefully once all its requests are answered: half-closes it, discards further input, and
+    /// drops it once the peer has closed too. A request that the peer sends in the meantime is never run; its caller
+    /// sees an orderly end of the connection and may send the request again.
     pub(super) fn linger(
         &mut self,
         slot: usize,
@@ -51,15 +51,15 @@
         self.resume_accepting();
     }
 
-    /// Closes the connection once all that is pending on it is answered. Until then it is read, as the peer may
-    /// be sending requests without knowing of the close; those are turned down.
+    /// Closes a connection once all requests pending on it are answered. Until then the connection is read, as the
+    /// peer may be sending requests without knowing of the close; those are rejected.
     pub(super) fn close_when_answered(&mut self, slot: usize, termination: Termination) {
         self.connections[slot].close_when_answered(termination);
         self.queue_flush(slot);
     }
 
-    /// Closes connections that have been idle for too long, and those on which nobody can be waiting any more.
-    /// To be called at a steady pace while [`Listeners::needs_sweep`].
+    /// Closes connections whose timeouts have expired, and resumes paused reading and accepting. To be called at a
+    /// regular interval while [`Listeners::needs_sweep`] returns true.
     pub fn sweep(&mut self, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
         self.resume_paused();
         self.refuse_overdue_requests();
@@ -79,12 +79,12 @@
         self.retry_accepting();
     }
 
-    /// Whether there is anything for [`Listeners::sweep`] to do.
+    /// Returns true if [`Listeners::sweep`] may have work to do.
     pub fn needs_sweep(&self) -> bool {
         !self.connections.is_empty() || self.iter().any(|listener| !listener.accepting)
     }
 
-    /// Refuses half requests that stay so on connections that are being closed.
+    /// Rejects incomplete requests on closing connections once they have been incomplete for too many sweeps.
     fn refuse_overdue_requests(&mut self) {
         let connections = self.connections.iter_mut();
         let overdue: Vec<usize> = connections
@@ -116,7 +116,7 @@
         match termination {
             _ if self.connections[slot].is_lingering() => self.close(slot, termination, events),
             Termination::Idle => self.linger(slot, termination, now, events),
-            // A dispatcher that relays a slow client's request may have others pending here.
+            // A dispatcher that forwards a slow client's request may have other requests pending on the connection.
             Termination::RequestTimeout => {
                 self.answer_incomplete(slot, Answer::Unreadable(Unreadable::Field("record")));
                 self.close_when_answered(slot, termination);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Accepts again where there is a slot or one could be freed.
+    /// Resumes accepting at listeners that have a free slot or where one can be freed by an eviction.
     fn retry_accepting(&mut self) {
         let can_evict = self
             .connections
--- a/crates/node/src/network/listeners/counts.rs
+++ b/crates/node/src/network/listeners/counts.rs
@@ -1,8 +1,8 @@
-//! What a listener counts, for the log.
+//! A listener's counters, for the log.
 
 use std::collections::BTreeMap;
 
-/// Counts since the start.
+/// A listener's counts since the start.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     /// Connections accepted.
@@ -15,11 +15,11 @@
     pub failed: u64,
     /// Health checks answered.
     pub health_checks: u64,
-    /// Requests that could not be read, by the name of what was unreadable.
+    /// Requests that could not be decoded, by the name of the unreadable part.
     pub unreadable: BTreeMap<&'static str, u64>,
-    /// Requests turned down before admission, as a bound of the sockets was met.
+    /// Requests rejected before admission, as a resource bound was reached or the connection was being closed.
     pub no_capacity: u64,
-    /// Connections closed, by the name of the reason.
+    /// Connections closed, by the name of the termination.
     pub terminations: BTreeMap<&'static str, u64>,
 }
 
--- a/crates/node/src/network/listeners/drain.rs
+++ b/crates/node/src/network/listeners/drain.rs
@@ -1,4 +1,5 @@
-//! Drains listeners: what the system has accepted is still answered, and nothing after it.
+//! Drains listeners: requests on connections that the operating system has accepted are still answered, and no
+//! further connections are made.
 
 use std::net::SocketAddr;
 
@@ -10,8 +11,8 @@
 use crate::network::termination::Termination;
 
 impl Listeners {
-    /// Closes the listener at this address. Requests that have arrived are still answered; the listener is
-    /// removed with its last connection.
+    /// Closes the listener at this address. Requests that have arrived are still answered; the listener is removed
+    /// once its last connection has closed.
     pub fn drain_listener(
         &mut self,
         address: SocketAddr,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Closes all listeners at the end of the process. Requests that have arrived are still answered.
+    /// Closes all listeners when the node shuts down. Requests that have arrived are still answered.
     pub fn drain_all(&mut self, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
         let listeners: Vec<usize> = self.listeners.iter().map(|(index, _)| index).collect();
         for listener in listeners {
@@ -31,13 +32,13 @@
         }
     }
 
-    /// Has the system begin no further connection at any listener: for the time in which handshakes under way end,
-    /// before [`Listeners::drain_all`].
+    /// Prevents new TCP handshakes at all listeners. Called before [`Listeners::drain_all`], so that handshakes in
+    /// progress can complete in the meantime.
     pub fn refuse_handshakes(&self) {
         self.iter().for_each(Listener::refuse_handshakes);
     }
 
-    /// Refuses all half requests, at the end of the process.
+    /// Rejects all incomplete requests when the node shuts down.
     pub fn refuse_incomplete_requests(&mut self) {
         let slots: Vec<usize> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
@@ -45,8 +46,9 @@
         }
     }
 
-    /// Accepts a listener's backlog, closes its socket, reads each of its connections once more, and closes
-    /// them as soon as nothing is pending on them. Half requests have until [`Listeners::sweep`] refuses them.
+    /// Accepts a listener's backlog, closes its socket, reads what has arrived on its connections, and closes each
+    /// connection once nothing is pending on it. Incomplete requests are kept until [`Listeners::sweep`] rejects
+    /// them.
     fn drain(
         &mut self,
         listener: usize,
@@ -58,7 +60,7 @@
             entry.refuse_handshakes();
         }
         self.accept_backlog(listener, now, events);
-        // Accepting may have closed the last connection of a listener that was draining before.
+        // Accepting may have evicted the last connection of a listener that was already draining, which removes it.
         let Some(entry) = self.listeners.get_mut(listener) else {
             return;
         };
@@ -85,7 +87,7 @@
     ) {
         let entry = self.listeners.get(listener);
         if entry.is_some_and(|entry| entry.socket.is_some()) {
-            // What stays in the backlog is lost, so recent activity spares no connection from eviction.
+            // Connections left in the backlog are lost, so recent activity does not protect others from eviction.
             while self.accept_evicting(listener, now, now, events) {}
         }
     }
@@ -108,8 +110,8 @@
         }
     }
 
-    /// Removes a listener that was taken out of the installation, once its last connection has closed. What it
-    /// counted stays in the totals.
+    /// Removes a listener that is no longer in the installation, once its last connection has closed. Its counts
+    /// stay in the totals.
     pub(super) fn remove_if_drained(&mut self, listener: usize) {
         let entry = self.listeners.get(listener);
         if entry.is_some_and(|entry| entry.removed && entry.connections == 0) {
--- a/crates/node/src/network/listeners/eviction.rs
+++ b/crates/node/src/network/listeners/eviction.rs
@@ -1,7 +1,7 @@
-//! Chooses connections to close where slots run out.
+//! Evicts connections when slots run out.
 //!
-//! Only connections on which no caller waits are evicted, those first that are worth the least. Clients that
-//! connect only to sit idle so cost those that send requests little.
+//! Only connections on which no caller waits are evicted, in the order of [`EvictionPriority`]. So clients that only
+//! hold idle connections have little effect on clients that send requests.
 
 use doortrack_time::TenthMillis;
 
@@ -10,12 +10,12 @@
 use crate::network::connection::{Connection, EvictionPriority};
 use crate::network::termination::Termination;
 
-/// The connections among which one is evicted.
+/// The connections that are considered for an eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvictionScope {
-    /// All: the table is full, or the process has no descriptor left.
+    /// All connections: the table is full, or no file descriptor is left.
     Table,
-    /// Those of this listener: its own bound is met first.
+    /// The connections of this listener: its own bound is reached before the table's.
     Listener(usize),
 }
 
@@ -28,14 +28,14 @@
     }
 }
 
-/// A bound on connections, and how much of it is left.
+/// A bound on the number of connections, and how many slots of it are free.
 struct SlotBound {
     scope: EvictionScope,
     slots: usize,
     free: usize,
 }
 
-/// A connection that may be evicted. The least is evicted first.
+/// A connection that may be evicted. The least candidate is evicted first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     priority: EvictionPriority,
@@ -44,9 +44,9 @@
 }
 
 impl Listeners {
-    /// Frees a slot in `scope` at once; whether that succeeded. It closes up to [`MAX_EVICTIONS`] connections
-    /// that are unused or linger, the oldest first; without any, the one that has been idle longest, or else
-    /// the one whose partial request has not moved for longest.
+    /// Frees slots in `scope` at once. Returns true if that succeeded. Closes up to [`MAX_EVICTIONS`] connections that
+    /// are unused or linger, the longest inactive first. If there are none, closes the connection that has been idle
+    /// longest, or else the one whose partial request has made no progress for longest.
     pub(super) fn evict_now(
         &mut self,
         scope: EvictionScope,
@@ -74,9 +74,9 @@
         self.connections.len() < before
     }
 
-    /// Begins to close some connections while slots are left, so that a request that crosses the close meets no
-    /// reset. [`Listeners::evict_now`] is needed only for clients that arrive faster than evicted peers close,
-    /// and where the table is too small for spare slots.
+    /// Closes some connections gracefully while slots are left, so that a request sent at the same time does not cause
+    /// a reset. [`Listeners::evict_now`] is needed only when clients connect faster than evicted peers close, or when
+    /// the table is too small for spare slots.
     pub(super) fn evict_proactively(
         &mut self,
         listener: usize,
@@ -90,7 +90,7 @@
             return;
         }
         let wanted = spare.saturating_sub(bound.free + self.count_lingering(bound.scope));
-        // At least half of the spare slots at once, as each search goes over all connections.
+        // Waits until more than half of the spare slots are needed, as each search goes over all connections.
         if 2 * wanted <= spare {
             return;
         }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Among which connections one is evicted for a new one at this listener.
+    /// Returns the scope of an eviction for a new connection at this listener.
     pub(super) fn eviction_scope(&self, listener: usize) -> EvictionScope {
         self.tighter_bound(listener).scope
     }
@@ -119,7 +119,7 @@
             .count()
     }
 
-    /// The bound that is met first by new connections at this listener: its own, or the table's.
+    /// Returns the bound that new connections at this listener reach first: the listener's own, or the table's.
     fn tighter_bound(&self, listener: usize) -> SlotBound {
         let owner = &self.listeners[listener];
         let own = SlotBound {
@@ -138,7 +138,7 @@
         if own.free < table.free { own } else { table }
     }
 
-    /// Connections that may be evicted, in order.
+    /// Returns the connections that may be evicted, in the order of eviction.
     fn eviction_candidates(
         &self,
         scope: EvictionScope,
--- a/crates/node/src/network/listeners/listener.rs
+++ b/crates/node/src/network/listeners/listener.rs
@@ -8,30 +8,30 @@
 
 use super::Counts;
 
-/// One address at which clients connect.
+/// A listener for clients of one protocol.
 pub struct Listener {
-    /// The protocol that its clients speak.
+    /// The clients' protocol.
     pub protocol: Protocol,
-    /// Where it listens.
+    /// The address that the listener is bound to.
     pub address: SocketAddr,
-    /// Connections that it has at present.
+    /// Number of open connections.
     pub connections: usize,
-    /// What it has counted.
+    /// Counts since the start.
     pub counts: Counts,
-    /// Connections that it may have at once.
+    /// Maximum number of open connections.
     pub(super) max_connections: usize,
-    /// None once it accepts no more.
+    /// The listening socket; `None` once the listener is draining.
     pub(super) socket: Option<TcpListener>,
-    /// It was taken out of the installation: it is removed with its last connection.
+    /// The listener is no longer in the installation and is removed once its last connection has closed.
     pub(super) removed: bool,
-    /// It is the platform's own: its requests are read by the platform's variables, not by rules.
+    /// The listener is the platform's own: its requests are decoded by the platform's variables, not by rules.
     pub(super) is_platform: bool,
     /// The poller reports new connections.
     pub(super) accepting: bool,
 }
 
 impl Listener {
-    /// A listener that is registered with the poller for new connections.
+    /// Creates the state of a listener whose socket is registered with the poller for new connections.
     pub(super) fn new(
         address: SocketAddr,
         protocol: Protocol,
@@ -60,17 +60,17 @@
         self.connections >= self.max_connections
     }
 
-    /// Has the system begin no further connection here; those whose handshake is under way are still made. Whoever
-    /// would connect is refused once the listener is closed, as its system asks again.
+    /// Prevents new TCP handshakes at this listener; handshakes in progress still complete. A client that connects now
+    /// is refused once the listener is closed, as its operating system sends the SYN again.
     pub(super) fn refuse_handshakes(&self) {
         if let Some(socket) = &self.socket {
-            // Without it, connections that are made while the listener is closed are reset.
+            // Without the filter, connections that are made while the listener is being closed are reset.
             _ = SockRef::from(socket).attach_filter(&drop_first_segments());
         }
     }
 }
 
-/// A packet filter that drops the first segment of a connection: the one with no ACK.
+/// Returns a packet filter (classic BPF) that drops the first segment of a connection, the only one without ACK.
 fn drop_first_segments() -> [SockFilter; 4] {
     const LOAD_BYTE: u16 = 0x30;
     const JUMP_IF_ANY_BIT: u16 = 0x45;
@@ -87,10 +87,10 @@
     ]
 }
 
-/// A nonblocking listening socket.
+/// Opens a nonblocking listening socket.
 pub(super) fn bind(address: SocketAddr, backlog: i32) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-    // A node that was killed gets its address back at once.
+    // Without this option, a node that was killed could not bind its address again at once.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(backlog)?;
--- a/crates/node/src/network/listeners/reading.rs
+++ b/crates/node/src/network/listeners/reading.rs
@@ -1,4 +1,4 @@
-//! Reads the clients' connections and assembles requests from what arrives.
+//! Reads client connections and assembles requests from their input.
 
 use doortrack_protocols::fastcgi::{self, RESPONDER};
 use doortrack_protocols::{RequestEvent, uwsgi};
@@ -13,17 +13,17 @@
 use crate::network::termination::Termination;
 
 impl Listeners {
-    /// Handles what the poller reports of a connection.
+    /// Handles an event that the poller reports for a connection.
     pub fn on_event(&mut self, event: Event, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
         let slot = event.key - FIRST_CONNECTION_KEY;
         if !self.connections.contains(slot) {
-            return; // Closed earlier in this turn.
+            return; // The connection was closed earlier in this turn.
         }
         if event.writable {
             self.queue_flush(slot);
         }
-        // After a stall the event loop polls twice in a turn, and the second poll reports again what ended in the
-        // first: the poller learns only at the end of the turn that the connection is not read any more.
+        // After a stall the event loop polls twice in a turn, and the second poll reports the end of a connection's
+        // input again: the poller's events are updated only at the end of the turn.
         let connection = &self.connections[slot];
         let ended_in_this_turn = !connection.is_reading()
             && !connection.is_lingering()
@@ -36,9 +36,9 @@
     /// Reads a connection once.
     pub(super) fn read(&mut self, slot: usize, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
         let connection = &mut self.connections[slot];
-        let waits = connection.is_backlogged() || connection.is_suspended();
-        if connection.is_reading() && waits {
-            return; // What it sends next stays with the system until its peer has read answers.
+        let must_wait = connection.is_backlogged() || connection.is_suspended();
+        if connection.is_reading() && must_wait {
+            return; // Further input stays in the socket until the peer has read enough answers.
         }
         let mut buffer = std::mem::take(&mut self.read_buffer);
         let received = connection.read(&mut buffer, now);
@@ -54,8 +54,8 @@
         self.read_buffer = buffer;
     }
 
-    /// Discards what came on a lingering connection, and closes it once the peer has closed or sent too much.
-    /// Nothing is owed on it, so it does not matter how it ends.
+    /// Discards the input of a lingering connection, and closes the connection once the peer has closed it or has
+    /// sent too much. All its requests are answered, so it does not matter how it ends.
     fn discard(
         &mut self,
         slot: usize,
@@ -63,14 +63,14 @@
         events: &mut Vec<ListenerEvent>,
     ) {
         let connection = &mut self.connections[slot];
-        let is_over = received.map_or(true, |count| connection.record_discarded(count));
-        if is_over {
+        let is_finished = received.map_or(true, |count| connection.record_discarded(count));
+        if is_finished {
             let termination = connection.deferred_close();
             self.close(slot, termination.unwrap_or(Termination::Closed), events);
         }
     }
 
-    /// Splits input into requests, as far as the connection's unread answers allow; the rest waits for them.
+    /// Parses input into requests. If the connection becomes backlogged, the rest of the input is suspended.
     pub(super) fn parse_input(
         &mut self,
         slot: usize,
@@ -93,7 +93,7 @@
         self.suspend_if_backlogged(slot, input);
     }
 
-    /// Stops reading a connection whose input is malformed. Complete requests on it are still answered.
+    /// Stops reading a connection whose input is malformed. Its complete requests are still answered.
     fn reject_malformed(&mut self, slot: usize) {
         self.answer_incomplete(slot, Answer::Unreadable(Unreadable::Field("record")));
         self.stop_reading(slot, Termination::Malformed);
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Turns a request down whose variables announce too long a body.
+    /// Rejects a request whose variables announce a body that is too long.
     fn check_body_length(&mut self, slot: usize, wire_id: u16, length: u64) {
         if length <= MAX_BODY_BYTES as u64 {
             return;
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Answered at once, as the request's end may never come.
+    /// Rejects a request that is too long, at once, as its end may never arrive.
     fn answer_too_long(&mut self, caller: Caller) {
         self.answer(caller, Answer::Unreadable(Unreadable::TooLong));
     }
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Decodes a complete request: by the installation's rules, or by the platform's variables alone.
+    /// Decodes a complete request, by the installation's rules or by the platform's variables alone.
     fn decode(
         &mut self,
         slot: usize,
@@ -276,7 +276,7 @@
     }
 }
 
-/// Whether a request may repeat one that ran.
+/// Returns true if a request carries an idempotency key, so that it may repeat a request that ran.
 fn has_idempotency_key(inbound: &DecodedRequest) -> bool {
     matches!(inbound, DecodedRequest::Request(request) if request.idempotency_key.is_some())
 }
--- a/crates/node/src/network/mod.rs
+++ b/crates/node/src/network/mod.rs
@@ -1,6 +1,6 @@
 //! The node's sockets: its clients' connections, the engine or the servers that run requests, and the registry.
 //!
-//! What can be encoded and decoded without sockets is in the package `doortrack-protocols` (FastCGI, uwsgi), in
+//! Encoding and decoding need no sockets and are separate: see the package `doortrack-protocols` (FastCGI, uwsgi),
 //! [`request`], [`classifier`] and [`engine_protocol`].
 
 pub mod backend;
--- a/crates/node/src/network/registry.rs
+++ b/crates/node/src/network/registry.rs
@@ -7,7 +7,8 @@
 
 use doortrack_time::{MILLISECOND, TenthMillis};
 
-/// The registry drops a node 3 s after its last heartbeat, so nine in a row may be lost.
+/// Interval between two heartbeats. The registry removes a node 3 s after its last heartbeat, so nine in a row may
+/// be lost.
 const HEARTBEAT_INTERVAL: TenthMillis = 300 * MILLISECOND;
 
 /// The node's entry in the registry.
@@ -20,10 +21,10 @@
 }
 
 impl Registry {
-    /// An entry under `name`; its first heartbeat is due at once.
+    /// Creates an entry named `name`, whose first heartbeat is due at once.
     ///
     /// # Errors
-    /// The system refuses the socket.
+    /// The socket cannot be opened.
     pub fn open(own_address: SocketAddr, registry: SocketAddr, name: String) -> io::Result<Self> {
         Ok(Registry {
             sock: connect(own_address, registry)?,
@@ -34,17 +35,17 @@
         })
     }
 
-    /// Sends heartbeats to another address, the next one at once.
+    /// Changes the address that heartbeats are sent to; the next heartbeat is due at once.
     ///
     /// # Errors
-    /// The system refuses the socket; heartbeats go where they went before.
+    /// The socket cannot be opened; heartbeats are still sent to the previous address.
     pub fn set_address(&mut self, registry: SocketAddr) -> io::Result<()> {
         self.sock = connect(self.own_address, registry)?;
         self.next_heartbeat = 0;
         Ok(())
     }
 
-    /// Sets whether the node takes no new work; a change is sent at once.
+    /// Sets whether the node is draining, that is, takes no new requests. A change is sent at once.
     pub fn set_draining(&mut self, draining: bool) {
         if draining != self.draining {
             self.draining = draining;
@@ -52,7 +53,7 @@
         }
     }
 
-    /// When the next heartbeat is due.
+    /// Returns when the next heartbeat is due.
     pub fn next_due(&self) -> TenthMillis {
         self.next_heartbeat
     }
@@ -64,10 +65,11 @@
         }
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let datagram = encode(&self.name, self.draining);
-        // The system reports that an earlier datagram was refused in place of sending this one. The report
-        // clears that, so the second attempt sends.
+        // If an earlier datagram was refused, the operating system returns that error instead of sending this
+        // datagram. Returning the error clears it, so the second attempt sends.
         if self.sock.send(datagram.as_bytes()).is_err() {
-            // A registry that is down keeps all entries, and the next heartbeat may find it up again.
+            // The error is ignored: a registry that is down keeps all entries, and the next heartbeat may find it
+            // up again.
             _ = self.sock.send(datagram.as_bytes());
         }
     }
--- a/crates/node/src/network/request.rs
+++ b/crates/node/src/network/request.rs
@@ -1,4 +1,4 @@
-//! Requests by the platform's CGI variables, read and answered without sockets, whatever protocol carried them.
+//! Decodes requests by the platform's CGI variables and encodes answers, without sockets, for all protocols.
 
 mod answer;
 mod fields;
@@ -14,67 +14,67 @@
 
 /// The path of the platform's health check.
 pub(super) const HEALTH_CHECK_PATH: &str = "/status/live";
-/// What the path of the platform's requests starts with; the endpoint group's name follows.
+/// The prefix of the path of the platform's requests; the endpoint group's name follows it.
 const GROUP_PATH_PREFIX: &str = "/svc/";
-/// Upper bound, exclusive, of a request's memory, in KiB.
+/// Exclusive upper bound of a request's memory, in KiB.
 const MAX_MEMORY_KB: f32 = 2000.0;
 
-/// By which dispatchers and the engine know an attempt: 16 hex digits, as they were sent.
+/// The id of an attempt, which dispatchers and the engine use: 16 hex digits as received.
 pub type AttemptId = [u8; 16];
-/// The idempotency key of a request: 32 hex digits, as they were sent.
+/// The idempotency key of a request: 32 hex digits as received.
 pub type IdempotencyKey = [u8; 32];
 
-/// What admission needs to know of a request.
+/// The properties of a request that admission needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncomingRequest {
-    /// The attempt.
+    /// The attempt's id.
     pub attempt_id: AttemptId,
-    /// When it arrived at the machine, on the Unix clock.
+    /// When the request arrived at the machine, on the Unix clock.
     pub arrived_at: TenthMillis,
-    /// The index of its endpoint group.
+    /// The index of the endpoint group.
     pub group: u8,
-    /// The index of its tenant; 0 where the deployment has none.
+    /// The index of the tenant; 0 where the deployment has none.
     pub tenant: u16,
-    /// Who sent it, as the platform numbers callers.
+    /// The caller's number on the platform.
     pub caller: u64,
-    /// Whether it is a further attempt.
+    /// Whether the request is a retry.
     pub retry: bool,
-    /// Memory that it needs, in KiB; greater than 0 and below 2000.
+    /// Memory that the request needs, in KiB; greater than 0 and below 2000.
     pub memory_kb: f32,
-    /// Its rank among the requests of its group; from 0 to below 1.
+    /// The request's rank within its endpoint group; from 0 to below 1.
     pub rank: f32,
-    /// Present where its group's requests are idempotent with a key.
+    /// The idempotency key; present if requests of the endpoint group carry one.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The session that it belongs to; 0 for none.
+    /// The session key; 0 for none.
     pub session_key: u64,
-    /// How long its caller waits, if a rule says so.
+    /// How long the caller waits, if a rule sets it.
     pub timeout: Option<TenthMillis>,
-    /// The index of the named pool of servers that runs it, if a rule says so.
+    /// The index of the named pool of servers that runs the request, if a rule sets it.
     pub pool: Option<u16>,
 }
 
-/// What a client asks for.
+/// A decoded request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecodedRequest {
-    /// Whether the node is healthy.
+    /// A health check of the node.
     HealthCheck,
-    /// Work.
+    /// A request to run.
     Request(IncomingRequest),
 }
 
-/// Why a request can't be read. It is answered at once and does not reach admission.
+/// Why a request cannot be decoded. Such a request is answered at once and does not reach admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unreadable {
-    /// This variable, or part of the message, is absent, doubled or malformed.
+    /// This variable, or part of the message, is absent, duplicated or malformed.
     Field(&'static str),
-    /// It is longer than any request may be.
+    /// The variables or the body exceed their maximum size.
     TooLong,
-    /// No rule matches it.
+    /// No rule matches the request.
     NoRule,
 }
 
 impl Unreadable {
-    /// The word for it in the log.
+    /// Returns the reason's name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Unreadable::Field(name) => name,
@@ -92,18 +92,18 @@
 
 impl std::error::Error for Unreadable {}
 
-/// The names that requests may carry, in the order of the deployment's settings.
+/// The names that requests may contain, in the order of the deployment's settings.
 pub struct DeploymentNames {
-    /// Endpoint groups.
+    /// Names of endpoint groups.
     pub groups: Vec<String>,
-    /// By group, whether its requests carry an idempotency key.
+    /// For each endpoint group, whether its requests carry an idempotency key.
     pub idempotency_keyed: Vec<bool>,
-    /// Tenants; none where the deployment does not tell tenants apart.
+    /// Names of tenants; empty if the deployment does not distinguish tenants.
     pub tenants: Vec<String>,
 }
 
 impl DeploymentNames {
-    /// The index of the tenant that a request names; 0 where the deployment has none.
+    /// Returns the index of the tenant that a request names; 0 where the deployment has none.
     pub(super) fn tenant(&self, fields: &Fields) -> Result<u16, Unreadable> {
         if self.tenants.is_empty() {
             return Ok(0);
@@ -115,7 +115,7 @@
             .ok_or(Unreadable::Field("HTTP_X_TENANT"))
     }
 
-    /// The index of the endpoint group that a path names.
+    /// Returns the index of the endpoint group that a path names.
     fn group(&self, path: &str) -> Result<usize, Unreadable> {
         path.strip_prefix(GROUP_PATH_PREFIX)
             .and_then(|name| self.groups.iter().position(|group| group == name))
@@ -123,10 +123,10 @@
     }
 }
 
-/// Reads a request by the platform's variables.
+/// Decodes a request by the platform's variables.
 ///
 /// # Errors
-/// The first variable that is absent, doubled or malformed.
+/// The first variable that is absent, duplicated or malformed.
 pub fn read(
     protocol: Protocol,
     variables: &[u8],
@@ -168,13 +168,13 @@
     }))
 }
 
-/// Memory in KiB, if a request may need that much.
+/// Checks that a request may need this much memory, in KiB.
 pub(super) fn validate_memory_kb(memory_kb: f32) -> Result<f32, Unreadable> {
     let valid = memory_kb > 0.0 && memory_kb < MAX_MEMORY_KB;
     in_range(memory_kb, valid, "HTTP_X_MEMORY_KB")
 }
 
-/// A rank, if it is one.
+/// Checks that a rank is in its range.
 pub(super) fn validate_rank(rank: f32) -> Result<f32, Unreadable> {
     in_range(rank, (0.0..1.0).contains(&rank), "HTTP_X_RANK")
 }
--- a/crates/node/src/network/request/answer.rs
+++ b/crates/node/src/network/request/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to requests, and their encoding.
+//! Answers to requests and their encoding.
 
 use doortrack_protocols::fastcgi::{self, ProtocolStatus};
 use doortrack_protocols::{Protocol, ResponseHead};
@@ -6,13 +6,13 @@
 
 use super::Unreadable;
 
-/// The content type of an answer that no application server has given one.
+/// The content type of an answer without headers of an application server.
 const DEFAULT_CONTENT_TYPE: &str = "application/octet-stream";
 
 /// The result of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunOutput<'a> {
-    /// Header lines, each with its end of line; none from the engine.
+    /// Header lines, each with its line end; empty for a run at the engine.
     pub headers: &'a [u8],
     /// The body.
     pub body: &'a [u8],
@@ -27,32 +27,33 @@
 /// The answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer<'a> {
-    /// It has run.
+    /// The request has run.
     Completed(RunOutput<'a>),
-    /// Admission rejected it.
+    /// Admission rejected the request.
     Rejected {
-        /// Another node would reject it too.
+        /// Another node would reject the request too.
         no_retry_elsewhere: bool,
-        /// When to retry at the earliest; 0 where nothing is said of it.
+        /// How long to wait at least before a retry; 0 if the answer does not say.
         retry_after: TenthMillis,
     },
-    /// It may have run, and has no result.
+    /// The request may have run, but has no result.
     Failed,
     /// The answer to a health check.
     Health {
         /// Whether the node takes requests.
         healthy: bool,
     },
-    /// It could not be read, so it did not reach admission.
+    /// The request could not be decoded, so it did not reach admission.
     Unreadable(Unreadable),
-    /// A bound of the sockets is met, so it did not reach admission.
+    /// A resource bound of the sockets is reached or the connection is being closed, so the request did not reach
+    /// admission.
     NoCapacity,
-    /// It is in a role of FastCGI other than the responder's.
+    /// The request has a FastCGI role other than responder.
     UnknownRole,
 }
 
 impl<'a> Answer<'a> {
-    /// FastCGI's own status of a request that was not handed to the application.
+    /// Returns the FastCGI protocol status of a request that was not passed to the application.
     fn protocol_status(&self) -> Option<ProtocolStatus> {
         match self {
             Answer::NoCapacity => Some(ProtocolStatus::Overloaded),
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Header lines of an application server.
+    /// Returns the header lines of an application server.
     fn server_headers(&self) -> &'a [u8] {
         match self {
             Answer::Completed(output) => output.headers,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// How long to stay away, in ms, rounded up; never 0.
+    /// Returns how long to wait before a retry, in ms, rounded up; never 0.
     fn retry_after_ms(&self) -> Option<u64> {
         match self {
             Answer::Rejected { retry_after: 0, .. } => None,
@@ -103,7 +104,7 @@
     }
 }
 
-/// Encodes an answer to the request with this wire id, with the node's load signal if it has one.
+/// Encodes the answer to the request with this wire id, and the node's backpressure if it has one.
 pub fn write(
     out: &mut Vec<u8>,
     protocol: Protocol,
--- a/crates/node/src/network/request/fields.rs
+++ b/crates/node/src/network/request/fields.rs
@@ -1,4 +1,4 @@
-//! Typed access to CGI variables.
+//! Typed access to the CGI variables of a request.
 
 use std::str::FromStr;
 
@@ -10,7 +10,7 @@
 pub(in crate::network) struct Fields<'a>(pub(in crate::network) &'a [Variable<'a>]);
 
 impl<'a> Fields<'a> {
-    /// A variable, if it is there. A doubled one is an error, as two readers could take different ones.
+    /// Returns a variable, if present. A duplicated variable is an error, as two readers could use different values.
     pub(in crate::network) fn find(
         &self,
         name: &'static str,
@@ -29,12 +29,12 @@
         }
     }
 
-    /// A variable that has to be there.
+    /// Returns a required variable.
     pub(in crate::network) fn required(&self, name: &'static str) -> Result<&'a str, Unreadable> {
         self.find(name)?.ok_or(Unreadable::Field(name))
     }
 
-    /// A number that has to be there.
+    /// Returns a required number.
     pub(in crate::network) fn required_number<T: FromStr>(
         &self,
         name: &'static str,
@@ -42,7 +42,7 @@
         parse(self.required(name)?, name)
     }
 
-    /// A number, if it is there.
+    /// Returns a number, if present.
     pub(in crate::network) fn find_number<T: FromStr>(
         &self,
         name: &'static str,
@@ -50,7 +50,7 @@
         self.find(name)?.map(|text| parse(text, name)).transpose()
     }
 
-    /// `N` hex digits that have to be there.
+    /// Returns `N` required hex digits.
     pub(in crate::network) fn required_hex<const N: usize>(
         &self,
         name: &'static str,
@@ -58,7 +58,7 @@
         parse_hex(self.required(name)?, name)
     }
 
-    /// `N` hex digits, if the variable is there.
+    /// Returns `N` hex digits, if present.
     pub(in crate::network) fn find_hex<const N: usize>(
         &self,
         name: &'static str,
@@ -68,12 +68,12 @@
             .transpose()
     }
 
-    /// Whether the request is a further attempt.
+    /// Returns true if the request is a retry.
     pub(in crate::network) fn is_retry(&self) -> Result<bool, Unreadable> {
         Ok(self.find("HTTP_X_RETRY")? == Some("1"))
     }
 
-    /// The session that the request belongs to; 0 for none.
+    /// Returns the session key; 0 for none.
     pub(in crate::network) fn session_key(&self) -> Result<u64, Unreadable> {
         match self.find("HTTP_X_OBJECT")? {
             Some(text) if text.bytes().all(|b| b.is_ascii_hexdigit()) => {
@@ -89,12 +89,12 @@
     text.parse().map_err(|_| Unreadable::Field(name))
 }
 
-/// A number that was checked to be in its range.
+/// Returns `number` if it is `valid`; otherwise the error names the variable.
 pub(super) fn in_range(number: f32, valid: bool, name: &'static str) -> Result<f32, Unreadable> {
     valid.then_some(number).ok_or(Unreadable::Field(name))
 }
 
-/// Exactly `N` hex digits, as they are written.
+/// Parses exactly `N` hex digits and returns them as received.
 fn parse_hex<const N: usize>(text: &str, name: &'static str) -> Result<[u8; N], Unreadable> {
     let digits = text
         .as_bytes()
--- a/crates/node/src/network/servers.rs
+++ b/crates/node/src/network/servers.rs
@@ -1,6 +1,6 @@
-//! Pools of application servers: their connections, and the runs on them.
+//! Clients of pools of application servers: their connections and the runs on them.
 //!
-//! What to do is decided by [`Pool`] (package `doortrack-upstream`) without sockets; it is carried out here.
+//! [`Pool`] (package `doortrack-upstream`) makes all decisions without sockets; this module carries them out.
 
 mod actions;
 mod connection;
@@ -24,47 +24,47 @@
 use super::bounds::READ_BUFFER_BYTES;
 use super::listeners::RawVariables;
 
-/// The poller's key of the first connection to a server.
+/// The poller key of the first connection to a server.
 pub const FIRST_SERVER_KEY: usize = 1 << 40;
-/// How many keys each pool has.
+/// Number of poller keys reserved for each pool.
 pub const KEYS_PER_POOL: usize = 1 << 24;
-/// The wire id of every request, as a connection carries one at a time.
+/// The wire id of every request, as a connection carries one request at a time.
 const WIRE_ID: u16 = 1;
-/// Bytes of framing that an encoded request is expected to need beside variables and body.
+/// Expected size of an encoded request's framing, without variables and body, in bytes.
 const EXPECTED_FRAMING_BYTES: usize = 256;
 
 /// A pool of servers and the connections to them.
 pub struct PoolClient {
     poller: Arc<Poller>,
     log: Logger,
-    /// The poller's key of the pool's first connection.
+    /// The poller key of the pool's first connection.
     first_key: usize,
     pool: Pool,
     protocol: Protocol,
-    /// Whether connections may be kept for the next run.
+    /// Connections may be kept open for the next run.
     keep_alive: bool,
     max_response_bytes: usize,
     addresses: BTreeMap<ServerId, SocketAddr>,
-    /// By the pool's id of the connection.
+    /// Open connections, indexed by the pool's connection id.
     connections: Vec<Option<ServerConnection>>,
-    /// The encoded request of each run that has not ended, as it may be retried.
+    /// The encoded request of each run that has not ended, kept for retries.
     requests: FxHashMap<RunId, Vec<u8>>,
     /// The response of each run that has completed, until the pool reports its end.
     responses: FxHashMap<RunId, Response>,
-    /// What the pool has decided and is still to be carried out.
+    /// Decisions of the pool that have not been carried out yet.
     actions: Vec<Action>,
-    /// What is still to be passed on.
+    /// Events that have not been reported yet, see [`PoolClient::flush`].
     events: Vec<BackendEvent>,
     read_buffer: Vec<u8>,
-    /// That the backend is up has been reported.
+    /// The event that the backend is up has been emitted.
     started: bool,
-    /// How many runs ended, by the name of the termination.
+    /// Number of runs that ended, by the name of the termination.
     pub terminations: BTreeMap<&'static str, u64>,
 }
 
 impl PoolClient {
-    /// The pool at `index` among all. Its random choices start from `seed`; no caller waits for longer than
-    /// `longest_deadline`.
+    /// Creates the client of the pool at `index` among all pools. `seed` seeds the pool's random choices; no caller
+    /// waits for longer than `longest_deadline`.
     pub fn new(
         poller: Arc<Poller>,
         log: Logger,
@@ -73,7 +73,7 @@
         longest_deadline: TenthMillis,
         seed: u64,
     ) -> PoolClient {
-        let mut servers = PoolClient {
+        let mut client = PoolClient {
             poller,
             log,
             first_key: FIRST_SERVER_KEY + index * KEYS_PER_POOL,
@@ -91,11 +91,11 @@
             started: false,
             terminations: BTreeMap::new(),
         };
-        servers.reload(settings, longest_deadline, 0);
-        servers
+        client.reload(settings, longest_deadline, 0);
+        client
     }
 
-    /// Puts new settings into force. The protocol stays, as requests are encoded in it already.
+    /// Applies new settings, except for the protocol, in which requests are already encoded.
     pub fn reload(
         &mut self,
         settings: &ServerSettings,
@@ -108,7 +108,7 @@
         self.pool.reconfigure(config, now, &mut self.actions);
         self.execute_actions(now);
         let server_ids = self.server_ids();
-        // Servers are added first, so that what the removed ones had to do has somewhere to go.
+        // Servers are added first, so that runs of the removed ones can be sent elsewhere.
         for address in &settings.addresses {
             if !server_ids.contains_key(address) {
                 self.add(*address, now);
@@ -124,7 +124,7 @@
         self.drop_removed_servers();
     }
 
-    /// The pool's servers by address.
+    /// Returns the ids of the pool's servers by address.
     fn server_ids(&self) -> BTreeMap<SocketAddr, ServerId> {
         let known = self.addresses.iter();
         known
@@ -134,7 +134,7 @@
     }
 
     fn add(&mut self, address: SocketAddr, now: TenthMillis) {
-        // Servers that are known from the node's own start count as warmed up.
+        // Servers that are in the settings when the node starts count as warmed up.
         let server = if self.started {
             self.pool.add_cold_server(now, &mut self.actions)
         } else {
@@ -144,46 +144,47 @@
         self.execute_actions(now);
     }
 
-    /// Drops the addresses of servers that the pool does not need any more.
+    /// Drops the addresses of servers that the pool no longer needs.
     fn drop_removed_servers(&mut self) {
         let pool = &self.pool;
         self.addresses.retain(|server, _| pool.is_known(*server));
     }
 
-    /// Has the pool ask before it retries.
+    /// Sets the check that the pool makes before each retry.
     pub fn set_retry_gate(&mut self, gate: RetryGate) {
         self.pool.set_retry_gate(gate);
     }
 
-    /// Has the pool ask for tokens of its slow starts.
-    pub fn set_slow_start_tokens(&mut self, gate: SlowStartTokens) {
-        self.pool.set_slow_start_tokens(gate);
+    /// Sets the source of the pool's slow start tokens.
+    pub fn set_slow_start_tokens(&mut self, source: SlowStartTokens) {
+        self.pool.set_slow_start_tokens(source);
     }
 
-    /// Admits one more request.
+    /// Admits a request if the servers have capacity.
     ///
     /// # Errors
-    /// The servers are busy; when to retry.
+    /// The servers are busy; the error says when to retry.
     pub fn admit(&mut self, now: TenthMillis) -> Result<Admission, TenthMillis> {
         let admission = self.pool.admit(now);
         self.execute_actions(now);
         admission
     }
 
-    /// Gives back a reservation.
+    /// Releases a reservation.
     pub fn release(&mut self) {
         self.pool.release_reservation();
     }
 
-    /// The pool, for its counts.
+    /// Returns the pool, for its counts.
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
-    /// Does what is due.
+    /// Ticks the pool if that is due. The first call also emits the event that the backend is up.
     pub fn maintain(&mut self, now: TenthMillis) {
         if !std::mem::replace(&mut self.started, true) {
-            // Whether servers have warmed up is not known; a pool sends each one that returns a run at a time.
+            // It is not known whether the servers are warmed up; the pool sends a server that returns one run at a
+            // time.
             self.events.push(BackendEvent::Up {
                 cold: false,
                 uptime: 0,
@@ -195,7 +196,7 @@
         }
     }
 
-    /// When [`PoolClient::maintain`] is due; 0 while there are events to pass on.
+    /// Returns when [`PoolClient::maintain`] is due; 0 while there are events to report.
     pub fn next_due(&self) -> TenthMillis {
         if self.started && self.events.is_empty() {
             self.pool.next_due()
@@ -243,13 +244,13 @@
         self.execute_actions(now);
     }
 
-    /// Handles what the poller reports of a connection.
+    /// Handles an event that the poller reports for a connection.
     pub fn on_event(&mut self, event: Event, now: TenthMillis) {
         self.on_connection_event(event.key - self.first_key, event, now);
         self.execute_actions(now);
     }
 
-    /// Passes on what has happened since the last time.
+    /// Moves all events since the last call to `events`.
     pub fn flush(&mut self, events: &mut Vec<BackendEvent>) {
         events.append(&mut self.events);
     }
--- a/crates/node/src/network/servers/actions.rs
+++ b/crates/node/src/network/servers/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the pool decides.
+//! Carries out the pool's decisions.
 
 use std::net::SocketAddr;
 
@@ -14,8 +14,8 @@
 use crate::network::termination::Termination;
 
 impl PoolClient {
-    /// Carries out the pool's decisions until there are no more. This has to follow each event, as ids of
-    /// connections are reused at once: a late close would hit the next connection.
+    /// Carries out the pool's decisions until there are none left. This has to follow each event, as connection ids
+    /// are reused at once: a delayed close would hit the next connection with the same id.
     pub(super) fn execute_actions(&mut self, now: TenthMillis) {
         while !self.actions.is_empty() {
             for action in std::mem::take(&mut self.actions) {
--- a/crates/node/src/network/servers/connection.rs
+++ b/crates/node/src/network/servers/connection.rs
@@ -14,14 +14,14 @@
 /// A connection to a server. It carries one run at a time.
 pub(super) struct ServerConnection {
     pub(super) sock: TcpStream,
-    /// It is not established yet.
+    /// The connection is not established yet.
     pub(super) connecting: bool,
-    /// The run that it carries.
+    /// The run that the connection carries.
     pub(super) run: Option<RunId>,
-    /// Bytes of the run's request that the system has taken.
+    /// Bytes of the run's request that have been written to the socket.
     pub(super) written: usize,
     pub(super) reader: ResponseReader,
-    /// The poller reports when it can be written.
+    /// The poller reports when the connection can be written.
     pub(super) watching_writes: bool,
 }
 
@@ -30,11 +30,11 @@
         self.connections.get_mut(id).and_then(Option::as_mut)
     }
 
-    /// Begins to connect to a server.
+    /// Starts to connect to a server.
     pub(super) fn open(&mut self, id: ConnId, server: ServerId) -> io::Result<()> {
         let address = self.addresses.get(&server).copied();
         let sock = connect_nonblocking(address.ok_or(ErrorKind::NotFound)?)?;
-        // SAFETY: the socket is taken out of the poller in `close`, before it is dropped.
+        // SAFETY: the socket is removed from the poller in `close`, before it is dropped.
         unsafe {
             self.poller
                 .add_with_mode(&sock, Event::all(self.first_key + id), PollMode::Level)?
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Reports that a connection could not be opened. If it was refused, nothing listens there for sure.
+    /// Reports to the pool that a connection could not be opened. A refused connection is reported separately, as it
+    /// proves that no process listens at the address.
     pub(super) fn on_open_failed(
         &mut self,
         id: ConnId,
--- a/crates/node/src/network/servers/transfer.rs
+++ b/crates/node/src/network/servers/transfer.rs
@@ -16,7 +16,7 @@
         let Some(connection) = self.connection_mut(id) else {
             return;
         };
-        // Checked right before it is used: the server may have closed it, and the run would be lost with it.
+        // This is checked right before the connection is used: if the server has closed it, the run would be lost.
         let nothing_to_read = connection
             .sock
             .peek(&mut [0])
@@ -30,7 +30,7 @@
         self.write(id, now);
     }
 
-    /// Writes what the server takes of a run's request.
+    /// Writes as many bytes of a run's request as the socket accepts.
     pub(super) fn write(&mut self, id: ConnId, now: TenthMillis) {
         let Some(connection) = self.connections.get_mut(id).and_then(Option::as_mut) else {
             return;
@@ -47,7 +47,7 @@
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                // The server takes no more of it. It may have answered already, which reading tells.
+                // The server accepts no more of the request. It may already have answered, so its response is read.
                 _ if connection.written > 0 => {
                     connection.written = request.len();
                     return self.read(id, now);
@@ -59,7 +59,7 @@
         self.watch_writes(id, is_incomplete);
     }
 
-    /// Has the poller report that a connection can be written, or not.
+    /// Sets whether the poller reports that a connection can be written.
     fn watch_writes(&mut self, id: ConnId, wanted: bool) {
         let connection = self.connections.get_mut(id).and_then(Option::as_mut);
         let Some(connection) = connection.filter(|found| found.watching_writes != wanted) else {
@@ -90,7 +90,7 @@
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => return,
             Err(_) => return self.on_lost(id, now),
         };
-        // Nothing but its end can be expected of a connection that carries no run.
+        // A server has nothing to send on a connection without a run, so the connection is treated as lost.
         if connection.run.is_none() {
             return self.on_lost(id, now);
         }
@@ -115,7 +115,7 @@
         self.pool.connection_lost(id, now, &mut self.actions);
     }
 
-    /// Handles the response of a run; `nothing_left` tells that the server sent nothing after it.
+    /// Handles the response of a run. `nothing_left` is true if the server sent nothing after the response.
     fn on_response(
         &mut self,
         id: ConnId,
@@ -142,7 +142,7 @@
         self.drop_removed_servers();
     }
 
-    /// Stores the response of a run that has completed, until the pool reports its end.
+    /// Stores a successful response until the pool reports the end of the run.
     fn store_response(&mut self, run: RunId, response: Response, reusable: bool) -> ResponseEnd {
         let reusable = reusable && !response.excess;
         let succeeded = (200..300).contains(&response.status);
--- a/crates/node/src/network/termination.rs
+++ b/crates/node/src/network/termination.rs
@@ -1,33 +1,33 @@
-//! Every way in which a connection, a run or a link can end, and what that means for the requests concerned.
+//! The ways in which a connection, a run or the engine link can end, and what that means for the affected requests.
 
 use doortrack_admission::RunOutcome;
 
-/// How a connection, a run or a link ended.
+/// How a connection, a run or the engine link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Termination {
     /// The dispatcher aborted one request.
     Aborted,
-    /// The dispatcher's side broke the connection.
+    /// The connection was broken from the dispatcher's side.
     Reset,
-    /// The dispatcher has sent its last byte; it may still read.
+    /// The dispatcher has closed its sending side; it may still read.
     HalfClosed,
-    /// The connection was closed with nothing pending, by the dispatcher or because it asked for that.
+    /// The connection was closed with nothing pending, by the dispatcher or at its request.
     Closed,
-    /// Closed here after being idle for too long.
+    /// The node closed the connection after it had been idle for too long.
     Idle,
-    /// Closed here, with no caller waiting, to free its slot.
+    /// The node closed the connection, on which no caller waited, to free its slot.
     Evicted,
-    /// What arrives on the connection can't be read any further.
+    /// The input of the connection could not be parsed.
     Malformed,
     /// No complete request arrived in time.
     RequestTimeout,
-    /// Answers were not read for longer than any caller waits, or piled up.
+    /// The client did not read its answers for longer than any caller waits, or too many bytes of them were unread.
     UnreadAnswers,
-    /// Closed at the end of the process.
+    /// The node shut down.
     Shutdown,
-    /// Its listener was taken out of the installation.
+    /// The connection's listener was removed from the installation.
     ListenerClosed,
-    /// A run ended, as reported by whoever ran it.
+    /// The engine or a server reported the end of a run.
     Run(RunOutcome),
     /// The engine refused to begin a run, as it does not know the request: nothing has run.
     RunRefused,
@@ -41,30 +41,30 @@
     ServerLost,
     /// A run was sent to a server, and no complete answer came in time.
     ServerTimeout,
-    /// The link to the engine broke. Runs go on, and their ends are reported on the next link.
+    /// The link to the engine broke. Runs continue, and their ends are reported after the next connect.
     LinkLost,
 }
 
-/// What a termination means for each request that it concerns.
+/// The effect of a termination on each request that it concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Nothing: the answer can still be given.
+    /// None: the request can still be answered.
     AnswerPending,
-    /// Nobody waits for the answer any more.
+    /// No caller waits for the answer any more.
     CallerGone,
-    /// Its run has ended.
+    /// The request's run has ended.
     RunEnded(RunOutcome),
 }
 
 impl Termination {
-    /// What it means for each request that it concerns.
+    /// Returns the effect on each request that the termination concerns.
     pub fn outcome(self) -> Outcome {
         match self {
             Termination::Aborted
             | Termination::Reset
             | Termination::UnreadAnswers
             | Termination::Shutdown => Outcome::CallerGone,
-            // A half-closed connection may still be read; only a reset proves that nobody listens.
+            // The peer may still read from a half-closed connection; only a reset proves that it does not.
             Termination::HalfClosed
             | Termination::Closed
             | Termination::Idle
@@ -77,7 +77,7 @@
             Termination::RunRefused | Termination::Unsent | Termination::NoServerAccepted => {
                 Outcome::RunEnded(RunOutcome::NotStarted)
             }
-            // It may have run, so it may not be repeated.
+            // The request may have run, so it must not be run again.
             Termination::ServerLost | Termination::ServerTimeout => {
                 Outcome::RunEnded(RunOutcome::Failed)
             }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The word for it in the log.
+    /// Returns the termination's name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Termination::Aborted => "aborted",
