--- a/crates/fakes/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller over either protocol, one connection for each request: the same test body serves both.
+//! A caller over either protocol, with one connection for each request, so that tests can run over both.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -9,8 +9,8 @@
 use crate::fixture::connect;
 use crate::{MAX_WAIT, attempt_id, unix_ms};
 
-/// One request as a caller writes it. Fields in `more` replace those of the same name; with an empty value a
-/// field is left out, and what is named twice is sent twice.
+/// A request to send. Each field in `overrides` replaces the default of the same name; an empty value omits
+/// the field, and a name that is given twice is sent twice.
 #[derive(Clone, Debug)]
 pub struct CallerRequest<'a> {
     pub attempt_number: u64,
@@ -34,7 +34,7 @@
         self
     }
 
-    /// The bytes of the whole request.
+    /// Encodes the whole request.
     pub fn bytes(&self, protocol: Protocol) -> Vec<u8> {
         let (id, now) = (attempt_id(self.attempt_number), unix_ms().to_string());
         let mut fields = vec![
@@ -57,86 +57,90 @@
         out
     }
 
-    /// The same where the node may be gone.
-    pub fn try_send(&self, at: SocketAddr, protocol: Protocol) -> std::io::Result<PendingAnswer> {
-        let mut sock = TcpStream::connect(at)?;
+    /// As [`CallerRequest::send`], but returns an error if the node can't be reached.
+    pub fn try_send(
+        &self,
+        address: SocketAddr,
+        protocol: Protocol,
+    ) -> std::io::Result<PendingAnswer> {
+        let mut sock = TcpStream::connect(address)?;
         sock.set_read_timeout(Some(MAX_WAIT))?;
         sock.write_all(&self.bytes(protocol))?;
         Ok(PendingAnswer { sock, protocol })
     }
 
-    /// Sends it whole on a connection of its own.
-    pub fn send(&self, at: SocketAddr, protocol: Protocol) -> PendingAnswer {
-        let mut sock = connect(at);
+    /// Opens a connection and sends the whole request on it.
+    pub fn send(&self, address: SocketAddr, protocol: Protocol) -> PendingAnswer {
+        let mut sock = connect(address);
         sock.write_all(&self.bytes(protocol)).unwrap();
         PendingAnswer { sock, protocol }
     }
 }
 
-/// What a request came to, in words that are the same for every protocol.
+/// The outcome of a request, in the same form for every protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerOutcome {
     Completed(Vec<u8>),
-    /// Told that it was not run, with when to come back in ms, and whether to try no other node.
+    /// The request was not run. `retry_after` is in ms; `no_retry_elsewhere` tells not to try another node.
     Rejected {
         retry_after: Option<u64>,
         no_retry_elsewhere: bool,
     },
     Failed,
-    /// Answered as one that can't be read, by status and text.
+    /// The node could not read the request: status and body of its answer.
     Unreadable(u16, String),
-    /// The connection ended without a whole answer.
+    /// The connection ended before a whole answer arrived.
     Nothing,
 }
 
-/// A request that waits for its answer.
+/// A sent request whose answer has not been read yet.
 pub struct PendingAnswer {
     pub sock: TcpStream,
     pub protocol: Protocol,
 }
 
 impl PendingAnswer {
-    /// Sends nothing more, and still reads.
+    /// Closes the sending side of the connection; the answer can still be read.
     pub fn half_close(&self) {
         self.sock.shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Breaks the connection so that the other side learns of it.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         let sock = socket2::Socket::from(self.sock);
         sock.set_linger(Some(std::time::Duration::ZERO)).unwrap();
     }
 
-    /// Reads to the end of the answer, and after it to that of the connection.
+    /// Reads until the connection ends, and returns the outcome.
     pub fn outcome(self) -> CallerOutcome {
         self.outcome_with_headers().0
     }
 
-    /// As `seen`, with the headers of the answer.
+    /// As [`PendingAnswer::outcome`], with the headers of the answer.
     pub fn outcome_with_headers(mut self) -> (CallerOutcome, BTreeMap<String, String>) {
         let mut bytes = Vec::new();
         match self.sock.read_to_end(&mut bytes) {
             Ok(_) => {}
             Err(e) if e.kind() == ErrorKind::ConnectionReset => {}
-            Err(e) => panic!("no end of the connection: {e}"),
+            Err(e) => panic!("reading the answer failed: {e}"),
         }
         parse_response(self.protocol, &bytes)
     }
 }
 
-/// What the bytes of one connection say.
+/// Parses all bytes that a node sent on one connection, which hold at most one answer.
 pub fn parse_response(
     protocol: Protocol,
     bytes: &[u8],
 ) -> (CallerOutcome, BTreeMap<String, String>) {
     let mut reader = ResponseReader::new(protocol, 1, usize::MAX);
-    let mut input = bytes;
-    let answered = match reader.read(&mut input) {
-        Ok(Some(answered)) => answered,
+    let mut unread = bytes;
+    let response = match reader.read(&mut unread) {
+        Ok(Some(response)) => response,
         Ok(None) | Err(_) => return (CallerOutcome::Nothing, BTreeMap::new()),
     };
-    assert!(input.is_empty(), "{} bytes follow the answer", input.len());
-    let answer = match answered {
+    assert!(unread.is_empty(), "{} bytes after the answer", unread.len());
+    let answer = match response {
         ResponseOutcome::Refused(_) => {
             return (
                 CallerOutcome::Rejected {
@@ -154,7 +158,7 @@
         .iter()
         .map(|(name, value)| (name.clone(), text(value)))
         .collect();
-    let seen = match answer.status {
+    let outcome = match answer.status {
         200 => CallerOutcome::Completed(answer.body),
         429 | 503 => CallerOutcome::Rejected {
             retry_after: headers.get("Retry-After-Ms").map(|ms| ms.parse().unwrap()),
@@ -165,5 +169,5 @@
         500 => CallerOutcome::Failed,
         status => CallerOutcome::Unreadable(status, text(&answer.body)),
     };
-    (seen, headers)
+    (outcome, headers)
 }
--- a/crates/fakes/src/child_process.rs
+++ b/crates/fakes/src/child_process.rs
@@ -1,4 +1,4 @@
-//! Processes that tests and the harness start.
+//! Control of the processes that tests and the harness start.
 
 use std::io;
 use std::os::unix::process::CommandExt;
@@ -6,7 +6,7 @@
 
 use rustix::process::{Signal, set_parent_process_death_signal};
 
-/// Sends a signal, named as `kill` takes it: `-TERM`.
+/// Sends a signal, which is named as for `kill`, such as `-TERM`.
 ///
 /// # Panics
 /// The signal can't be sent.
@@ -18,9 +18,10 @@
     );
 }
 
-/// Has the system kill a process when the thread that starts it ends, however that comes about.
+/// Has the kernel kill the started process when the thread that starts it ends for any reason.
 pub fn end_with_parent(command: &mut Command) {
-    let tie = || set_parent_process_death_signal(Some(Signal::KILL)).map_err(io::Error::from);
+    let set_death_signal =
+        || set_parent_process_death_signal(Some(Signal::KILL)).map_err(io::Error::from);
     // SAFETY: one system call, no allocation and no lock between fork and exec.
-    unsafe { command.pre_exec(tie) };
+    unsafe { command.pre_exec(set_death_signal) };
 }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine, played a line at a time.
+//! An engine that a test drives line by line.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -10,12 +10,12 @@
 
 use crate::MAX_WAIT;
 
-/// One link to the node.
+/// The engine's end of one link to a node.
 pub struct Engine {
     pub reader: BufReader<TcpStream>,
-    /// What the gauge of busy cores reads.
+    /// The number of busy cores that is reported in STATS.
     pub busy_cores: f32,
-    /// Number of the last notice told with `end`.
+    /// The serial number of the last notice that [`Engine::finish_run`] sent.
     pub last_serial: u64,
 }
 
@@ -28,12 +28,12 @@
         }
     }
 
-    /// A result as it stands in a notice.
+    /// Encodes a result as the `blob` of a notice.
     pub fn encode_result(result: &[u8]) -> String {
         STANDARD.encode(result)
     }
 
-    /// The next command; none once the link has ended.
+    /// Reads the next command; `None` if the link has ended or the line is not JSON.
     pub fn try_read_command(&mut self) -> Option<Value> {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Tells a notice; whether the link still takes it.
+    /// Sends a notice. Returns false if the link has failed.
     pub fn try_send(&mut self, notice: &Value) -> bool {
         self.reader
             .get_mut()
@@ -50,11 +50,12 @@
             .is_ok()
     }
 
+    /// Reads the next command, whichever it is.
     pub fn read_command(&mut self) -> Value {
         let mut line = String::new();
         assert!(
             self.reader.read_line(&mut line).unwrap() > 0,
-            "the node closed its link"
+            "the node closed the engine link"
         );
         serde_json::from_str(&line).unwrap()
     }
@@ -72,11 +73,12 @@
         );
     }
 
-    /// Takes the link up; `last` is what the node should say that it read.
+    /// Answers ATTACH with a HELLO of a warm engine. The node must report `last` as the last serial that it read.
     pub fn handshake(&mut self, last: u64) {
         self.handshake_as(last, "WARM", 60_000);
     }
 
+    /// As [`Engine::handshake`], with the state and the age of the engine that HELLO gives.
     pub fn handshake_as(&mut self, last: u64, how: &str, age_ms: u64) {
         assert_eq!(
             self.read_command(),
@@ -85,7 +87,7 @@
         self.send(json!({"msg": "HELLO", "how": how, "duration": age_ms}));
     }
 
-    /// Answers so many readings, between which there must be no other command.
+    /// Answers `count` STAT commands. Panics if any other command arrives between them.
     pub fn answer_stats(&mut self, count: usize) {
         for _ in 0..count {
             let stat = self.read_command();
@@ -94,11 +96,14 @@
         }
     }
 
-    /// The next command other than STAT, which is answered on the way.
+    /// Reads the next command other than STAT, and answers each STAT before it.
     pub fn next_command(&mut self) -> Value {
-        let until = Instant::now() + MAX_WAIT;
+        let deadline = Instant::now() + MAX_WAIT;
         loop {
-            assert!(Instant::now() < until, "no command but STAT");
+            assert!(
+                Instant::now() < deadline,
+                "no command other than STAT arrived"
+            );
             let command = self.read_command();
             if command["msg"] != "STAT" {
                 return command;
@@ -107,7 +112,7 @@
         }
     }
 
-    /// The next command other than STAT, if one comes before so many readings were asked for.
+    /// As [`Engine::next_command`], but returns `None` after `count` STAT commands.
     pub fn next_command_within_stats(&mut self, count: usize) -> Option<Value> {
         for _ in 0..count {
             let command = self.read_command();
@@ -119,7 +124,7 @@
         None
     }
 
-    /// The next RUN: its id and body.
+    /// Reads the next command, which must be RUN, and returns its id and body.
     pub fn next_run(&mut self) -> (String, Vec<u8>) {
         let command = self.next_command();
         assert_eq!(command["msg"], "RUN", "{command}");
@@ -127,12 +132,13 @@
         (command["call"].as_str().unwrap().to_string(), body)
     }
 
-    /// Tells the end of a run under the next number.
+    /// Sends the DONE of a run under the next serial number.
     pub fn finish_run(&mut self, call: &str, how: &str, result: &[u8]) {
         self.last_serial += 1;
         self.send_done(self.last_serial, call, how, result);
     }
 
+    /// Sends the DONE of a run under this serial number.
     pub fn send_done(&mut self, serial: u64, call: &str, how: &str, result: &[u8]) {
         let blob = STANDARD.encode(result);
         self.send(
--- a/crates/fakes/src/fixture.rs
+++ b/crates/fakes/src/fixture.rs
@@ -1,4 +1,4 @@
-//! The program under test, started on an address that no other start uses.
+//! Starts the program under test, each time on an address of its own.
 
 use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -17,11 +17,11 @@
 
 static STARTED: AtomicU32 = AtomicU32::new(0);
 
-/// A loopback address for one node; its ports from 9090 on are free, as no two starts get the same.
+/// Returns a loopback address for one node. Ports from 9090 on are free, as every call returns another IP address.
 pub fn fresh_address() -> SocketAddr {
-    let nth = STARTED.fetch_add(1, Ordering::Relaxed);
+    let count = STARTED.fetch_add(1, Ordering::Relaxed);
     let [.., b, c] = std::process::id().to_be_bytes();
-    SocketAddr::from(([127, 20 + (nth % 200) as u8, b, c], 9090))
+    SocketAddr::from(([127, 20 + (count % 200) as u8, b, c], 9090))
 }
 
 pub fn open_registry() -> UdpSocket {
@@ -30,19 +30,19 @@
     registry
 }
 
-/// What a node is to be started with.
+/// The settings and arguments that a node is started with.
 pub struct NodeSetup {
     program: PathBuf,
     /// Where the node listens for dispatchers.
     pub address: SocketAddr,
     pub config: Value,
-    /// The operators' own file, if there is to be one.
+    /// The content of the installation file; none is passed if this is `None`.
     pub installation: Option<Value>,
-    /// Arguments of the command line after `serve`.
+    /// Command line arguments after `serve`.
     pub arguments: Vec<String>,
-    /// The soft limit on its descriptors (RLIMIT_NOFILE), where it is to have a lower one than the test.
+    /// The soft limit on the node's descriptors (RLIMIT_NOFILE); `None` inherits the limit of the test.
     pub descriptor_limit: Option<u64>,
-    /// Whether it is killed when the thread that starts it ends.
+    /// Whether the node is killed when the thread that starts it ends.
     pub ends_with_parent: bool,
     engine_listener: TcpListener,
     registry: UdpSocket,
@@ -50,27 +50,27 @@
 
 impl NodeSetup {
     pub fn new(program: impl AsRef<Path>) -> NodeSetup {
-        let (at, registry) = (fresh_address(), open_registry());
-        let door = TcpListener::bind("127.0.0.1:0").unwrap();
+        let (node_address, registry) = (fresh_address(), open_registry());
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut config = config();
-        config["listen"] = json!(at.to_string());
-        config["engine"] = json!(door.local_addr().unwrap().to_string());
+        config["listen"] = json!(node_address.to_string());
+        config["engine"] = json!(listener.local_addr().unwrap().to_string());
         config["registry"] = json!(registry.local_addr().unwrap().to_string());
         let program = program.as_ref().to_path_buf();
         NodeSetup {
             program,
-            address: at,
+            address: node_address,
             config,
             installation: None,
             arguments: Vec::new(),
             descriptor_limit: None,
             ends_with_parent: false,
-            engine_listener: door,
+            engine_listener: listener,
             registry,
         }
     }
 
-    /// The same address with another port.
+    /// The node's IP address with another port.
     pub fn port(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.address.ip(), port)
     }
@@ -90,7 +90,7 @@
                 shell
             }
         };
-        // Without any word of its own it is started as the platform does it.
+        // Without an installation file or arguments, the node is started as the platform starts it: without `serve`.
         if self.installation.is_some() || !self.arguments.is_empty() {
             command.arg("serve").args(&self.arguments);
         }
@@ -116,7 +116,7 @@
         }
     }
 
-    /// A node whose engine is up.
+    /// Starts the node and connects its engine.
     pub fn start_with_engine(self) -> (NodeFixture, Engine) {
         let fixture = self.start();
         let mut engine = fixture.accept_engine();
@@ -125,25 +125,28 @@
     }
 }
 
-/// The program, with its engine and registry played by the test.
+/// A running node, for which the test acts as engine and registry.
 pub struct NodeFixture {
     pub program: Child,
     pub folder: ScratchFolder,
     /// Where the node listens for dispatchers.
     pub address: SocketAddr,
-    /// Where the node's engine link connects.
+    /// Accepts the node's engine link.
     pub engine_listener: TcpListener,
     pub registry: UdpSocket,
 }
 
 impl NodeFixture {
     pub fn accept_engine(&self) -> Engine {
-        let until = Instant::now() + MAX_WAIT;
+        let deadline = Instant::now() + MAX_WAIT;
         self.engine_listener.set_nonblocking(true).unwrap();
         let sock = loop {
             match self.engine_listener.accept() {
                 Ok((sock, _)) => break sock,
-                Err(e) => assert!(Instant::now() < until, "no link is made: {e}"),
+                Err(e) => assert!(
+                    Instant::now() < deadline,
+                    "the node opened no engine link: {e}"
+                ),
             }
             std::thread::sleep(Duration::from_millis(2));
         };
@@ -162,7 +165,7 @@
         let mut text = [0; 100];
         let n = loop {
             match self.registry.recv(&mut text) {
-                // The process was stopped and went on: of the node that says nothing.
+                // EINTR if the test process was stopped and resumed; the node has sent nothing.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 received => break received.unwrap(),
             }
@@ -170,22 +173,22 @@
         String::from_utf8_lossy(&text[..n]).into_owned()
     }
 
-    /// Waits for a report of this state, among a bounded number of others.
+    /// Waits for a report of this state, and skips a bounded number of others.
     pub fn wait_for_report(&self, state: &str) {
         let wanted = format!("BEAT n1 {state}");
         assert!(
             (0..40).any(|_| self.next_report() == wanted),
-            "never reported {state}"
+            "the node never reported {state}"
         );
     }
 
-    /// Replaces the configuration and tells the program so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.folder.join("config.json"), text).unwrap();
         self.signal("-HUP");
     }
 
-    /// Replaces the operators' own file and tells the program so.
+    /// Replaces the installation file and sends SIGHUP.
     pub fn replace_installation(&self, installation: &Value) {
         std::fs::write(
             self.folder.join("installation.json"),
@@ -199,7 +202,7 @@
         send_signal(self.program.id(), name);
     }
 
-    /// Waits for the end of the program: its status, and its log.
+    /// Waits until the node exits, and returns its exit code and its log.
     pub fn wait_for_exit(mut self) -> (Option<i32>, String) {
         let mut log = String::new();
         self.program
@@ -219,7 +222,7 @@
     }
 }
 
-/// What a node may be handed; every test changes its own copy.
+/// A valid configuration, which tests modify as needed.
 pub fn config() -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:9090", "engine": "127.0.0.1:4400", "registry": "127.0.0.1:2379",
@@ -249,16 +252,16 @@
     })
 }
 
-/// A connection to one that may be about to open its listener.
-pub fn connect(at: SocketAddr) -> TcpStream {
-    let until = Instant::now() + MAX_WAIT;
+/// Connects to a listener, and retries while it is not open yet.
+pub fn connect(address: SocketAddr) -> TcpStream {
+    let deadline = Instant::now() + MAX_WAIT;
     loop {
-        match TcpStream::connect(at) {
+        match TcpStream::connect(address) {
             Ok(sock) => {
                 sock.set_read_timeout(Some(MAX_WAIT)).unwrap();
                 return sock;
             }
-            Err(e) => assert!(Instant::now() < until, "{at}: {e}"),
+            Err(e) => assert!(Instant::now() < deadline, "{address}: {e}"),
         }
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/fakes/src/idle.rs
+++ b/crates/fakes/src/idle.rs
@@ -1,5 +1,5 @@
-//! Clients that hold connections open and ask little or nothing. Whoever is let go of comes back at once, so
-//! that the pressure on the node's descriptors lasts as long as the value lives.
+//! Clients that keep connections open and send little or nothing. A closed connection is replaced at once, so
+//! that the node's descriptors stay in use for as long as [`IdleClients`] exists.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,19 +11,19 @@
 use crate::MAX_WAIT;
 use crate::records::{record, request};
 
-/// How often each connection is looked at.
-const LOOK: Duration = Duration::from_millis(5);
-/// How long a connection may take to open before another try.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+/// Interval between two checks of a connection.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout of one attempt to connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an idle client does before it rests.
+/// What an idle client sends after it connects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleBehavior {
-    /// It connects and never speaks.
+    /// Nothing.
     Silent,
-    /// One health check, then nothing more.
+    /// One health check.
     HealthCheck,
-    /// The first half of a request, and never the rest.
+    /// The first half of a request.
     HalfRequest,
     /// A health check, then the first half of a request.
     HealthCheckThenHalfRequest,
@@ -37,8 +37,8 @@
         IdleBehavior::HealthCheckThenHalfRequest,
     ];
 
-    fn bytes(self, nth: u64) -> Vec<u8> {
-        let check = || request(1, nth, "/status/live", &[], b"");
+    fn bytes(self, attempt_number: u64) -> Vec<u8> {
+        let check = || request(1, attempt_number, "/status/live", &[], b"");
         let half = || record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0]);
         match self {
             IdleBehavior::Silent => Vec::new(),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Connections that lie idle on one node, kept up by a thread for each habit.
+/// Idle connections to one node, with a thread for each behavior.
 pub struct IdleClients {
     stop: Arc<AtomicBool>,
     opened: Arc<AtomicUsize>,
@@ -57,17 +57,17 @@
 }
 
 impl IdleClients {
-    /// `count` connections for each of the habits.
-    pub fn start(at: SocketAddr, habits: &[IdleBehavior], count: usize) -> IdleClients {
+    /// Opens `count` connections for each behavior.
+    pub fn start(address: SocketAddr, behaviors: &[IdleBehavior], count: usize) -> IdleClients {
         let (stop, opened) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
-        let thread = |habit: &IdleBehavior| {
-            let (habit, stop, opened) = (*habit, stop.clone(), opened.clone());
-            thread::spawn(move || keep_up(at, habit, count, &stop, &opened))
+        let thread = |behavior: &IdleBehavior| {
+            let (behavior, stop, opened) = (*behavior, stop.clone(), opened.clone());
+            thread::spawn(move || keep_open(address, behavior, count, &stop, &opened))
         };
-        let threads = habits.iter().map(thread).collect();
+        let threads = behaviors.iter().map(thread).collect();
         IdleClients {
             stop,
             opened,
@@ -75,21 +75,21 @@
         }
     }
 
-    /// Connections opened so far, those that took the place of an ended one included.
+    /// The number of connections opened so far, including those that replaced a closed one.
     pub fn opened(&self) -> usize {
         self.opened.load(Ordering::SeqCst)
     }
 
-    /// Waits until so many were opened.
+    /// Waits until `count` connections were opened.
     pub fn wait_until_opened(&self, count: usize) {
-        let until = Instant::now() + MAX_WAIT;
+        let deadline = Instant::now() + MAX_WAIT;
         while self.opened() < count {
             assert!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "{} of {count} idle connections were opened",
                 self.opened()
             );
-            thread::sleep(LOOK);
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 }
@@ -103,9 +103,9 @@
     }
 }
 
-fn keep_up(
-    at: SocketAddr,
-    habit: IdleBehavior,
+fn keep_open(
+    address: SocketAddr,
+    behavior: IdleBehavior,
     count: usize,
     stop: &AtomicBool,
     opened: &AtomicUsize,
@@ -116,25 +116,25 @@
             if connection.as_mut().is_some_and(is_open) {
                 continue;
             }
-            let nth = 1 << 32 | opened.load(Ordering::SeqCst) as u64;
-            *connection = open(at, &habit.bytes(nth)).ok();
+            let attempt_number = 1 << 32 | opened.load(Ordering::SeqCst) as u64;
+            *connection = open(address, &behavior.bytes(attempt_number)).ok();
             opened.fetch_add(usize::from(connection.is_some()), Ordering::SeqCst);
             if stop.load(Ordering::SeqCst) {
                 return;
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(CHECK_INTERVAL);
     }
 }
 
-fn open(at: SocketAddr, bytes: &[u8]) -> std::io::Result<TcpStream> {
-    let mut sock = TcpStream::connect_timeout(&at, CONNECT_WITHIN)?;
+fn open(address: SocketAddr, bytes: &[u8]) -> std::io::Result<TcpStream> {
+    let mut sock = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
     sock.write_all(bytes)?;
     sock.set_nonblocking(true)?;
     Ok(sock)
 }
 
-/// Reads what was answered, which nobody heeds; whether the node has not ended it.
+/// Discards received bytes. Returns true if the node has not closed the connection.
 fn is_open(sock: &mut TcpStream) -> bool {
     match sock.read(&mut [0; 4096]) {
         Ok(bytes) => bytes > 0,
--- a/crates/fakes/src/interrupt.rs
+++ b/crates/fakes/src/interrupt.rs
@@ -1,4 +1,4 @@
-//! SIGINT and SIGTERM for the test programs: what is to be done before they end.
+//! Handles SIGINT and SIGTERM in test programs, so that they can clean up before they exit.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -6,23 +6,23 @@
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-/// Does something at the first SIGINT or SIGTERM, on a thread of its own, in place of ending the process. Later ones
-/// change nothing.
+/// Calls `handler` on a thread of its own at the first SIGINT or SIGTERM, which then does not end the process. Later
+/// signals are ignored.
 ///
 /// # Errors
-/// The system gives no socket or no thread.
-pub fn on_interrupt(act: impl FnOnce() + Send + 'static) -> io::Result<()> {
+/// No socket or thread can be created.
+pub fn on_interrupt(handler: impl FnOnce() + Send + 'static) -> io::Result<()> {
     let (mut receiver, sender) = UnixStream::pair()?;
     for signal in [SIGINT, SIGTERM] {
         signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
     }
-    let wait = move || {
+    let wait_for_signal = move || {
         if receiver.read_exact(&mut [0]).is_ok() {
-            act();
+            handler();
         }
     };
     thread::Builder::new()
         .name("interrupt".into())
-        .spawn(wait)?;
+        .spawn(wait_for_signal)?;
     Ok(())
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,12 +1,14 @@
-//! Everything that a node talks to, played by a script: for tests, benches and the example, on loopback only.
+//! Scripted peers of a node for tests, benches and the example. They use loopback addresses only.
 //!
-//! [`fixture::NodeSetup`] starts the program on an address of its own. [`engine::Engine`] plays the engine a line at a
-//! time. [`caller`] asks over either protocol as one does that knows its manners, [`records`] builds FastCGI
-//! byte by byte for those that do not, and [`server::Server`] is an application server over either protocol
-//! whose every answer follows a [`server::Behavior`]. [`idle::IdleClients`] hold connections open and ask little.
+//! - [`fixture::NodeSetup`] starts the program on an address of its own.
+//! - [`engine::Engine`] is an engine that a test drives line by line.
+//! - [`caller`] sends well-formed requests over either protocol.
+//! - [`records`] builds FastCGI records byte by byte, also malformed ones.
+//! - [`server::Server`] is an application server that answers each request as its [`server::Behavior`] says.
+//! - [`immediate`] has an engine and servers that answer at once, for load tests.
+//! - [`idle::IdleClients`] keep connections open and send little or nothing.
 //!
-//! Whatever waits here has long limits, so that a slow machine changes no verdict. A failure is a panic: a
-//! stand-in is part of its test.
+//! Timeouts are long, so that a slow machine does not fail a test. Errors panic, as in any other test code.
 
 pub mod caller;
 pub mod child_process;
@@ -22,10 +24,10 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The longest that anything is waited for.
+/// Timeout of every wait.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Now, in Unix milliseconds.
+/// The current time in Unix milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -33,19 +35,19 @@
         .as_millis() as u64
 }
 
-/// A stream cut at these places, in whatever order they are named.
-pub fn split_at_offsets(stream: &[u8], mut places: Vec<usize>) -> Vec<&[u8]> {
-    places.sort_unstable();
-    let (mut parts, mut from) = (Vec::new(), 0);
-    for place in places {
-        parts.push(&stream[from..place]);
-        from = place;
+/// Splits a stream at byte offsets, which may be in any order.
+pub fn split_at_offsets(stream: &[u8], mut offsets: Vec<usize>) -> Vec<&[u8]> {
+    offsets.sort_unstable();
+    let (mut pieces, mut start) = (Vec::new(), 0);
+    for offset in offsets {
+        pieces.push(&stream[start..offset]);
+        start = offset;
     }
-    parts.push(&stream[from..]);
-    parts
+    pieces.push(&stream[start..]);
+    pieces
 }
 
-/// The name of the nth try: 16 hex digits.
-pub fn attempt_id(n: u64) -> String {
-    format!("{n:016x}")
+/// The id of an attempt: its number as 16 hex digits.
+pub fn attempt_id(number: u64) -> String {
+    format!("{number:016x}")
 }
--- a/crates/fakes/src/records.rs
+++ b/crates/fakes/src/records.rs
@@ -1,10 +1,11 @@
-//! FastCGI built byte by byte, apart from the code under test, and a dispatcher's connection that speaks it.
+//! FastCGI records built byte by byte, independently of the code under test, and a dispatcher's connection for them.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 
 use crate::{attempt_id, unix_ms};
 
+/// An answer. If the request was refused by FastCGI itself, `status` is the protocol status of END_REQUEST.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
     pub id: u16,
@@ -13,12 +14,12 @@
     pub body: Vec<u8>,
 }
 
-/// A dispatcher's connection.
+/// A dispatcher's connection to a node.
 pub struct Client {
     pub sock: TcpStream,
 }
 
-/// A field of a request under test; what is set twice is sent twice.
+/// Fields of a request that replace the defaults; a field that is given twice is sent twice.
 pub type Fields<'a> = &'a [(&'a str, &'a str)];
 
 pub fn record(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
@@ -31,13 +32,19 @@
     bytes
 }
 
-/// The records of one request. `more` replaces fields of the same name.
-pub fn request(id: u16, nth: u64, script: &str, more: Fields, body: &[u8]) -> Vec<u8> {
-    let (nth, now) = (attempt_id(nth), unix_ms().to_string());
+/// Encodes the records of one request. `overrides` replaces default fields of the same name.
+pub fn request(
+    id: u16,
+    attempt_number: u64,
+    script: &str,
+    overrides: Fields,
+    body: &[u8],
+) -> Vec<u8> {
+    let (attempt, now) = (attempt_id(attempt_number), unix_ms().to_string());
     let mut fields = vec![
         ("SCRIPT_NAME", script),
         ("REQUEST_METHOD", "POST"),
-        ("HTTP_X_REQUEST_ID", &nth),
+        ("HTTP_X_REQUEST_ID", &attempt),
     ];
     fields.extend([
         ("HTTP_X_REQUEST_START", &*now),
@@ -45,19 +52,19 @@
         ("HTTP_X_MEMORY_KB", "2.5"),
     ]);
     fields.push(("HTTP_X_RANK", "0.5"));
-    fields.retain(|(name, _)| more.iter().all(|(other, _)| other != name));
-    fields.extend(more);
+    fields.retain(|(name, _)| overrides.iter().all(|(other, _)| other != name));
+    fields.extend(overrides);
     let mut params = Vec::new();
     for (name, value) in fields {
         params.extend([name.len() as u8, value.len() as u8]);
         params.extend(name.bytes().chain(value.bytes()));
     }
-    let (early, late) = params.split_at(params.len() / 2);
+    let (first_half, second_half) = params.split_at(params.len() / 2);
     let mut bytes = record(1, id, &[0, 1, 1, 0, 0, 0, 0, 0]);
     bytes.extend(
         [
-            record(4, id, early),
-            record(4, id, late),
+            record(4, id, first_half),
+            record(4, id, second_half),
             record(4, id, b""),
         ]
         .concat(),
@@ -79,11 +86,12 @@
         self.sock.write_all(bytes).unwrap();
     }
 
-    pub fn send_look(&mut self, id: u16, nth: u64) {
-        self.send(&request(id, nth, "/svc/look", &[], b"body"));
+    /// Sends a request of the endpoint group `look`.
+    pub fn send_look(&mut self, id: u16, attempt_number: u64) {
+        self.send(&request(id, attempt_number, "/svc/look", &[], b"body"));
     }
 
-    /// The next whole answer. A refusal by the protocol's own status has that as its status.
+    /// Reads the next whole answer.
     pub fn reply(&mut self) -> Reply {
         let mut out = Vec::new();
         loop {
@@ -123,7 +131,7 @@
         loop {
             match self.sock.read(&mut [0]) {
                 Ok(n) => return n == 0,
-                // The process was stopped and went on: of the connection that says nothing.
+                // EINTR if the test process was stopped and resumed; the connection may still be open.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return e.kind() == ErrorKind::ConnectionReset,
             }
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules as seen from outside a node, checked on what callers were told and what was run.
+//! Checks the node's rules from outside: compares what callers were answered with what was run.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 use crate::caller::CallerOutcome;
 use crate::server::ReceivedRequest;
 
-/// One try as its caller knows it. Times are Unix ms.
+/// One attempt as its caller recorded it. Times are in Unix ms.
 #[derive(Clone, Debug)]
 pub struct CallerAttempt {
     pub attempt_number: u64,
-    /// The idempotency key, where it is deduplicated.
+    /// The idempotency key, if requests of its endpoint group are deduplicated.
     pub idempotency_key: Option<String>,
     pub sent: u64,
-    /// What it was told, and when; none where its caller left before.
+    /// The outcome and its time; `None` if the caller left before the answer.
     pub outcome: Option<(CallerOutcome, u64)>,
 }
 
-/// One run as who did it knows it: of which try, with which idempotency key.
+/// One run as the engine or server that executed it recorded it.
 #[derive(Clone, Debug)]
 pub struct ExecutedRun {
     pub attempt_id: String,
@@ -26,44 +26,45 @@
 }
 
 impl From<&ReceivedRequest> for ExecutedRun {
-    /// What an application server knows of a run: a request that named no try has none.
-    fn from(got: &ReceivedRequest) -> ExecutedRun {
+    /// Reads a run from the request that an application server received. The attempt id is empty if the request had none.
+    fn from(request: &ReceivedRequest) -> ExecutedRun {
         let text = |name: &str| {
-            got.variable(name)
+            request
+                .variable(name)
                 .map(|value| String::from_utf8_lossy(value).into_owned())
         };
         let attempt_id = text("HTTP_X_REQUEST_ID").unwrap_or_default();
         ExecutedRun {
             attempt_id,
             idempotency_key: text("HTTP_IDEMPOTENCY_KEY"),
-            at: got.received_at_ms,
+            at: request.received_at_ms,
         }
     }
 }
 
-/// What the node was bound to.
+/// The limits that the node had to keep to.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The deadline, and what a slow machine may add, in ms.
+    /// The deadline of a request plus an allowance for a slow machine, in ms.
     pub max_latency_ms: u64,
-    /// Nothing that was sent after this may be run: notice and grace, where the node was told to leave.
+    /// Unix ms after which no newly sent request may be run: the end of notice and grace if the node was drained.
     pub accepts_until_ms: Option<u64>,
-    /// Tries that one repeatable request may have.
+    /// Maximum number of runs of one attempt id, retries included.
     pub max_attempts: usize,
 }
 
-/// What is broken, in words; empty where all is kept. `result` tells what a run of this try brings.
+/// Describes every violation of the rules. `result` gives the expected result of a run of an attempt id.
 pub fn find_violations(
-    tried: &[CallerAttempt],
-    ran: &[ExecutedRun],
+    attempts: &[CallerAttempt],
+    executed: &[ExecutedRun],
     bounds: Bounds,
     result: impl Fn(&str) -> Vec<u8>,
 ) -> Vec<String> {
     let mut violations = Vec::new();
     let mut by_key: BTreeMap<&str, Vec<&ExecutedRun>> = BTreeMap::new();
-    let mut by_try: BTreeMap<&str, Vec<&ExecutedRun>> = BTreeMap::new();
-    for run in ran {
-        by_try.entry(&run.attempt_id).or_default().push(run);
+    let mut by_attempt: BTreeMap<&str, Vec<&ExecutedRun>> = BTreeMap::new();
+    for run in executed {
+        by_attempt.entry(&run.attempt_id).or_default().push(run);
         if let Some(key) = &run.idempotency_key {
             by_key.entry(key).or_default().push(run);
         }
@@ -71,50 +72,46 @@
     for (key, runs) in by_key.iter().filter(|(_, runs)| runs.len() > 1) {
         violations.push(format!("rule 2: {key} ran {} times: {runs:?}", runs.len()));
     }
-    for (attempt_id, runs) in by_try
+    for (attempt_id, runs) in by_attempt
         .iter()
         .filter(|(_, runs)| runs.len() > bounds.max_attempts)
     {
-        violations.push(format!("{attempt_id} was tried {} times", runs.len()));
+        violations.push(format!("{attempt_id} was run {} times", runs.len()));
     }
-    for tried in tried {
-        let id = attempt_id(tried.attempt_number);
-        let runs: Vec<&ExecutedRun> = match &tried.idempotency_key {
+    for attempt in attempts {
+        let id = attempt_id(attempt.attempt_number);
+        let runs: Vec<&ExecutedRun> = match &attempt.idempotency_key {
             Some(key) => by_key.get(key.as_str()).cloned().unwrap_or_default(),
-            None => by_try.get(id.as_str()).cloned().unwrap_or_default(),
+            None => by_attempt.get(id.as_str()).cloned().unwrap_or_default(),
         };
         if bounds
             .accepts_until_ms
-            .is_some_and(|closed| tried.sent > closed && by_try.contains_key(id.as_str()))
+            .is_some_and(|until| attempt.sent > until && by_attempt.contains_key(id.as_str()))
         {
-            violations.push(format!(
-                "rule 3: {id} was sent after notice and grace, and run"
-            ));
+            violations.push(format!("rule 3: {id} was sent after the grace, and run"));
         }
-        let Some((seen, at)) = &tried.outcome else {
+        let Some((outcome, answered_at)) = &attempt.outcome else {
             continue;
         };
-        match seen {
-            CallerOutcome::Nothing => violations.push(format!("rule 1: {id} was told nothing")),
-            _ if *at > tried.sent + bounds.max_latency_ms => {
+        match outcome {
+            CallerOutcome::Nothing => violations.push(format!("rule 1: {id} was not answered")),
+            _ if *answered_at > attempt.sent + bounds.max_latency_ms => {
                 violations.push(format!(
-                    "rule 1: {id} was told {} ms after it was sent",
-                    at - tried.sent
+                    "rule 1: {id} was answered {} ms after it was sent",
+                    answered_at - attempt.sent
                 ));
             }
-            CallerOutcome::Rejected { .. } if runs.iter().any(|run| run.at < tried.sent) => {
-                violations.push(format!(
-                    "rule 2: {id} was rejected, and its key had run before"
-                ));
+            CallerOutcome::Rejected { .. } if runs.iter().any(|run| run.at < attempt.sent) => {
+                violations.push(format!("rule 2: {id} was rejected after its key had run"));
             }
-            CallerOutcome::Rejected { .. } if by_try.contains_key(id.as_str()) => {
+            CallerOutcome::Rejected { .. } if by_attempt.contains_key(id.as_str()) => {
                 violations.push(format!("rule 2: {id} was run and rejected"));
             }
             CallerOutcome::Completed(body)
                 if !runs.iter().any(|run| *body == result(&run.attempt_id)) =>
             {
                 violations.push(format!(
-                    "{id} was told what no run of it brought: {}",
+                    "{id} got a result that none of its runs had: {}",
                     String::from_utf8_lossy(body)
                 ));
             }
--- a/crates/fakes/src/scratch_folder.rs
+++ b/crates/fakes/src/scratch_folder.rs
@@ -1,5 +1,5 @@
-//! Folders for the files of processes that tests and the harness start. They are removed when the program ends, also where it is
-//! interrupted.
+//! Folders for the files of processes that tests and the harness start. They are removed when the program ends, also
+//! when it is interrupted.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -7,14 +7,14 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
-/// All that are there.
+/// All folders that exist.
 static FOLDERS: Mutex<BTreeSet<PathBuf>> = Mutex::new(BTreeSet::new());
 
-/// A folder in the system's folder for temporary files; removed when it is dropped.
+/// A folder in the system's temporary directory, which is removed on drop.
 pub struct ScratchFolder(PathBuf);
 
 impl ScratchFolder {
-    /// Creates `doortrack-NAME`, unless it exists. The name has to be this process's own.
+    /// Creates `doortrack-NAME` unless it exists. The name must be unique to this process.
     ///
     /// # Errors
     /// The folder can't be created.
@@ -43,11 +43,11 @@
     }
 }
 
-/// Removes all that are there, and lets nobody create another: for a process that ends right after.
+/// Removes all folders and blocks every later attempt to create one. The process must exit right after.
 pub fn remove_all_at_exit() {
     let folders = FOLDERS.lock().unwrap_or_else(PoisonError::into_inner);
     for folder in folders.iter() {
         _ = std::fs::remove_dir_all(folder);
     }
-    std::mem::forget(folders); // Stays locked.
+    std::mem::forget(folders); // Keeps the mutex locked.
 }
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -1,4 +1,4 @@
-//! An application server over either protocol, whose every answer follows a script.
+//! An application server over either protocol that answers each request as a script says.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -14,16 +14,16 @@
 
 use crate::unix_ms;
 
-/// A request as the server read it.
+/// A request as the server received it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedRequest {
     pub id: u16,
     pub keep_alive: bool,
     pub variables: Vec<(String, Vec<u8>)>,
     pub body: Vec<u8>,
-    /// The connection on which it came, counted from 0.
+    /// The index of the connection it came on, from 0.
     pub connection: usize,
-    /// When it was whole, in Unix ms.
+    /// When the whole request had arrived, in Unix ms.
     pub received_at_ms: u64,
 }
 
@@ -36,45 +36,46 @@
     }
 }
 
-/// What is done with one request.
+/// What the server does with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// Answered with this status and body, after a while.
+    /// Answers with this status and body after a delay.
     Answer {
         status: &'static str,
         body: Vec<u8>,
         after: Duration,
     },
-    /// The first bytes of a sound answer, then the end of the connection.
+    /// Sends the first `at` bytes of a valid answer, then ends the connection.
     Cut {
         body: Vec<u8>,
         at: usize,
         how: Disconnect,
     },
-    /// These bytes, then the end of the connection.
+    /// Sends these bytes, then closes the connection.
     Garbage(Vec<u8>),
-    /// Nothing ever.
+    /// Never answers.
     Hang,
 }
 
+/// How the server ends a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disconnect {
     Close,
     Reset,
-    /// Nothing more is sent, and the connection stays open in the other direction.
+    /// Closes the sending direction only.
     HalfClose,
 }
 
-/// A request whose answer waits for the test's word.
+/// A request that the server answers when the test calls [`HeldRequest::respond`].
 pub struct HeldRequest {
     pub request: ReceivedRequest,
-    act: Sender<Behavior>,
+    behavior: Sender<Behavior>,
 }
 
 impl HeldRequest {
-    pub fn respond(self, act: Behavior) {
-        // Its connection may be gone.
-        _ = self.act.send(act);
+    pub fn respond(self, behavior: Behavior) {
+        // Sending fails if the connection has been closed.
+        _ = self.behavior.send(behavior);
     }
 }
 
@@ -88,31 +89,31 @@
     }
 }
 
-/// A second hand on each connection that is open, by which it can be broken from outside.
-type Open = Arc<Mutex<BTreeMap<usize, TcpStream>>>;
+/// A duplicate of each open socket by connection index, so that the server can close it from another thread.
+type OpenConnections = Arc<Mutex<BTreeMap<usize, TcpStream>>>;
 type Script = Arc<dyn Fn(&ReceivedRequest) -> Behavior + Send + Sync>;
 
-/// Serves in threads of its own until dropped: one for each connection.
+/// A running server, with one thread for each connection. Dropping it closes its listener and all connections.
 pub struct Server {
     pub address: SocketAddr,
     pub protocol: Protocol,
-    got: Arc<Mutex<Vec<ReceivedRequest>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
     connections: Arc<AtomicUsize>,
-    over: Arc<AtomicBool>,
-    open: Open,
+    stopped: Arc<AtomicBool>,
+    open: OpenConnections,
 }
 
 impl Server {
-    /// Holds each request until the test says what is to be done with it; one that it forgets hangs.
+    /// Starts a server that leaves the answer to each request to the test. A dropped [`HeldRequest`] is never answered.
     pub fn held(protocol: Protocol) -> (Server, Receiver<HeldRequest>) {
-        let (held, requests) = channel();
-        let server = Server::start(protocol, move |got| {
-            let (act, word) = channel();
-            _ = held.send(HeldRequest {
-                request: got.clone(),
-                act,
+        let (sender, requests) = channel();
+        let server = Server::start(protocol, move |request| {
+            let (behavior, chosen) = channel();
+            _ = sender.send(HeldRequest {
+                request: request.clone(),
+                behavior,
             });
-            word.recv().unwrap_or(Behavior::Hang)
+            chosen.recv().unwrap_or(Behavior::Hang)
         });
         (server, requests)
     }
@@ -124,37 +125,37 @@
         Server::start_at("127.0.0.1:0".parse().unwrap(), protocol, script)
     }
 
-    /// Serves at an address; one that was dropped before may be taken again at once.
+    /// Starts a server at an address, which may be that of a server dropped before.
     pub fn start_at(
-        at: SocketAddr,
+        address: SocketAddr,
         protocol: Protocol,
         script: impl Fn(&ReceivedRequest) -> Behavior + Send + Sync + 'static,
     ) -> Server {
-        let door = TcpListener::bind(at).unwrap();
+        let listener = TcpListener::bind(address).unwrap();
         let server = Server {
-            address: door.local_addr().unwrap(),
+            address: listener.local_addr().unwrap(),
             protocol,
-            got: Arc::default(),
+            received: Arc::default(),
             connections: Arc::default(),
-            over: Arc::default(),
+            stopped: Arc::default(),
             open: Arc::default(),
         };
         let script: Script = Arc::new(script);
-        let (got, connections) = (server.got.clone(), server.connections.clone());
-        let (over, open) = (server.over.clone(), server.open.clone());
+        let (received, connections) = (server.received.clone(), server.connections.clone());
+        let (stopped, open) = (server.stopped.clone(), server.open.clone());
         thread::spawn(move || {
-            for sock in door.incoming() {
+            for sock in listener.incoming() {
                 let Ok(sock) = sock else { continue };
-                if over.load(Ordering::SeqCst) {
+                if stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 let connection = connections.fetch_add(1, Ordering::SeqCst);
-                let Ok(hand) = sock.try_clone() else { continue };
-                open.lock().unwrap().insert(connection, hand);
-                let (script, got, open) = (script.clone(), got.clone(), open.clone());
+                let Ok(copy) = sock.try_clone() else { continue };
+                open.lock().unwrap().insert(connection, copy);
+                let (script, received, open) = (script.clone(), received.clone(), open.clone());
                 thread::spawn(move || {
-                    let sock = serve(sock, protocol, connection, &script, &got);
-                    // The last hand on it closes it.
+                    let sock = serve(sock, protocol, connection, &script, &received);
+                    // The connection is closed once both sockets are dropped.
                     open.lock().unwrap().remove(&connection);
                     drop(sock);
                 });
@@ -163,24 +164,24 @@
         server
     }
 
-    /// What was read so far.
+    /// The requests received so far.
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        self.got.lock().unwrap().clone()
+        self.received.lock().unwrap().clone()
     }
 
-    /// Connections taken so far.
+    /// The number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// The same, with what it had read by then.
+    /// As [`Server::kill`], but returns the requests received by then.
     pub fn kill_and_collect(self) -> Vec<ReceivedRequest> {
-        let got = self.got.clone();
+        let received = self.received.clone();
         drop(self);
-        got.lock().unwrap().clone()
+        received.lock().unwrap().clone()
     }
 
-    /// Ends as one that is killed: every connection broken, nothing listening any more.
+    /// Resets every connection and stops listening, as a killed process does. Returns the address.
     pub fn kill(self) -> SocketAddr {
         self.address
     }
@@ -188,11 +189,11 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
-        // The one who accepts is woken by a last connection, and lets go of its listener.
+        self.stopped.store(true, Ordering::SeqCst);
+        // A last connection wakes the accepting thread, which then closes its listener.
         drop(TcpStream::connect(self.address));
         for sock in self.open.lock().unwrap().values() {
-            break_off(sock);
+            reset_on_close(sock);
             _ = sock.shutdown(Shutdown::Both);
         }
         while TcpStream::connect(self.address).is_ok() {
@@ -201,8 +202,8 @@
     }
 }
 
-/// Its close will be told to the peer as a reset.
-fn break_off(sock: &TcpStream) {
+/// Makes the socket send a TCP reset when it is closed.
+fn reset_on_close(sock: &TcpStream) {
     _ = SockRef::from(sock).set_linger(Some(Duration::ZERO));
 }
 
@@ -211,10 +212,10 @@
     protocol: Protocol,
     connection: usize,
     script: &Script,
-    all: &Mutex<Vec<ReceivedRequest>>,
+    received: &Mutex<Vec<ReceivedRequest>>,
 ) -> TcpStream {
     let mut reader = RequestReader::new(protocol);
-    let (mut block, mut got) = (Vec::new(), ReceivedRequest::default());
+    let (mut variables_block, mut request) = (Vec::new(), ReceivedRequest::default());
     let mut buffer = [0; 16 * 1024];
     loop {
         let Ok(n) = sock.read(&mut buffer) else {
@@ -225,18 +226,18 @@
         }
         let mut input = &buffer[..n];
         loop {
-            let piece = match reader.next(&mut input) {
-                Ok(Some(piece)) => piece,
+            let event = match reader.next(&mut input) {
+                Ok(Some(event)) => event,
                 Ok(None) => break,
                 Err(_) => return sock,
             };
-            match piece {
+            match event {
                 RequestEvent::Begin {
                     id,
                     keep_connection: keep_alive,
                     ..
                 } => {
-                    (got, block) = (
+                    (request, variables_block) = (
                         ReceivedRequest {
                             id,
                             keep_alive,
@@ -246,20 +247,20 @@
                         Vec::new(),
                     )
                 }
-                RequestEvent::Params { bytes, .. } => block.extend(bytes),
-                RequestEvent::Stdin { bytes, .. } => got.body.extend(bytes),
+                RequestEvent::Params { bytes, .. } => variables_block.extend(bytes),
+                RequestEvent::Stdin { bytes, .. } => request.body.extend(bytes),
                 RequestEvent::StdinEnd { .. } => {
-                    let Ok(pairs) = protocol.read_variables(&block) else {
+                    let Ok(pairs) = protocol.read_variables(&variables_block) else {
                         return sock;
                     };
-                    let word = |name| String::from_utf8_lossy(name).into_owned();
-                    got.variables = pairs
+                    let text = |name| String::from_utf8_lossy(name).into_owned();
+                    request.variables = pairs
                         .iter()
-                        .map(|(name, value)| (word(name), value.to_vec()))
+                        .map(|(name, value)| (text(name), value.to_vec()))
                         .collect();
-                    got.received_at_ms = unix_ms();
-                    all.lock().unwrap().push(got.clone());
-                    if !act(&mut sock, protocol, &got, script(&got)) {
+                    request.received_at_ms = unix_ms();
+                    received.lock().unwrap().push(request.clone());
+                    if !carry_out(&mut sock, protocol, &request, script(&request)) {
                         return sock;
                     }
                 }
@@ -269,10 +270,15 @@
     }
 }
 
-/// Carries out one act; whether the connection goes on.
-fn act(sock: &mut TcpStream, protocol: Protocol, got: &ReceivedRequest, act: Behavior) -> bool {
+/// Carries out a behavior. Returns true if the connection stays open.
+fn carry_out(
+    sock: &mut TcpStream,
+    protocol: Protocol,
+    request: &ReceivedRequest,
+    behavior: Behavior,
+) -> bool {
     let mut out = Vec::new();
-    match act {
+    match behavior {
         Behavior::Answer {
             status,
             body,
@@ -287,7 +293,7 @@
             write_response(
                 protocol,
                 &mut out,
-                got.id,
+                request.id,
                 ResponseHead {
                     status,
                     headers: &headers,
@@ -295,13 +301,13 @@
                 },
                 &body,
             );
-            sock.write_all(&out).is_ok() && got.keep_alive && protocol == Protocol::FastCgi
+            sock.write_all(&out).is_ok() && request.keep_alive && protocol == Protocol::FastCgi
         }
         Behavior::Cut { body, at, how } => {
             write_response(
                 protocol,
                 &mut out,
-                got.id,
+                request.id,
                 ResponseHead {
                     status: "200 OK",
                     headers: &[],
@@ -313,7 +319,7 @@
             match how {
                 Disconnect::Close => false,
                 Disconnect::Reset => {
-                    break_off(sock);
+                    reset_on_close(sock);
                     false
                 }
                 Disconnect::HalfClose => {
