--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets of a fleet of processes: never more than the limit, by the count of callers and server, whatever
-//! dies, stops and is cut; and shown to be more when a safeguard is taken out of the program.
+//! The nodes of a fleet together never exceed a budget while nodes are killed or suspended and links are cut. Usage is
+//! counted by callers and servers. With a safeguard disabled, the limit is exceeded, so the count does detect it.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
-use crate::{parted, program, script};
+use crate::{partition, program, script};
 
 const NODES: usize = 5;
 const LIMIT: u32 = 150;
 const BURST: u32 = 50;
 const CONCURRENCY: u32 = 5;
-const HELD_MS: u32 = 400;
+const MAX_HOLD_MS: u32 = 400;
 
 fn profile() -> LoadProfile {
     let ms = Duration::from_millis;
@@ -33,15 +33,16 @@
 }
 
 fn budgets(limit: u32) -> Value {
-    let names: Vec<String> = (0..NODES).map(|of| format!("n{of}")).collect();
+    let names: Vec<String> = (0..NODES).map(|node| format!("n{node}")).collect();
     json!({"fleet": {"voters": names}, "budgets": [
         {"name": "looks", "kind": "rate", "limit": limit, "burst": BURST, "reserved": 4,
             "for": {"group": "look"}},
-        {"name": "pays", "kind": "concurrency", "limit": CONCURRENCY, "max_hold_ms": HELD_MS,
+        {"name": "pays", "kind": "concurrency", "limit": CONCURRENCY, "max_hold_ms": MAX_HOLD_MS,
             "for": {"group": "pay"}}]})
 }
 
-fn with(mut one: Value, other: Value) -> Value {
+/// Overwrites keys of a JSON object with those of another.
+fn merged(mut one: Value, other: Value) -> Value {
     for (key, value) in other.as_object().into_iter().flatten() {
         one[key] = value.clone();
     }
@@ -52,68 +53,77 @@
     Some([0x5a; 32])
 }
 
-fn standing(rig: &Rig, of: usize) -> Vec<BudgetStatus> {
-    query_budgets(rig.fleet_address(of), key()).unwrap().budgets
+fn budget_status(rig: &Rig, node: usize) -> Vec<BudgetStatus> {
+    query_budgets(rig.fleet_address(node), key())
+        .unwrap()
+        .budgets
 }
 
-/// Waits until what a node says of the first budget is as wanted.
-fn wait_for(rig: &Rig, of: usize, wanted: impl Fn(&BudgetStatus) -> bool) {
-    let until = std::time::Instant::now() + Duration::from_secs(30);
+/// Waits until a node reports the wanted status of the first budget.
+fn wait_for_status(rig: &Rig, node: usize, wanted: impl Fn(&BudgetStatus) -> bool) {
+    let deadline = std::time::Instant::now() + Duration::from_secs(30);
     loop {
-        let stands = standing(rig, of);
-        if stands.first().is_some_and(&wanted) {
+        let budgets = budget_status(rig, node);
+        if budgets.first().is_some_and(&wanted) {
             return;
         }
-        assert!(std::time::Instant::now() < until, "n{of}: {stands:?}");
+        assert!(std::time::Instant::now() < deadline, "n{node}: {budgets:?}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-fn play(script: &Script, words: &[&str]) -> LoadReport {
-    play_with(script, words, profile(), &budgets(LIMIT))
+fn run(script: &Script, extra_arguments: &[&str]) -> LoadReport {
+    run_with(script, extra_arguments, profile(), &budgets(LIMIT))
 }
 
-fn play_with(script: &Script, words: &[&str], profile: LoadProfile, own: &Value) -> LoadReport {
+/// Runs a script under load, with these further arguments and settings for every node.
+fn run_with(
+    script: &Script,
+    extra_arguments: &[&str],
+    profile: LoadProfile,
+    settings: &Value,
+) -> LoadReport {
     let mut load = Load::new(profile);
     let mut rig = Rig::new(program(), script.nodes, script.seed).unwrap();
-    for of in 0..script.nodes {
-        // Clocks go up to 2% apart, in turns ahead and behind.
-        let drift = if of % 2 == 0 { 15_000 } else { -15_000 };
-        let mut own = vec![format!("--test-drift-ppm={drift}")];
-        own.extend(words.iter().map(|word| word.to_string()));
-        rig.arguments.insert(of, own);
+    for node in 0..script.nodes {
+        // Clocks run 1.5% too fast and too slow in turn.
+        let drift = if node % 2 == 0 { 15_000 } else { -15_000 };
+        let mut node_arguments = vec![format!("--test-drift-ppm={drift}")];
+        node_arguments.extend(extra_arguments.iter().map(|argument| argument.to_string()));
+        rig.arguments.insert(node, node_arguments);
     }
-    let more = with(own.clone(), load.installation());
-    let more = |_: usize| more.clone();
+    let installation = merged(settings.clone(), load.installation());
+    let installation = |_: usize| installation.clone();
     rig.start_clock();
-    (0..script.nodes).for_each(|of| rig.start(of, of, &more(of)).unwrap());
-    let fronts: Vec<_> = (0..script.nodes)
-        .map(|of| rig.listener_address(of))
+    (0..script.nodes).for_each(|node| rig.start(node, node, &installation(node)).unwrap());
+    let listeners: Vec<_> = (0..script.nodes)
+        .map(|node| rig.listener_address(node))
         .collect();
-    load.start(&fronts, script.seed);
-    let began = std::time::Instant::now();
+    load.start(&listeners, script.seed);
+    let started = std::time::Instant::now();
     for timed in script.in_order() {
-        std::thread::sleep(Duration::from_millis(timed.at_ms).saturating_sub(began.elapsed()));
-        rig.inject(&timed.fault, &more).unwrap();
+        std::thread::sleep(Duration::from_millis(timed.at_ms).saturating_sub(started.elapsed()));
+        rig.inject(&timed.fault, &installation).unwrap();
     }
-    std::thread::sleep(Duration::from_millis(script.duration_ms).saturating_sub(began.elapsed()));
+    std::thread::sleep(Duration::from_millis(script.duration_ms).saturating_sub(started.elapsed()));
     load.finish()
 }
 
 fn violations(report: &LoadReport) -> Vec<String> {
-    let rate =
-        rate_exceeded(&report.unkeyed, LIMIT, BURST).map(|what| format!("without a key: {what}"));
-    let concurrency =
-        concurrency_exceeded(&report.runs, CONCURRENCY).map(|what| format!("with a key: {what}"));
+    let rate = rate_exceeded(&report.unkeyed, LIMIT, BURST)
+        .map(|violation| format!("without a key: {violation}"));
+    let concurrency = concurrency_exceeded(&report.runs, CONCURRENCY)
+        .map(|violation| format!("with a key: {violation}"));
     rate.into_iter().chain(concurrency).collect()
 }
 
-fn halves(at: u64, till: u64) -> Vec<(u64, Fault)> {
-    parted((vec![0, 1], vec![2, 3, 4]), at, till)
+/// Cuts the links between nodes 0 and 1 and the others from `at` until `heal_at`, in ms.
+fn partition_in_halves(at: u64, heal_at: u64) -> Vec<(u64, Fault)> {
+    partition((vec![0, 1], vec![2, 3, 4]), at, heal_at)
 }
 
 #[test]
-fn leaders_die_holders_stop_and_halves_part_and_the_limit_is_never_exceeded() {
+fn limits_hold_while_leaders_are_killed_holders_suspended_and_halves_partitioned() {
     let start = |nodes: Vec<usize>| Fault::Start { nodes, clock_ms: 0 };
     let mut faults = vec![
         (5_000, Fault::Kill { nodes: vec![0] }),
@@ -131,11 +141,11 @@
         (17_000, Fault::Leave { nodes: vec![4] }),
         (18_600, start(vec![4])),
     ];
-    faults.extend(halves(12_500, 15_500));
-    let report = play(&script(NODES, 22_000, faults), &[]);
+    faults.extend(partition_in_halves(12_500, 15_500));
+    let report = run(&script(NODES, 22_000, faults), &[]);
     let violations = violations(&report);
     assert!(violations.is_empty(), "{violations:#?}");
-    // It was put to use: a good part of what a leader could grant, however slow the machine.
+    // A good part of what a leader can grant was used, however slow the machine.
     assert!(
         report.unkeyed.len() > 300 && report.keyed.len() > 100,
         "{} {}",
@@ -144,14 +154,14 @@
     );
 }
 
-/// Nine processes, five of which are replaced within 7 s, links rough, and one way to a voter cut.
+/// Five of nine processes are restarted within 7 s, links lose and delay datagrams, and those to one voter are cut.
 #[test]
-fn a_concurrency_of_three_and_a_rate_among_nine_that_are_released_in_seven_seconds() {
-    let own = json!({"fleet": {"voters": ["n0", "n1", "n2", "n3", "n4"]}, "budgets": [
+fn limits_hold_among_nine_nodes_of_which_five_are_restarted_in_seven_seconds() {
+    let settings = json!({"fleet": {"voters": ["n0", "n1", "n2", "n3", "n4"]}, "budgets": [
         {"name": "looks", "kind": "rate", "limit": LIMIT, "burst": BURST, "for": {"group": "look"}},
-        {"name": "pays", "kind": "concurrency", "limit": 3, "max_hold_ms": HELD_MS,
+        {"name": "pays", "kind": "concurrency", "limit": 3, "max_hold_ms": MAX_HOLD_MS,
             "for": {"group": "pay"}}]});
-    let rough = Fault::Links {
+    let faulty = Fault::Links {
         loss: 0.05,
         doubled: 0.1,
         garbled: 0.01,
@@ -159,7 +169,7 @@
     };
     let others: Vec<usize> = vec![1, 2, 3, 4, 5, 6, 7, 8];
     let mut faults = vec![
-        (4_000, rough),
+        (4_000, faulty),
         (
             5_000,
             Fault::Cut {
@@ -175,18 +185,18 @@
             },
         ),
     ];
-    for nth in 0..5 {
-        let at = 9_000 + 1_300 * nth as u64;
+    for index in 0..5 {
+        let at = 9_000 + 1_300 * index as u64;
         faults.push((
             at,
             Fault::Leave {
-                nodes: vec![nth + 2],
+                nodes: vec![index + 2],
             },
         ));
         faults.push((
             at + 1_200,
             Fault::Start {
-                nodes: vec![nth + 2],
+                nodes: vec![index + 2],
                 clock_ms: 0,
             },
         ));
@@ -196,11 +206,11 @@
         preferred_for: Some(ms(1_000)),
         ..profile()
     };
-    let report = play_with(&script(9, 19_000, faults), &[], profile, &own);
+    let report = run_with(&script(9, 19_000, faults), &[], profile, &settings);
     assert_eq!(rate_exceeded(&report.unkeyed, LIMIT, BURST), None);
     assert_eq!(concurrency_exceeded(&report.runs, 3), None);
-    // Each permit goes round: three, and yet most nodes had one.
-    let fronts: std::collections::BTreeSet<usize> = report
+    // The three permits move between the nodes, so most nodes have had one.
+    let served_nodes: std::collections::BTreeSet<usize> = report
         .requests
         .iter()
         .filter(|request| {
@@ -209,66 +219,66 @@
         .map(|request| request.node)
         .collect();
     assert!(
-        fronts.len() >= 6 && report.keyed.len() > 50,
-        "{fronts:?} {}",
+        served_nodes.len() >= 6 && report.keyed.len() > 50,
+        "{served_nodes:?} {}",
         report.keyed.len()
     );
 }
 
 #[test]
-fn without_a_majority_two_halves_use_more_than_the_limit() {
-    let report = play(
-        &script(NODES, 13_000, halves(4_000, 12_500)),
+fn without_the_majority_check_two_halves_exceed_the_limit() {
+    let report = run(
+        &script(NODES, 13_000, partition_in_halves(4_000, 12_500)),
         &["--test-without", "majority"],
     );
     assert!(
         !violations(&report).is_empty(),
-        "{} ran without a key",
+        "{} runs without a key",
         report.unkeyed.len()
     );
 }
 
 #[test]
-fn allocations_are_granted_run_out_to_the_reserved_minimums_and_follow_a_lower_limit() {
+fn allocations_are_granted_follow_a_lower_limit_and_expire_to_the_reserved_minimums() {
     let mut rig = Rig::new(program(), NODES, 3).unwrap();
-    let more = |_: usize| budgets(LIMIT);
+    let installation = |_: usize| budgets(LIMIT);
     rig.start_clock();
-    (0..NODES).for_each(|of| rig.start(of, of, &more(of)).unwrap());
-    // All alike: a fifth each, and 4 of it set aside.
-    (0..NODES).for_each(|of| {
-        wait_for(&rig, of, |of| {
-            of.allocation >= 24_000 && of.until_ms.is_some()
+    (0..NODES).for_each(|node| rig.start(node, node, &installation(node)).unwrap());
+    // Without load, each node gets a fifth of the limit, which includes its reserved 4.
+    (0..NODES).for_each(|node| {
+        wait_for_status(&rig, node, |budget| {
+            budget.allocation >= 24_000 && budget.until_ms.is_some()
         })
     });
-    // One node learns of a lower limit: all keep to it.
+    // A lower limit that one node reloads applies to all.
     rig.reload(3, &budgets(50)).unwrap();
-    (0..NODES).for_each(|of| wait_for(&rig, of, |of| of.allocation <= 12_000));
+    (0..NODES).for_each(|node| wait_for_status(&rig, node, |budget| budget.allocation <= 12_000));
     rig.reload(3, &budgets(LIMIT)).unwrap();
-    (0..NODES).for_each(|of| wait_for(&rig, of, |of| of.allocation >= 24_000));
-    // Other voters, or another kind under the name, change nothing under way: they need a start.
-    let voters = with(budgets(20), json!({"fleet": {"voters": ["n3", "n4"]}}));
+    (0..NODES).for_each(|node| wait_for_status(&rig, node, |budget| budget.allocation >= 24_000));
+    // Other voters, or another kind of a budget, take effect only at a restart.
+    let voters = merged(budgets(20), json!({"fleet": {"voters": ["n3", "n4"]}}));
     rig.reload(3, &voters).unwrap();
     let mut other_kind = budgets(20);
     other_kind["budgets"][0] =
         json!({"name": "looks", "kind": "concurrency", "limit": 7, "for": {"group": "look"}});
     rig.reload(4, &other_kind).unwrap();
     std::thread::sleep(Duration::from_millis(500));
-    (0..NODES).for_each(|of| {
-        wait_for(&rig, of, |of| {
-            of.allocation >= 24_000 && of.rate && of.limit == LIMIT
+    (0..NODES).for_each(|node| {
+        wait_for_status(&rig, node, |budget| {
+            budget.allocation >= 24_000 && budget.rate && budget.limit == LIMIT
         })
     });
-    // Most voters gone: the reserved minimums are left.
+    // Without a majority of voters only the reserved minimums remain.
     rig.inject(
         &Fault::Kill {
             nodes: vec![0, 1, 2],
         },
-        &more,
+        &installation,
     )
     .unwrap();
-    [3, 4].iter().for_each(|of| {
-        wait_for(&rig, *of, |of| {
-            of.allocation == 4_000 && of.until_ms.is_none()
+    [3, 4].iter().for_each(|node| {
+        wait_for_status(&rig, *node, |budget| {
+            budget.allocation == 4_000 && budget.until_ms.is_none()
         })
     });
     rig.inject(
@@ -276,13 +286,13 @@
             nodes: vec![0],
             clock_ms: 0,
         },
-        &more,
+        &installation,
     )
     .unwrap();
     [0, 3, 4]
         .iter()
-        .for_each(|of| wait_for(&rig, *of, |of| of.allocation > 30_000));
-    let status = std::process::Command::new(program())
+        .for_each(|node| wait_for_status(&rig, *node, |budget| budget.allocation > 30_000));
+    let output = std::process::Command::new(program())
         .args([
             "fleet",
             "status",
@@ -294,16 +304,16 @@
         .arg(rig.key_file())
         .output()
         .unwrap();
-    let seen: Value = serde_json::from_slice(&status.stdout).unwrap();
-    assert_eq!(seen["budgets"][0]["name"], "looks", "{seen}");
+    let status: Value = serde_json::from_slice(&output.stdout).unwrap();
+    assert_eq!(status["budgets"][0]["name"], "looks", "{status}");
     assert!(
-        seen["budgets"][0]["leader"].is_string() && seen["budgets"][1]["kind"] == "concurrency",
-        "{seen}"
+        status["budgets"][0]["leader"].is_string() && status["budgets"][1]["kind"] == "concurrency",
+        "{status}"
     );
 }
 
 #[test]
-fn what_is_denied_for_a_budget_is_told_when_to_come_back() {
+fn requests_rejected_by_a_budget_carry_a_retry_time() {
     let ms = Duration::from_millis;
     let mut load = Load::new(LoadProfile {
         callers: 4,
@@ -312,60 +322,65 @@
         run_time: ms(1),
     });
     let mut rig = Rig::new(program(), 1, 3).unwrap();
-    // One node, whose reserved minimum is all there is.
-    let own = json!({"fleet": {"voters": ["n0"]}, "budgets": [
+    // One node, whose reserved minimum is the whole limit.
+    let settings = json!({"fleet": {"voters": ["n0"]}, "budgets": [
         {"name": "looks", "kind": "rate", "limit": 20, "burst": 10, "reserved": 20,
             "for": {"pool": "servers"}}]});
-    rig.start(0, 0, &with(own, load.installation())).unwrap();
+    rig.start(0, 0, &merged(settings, load.installation()))
+        .unwrap();
     drop(doortrack_fakes::fixture::connect(rig.listener_address(0)));
-    let began = doortrack_fakes::unix_ms();
+    let started_at = doortrack_fakes::unix_ms();
     load.start(&[rig.listener_address(0)], 1);
     std::thread::sleep(ms(2_000));
     let report = load.finish();
-    let all: Vec<_> = report
+    let admitted: Vec<_> = report
         .unkeyed
         .iter()
         .chain(&report.keyed)
         .copied()
         .collect();
-    assert_eq!(rate_exceeded(&all, 20, 10), None);
-    assert!(used(&all, 20, began, began + 2_000) > 0.5, "{}", all.len());
-    let rejected = report
+    assert_eq!(rate_exceeded(&admitted, 20, 10), None);
+    assert!(
+        used(&admitted, 20, started_at, started_at + 2_000) > 0.5,
+        "{}",
+        admitted.len()
+    );
+    let retry_times = report
         .requests
         .iter()
         .filter_map(|request| match &request.answer {
             Some(CallerOutcome::Rejected { retry_after, .. }) => Some(retry_after.unwrap_or(0)),
             _ => None,
         });
-    let rejected: Vec<u64> = rejected.collect();
+    let retry_times: Vec<u64> = retry_times.collect();
     assert!(
-        rejected.len() > 20 && rejected.iter().any(|ms| *ms > 0),
-        "{rejected:?}"
+        retry_times.len() > 20 && retry_times.iter().any(|ms| *ms > 0),
+        "{retry_times:?}"
     );
 }
 
-/// All servers fail: each node by itself would retry far more than the fleet may.
+/// All servers fail, so each node alone would retry far more than the budget of the fleet allows.
 #[test]
-fn retries_of_all_nodes_together_keep_to_the_fleets_budget() {
-    let breaks = |_: &ReceivedRequest| Behavior::Cut {
+fn retries_of_all_nodes_together_stay_within_the_budget_of_the_fleet() {
+    let close_connection = |_: &ReceivedRequest| Behavior::Cut {
         body: Vec::new(),
         at: 0,
         how: Disconnect::Close,
     };
     let servers = [
-        Server::start(Protocol::FastCgi, breaks),
-        Server::start(Protocol::FastCgi, breaks),
+        Server::start(Protocol::FastCgi, close_connection),
+        Server::start(Protocol::FastCgi, close_connection),
     ];
     let mut rig = Rig::new(program(), 3, 3).unwrap();
-    let own = json!({"fleet": {"voters": ["n0", "n1", "n2"]},
+    let installation = json!({"fleet": {"voters": ["n0", "n1", "n2"]},
         "servers": {"protocol": "fastcgi", "at_once": 8,
-            "addresses": servers.each_ref().map(|of| of.address.to_string()),
+            "addresses": servers.each_ref().map(|server| server.address.to_string()),
             "aside": {"failures": 1000}, "retries": {"share": 1.0, "burst": 1000, "tries": 3}},
         "budgets": [{"name": "again", "kind": "rate", "limit": 12, "burst": 6,
             "for": {"retries": "servers"}}]});
-    (0..3).for_each(|of| rig.start(of, of, &own).unwrap());
-    (0..3).for_each(|of| wait_for(&rig, of, |of| of.until_ms.is_some()));
-    let began = doortrack_fakes::unix_ms();
+    (0..3).for_each(|node| rig.start(node, node, &installation).unwrap());
+    (0..3).for_each(|node| wait_for_status(&rig, node, |budget| budget.until_ms.is_some()));
+    let started_at = doortrack_fakes::unix_ms();
     let mut load = Load::new(LoadProfile {
         callers: 6,
         pause: Duration::from_millis(5),
@@ -373,24 +388,24 @@
     });
     load.start(
         &(0..3)
-            .map(|of| rig.listener_address(of))
+            .map(|node| rig.listener_address(node))
             .collect::<Vec<_>>(),
         2,
     );
     std::thread::sleep(Duration::from_millis(4_000));
     let requests = load.finish().requests.len();
-    let lasted = doortrack_fakes::unix_ms() - began;
-    let mut tries = std::collections::BTreeMap::new();
-    for got in servers.iter().flat_map(Server::received) {
-        *tries
-            .entry(got.variable("HTTP_X_REQUEST_ID").map(<[u8]>::to_vec))
+    let elapsed_ms = doortrack_fakes::unix_ms() - started_at;
+    let mut attempts = std::collections::BTreeMap::new();
+    for request in servers.iter().flat_map(Server::received) {
+        *attempts
+            .entry(request.variable("HTTP_X_REQUEST_ID").map(<[u8]>::to_vec))
             .or_insert(0u64) += 1;
     }
-    let retries: u64 = tries.values().map(|count| count - 1).sum();
-    let most = 12.0 * (lasted + 1_000) as f64 / 1_000.0 + 6.0;
+    let retries: u64 = attempts.values().map(|count| count - 1).sum();
+    let max_retries = 12.0 * (elapsed_ms + 1_000) as f64 / 1_000.0 + 6.0;
     assert!(
-        retries as f64 <= most,
-        "{retries} retries of {requests} requests, {most} at most"
+        retries as f64 <= max_retries,
+        "{retries} retries of {requests} requests, at most {max_retries} allowed"
     );
     assert!(
         retries > 10 && requests > 200,
@@ -398,9 +413,10 @@
     );
 }
 
-fn seen(rig: &Rig, nth: u64, key: Option<&str>) -> CallerOutcome {
-    let ask = CallerRequest::new(
-        nth,
+/// Sends one request, under an idempotency key if there is one.
+fn send(rig: &Rig, attempt_number: u64, key: Option<&str>) -> CallerOutcome {
+    let request = CallerRequest::new(
+        attempt_number,
         if key.is_some() {
             "/svc/pay"
         } else {
@@ -408,92 +424,104 @@
         },
         b"berth",
     );
-    let ask = key.map_or(ask.clone(), |key| ask.with("HTTP_IDEMPOTENCY_KEY", key));
-    ask.send(rig.listener_address(0), Protocol::FastCgi)
+    let request = key.map_or(request.clone(), |key| {
+        request.with("HTTP_IDEMPOTENCY_KEY", key)
+    });
+    request
+        .send(rig.listener_address(0), Protocol::FastCgi)
         .outcome()
 }
 
-/// Asks under new ids until one is completed; the id.
-fn until_completed(rig: &Rig, key: Option<&str>) -> u64 {
-    let until = std::time::Instant::now() + Duration::from_secs(30);
-    for nth in 1.. {
-        if matches!(seen(rig, nth, key), CallerOutcome::Completed(_)) {
-            return nth;
+/// Sends requests with new attempt numbers until one is completed, and returns its number.
+fn send_until_completed(rig: &Rig, key: Option<&str>) -> u64 {
+    let deadline = std::time::Instant::now() + Duration::from_secs(30);
+    for attempt_number in 1.. {
+        if matches!(send(rig, attempt_number, key), CallerOutcome::Completed(_)) {
+            return attempt_number;
         }
-        assert!(std::time::Instant::now() < until, "nothing is ever taken");
+        assert!(
+            std::time::Instant::now() < deadline,
+            "no request was completed"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     unreachable!()
 }
 
-fn alone(server: &Server, answer_within_ms: u32, budget: Value) -> Rig {
+/// Starts one node that is the whole fleet, with one server and one budget.
+fn start_single_node(server: &Server, answer_within_ms: u32, budget: Value) -> Rig {
     let mut rig = Rig::new(program(), 1, 3).unwrap();
-    let own = json!({"fleet": {"voters": ["n0"]}, "budgets": [budget],
+    let installation = json!({"fleet": {"voters": ["n0"]}, "budgets": [budget],
         "servers": {"protocol": "fastcgi", "addresses": [server.address.to_string()], "at_once": 8,
             "answer_within_ms": answer_within_ms, "aside": {"failures": 1000}, "retries": {"tries": 1}}});
-    rig.start(0, 0, &own).unwrap();
+    rig.start(0, 0, &installation).unwrap();
     drop(doortrack_fakes::fixture::connect(rig.listener_address(0)));
     rig
 }
 
 #[test]
-fn a_repeat_is_answered_while_its_budget_has_nothing_left() {
+fn a_duplicate_is_answered_while_its_budget_is_exhausted() {
     let server = Server::start(Protocol::FastCgi, |_| Behavior::ok("done"));
     let budget = json!({"name": "pays", "kind": "rate", "limit": 1, "burst": 1, "reserved": 1,
         "for": {"group": "pay"}});
-    let rig = alone(&server, 5_000, budget);
-    let (key, other) = (
+    let rig = start_single_node(&server, 5_000, budget);
+    let (key, other_key) = (
         "00112233445566778899aabbccddeeff",
         "ffeeddccbbaa99887766554433221100",
     );
-    let first = until_completed(&rig, Some(key));
-    // However slow the machine: several repeats for each new idempotency key that is rejected.
+    let first = send_until_completed(&rig, Some(key));
+    // Sends duplicates in turn with requests under a new key, some of which are rejected, however slow the machine.
     let mut rejected = 0;
-    for nth in (first + 1..).step_by(2).take(60) {
+    for attempt_number in (first + 1..).step_by(2).take(60) {
         assert_eq!(
-            seen(&rig, nth, Some(key)),
+            send(&rig, attempt_number, Some(key)),
             CallerOutcome::Completed(b"done".to_vec())
         );
         rejected += usize::from(matches!(
-            seen(&rig, nth + 1, Some(other)),
+            send(&rig, attempt_number + 1, Some(other_key)),
             CallerOutcome::Rejected { .. }
         ));
     }
-    assert!(rejected > 0, "the budget was never empty");
+    assert!(rejected > 0, "the budget was never exhausted");
     assert!(
         server.received().len() <= 2,
-        "{} runs of two keys",
+        "{} runs under two keys",
         server.received().len()
     );
 }
 
-/// What a node gives up may go on in its server: its permit is free only once that is over.
+/// A run that the node has given up may still execute in its server, so its permit stays held for `max_hold_ms`.
 #[test]
-fn the_permit_of_a_run_that_was_given_up_is_held_on() {
+fn the_permit_of_an_abandoned_run_stays_held() {
     let server = Server::start(Protocol::FastCgi, |_| Behavior::Hang);
     let budget = json!({"name": "all", "kind": "concurrency", "limit": 1, "reserved": 1, "max_hold_ms": 3_000,
         "for": {"pool": "servers"}});
-    let rig = alone(&server, 100, budget);
-    let until = std::time::Instant::now() + Duration::from_secs(30);
-    let mut nth = 0;
+    let rig = start_single_node(&server, 100, budget);
+    let deadline = std::time::Instant::now() + Duration::from_secs(30);
+    let mut attempt_number = 0;
     while server.received().len() < 3 {
-        nth += 1;
+        attempt_number += 1;
         assert!(!matches!(
-            seen(&rig, nth, None),
+            send(&rig, attempt_number, None),
             CallerOutcome::Completed(_)
         ));
         assert!(
-            std::time::Instant::now() < until,
+            std::time::Instant::now() < deadline,
             "{} runs",
             server.received().len()
         );
         std::thread::sleep(Duration::from_millis(10));
     }
-    let at: Vec<u64> = server
+    let received_at: Vec<u64> = server
         .received()
         .iter()
-        .map(|got| got.received_at_ms)
+        .map(|request| request.received_at_ms)
         .collect();
-    // Each waits for the permit of the one before, which was given up after 0.1 s.
-    assert!(at.windows(2).all(|two| two[1] >= two[0] + 3_000), "{at:?}");
+    // Each run waits for the permit of the one before, which was given up after 0.1 s.
+    assert!(
+        received_at
+            .windows(2)
+            .all(|pair| pair[1] >= pair[0] + 3_000),
+        "{received_at:?}"
+    );
 }
--- a/crates/node/tests/fleet/drains.rs
+++ b/crates/node/tests/fleet/drains.rs
@@ -1,4 +1,4 @@
-//! A short soak of graceful shutdowns; the long one is `doortrack-harness drains`.
+//! A short series of graceful shutdowns; `doortrack-harness drains` runs longer ones.
 
 use doortrack_fault_harness::drains::{DrainReport, run_seeds};
 
@@ -8,20 +8,20 @@
 const SEEDS: u64 = 9;
 const PARALLEL: usize = 2;
 
-/// Guards against requests that are lost, denied after their run, run twice or late while a node drains.
+/// Guards against requests that are lost, rejected after their run, run twice or run late while a node drains.
 #[test]
-fn clients_that_go_on_until_the_kill_lose_nothing_whatever_signals_come() {
+fn requests_sent_until_the_kill_follow_the_rules_in_every_order_of_signals() {
     let mut reports: Vec<DrainReport> = Vec::new();
     run_seeds(program(), FIRST_SEED, SEEDS, PARALLEL, |report| {
         reports.push(report);
     });
-    let broken: Vec<&DrainReport> = reports
+    let violating: Vec<&DrainReport> = reports
         .iter()
         .filter(|report| !report.violations.is_empty())
         .collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violating.is_empty(), "{violating:#?}");
     assert_eq!(reports.len() as u64, SEEDS);
-    let all_met =
+    let has_requests =
         |report: &DrainReport| report.counts.completed > 20 && report.counts.sent_in_drain > 20;
-    assert!(reports.iter().all(all_met), "{reports:#?}");
+    assert!(reports.iter().all(has_requests), "{reports:#?}");
 }
--- a/crates/node/tests/fleet/encoding.rs
+++ b/crates/node/tests/fleet/encoding.rs
@@ -1,5 +1,5 @@
-//! The bytes of every message between nodes, as builds before the present names wrote them: nodes of two
-//! builds stand beside one another, so a name may change and an encoding may not.
+//! Guards the encoding of every message between nodes. Nodes of different builds run in one fleet, so types and
+//! fields may be renamed, but their bytes must stay those that older builds write.
 
 use doortrack_budgets::{Envelope, Grant, Message as BudgetMessage, NodeId, ReportItem};
 use doortrack_membership::{
@@ -116,8 +116,8 @@
     }))
 }
 
-fn hex(spoken: &PeerMessage) -> String {
-    postcard::to_allocvec(spoken)
+fn hex(message: &PeerMessage) -> String {
+    postcard::to_allocvec(message)
         .unwrap()
         .iter()
         .map(|byte| format!("{byte:02x}"))
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn datagrams_of_membership_keep_their_bytes() {
+fn encoding_of_membership_datagrams_is_unchanged() {
     let head = "0001618384040400007f000001e93908ac0205fe0106";
     let updates = "0401638384040400007f000001e939080163838404040109007f000001e93908\
                    01638384040402007f000001e9390801638384040403007f000001e93908";
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn envelopes_of_budgets_keep_their_bytes() {
+fn encoding_of_budget_envelopes_is_unchanged() {
     let item = ReportItem {
         id: 11,
         need: 1,
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn questions_and_answers_keep_their_bytes() {
+fn encoding_of_queries_and_their_answers_is_unchanged() {
     assert_eq!(
         hex(&PeerMessage::StatusQuery(StatusQuery {
             nonce: 1,
--- a/crates/node/tests/fleet/troubles.rs
+++ b/crates/node/tests/fleet/faults.rs
@@ -1,29 +1,30 @@
-//! Processes that die, stop, leave and come back, and links that break.
+//! Processes that are killed, suspended, drained and restarted, and links that fail.
 
 use doortrack_fault_harness::history::HistoryEvent;
 use doortrack_fault_harness::processes::{RunResult, run, run_with_older};
 use doortrack_fault_harness::script::{Fault, NetworkConditions, Script};
 
-use crate::{holds, parted, program, script};
+use crate::{assert_no_violations, partition, program, script};
 
 fn run_and_judge(script: &Script) -> RunResult {
     let result = run(program(), script, 3).unwrap();
-    holds(&result);
+    assert_no_violations(&result);
     result
 }
 
-fn told(result: &RunResult, wanted: &str) -> usize {
-    let is = |what: &HistoryEvent| matches!(what, HistoryEvent::MemberChange { change, .. } if change == wanted);
+/// Counts the log lines that report this change of a member.
+fn count_changes(result: &RunResult, wanted: &str) -> usize {
+    let is_wanted = |event: &HistoryEvent| matches!(event, HistoryEvent::MemberChange { change, .. } if change == wanted);
     result
         .history
         .entries
         .iter()
-        .filter(|entry| is(&entry.event))
+        .filter(|entry| is_wanted(&entry.event))
         .count()
 }
 
 #[test]
-fn half_of_a_fleet_killed_at_once_is_declared_dead_and_comes_back() {
+fn half_of_a_fleet_killed_at_once_is_declared_dead_and_rejoins() {
     let half = vec![0, 1, 2];
     let faults = vec![
         (
@@ -42,22 +43,22 @@
     ];
     let result = run_and_judge(&script(6, 9_000, faults));
     assert!(
-        told(&result, "dead") >= 9,
-        "each of three declared three dead\n{}",
+        count_changes(&result, "dead") >= 9,
+        "each of the three surviving nodes must declare three members dead\n{}",
         result.history.to_lines()
     );
 }
 
 #[test]
-fn all_started_anew_within_a_second_agree_again() {
-    let faults = (0..6).flat_map(|of| {
-        let at = 2_000 + of as u64 * 150;
+fn all_nodes_restarted_within_a_second_agree_again() {
+    let faults = (0..6).flat_map(|node| {
+        let at = 2_000 + node as u64 * 150;
         [
-            (at, Fault::Kill { nodes: vec![of] }),
+            (at, Fault::Kill { nodes: vec![node] }),
             (
                 at + 20,
                 Fault::Start {
-                    nodes: vec![of],
+                    nodes: vec![node],
                     clock_ms: 0,
                 },
             ),
@@ -67,33 +68,37 @@
 }
 
 #[test]
-fn a_release_in_steps_with_datagrams_lost_is_left_and_never_dead() {
-    let rough = Fault::Links {
+fn nodes_drained_one_by_one_with_datagram_loss_are_left_and_never_dead() {
+    let faulty = Fault::Links {
         loss: 0.1,
         doubled: 0.05,
         garbled: 0.02,
         delay_ms: 5,
     };
-    let calm = Fault::Links {
+    let fault_free = Fault::Links {
         loss: 0.0,
         doubled: 0.0,
         garbled: 0.0,
         delay_ms: 0,
     };
-    let mut faults = vec![(1_500, rough), (11_000, calm)];
-    for of in 0..5 {
-        let at = 2_000 + of as u64 * 1_800;
-        faults.push((at, Fault::Leave { nodes: vec![of] }));
+    let mut faults = vec![(1_500, faulty), (11_000, fault_free)];
+    for node in 0..5 {
+        let at = 2_000 + node as u64 * 1_800;
+        faults.push((at, Fault::Leave { nodes: vec![node] }));
         faults.push((
             at + 1_500,
             Fault::Start {
-                nodes: vec![of],
+                nodes: vec![node],
                 clock_ms: 0,
             },
         ));
     }
     let result = run_and_judge(&script(5, 12_000, faults));
-    assert!(told(&result, "left") >= 10, "{}", result.history.to_lines());
+    assert!(
+        count_changes(&result, "left") >= 10,
+        "{}",
+        result.history.to_lines()
+    );
     assert!(result.relay.garbled > 0 && result.relay.lost > 0);
 }
 
@@ -116,37 +121,45 @@
         ),
     ];
     let result = run_and_judge(&script(5, 12_000, faults));
-    let own = |what: &HistoryEvent| matches!(what, HistoryEvent::MemberChange { node: 0, change, .. } if change == "dead");
+    let declares_dead = |event: &HistoryEvent| matches!(event, HistoryEvent::MemberChange { node: 0, change, .. } if change == "dead");
     assert!(
-        !result.history.entries.iter().any(|entry| own(&entry.event)),
+        !result
+            .history
+            .entries
+            .iter()
+            .any(|entry| declares_dead(&entry.event)),
         "{}",
         result.history.to_lines()
     );
-    assert!(told(&result, "isolated") >= 1 && told(&result, "reconnected") >= 1);
+    assert!(count_changes(&result, "isolated") >= 1 && count_changes(&result, "reconnected") >= 1);
 }
 
 #[test]
-fn two_halves_that_hear_nothing_of_one_another_heal_without_a_start() {
+fn two_partitioned_halves_merge_again_without_a_restart() {
     let result = run_and_judge(&script(
         6,
         11_000,
-        parted((vec![0, 1, 2], vec![3, 4, 5]), 2_000, 9_000),
+        partition((vec![0, 1, 2], vec![3, 4, 5]), 2_000, 9_000),
     ));
-    assert!(told(&result, "dead") >= 18, "{}", result.history.to_lines());
+    assert!(
+        count_changes(&result, "dead") >= 18,
+        "{}",
+        result.history.to_lines()
+    );
     assert_eq!(
         result
             .history
             .entries
             .iter()
-            .filter(|e| matches!(e.event, HistoryEvent::Began { .. }))
+            .filter(|entry| matches!(entry.event, HistoryEvent::Began { .. }))
             .count(),
         6
     );
 }
 
 #[test]
-fn a_node_stopped_for_five_seconds_wakes_and_believes_nothing_unchecked() {
-    // Meanwhile another left and a third came anew: its old view is wrong twice.
+fn a_node_suspended_for_five_seconds_checks_its_view_when_it_resumes() {
+    // Meanwhile one member leaves and another restarts, so two entries of the suspended node's view are outdated.
     let faults = vec![
         (2_000, Fault::Suspend { nodes: vec![0] }),
         (3_000, Fault::Leave { nodes: vec![3] }),
@@ -161,20 +174,20 @@
         (7_000, Fault::Resume { nodes: vec![0] }),
     ];
     let result = run_and_judge(&script(5, 9_000, faults));
-    let still = |what: &HistoryEvent| matches!(what, HistoryEvent::MemberChange { node: 0, change, .. } if change == "resumed");
+    let is_resumed = |event: &HistoryEvent| matches!(event, HistoryEvent::MemberChange { node: 0, change, .. } if change == "resumed");
     assert!(
         result
             .history
             .entries
             .iter()
-            .any(|entry| still(&entry.event)),
+            .any(|entry| is_resumed(&entry.event)),
         "{}",
         result.history.to_lines()
     );
 }
 
 #[test]
-fn a_start_with_the_clock_set_back_and_old_datagrams_replayed_change_nothing_else() {
+fn restarts_with_the_clock_set_back_and_replayed_datagrams_supersede_no_node() {
     let faults = vec![
         (2_000, Fault::Kill { nodes: vec![1, 2] }),
         (
@@ -213,14 +226,14 @@
     ];
     let result = run_and_judge(&script(4, 11_000, faults));
     assert!(
-        told(&result, "superseded") == 0,
+        count_changes(&result, "superseded") == 0,
         "{}",
         result.history.to_lines()
     );
 }
 
 #[test]
-fn trouble_between_nodes_and_their_server_is_none_between_nodes() {
+fn faults_between_nodes_and_their_server_cause_no_suspicion_between_nodes() {
     let server = |nodes: Vec<usize>, cut, broken| {
         let conditions = NetworkConditions {
             cut,
@@ -237,7 +250,7 @@
     ];
     let result = run_and_judge(&script(3, 6_500, faults));
     assert_eq!(
-        told(&result, "suspected"),
+        count_changes(&result, "suspected"),
         0,
         "{}",
         result.history.to_lines()
@@ -245,13 +258,19 @@
 }
 
 #[test]
-fn trouble_between_nodes_and_their_callers_breaks_no_rule() {
+fn faults_between_nodes_and_their_callers_violate_no_rule() {
     let callers = |nodes: Vec<usize>, conditions| Fault::Callers { nodes, conditions };
-    let calm = NetworkConditions::default();
+    let fault_free = NetworkConditions::default();
     let faults = vec![
         (
             1_500,
-            callers(vec![0], NetworkConditions { cut: true, ..calm }),
+            callers(
+                vec![0],
+                NetworkConditions {
+                    cut: true,
+                    ..fault_free
+                },
+            ),
         ),
         (
             1_500,
@@ -260,7 +279,7 @@
                 NetworkConditions {
                     broken: 0.2,
                     delay_ms: 10,
-                    ..calm
+                    ..fault_free
                 },
             ),
         ),
@@ -270,7 +289,7 @@
                 vec![2],
                 NetworkConditions {
                     bytes_a_second: 20_000,
-                    ..calm
+                    ..fault_free
                 },
             ),
         ),
@@ -288,11 +307,11 @@
                 clock_ms: 0,
             },
         ),
-        (5_500, callers(vec![0, 1, 2], calm)),
+        (5_500, callers(vec![0, 1, 2], fault_free)),
         (5_500, Fault::Throttle { bytes_a_second: 0 }),
     ];
     let result = run_and_judge(&script(3, 7_000, faults));
-    // Some were broken off, and most went through.
+    // Some requests were cut off, and most were completed.
     let served = result.served;
     assert!(
         served.unanswered > 0 && served.completed * 10 > served.sent * 5,
@@ -300,9 +319,9 @@
     );
 }
 
-/// Here both builds are this one; `docs/fleet.md` tells of a play beside a real older one.
+/// Both builds are the current one here; `docs/fleet.md` describes a run beside an actual older build.
 #[test]
-fn an_older_build_stands_beside_a_newer_one() {
+fn an_older_and_a_newer_build_run_in_one_fleet() {
     let faults = vec![
         (1_500, Fault::Kill { nodes: vec![1, 2] }),
         (1_600, Fault::StartOlder { nodes: vec![1, 2] }),
@@ -317,11 +336,11 @@
     ];
     let script = script(4, 7_000, faults);
     let result = run_with_older(program(), Some(program()), &script, 3).unwrap();
-    holds(&result);
+    assert_no_violations(&result);
 }
 
 #[test]
-fn troubles_drawn_from_seeds_break_no_promise() {
+fn random_faults_from_seeds_violate_no_rule() {
     for seed in [3, 8] {
         let script = Script::seeded(seed, 5, 3);
         run_and_judge(&Script {
--- a/crates/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -1,21 +1,21 @@
-//! Several processes of the program and what lies between them broken: who is there is judged on the joint
-//! history by checkers that know nothing of the node's code.
+//! Runs fleets of node processes with faults in the processes and in the network between them. Checkers that share
+//! no code with the node verify membership on the combined history of all nodes.
 //!
-//! Every wait has a bound that a slow machine does not outlast; nothing is judged by how long it took.
+//! Every wait has a timeout that a slow machine does not reach; no check depends on how long something took.
 
 #![allow(
     clippy::too_many_lines,
-    reason = "a scenario is read from its start to its end"
+    reason = "a scenario is easier to read in one function"
 )]
 
 mod budgets;
 mod drains;
 mod encoding;
-mod link;
-mod ramp;
-mod rolling;
-mod served;
-mod troubles;
+mod faults;
+mod flooded_link;
+mod peer_link;
+mod rolling_restarts;
+mod slow_start;
 mod unnoticed;
 
 use std::path::Path;
@@ -28,20 +28,21 @@
     Path::new(env!("CARGO_BIN_EXE_doortrack"))
 }
 
-fn script(nodes: usize, ms: u64, faults: Vec<(u64, Fault)>) -> Script {
+fn script(nodes: usize, length_ms: u64, faults: Vec<(u64, Fault)>) -> Script {
     let faults = faults
         .into_iter()
         .map(|(at_ms, fault)| TimedFault { at_ms, fault })
         .collect();
     Script {
         nodes,
-        duration_ms: ms,
+        duration_ms: length_ms,
         seed: 5,
         faults,
     }
 }
 
-fn holds(result: &RunResult) {
+/// Checks membership on the history, the rules on the requests, and that requests were completed.
+fn assert_no_violations(result: &RunResult) {
     let violations = judge(&result.history, &membership());
     assert!(
         violations.is_empty(),
@@ -52,9 +53,9 @@
     assert!(result.served.completed > 0, "{:?}", result.served);
 }
 
-/// Nothing passes between two groups, either way, for a while.
-fn parted(nodes: (Vec<usize>, Vec<usize>), at: u64, till: u64) -> Vec<(u64, Fault)> {
-    let (one, other) = nodes;
+/// Cuts the links between two groups of nodes in both directions from `at` until `heal_at`, in ms.
+fn partition(groups: (Vec<usize>, Vec<usize>), at: u64, heal_at: u64) -> Vec<(u64, Fault)> {
+    let (one, other) = groups;
     vec![
         (
             at,
@@ -71,14 +72,14 @@
             },
         ),
         (
-            till,
+            heal_at,
             Fault::Heal {
                 from: one.clone(),
                 to: other.clone(),
             },
         ),
         (
-            till,
+            heal_at,
             Fault::Heal {
                 from: other,
                 to: one,
--- a/crates/node/tests/fleet/link.rs
+++ b/crates/node/tests/fleet/peer_link.rs
@@ -1,5 +1,4 @@
-//! What reaches the link that is not from the fleet, names used twice, seeds that are down, and the command
-//! line.
+//! Datagrams from outside the fleet, names used by two processes, seeds that are down, and the `fleet` commands.
 
 use std::net::UdpSocket;
 use std::process::Command;
@@ -23,18 +22,20 @@
     Rig::new(program(), nodes, 1).unwrap()
 }
 
-fn all_there(rig: &Rig, of: usize, count: usize) {
-    let there = |members: &[doortrack_fault_harness::history::Member]| {
+/// Waits until a node has this many members alive.
+fn wait_for_alive(rig: &Rig, node: usize, count: usize) {
+    let are_alive = |members: &[doortrack_fault_harness::history::Member]| {
         members
             .iter()
             .filter(|member| member.state == "alive")
             .count()
             == count
     };
-    assert!(rig.wait_for(of, there), "{:?}", rig.status(of));
+    assert!(rig.wait_for(node, are_alive), "{:?}", rig.status(node));
 }
 
-fn told(history: &History, node: usize, wanted: &str) -> bool {
+/// Returns true if a node logged this change of a member.
+fn has_change(history: &History, node: usize, wanted: &str) -> bool {
     history.entries.iter().any(|entry| match &entry.event {
         HistoryEvent::MemberChange {
             node: observer,
@@ -45,8 +46,8 @@
     })
 }
 
-/// A datagram of one that has no key, or another, or is of another fleet.
-fn strange(key: Option<[u8; 32]>, fleet: &str) -> Vec<u8> {
+/// Encodes a Join of an unknown node with this key and fleet name.
+fn foreign_datagram(key: Option<[u8; 32]>, fleet: &str) -> Vec<u8> {
     let sender = MemberUpdate {
         name: "unknown-peer".into(),
         incarnation: Incarnation(77),
@@ -73,20 +74,20 @@
 }
 
 #[test]
-fn garbage_and_unknown_peers_cost_a_counter() {
+fn garbage_and_unknown_peers_do_not_affect_the_view() {
     let mut rig = rig(3);
     rig.start_clock();
-    (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
-    (0..3).for_each(|of| all_there(&rig, of, 3));
+    (0..3).for_each(|node| rig.start(node, node, &Value::Null).unwrap());
+    (0..3).for_each(|node| wait_for_alive(&rig, node, 3));
     let sock = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let mut chance = fastrand::Rng::with_seed(4);
+    let mut rng = fastrand::Rng::with_seed(4);
     let key = Some([0x5a; 32]);
-    let mut version = strange(key, "rig");
-    version[0] = 9;
+    let mut unknown_version = foreign_datagram(key, "rig");
+    unknown_version[0] = 9;
     let kinds = [
-        strange(None, "rig"),
-        strange(key, "other"),
-        version,
+        foreign_datagram(None, "rig"),
+        foreign_datagram(key, "other"),
+        unknown_version,
         Vec::new(),
         vec![1],
         vec![1; 2_000],
@@ -94,49 +95,52 @@
     for nth in 0..30_000 {
         let mut bytes = kinds[nth % kinds.len()].clone();
         if nth % 4 == 0 {
-            bytes = (0..chance.usize(..600)).map(|_| chance.u8(..)).collect();
+            bytes = (0..rng.usize(..600)).map(|_| rng.u8(..)).collect();
         }
         _ = sock.send_to(&bytes, rig.fleet_address(0));
     }
-    (0..3).for_each(|of| all_there(&rig, of, 3));
+    (0..3).for_each(|node| wait_for_alive(&rig, node, 3));
     let result = rig.finish();
     assert!(
-        !(0..3).any(|of| told(&result.history, of, "dead")),
+        !(0..3).any(|node| has_change(&result.history, node, "dead")),
         "{}",
         result.history.to_lines()
     );
 }
 
 #[test]
-fn what_is_sealed_otherwise_is_told_apart() {
+fn datagrams_with_another_key_fleet_version_or_content_are_refused() {
     let key = Some([0x5a; 32]);
-    let seal = DatagramCodec::new(key, "rig");
-    let whole = strange(key, "rig");
-    assert!(seal.decode(&whole).is_ok());
-    let longer = DatagramCodec::new(key, "rig")
-        .encode(&seal.decode(&whole).unwrap())
+    let codec = DatagramCodec::new(key, "rig");
+    let whole = foreign_datagram(key, "rig");
+    assert!(codec.decode(&whole).is_ok());
+    let again = DatagramCodec::new(key, "rig")
+        .encode(&codec.decode(&whole).unwrap())
         .unwrap();
-    assert_eq!(longer, whole, "the same each time");
-    assert_eq!(seal.decode(&strange(None, "rig")), Err(DatagramError::Hash));
+    assert_eq!(again, whole, "encoding is deterministic");
     assert_eq!(
-        seal.decode(&strange(key, "other")),
+        codec.decode(&foreign_datagram(None, "rig")),
+        Err(DatagramError::Hash)
+    );
+    assert_eq!(
+        codec.decode(&foreign_datagram(key, "other")),
         Err(DatagramError::Fleet)
     );
-    for place in 1..whole.len() {
+    for index in 1..whole.len() {
         let mut garbled = whole.clone();
-        garbled[place] ^= 1;
+        garbled[index] ^= 1;
         assert_eq!(
-            seal.decode(&garbled),
+            codec.decode(&garbled),
             Err(DatagramError::Hash),
-            "byte {place}"
+            "byte {index}"
         );
     }
     for len in 1..whole.len() {
-        assert!(seal.decode(&whole[..len]).is_err(), "{len} bytes");
+        assert!(codec.decode(&whole[..len]).is_err(), "{len} bytes");
     }
-    let mut other = whole;
-    other[0] = 2;
-    assert_eq!(seal.decode(&other), Err(DatagramError::Version(2)));
+    let mut other_version = whole;
+    other_version[0] = 2;
+    assert_eq!(codec.decode(&other_version), Err(DatagramError::Version(2)));
     assert_eq!(
         DatagramError::Version(2).to_string(),
         "speaks version 2, this build 1"
@@ -144,7 +148,7 @@
 }
 
 #[test]
-fn the_longest_updates_still_fit_a_datagram() {
+fn the_longest_updates_fit_in_a_datagram() {
     let update = |nth: usize| MemberUpdate {
         name: format!("{nth:064}").into(),
         incarnation: Incarnation(u64::MAX),
@@ -162,7 +166,7 @@
         digest: u64::MAX,
         view: u64::MAX,
     };
-    // A datagram takes updates until these bytes are full; the longest takes 110.
+    // A datagram is filled with updates up to this threshold; the longest update takes 110 bytes.
     let count = doortrack_membership::UPDATE_BYTES_THRESHOLD.div_ceil(110);
     let updates: Vec<MemberUpdate> = (0..count).map(update).collect();
     let message = Message::PingRequest {
@@ -175,9 +179,9 @@
         message,
         updates,
     };
-    let seal = DatagramCodec::new(None, &"x".repeat(64));
-    assert!(seal.encode(&PeerMessage::Membership(datagram)).is_some());
-    // So do the pages of a table of them, and the answers to those who ask.
+    let codec = DatagramCodec::new(None, &"x".repeat(64));
+    assert!(codec.encode(&PeerMessage::Membership(datagram)).is_some());
+    // Pages of the member table and answers to page requests must fit as well.
     let mut fleet = Fleet::new(update(0), Parameters::default(), 1, 0);
     let mut out = Vec::new();
     for nth in 1..60 {
@@ -205,7 +209,7 @@
         let from = update(nth).address;
         fleet.handle(0, Event::Received { from, datagram }, &mut out);
     }
-    // And whatever else it sends while it passes on the updates of so many.
+    // So must all datagrams sent while the updates of that many members spread.
     while fleet.next_due() < 10_000 {
         fleet.handle(fleet.next_due(), Event::Tick, &mut out);
     }
@@ -214,16 +218,16 @@
         Action::Report(_) => None,
     });
     let sent: Vec<Datagram> = sent.collect();
-    let full = |of: fn(&Message) -> bool| {
+    let is_filled = |kind: fn(&Message) -> bool| {
         sent.iter()
-            .filter(|datagram| of(&datagram.message))
+            .filter(|datagram| kind(&datagram.message))
             .any(|datagram| datagram.updates.len() >= 8)
     };
-    assert!(full(|message| matches!(message, Message::Page { .. })));
-    assert!(full(|message| matches!(message, Message::Updates)));
+    assert!(is_filled(|message| matches!(message, Message::Page { .. })));
+    assert!(is_filled(|message| matches!(message, Message::Updates)));
     assert!(
         sent.into_iter()
-            .all(|datagram| seal.encode(&PeerMessage::Membership(datagram)).is_some())
+            .all(|datagram| codec.encode(&PeerMessage::Membership(datagram)).is_some())
     );
     let (members, more) = fleet.report(None, MEMBERS_PER_PAGE, 0);
     let status = Status {
@@ -240,17 +244,17 @@
         more,
     };
     assert!(
-        more && seal
+        more && codec
             .encode(&PeerMessage::Status(Box::new(status)))
             .is_some()
     );
 }
 
-/// Sockets of a process, and its threads.
-fn has(pid: u32) -> (usize, usize) {
-    let count = |what: &str| std::fs::read_dir(format!("/proc/{pid}/{what}")).unwrap();
-    let socket = |at: std::path::PathBuf| {
-        std::fs::read_link(at).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"))
+/// Returns the number of sockets and of threads of a process.
+fn sockets_and_threads(pid: u32) -> (usize, usize) {
+    let count = |directory: &str| std::fs::read_dir(format!("/proc/{pid}/{directory}")).unwrap();
+    let socket = |path: std::path::PathBuf| {
+        std::fs::read_link(path).is_ok_and(|target| target.to_string_lossy().starts_with("socket:"))
     };
     (
         count("fd")
@@ -261,22 +265,22 @@
 }
 
 #[test]
-fn a_fleet_costs_one_socket_and_none_where_there_is_none() {
+fn only_a_node_with_a_fleet_opens_the_extra_socket() {
     let (fixture, _engine) = NodeSetup::new(program()).start_with_engine();
-    let (sockets, threads) = has(fixture.program.id());
+    let (sockets, threads) = sockets_and_threads(fixture.program.id());
     assert_eq!(threads, 1);
-    let mut plan = NodeSetup::new(program());
-    let fleet = json!({"name": "delta", "listen": plan.port(7_400).to_string()});
-    plan.installation = Some(json!({"fleet": fleet}));
-    let (fixture, _engine) = plan.start_with_engine();
-    assert_eq!(has(fixture.program.id()), (sockets + 1, 1));
+    let mut setup = NodeSetup::new(program());
+    let fleet = json!({"name": "delta", "listen": setup.port(7_400).to_string()});
+    setup.installation = Some(json!({"fleet": fleet}));
+    let (fixture, _engine) = setup.start_with_engine();
+    assert_eq!(sockets_and_threads(fixture.program.id()), (sockets + 1, 1));
 }
 
 #[test]
-fn the_clock_is_set_off_in_a_fleet_alone() {
-    let mut plan = NodeSetup::new(program());
-    plan.arguments.push("--test-clock-ms=-2000".into());
-    let (code, log) = plan.start().wait_for_exit();
+fn the_clock_offset_is_refused_without_a_fleet() {
+    let mut setup = NodeSetup::new(program());
+    setup.arguments.push("--test-clock-ms=-2000".into());
+    let (code, log) = setup.start().wait_for_exit();
     assert_eq!(code, Some(1));
     assert!(log.contains("--test-clock-ms"), "{log}");
 }
@@ -285,55 +289,59 @@
 fn a_name_used_by_two_processes_stays_with_the_later_one() {
     let mut rig = rig(4);
     rig.start_clock();
-    (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
-    (0..3).for_each(|of| all_there(&rig, of, 3));
-    // The fourth process goes by the name of the third.
+    (0..3).for_each(|node| rig.start(node, node, &Value::Null).unwrap());
+    (0..3).for_each(|node| wait_for_alive(&rig, node, 3));
+    // The fourth process has the name of the third.
     rig.start(3, 2, &Value::Null).unwrap();
-    let superseded = |what: Option<HistoryEvent>| {
-        matches!(what, Some(HistoryEvent::Status { members, .. }) if
+    let superseded = |event: Option<HistoryEvent>| {
+        matches!(event, Some(HistoryEvent::Status { members, .. }) if
         members.iter().any(|member| member.name == "n2" && member.state == "dead"))
     };
     let until = Instant::now() + Duration::from_secs(20);
     while !superseded(rig.status(2)) && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(50));
     }
-    [0, 1, 3].iter().for_each(|of| all_there(&rig, *of, 3));
+    [0, 1, 3]
+        .iter()
+        .for_each(|node| wait_for_alive(&rig, *node, 3));
     let result = rig.finish();
     assert!(
-        told(&result.history, 2, "superseded"),
+        has_change(&result.history, 2, "superseded"),
         "{}",
         result.history.to_lines()
     );
 }
 
 #[test]
-fn with_all_seeds_down_a_node_serves_alone_and_joins_later() {
+fn with_all_seeds_down_a_node_runs_alone_and_joins_later() {
     let mut rig = rig(5);
     rig.start_clock();
     [3, 4]
         .iter()
-        .for_each(|of| rig.start(*of, *of, &Value::Null).unwrap());
+        .for_each(|node| rig.start(*node, *node, &Value::Null).unwrap());
     let alone = |members: &[doortrack_fault_harness::history::Member]| {
         members.len() == 1 && members[0].state == "joining"
     };
     assert!(rig.wait_for(3, alone) && rig.wait_for(4, alone));
     rig.start(0, 0, &Value::Null).unwrap();
-    [0, 3, 4].iter().for_each(|of| all_there(&rig, *of, 3));
+    [0, 3, 4]
+        .iter()
+        .for_each(|node| wait_for_alive(&rig, *node, 3));
 }
 
 #[test]
-fn the_command_line_tells_how_a_node_sees_its_fleet() {
+fn the_fleet_commands_show_how_a_node_sees_its_fleet() {
     let mut rig = rig(3);
     rig.start_clock();
-    (0..3).for_each(|of| rig.start(of, of, &Value::Null).unwrap());
-    (0..3).for_each(|of| all_there(&rig, of, 3));
+    (0..3).for_each(|node| rig.start(node, node, &Value::Null).unwrap());
+    (0..3).for_each(|node| wait_for_alive(&rig, node, 3));
     rig.inject(&Fault::Kill { nodes: vec![1] }, &|_| Value::Null)
         .unwrap();
     let dead = |members: &[doortrack_fault_harness::history::Member]| {
         members.iter().any(|member| member.state == "dead")
     };
     assert!(rig.wait_for(0, dead));
-    let ask = |words: &[&str]| {
+    let run_status = |extra: &[&str]| {
         let mut command = Command::new(program());
         command
             .args([
@@ -342,12 +350,12 @@
                 "--peer",
                 &rig.fleet_address(0).to_string(),
             ])
-            .args(words);
+            .args(extra);
         command.output().unwrap()
     };
     let key = rig.key_file();
     let key = key.to_str().unwrap();
-    let json = ask(&["--key-file", key, "--json"]);
+    let json = run_status(&["--key-file", key, "--json"]);
     let seen: Value = serde_json::from_slice(&json.stdout).unwrap();
     assert_eq!(
         (&seen["name"], &seen["fleet"], &seen["isolated"]),
@@ -357,24 +365,24 @@
         .as_array()
         .unwrap()
         .iter()
-        .map(|of| &of["state"])
+        .map(|member| &member["state"])
         .collect();
     assert_eq!(states, ["alive", "dead", "alive"]);
-    let text = String::from_utf8(ask(&["--key-file", key]).stdout).unwrap();
+    let text = String::from_utf8(run_status(&["--key-file", key]).stdout).unwrap();
     assert!(text.starts_with("n0 of rig: view "), "{text}");
-    // Without the key nobody answers, and the answer says what to look at.
-    let refused = ask(&[]);
+    // Without the key no node answers, and the error message says what to check.
+    let refused = run_status(&[]);
     assert!(!refused.status.success());
     assert!(
         String::from_utf8_lossy(&refused.stderr).contains("no answer"),
         "{refused:?}"
     );
-    let at = rig.fleet_address(0).to_string();
-    let words = [
+    let peer = rig.fleet_address(0).to_string();
+    let arguments = [
         "fleet",
         "watch",
         "--peer",
-        &at,
+        &peer,
         "--key-file",
         key,
         "--for-ms",
@@ -382,7 +390,7 @@
         "--every-ms",
         "100",
     ];
-    let watched = Command::new(program()).args(words).output().unwrap();
+    let watched = Command::new(program()).args(arguments).output().unwrap();
     assert!(
         String::from_utf8_lossy(&watched.stdout).contains("n1 dead"),
         "{watched:?}"
--- a/crates/node/tests/scale_node.rs
+++ b/crates/node/tests/scale_node.rs
@@ -1,4 +1,4 @@
-//! One small size measured on a real process, from its start to a changed rule.
+//! Measures the cost of a small configuration on a real process, from its start to the reload of a changed rule.
 
 use std::path::Path;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_size_is_measured_from_start_to_a_changed_rule() {
+fn a_size_is_measured_from_start_to_reload() {
     let measured = measure(&bench(), &SMALL, SHORT).unwrap();
     assert_eq!(
         measured.outcomes.completed,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn budgets_are_waited_for_until_the_node_has_a_share() {
+fn the_measurement_waits_until_the_node_has_a_budget_allocation() {
     let measured = measure(
         &bench(),
         &Size {
@@ -57,7 +57,7 @@
     )
     .unwrap();
     let outcomes = measured.outcomes;
-    // On a machine that stands still a lease may end under way.
+    // On a machine that stalls, a lease may expire during the measurement.
     assert_eq!(
         outcomes.completed + outcomes.rejected,
         outcomes.all(),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn settings_that_the_program_refuses_are_told_with_its_own_words() {
+fn refused_settings_are_reported_with_the_error_message_of_the_program() {
     let refused = measure(
         &bench(),
         &Size {
@@ -77,9 +77,9 @@
         SHORT,
     );
     match refused {
-        Err(MeasureError::DoesNotStart(why)) => {
-            assert!(why.contains("installation.pools"), "{why}")
+        Err(MeasureError::DoesNotStart(message)) => {
+            assert!(message.contains("installation.pools"), "{message}")
         }
-        other => panic!("refused settings were served: {other:?}"),
+        other => panic!("the invalid settings were not refused: {other:?}"),
     }
 }
