--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -93,7 +93,7 @@
 type OpenConnections = Arc<Mutex<BTreeMap<usize, TcpStream>>>;
 type Script = Arc<dyn Fn(&ReceivedRequest) -> Behavior + Send + Sync>;
 
-/// A running server, with one thread for each connection. Dropping it closes its listener and all connections.
+/// A running server, with one thread for each connection. Dropping it closes its listener and resets all connections.
 pub struct Server {
     pub address: SocketAddr,
     pub protocol: Protocol,
--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -422,7 +422,7 @@
         } else {
             "/svc/look"
         },
-        b"berth",
+        b"body",
     );
     let request = key.map_or(request.clone(), |key| {
         request.with("HTTP_IDEMPOTENCY_KEY", key)
--- a/crates/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -1,7 +1,7 @@
 //! Runs fleets of node processes with faults in the processes and in the network between them. Checkers that share
 //! no code with the node verify membership on the combined history of all nodes.
 //!
-//! Every wait has a timeout that a slow machine does not reach; no check depends on how long something took.
+//! Every wait has a timeout that a slow machine does not reach; no check relies on something being fast.
 
 #![allow(
     clippy::too_many_lines,
--- a/crates/node/tests/fleet/peer_link.rs
+++ b/crates/node/tests/fleet/peer_link.rs
@@ -92,9 +92,9 @@
         vec![1],
         vec![1; 2_000],
     ];
-    for nth in 0..30_000 {
-        let mut bytes = kinds[nth % kinds.len()].clone();
-        if nth % 4 == 0 {
+    for index in 0..30_000 {
+        let mut bytes = kinds[index % kinds.len()].clone();
+        if index % 4 == 0 {
             bytes = (0..rng.usize(..600)).map(|_| rng.u8(..)).collect();
         }
         _ = sock.send_to(&bytes, rig.fleet_address(0));
@@ -112,12 +112,12 @@
 fn datagrams_with_another_key_fleet_version_or_content_are_refused() {
     let key = Some([0x5a; 32]);
     let codec = DatagramCodec::new(key, "rig");
-    let whole = foreign_datagram(key, "rig");
-    assert!(codec.decode(&whole).is_ok());
+    let encoded = foreign_datagram(key, "rig");
+    assert!(codec.decode(&encoded).is_ok());
     let again = DatagramCodec::new(key, "rig")
-        .encode(&codec.decode(&whole).unwrap())
+        .encode(&codec.decode(&encoded).unwrap())
         .unwrap();
-    assert_eq!(again, whole, "encoding is deterministic");
+    assert_eq!(again, encoded, "encoding is deterministic");
     assert_eq!(
         codec.decode(&foreign_datagram(None, "rig")),
         Err(DatagramError::Hash)
@@ -126,8 +126,8 @@
         codec.decode(&foreign_datagram(key, "other")),
         Err(DatagramError::Fleet)
     );
-    for index in 1..whole.len() {
-        let mut garbled = whole.clone();
+    for index in 1..encoded.len() {
+        let mut garbled = encoded.clone();
         garbled[index] ^= 1;
         assert_eq!(
             codec.decode(&garbled),
@@ -135,10 +135,10 @@
             "byte {index}"
         );
     }
-    for len in 1..whole.len() {
-        assert!(codec.decode(&whole[..len]).is_err(), "{len} bytes");
+    for len in 1..encoded.len() {
+        assert!(codec.decode(&encoded[..len]).is_err(), "{len} bytes");
     }
-    let mut other_version = whole;
+    let mut other_version = encoded;
     other_version[0] = 2;
     assert_eq!(codec.decode(&other_version), Err(DatagramError::Version(2)));
     assert_eq!(
@@ -149,8 +149,8 @@
 
 #[test]
 fn the_longest_updates_fit_in_a_datagram() {
-    let update = |nth: usize| MemberUpdate {
-        name: format!("{nth:064}").into(),
+    let update = |index: usize| MemberUpdate {
+        name: format!("{index:064}").into(),
         incarnation: Incarnation(u64::MAX),
         version: u32::MAX,
         state: MemberState::Suspected { by: u32::MAX },
@@ -184,10 +184,10 @@
     // Pages of the member table and answers to page requests must fit as well.
     let mut fleet = Fleet::new(update(0), Parameters::default(), 1, 0);
     let mut out = Vec::new();
-    for nth in 1..60 {
+    for index in 1..60 {
         let sender = MemberUpdate {
             state: MemberState::Alive,
-            ..update(nth)
+            ..update(index)
         };
         let head = DatagramHeader {
             sender,
@@ -196,7 +196,7 @@
             digest: 0,
             view: 0,
         };
-        let message = if nth == 59 {
+        let message = if index == 59 {
             Message::PageRequest { after: None }
         } else {
             Message::Updates
@@ -206,7 +206,7 @@
             message,
             updates: Vec::new(),
         };
-        let from = update(nth).address;
+        let from = update(index).address;
         fleet.handle(0, Event::Received { from, datagram }, &mut out);
     }
     // So must all datagrams sent while the updates of that many members spread.
--- a/crates/node/tests/fleet/slow_start.rs
+++ b/crates/node/tests/fleet/slow_start.rs
@@ -128,7 +128,7 @@
     while !stopped.load(Ordering::Relaxed) {
         attempt_number += 1;
         let sent_at = Instant::now();
-        let result = CallerRequest::new(attempt_number, "/svc/look", b"berth")
+        let result = CallerRequest::new(attempt_number, "/svc/look", b"body")
             .try_send(listener, Protocol::FastCgi);
         let count = match result.ok().map(|pending| pending.outcome()) {
             Some(CallerOutcome::Completed(_)) => &tally.completed,
@@ -327,7 +327,7 @@
         } else {
             "/svc/look"
         },
-        b"berth",
+        b"body",
     );
     let request = key.map_or(request.clone(), |key| {
         request.with("HTTP_IDEMPOTENCY_KEY", key)
