--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -7,19 +7,19 @@
 use std::sync::Arc;
 
 use doortrack_budgets::{
-    Budget, Budgets, Envelope, Event as BudgetEvent, Kind, MAX_BUDGETS, MAX_ITEMS, Message, NodeId,
-    ReportItem,
+    Budget, Budgets, Envelope, Event as BudgetEvent, Kind, MAX_BUDGETS, MAX_REPORT_ITEMS, Message,
+    NodeId, ReportItem,
 };
 use doortrack_expr::Limits;
 use doortrack_fault_harness::scale::node_cost::settings::{Addresses, Size, installation};
 use doortrack_membership::{
-    Datagram, Event as FleetEvent, Fleet, Head, Incarnation, MAX_UPDATES, MemberState,
+    Datagram, DatagramHeader, Event as FleetEvent, Fleet, Incarnation, MAX_UPDATES, MemberState,
     MemberUpdate, Parameters,
 };
 use doortrack_node::network::connection::{Connection, PendingRequest};
 use doortrack_node::network::request::RunOutput;
-use doortrack_node::state::in_flight::{InFlight, InFlightRequest, Stage};
-use doortrack_node::state::results::Results;
+use doortrack_node::state::in_flight::{InFlightRequest, InFlightTable, Stage};
+use doortrack_node::state::results::ResultTable;
 use doortrack_routes::{GroupName, Names, Rule, Table};
 
 /// Counts the bytes that a thread has taken and not given back.
@@ -79,7 +79,7 @@
         body: b"done",
     };
     let bytes = bytes_each(COUNT, || {
-        let mut results = Results::new(COUNT, usize::MAX, 10_000);
+        let mut results = ResultTable::new(COUNT, usize::MAX, 10_000);
         for nth in 0..COUNT {
             let mut key = [0; 32];
             key[..8].copy_from_slice(&nth.to_le_bytes());
@@ -105,7 +105,7 @@
         caller: None,
         stage: Stage::Queued,
         duplicate_of: None,
-        hold: Default::default(),
+        reservations: Default::default(),
     }
 }
 
@@ -113,7 +113,7 @@
 fn exchanges_in_hand_and_ended_tries_are_small() {
     const COUNT: usize = 10_000;
     let bytes = bytes_each(COUNT, || {
-        let mut exchanges = InFlight::default();
+        let mut exchanges = InFlightTable::default();
         (0..COUNT).for_each(|nth| _ = exchanges.insert(exchange(nth)));
         exchanges
     });
@@ -123,7 +123,7 @@
         600.0,
     );
     let bytes = bytes_each(COUNT, || {
-        let mut exchanges = InFlight::default();
+        let mut exchanges = InFlightTable::default();
         for nth in 0..COUNT {
             let id = exchanges.insert(exchange(nth)).unwrap();
             exchanges.remove(id).unwrap();
@@ -223,7 +223,7 @@
     let mut out = Vec::new();
     let all: Vec<usize> = (1..members).collect();
     for (nth, part) in all.chunks(MAX_UPDATES).enumerate() {
-        let head = Head {
+        let head = DatagramHeader {
             sender: update(1),
             to: incarnation,
             sequence: nth as u64 + 1,
@@ -309,7 +309,7 @@
         }
     };
     for holder in 1..=holders {
-        for (nth, part) in budgets.chunks(MAX_ITEMS).enumerate() {
+        for (nth, part) in budgets.chunks(MAX_REPORT_ITEMS).enumerate() {
             let items = part.iter().map(item).collect();
             let message = Message::Report {
                 seq: nth as u64 + 1,
