--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -7,6 +7,7 @@
 
 mod accepts;
 mod backlog;
+mod components;
 mod conformance;
 mod early_signals;
 mod ends;
@@ -21,14 +22,13 @@
 mod late_stops;
 mod near_stops;
 mod notices;
+mod outages_and_bursts;
 mod panics;
-mod parts;
-mod pieces;
-mod play;
-mod ramps;
+mod partial_requests;
+mod random_faults;
 mod reloads;
 mod restart;
 mod rules;
-mod silences;
+mod slow_start_settings;
 mod sockets;
-mod times_of_day;
+mod time_of_day;
--- a/crates/node/tests/node/silences.rs
+++ b/crates/node/tests/node/outages_and_bursts.rs
@@ -84,7 +84,7 @@
     plan.config["stop_ms"] = json!(300);
     let fixture = plan.start();
     immediate::start_engine(fixture.engine_listener.try_clone().unwrap());
-    super::pieces::until_served(fronts[0].1);
+    super::partial_requests::until_served(fronts[0].1);
     for burst in 0..3 {
         // They come while the node stands still, so that it reads all of them in one turn.
         fixture.signal("-STOP");
