--- a/crates/node/tests/node/components.rs
+++ b/crates/node/tests/node/components.rs
@@ -1,4 +1,4 @@
-//! Parsers, writers and tables, without sockets.
+//! Parsers, encoders, tables and listeners of the node, each by itself.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -27,8 +27,8 @@
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
 
-fn record(kind: u8, id: u16, content: &[u8], padding: u8) -> Vec<u8> {
-    let mut bytes = vec![1, kind];
+fn record(record_type: u8, id: u16, content: &[u8], padding: u8) -> Vec<u8> {
+    let mut bytes = vec![1, record_type];
     bytes.extend(id.to_be_bytes());
     bytes.extend((content.len() as u16).to_be_bytes());
     bytes.extend([padding, 0]);
@@ -37,30 +37,33 @@
     bytes
 }
 
-/// What a stream comes to, with the pieces of one content joined; the fault, if it broke.
-fn pieces(parts: &[&[u8]]) -> (Vec<(String, Vec<u8>)>, Option<&'static str>) {
-    let (mut splitter, mut found) = (RequestSplitter::default(), Vec::<(String, Vec<u8>)>::new());
+/// Parses a stream that arrives in these parts. Returns its events, with the parts of one content joined, and the error
+/// that ended the parsing, if any.
+fn parse_stream(parts: &[&[u8]]) -> (Vec<(String, Vec<u8>)>, Option<&'static str>) {
+    let (mut splitter, mut events) = (RequestSplitter::default(), Vec::<(String, Vec<u8>)>::new());
     for part in parts {
         let mut input = *part;
         loop {
             let (name, bytes): (String, &[u8]) = match splitter.next(&mut input) {
                 Ok(None) => break,
-                Err(broken) => return (found, Some(broken.0)),
+                Err(error) => return (events, Some(error.0)),
                 Ok(Some(RequestEvent::Params { id, bytes })) => (format!("params {id}"), bytes),
                 Ok(Some(RequestEvent::Stdin { id, bytes })) => (format!("stdin {id}"), bytes),
                 Ok(Some(other)) => (format!("{other:?}"), &[]),
             };
-            match found.last_mut() {
-                Some((last, joined)) if *last == name && !bytes.is_empty() => joined.extend(bytes),
-                _ => found.push((name, bytes.to_vec())),
+            match events.last_mut() {
+                Some((last, content)) if *last == name && !bytes.is_empty() => {
+                    content.extend(bytes)
+                }
+                _ => events.push((name, bytes.to_vec())),
             }
         }
-        assert!(input.is_empty(), "bytes were left unread");
+        assert!(input.is_empty(), "bytes were left unparsed");
     }
-    (found, None)
+    (events, None)
 }
 
-fn seeded() -> ProptestConfig {
+fn seeded_config() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(0x0d00_77ac);
     ProptestConfig {
         cases: 300,
@@ -70,78 +73,79 @@
     }
 }
 
-fn bytes(most: usize) -> impl Strategy<Value = Vec<u8>> {
-    prop::collection::vec(any::<u8>(), 0..most)
+fn bytes(max_length: usize) -> impl Strategy<Value = Vec<u8>> {
+    prop::collection::vec(any::<u8>(), 0..max_length)
 }
 
-fn whole_records() -> impl Strategy<Value = Vec<u8>> {
-    let one = (
+fn record_streams() -> impl Strategy<Value = Vec<u8>> {
+    let record_fields = (
         prop::sample::select(vec![1u8, 2, 4, 5, 8, 9, 77]),
         1..40u16,
         bytes(300),
         any::<u8>(),
     );
-    prop::collection::vec(one, 1..12).prop_map(|records| {
-        records
-            .into_iter()
-            .fold(Vec::new(), |mut all, (kind, id, content, padding)| {
-                let (id, content) = match kind {
+    prop::collection::vec(record_fields, 1..12).prop_map(|records| {
+        records.into_iter().fold(
+            Vec::new(),
+            |mut stream, (record_type, id, content, padding)| {
+                let (id, content) = match record_type {
                     1 => (id, &[0, 1, 1, 0, 0, 0, 0, 0][..]),
                     9 | 77 => (0, &content[..]),
                     _ => (id, &content[..]),
                 };
-                all.extend(record(kind, id, content, padding));
-                all
-            })
+                stream.extend(record(record_type, id, content, padding));
+                stream
+            },
+        )
     })
 }
 
 proptest! {
-    #![proptest_config(seeded())]
+    #![proptest_config(seeded_config())]
 
     #[test]
-    fn records_split_at_any_bytes_read_the_same(
-        stream in whole_records(),
+    fn records_split_at_any_byte_parse_the_same(
+        stream in record_streams(),
         cuts in prop::collection::vec(any::<Index>(), 0..9),
     ) {
-        let (whole, fault) = pieces(&[&stream]);
-        prop_assert_eq!(fault, None);
-        let places: Vec<usize> = cuts.iter().map(|cut| cut.index(stream.len())).collect();
-        let from = places.iter().copied().max().unwrap_or(0);
-        let parts = split_at_offsets(&stream, places);
-        prop_assert_eq!(&pieces(&parts).0, &whole);
-        // Cut short anywhere, it is a beginning of the whole and no fault.
-        let (start, fault) = pieces(&[&stream[..from]]);
-        prop_assert_eq!(fault, None);
-        prop_assert!(start.len() <= whole.len());
-        prop_assert!(start.iter().zip(&whole).all(|(a, b)| a.0 == b.0 && b.1.starts_with(&a.1)));
+        let (whole, error) = parse_stream(&[&stream]);
+        prop_assert_eq!(error, None);
+        let offsets: Vec<usize> = cuts.iter().map(|cut| cut.index(stream.len())).collect();
+        let prefix_length = offsets.iter().copied().max().unwrap_or(0);
+        let parts = split_at_offsets(&stream, offsets);
+        prop_assert_eq!(&parse_stream(&parts).0, &whole);
+        // A stream that ends early parses without error to a prefix of the whole.
+        let (prefix, error) = parse_stream(&[&stream[..prefix_length]]);
+        prop_assert_eq!(error, None);
+        prop_assert!(prefix.len() <= whole.len());
+        prop_assert!(prefix.iter().zip(&whole).all(|(a, b)| a.0 == b.0 && b.1.starts_with(&a.1)));
     }
 
     #[test]
-    fn no_bytes_upset_a_parser(bytes in bytes(400)) {
-        pieces(&[&bytes]);
-        let names = names();
-        prop_assert!(Protocol::ALL.iter().all(|spoken| request::read(*spoken, &bytes, &names).is_err()));
+    fn no_bytes_crash_a_parser(bytes in bytes(400)) {
+        parse_stream(&[&bytes]);
+        let names = deployment_names();
+        prop_assert!(Protocol::ALL.iter().all(|protocol| request::read(*protocol, &bytes, &names).is_err()));
         prop_assert!(engine_protocol::read(&bytes).is_err());
         prop_assert!(node_config::parse(&bytes).is_err());
-        let mut sound = vec![1];
-        sound.extend(&bytes);
-        pieces(&[&sound]);
+        let mut versioned = vec![1];
+        versioned.extend(&bytes);
+        parse_stream(&[&versioned]);
     }
 
     #[test]
-    fn parameters_of_any_length_come_back(
-        fields in prop::collection::vec((bytes(200), bytes(200)), 0..8),
-        long in any::<bool>(),
-        cut in any::<Index>(),
+    fn variables_of_any_length_are_read_back(
+        variables in prop::collection::vec((bytes(200), bytes(200)), 0..8),
+        long_lengths in any::<bool>(),
+        prefix_end in any::<Index>(),
     ) {
-        let stream = pairs(&fields, long);
-        let read = fastcgi::read_variables(&stream).unwrap();
-        prop_assert_eq!(read.len(), fields.len());
-        prop_assert!(read.iter().zip(&fields).all(|(a, b)| *a.0 == b.0 && *a.1 == b.1));
+        let stream = encode_variables(&variables, long_lengths);
+        let decoded = fastcgi::read_variables(&stream).unwrap();
+        prop_assert_eq!(decoded.len(), variables.len());
+        prop_assert!(decoded.iter().zip(&variables).all(|(a, b)| *a.0 == b.0 && *a.1 == b.1));
         if !stream.is_empty() {
-            let short = &stream[..cut.index(stream.len())];
-            prop_assert!(fastcgi::read_variables(short).map_or(true, |read| read.len() < fields.len()));
+            let prefix = &stream[..prefix_end.index(stream.len())];
+            prop_assert!(fastcgi::read_variables(prefix).map_or(true, |decoded| decoded.len() < variables.len()));
         }
     }
 
@@ -159,11 +163,14 @@
     }
 }
 
-fn pairs<N: AsRef<[u8]>, V: AsRef<[u8]>>(fields: &[(N, V)], long: bool) -> Vec<u8> {
+fn encode_variables<N: AsRef<[u8]>, V: AsRef<[u8]>>(
+    variables: &[(N, V)],
+    long_lengths: bool,
+) -> Vec<u8> {
     let mut stream = Vec::new();
-    for (name, value) in fields {
+    for (name, value) in variables {
         for length in [name.as_ref().len(), value.as_ref().len()] {
-            match length < 128 && !long {
+            match length < 128 && !long_lengths {
                 true => stream.push(length as u8),
                 false => stream.extend((length as u32 | 1 << 31).to_be_bytes()),
             }
@@ -174,36 +181,42 @@
 }
 
 #[test]
-fn what_is_no_fastcgi_is_told_apart() {
-    let broken = |bytes: &[u8]| pieces(&[bytes]).1.is_some();
-    assert!(broken(&[2, 1, 0, 1, 0, 8, 0, 0]), "another version");
+fn invalid_fastcgi_is_detected() {
+    let is_invalid = |bytes: &[u8]| parse_stream(&[bytes]).1.is_some();
+    assert!(
+        is_invalid(&[2, 1, 0, 1, 0, 8, 0, 0]),
+        "an unsupported version"
+    );
     assert!(
-        broken(&record(1, 1, &[0, 1, 0], 0)),
+        is_invalid(&record(1, 1, &[0, 1, 0], 0)),
         "a short BEGIN_REQUEST"
     );
     assert!(
-        broken(&record(5, 0, b"x", 0)),
-        "an application's record with the id 0"
+        is_invalid(&record(5, 0, b"x", 0)),
+        "an application record with the id 0"
     );
     assert!(
-        broken(&record(3, 1, &[0; 8], 0)),
-        "a record that only an application sends"
+        is_invalid(&record(3, 1, &[0; 8], 0)),
+        "a record type that only an application sends"
     );
-    assert!(broken(&record(12, 1, &[], 0)), "an unknown kind with an id");
     assert!(
-        !broken(&record(12, 0, &[], 0)),
-        "an unknown kind of management"
+        is_invalid(&record(12, 1, &[], 0)),
+        "an unknown record type with an id"
+    );
+    assert!(
+        !is_invalid(&record(12, 0, &[], 0)),
+        "an unknown management record type"
     );
 }
 
 #[test]
-fn a_parameter_may_not_be_longer_than_its_stream() {
+fn a_variable_may_not_be_longer_than_its_stream() {
     assert!(fastcgi::read_variables(&[3, 1, b'a']).is_err());
     assert!(fastcgi::read_variables(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff]).is_err());
     assert!(fastcgi::read_variables(&[0x80, 0, 0]).is_err());
 }
 
-fn names() -> DeploymentNames {
+fn deployment_names() -> DeploymentNames {
     DeploymentNames {
         groups: vec!["look".into(), "pay".into()],
         idempotency_keyed: vec![false, true],
@@ -211,7 +224,7 @@
     }
 }
 
-const FIELDS: [(&str, &str); 9] = [
+const REQUEST_VARIABLES: [(&str, &str); 9] = [
     ("SCRIPT_NAME", "/svc/pay"),
     ("REQUEST_METHOD", "POST"),
     ("HTTP_X_REQUEST_ID", "9b1f03aa5c7e2d41"),
@@ -223,14 +236,18 @@
     ("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
 ];
 
-fn read(fields: &[(&str, &str)]) -> Result<DecodedRequest, Unreadable> {
-    request::read(Protocol::FastCgi, &pairs(fields, false), &names())
+fn read_request(variables: &[(&str, &str)]) -> Result<DecodedRequest, Unreadable> {
+    request::read(
+        Protocol::FastCgi,
+        &encode_variables(variables, false),
+        &deployment_names(),
+    )
 }
 
 #[test]
-fn a_request_is_read_with_its_fields() {
-    let Ok(DecodedRequest::Request(request)) = read(&FIELDS) else {
-        panic!("not read")
+fn a_request_is_read_with_its_variables() {
+    let Ok(DecodedRequest::Request(request)) = read_request(&REQUEST_VARIABLES) else {
+        panic!("the request is not readable")
     };
     assert_eq!((request.group, request.tenant, request.caller), (1, 0, 4));
     assert_eq!(
@@ -242,44 +259,56 @@
         (Some(*b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), 0)
     );
     assert!(!request.retry);
-    let mut look = FIELDS[..8].to_vec();
-    look[0].1 = "/svc/look";
-    look.extend([
+    let mut look_variables = REQUEST_VARIABLES[..8].to_vec();
+    look_variables[0].1 = "/svc/look";
+    look_variables.extend([
         ("HTTP_X_RETRY", "1"),
         ("HTTP_X_OBJECT", "7f3a9c21e0b4d655"),
         ("HTTP_X_NEW", "passed over"),
     ]);
-    let Ok(DecodedRequest::Request(request)) = read(&look) else {
-        panic!("not read")
+    let Ok(DecodedRequest::Request(request)) = read_request(&look_variables) else {
+        panic!("the request is not readable")
     };
     assert_eq!(
         (request.idempotency_key, request.session_key, request.retry),
         (None, 0x7f3a_9c21_e0b4_d655, true)
     );
     assert_eq!(
-        read(&[("SCRIPT_NAME", "/status/live")]),
+        read_request(&[("SCRIPT_NAME", "/status/live")]),
         Ok(DecodedRequest::HealthCheck)
     );
-    // Found on a long day: numbers of fronts are always new, and past 65,535 all were turned away.
-    look[4].1 = "18446744073709551615";
+    // Caller numbers are never reused, so a limit on them would refuse all callers after some time.
+    look_variables[4].1 = "18446744073709551615";
     assert!(
-        matches!(read(&look), Ok(DecodedRequest::Request(request)) if request.caller == u64::MAX)
+        matches!(read_request(&look_variables), Ok(DecodedRequest::Request(request)) if request.caller == u64::MAX)
     );
 }
 
 #[test]
-fn a_field_that_is_missing_doubled_or_unreadable_is_named() {
-    for (place, (name, _)) in FIELDS.iter().enumerate() {
-        let mut fields = FIELDS.to_vec();
-        fields.remove(place);
-        assert_eq!(read(&fields), Err(Unreadable::Field(name)), "missing");
-        fields.extend([FIELDS[place]; 2]);
-        assert_eq!(read(&fields), Err(Unreadable::Field(name)), "doubled");
-        let mut fields = FIELDS.to_vec();
-        fields[place].1 = "\u{fffd}-1";
-        assert_eq!(read(&fields), Err(Unreadable::Field(name)), "unreadable");
+fn a_missing_duplicate_or_unreadable_variable_is_named() {
+    for (index, (name, _)) in REQUEST_VARIABLES.iter().enumerate() {
+        let mut variables = REQUEST_VARIABLES.to_vec();
+        variables.remove(index);
+        assert_eq!(
+            read_request(&variables),
+            Err(Unreadable::Field(name)),
+            "missing"
+        );
+        variables.extend([REQUEST_VARIABLES[index]; 2]);
+        assert_eq!(
+            read_request(&variables),
+            Err(Unreadable::Field(name)),
+            "duplicate"
+        );
+        let mut variables = REQUEST_VARIABLES.to_vec();
+        variables[index].1 = "\u{fffd}-1";
+        assert_eq!(
+            read_request(&variables),
+            Err(Unreadable::Field(name)),
+            "unreadable"
+        );
     }
-    for (place, value) in [
+    for (index, value) in [
         (6, "0"),
         (6, "2000"),
         (6, "NaN"),
@@ -288,24 +317,24 @@
         (3, "1.5"),
         (2, "9b1f"),
     ] {
-        let mut fields = FIELDS.to_vec();
-        fields[place].1 = value;
+        let mut variables = REQUEST_VARIABLES.to_vec();
+        variables[index].1 = value;
         assert_eq!(
-            read(&fields),
-            Err(Unreadable::Field(FIELDS[place].0)),
+            read_request(&variables),
+            Err(Unreadable::Field(REQUEST_VARIABLES[index].0)),
             "{value}"
         );
     }
 }
 
 #[test]
-fn answers_carry_what_was_decided() {
-    let text = |answer, level| {
+fn answers_carry_status_retry_time_and_load() {
+    let encode = |answer, level| {
         let mut out = Vec::new();
         request::write(&mut out, Protocol::FastCgi, 7, answer, level);
         (String::from_utf8_lossy(&out).into_owned(), out)
     };
-    let (rejected, _) = text(
+    let (rejected, _) = encode(
         Answer::Rejected {
             no_retry_elsewhere: true,
             retry_after: 1201,
@@ -315,13 +344,13 @@
     assert!(rejected.contains("Status: 503 "), "{rejected}");
     assert!(
         rejected.contains("Retry-After-Ms: 121\r\n"),
-        "rounded up: {rejected}"
+        "the retry time is not rounded up: {rejected}"
     );
     assert!(
         rejected.contains("X-Dont-Retry: 1\r\n") && rejected.contains("X-Load-Signal: 0.25\r\n"),
         "{rejected}"
     );
-    let (rejected, _) = text(
+    let (rejected, _) = encode(
         Answer::Rejected {
             no_retry_elsewhere: false,
             retry_after: 0,
@@ -334,24 +363,28 @@
             && !rejected.contains("Load"),
         "{rejected}"
     );
-    let (_, full) = text(Answer::NoCapacity, Some(0.0));
+    let (_, overloaded) = encode(Answer::NoCapacity, Some(0.0));
     assert_eq!(
-        full,
+        overloaded,
         record(3, 7, &[0, 0, 0, 0, 2, 0, 0, 0], 0),
         "OVERLOADED and nothing else"
     );
     let result: Vec<u8> = (0..70_000u32).map(|n| n as u8).collect();
-    let (_, long) = text(Answer::Completed(RunOutput::from(&result[..])), None);
-    let first = u16::from_be_bytes([long[4], long[5]]) as usize;
+    let (_, long_answer) = encode(Answer::Completed(RunOutput::from(&result[..])), None);
+    let first_length = u16::from_be_bytes([long_answer[4], long_answer[5]]) as usize;
     assert_eq!(
-        (first, long[1], long[8 + first + 1]),
+        (
+            first_length,
+            long_answer[1],
+            long_answer[8 + first_length + 1]
+        ),
         (65_535, 6, 6),
         "a long result needs two records"
     );
 }
 
 #[test]
-fn lines_of_the_engine_that_cannot_be_read_are_faults_or_ends() {
+fn unreadable_engine_lines_are_errors_unless_they_end_a_run() {
     let read = |value: Value| engine_protocol::read(value.to_string().as_bytes());
     let done = |how: &str, blob: &str| {
         read(
@@ -367,7 +400,7 @@
     assert_eq!(
         outcome(done("OK", "not base64!")),
         RunOutcome::Failed,
-        "its result is lost, its end is not"
+        "the result is lost, but the run has ended"
     );
     assert_eq!(outcome(done("GONE FISHING", "")), RunOutcome::Failed);
     for value in [
@@ -391,7 +424,7 @@
 }
 
 #[test]
-fn every_end_has_its_outcome() {
+fn every_termination_has_its_outcome() {
     for end in [
         Termination::Aborted,
         Termination::Reset,
@@ -420,86 +453,90 @@
     );
 }
 
-/// Two callers send what is answered at once, and one of them never reads, until it is closed or `turns` are
-/// over: whether it was closed. `nth` keeps the addresses apart.
-fn deaf_caller_is_closed(nth: u8, unread: usize, turns: usize) -> bool {
+/// Has two callers send requests that are answered at once, one of which never reads, until that one is closed or after
+/// `turns` turns. Returns true if it was closed. `address_byte` keeps the addresses of parallel tests apart.
+fn non_reading_caller_is_closed(address_byte: u8, max_unread_bytes: usize, turns: usize) -> bool {
     let poller = Arc::new(Poller::new().unwrap());
-    let room = ResourceLimits {
+    let limits = ResourceLimits {
         connections: 8,
         open_requests: 8,
         dedup_entries: 1,
         result_bytes: 1,
-        unread_answer_bytes: unread,
+        unread_answer_bytes: max_unread_bytes,
         engine_command_bytes: 1,
     };
     let [.., b, c] = std::process::id().to_be_bytes();
-    let at: SocketAddr = format!("127.{nth}.{b}.{c}:9090").parse().unwrap();
-    let mut fronts = Listeners::new(poller.clone(), names(), room, u64::MAX);
-    fronts.listen(at, Protocol::FastCgi, None).unwrap();
-    let (mut deaf, mut sound) = (
-        TcpStream::connect(at).unwrap(),
-        TcpStream::connect(at).unwrap(),
-    );
-    deaf.set_nonblocking(true).unwrap();
-    // Its streams are empty, so each is answered with 400.
-    let empty = [
+    let address: SocketAddr = format!("127.{address_byte}.{b}.{c}:9090").parse().unwrap();
+    let mut listeners = Listeners::new(poller.clone(), deployment_names(), limits, u64::MAX);
+    listeners.listen(address, Protocol::FastCgi, None).unwrap();
+    let (mut non_reading, mut reading) = (
+        TcpStream::connect(address).unwrap(),
+        TcpStream::connect(address).unwrap(),
+    );
+    non_reading.set_nonblocking(true).unwrap();
+    // The streams of the request are empty, so it is answered with 400.
+    let empty_request = [
         record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0], 0),
         record(4, 1, b"", 0),
         record(5, 1, b"", 0),
     ]
     .concat();
-    let (batch, mut front_events, mut events) = (empty.repeat(200), Vec::new(), Events::new());
+    let (batch, mut listener_events, mut events) =
+        (empty_request.repeat(200), Vec::new(), Events::new());
     for _ in 0..turns {
-        // Who sends what can't be read is read again after a sweep.
-        fronts.sweep(0, &mut front_events);
-        fronts.flush(0, &mut front_events);
-        _ = deaf.write(&batch);
-        sound.write_all(&empty).unwrap();
-        let before = fronts.counts().unreadable.clone();
-        while fronts.counts().unreadable == before {
+        // A connection that sent an unreadable request is read again after the next sweep.
+        listeners.sweep(0, &mut listener_events);
+        listeners.flush(0, &mut listener_events);
+        _ = non_reading.write(&batch);
+        reading.write_all(&empty_request).unwrap();
+        let counts_before = listeners.counts().unreadable.clone();
+        while listeners.counts().unreadable == counts_before {
             events.clear();
             poller.wait(&mut events, None).unwrap();
-            fronts.accept(0, 0, &mut front_events);
+            listeners.accept(0, 0, &mut listener_events);
             events
                 .iter()
                 .filter(|e| e.key >= FIRST_CONNECTION_KEY)
-                .for_each(|e| fronts.on_event(e, 0, &mut front_events));
-            fronts.flush(0, &mut front_events);
+                .for_each(|e| listeners.on_event(e, 0, &mut listener_events));
+            listeners.flush(0, &mut listener_events);
         }
         assert!(
-            fronts.unread_answer_bytes() < 200_000,
-            "{} bytes pile up",
-            fronts.unread_answer_bytes()
+            listeners.unread_answer_bytes() < 200_000,
+            "{} bytes of unread answers",
+            listeners.unread_answer_bytes()
         );
-        if fronts.counts().terminations.contains_key("unread") {
+        if listeners.counts().terminations.contains_key("unread") {
             assert_eq!(
-                (fronts.connection_count(), fronts.unread_answer_bytes()),
+                (
+                    listeners.connection_count(),
+                    listeners.unread_answer_bytes()
+                ),
                 (1, 0)
             );
             return true;
         }
     }
-    // Whoever reads gets all that is due.
+    // The caller that reads gets all its answers.
     let mut answers: Vec<u8> = Vec::new();
     while answers.windows(6).filter(|w| w == b"Status").count() < turns {
-        let mut part = [0; 65_536];
-        let got = sound.read(&mut part).unwrap();
-        answers.extend(&part[..got]);
-        fronts.flush(0, &mut front_events);
+        let mut buffer = [0; 65_536];
+        let length = reading.read(&mut buffer).unwrap();
+        answers.extend(&buffer[..length]);
+        listeners.flush(0, &mut listener_events);
     }
     false
 }
 
 #[test]
-fn who_reads_no_answers_is_not_read_and_while_answers_pile_up_is_closed() {
-    assert!(!deaf_caller_is_closed(18, 10_000_000, 2000));
-    assert!(deaf_caller_is_closed(19, 1000, 20_000));
+fn a_caller_that_reads_no_answers_is_not_read_and_is_closed_if_unread_answers_exceed_the_limit() {
+    assert!(!non_reading_caller_is_closed(18, 10_000_000, 2000));
+    assert!(non_reading_caller_is_closed(19, 1000, 20_000));
 }
 
 #[test]
-fn who_sends_what_cannot_be_read_is_not_read_again_before_the_next_sweep() {
+fn a_connection_with_an_unreadable_request_is_not_read_again_before_the_next_sweep() {
     let poller = Arc::new(Poller::new().unwrap());
-    let room = ResourceLimits {
+    let limits = ResourceLimits {
         connections: 8,
         open_requests: 8,
         dedup_entries: 1,
@@ -508,148 +545,170 @@
         engine_command_bytes: 1,
     };
     let [.., b, c] = std::process::id().to_be_bytes();
-    let at: SocketAddr = format!("127.17.{b}.{c}:9090").parse().unwrap();
-    let mut fronts = Listeners::new(poller.clone(), names(), room, u64::MAX);
-    fronts.listen(at, Protocol::FastCgi, None).unwrap();
-    let mut bad = TcpStream::connect(at).unwrap();
-    let empty = [
+    let address: SocketAddr = format!("127.17.{b}.{c}:9090").parse().unwrap();
+    let mut listeners = Listeners::new(poller.clone(), deployment_names(), limits, u64::MAX);
+    listeners.listen(address, Protocol::FastCgi, None).unwrap();
+    let mut connection = TcpStream::connect(address).unwrap();
+    let empty_request = [
         record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0], 0),
         record(4, 1, b"", 0),
         record(5, 1, b"", 0),
     ]
     .concat();
-    let (mut front_events, mut events, mut answer) = (Vec::new(), Events::new(), [0; 4096]);
-    fronts.accept(0, 0, &mut front_events);
-    for answered in 1..=3 {
-        bad.write_all(&empty).unwrap();
-        // Its bytes lie there, but it is not told of.
+    let (mut listener_events, mut events, mut answer) = (Vec::new(), Events::new(), [0; 4096]);
+    listeners.accept(0, 0, &mut listener_events);
+    for answer_count in 1..=3 {
+        connection.write_all(&empty_request).unwrap();
+        // From the second request on, the poller does not report the waiting bytes.
         events.clear();
-        let waits = if answered == 1 {
+        let timeout = if answer_count == 1 {
             None
         } else {
             Some(Duration::from_millis(20))
         };
-        poller.wait(&mut events, waits).unwrap();
+        poller.wait(&mut events, timeout).unwrap();
         assert_eq!(
             events.iter().any(|e| e.key >= FIRST_CONNECTION_KEY),
-            answered == 1
+            answer_count == 1
         );
-        fronts.sweep(0, &mut front_events);
-        fronts.flush(0, &mut front_events);
+        listeners.sweep(0, &mut listener_events);
+        listeners.flush(0, &mut listener_events);
         events.clear();
         poller.wait(&mut events, None).unwrap();
         events
             .iter()
             .filter(|e| e.key >= FIRST_CONNECTION_KEY)
-            .for_each(|e| fronts.on_event(e, 0, &mut front_events));
-        fronts.flush(0, &mut front_events);
-        assert!(bad.read(&mut answer).unwrap() > 0);
-        assert_eq!(fronts.counts().unreadable.values().sum::<u64>(), answered);
+            .for_each(|e| listeners.on_event(e, 0, &mut listener_events));
+        listeners.flush(0, &mut listener_events);
+        assert!(connection.read(&mut answer).unwrap() > 0);
+        assert_eq!(
+            listeners.counts().unreadable.values().sum::<u64>(),
+            answer_count
+        );
     }
 }
 
 #[test]
-fn a_list_that_loses_eight_reports_in_a_row_still_lists_the_node() {
-    let list = UdpSocket::bind("127.0.0.1:0").unwrap();
-    list.set_nonblocking(true).unwrap();
-    let own = "127.0.0.1:9".parse().unwrap();
-    let mut registry = Registry::open(own, list.local_addr().unwrap(), "n3".into()).unwrap();
+fn a_registry_that_loses_eight_reports_in_a_row_still_lists_the_node() {
+    let registry_socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+    registry_socket.set_nonblocking(true).unwrap();
+    let own_address = "127.0.0.1:9".parse().unwrap();
+    let mut registry = Registry::open(
+        own_address,
+        registry_socket.local_addr().unwrap(),
+        "n3".into(),
+    )
+    .unwrap();
     (0..3000).for_each(|ms| registry.heartbeat(ms * MILLISECOND));
     let reports = (0..100)
-        .filter(|_| list.recv(&mut [0; 100]).is_ok())
+        .filter(|_| registry_socket.recv(&mut [0; 100]).is_ok())
         .count();
-    assert!((9..20).contains(&reports), "{reports} in 3 s");
+    assert!((9..20).contains(&reports), "{reports} reports in 3 s");
 }
 
 #[test]
-fn reports_are_three_words() {
+fn a_report_names_the_node_and_its_state() {
     assert_eq!(registry::encode("n3", false), "BEAT n3 ready");
     assert_eq!(registry::encode("n3", true), "BEAT n3 draining");
 }
 
-const KEY: (u8, [u8; 32]) = (1, [b'a'; 32]);
+const DEDUP_KEY: (u8, [u8; 32]) = (1, [b'a'; 32]);
 
 #[test]
-fn the_window_goes_from_stamp_to_stamp_however_late_a_repeat_is_read() {
+fn the_dedup_window_counts_between_arrival_times_however_late_a_duplicate_is_read() {
     let mut results = ResultTable::new(10, 100, 4500 * MILLISECOND);
-    let (stamp, window) = (1000 * MILLISECOND, 6000 * MILLISECOND);
-    // Read 20 ms after it came, so 5980 ms of the window are left.
+    let (arrived_at, window) = (1000 * MILLISECOND, 6000 * MILLISECOND);
+    // The request is read 20 ms after its arrival, so 5980 ms of the window are left.
     results.record(
         1,
-        KEY,
+        DEDUP_KEY,
         b"",
-        stamp,
+        arrived_at,
         window - 20 * MILLISECOND,
-        stamp + 20 * MILLISECOND,
+        arrived_at + 20 * MILLISECOND,
     );
     assert_eq!(results.result(1), StoredResult::Pending);
     results.complete(1, Ok(RunOutput::from(&b"done"[..])));
-    results.remove_expired(stamp + window + 4000 * MILLISECOND);
+    results.remove_expired(arrived_at + window + 4000 * MILLISECOND);
     assert_eq!(
-        results.check_duplicate(&KEY, b"", stamp + window),
+        results.check_duplicate(&DEDUP_KEY, b"", arrived_at + window),
         DuplicateCheck::Duplicate(1),
-        "read 4 s after the window ran out"
+        "arrived within the window, read 4 s after its end"
     );
     assert_eq!(
-        results.check_duplicate(&KEY, b"", stamp + window + 200 * MILLISECOND),
+        results.check_duplicate(&DEDUP_KEY, b"", arrived_at + window + 200 * MILLISECOND),
         DuplicateCheck::FirstUse,
-        "it came after the window"
+        "arrived after the window"
     );
     assert_eq!(
-        results.check_duplicate(&(0, KEY.1), b"", stamp),
+        results.check_duplicate(&(0, DEDUP_KEY.1), b"", arrived_at),
         DuplicateCheck::FirstUse,
         "another endpoint group"
     );
     assert_eq!(
-        results.check_duplicate(&KEY, b"another body", stamp),
+        results.check_duplicate(&DEDUP_KEY, b"another body", arrived_at),
         DuplicateCheck::BodyMismatch
     );
     assert_eq!(
-        results.check_duplicate(&KEY, b"another body", stamp + window + 200 * MILLISECOND),
+        results.check_duplicate(
+            &DEDUP_KEY,
+            b"another body",
+            arrived_at + window + 200 * MILLISECOND
+        ),
         DuplicateCheck::FirstUse
     );
     assert_eq!(
         results.result(1),
         StoredResult::Output(RunOutput::from(&b"done"[..]))
     );
-    results.remove_expired(stamp + window + 5000 * MILLISECOND);
+    results.remove_expired(arrived_at + window + 5000 * MILLISECOND);
     assert_eq!(
-        (results.check_duplicate(&KEY, b"", stamp), results.bytes()),
+        (
+            results.check_duplicate(&DEDUP_KEY, b"", arrived_at),
+            results.bytes()
+        ),
         (DuplicateCheck::FirstUse, 0)
     );
 }
 
 #[test]
-fn one_in_hand_is_repeated_even_past_its_window() {
+fn a_request_in_flight_has_duplicates_even_past_its_window() {
     let mut results = ResultTable::new(10, 100, 0);
-    results.record(1, KEY, b"", 0, 10 * MILLISECOND, 0);
+    results.record(1, DEDUP_KEY, b"", 0, 10 * MILLISECOND, 0);
     results.remove_expired(60_000 * MILLISECOND);
     assert_eq!(
-        results.check_duplicate(&KEY, b"", 60_000 * MILLISECOND),
+        results.check_duplicate(&DEDUP_KEY, b"", 60_000 * MILLISECOND),
         DuplicateCheck::Duplicate(1)
     );
 }
 
 #[test]
-fn results_keep_within_their_bytes_and_entries() {
+fn results_stay_within_the_limits_of_bytes_and_entries() {
     let mut results = ResultTable::new(3, 10, 0);
-    for ex in 1..=3u32 {
+    for request in 1..=3u32 {
         assert_eq!(
-            results.check_duplicate(&(0, [ex as u8; 32]), b"", 0),
+            results.check_duplicate(&(0, [request as u8; 32]), b"", 0),
             DuplicateCheck::FirstUse
         );
-        results.record(ex, (0, [ex as u8; 32]), b"", 0, 1000 * MILLISECOND, 0);
-        results.complete(ex, Ok(RunOutput::from(&b"123456"[..])));
+        results.record(
+            request,
+            (0, [request as u8; 32]),
+            b"",
+            0,
+            1000 * MILLISECOND,
+            0,
+        );
+        results.complete(request, Ok(RunOutput::from(&b"123456"[..])));
     }
     assert_eq!(
         results.check_duplicate(&(0, [4; 32]), b"", 0),
         DuplicateCheck::TableFull,
-        "a new one"
+        "a new key"
     );
     assert_eq!(
         results.check_duplicate(&(0, [1; 32]), b"", 0),
         DuplicateCheck::Duplicate(1),
-        "one that ran is never refused"
+        "the key of a run is never refused"
     );
     assert_eq!(
         results.result(1),
@@ -658,12 +717,12 @@
     assert_eq!(
         results.result(2),
         StoredResult::None,
-        "it ran, but there was no room for its result"
+        "the request ran, but there was no room for its result"
     );
     assert_eq!(
         results.check_duplicate(&(0, [2; 32]), b"", 0),
         DuplicateCheck::Duplicate(2),
-        "so it must not run again"
+        "a request without a result must not run again"
     );
     results.forget(1);
     assert_eq!(
@@ -684,18 +743,18 @@
     assert_eq!(
         (results.result(3), results.result(4)),
         (StoredResult::None, StoredResult::Pending),
-        "a new try holds it"
+        "the key belongs to the new attempt"
     );
     results.complete(4, Err(NoResult));
     assert_eq!(results.result(4), StoredResult::None);
 }
 
 #[test]
-fn the_window_of_a_clock_ahead_counts_from_its_stamp_and_ends_all_the_same() {
+fn the_window_of_an_arrival_time_in_the_future_counts_from_that_time_and_still_ends() {
     let mut results = ResultTable::new(3, 10, 0);
     results.record(
         1,
-        KEY,
+        DEDUP_KEY,
         b"",
         2500 * MILLISECOND,
         1000 * MILLISECOND,
@@ -703,15 +762,15 @@
     );
     results.complete(1, Ok(RunOutput::from(&b"1"[..])));
     assert_eq!(
-        results.check_duplicate(&KEY, b"", 500 * MILLISECOND),
+        results.check_duplicate(&DEDUP_KEY, b"", 500 * MILLISECOND),
         DuplicateCheck::Duplicate(1)
     );
     assert_eq!(
-        results.check_duplicate(&KEY, b"", 3500 * MILLISECOND),
+        results.check_duplicate(&DEDUP_KEY, b"", 3500 * MILLISECOND),
         DuplicateCheck::Duplicate(1)
     );
     assert_eq!(
-        results.check_duplicate(&KEY, b"", 3700 * MILLISECOND),
+        results.check_duplicate(&DEDUP_KEY, b"", 3700 * MILLISECOND),
         DuplicateCheck::FirstUse
     );
     results.remove_expired(3500 * MILLISECOND);
@@ -724,15 +783,22 @@
         (results.result(1), results.bytes()),
         (StoredResult::None, 0)
     );
-    // However far ahead, nothing runs over.
-    results.record(2, KEY, b"", u64::MAX, 1000 * MILLISECOND, 500 * MILLISECOND);
+    // The largest arrival time causes no overflow.
+    results.record(
+        2,
+        DEDUP_KEY,
+        b"",
+        u64::MAX,
+        1000 * MILLISECOND,
+        500 * MILLISECOND,
+    );
     assert_eq!(
-        results.check_duplicate(&KEY, b"", 500 * MILLISECOND),
+        results.check_duplicate(&DEDUP_KEY, b"", 500 * MILLISECOND),
         DuplicateCheck::Duplicate(2)
     );
 }
 
-fn ex(attempt: u8) -> InFlightRequest {
+fn in_flight_request(attempt: u8) -> InFlightRequest {
     InFlightRequest {
         variables: None,
         pool: 0,
@@ -749,19 +815,21 @@
 }
 
 #[test]
-fn a_doubled_id_is_known_while_in_hand_and_after_and_names_are_new() {
+fn a_duplicate_attempt_id_is_refused_during_and_after_the_request_and_request_ids_are_new() {
     let mut in_flight = InFlightTable::default();
-    let first = in_flight.insert(ex(1)).unwrap();
-    assert_eq!(in_flight.insert(ex(1)), None);
+    let first = in_flight.insert(in_flight_request(1)).unwrap();
+    assert_eq!(in_flight.insert(in_flight_request(1)), None);
     in_flight.remove(first);
-    assert_eq!(in_flight.insert(ex(1)), None);
-    assert_ne!(in_flight.insert(ex(2)), Some(first));
+    assert_eq!(in_flight.insert(in_flight_request(1)), None);
+    assert_ne!(in_flight.insert(in_flight_request(2)), Some(first));
 }
 
 #[test]
-fn a_repeat_that_went_away_is_waited_for_no_more() {
+fn a_removed_duplicate_is_no_longer_attached() {
     let mut in_flight = InFlightTable::default();
-    let ids: Vec<_> = (1..=3).map(|n| in_flight.insert(ex(n)).unwrap()).collect();
+    let ids: Vec<_> = (1..=3)
+        .map(|n| in_flight.insert(in_flight_request(n)).unwrap())
+        .collect();
     in_flight.attach(ids[1], ids[0]);
     in_flight.attach(ids[2], ids[0]);
     in_flight.remove(ids[1]);
@@ -769,65 +837,65 @@
     assert!(in_flight.take_attached(ids[0]).is_empty());
 }
 
-fn fault(change: impl FnOnce(&mut Value)) -> String {
+fn config_error(change: impl FnOnce(&mut Value)) -> String {
     let mut value = config();
     change(&mut value);
     node_config::parse(value.to_string().as_bytes())
-        .expect_err("it was taken")
+        .expect_err("the configuration was accepted")
         .to_string()
 }
 
 #[test]
-fn orders_are_read_with_their_defaults() {
+fn a_configuration_is_read_with_its_defaults() {
     let mut value = config();
     value
         .as_object_mut()
         .unwrap()
         .retain(|key, _| key != "limits" && key != "seed");
-    let orders = node_config::parse(value.to_string().as_bytes()).unwrap();
+    let parsed = node_config::parse(value.to_string().as_bytes()).unwrap();
     assert_eq!(
-        (orders.name.as_str(), orders.seed, orders.stop_after),
+        (parsed.name.as_str(), parsed.seed, parsed.stop_after),
         ("n1", 0, 3200 * MILLISECOND)
     );
     assert_eq!(
-        orders.limits,
+        parsed.limits,
         node_config::parse(config().to_string().as_bytes())
             .unwrap()
             .limits
     );
-    assert!(orders.limits.connections < 1024);
-    assert!(orders.settings.drains_when_unhealthy && orders.settings.tenant_names.is_empty());
-    // All that may be held at once leaves room for the program itself.
+    assert!(parsed.limits.connections < 1024);
+    assert!(parsed.settings.drains_when_unhealthy && parsed.settings.tenant_names.is_empty());
+    // All data that may be held at once leaves memory for the program itself.
     for (memory_mb, sockets) in [(192, 1024), (48, 512), (32, 384), (24, 1024)] {
         let mut value = config();
         value["limits"] = json!({"cores": 0.2, "memory_mb": memory_mb, "sockets": sockets});
-        let room = node_config::parse(value.to_string().as_bytes())
+        let limits = node_config::parse(value.to_string().as_bytes())
             .unwrap()
             .limits;
-        let held = room.open_requests * 10_500
-            + room.dedup_entries * 300
-            + room.result_bytes
-            + room.engine_command_bytes;
-        let all = held + room.unread_answer_bytes + room.connections * 20_000;
+        let held_bytes = limits.open_requests * 10_500
+            + limits.dedup_entries * 300
+            + limits.result_bytes
+            + limits.engine_command_bytes;
+        let max_bytes = held_bytes + limits.unread_answer_bytes + limits.connections * 20_000;
         assert!(
-            all + 3_000_000 < memory_mb * 1_000_000,
-            "{memory_mb} MB: {all}"
+            max_bytes + 3_000_000 < memory_mb * 1_000_000,
+            "{memory_mb} MB: {max_bytes}"
         );
-        assert!(room.connections <= sockets - 24 && room.connections >= sockets.min(300) - 24);
+        assert!(limits.connections <= sockets - 24 && limits.connections >= sockets.min(300) - 24);
     }
 }
 
 #[test]
-fn a_fault_in_the_orders_names_its_key() {
+fn a_fault_in_the_configuration_names_its_key() {
     for key in [
         "name", "listen", "engine", "registry", "stop_ms", "settings",
     ] {
-        let missing = fault(|v| _ = v.as_object_mut().unwrap().remove(key));
+        let missing = config_error(|v| _ = v.as_object_mut().unwrap().remove(key));
         assert!(
             missing.contains(&format!("'{key}' is missing")),
             "{missing}"
         );
-        let wrong = fault(|v| v[key] = json!([]));
+        let wrong = config_error(|v| v[key] = json!([]));
         assert!(wrong.contains(key), "{wrong}");
     }
     for (path, value) in [
@@ -863,14 +931,14 @@
             json!([{"name": "a", "allowance_per_s": -1}]),
         ),
     ] {
-        let fault = fault(|v| {
-            let (above, key) = path.rsplit_once('/').unwrap();
-            match v.pointer_mut(above).unwrap() {
-                Value::Array(list) => list[key.parse::<usize>().unwrap()] = value,
+        let error = config_error(|v| {
+            let (parent, key) = path.rsplit_once('/').unwrap();
+            match v.pointer_mut(parent).unwrap() {
+                Value::Array(array) => array[key.parse::<usize>().unwrap()] = value,
                 object => object[key] = value,
             }
         });
         let key = path.trim_end_matches("/0").rsplit('/').next().unwrap();
-        assert!(fault.contains(key), "{path}: {fault}");
+        assert!(error.contains(key), "{path}: {error}");
     }
 }
--- a/crates/node/tests/node/panics.rs
+++ b/crates/node/tests/node/panics.rs
@@ -1,5 +1,5 @@
-//! Panics that a test puts into the program: what a build of a configuration ends in is a refusal, and any other is one
-//! line of the log before the end.
+//! Panics triggered by a test: one while a configuration is built rejects that configuration, any other is logged in
+//! one line.
 
 use std::io::{BufRead, BufReader, Lines};
 use std::process::ChildStderr;
@@ -8,20 +8,21 @@
 use doortrack_fakes::fixture::{NodeFixture, NodeSetup, connect};
 use serde_json::{Value, json};
 
-/// Half of the time between two reports to the registry, which wake an idle node.
-const SOON: Duration = Duration::from_millis(125);
+/// A node that notices within this time was not woken by its next report to the registry: half the report interval.
+const MAX_NOTICE_DELAY: Duration = Duration::from_millis(125);
 
-/// A node whose log is JSON, and the file that names the place that is to panic.
-struct Panicking {
+/// A node with a JSON log and a file that names the place where it panics.
+struct PanicFixture {
     fixture: NodeFixture,
     lines: Lines<BufReader<ChildStderr>>,
 }
 
-impl Panicking {
-    fn start(installation: Option<Value>) -> Panicking {
-        let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-        let file = std::env::temp_dir().join(format!("doortrack-panic-{}", plan.address.ip()));
-        plan.arguments = [
+impl PanicFixture {
+    fn start(installation: Option<Value>) -> PanicFixture {
+        let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+        let trigger_file =
+            std::env::temp_dir().join(format!("doortrack-panic-{}", setup.address.ip()));
+        setup.arguments = [
             "--log-format",
             "json",
             "--log-lines",
@@ -30,24 +31,24 @@
         ]
         .map(String::from)
         .to_vec();
-        plan.arguments.push(file.display().to_string());
-        plan.installation = installation;
-        let mut fixture = plan.start();
+        setup.arguments.push(trigger_file.display().to_string());
+        setup.installation = installation;
+        let mut fixture = setup.start();
         let lines = BufReader::new(fixture.program.stderr.take().unwrap()).lines();
         drop(connect(fixture.address));
-        Panicking { fixture, lines }
+        PanicFixture { fixture, lines }
     }
 
-    /// From the next reload on this place panics; none with an empty name.
+    /// Makes the node panic at `place` from the next reload on; an empty name stops that.
     fn panic_in(&self, place: &str) {
-        let path = format!("doortrack-panic-{}", self.fixture.address.ip());
-        std::fs::write(std::env::temp_dir().join(path), place).unwrap();
+        let file_name = format!("doortrack-panic-{}", self.fixture.address.ip());
+        std::fs::write(std::env::temp_dir().join(file_name), place).unwrap();
     }
 
-    /// The next line with this message. All before it are JSON as well.
-    fn next_line(&mut self, message: &str) -> Value {
+    /// Reads up to the next log line with this message and returns it. Every line read must be JSON.
+    fn wait_for_message(&mut self, message: &str) -> Value {
         loop {
-            let line = self.lines.next().expect("the log goes on").unwrap();
+            let line = self.lines.next().expect("the log has ended").unwrap();
             let line: Value = serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"));
             if line["msg"] == message {
                 return line;
@@ -60,72 +61,78 @@
     }
 }
 
-impl Drop for Panicking {
+impl Drop for PanicFixture {
     fn drop(&mut self) {
-        let path = format!("doortrack-panic-{}", self.fixture.address.ip());
-        _ = std::fs::remove_file(std::env::temp_dir().join(path));
+        let file_name = format!("doortrack-panic-{}", self.fixture.address.ip());
+        _ = std::fs::remove_file(std::env::temp_dir().join(file_name));
     }
 }
 
-fn is_place(text: &Value) -> bool {
+fn is_panic_location(text: &Value) -> bool {
     let text = text.as_str().unwrap_or_default();
     text.contains("crates/node/src/system/test_panics.rs:")
 }
 
-/// Guards against a build whose panic is no line of the log, or ends the thread of builds.
+/// Guards against a build whose panic is not logged or ends the build thread.
 #[test]
-fn a_build_that_panics_is_refused_with_its_place_and_the_next_file_is_taken() {
+fn a_panicking_build_is_rejected_with_the_panic_location_and_the_next_file_is_applied() {
     for installation in [None, Some(json!({}))] {
-        let mut node = Panicking::start(installation);
+        let mut node = PanicFixture::start(installation);
         node.panic_in("Build");
         for _ in 0..3 {
             node.reload();
-            let refused = node.next_line("configuration rejected");
-            let error = &refused["error"];
-            assert!(is_place(error), "{refused}");
-            assert!(error.to_string().contains("a test wants"), "{refused}");
+            let rejection = node.wait_for_message("configuration rejected");
+            let error = &rejection["error"];
+            assert!(is_panic_location(error), "{rejection}");
+            assert!(error.to_string().contains("a test wants"), "{rejection}");
         }
         node.panic_in("");
         node.reload();
-        node.next_line("configuration in force");
+        node.wait_for_message("configuration in force");
     }
 }
 
-/// Guards against an idle node that learns of the end of its thread of builds only when something else wakes it.
+/// Guards against an idle node that notices the end of its build thread only when something else wakes it.
 #[test]
-fn a_thread_of_builds_that_ends_is_noticed_at_once_and_replaced() {
-    let mut node = Panicking::start(Some(json!({})));
+fn a_build_thread_that_ends_is_noticed_at_once_and_replaced() {
+    let mut node = PanicFixture::start(Some(json!({})));
     node.panic_in("BuildThread");
-    let mut soon = 0;
+    let mut noticed_at_once = 0;
     for _ in 0..12 {
-        let began = Instant::now();
+        let started = Instant::now();
         node.reload();
-        let panicked = node.next_line("panicked");
-        assert!(is_place(&panicked["place"]), "{panicked}");
-        assert_eq!(panicked["thread"], "reload");
-        node.next_line("configuration rejected");
-        soon += usize::from(began.elapsed() < SOON);
+        let panic = node.wait_for_message("panicked");
+        assert!(is_panic_location(&panic["place"]), "{panic}");
+        assert_eq!(panic["thread"], "reload");
+        node.wait_for_message("configuration rejected");
+        noticed_at_once += usize::from(started.elapsed() < MAX_NOTICE_DELAY);
     }
-    assert!(soon > 9, "{soon} of 12 were noticed at once");
+    assert!(
+        noticed_at_once > 9,
+        "{noticed_at_once} of 12 panics were noticed at once"
+    );
     node.panic_in("");
     node.reload();
-    node.next_line("configuration in force");
+    node.wait_for_message("configuration in force");
 }
 
-/// Guards against an end without a structured line.
+/// Guards against a process that ends without a structured log line.
 #[test]
-fn a_panic_of_the_event_loop_is_one_line_of_the_log_and_ends_the_process() {
-    let mut node = Panicking::start(None);
+fn a_panic_of_the_event_loop_is_logged_in_one_line_and_ends_the_process() {
+    let mut node = PanicFixture::start(None);
     node.panic_in("EventLoop");
     node.reload();
-    let panicked = node.next_line("panicked");
-    assert!(is_place(&panicked["place"]), "{panicked}");
-    assert!(panicked["why"].to_string().contains("a test wants"));
+    let panic = node.wait_for_message("panicked");
+    assert!(is_panic_location(&panic["place"]), "{panic}");
+    assert!(panic["why"].to_string().contains("a test wants"));
     assert_eq!(
-        (&panicked["level"], &panicked["thread"]),
+        (&panic["level"], &panic["thread"]),
         (&json!("CRITICAL"), &json!("main"))
     );
-    assert!(panicked["node"].is_string(), "{panicked}");
-    assert!(node.lines.next().is_none(), "nothing follows");
+    assert!(panic["node"].is_string(), "{panic}");
+    assert!(
+        node.lines.next().is_none(),
+        "the log goes on after the panic"
+    );
     assert_eq!(node.fixture.program.wait().unwrap().code(), Some(101));
 }
--- a/crates/node/tests/node/partial_requests.rs
+++ b/crates/node/tests/node/partial_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that come in pieces, cut at every byte and in every form that a protocol allows: each whole one
-//! is answered once, and half ones are told so, also where a piece ends just as the node reloads or leaves.
+//! Requests that arrive in parts, split at every byte and in every form that a protocol allows: each complete request
+//! is answered once and each incomplete one is refused, also when the node reloads or drains between two parts.
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -13,58 +13,58 @@
 use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::json;
 
-/// Bytes of a BEGIN_REQUEST with its record's head, and of the head of a uwsgi packet: with fewer there is no
-/// request that could be answered.
-const FASTCGI_BEGIN: usize = 16;
-const UWSGI_HEAD: usize = 4;
+/// Bytes of a FastCGI BEGIN_REQUEST record with its header. With fewer no request has begun that could be answered.
+const FASTCGI_BEGIN_LENGTH: usize = 16;
+/// Bytes of the header of a uwsgi packet. With fewer no request has begun that could be answered.
+const UWSGI_HEADER_LENGTH: usize = 4;
 
-/// Between two pieces, so that the node reads them one by one.
+/// Waits between two parts, so that the node reads them one by one.
 fn pause() {
     std::thread::sleep(Duration::from_micros(300));
 }
 
-/// Asks over FastCGI until a request is completed, which none is before the engine is up.
-pub fn until_served(at: SocketAddr) {
-    let until = Instant::now() + MAX_WAIT;
-    for nth in 1 << 40.. {
-        let seen = CallerRequest::new(nth, "/svc/look", b"")
-            .send(at, FastCgi)
+/// Sends requests over FastCGI until one is completed, which happens only once the engine is up.
+pub fn wait_until_served(address: SocketAddr) {
+    let deadline = Instant::now() + MAX_WAIT;
+    for attempt_number in 1 << 40.. {
+        let outcome = CallerRequest::new(attempt_number, "/svc/look", b"")
+            .send(address, FastCgi)
             .outcome();
-        if matches!(seen, CallerOutcome::Completed(_)) {
+        if matches!(outcome, CallerOutcome::Completed(_)) {
             return;
         }
-        assert!(Instant::now() < until, "{seen:?}");
+        assert!(Instant::now() < deadline, "{outcome:?}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// From the notice to the stop where nothing is open any more, in ms.
-const SHORT_STOP: u64 = 300;
+/// Time from SIGTERM to the stop, in ms, for tests that have no requests open at the end.
+const SHORT_STOP_MS: u64 = 300;
 
-fn up() -> (NodeFixture, SocketAddr) {
-    up_with_stop(SHORT_STOP)
+fn start_node() -> (NodeFixture, SocketAddr) {
+    start_node_with_stop(SHORT_STOP_MS)
 }
 
-/// A node with a uwsgi front beside its own listener, whose engine ends every run at once.
-fn up_with_stop(stop_ms: u64) -> (NodeFixture, SocketAddr) {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    let uwsgi = plan.port(9092);
-    plan.config["stop_ms"] = json!(stop_ms);
-    plan.installation =
-        Some(json!({"fronts": [{"protocol": "uwsgi", "listen": uwsgi.to_string()}]}));
-    let fixture = plan.start();
+/// Starts a node with a uwsgi listener beside its own one, and an engine that ends every run at once.
+fn start_node_with_stop(stop_ms: u64) -> (NodeFixture, SocketAddr) {
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    let uwsgi_address = setup.port(9092);
+    setup.config["stop_ms"] = json!(stop_ms);
+    setup.installation =
+        Some(json!({"fronts": [{"protocol": "uwsgi", "listen": uwsgi_address.to_string()}]}));
+    let fixture = setup.start();
     immediate::start_engine(fixture.engine_listener.try_clone().unwrap());
-    until_served(fixture.address);
-    (fixture, uwsgi)
+    wait_until_served(fixture.address);
+    (fixture, uwsgi_address)
 }
 
-fn without_delay(at: SocketAddr) -> TcpStream {
-    let sock = connect(at);
+fn connect_without_delay(address: SocketAddr) -> TcpStream {
+    let sock = connect(address);
     sock.set_nodelay(true).unwrap();
     sock
 }
 
-fn leaves(fixture: NodeFixture) {
+fn assert_clean_exit(fixture: NodeFixture) {
     fixture.signal("-TERM");
     let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn a_fastcgi_request_cut_at_any_byte_is_answered_once() {
-    let (fixture, _) = up();
+fn a_fastcgi_request_split_at_any_byte_is_answered_once() {
+    let (fixture, _) = start_node();
     let mut client = Client {
-        sock: without_delay(fixture.address),
+        sock: connect_without_delay(fixture.address),
     };
     let length = request(1, 1, "/svc/look", &[], b"body").len();
     for cut in 1..length {
@@ -85,32 +85,32 @@
         pause();
         client.send(&bytes[cut..]);
         let reply = client.reply();
-        assert_eq!((reply.id, reply.status), (id, 200), "cut at {cut}");
+        assert_eq!((reply.id, reply.status), (id, 200), "split at {cut}");
     }
-    leaves(fixture);
-    assert!(client.is_closed(), "one was answered twice");
+    assert_clean_exit(fixture);
+    assert!(client.is_closed(), "a request was answered twice");
 }
 
-/// The records of a stream, one by one.
+/// Splits a stream into its records.
 fn records(mut stream: &[u8]) -> Vec<Vec<u8>> {
     let mut records = Vec::new();
     while !stream.is_empty() {
         let content = usize::from(u16::from_be_bytes([stream[4], stream[5]]));
-        let (one, rest) = stream.split_at(8 + content + usize::from(stream[6]));
-        records.push(one.to_vec());
+        let (first, rest) = stream.split_at(8 + content + usize::from(stream[6]));
+        records.push(first.to_vec());
         stream = rest;
     }
     records
 }
 
 #[test]
-fn requests_interleaved_record_by_record_and_cut_anywhere_are_answered_once_each() {
-    let (fixture, _) = up();
+fn requests_interleaved_record_by_record_and_split_anywhere_are_answered_once_each() {
+    let (fixture, _) = start_node();
     let mut client = Client {
-        sock: without_delay(fixture.address),
+        sock: connect_without_delay(fixture.address),
     };
     for round in 0..40u64 {
-        // The last one is aborted before it is whole, and its id is used again in the next round.
+        // The last request is aborted before it is complete, and its id is used again in the next round.
         let mut streams: Vec<Vec<Vec<u8>>> = (1..=4)
             .map(|id| {
                 records(&request(
@@ -124,18 +124,18 @@
             .collect();
         let last = streams[3].len() - 1;
         streams[3][last] = record(2, 4, b"");
-        let most = streams.iter().map(Vec::len).max().unwrap();
-        let woven: Vec<u8> = (0..most)
-            .flat_map(|nth| {
+        let max_records = streams.iter().map(Vec::len).max().unwrap();
+        let interleaved: Vec<u8> = (0..max_records)
+            .flat_map(|index| {
                 streams
                     .iter()
-                    .filter_map(move |stream| stream.get(nth))
+                    .filter_map(move |stream| stream.get(index))
                     .flatten()
                     .copied()
             })
             .collect();
-        for piece in woven.chunks(1 + round as usize) {
-            client.send(piece);
+        for part in interleaved.chunks(1 + round as usize) {
+            client.send(part);
             if round > 4 {
                 pause();
             }
@@ -148,85 +148,86 @@
             "round {round}: {replies:?}"
         );
     }
-    leaves(fixture);
-    assert!(client.is_closed(), "one was answered twice");
+    assert_clean_exit(fixture);
+    assert!(client.is_closed(), "a request was answered twice");
 }
 
-/// A form of uwsgi request that the protocol allows.
+/// One of the forms in which the protocol allows a uwsgi request.
 #[derive(Clone, Copy)]
-struct Form {
+struct RequestForm {
     name: &'static str,
     modifier_2: u8,
-    /// What stands for `CONTENT_LENGTH`, if anything does, and where.
+    /// The value of `CONTENT_LENGTH`; `None` leaves the variable out.
     length: Option<&'static str>,
+    /// Whether `CONTENT_LENGTH` is the first variable instead of the last.
     length_first: bool,
-    /// A further variable.
-    more: Option<(&'static str, &'static str)>,
+    /// An additional variable.
+    extra_variable: Option<(&'static str, &'static str)>,
     body: &'static [u8],
-    /// Bytes behind the body.
-    behind: usize,
+    /// Number of bytes sent after the body.
+    trailing_length: usize,
 }
 
-const PLAIN: Form = Form {
-    name: "as front ends write it",
+const DEFAULT_FORM: RequestForm = RequestForm {
+    name: "as web servers write it",
     modifier_2: 0,
     length: Some("4"),
     length_first: false,
-    more: None,
+    extra_variable: None,
     body: b"body",
-    behind: 0,
+    trailing_length: 0,
 };
 
-const FORMS: [Form; 9] = [
-    PLAIN,
-    Form {
+const REQUEST_FORMS: [RequestForm; 9] = [
+    DEFAULT_FORM,
+    RequestForm {
         name: "length first",
         length_first: true,
-        ..PLAIN
+        ..DEFAULT_FORM
     },
-    Form {
+    RequestForm {
         name: "no length",
         length: None,
         body: b"",
-        ..PLAIN
+        ..DEFAULT_FORM
     },
-    Form {
+    RequestForm {
         name: "empty length",
         length: Some(""),
         body: b"",
-        ..PLAIN
+        ..DEFAULT_FORM
     },
-    Form {
+    RequestForm {
         name: "a length of 0",
         length: Some("0"),
         body: b"",
-        ..PLAIN
+        ..DEFAULT_FORM
     },
-    Form {
-        name: "zeros before the length",
+    RequestForm {
+        name: "leading zeros in the length",
         length: Some("0004"),
-        ..PLAIN
+        ..DEFAULT_FORM
     },
-    Form {
+    RequestForm {
         name: "another second modifier",
         modifier_2: 9,
-        ..PLAIN
+        ..DEFAULT_FORM
     },
-    Form {
+    RequestForm {
         name: "an empty variable",
-        more: Some(("HTTPS", "")),
-        ..PLAIN
+        extra_variable: Some(("HTTPS", "")),
+        ..DEFAULT_FORM
     },
-    Form {
-        name: "bytes behind the body",
-        behind: 40,
-        ..PLAIN
+    RequestForm {
+        name: "bytes after the body",
+        trailing_length: 40,
+        ..DEFAULT_FORM
     },
 ];
 
-impl Form {
-    fn bytes(&self, nth: u64) -> Vec<u8> {
-        let (attempt_id, now) = (attempt_id(nth), unix_ms().to_string());
+impl RequestForm {
+    fn bytes(&self, attempt_number: u64) -> Vec<u8> {
+        let (attempt_id, now) = (attempt_id(attempt_number), unix_ms().to_string());
         let mut variables = vec![
             ("SCRIPT_NAME", "/svc/look"),
             ("REQUEST_METHOD", "POST"),
@@ -236,104 +237,116 @@
             ("HTTP_X_MEMORY_KB", "2.5"),
             ("HTTP_X_RANK", "0.5"),
         ];
-        variables.extend(self.more);
+        variables.extend(self.extra_variable);
         if let Some(length) = self.length {
-            let place = if self.length_first {
+            let position = if self.length_first {
                 0
             } else {
                 variables.len()
             };
-            variables.insert(place, ("CONTENT_LENGTH", length));
+            variables.insert(position, ("CONTENT_LENGTH", length));
         }
         let words = variables
             .into_iter()
             .flat_map(|(name, value)| [name, value]);
-        let block: Vec<u8> = words
+        let variable_block: Vec<u8> = words
             .flat_map(|word| [&(word.len() as u16).to_le_bytes()[..], word.as_bytes()].concat())
             .collect();
-        let [low, high] = (block.len() as u16).to_le_bytes();
+        let [low, high] = (variable_block.len() as u16).to_le_bytes();
         [
             &[0, low, high, self.modifier_2][..],
-            &block,
+            &variable_block,
             self.body,
-            &vec![b'x'; self.behind],
+            &vec![b'x'; self.trailing_length],
         ]
         .concat()
     }
 }
 
 #[test]
-fn a_uwsgi_request_of_any_form_cut_at_any_byte_is_answered_once() {
-    let (fixture, at) = up();
-    let mut nth = 0;
-    for (place, form) in FORMS.iter().enumerate() {
-        // The first form at every byte, the others at every seventh, each from another one on.
-        let step = if place == 0 { 1 } else { 7 };
-        for cut in (1 + place % 7..form.bytes(0).len()).step_by(step) {
-            nth += 1;
-            let bytes = form.bytes(nth);
-            let mut sock = without_delay(at);
+fn a_uwsgi_request_of_any_form_split_at_any_byte_is_answered_once() {
+    let (fixture, uwsgi_address) = start_node();
+    let mut attempt_number = 0;
+    for (index, form) in REQUEST_FORMS.iter().enumerate() {
+        // The first form is split at every byte, the others at every seventh, each with a different offset.
+        let step = if index == 0 { 1 } else { 7 };
+        for cut in (1 + index % 7..form.bytes(0).len()).step_by(step) {
+            attempt_number += 1;
+            let bytes = form.bytes(attempt_number);
+            let mut sock = connect_without_delay(uwsgi_address);
             sock.write_all(&bytes[..cut]).unwrap();
             pause();
-            // What lies behind the body may meet the end of the connection.
+            // Bytes sent after the body may arrive once the node has closed the connection.
             let sent = sock.write_all(&bytes[cut..]);
             assert!(
-                sent.is_ok() || form.behind > 0,
-                "{}, cut at {cut}: {sent:?}",
+                sent.is_ok() || form.trailing_length > 0,
+                "{}, split at {cut}: {sent:?}",
                 form.name
             );
-            let seen = PendingAnswer {
+            let outcome = PendingAnswer {
                 sock,
                 protocol: Uwsgi,
             }
             .outcome();
             assert_eq!(
-                seen,
+                outcome,
                 CallerOutcome::Completed(b"done".into()),
-                "{}, cut at {cut}",
+                "{}, split at {cut}",
                 form.name
             );
         }
     }
     for cut in 1..4 {
-        let (mut sock, mut pong) = (without_delay(at), Vec::new());
+        let (mut sock, mut pong) = (connect_without_delay(uwsgi_address), Vec::new());
         sock.write_all(&[100, 0, 0, 0][..cut]).unwrap();
         pause();
         sock.write_all(&[100, 0, 0, 0][cut..]).unwrap();
         sock.read_to_end(&mut pong).unwrap();
-        assert_eq!(pong, [100, 0, 0, 1], "a ping cut at {cut}");
+        assert_eq!(pong, [100, 0, 0, 1], "a ping split at {cut}");
     }
-    leaves(fixture);
+    assert_clean_exit(fixture);
 }
 
-/// A request of which the first bytes were sent.
-struct Half {
+/// A request of which only the first bytes were sent.
+struct PartialRequest {
     pending: PendingAnswer,
     cut: usize,
     rest: Vec<u8>,
 }
 
-impl Half {
-    fn send(nth: u64, at: SocketAddr, protocol: Protocol, cut: usize) -> Half {
-        let bytes = CallerRequest::new(nth, "/svc/look", b"body").bytes(protocol);
-        let mut sock = without_delay(at);
+impl PartialRequest {
+    fn send(
+        attempt_number: u64,
+        address: SocketAddr,
+        protocol: Protocol,
+        cut: usize,
+    ) -> PartialRequest {
+        let bytes = CallerRequest::new(attempt_number, "/svc/look", b"body").bytes(protocol);
+        let mut sock = connect_without_delay(address);
         sock.write_all(&bytes[..cut]).unwrap();
-        Half {
+        PartialRequest {
             pending: PendingAnswer { sock, protocol },
             cut,
             rest: bytes[cut..].to_vec(),
         }
     }
 
-    /// One for every so many bytes, the last of them one byte short of the whole.
-    fn all(from: u64, at: SocketAddr, protocol: Protocol, step: usize) -> Vec<Half> {
+    /// Sends one incomplete request for every `step` bytes of length, and one that lacks only the last byte.
+    fn send_all(
+        from: u64,
+        address: SocketAddr,
+        protocol: Protocol,
+        step: usize,
+    ) -> Vec<PartialRequest> {
         let length = CallerRequest::new(from, "/svc/look", b"body")
             .bytes(protocol)
             .len();
         let cuts = (1..length - 1).step_by(step).chain([length - 1]);
         (from..)
             .zip(cuts)
-            .map(|(nth, cut)| Half::send(nth, at, protocol, cut))
+            .map(|(attempt_number, cut)| {
+                PartialRequest::send(attempt_number, address, protocol, cut)
+            })
             .collect()
     }
 
@@ -342,82 +355,90 @@
     }
 }
 
-/// Whether a whole request was answered: completed, or rejected where too much came at once.
-fn is_answered(seen: &CallerOutcome) -> bool {
+/// Returns true if a complete request was answered: completed, or rejected because too many came at once.
+fn is_answered(outcome: &CallerOutcome) -> bool {
     matches!(
-        seen,
+        outcome,
         CallerOutcome::Completed(_) | CallerOutcome::Rejected { .. }
     )
 }
 
-fn all_answered(halves: Vec<Half>, what: &str) {
+fn assert_all_answered(requests: Vec<PartialRequest>, context: &str) {
     let mut completed = 0;
-    for half in halves {
-        let (protocol, cut) = (half.pending.protocol, half.cut);
-        let seen = half.pending.outcome();
+    for request in requests {
+        let (protocol, cut) = (request.pending.protocol, request.cut);
+        let outcome = request.pending.outcome();
         assert!(
-            is_answered(&seen),
-            "{what}: {protocol} cut at {cut}: {seen:?}"
+            is_answered(&outcome),
+            "{context}: {protocol} split at {cut}: {outcome:?}"
         );
-        completed += usize::from(matches!(seen, CallerOutcome::Completed(_)));
+        completed += usize::from(matches!(outcome, CallerOutcome::Completed(_)));
     }
-    assert!(completed > 0, "{what}");
+    assert!(completed > 0, "{context}");
 }
 
 #[test]
-fn requests_whose_rest_comes_after_a_reload_are_answered() {
-    let (fixture, uwsgi) = up();
-    let front = |at: SocketAddr| json!({"protocol": "uwsgi", "listen": at.to_string()});
-    let more = SocketAddr::new(uwsgi.ip(), 9093);
+fn requests_completed_after_a_reload_are_answered() {
+    let (fixture, uwsgi_address) = start_node();
+    let listener =
+        |address: SocketAddr| json!({"protocol": "uwsgi", "listen": address.to_string()});
+    let added_listener = SocketAddr::new(uwsgi_address.ip(), 9093);
     for (round, text) in [
         "{".into(),
-        json!({"fronts": [front(uwsgi), front(more)]}).to_string(),
+        json!({"fronts": [listener(uwsgi_address), listener(added_listener)]}).to_string(),
     ]
     .into_iter()
     .enumerate()
     {
         let from = 10_000 * (round as u64 + 1);
-        let mut halves = Half::all(from, fixture.address, FastCgi, 7);
-        halves.extend(Half::all(from + 5_000, uwsgi, Uwsgi, 7));
+        let mut requests = PartialRequest::send_all(from, fixture.address, FastCgi, 7);
+        requests.extend(PartialRequest::send_all(
+            from + 5_000,
+            uwsgi_address,
+            Uwsgi,
+            7,
+        ));
         std::fs::write(fixture.folder.join("installation.json"), text).unwrap();
         fixture.signal("-HUP");
-        halves.iter_mut().for_each(Half::send_rest);
-        all_answered(halves, "a reload");
+        requests.iter_mut().for_each(PartialRequest::send_rest);
+        assert_all_answered(requests, "after a reload");
     }
-    drop(connect(more));
-    leaves(fixture);
+    drop(connect(added_listener));
+    assert_clean_exit(fixture);
 }
 
 #[test]
-fn a_piece_that_ends_as_the_node_leaves_is_answered_and_a_half_is_told_so() {
-    let (fixture, uwsgi) = up_with_stop(1_200);
-    let mut followed = Half::all(10_000, fixture.address, FastCgi, 11);
-    followed.extend(Half::all(15_000, uwsgi, Uwsgi, 11));
-    let mut left = Half::all(20_000, fixture.address, FastCgi, 31);
-    left.extend(Half::all(25_000, uwsgi, Uwsgi, 31));
+fn requests_completed_during_a_drain_are_answered_and_incomplete_ones_are_refused() {
+    let (fixture, uwsgi_address) = start_node_with_stop(1_200);
+    let mut completed_later = PartialRequest::send_all(10_000, fixture.address, FastCgi, 11);
+    completed_later.extend(PartialRequest::send_all(15_000, uwsgi_address, Uwsgi, 11));
+    let mut incomplete = PartialRequest::send_all(20_000, fixture.address, FastCgi, 31);
+    incomplete.extend(PartialRequest::send_all(25_000, uwsgi_address, Uwsgi, 31));
     fixture.signal("-TERM");
-    followed.iter_mut().for_each(Half::send_rest);
-    all_answered(followed, "a notice");
-    for half in left {
-        let (protocol, cut) = (half.pending.protocol, half.cut);
-        let begun = cut
+    completed_later
+        .iter_mut()
+        .for_each(PartialRequest::send_rest);
+    assert_all_answered(completed_later, "after SIGTERM");
+    for request in incomplete {
+        let (protocol, cut) = (request.pending.protocol, request.cut);
+        let has_begun = cut
             >= if protocol == FastCgi {
-                FASTCGI_BEGIN
+                FASTCGI_BEGIN_LENGTH
             } else {
-                UWSGI_HEAD
+                UWSGI_HEADER_LENGTH
             };
-        let seen = half.pending.outcome();
-        // By the stop it is refused; by then it may be a slow one, which is told so.
-        let told = matches!(
-            seen,
+        let outcome = request.pending.outcome();
+        // At the stop an incomplete request is rejected, unless it was answered with 400 as too slow before.
+        let refused = matches!(
+            outcome,
             CallerOutcome::Rejected { .. } | CallerOutcome::Unreadable(400, _)
         );
-        let wanted = if begun {
-            told
+        let expected = if has_begun {
+            refused
         } else {
-            seen == CallerOutcome::Nothing
+            outcome == CallerOutcome::Nothing
         };
-        assert!(wanted, "{protocol} cut at {cut}: {seen:?}");
+        assert!(expected, "{protocol} split at {cut}: {outcome:?}");
     }
     let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
--- a/crates/node/tests/node/random_faults.rs
+++ b/crates/node/tests/node/random_faults.rs
@@ -1,4 +1,5 @@
-//! A seeded play over both fronts at once, with faults on every side, checked by the four rules from outside.
+//! Seeded random requests over listeners of both protocols, with faults of callers, servers and engine. The outcomes
+//! and runs are checked from outside the node by `doortrack_fakes::rules`.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,22 +17,23 @@
 use fastrand::Rng;
 use serde_json::{Value, json};
 
-/// The deadline of both endpoint groups here, and what a slow machine may add.
-const TIMEOUT_MS: u64 = 2000;
-const SLOW_MACHINE_MS: u64 = 5000;
+/// The deadline of both endpoint groups.
+const DEADLINE_MS: u64 = 2000;
+/// What a slow machine may add to the deadline.
+const SLOW_MACHINE_ALLOWANCE_MS: u64 = 5000;
 
-fn result(attempt_id: &str) -> Vec<u8> {
+fn result_of(attempt_id: &str) -> Vec<u8> {
     format!("of {attempt_id}").into_bytes()
 }
 
-/// What a server does with one request: mostly sound, else in any way wrong.
-fn act(got: &ReceivedRequest, seed: u64) -> Behavior {
+/// Chooses what a server does with one request: mostly a proper answer, else a fault of any kind.
+fn choose_behavior(request: &ReceivedRequest, seed: u64) -> Behavior {
     let attempt_id =
-        String::from_utf8_lossy(got.variable("HTTP_X_REQUEST_ID").unwrap()).into_owned();
+        String::from_utf8_lossy(request.variable("HTTP_X_REQUEST_ID").unwrap()).into_owned();
     let mut rng = Rng::with_seed(
-        seed ^ u64::from_str_radix(&attempt_id, 16).unwrap() << 8 ^ got.connection as u64,
+        seed ^ u64::from_str_radix(&attempt_id, 16).unwrap() << 8 ^ request.connection as u64,
     );
-    let (body, at) = (result(&attempt_id), rng.usize(0..60));
+    let (body, at) = (result_of(&attempt_id), rng.usize(0..60));
     let how = [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose][rng.usize(0..3)];
     match rng.u8(0..20) {
         0 | 1 => Behavior::Answer {
@@ -50,30 +52,31 @@
     }
 }
 
-/// Callers on both fronts, some of which leave; what they were told.
+/// Callers on both listeners, some of which disconnect early, and the outcome of each of their attempts.
 struct Callers {
     rng: Rng,
-    fronts: [(Protocol, SocketAddr); 2],
-    nth: u64,
-    tried: Arc<Mutex<Vec<CallerAttempt>>>,
-    waiting: Vec<thread::JoinHandle<()>>,
+    listeners: [(Protocol, SocketAddr); 2],
+    attempts_sent: u64,
+    attempts: Arc<Mutex<Vec<CallerAttempt>>>,
+    threads: Vec<thread::JoinHandle<()>>,
 }
 
 impl Callers {
-    fn new(seed: u64, fronts: [(Protocol, SocketAddr); 2]) -> Callers {
+    fn new(seed: u64, listeners: [(Protocol, SocketAddr); 2]) -> Callers {
         Callers {
             rng: Rng::with_seed(seed),
-            fronts,
-            nth: 0,
-            tried: Arc::default(),
-            waiting: Vec::new(),
+            listeners,
+            attempts_sent: 0,
+            attempts: Arc::default(),
+            threads: Vec::new(),
         }
     }
 
-    /// One try by chance: of a key that others use too, or of none; whoever asks may leave at any byte.
-    fn ask(&mut self) {
-        self.nth += 1;
-        let (attempt_number, (protocol, at)) = (self.nth, self.fronts[self.rng.usize(0..2)]);
+    /// Sends one random attempt, with a shared idempotency key or without one. Its caller may disconnect at any byte.
+    fn send_random(&mut self) {
+        self.attempts_sent += 1;
+        let (attempt_number, (protocol, address)) =
+            (self.attempts_sent, self.listeners[self.rng.usize(0..2)]);
         let key = self
             .rng
             .bool()
@@ -83,162 +86,178 @@
         } else {
             "/svc/look"
         };
-        let mut ask = CallerRequest::new(attempt_number, script, b"berth");
+        let mut request = CallerRequest::new(attempt_number, script, b"berth");
         if let Some(key) = &key {
-            ask = ask.with("HTTP_IDEMPOTENCY_KEY", key);
+            request = request.with("HTTP_IDEMPOTENCY_KEY", key);
         }
-        let leaves = self.rng.u8(0..12);
+        let disconnect_choice = self.rng.u8(0..12);
         let sent = unix_ms();
-        if leaves == 0 {
-            // Within its request: never had.
-            let bytes = ask.bytes(protocol);
+        if disconnect_choice == 0 {
+            // The caller disconnects within its request, which therefore does not count as an attempt.
+            let bytes = request.bytes(protocol);
             let cut = self.rng.usize(0..bytes.len());
-            if let Ok(mut sock) = std::net::TcpStream::connect(at) {
+            if let Ok(mut sock) = std::net::TcpStream::connect(address) {
                 _ = std::io::Write::write_all(&mut sock, &bytes[..cut]);
             }
             return;
         }
-        // Once the node has left nobody is there.
-        let Ok(pending) = ask.try_send(at, protocol) else {
+        // The connection is refused once the node has exited.
+        let Ok(pending) = request.try_send(address, protocol) else {
             return;
         };
-        let mut tried = CallerAttempt {
+        let mut attempt = CallerAttempt {
             attempt_number,
             idempotency_key: key,
             sent,
             outcome: None,
         };
-        let all = self.tried.clone();
-        match leaves {
+        let all_attempts = self.attempts.clone();
+        match disconnect_choice {
             1 => {
                 pending.reset();
-                all.lock().unwrap().push(tried);
+                all_attempts.lock().unwrap().push(attempt);
                 return;
             }
             2 => pending.half_close(),
             _ => {}
         }
-        self.waiting.push(thread::spawn(move || {
-            let seen = PendingAnswer::outcome(pending);
-            tried.outcome = Some((seen, unix_ms()));
-            all.lock().unwrap().push(tried);
+        self.threads.push(thread::spawn(move || {
+            let outcome = PendingAnswer::outcome(pending);
+            attempt.outcome = Some((outcome, unix_ms()));
+            all_attempts.lock().unwrap().push(attempt);
         }));
     }
 
-    fn over(self) -> Vec<CallerAttempt> {
-        self.waiting
+    fn finish(self) -> Vec<CallerAttempt> {
+        self.threads
             .into_iter()
             .for_each(|thread| thread.join().unwrap());
-        self.tried.lock().unwrap().clone()
+        self.attempts.lock().unwrap().clone()
     }
 }
 
-fn plan(change: impl FnOnce(&mut Value)) -> (NodeSetup, [(Protocol, SocketAddr); 2]) {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
-    for lane in plan.config["settings"]["lanes"].as_array_mut().unwrap() {
-        (lane["target"], lane["deadline"]) = (json!(TIMEOUT_MS * 500), json!(TIMEOUT_MS * 1000));
+fn setup_with(change: impl FnOnce(&mut Value)) -> (NodeSetup, [(Protocol, SocketAddr); 2]) {
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    let listeners = [(FastCgi, setup.port(9091)), (Uwsgi, setup.port(9092))];
+    for group in setup.config["settings"]["lanes"].as_array_mut().unwrap() {
+        (group["target"], group["deadline"]) =
+            (json!(DEADLINE_MS * 500), json!(DEADLINE_MS * 1000));
     }
-    plan.config["settings"]["safety"]["drain_grace"] = json!(200_000);
-    plan.config["stop_ms"] = json!(1500);
-    let mut installation = json!({"fronts": fronts.map(|(front, at)| {
-        json!({"protocol": front.name(), "listen": at.to_string()})
+    setup.config["settings"]["safety"]["drain_grace"] = json!(200_000);
+    setup.config["stop_ms"] = json!(1500);
+    let mut installation = json!({"fronts": listeners.map(|(protocol, address)| {
+        json!({"protocol": protocol.name(), "listen": address.to_string()})
     })});
     change(&mut installation);
-    plan.installation = Some(installation);
-    (plan, fronts)
+    setup.installation = Some(installation);
+    (setup, listeners)
 }
 
-/// The last part: told to leave while all goes on, and a look at the whole.
-fn leave(fixture: NodeFixture, mut callers: Callers, runs: impl FnOnce() -> Vec<ExecutedRun>) {
+/// Sends SIGTERM while callers go on, waits for the exit and checks all attempts and runs.
+fn drain_and_check(
+    fixture: NodeFixture,
+    mut callers: Callers,
+    runs: impl FnOnce() -> Vec<ExecutedRun>,
+) {
     fixture.signal("-TERM");
-    let closed = unix_ms() + 200 + 150;
+    let accepts_until = unix_ms() + 200 + 150;
     for _ in 0..60 {
-        callers.ask();
+        callers.send_random();
         thread::sleep(Duration::from_millis(8));
     }
     let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(!log.contains("panicked"), "{log}");
-    let (tried, runs) = (callers.over(), runs());
+    let (attempts, runs) = (callers.finish(), runs());
     let bounds = Bounds {
-        max_latency_ms: TIMEOUT_MS + SLOW_MACHINE_MS,
-        accepts_until_ms: Some(closed),
+        max_latency_ms: DEADLINE_MS + SLOW_MACHINE_ALLOWANCE_MS,
+        accepts_until_ms: Some(accepts_until),
         max_attempts: 3,
     };
-    let violations = find_violations(&tried, &runs, bounds, result);
+    let violations = find_violations(&attempts, &runs, bounds, result_of);
     assert!(violations.is_empty(), "{violations:#?}\n{log}");
-    let completed = |tried: &&CallerAttempt| {
+    let completed = |attempt: &&CallerAttempt| {
         matches!(
-            &tried.outcome,
+            &attempt.outcome,
             Some((doortrack_fakes::caller::CallerOutcome::Completed(_), _))
         )
     };
     assert!(
-        tried.iter().filter(completed).count() > 100,
-        "little was completed: {log}"
+        attempts.iter().filter(completed).count() > 100,
+        "too few requests were completed: {log}"
     );
 }
 
 #[test]
-fn with_servers_that_fail_in_every_way_no_rule_is_broken() {
+fn no_rule_is_broken_with_servers_that_fail_in_every_way() {
     for (seed, protocol) in [(11, FastCgi), (12, Uwsgi)] {
         let mut servers: Vec<Server> = (0..3)
-            .map(|nth| Server::start(protocol, move |got| act(got, seed * 10 + nth)))
+            .map(|index| {
+                Server::start(protocol, move |request| {
+                    choose_behavior(request, seed * 10 + index)
+                })
+            })
             .collect();
         let addresses: Vec<String> = servers
             .iter()
             .map(|server| server.address.to_string())
             .collect();
-        let part = |most: usize| {
-            json!({"protocol": protocol.name(), "addresses": addresses[..most], "answer_within_ms": 300,
+        let pool_settings = |server_count: usize| {
+            json!({"protocol": protocol.name(), "addresses": addresses[..server_count], "answer_within_ms": 300,
                 "aside": {"first_ms": 50, "longest_ms": 200}, "retries": {"share": 0.5}})
         };
-        let (plan, fronts) = plan(|installation| installation["servers"] = part(3));
-        let mut installation = plan.installation.clone().unwrap();
-        let (fixture, mut callers) = (plan.start(), Callers::new(seed, fronts));
-        drop(doortrack_fakes::fixture::connect(fronts[0].1));
-        let mut gone: Vec<ExecutedRun> = Vec::new();
+        let (setup, listeners) =
+            setup_with(|installation| installation["servers"] = pool_settings(3));
+        let mut installation = setup.installation.clone().unwrap();
+        let (fixture, mut callers) = (setup.start(), Callers::new(seed, listeners));
+        drop(doortrack_fakes::fixture::connect(listeners[0].1));
+        let mut lost_runs: Vec<ExecutedRun> = Vec::new();
         for round in 0..300 {
-            callers.ask();
+            callers.send_random();
             thread::sleep(Duration::from_millis(4));
             match round {
-                // Killed while it runs, and back at the same place.
+                // A server is killed while it executes runs, and starts again at the same address.
                 100 => {
                     let server = servers.remove(0);
-                    let at = server.address;
+                    let address = server.address;
                     thread::sleep(Duration::from_millis(2));
-                    gone.extend(server.kill_and_collect().iter().map(ExecutedRun::from));
+                    lost_runs.extend(server.kill_and_collect().iter().map(ExecutedRun::from));
                     servers.insert(
                         0,
-                        Server::start_at(at, protocol, move |got| act(got, seed * 10)),
+                        Server::start_at(address, protocol, move |request| {
+                            choose_behavior(request, seed * 10)
+                        }),
                     );
                 }
                 150 | 220 => {
-                    installation["servers"] = part(if round == 150 { 2 } else { 3 });
+                    installation["servers"] = pool_settings(if round == 150 { 2 } else { 3 });
                     fixture.replace_installation(&installation);
                 }
                 _ => {}
             }
         }
-        leave(fixture, callers, || {
-            gone.extend(
+        drain_and_check(fixture, callers, || {
+            lost_runs.extend(
                 servers
                     .iter()
                     .flat_map(|server| server.received())
-                    .map(|got| ExecutedRun::from(&got)),
+                    .map(|request| ExecutedRun::from(&request)),
             );
-            gone
+            lost_runs
         });
     }
 }
 
-/// An engine that ends runs by chance, and now and then loses its link.
-fn serve(bed_door: std::net::TcpListener, seed: u64, over: Arc<AtomicBool>) -> Vec<ExecutedRun> {
+/// Runs an engine that ends runs with random outcomes and sometimes drops its link. Returns the runs it executed.
+fn run_engine(
+    listener: std::net::TcpListener,
+    seed: u64,
+    stopped: Arc<AtomicBool>,
+) -> Vec<ExecutedRun> {
     let (mut rng, mut runs, mut serial) = (Rng::with_seed(seed), Vec::<ExecutedRun>::new(), 0);
     let mut notices: Vec<Value> = Vec::new();
-    while !over.load(Ordering::SeqCst) {
-        let Ok((sock, _)) = bed_door.accept() else {
+    while !stopped.load(Ordering::SeqCst) {
+        let Ok((sock, _)) = listener.accept() else {
             thread::sleep(Duration::from_millis(2));
             continue;
         };
@@ -249,9 +268,9 @@
         let Some(attach) = engine.try_read_command() else {
             continue;
         };
-        let last = attach["serial"].as_u64().unwrap() as usize;
+        let last_serial = attach["serial"].as_u64().unwrap() as usize;
         let mut ok = engine.try_send(&json!({"msg": "HELLO", "how": "WARM", "duration": 60_000}));
-        notices[last.min(notices.len())..]
+        notices[last_serial.min(notices.len())..]
             .iter()
             .for_each(|notice| ok &= engine.try_send(notice));
         while ok && let Some(command) = engine.try_read_command() {
@@ -263,19 +282,19 @@
                     ok &= engine.try_send(&stats);
                 }
                 "RUN" if !runs.iter().any(|run| run.attempt_id == call) => {
-                    let how = ["OK", "OK", "OK", "OK", "ERROR"][rng.usize(0..5)];
+                    let outcome = ["OK", "OK", "OK", "OK", "ERROR"][rng.usize(0..5)];
                     serial += 1;
                     runs.push(ExecutedRun {
                         attempt_id: call.clone(),
                         idempotency_key: None,
                         at: unix_ms(),
                     });
-                    let blob = Engine::encode_result(&result(&call));
+                    let blob = Engine::encode_result(&result_of(&call));
                     notices.push(
-                        json!({"msg": "DONE", "serial": serial, "call": call, "how": how, "blob": blob}),
+                        json!({"msg": "DONE", "serial": serial, "call": call, "how": outcome, "blob": blob}),
                     );
                     ok &= engine.try_send(&notices[notices.len() - 1]);
-                    // Broken between two notices; what was told last may not have arrived.
+                    // The link breaks between two notices, of which the last may not have arrived.
                     ok &= rng.u8(0..60) != 0;
                 }
                 _ => {}
@@ -286,33 +305,33 @@
 }
 
 #[test]
-fn with_an_engine_whose_link_breaks_no_rule_is_broken() {
-    let (plan, fronts) = plan(|_| {});
-    let (fixture, mut callers) = (plan.start(), Callers::new(13, fronts));
+fn no_rule_is_broken_with_an_engine_whose_link_breaks() {
+    let (setup, listeners) = setup_with(|_| {});
+    let (fixture, mut callers) = (setup.start(), Callers::new(13, listeners));
     fixture.engine_listener.set_nonblocking(true).unwrap();
-    let (door, over) = (
+    let (engine_listener, stopped) = (
         fixture.engine_listener.try_clone().unwrap(),
         Arc::new(AtomicBool::new(false)),
     );
-    let told = over.clone();
-    let engine = thread::spawn(move || serve(door, 14, told));
-    drop(doortrack_fakes::fixture::connect(fronts[0].1));
+    let stopped_in_thread = stopped.clone();
+    let engine = thread::spawn(move || run_engine(engine_listener, 14, stopped_in_thread));
+    drop(doortrack_fakes::fixture::connect(listeners[0].1));
     thread::sleep(Duration::from_millis(50));
     for _ in 0..400 {
-        callers.ask();
+        callers.send_random();
         thread::sleep(Duration::from_millis(3));
     }
-    let tried = callers.tried.clone();
-    leave(fixture, callers, move || {
-        over.store(true, Ordering::SeqCst);
+    let attempts = callers.attempts.clone();
+    drain_and_check(fixture, callers, move || {
+        stopped.store(true, Ordering::SeqCst);
         let mut runs = engine.join().unwrap();
-        // The engine is told no idempotency keys; its runs have those of their tries.
-        let tried = tried.lock().unwrap();
+        // The engine receives no idempotency keys, so each run gets the key of its attempt.
+        let attempts = attempts.lock().unwrap();
         for run in &mut runs {
-            let of = tried
-                .iter()
-                .find(|tried| doortrack_fakes::attempt_id(tried.attempt_number) == run.attempt_id);
-            run.idempotency_key = of.and_then(|tried| tried.idempotency_key.clone());
+            let matching = attempts.iter().find(|attempt| {
+                doortrack_fakes::attempt_id(attempt.attempt_number) == run.attempt_id
+            });
+            run.idempotency_key = matching.and_then(|attempt| attempt.idempotency_key.clone());
         }
         runs
     });
--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -1,5 +1,5 @@
-//! A configuration that comes into force beside a caller who asks on and on: built off the loop, as a whole,
-//! in order, and the last one that was written.
+//! Reloads under constant requests: configurations are built outside the event loop and applied as a whole and in
+//! order, and the last one written wins.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -17,80 +17,85 @@
 
 const UWSGI: Protocol = Protocol::Uwsgi;
 
-/// How much there is to read and build.
+/// Numbers of rules and tenants in a configuration.
 #[derive(Clone, Copy)]
-struct Size {
+struct ConfigSize {
     rules: usize,
     tenants: usize,
 }
 
-const LARGE: Size = Size {
+const LARGE: ConfigSize = ConfigSize {
     rules: 3_400,
     tenants: 20_000,
 };
-const SMALL: Size = Size {
+const SMALL: ConfigSize = ConfigSize {
     rules: 400,
     tenants: 2_000,
 };
-const MIDDLE: Size = Size {
+const MEDIUM: ConfigSize = ConfigSize {
     rules: 1_000,
     tenants: 2_000,
 };
 
-/// A node with application servers, each of which answers with its pool's name, and a front over uwsgi.
-struct Site {
+/// A node with a uwsgi listener and application servers, each of which answers with the name of its pool.
+struct ReloadFixture {
     fixture: NodeFixture,
-    front: SocketAddr,
+    listener: SocketAddr,
     servers: Vec<Server>,
-    size: Size,
+    size: ConfigSize,
     log: Receiver<String>,
-    /// Lines of the log that were looked at.
-    seen: Vec<String>,
+    /// Lines received from `log` so far.
+    seen_lines: Vec<String>,
 }
 
-/// The file in its version `nth`: the first and the last rule send their requests to the pool of that place,
-/// and one rule in the middle is another one.
-fn installation(size: Size, front: SocketAddr, servers: &[Server], nth: usize) -> Value {
+/// Contents of version `version` of the installation file: its first and last rules route to the pool with that index, and one rule in
+/// the middle differs in each version.
+fn installation(
+    size: ConfigSize,
+    listener: SocketAddr,
+    servers: &[Server],
+    version: usize,
+) -> Value {
     let pool = |server: &Server| json!({"protocol": "uwsgi", "addresses": [server.address.to_string()], "at_once": 8});
-    let names = (0..servers.len()).map(|place| format!("p{place}"));
-    let pools: serde_json::Map<String, Value> = names.zip(servers.iter().map(pool)).collect();
-    let rule = |place: usize| {
+    let pool_names = (0..servers.len()).map(|index| format!("p{index}"));
+    let pools: serde_json::Map<String, Value> = pool_names.zip(servers.iter().map(pool)).collect();
+    let rule = |index: usize| {
         let when = format!(
-            "path.starts_with(\"/yard-{place}/\") && (header(\"x-yard\") ?? \"\") == \"north-{place}\""
+            "path.starts_with(\"/yard-{index}/\") && (header(\"x-yard\") ?? \"\") == \"north-{index}\""
         );
         json!({"when": when, "group": "look", "subject": "segment(1)", "rank": "0.5"})
     };
-    let probe = |path: &str| {
+    let version_rule = |path: &str| {
         let when = format!("path == \"{path}\"");
-        json!({"when": when, "group": "look", "servers": format!("p{}", nth % servers.len())})
+        json!({"when": when, "group": "look", "servers": format!("p{}", version % servers.len())})
     };
     let mut rules: Vec<Value> = (0..size.rules).map(rule).collect();
-    rules[size.rules / 2]["when"] = json!(format!("path == \"/changed/{nth}\""));
-    rules.insert(0, probe("/first"));
-    rules.push(probe("/last"));
-    json!({"fronts": [{"protocol": "uwsgi", "listen": front.to_string()}], "servers": pool(&servers[0]),
+    rules[size.rules / 2]["when"] = json!(format!("path == \"/changed/{version}\""));
+    rules.insert(0, version_rule("/first"));
+    rules.push(version_rule("/last"));
+    json!({"fronts": [{"protocol": "uwsgi", "listen": listener.to_string()}], "servers": pool(&servers[0]),
         "pools": pools, "rules": rules})
 }
 
-impl Site {
-    fn start(size: Size, pools: usize) -> Site {
-        let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-        let front = plan.port(9091);
+impl ReloadFixture {
+    fn start(size: ConfigSize, pools: usize) -> ReloadFixture {
+        let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+        let listener = setup.port(9091);
         let servers: Vec<Server> = (0..pools)
-            .map(|place| {
-                let name = format!("p{place}");
+            .map(|index| {
+                let name = format!("p{index}");
                 Server::start(UWSGI, move |_| Behavior::ok(name.clone()))
             })
             .collect();
-        let party =
-            |nth: usize| json!({"name": format!("customer-{nth:05}"), "allowance_per_s": 1});
-        plan.config["settings"]["parties"] = (0..size.tenants).map(party).collect();
-        plan.config["settings"]["family_info"]["cores"] = json!(64);
-        plan.arguments = ["--log-level", "debug", "--log-lines", "1000"]
+        let tenant =
+            |index: usize| json!({"name": format!("customer-{index:05}"), "allowance_per_s": 1});
+        setup.config["settings"]["parties"] = (0..size.tenants).map(tenant).collect();
+        setup.config["settings"]["family_info"]["cores"] = json!(64);
+        setup.arguments = ["--log-level", "debug", "--log-lines", "1000"]
             .map(String::from)
             .to_vec();
-        plan.installation = Some(installation(size, front, &servers, 0));
-        let mut fixture = plan.start();
+        setup.installation = Some(installation(size, listener, &servers, 0));
+        let mut fixture = setup.start();
         let (sender, log) = mpsc::channel();
         let lines = BufReader::new(fixture.program.stderr.take().unwrap()).lines();
         std::thread::spawn(move || {
@@ -98,23 +103,23 @@
                 .map_while(Result::ok)
                 .try_for_each(|line| sender.send(line))
         });
-        drop(connect(front));
-        Site {
+        drop(connect(listener));
+        ReloadFixture {
             fixture,
-            front,
+            listener,
             servers,
             size,
             log,
-            seen: Vec::new(),
+            seen_lines: Vec::new(),
         }
     }
 
-    fn version(&self, nth: usize) -> Value {
-        installation(self.size, self.front, &self.servers, nth)
+    fn version(&self, version: usize) -> Value {
+        installation(self.size, self.listener, &self.servers, version)
     }
 
-    /// Asks once: the place of the pool that answered.
-    fn ask(&self, path: &str) -> usize {
+    /// Sends one request and returns the index of the pool that answered.
+    fn pool_answering(&self, path: &str) -> usize {
         let pairs: [Variable; 3] = [
             (b"REQUEST_METHOD", b"GET"),
             (b"PATH_INFO", path.as_bytes()),
@@ -122,7 +127,7 @@
         ];
         let mut out = Vec::new();
         write_request(UWSGI, &mut out, 1, false, &pairs, b"").unwrap();
-        let mut sock = connect(self.front);
+        let mut sock = connect(self.listener);
         sock.write_all(&out).unwrap();
         match (PendingAnswer {
             sock,
@@ -133,42 +138,45 @@
             CallerOutcome::Completed(body) => {
                 String::from_utf8(body).unwrap()[1..].parse().unwrap()
             }
-            seen => panic!("{path}: {seen:?}"),
+            outcome => panic!("{path}: {outcome:?}"),
         }
     }
 
-    fn count(&self, part: &str) -> usize {
-        self.seen.iter().filter(|line| line.contains(part)).count()
+    fn count_lines(&self, text: &str) -> usize {
+        self.seen_lines
+            .iter()
+            .filter(|line| line.contains(text))
+            .count()
     }
 
-    /// Waits until the log has this so many times.
-    fn until_logged(&mut self, part: &str, times: usize) {
-        let until = Instant::now() + MAX_WAIT;
-        while self.count(part) < times {
-            let left = until.saturating_duration_since(Instant::now());
+    /// Waits until at least `count` log lines contain `text`.
+    fn wait_until_logged(&mut self, text: &str, count: usize) {
+        let deadline = Instant::now() + MAX_WAIT;
+        while self.count_lines(text) < count {
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let line = self
                 .log
-                .recv_timeout(left)
-                .unwrap_or_else(|_| panic!("{part}: {:?}", self.seen));
-            self.seen.push(line);
+                .recv_timeout(remaining)
+                .unwrap_or_else(|_| panic!("{text}: {:?}", self.seen_lines));
+            self.seen_lines.push(line);
         }
     }
 
-    /// A figure of each line that has one by this name.
-    fn figures(&self, name: &str) -> Vec<u64> {
-        let of = |line: &String| {
+    /// The values of the key `name` in the log lines that have it.
+    fn logged_values(&self, name: &str) -> Vec<u64> {
+        let value_in_line = |line: &String| {
             let (_, rest) = line.split_once(&format!(" {name}="))?;
             rest.split_whitespace().next()?.parse().ok()
         };
-        self.seen.iter().filter_map(of).collect()
+        self.seen_lines.iter().filter_map(value_in_line).collect()
     }
 
-    /// Has the node leave, and reads the log to its end.
-    fn end(mut self) -> Vec<String> {
+    /// Sends SIGTERM, waits for the exit and returns all log lines.
+    fn finish(mut self) -> Vec<String> {
         self.fixture.signal("-TERM");
         assert_eq!(self.fixture.program.wait().unwrap().code(), Some(0));
-        self.seen.extend(self.log.iter());
-        self.seen
+        self.seen_lines.extend(self.log.iter());
+        self.seen_lines
     }
 
     fn resident_kb(&self) -> u64 {
@@ -182,162 +190,172 @@
     }
 }
 
-/// Asks by the first rule and the last, in turn, until `version` answers: answers by the version before, once
-/// the notice was given. No answer may be by an older version than one before it.
-fn ask_until(site: &Site, version: usize) -> usize {
-    let until = Instant::now() + MAX_WAIT;
-    let (mut newest, mut by_the_old) = (version - 1, 0);
+/// Sends requests for the first and the last rule in turn until `version` answers. Returns the number of answers by
+/// the previous version. No answer may come from an older version than the answer before it.
+fn count_old_answers_until(node: &ReloadFixture, version: usize) -> usize {
+    let deadline = Instant::now() + MAX_WAIT;
+    let (mut newest, mut old_answers) = (version - 1, 0);
     for path in ["/first", "/last"].into_iter().cycle() {
-        let found = site.ask(path);
+        let answered_version = node.pool_answering(path);
+        assert!(
+            answered_version == version - 1 || answered_version == version,
+            "{path} answered by {answered_version}"
+        );
         assert!(
-            found == version - 1 || found == version,
-            "{path} by {found}"
+            answered_version >= newest,
+            "{path} answered by {answered_version} after {newest}"
         );
-        assert!(found >= newest, "{path} by {found} after one by {newest}");
-        newest = found;
-        by_the_old += usize::from(found < version);
-        // Both must have come by then, and come again.
+        newest = answered_version;
+        old_answers += usize::from(answered_version < version);
+        // Both rules must be of the new version by then, and stay so.
         if newest == version && path == "/last" {
-            assert_eq!((site.ask("/first"), site.ask("/last")), (version, version));
+            assert_eq!(
+                (node.pool_answering("/first"), node.pool_answering("/last")),
+                (version, version)
+            );
             break;
         }
         assert!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "version {version} never comes into force"
         );
     }
-    by_the_old
+    old_answers
 }
 
 #[test]
-fn a_caller_is_answered_on_and_on_while_rules_change_and_never_by_older_ones_again() {
+fn a_caller_is_answered_throughout_rule_changes_and_never_by_older_rules_again() {
     const CHANGES: usize = 5;
-    let mut site = Site::start(LARGE, CHANGES + 1);
-    let mut by_the_old = Vec::new();
+    let mut node = ReloadFixture::start(LARGE, CHANGES + 1);
+    let mut old_answers = Vec::new();
     for version in 1..=CHANGES {
-        // The first comes right after the start.
-        site.fixture.replace_installation(&site.version(version));
-        by_the_old.push(ask_until(&site, version));
+        // The first reload comes right after the start.
+        node.fixture.replace_installation(&node.version(version));
+        old_answers.push(count_old_answers_until(&node, version));
     }
-    site.until_logged("configuration in force", CHANGES);
-    // Built beside the loop, answers go on: were it done in the loop, one at the most would be by the old.
-    assert!(by_the_old.iter().all(|count| *count >= 3), "{by_the_old:?}");
-    // By the node's own clock; medians, as one swap may meet a machine that is busy elsewhere.
-    let median = |mut figures: Vec<u64>| {
-        assert_eq!(figures.len(), CHANGES);
-        figures.sort_unstable();
-        figures[CHANGES / 2]
+    node.wait_until_logged("configuration in force", CHANGES);
+    // Answers continue during a build outside the loop. With a build inside the loop, at most one answer would come from
+    // the old version.
+    assert!(
+        old_answers.iter().all(|count| *count >= 3),
+        "{old_answers:?}"
+    );
+    // Times by the node's own clock. Medians are compared, since a busy machine may delay a single swap.
+    let median = |mut values: Vec<u64>| {
+        assert_eq!(values.len(), CHANGES);
+        values.sort_unstable();
+        values[CHANGES / 2]
     };
-    let (built, held) = (
-        median(site.figures("built_ms")) * 1000,
-        median(site.figures("held_us")),
+    let (build_us, held_us) = (
+        median(node.logged_values("built_ms")) * 1000,
+        median(node.logged_values("held_us")),
     );
     assert!(
-        held * 10 < built,
-        "the loop was held for {held} us, builds took {built} us"
+        held_us * 10 < build_us,
+        "the loop was held for {held_us} us, builds took {build_us} us"
     );
-    // The first and the last rule and the one in the middle are others each time.
+    // The first, the last and the middle rule differ in each version.
     let reused = [vec![0], vec![LARGE.rules as u64 - 1; CHANGES]].concat();
-    assert_eq!(site.figures("reused"), reused);
-    site.end();
+    assert_eq!(node.logged_values("reused"), reused);
+    node.finish();
 }
 
 #[test]
-fn notices_that_come_while_one_is_built_are_one_and_the_last_content_wins() {
-    const NOTICES: usize = 24;
-    let site = Site::start(LARGE, NOTICES + 1);
-    let versions: Vec<String> = (1..=NOTICES)
-        .map(|nth| site.version(nth).to_string())
+fn reload_signals_during_a_build_are_merged_and_the_last_content_wins() {
+    const SIGNALS: usize = 24;
+    let node = ReloadFixture::start(LARGE, SIGNALS + 1);
+    let versions: Vec<String> = (1..=SIGNALS)
+        .map(|version| node.version(version).to_string())
         .collect();
-    let (path, next) = (
-        site.fixture.folder.join("installation.json"),
-        site.fixture.folder.join("next.json"),
+    let (path, next_path) = (
+        node.fixture.folder.join("installation.json"),
+        node.fixture.folder.join("next.json"),
     );
     for version in &versions {
-        std::fs::write(&next, version).unwrap();
-        std::fs::rename(&next, &path).unwrap();
-        site.fixture.signal("-HUP");
+        std::fs::write(&next_path, version).unwrap();
+        std::fs::rename(&next_path, &path).unwrap();
+        node.fixture.signal("-HUP");
     }
-    let until = Instant::now() + MAX_WAIT;
+    let deadline = Instant::now() + MAX_WAIT;
     let mut newest = 0;
-    while newest < NOTICES {
-        let found = site.ask("/last");
+    while newest < SIGNALS {
+        let answered_version = node.pool_answering("/last");
         assert!(
-            found >= newest && Instant::now() < until,
-            "{found} after {newest}"
+            answered_version >= newest && Instant::now() < deadline,
+            "{answered_version} after {newest}"
         );
-        newest = found;
+        newest = answered_version;
     }
-    let log = site.end();
-    let count = |part: &str| log.iter().filter(|line| line.contains(part)).count();
+    let log = node.finish();
+    let count_lines = |text: &str| log.iter().filter(|line| line.contains(text)).count();
     let (begun, in_force) = (
-        count("configuration being read"),
-        count("configuration in force"),
+        count_lines("configuration being read"),
+        count_lines("configuration in force"),
     );
-    // A build that was begun for the last notice may be dropped: the one before it had the same content.
+    // A build begun for the last signal may be dropped: the build before it had the same content.
     assert!(
-        begun <= in_force + 1 && begun < NOTICES / 2,
-        "{begun} builds for {NOTICES} notices"
+        begun <= in_force + 1 && begun < SIGNALS / 2,
+        "{begun} builds for {SIGNALS} signals"
     );
-    assert_eq!(count("configuration rejected"), begun - in_force);
+    assert_eq!(count_lines("configuration rejected"), begun - in_force);
 }
 
 #[test]
-fn a_file_with_a_fault_changes_nothing_and_the_log_names_the_key() {
-    let mut site = Site::start(SMALL, 2);
-    let mut bad = site.version(1);
-    bad["rules"][7]["when"] = json!("pth == \"/x\"");
-    bad["servers"]["at_once"] = json!(16);
-    site.fixture.replace_installation(&bad);
-    site.until_logged("configuration rejected", 1);
+fn a_faulty_file_changes_nothing_and_the_log_names_the_key() {
+    let mut node = ReloadFixture::start(SMALL, 2);
+    let mut faulty = node.version(1);
+    faulty["rules"][7]["when"] = json!("pth == \"/x\"");
+    faulty["servers"]["at_once"] = json!(16);
+    node.fixture.replace_installation(&faulty);
+    node.wait_until_logged("configuration rejected", 1);
     assert!(
-        site.seen
+        node.seen_lines
             .last()
             .unwrap()
             .contains("installation.rules[7].when: 1:1: there is no value 'pth'")
     );
     std::fs::write(
-        site.fixture.folder.join("installation.json"),
+        node.fixture.folder.join("installation.json"),
         "{\"rules\": [",
     )
     .unwrap();
-    site.fixture.signal("-HUP");
-    site.until_logged("installation: not JSON", 1);
-    site.fixture.reload("{}");
-    site.until_logged("config.json: config: needed key 'name' is missing", 1);
-    std::fs::remove_file(site.fixture.folder.join("installation.json")).unwrap();
-    site.fixture.signal("-HUP");
-    site.until_logged("configuration rejected", 4);
+    node.fixture.signal("-HUP");
+    node.wait_until_logged("installation: not JSON", 1);
+    node.fixture.reload("{}");
+    node.wait_until_logged("config.json: config: needed key 'name' is missing", 1);
+    std::fs::remove_file(node.fixture.folder.join("installation.json")).unwrap();
+    node.fixture.signal("-HUP");
+    node.wait_until_logged("configuration rejected", 4);
     assert_eq!(
         (
-            site.ask("/first"),
-            site.ask("/last"),
-            site.count("configuration in force")
+            node.pool_answering("/first"),
+            node.pool_answering("/last"),
+            node.count_lines("configuration in force")
         ),
         (0, 0, 0)
     );
-    site.end();
+    node.finish();
 }
 
-/// The drain goes on beside the build, and what was built comes into force within it: the stop of before is
-/// far away, that of the new configuration is near.
+/// The drain begins while a build is running, and the built configuration still comes into force during the drain: its
+/// stop is near, that of the previous configuration far away.
 #[test]
-fn a_node_told_to_leave_waits_for_no_build_and_keeps_to_the_nearer_stop() {
-    let mut site = Site::start(LARGE, 2);
-    rewrite(&site.fixture, |config| config["stop_ms"] = json!(600_000));
-    site.fixture.replace_installation(&site.version(1));
-    site.until_logged("configuration in force", 1);
-    rewrite(&site.fixture, |config| config["stop_ms"] = json!(1_000));
-    site.fixture.replace_installation(&site.version(2));
-    site.fixture.signal("-TERM");
-    site.until_logged("draining ", 1);
+fn a_draining_node_waits_for_no_build_and_stops_at_the_nearer_stop() {
+    let mut node = ReloadFixture::start(LARGE, 2);
+    rewrite(&node.fixture, |config| config["stop_ms"] = json!(600_000));
+    node.fixture.replace_installation(&node.version(1));
+    node.wait_until_logged("configuration in force", 1);
+    rewrite(&node.fixture, |config| config["stop_ms"] = json!(1_000));
+    node.fixture.replace_installation(&node.version(2));
+    node.fixture.signal("-TERM");
+    node.wait_until_logged("draining ", 1);
     assert_eq!(
-        site.count("configuration in force"),
+        node.count_lines("configuration in force"),
         1,
-        "the build was waited for"
+        "the drain waited for the build"
     );
-    site.until_logged("configuration in force", 2);
-    let log = site.end();
+    node.wait_until_logged("configuration in force", 2);
+    let log = node.finish();
     assert!(
         !log.iter()
             .any(|line| line.contains("configuration rejected")),
@@ -346,60 +364,61 @@
 }
 
 #[test]
-fn change_after_change_takes_no_more_memory() {
-    const FIRST: usize = 10;
+fn repeated_changes_take_no_more_memory() {
+    const EARLY_CHANGES: usize = 10;
     const CHANGES: usize = 50;
-    let mut site = Site::start(MIDDLE, 2);
-    let mut after_first = 0;
-    for nth in 1..=CHANGES {
-        site.fixture.replace_installation(&site.version(nth));
-        site.until_logged("configuration in force", nth);
-        if nth == FIRST {
-            after_first = site.resident_kb();
+    let mut node = ReloadFixture::start(MEDIUM, 2);
+    let mut early_kb = 0;
+    for version in 1..=CHANGES {
+        node.fixture.replace_installation(&node.version(version));
+        node.wait_until_logged("configuration in force", version);
+        if version == EARLY_CHANGES {
+            early_kb = node.resident_kb();
         }
     }
-    let grown = site.resident_kb().saturating_sub(after_first);
-    // Where what is retired is kept, 40 changes take about 20 MB.
+    let growth_kb = node.resident_kb().saturating_sub(early_kb);
+    // If replaced configurations were kept, 40 changes would take about 20 MB.
     assert!(
-        grown < 8 * 1024,
-        "{grown} kB more after {CHANGES} changes than after {FIRST}"
+        growth_kb < 8 * 1024,
+        "{growth_kb} kB more after {CHANGES} changes than after {EARLY_CHANGES}"
     );
-    assert_eq!(site.ask("/first"), 0);
-    site.end();
+    assert_eq!(node.pool_answering("/first"), 0);
+    node.finish();
 }
 
 #[test]
-fn there_is_a_thread_more_only_where_a_file_of_the_operators_is_read_again() {
-    let threads = |fixture: &NodeFixture| {
+fn a_build_thread_exists_only_after_a_reload_of_an_installation_file() {
+    let thread_count = |fixture: &NodeFixture| {
         std::fs::read_dir(format!("/proc/{}/task", fixture.program.id()))
             .unwrap()
             .count()
     };
-    let mut site = Site::start(SMALL, 2);
-    assert_eq!(threads(&site.fixture), 1);
-    for nth in 1..=3 {
-        site.fixture.replace_installation(&site.version(nth));
-        site.until_logged("configuration in force", nth);
-        assert_eq!(threads(&site.fixture), 2);
+    let mut node = ReloadFixture::start(SMALL, 2);
+    assert_eq!(thread_count(&node.fixture), 1);
+    for version in 1..=3 {
+        node.fixture.replace_installation(&node.version(version));
+        node.wait_until_logged("configuration in force", version);
+        assert_eq!(thread_count(&node.fixture), 2);
     }
-    site.end();
-    // As the platform starts it: in the loop, as the engine's move shows.
-    let plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    let mut config = plan.config.clone();
-    let (fixture, _engine) = plan.start_with_engine();
-    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
-    elsewhere.set_nonblocking(true).unwrap();
-    config["engine"] = json!(elsewhere.local_addr().unwrap().to_string());
+    node.finish();
+    // Started as by the platform, without an installation file, the node builds in its event loop. The move to another
+    // engine address shows that the reload took effect.
+    let setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    let mut config = setup.config.clone();
+    let (fixture, _engine) = setup.start_with_engine();
+    let new_engine_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    new_engine_listener.set_nonblocking(true).unwrap();
+    config["engine"] = json!(new_engine_listener.local_addr().unwrap().to_string());
     fixture.reload(&config.to_string());
-    let until = Instant::now() + MAX_WAIT;
-    while elsewhere.accept().is_err() {
+    let deadline = Instant::now() + MAX_WAIT;
+    while new_engine_listener.accept().is_err() {
         assert!(
-            Instant::now() < until,
-            "the engine's move is never followed"
+            Instant::now() < deadline,
+            "the node never connects to the new engine address"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(threads(&fixture), 1);
+    assert_eq!(thread_count(&fixture), 1);
     fixture.signal("-TERM");
     let (code, log) = fixture.wait_for_exit();
     assert!(
--- a/crates/node/tests/node/restart.rs
+++ b/crates/node/tests/node/restart.rs
@@ -1,5 +1,5 @@
-//! Many nodes on one machine are killed and started again at once, beside callers that keep asking: nine in
-//! ten answer a health check with good within 10 s.
+//! Many nodes on one machine are killed and restarted at once while callers keep sending: nine in ten answer a health
+//! check with success within 10 s.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -15,69 +15,71 @@
 use doortrack_protocols::Protocol::FastCgi;
 use serde_json::{Value, json};
 
-/// Processes killed and started at once.
+/// Number of nodes that are killed and restarted at once.
 const NODES: usize = 30;
-/// Of those, how many are to be ready in time: nine in ten.
-const READY: usize = 27;
-const WITHIN: Duration = Duration::from_secs(10);
-/// How long the rest is waited for.
-const LATEST: Duration = Duration::from_secs(120);
-/// Between two health checks of one node that is not ready yet.
-const CHECK_EVERY: Duration = Duration::from_millis(10);
-/// Threads that keep asking, each of all nodes in turn.
+/// Number of nodes that must be ready within `MAX_READY_TIME`: nine in ten.
+const MIN_READY: usize = 27;
+/// The longest time from the restart until `MIN_READY` nodes are ready.
+const MAX_READY_TIME: Duration = Duration::from_secs(10);
+/// The longest wait for all nodes to be ready, and for callers to be answered.
+const MAX_WAIT: Duration = Duration::from_secs(120);
+/// Interval of the health checks of a node that is not ready yet.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of caller threads, each of which sends to all nodes in turn.
 const CALLERS: usize = 4;
 
 const TENANTS: usize = 20_000;
 const RULES: usize = 3_400;
 
-fn tenant(nth: usize) -> String {
-    format!("customer-{nth:05}")
+fn tenant_name(index: usize) -> String {
+    format!("customer-{index:05}")
 }
 
 fn tenants() -> Value {
     (0..TENANTS)
-        .map(|nth| json!({"name": tenant(nth), "allowance_per_s": 10}))
+        .map(|index| json!({"name": tenant_name(index), "allowance_per_s": 10}))
         .collect()
 }
 
-/// Rules as a large installation has them: starts of the path, headers, segments and bodies.
+/// Rules of a large installation: conditions on path prefixes, headers, segments and bodies.
 fn rules() -> Value {
-    let rule = |nth: usize| match nth % 4 {
-        0 => json!({"when": format!("path.starts_with(\"/yard-{nth}/\")"), "group": "look"}),
+    let rule = |index: usize| match index % 4 {
+        0 => json!({"when": format!("path.starts_with(\"/yard-{index}/\")"), "group": "look"}),
         1 => {
-            json!({"when": format!("(header(\"x-yard\") ?? \"\") == \"yard-{nth}\" && method == \"POST\""),
+            json!({"when": format!("(header(\"x-yard\") ?? \"\") == \"yard-{index}\" && method == \"POST\""),
             "group": "pay", "idempotency_key": "header(\"x-order\")", "rank": "0.9"})
         }
         2 => {
-            let place = format!("(segment(0) ?? \"\") in [\"yard-{nth}\", \"dock-{nth}\"]");
-            let when = format!("{place} && body_length < 4096");
+            let segment_condition =
+                format!("(segment(0) ?? \"\") in [\"yard-{index}\", \"dock-{index}\"]");
+            let when = format!("{segment_condition} && body_length < 4096");
             json!({"when": when, "group": "look", "subject": "segment(1)"})
         }
         _ => {
-            json!({"when": format!("matches(path, \"^/book/{nth}/berth-[0-9]+$\")"), "group": "look",
+            json!({"when": format!("matches(path, \"^/book/{index}/berth-[0-9]+$\")"), "group": "look",
             "due": "5s"})
         }
     };
     (0..RULES).map(rule).collect()
 }
 
-/// One node with an engine that ends each run at once.
+/// A node with an engine that ends each run at once.
 struct Node {
     fixture: NodeFixture,
     has_installation: bool,
 }
 
 impl Node {
-    fn start(large: bool) -> Node {
-        let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-        if large {
-            plan.config["settings"]["parties"] = tenants();
-            let front = json!({"protocol": "fastcgi", "listen": plan.port(9091).to_string()});
-            plan.installation =
-                Some(json!({"fronts": [front], "rules": rules(), "otherwise": "look"}));
+    fn start(is_large: bool) -> Node {
+        let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+        if is_large {
+            setup.config["settings"]["parties"] = tenants();
+            let listener = json!({"protocol": "fastcgi", "listen": setup.port(9091).to_string()});
+            setup.installation =
+                Some(json!({"fronts": [listener], "rules": rules(), "otherwise": "look"}));
         }
-        let has_installation = plan.installation.is_some();
-        let fixture = plan.start();
+        let has_installation = setup.installation.is_some();
+        let fixture = setup.start();
         immediate::start_engine(fixture.engine_listener.try_clone().unwrap());
         Node {
             fixture,
@@ -90,8 +92,8 @@
         self.fixture.program.wait().unwrap();
     }
 
-    /// Starts the program again with the files and the address that it had.
-    fn start_again(&mut self) {
+    /// Starts the program again with the same files and address.
+    fn restart(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_doortrack"));
         if self.has_installation {
             command
@@ -106,30 +108,33 @@
     }
 }
 
-fn answers_good(at: SocketAddr) -> bool {
-    let check = CallerRequest::new(u64::MAX, "/status/live", b"").try_send(at, FastCgi);
-    check.is_ok_and(|waits| matches!(waits.outcome(), CallerOutcome::Completed(_)))
+fn is_healthy(address: SocketAddr) -> bool {
+    let check = CallerRequest::new(u64::MAX, "/status/live", b"").try_send(address, FastCgi);
+    check.is_ok_and(|pending| matches!(pending.outcome(), CallerOutcome::Completed(_)))
 }
 
-/// How long after `since` a node answers a health check with good, for each of them.
-fn ready_after(nodes: &[Node], since: Instant) -> Vec<Duration> {
-    let wait = |node: &Node| {
-        let at = node.fixture.address;
+/// Waits until every node answers a health check with success. Returns the times since `since`, in ascending order.
+fn wait_until_ready(nodes: &[Node], since: Instant) -> Vec<Duration> {
+    let spawn_wait = |node: &Node| {
+        let address = node.fixture.address;
         thread::spawn(move || {
-            while !answers_good(at) {
-                assert!(since.elapsed() < LATEST, "{at} is never ready");
-                thread::sleep(CHECK_EVERY);
+            while !is_healthy(address) {
+                assert!(since.elapsed() < MAX_WAIT, "{address} is never ready");
+                thread::sleep(CHECK_INTERVAL);
             }
             since.elapsed()
         })
     };
-    let waits: Vec<JoinHandle<Duration>> = nodes.iter().map(wait).collect();
-    let mut times: Vec<Duration> = waits.into_iter().map(|wait| wait.join().unwrap()).collect();
+    let threads: Vec<JoinHandle<Duration>> = nodes.iter().map(spawn_wait).collect();
+    let mut times: Vec<Duration> = threads
+        .into_iter()
+        .map(|thread| thread.join().unwrap())
+        .collect();
     times.sort_unstable();
     times
 }
 
-/// Callers that ask all nodes in turn, whether these are there or not, until told to stop.
+/// Threads that send requests to all nodes in turn, whether these run or not, until the value is dropped.
 struct Callers {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicU64>,
@@ -137,20 +142,23 @@
 }
 
 impl Callers {
-    fn keep_asking(nodes: &[Node]) -> Callers {
+    fn start(nodes: &[Node]) -> Callers {
         let (stop, answered) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicU64::new(0)),
         );
-        let places: Vec<SocketAddr> = nodes.iter().map(|node| node.fixture.address).collect();
-        let caller = |nth: usize| {
-            let (stop, answered, places) = (stop.clone(), answered.clone(), places.clone());
+        let addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.fixture.address).collect();
+        let caller = |index: usize| {
+            let (stop, answered, addresses) = (stop.clone(), answered.clone(), addresses.clone());
             thread::spawn(move || {
-                let mut tries = (nth as u64) << 32;
+                let mut attempt_number = (index as u64) << 32;
                 while !stop.load(Ordering::SeqCst) {
-                    for at in &places {
-                        tries += 1;
-                        answered.fetch_add(u64::from(asks(*at, tries)), Ordering::SeqCst);
+                    for address in &addresses {
+                        attempt_number += 1;
+                        answered.fetch_add(
+                            u64::from(is_answered(*address, attempt_number)),
+                            Ordering::SeqCst,
+                        );
                     }
                     thread::sleep(Duration::from_millis(1));
                 }
@@ -165,11 +173,11 @@
     }
 
     fn wait_for_answers(&self, count: u64) {
-        let until = Instant::now() + LATEST;
-        let before = self.answered.load(Ordering::SeqCst);
-        while self.answered.load(Ordering::SeqCst) < before + count {
-            assert!(Instant::now() < until, "callers are not answered");
-            thread::sleep(CHECK_EVERY);
+        let deadline = Instant::now() + MAX_WAIT;
+        let initial = self.answered.load(Ordering::SeqCst);
+        while self.answered.load(Ordering::SeqCst) < initial + count {
+            assert!(Instant::now() < deadline, "callers are not answered");
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 }
@@ -181,42 +189,43 @@
     }
 }
 
-/// Whether one request was answered within a tenth of a second; nodes that are starting keep it waiting.
-fn asks(at: SocketAddr, nth: u64) -> bool {
-    let patience = Duration::from_millis(100);
-    let Ok(sock) = TcpStream::connect_timeout(&at, patience) else {
+/// Sends one request and returns true if it was answered within 0.1 s; a node that is starting keeps it waiting.
+fn is_answered(address: SocketAddr, attempt_number: u64) -> bool {
+    let timeout = Duration::from_millis(100);
+    let Ok(sock) = TcpStream::connect_timeout(&address, timeout) else {
         return false;
     };
-    let tenant = tenant(nth as usize % TENANTS);
-    let ask = CallerRequest::new(nth, "/svc/look", b"work").with("HTTP_X_TENANT", &tenant);
-    let sent = (&sock).write_all(&ask.bytes(FastCgi));
-    let patient = sock.set_read_timeout(Some(patience));
-    sent.and(patient)
+    let tenant_name = tenant_name(attempt_number as usize % TENANTS);
+    let request = CallerRequest::new(attempt_number, "/svc/look", b"work")
+        .with("HTTP_X_TENANT", &tenant_name);
+    let sent = (&sock).write_all(&request.bytes(FastCgi));
+    let timeout_set = sock.set_read_timeout(Some(timeout));
+    sent.and(timeout_set)
         .is_ok_and(|()| matches!(sock.peek(&mut [0]), Ok(1)))
 }
 
-fn nine_in_ten_are_ready_in_time(large: bool) {
-    let mut nodes: Vec<Node> = (0..NODES).map(|_| Node::start(large)).collect();
-    ready_after(&nodes, Instant::now());
-    let callers = Callers::keep_asking(&nodes);
+fn assert_nine_in_ten_are_ready_in_time(is_large: bool) {
+    let mut nodes: Vec<Node> = (0..NODES).map(|_| Node::start(is_large)).collect();
+    wait_until_ready(&nodes, Instant::now());
+    let callers = Callers::start(&nodes);
     callers.wait_for_answers(NODES as u64);
     nodes.iter_mut().for_each(Node::kill);
     let since = Instant::now();
-    nodes.iter_mut().for_each(Node::start_again);
-    let times = ready_after(&nodes, since);
-    let (half, nine_in_ten, last) = (times[NODES / 2 - 1], times[READY - 1], times[NODES - 1]);
-    println!("ready after: p50 {half:?}, p90 {nine_in_ten:?}, max {last:?}");
-    // The same callers find them at work again.
+    nodes.iter_mut().for_each(Node::restart);
+    let times = wait_until_ready(&nodes, since);
+    let (median, nine_in_ten, max) = (times[NODES / 2 - 1], times[MIN_READY - 1], times[NODES - 1]);
+    println!("ready after: p50 {median:?}, p90 {nine_in_ten:?}, max {max:?}");
+    // The same callers are answered again.
     callers.wait_for_answers(NODES as u64);
-    assert!(nine_in_ten <= WITHIN, "{times:?}");
+    assert!(nine_in_ten <= MAX_READY_TIME, "{times:?}");
 }
 
 #[test]
 fn nine_in_ten_of_thirty_killed_nodes_are_ready_within_ten_seconds() {
-    nine_in_ten_are_ready_in_time(false);
+    assert_nine_in_ten_are_ready_in_time(false);
 }
 
 #[test]
-fn so_are_nodes_with_thousands_of_rules_and_tenants() {
-    nine_in_ten_are_ready_in_time(true);
+fn nine_in_ten_nodes_with_thousands_of_rules_and_tenants_are_ready_within_ten_seconds() {
+    assert_nine_in_ten_are_ready_in_time(true);
 }
--- a/crates/node/tests/node/rules.rs
+++ b/crates/node/tests/node/rules.rs
@@ -1,4 +1,5 @@
-//! Rules of the installation in the node: on fronts of both protocols, and changed under way.
+//! Rules of the installation file in a running node: on listeners of both protocols, over reloads and on the command
+//! line.
 
 use std::net::SocketAddr;
 
@@ -8,12 +9,12 @@
 use doortrack_protocols::{Protocol, Variable, write_request};
 use serde_json::{Value, json};
 
-/// What a front end that knows nothing of the platform sends.
-fn bare(
-    at: SocketAddr,
+/// Sends a request as a web server does, without the platform's request headers.
+fn send_plain_request(
+    address: SocketAddr,
     protocol: Protocol,
     path: &str,
-    more: &[(&str, &str)],
+    extra_variables: &[(&str, &str)],
     body: &[u8],
 ) -> PendingAnswer {
     let mut pairs: Vec<Variable> = vec![
@@ -21,12 +22,13 @@
         (b"PATH_INFO", path.as_bytes()),
     ];
     pairs.extend(
-        more.iter()
+        extra_variables
+            .iter()
             .map(|(name, value)| (name.as_bytes(), value.as_bytes())),
     );
     let mut out = Vec::new();
     write_request(protocol, &mut out, 1, false, &pairs, body).unwrap();
-    let mut sock = doortrack_fakes::fixture::connect(at);
+    let mut sock = doortrack_fakes::fixture::connect(address);
     std::io::Write::write_all(&mut sock, &out).unwrap();
     PendingAnswer { sock, protocol }
 }
@@ -40,96 +42,97 @@
     ])
 }
 
-fn installation(fronts: &[(Protocol, SocketAddr)], rules: Value) -> Value {
-    let front = |front: &(Protocol, SocketAddr)| {
-        let (protocol, at) = (front.0.name(), front.1.to_string());
-        json!({"protocol": protocol, "listen": at})
+fn installation(listeners: &[(Protocol, SocketAddr)], rules: Value) -> Value {
+    let listener_settings = |listener: &(Protocol, SocketAddr)| {
+        let (protocol, address) = (listener.0.name(), listener.1.to_string());
+        json!({"protocol": protocol, "listen": address})
     };
-    json!({"fronts": fronts.iter().map(front).collect::<Vec<_>>(), "rules": rules})
+    json!({"fronts": listeners.iter().map(listener_settings).collect::<Vec<_>>(), "rules": rules})
 }
 
-/// The run that a request has become, or none where it is answered without one. However slow the machine is,
-/// one of the two comes: the node asks for a reading at each beat.
-fn run_unless_refused(waits: &PendingAnswer, engine: &mut Engine) -> Option<String> {
-    waits.sock.set_nonblocking(true).unwrap();
+/// Returns the run that a request started, or `None` if the request was answered without a run. Since the node sends
+/// STAT at every tick, one of the two happens however slow the machine is.
+fn run_unless_answered(pending: &PendingAnswer, engine: &mut Engine) -> Option<String> {
+    pending.sock.set_nonblocking(true).unwrap();
     let mut run = None;
-    while run.is_none() && waits.sock.peek(&mut [0]).is_err() {
+    while run.is_none() && pending.sock.peek(&mut [0]).is_err() {
         run = engine.next_command_within_stats(1);
     }
-    waits.sock.set_nonblocking(false).unwrap();
+    pending.sock.set_nonblocking(false).unwrap();
     let run = run?;
     assert_eq!(run["msg"], "RUN", "{run}");
     Some(run["call"].as_str().unwrap().to_string())
 }
 
-/// A node whose requests are over soon, for tests that wait until they are.
-fn up(rules: Value) -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
-    up_within(rules, 1_000_000, 200_000)
+/// Starts a node with short deadlines and a short dedup window, for tests that wait for them.
+fn start_node(rules: Value) -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
+    start_node_with(rules, 1_000_000, 200_000)
 }
 
-/// A node whose lookups have this deadline, and repeats of its confirmations this window, in microseconds.
-fn up_within(
+/// Starts a node whose group `look` has this deadline and whose group `pay` has this dedup window, in microseconds.
+fn start_node_with(
     rules: Value,
-    deadline: u64,
-    window: u64,
+    deadline_us: u64,
+    window_us: u64,
 ) -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    let fronts = [
-        (Protocol::FastCgi, plan.port(9091)),
-        (Protocol::Uwsgi, plan.port(9092)),
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    let listeners = [
+        (Protocol::FastCgi, setup.port(9091)),
+        (Protocol::Uwsgi, setup.port(9092)),
     ];
-    plan.config["settings"]["lanes"][1]["window"] = json!(window);
-    plan.config["settings"]["lanes"][1]["deadline"] = json!(1_000_000);
-    plan.config["settings"]["lanes"][1]["target"] = json!(500_000);
-    plan.config["settings"]["lanes"][0]["deadline"] = json!(deadline);
-    plan.config["settings"]["lanes"][0]["target"] = json!(deadline / 2);
-    plan.installation = Some(installation(&fronts, rules));
-    let (fixture, engine) = plan.start_with_engine();
-    (fixture, engine, fronts)
+    setup.config["settings"]["lanes"][1]["window"] = json!(window_us);
+    setup.config["settings"]["lanes"][1]["deadline"] = json!(1_000_000);
+    setup.config["settings"]["lanes"][1]["target"] = json!(500_000);
+    setup.config["settings"]["lanes"][0]["deadline"] = json!(deadline_us);
+    setup.config["settings"]["lanes"][0]["target"] = json!(deadline_us / 2);
+    setup.installation = Some(installation(&listeners, rules));
+    let (fixture, engine) = setup.start_with_engine();
+    (fixture, engine, listeners)
 }
 
-const ORDER: [(&str, &str); 1] = [("HTTP_X_ORDER", "77")];
+const ORDER_HEADER: [(&str, &str); 1] = [("HTTP_X_ORDER", "77")];
 
 #[test]
-fn rules_class_what_knows_nothing_of_the_platform() {
-    let (fixture, mut engine, fronts) = up(rules());
-    for (nth, (protocol, at)) in fronts.into_iter().enumerate() {
-        let waits = bare(at, protocol, "/find/berth", &[], b"when?");
+fn rules_classify_requests_without_platform_headers() {
+    let (fixture, mut engine, listeners) = start_node(rules());
+    for (index, (protocol, address)) in listeners.into_iter().enumerate() {
+        let pending = send_plain_request(address, protocol, "/find/berth", &[], b"when?");
         let (call, body) = engine.next_run();
         assert_eq!(body, b"when?");
         engine.finish_run(&call, "OK", b"found");
-        assert_eq!(waits.outcome(), CallerOutcome::Completed(b"found".into()));
-        // The idempotency key is what the rule says, over both fronts: only the first time is run.
-        let waits = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
-        if nth == 0 {
+        assert_eq!(pending.outcome(), CallerOutcome::Completed(b"found".into()));
+        // The rule's idempotency key holds across both listeners: only the first request runs.
+        let pending =
+            send_plain_request(address, protocol, "/confirm/4", &ORDER_HEADER, b"berth 4");
+        if index == 0 {
             let (call, _) = engine.next_run();
             engine.finish_run(&call, "OK", b"confirmed");
         }
         assert_eq!(
-            waits.outcome(),
+            pending.outcome(),
             CallerOutcome::Completed(b"confirmed".into())
         );
-        // Absent and empty idempotency keys are refused, not taken for one request.
-        for more in [
+        // A missing, empty or repeated idempotency key is refused, not taken as a key that requests share.
+        for extra_variables in [
             &[][..],
             &[("HTTP_X_ORDER", "")],
             &[("HTTP_X_ORDER", "1"), ("HTTP_X_ORDER", "2")],
         ] {
             assert_eq!(
-                bare(at, protocol, "/confirm/4", more, b"").outcome(),
+                send_plain_request(address, protocol, "/confirm/4", extra_variables, b"").outcome(),
                 CallerOutcome::Unreadable(400, "idempotency_key".into())
             );
         }
         assert_eq!(
-            bare(at, protocol, "/else", &[], b"").outcome(),
+            send_plain_request(address, protocol, "/else", &[], b"").outcome(),
             CallerOutcome::Unreadable(404, String::new())
         );
         assert!(matches!(
-            bare(at, protocol, "/status/live", &[], b"").outcome(),
+            send_plain_request(address, protocol, "/status/live", &[], b"").outcome(),
             CallerOutcome::Completed(_)
         ));
     }
-    // The platform's own listener is not concerned.
+    // The rules do not apply to the platform's own listener.
     let mut client = fixture.client();
     client.send_look(1, 1);
     let (call, _) = engine.next_run();
@@ -144,53 +147,57 @@
 }
 
 #[test]
-fn another_table_is_taken_up_as_a_whole_or_not_at_all() {
-    // One lookup is in hand over the whole test, however slow the machine is.
-    let (fixture, mut engine, fronts) = up_within(rules(), 30_000_000, 200_000);
-    let (protocol, at) = fronts[1];
-    let waits = bare(at, protocol, "/find/x", &[], b"before");
+fn a_new_rule_table_is_applied_as_a_whole_or_not_at_all() {
+    // One lookup stays in flight over the whole test, however slow the machine is.
+    let (fixture, mut engine, listeners) = start_node_with(rules(), 30_000_000, 200_000);
+    let (protocol, address) = listeners[1];
+    let pending = send_plain_request(address, protocol, "/find/x", &[], b"before");
     let (call, _) = engine.next_run();
-    // One good rule and one bad: nothing changes. Twice within one turn: the last one counts.
+    // A table with one valid and one faulty rule changes nothing. With two reloads within one turn the last one counts.
     fixture.signal("-STOP");
     fixture.replace_installation(&installation(
-        &fronts,
+        &listeners,
         json!([
             {"when": "path == \"/new\"", "group": "look"}, {"when": "pth == \"/x\"", "group": "look"}
         ]),
     ));
     fixture.replace_installation(&installation(
-        &fronts,
+        &listeners,
         json!([{"when": "path == \"/new\"", "group": "none"}]),
     ));
     fixture.signal("-CONT");
     engine.answer_stats(3);
     assert_eq!(
-        bare(at, protocol, "/new", &[], b"").outcome(),
+        send_plain_request(address, protocol, "/new", &[], b"").outcome(),
         CallerOutcome::Unreadable(404, String::new())
     );
-    let mut new = rules();
-    new.as_array_mut()
+    let mut new_rules = rules();
+    new_rules
+        .as_array_mut()
         .unwrap()
         .push(json!({"when": "path == \"/new\"", "group": "look"}));
-    let mut file = installation(&fronts, new);
-    file["otherwise"] = json!("look");
-    fixture.replace_installation(&file);
-    let until = std::time::Instant::now() + doortrack_fakes::MAX_WAIT;
-    let (call_of_new, waits_of_new) = loop {
-        let waits = bare(at, protocol, "/anything", &[], b"otherwise");
-        if let Some(call) = run_unless_refused(&waits, &mut engine) {
-            break (call, waits);
+    let mut new_installation = installation(&listeners, new_rules);
+    new_installation["otherwise"] = json!("look");
+    fixture.replace_installation(&new_installation);
+    let give_up_at = std::time::Instant::now() + doortrack_fakes::MAX_WAIT;
+    let (new_call, new_pending) = loop {
+        let pending = send_plain_request(address, protocol, "/anything", &[], b"otherwise");
+        if let Some(call) = run_unless_answered(&pending, &mut engine) {
+            break (call, pending);
         }
-        assert!(std::time::Instant::now() < until, "it is never taken up");
+        assert!(
+            std::time::Instant::now() < give_up_at,
+            "the new rules are never applied"
+        );
     };
-    engine.finish_run(&call_of_new, "OK", b"by default");
+    engine.finish_run(&new_call, "OK", b"by default");
     assert_eq!(
-        waits_of_new.outcome(),
+        new_pending.outcome(),
         CallerOutcome::Completed(b"by default".into())
     );
-    // What was in hand stays what it was.
+    // The request in flight is not affected.
     engine.finish_run(&call, "OK", b"kept");
-    assert_eq!(waits.outcome(), CallerOutcome::Completed(b"kept".into()));
+    assert_eq!(pending.outcome(), CallerOutcome::Completed(b"kept".into()));
     fixture.signal("-TERM");
     let (_, log) = fixture.wait_for_exit();
     assert!(
@@ -200,45 +207,49 @@
 }
 
 #[test]
-fn what_a_mark_means_does_not_change_within_its_window() {
-    // A window that a test can wait for, and that a slow machine does not outlast before the repeat.
-    let (fixture, mut engine, fronts) = up_within(rules(), 1_000_000, 3_000_000);
-    let (protocol, at) = fronts[0];
-    let waits = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
+fn the_meaning_of_an_idempotency_key_does_not_change_within_its_dedup_window() {
+    // The dedup window is short enough to wait for, and long enough that the duplicate arrives within it on a slow
+    // machine.
+    let (fixture, mut engine, listeners) = start_node_with(rules(), 1_000_000, 3_000_000);
+    let (protocol, address) = listeners[0];
+    let pending = send_plain_request(address, protocol, "/confirm/4", &ORDER_HEADER, b"berth 4");
     let (call, _) = engine.next_run();
     engine.finish_run(&call, "OK", b"confirmed");
     assert_eq!(
-        waits.outcome(),
+        pending.outcome(),
         CallerOutcome::Completed(b"confirmed".into())
     );
-    // With another idempotency key the same request would be a new one, and run again.
-    let mut new = rules();
-    new[0]["idempotency_key"] = json!("(header(\"x-order\") ?? \"\") + path");
-    fixture.replace_installation(&installation(&fronts, new.clone()));
+    // With another key expression the same request would count as a new one and run again.
+    let mut new_rules = rules();
+    new_rules[0]["idempotency_key"] = json!("(header(\"x-order\") ?? \"\") + path");
+    fixture.replace_installation(&installation(&listeners, new_rules.clone()));
     engine.answer_stats(3);
-    let again = bare(at, protocol, "/confirm/4", &ORDER, b"berth 4");
+    let duplicate = send_plain_request(address, protocol, "/confirm/4", &ORDER_HEADER, b"berth 4");
     assert_eq!(
-        again.outcome(),
+        duplicate.outcome(),
         CallerOutcome::Completed(b"confirmed".into()),
-        "it was run again"
+        "the request was run again"
     );
-    // Once no repeat can come any more the new rules are taken.
-    let until = std::time::Instant::now() + doortrack_fakes::MAX_WAIT;
+    // The new rules are applied once the dedup window has passed.
+    let give_up_at = std::time::Instant::now() + doortrack_fakes::MAX_WAIT;
     loop {
         std::thread::sleep(std::time::Duration::from_millis(300));
-        fixture.replace_installation(&installation(&fronts, new.clone()));
+        fixture.replace_installation(&installation(&listeners, new_rules.clone()));
         std::thread::sleep(std::time::Duration::from_millis(20));
-        // An empty order is an idempotency key by the new rules, and a refusal by the old ones.
-        let waits = bare(at, protocol, "/confirm/5", &[], b"berth 5");
-        if let Some(call) = run_unless_refused(&waits, &mut engine) {
+        // Without an order the new rules still give an idempotency key, while the old ones refuse the request.
+        let pending = send_plain_request(address, protocol, "/confirm/5", &[], b"berth 5");
+        if let Some(call) = run_unless_answered(&pending, &mut engine) {
             engine.finish_run(&call, "OK", b"by the new rules");
             assert_eq!(
-                waits.outcome(),
+                pending.outcome(),
                 CallerOutcome::Completed(b"by the new rules".into())
             );
             break;
         }
-        assert!(std::time::Instant::now() < until, "it is never taken up");
+        assert!(
+            std::time::Instant::now() < give_up_at,
+            "the new rules are never applied"
+        );
     }
     fixture.signal("-TERM");
     let (_, log) = fixture.wait_for_exit();
@@ -249,7 +260,7 @@
 }
 
 #[test]
-fn rules_send_exchanges_to_pools_whose_troubles_are_their_own() {
+fn rules_route_requests_to_pools_that_fail_independently() {
     use doortrack_fakes::server::{Behavior, Disconnect, Server};
     let main = Server::start(Protocol::Uwsgi, |_| Behavior::ok("main"));
     let quick = Server::start(Protocol::FastCgi, |_| Behavior::ok("quick"));
@@ -258,30 +269,31 @@
         at: 0,
         how: Disconnect::Close,
     });
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    let at = plan.port(9091);
-    let pool = |server: &Server| {
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    let address = setup.port(9091);
+    let pool_settings = |server: &Server| {
         let addresses = [server.address.to_string()];
         json!({"protocol": server.protocol.name(), "addresses": addresses, "at_once": 8})
     };
-    let mut file = installation(
-        &[(Protocol::Uwsgi, at)],
+    let mut installation_file = installation(
+        &[(Protocol::Uwsgi, address)],
         json!([
             {"when": "path.starts_with(\"/quick\")", "group": "look", "servers": "quick"},
             {"when": "path.starts_with(\"/broken\")", "group": "look", "servers": "broken"}
         ]),
     );
-    file["otherwise"] = json!("look");
-    file["servers"] = pool(&main);
-    file["pools"] = json!({"quick": pool(&quick), "broken": pool(&broken)});
-    plan.config["settings"]["family_info"]["cores"] = json!(64);
-    plan.installation = Some(file.clone());
-    let fixture = plan.start();
-    let look = |path: &str| bare(at, Protocol::Uwsgi, path, &[], b"").outcome();
+    installation_file["otherwise"] = json!("look");
+    installation_file["servers"] = pool_settings(&main);
+    installation_file["pools"] =
+        json!({"quick": pool_settings(&quick), "broken": pool_settings(&broken)});
+    setup.config["settings"]["family_info"]["cores"] = json!(64);
+    setup.installation = Some(installation_file.clone());
+    let fixture = setup.start();
+    let send = |path: &str| send_plain_request(address, Protocol::Uwsgi, path, &[], b"").outcome();
     for _ in 0..20 {
-        assert_eq!(look("/quick/x"), CallerOutcome::Completed(b"quick".into()));
-        assert_eq!(look("/broken/x"), CallerOutcome::Failed);
-        assert_eq!(look("/else"), CallerOutcome::Completed(b"main".into()));
+        assert_eq!(send("/quick/x"), CallerOutcome::Completed(b"quick".into()));
+        assert_eq!(send("/broken/x"), CallerOutcome::Failed);
+        assert_eq!(send("/else"), CallerOutcome::Completed(b"main".into()));
     }
     assert_eq!(
         (
@@ -291,12 +303,12 @@
         ),
         (20, 20, 1)
     );
-    // A pool that is not there yet takes its rules with it.
-    file["pools"]["new"] = pool(&main);
-    file["rules"][0]["servers"] = json!("new");
-    fixture.replace_installation(&file);
+    // Adding a pool requires a restart; until then a file whose rules name it is rejected.
+    installation_file["pools"]["new"] = pool_settings(&main);
+    installation_file["rules"][0]["servers"] = json!("new");
+    fixture.replace_installation(&installation_file);
     std::thread::sleep(std::time::Duration::from_millis(50));
-    assert_eq!(look("/quick/x"), CallerOutcome::Completed(b"quick".into()));
+    assert_eq!(send("/quick/x"), CallerOutcome::Completed(b"quick".into()));
     fixture.signal("-TERM");
     let (_, log) = fixture.wait_for_exit();
     assert!(
@@ -309,35 +321,38 @@
     );
 }
 
-fn doortrack(words: &[&str]) -> (Option<i32>, String) {
-    let out = std::process::Command::new(env!("CARGO_BIN_EXE_doortrack"))
+fn run_doortrack(arguments: &[&str]) -> (Option<i32>, String) {
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_doortrack"))
         .env_clear()
-        .args(words)
+        .args(arguments)
         .output()
         .unwrap();
-    (out.status.code(), String::from_utf8(out.stdout).unwrap())
+    (
+        output.status.code(),
+        String::from_utf8(output.stdout).unwrap(),
+    )
 }
 
-fn example(name: &str) -> String {
+fn example_path(name: &str) -> String {
     format!("{}/../../examples/{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
 #[test]
-fn expressions_and_rules_are_tried_on_the_command_line() {
+fn expressions_and_rules_can_be_tested_on_the_command_line() {
     let folder = std::env::temp_dir().join(format!("doortrack-routes-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let file = |name: &str, text: &str| {
+    let write_file = |name: &str, text: &str| {
         let path = folder.join(name);
         std::fs::write(&path, text).unwrap();
         path.to_str().unwrap().to_string()
     };
     let (rules, config, cases) = (
-        example("rules.json"),
-        example("node.json"),
-        example("cases.json"),
+        example_path("rules.json"),
+        example_path("node.json"),
+        example_path("cases.json"),
     );
-    let test = |cases: &str| {
-        doortrack(&[
+    let test_cases = |cases: &str| {
+        run_doortrack(&[
             "routes",
             "test",
             "--installation",
@@ -348,32 +363,35 @@
             &config,
         ])
     };
-    assert_eq!(test(&cases), (Some(0), "4 of 4 cases as wanted\n".into()));
-    let differs = file(
+    assert_eq!(
+        test_cases(&cases),
+        (Some(0), "4 of 4 cases as wanted\n".into())
+    );
+    let mismatched_cases = write_file(
         "cases.json",
         r#"[{"name": "wrong", "rule": 0, "group": "moor", "request": {"path": "/tides"}},
         {"name": "none", "rule": null, "request": {"path": "/x"}}]"#,
     );
-    let (code, told) = test(&differs);
+    let (code, output) = test_cases(&mismatched_cases);
     assert_eq!(code, Some(1));
     assert!(
-        told.contains("wrong: differs") && told.contains("- rules[0]\n  + rules[1]"),
-        "{told}"
+        output.contains("wrong: differs") && output.contains("- rules[0]\n  + rules[1]"),
+        "{output}"
     );
-    assert!(told.ends_with("1 of 2 cases as wanted\n"), "{told}");
-    let (code, told) = test(&file(
+    assert!(output.ends_with("1 of 2 cases as wanted\n"), "{output}");
+    let (code, output) = test_cases(&write_file(
         "bad.json",
         r#"[{"name": "x", "request": {"pth": "/"}}]"#,
     ));
     assert!(
-        code == Some(1) && told.contains("cases[0].request.pth: unknown field"),
-        "{told}"
+        code == Some(1) && output.contains("cases[0].request.pth: unknown field"),
+        "{output}"
     );
-    let request = file(
+    let request = write_file(
         "request.json",
         r#"{"path": "/tides", "method": "PUT", "headers": {"X-Yard": "North"}}"#,
     );
-    let (_, told) = doortrack(&[
+    let (_, output) = run_doortrack(&[
         "routes",
         "explain",
         "--installation",
@@ -382,33 +400,40 @@
         &request,
     ]);
     assert!(
-        told.contains("no rule, 404") && told.contains("method in [\"GET\", \"POST\"] is false"),
-        "{told}"
+        output.contains("no rule, 404")
+            && output.contains("method in [\"GET\", \"POST\"] is false"),
+        "{output}"
     );
-    let eval = |source: &str| doortrack(&["expr", "eval", source, "--request", &request]);
+    let eval = |source: &str| run_doortrack(&["expr", "eval", source, "--request", &request]);
     assert!(
         eval("lower(header(\"x-yard\") ?? \"\")")
             .1
             .starts_with("\"north\"\nstring, ")
     );
-    let (code, told) = eval("lower(header(\"x-yard\"))");
-    assert!(code == Some(1) && told.contains("it ?? other"), "{told}");
-    let (code, told) = doortrack(&["expr", "check", &file("key.expr", "path + 1")]);
-    assert!(code == Some(1) && told.contains("key.expr:1:8"), "{told}");
-    let (_, told) = doortrack(&["expr", "explain", "segment(1) ?? \"\""]);
+    let (code, output) = eval("lower(header(\"x-yard\"))");
+    assert!(
+        code == Some(1) && output.contains("it ?? other"),
+        "{output}"
+    );
+    let (code, output) = run_doortrack(&["expr", "check", &write_file("key.expr", "path + 1")]);
+    assert!(
+        code == Some(1) && output.contains("key.expr:1:8"),
+        "{output}"
+    );
+    let (_, output) = run_doortrack(&["expr", "explain", "segment(1) ?? \"\""]);
     assert!(
-        told.contains("type   string") && told.contains("cost   at most"),
-        "{told}"
+        output.contains("type   string") && output.contains("cost   at most"),
+        "{output}"
     );
     _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn each_fault_in_a_changed_file_is_named_with_its_place() {
+fn each_fault_in_an_installation_file_is_reported_with_its_path() {
     let folder = std::env::temp_dir().join(format!("doortrack-mutated-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("installation.json");
-    let good = json!({
+    let valid = json!({
         "fronts": [{"protocol": "uwsgi", "listen": "127.0.0.1:9091"}],
         "servers": {"protocol": "uwsgi", "addresses": ["127.0.0.1:7001"]},
         "pools": {"slow": {"protocol": "fastcgi", "addresses": ["127.0.0.1:7002"]}},
@@ -421,16 +446,16 @@
     });
     let check = |value: &Value| {
         std::fs::write(&file, value.to_string()).unwrap();
-        doortrack(&[
+        run_doortrack(&[
             "check",
             "--installation",
             file.to_str().unwrap(),
             "--config",
-            &example("node.json"),
+            &example_path("node.json"),
         ])
     };
-    assert_eq!(check(&good).0, Some(0), "{}", check(&good).1);
-    for (place, value, told) in [
+    assert_eq!(check(&valid).0, Some(0), "{}", check(&valid).1);
+    for (path, value, expected) in [
         (
             "/fronts/0/protocol",
             json!("http"),
@@ -542,23 +567,23 @@
             "installation.rules[0].when: 1:1: this may take",
         ),
     ] {
-        let mut changed = good.clone();
-        *changed.pointer_mut(place).unwrap() = value;
-        let (code, found) = check(&changed);
+        let mut changed = valid.clone();
+        *changed.pointer_mut(path).unwrap() = value;
+        let (code, output) = check(&changed);
         assert!(
-            code == Some(1) && found.lines().any(|line| line.starts_with(told)),
-            "{place}: {told}\n{found}"
+            code == Some(1) && output.lines().any(|line| line.starts_with(expected)),
+            "{path}: {expected}\n{output}"
         );
     }
     _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_rule_of_before_that_says_mark_is_read_as_one_that_says_idempotency_key() {
-    let read = |key: &str| {
+fn the_former_key_mark_of_a_rule_is_read_as_idempotency_key() {
+    let parse_rule_with = |key: &str| {
         let rule = json!({"when": "true", "group": "pay", key: "path"});
         doortrack_config::installation::parse(json!({"rules": [rule]}).to_string().as_bytes())
             .unwrap()
     };
-    assert_eq!(read("mark"), read("idempotency_key"));
+    assert_eq!(parse_rule_with("mark"), parse_rule_with("idempotency_key"));
 }
--- a/crates/node/tests/node/slow_start_settings.rs
+++ b/crates/node/tests/node/slow_start_settings.rs
@@ -1,11 +1,11 @@
-//! What the operators' file says of ramps, and what is wrong with it.
+//! Slow-start settings (`ramp`) of the installation file, and the faults reported for them.
 
 use doortrack_config::{installation, node_config};
 use doortrack_fakes::fixture::config;
 use serde_json::{Value, json};
 
-/// Two pools, one with a ramp of 100 runs in 10 s, which a budget of the fleet bounds for all nodes.
-fn good() -> Value {
+/// Two pools, one with a slow start of 100 runs in 10 s that a fleet budget limits across all nodes.
+fn valid_installation() -> Value {
     json!({
         "servers": {"protocol": "uwsgi", "addresses": ["127.0.0.1:7001"]},
         "pools": {"boats": {"protocol": "fastcgi", "addresses": ["127.0.0.1:7002"],
@@ -16,29 +16,30 @@
     })
 }
 
-/// The faults of a file, in one line, beside the platform's configuration; empty where there is none.
+/// The faults of an installation file validated against the node's configuration, in one line; empty if there are none.
 fn faults(value: &Value) -> String {
-    let orders = node_config::parse(config().to_string().as_bytes()).unwrap();
-    let read = installation::parse(value.to_string().as_bytes());
-    read.and_then(|file| file.validate_with(&orders))
+    let parsed_config = node_config::parse(config().to_string().as_bytes()).unwrap();
+    let parsed = installation::parse(value.to_string().as_bytes());
+    parsed
+        .and_then(|file| file.validate_with(&parsed_config))
         .err()
         .map_or_else(String::new, |faults| faults.to_string())
 }
 
 #[test]
-fn a_ramp_and_the_budget_for_it_are_read() {
-    assert_eq!(faults(&good()), "");
-    let installation = installation::parse(good().to_string().as_bytes()).unwrap();
-    let orders = node_config::parse(config().to_string().as_bytes()).unwrap();
+fn a_slow_start_and_its_budget_are_read() {
+    assert_eq!(faults(&valid_installation()), "");
+    let installation = installation::parse(valid_installation().to_string().as_bytes()).unwrap();
+    let parsed_config = node_config::parse(config().to_string().as_bytes()).unwrap();
     assert_eq!(
-        installation.budget_indices(&orders).slow_starts,
+        installation.budget_indices(&parsed_config).slow_starts,
         [None, Some(0)]
     );
-    let ramp = installation.pools["boats"]
+    let slow_start = installation.pools["boats"]
         .pool_config(0)
         .slow_start
         .unwrap();
-    assert_eq!((ramp.duration, ramp.runs), (100_000, 100));
+    assert_eq!((slow_start.duration, slow_start.runs), (100_000, 100));
     assert_eq!(
         installation.default_pool.unwrap().pool_config(0).slow_start,
         None
@@ -46,8 +47,8 @@
 }
 
 #[test]
-fn each_fault_of_a_ramp_is_told_with_its_path() {
-    for (place, value, told) in [
+fn each_fault_of_a_slow_start_is_reported_with_its_path() {
+    for (path, value, expected) in [
         (
             "/pools/boats/ramp/over_ms",
             json!(9),
@@ -94,9 +95,9 @@
             "installation.budgets[0].kind: a ramp is a rate",
         ),
     ] {
-        let mut changed = good();
-        *changed.pointer_mut(place).unwrap() = value;
+        let mut changed = valid_installation();
+        *changed.pointer_mut(path).unwrap() = value;
         let found = faults(&changed);
-        assert!(found.contains(told), "{place}: {told}\n{found}");
+        assert!(found.contains(expected), "{path}: {expected}\n{found}");
     }
 }
