--- a/crates/node/tests/node/sockets.rs
+++ b/crates/node/tests/node/sockets.rs
@@ -1,5 +1,5 @@
-//! Starts the program and speaks to it over sockets. What it waits for has long limits, so that a slow
-//! machine changes no verdict; nothing is judged by how long it took.
+//! Starts the program and talks to it over sockets. Waits have long time limits, so that a slow machine changes no
+//! result, and no test checks how long something took.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -16,15 +16,15 @@
 use serde_json::{Value, json};
 
 pub fn start(change: impl FnOnce(&mut Value)) -> NodeFixture {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    change(&mut plan.config);
-    plan.start()
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    change(&mut setup.config);
+    setup.start()
 }
 
 pub fn up_with(change: impl FnOnce(&mut Value)) -> (NodeFixture, Engine) {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    change(&mut plan.config);
-    plan.start_with_engine()
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    change(&mut setup.config);
+    setup.start_with_engine()
 }
 
 pub fn up() -> (NodeFixture, Engine) {
@@ -41,7 +41,7 @@
         request(2, 2, "/svc/look", &[], b""),
     ]
     .concat();
-    // Byte by byte at the front, so that a record's head is split too.
+    // The first bytes are sent one by one, so that a record header is split too.
     bytes[..20].iter().for_each(|byte| client.send(&[*byte]));
     client.send(&bytes[20..]);
     let (first, second) = (engine.next_run(), engine.next_run());
@@ -57,7 +57,7 @@
     assert_eq!((two.id, two.status), (1, 200));
     assert!(two.body == result, "a result was changed");
     assert!(two.head.contains("X-Load-Signal: 0\r\n"), "{}", two.head);
-    // The id is free again.
+    // The id can be used again.
     client.send_look(1, 3);
     let (call, _) = engine.next_run();
     engine.send_done(3, &call, "ERROR", b"");
@@ -72,7 +72,7 @@
     client.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 200);
     assert_eq!(fixture.next_report(), "BEAT n1 ready");
-    // A request that comes too early never ran.
+    // A request before the engine is up does not run.
     client.send_look(2, 2);
     assert_eq!(
         client.reply(),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_finds_no_room_in_memory_is_denied() {
+fn a_request_larger_than_the_free_memory_is_rejected() {
     let (fixture, _engine) =
         up_with(|config| config["settings"]["family_info"]["memory_kb"] = json!(1000));
     let mut client = fixture.client();
@@ -107,10 +107,18 @@
 }
 
 #[test]
-fn a_repeat_waits_for_the_run_or_takes_its_result_and_nothing_runs_twice() {
+fn a_duplicate_waits_for_the_run_or_takes_its_result_and_nothing_runs_twice() {
     let (fixture, mut engine) = up();
     let (mut one, mut two) = (fixture.client(), fixture.client());
-    let pay = |id, nth| request(id, nth, "/svc/pay", &[IDEMPOTENCY_KEY], b"one boat");
+    let pay = |id, attempt_number| {
+        request(
+            id,
+            attempt_number,
+            "/svc/pay",
+            &[IDEMPOTENCY_KEY],
+            b"one boat",
+        )
+    };
     one.send(&[pay(1, 1), pay(2, 2)].concat());
     let (call, body) = engine.next_run();
     assert_eq!(
@@ -118,7 +126,7 @@
         (&*attempt_id(1), &b"one boat"[..])
     );
     two.send(&pay(1, 3));
-    // Its order among other requests shows that none of the repeats was run.
+    // The next run is that of a later request, which shows that no duplicate was run.
     two.send_look(2, 4);
     assert_eq!(engine.next_run().0, attempt_id(4));
     engine.send_done(1, &call, "OK", b"paid");
@@ -127,15 +135,19 @@
         (b"paid".into(), b"paid".into(), b"paid".into())
     );
     two.send(&pay(3, 5));
-    let late = two.reply();
+    let late_duplicate = two.reply();
     assert_eq!(
-        (late.id, late.status, late.body),
+        (
+            late_duplicate.id,
+            late_duplicate.status,
+            late_duplicate.body
+        ),
         (3, 200, b"paid".to_vec())
     );
 }
 
 #[test]
-fn a_repeat_of_a_run_that_failed_is_terminated_not_run_or_denied() {
+fn a_duplicate_of_a_failed_run_fails_and_is_neither_run_nor_rejected() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
@@ -147,14 +159,16 @@
 }
 
 #[test]
-fn a_mark_that_comes_with_another_body_is_refused_and_never_answered_with_the_result() {
+fn an_idempotency_key_with_another_body_is_refused_and_never_answered_with_the_result() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
-    let pay = |id, nth, body| request(id, nth, "/svc/pay", &[IDEMPOTENCY_KEY], body);
+    let pay = |id, attempt_number, body| {
+        request(id, attempt_number, "/svc/pay", &[IDEMPOTENCY_KEY], body)
+    };
     client.send(&pay(1, 1, b"one boat"));
     let (call, _) = engine.next_run();
     client.send(&pay(2, 2, b"two boats"));
-    assert_eq!(client.reply().status, 400, "while the first runs");
+    assert_eq!(client.reply().status, 400, "while the first request runs");
     engine.send_done(1, &call, "OK", b"paid");
     assert_eq!(client.reply().body, b"paid");
     client.send(&[pay(3, 3, b"two boats"), pay(4, 4, b"one boat")].concat());
@@ -162,12 +176,12 @@
     assert_eq!(
         (other.status, same.body),
         (400, b"paid".to_vec()),
-        "once it has a result"
+        "once the first request has a result"
     );
 }
 
 #[test]
-fn what_the_engine_never_began_may_run_in_a_later_try() {
+fn a_request_that_the_engine_never_began_may_run_in_a_later_attempt() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
@@ -182,7 +196,7 @@
 }
 
 #[test]
-fn what_was_given_up_in_the_hold_leaves_no_entry_even_past_its_window() {
+fn a_queued_request_that_is_aborted_leaves_no_dedup_entry_even_past_its_window() {
     let (fixture, mut engine) = up_with(|config| {
         config["settings"]["family_info"]["cores"] = json!(1);
         config["settings"]["lanes"][1]["window"] = json!(1000);
@@ -190,10 +204,10 @@
     let mut client = fixture.client();
     client.send_look(1, 1);
     let (first, _) = engine.next_run();
-    // With a gauge that reads idle the next is held, not rejected.
+    // While the gauge reads idle, the next request is queued and not rejected.
     engine.answer_stats(2);
     client.send(&request(2, 2, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
-    // Each reading is a turn later: by then the entry has run out for the decisions, and the try is held.
+    // Each reading comes a turn later: by then the dedup window has passed for admission, and the attempt is queued.
     engine.answer_stats(3);
     client.send(&records::record(2, 2, b""));
     engine.answer_stats(2);
@@ -204,8 +218,8 @@
 }
 
 #[test]
-fn a_cold_engine_is_warm_by_its_age_not_by_when_the_node_met_it() {
-    for (age_ms, at_once) in [(0, 3), (3_600_000, 6)] {
+fn an_engine_warms_up_by_its_age_and_not_by_the_time_since_it_attached() {
+    for (age_ms, concurrent_runs) in [(0, 3), (3_600_000, 6)] {
         let fixture = start(|config| {
             config["settings"]["safety"]["start_capacity"] = json!(0);
             config["settings"]["safety"]["ramp_time"] = json!(3_600_000_000u64);
@@ -218,20 +232,24 @@
             .flat_map(|n| request(n, n.into(), "/svc/look", &[], b""))
             .collect();
         client.send(&bytes);
-        for nth in 1..=at_once {
-            assert_eq!(engine.next_run().0, attempt_id(nth), "{age_ms} ms old");
+        for attempt_number in 1..=concurrent_runs {
+            assert_eq!(
+                engine.next_run().0,
+                attempt_id(attempt_number),
+                "{age_ms} ms old"
+            );
         }
         engine.answer_stats(2);
     }
 }
 
 #[test]
-fn an_aborted_exchange_is_stopped_and_its_id_may_be_used_anew() {
+fn an_aborted_request_is_cancelled_and_its_id_may_be_reused() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send_look(1, 1);
     let (call, _) = engine.next_run();
-    // The end of the first run comes after its id was taken by another request.
+    // The first run ends after another request has taken its id.
     client.send(
         &[
             records::record(2, 1, b""),
@@ -249,7 +267,7 @@
 }
 
 #[test]
-fn a_lost_link_is_taken_up_with_the_last_serial_and_nothing_is_lost_or_run_twice() {
+fn a_lost_link_resumes_from_the_last_serial_and_nothing_is_lost_or_run_twice() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     (1..=3).for_each(|n| client.send_look(n as u16, n));
@@ -260,19 +278,19 @@
     ];
     engine.send_done(1, &calls[0], "OK", b"first");
     assert_eq!(client.reply().body, b"first");
-    // An answered STAT proves that what was sent before it arrived.
+    // An answered STAT shows that the commands sent before it have arrived.
     engine.answer_stats(2);
     drop(engine);
     client.send_look(4, 4);
     let mut engine = fixture.accept_engine();
     engine.handshake(1);
-    // The notice missed comes with one that was seen before; then the STAT is answered.
+    // The engine repeats a known notice, then sends the missed one, and answers the STAT after both.
     engine.send_done(1, &calls[0], "OK", b"again");
     engine.send_done(2, &calls[1], "OK", b"second");
     assert_eq!(
         engine.next_run().0,
         attempt_id(4),
-        "only what had not arrived is sent"
+        "commands that had arrived are sent again"
     );
     engine.send_done(3, &calls[2], "OK", b"third");
     assert_eq!(
@@ -281,7 +299,7 @@
     );
     engine.send_done(4, &attempt_id(4), "OK", b"fourth");
     assert_eq!(client.reply().body, b"fourth");
-    // One that comes late again does not set the count back.
+    // A repeated notice does not lower the last serial.
     engine.send_done(2, &calls[1], "OK", b"second");
     engine.answer_stats(2);
     drop(engine);
@@ -289,7 +307,7 @@
 }
 
 #[test]
-fn a_replaced_configuration_moves_engine_and_registry_and_what_runs_goes_on() {
+fn a_reload_moves_engine_and_registry_and_runs_in_flight_continue() {
     let (mut fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send_look(1, 1);
@@ -298,7 +316,7 @@
     engine.send_done(1, &first, "OK", b"before");
     assert_eq!(client.reply().body, b"before");
     engine.answer_stats(2);
-    // One that can't be served changes nothing.
+    // An invalid configuration changes nothing.
     fixture.reload("{");
     engine.answer_stats(3);
     (fixture.engine_listener, fixture.registry) =
@@ -315,7 +333,7 @@
     assert_eq!(
         engine.next_run().0,
         attempt_id(3),
-        "what runs is not sent again"
+        "a run in flight is sent again"
     );
     engine.send_done(2, &second, "OK", b"meanwhile");
     assert_eq!(client.reply().body, b"meanwhile");
@@ -324,13 +342,13 @@
 }
 
 #[test]
-fn a_run_that_may_not_have_arrived_is_sent_again_once_the_notices_missed_are_in() {
+fn a_run_that_may_not_have_arrived_is_sent_again_after_the_missed_notices() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     engine.answer_stats(1);
     client.send_look(1, 1);
     client.send_look(2, 2);
-    // Both are read, but the node can't know: no STAT after them is answered.
+    // Both runs are read, but the node can't know it, since no STAT after them is answered.
     let mut seen = 0;
     while seen < 2 {
         seen += usize::from(engine.read_command()["msg"] == "RUN");
@@ -346,7 +364,7 @@
 }
 
 #[test]
-fn engine_lines_that_cannot_be_read_are_survived() {
+fn the_node_survives_unreadable_engine_lines() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send_look(1, 1);
@@ -356,7 +374,7 @@
         .get_mut()
         .write_all(b"not a notice\n")
         .unwrap();
-    // The link is made anew, as the line may have held an end; the same again is lived with.
+    // The node reconnects, since the line may have been the end of a run. The same line again is ignored.
     let mut engine = fixture.accept_engine();
     engine.handshake(0);
     engine
@@ -375,14 +393,14 @@
     assert_eq!(
         client.reply().status,
         500,
-        "what the engine will not run is failed"
+        "a run that the engine refuses fails"
     );
 }
 
 #[test]
 fn a_log_that_nobody_reads_does_not_stop_the_node() {
     let (fixture, mut engine) = up();
-    // More than a pipe holds, in lines that are logged at the usual level.
+    // The notices are logged at the default level and exceed the capacity of a pipe.
     let text = "x".repeat(20_000);
     for serial in 1..=40 {
         engine.send(json!({"msg": "NOTE", "serial": serial, "how": text}));
@@ -394,55 +412,59 @@
     assert_eq!(client.reply().body, b"on time");
 }
 
-/// The engine's side of a long play: what runs, what ended, and each notice, kept for links that are lost.
+/// The engine's state in a random scenario: runs in progress, ended runs, and all notices, which are kept to be sent again
+/// after a lost link.
 #[derive(Default)]
-struct Play {
+struct EngineState {
     running: Vec<String>,
     ended: BTreeSet<String>,
     notices: Vec<Value>,
-    /// The try of each idempotency key that was run.
-    ran: BTreeMap<usize, String>,
-    /// The idempotency key of each try that has one.
-    keys: BTreeMap<String, usize>,
+    /// The attempt that ran for each idempotency key.
+    attempts_by_key: BTreeMap<usize, String>,
+    /// The idempotency key of each attempt that has one.
+    keys_by_attempt: BTreeMap<String, usize>,
 }
 
-impl Play {
-    /// Takes the node's commands up to its next reading; whether there were any.
-    fn commands(&mut self, engine: &mut Engine) -> bool {
-        let mut any = false;
+impl EngineState {
+    /// Handles the node's commands up to the next STAT. Returns true if there were any.
+    fn handle_commands(&mut self, engine: &mut Engine) -> bool {
+        let mut handled_any = false;
         loop {
             let command = engine.read_command();
             let call = command["call"].as_str().unwrap_or_default().to_string();
             match command["msg"].as_str().unwrap() {
                 "STAT" => {
                     engine.answer_stat(&command);
-                    return any;
+                    return handled_any;
                 }
                 "RUN" => {
                     assert!(
                         !self.ended.contains(&call),
-                        "{call} was sent again after its end"
+                        "{call} was sent again after it had ended"
                     );
-                    if let Some(key) = self.keys.get(&call) {
-                        let first = self.ran.entry(*key).or_insert_with(|| call.clone());
+                    if let Some(key) = self.keys_by_attempt.get(&call) {
+                        let first = self
+                            .attempts_by_key
+                            .entry(*key)
+                            .or_insert_with(|| call.clone());
                         assert_eq!(*first, call, "key {key} runs twice");
                     }
                     if !self.running.contains(&call) {
                         self.running.push(call);
                     }
                 }
-                "HALT" => self.end(&call, "STOPPED"),
+                "HALT" => self.end_run(&call, "STOPPED"),
                 other => panic!("{other}"),
             }
-            any = true;
+            handled_any = true;
         }
     }
 
-    fn end(&mut self, call: &str, how: &str) {
-        let Some(place) = self.running.iter().position(|running| running == call) else {
+    fn end_run(&mut self, call: &str, how: &str) {
+        let Some(index) = self.running.iter().position(|running| running == call) else {
             return;
         };
-        self.running.swap_remove(place);
+        self.running.swap_remove(index);
         self.ended.insert(call.to_string());
         let (serial, blob) = (
             self.notices.len() + 1,
@@ -454,19 +476,23 @@
 }
 
 #[test]
-fn over_a_long_play_with_lost_links_each_is_answered_once_and_no_mark_runs_twice() {
-    // A run with a key that a lost link swallowed is in doubt until its deadline, which a reader waits for.
+fn with_random_requests_and_lost_links_each_is_answered_once_and_no_key_runs_twice() {
+    // A run with a key whose command was lost with the link is in doubt until its deadline, for which a client waits.
     let (fixture, mut engine) =
         up_with(|config| config["settings"]["lanes"][1]["deadline"] = json!(8_000_000));
-    let (mut rng, mut play, mut told) = (fastrand::Rng::with_seed(0x0d00_77ac), Play::default(), 0);
+    let (mut rng, mut state, mut sent_notices) = (
+        fastrand::Rng::with_seed(0x0d00_77ac),
+        EngineState::default(),
+        0,
+    );
     let mut clients: Vec<Client> = (0..3).map(|_| fixture.client()).collect();
-    let mut asked: Vec<(usize, u16, Option<usize>, bool)> = Vec::new();
-    play.commands(&mut engine);
-    let mut quiet = 0;
+    let mut requests: Vec<(usize, u16, Option<usize>, bool)> = Vec::new();
+    state.handle_commands(&mut engine);
+    let mut quiet_rounds = 0;
     for round in 0.. {
         if round < 25 {
             for _ in 0..rng.usize(0..5) {
-                let (client, id) = (rng.usize(0..3), asked.len() as u16 + 1);
+                let (client, id) = (rng.usize(0..3), requests.len() as u16 + 1);
                 let key = rng.bool().then(|| rng.usize(0..12));
                 let text = format!("{:032x}", key.unwrap_or_default());
                 let script = if key.is_some() {
@@ -474,105 +500,114 @@
                 } else {
                     "/svc/look"
                 };
-                let more: Fields = &[("HTTP_IDEMPOTENCY_KEY", &text)];
-                clients[client].send(&request(id, id.into(), script, more, text.as_bytes()));
-                play.keys
+                let extra_variables: Fields = &[("HTTP_IDEMPOTENCY_KEY", &text)];
+                clients[client].send(&request(
+                    id,
+                    id.into(),
+                    script,
+                    extra_variables,
+                    text.as_bytes(),
+                ));
+                state
+                    .keys_by_attempt
                     .extend(key.map(|key| (attempt_id(id.into()), key)));
                 let aborted = rng.u8(0..8) == 0;
                 if aborted {
                     clients[client].send(&records::record(2, id, b""));
                 }
-                asked.push((client, id, key, aborted));
+                requests.push((client, id, key, aborted));
             }
         }
         if round < 25 && rng.u8(0..5) == 0 {
-            // What the node has sent and we did not read is lost with the link.
+            // Commands that the node has sent and the test has not read are lost with the link.
             drop(engine);
-            if let Some(call) = rng.choice(&play.running).cloned() {
-                play.end(&call, "OK");
+            if let Some(call) = rng.choice(&state.running).cloned() {
+                state.end_run(&call, "OK");
             }
             engine = fixture.accept_engine();
             let attach = engine.read_command();
             assert_eq!(attach["msg"], "ATTACH");
-            told = attach["serial"].as_u64().unwrap() as usize;
+            sent_notices = attach["serial"].as_u64().unwrap() as usize;
             engine.send(json!({"msg": "HELLO", "how": "WARM", "duration": 1}));
-            // What had ended meanwhile is told first; then nothing ends until runs were sent again, since
-            // that is the one moment in which the node can't know.
-            play.notices[told..]
+            // Runs that ended in the meantime are reported first. Then no run ends until the node has sent its runs again,
+            // since in that time the node can't know of an end.
+            state.notices[sent_notices..]
                 .iter()
                 .for_each(|notice| engine.send(notice.clone()));
-            told = play.notices.len();
-            play.commands(&mut engine);
+            sent_notices = state.notices.len();
+            state.handle_commands(&mut engine);
         }
-        let any = play.commands(&mut engine);
-        quiet = if any || !play.running.is_empty() || round < 25 {
+        let handled_any = state.handle_commands(&mut engine);
+        quiet_rounds = if handled_any || !state.running.is_empty() || round < 25 {
             0
         } else {
-            quiet + 1
+            quiet_rounds + 1
         };
-        if quiet == 3 {
+        if quiet_rounds == 3 {
             break;
         }
         for _ in 0..rng.usize(0..4) {
-            if let Some(call) = rng.choice(&play.running).cloned() {
-                play.end(&call, if rng.u8(0..5) == 0 { "ERROR" } else { "OK" });
+            if let Some(call) = rng.choice(&state.running).cloned() {
+                state.end_run(&call, if rng.u8(0..5) == 0 { "ERROR" } else { "OK" });
             }
         }
-        play.notices[told..]
+        state.notices[sent_notices..]
             .iter()
             .for_each(|notice| engine.send(notice.clone()));
-        told = play.notices.len();
+        sent_notices = state.notices.len();
     }
-    for (nth, client) in clients.iter_mut().enumerate() {
-        let mut open: BTreeMap<u16, (Option<usize>, bool)> = BTreeMap::new();
-        open.extend(
-            asked
+    for (client_index, client) in clients.iter_mut().enumerate() {
+        let mut open_requests: BTreeMap<u16, (Option<usize>, bool)> = BTreeMap::new();
+        open_requests.extend(
+            requests
                 .iter()
-                .filter(|(c, ..)| *c == nth)
+                .filter(|(c, ..)| *c == client_index)
                 .map(|(_, id, key, aborted)| (*id, (*key, *aborted))),
         );
-        while open.values().any(|(_, aborted)| !aborted) {
+        while open_requests.values().any(|(_, aborted)| !aborted) {
             let reply = client.reply();
-            let (key, _) = open
+            let (key, _) = open_requests
                 .remove(&reply.id)
-                .expect("answered twice, or never asked");
+                .expect("an answer without an open request");
             if reply.status == 200 {
-                let run = key.map_or(attempt_id(reply.id.into()), |key| play.ran[&key].clone());
+                let run = key.map_or(attempt_id(reply.id.into()), |key| {
+                    state.attempts_by_key[&key].clone()
+                });
                 assert_eq!(String::from_utf8_lossy(&reply.body), format!("of {run}"));
             }
         }
     }
     assert!(
-        play.ended.len() > 20 && play.ran.len() > 3,
-        "little was run"
+        state.ended.len() > 20 && state.attempts_by_key.len() > 3,
+        "too little was run"
     );
 }
 
 #[test]
-fn a_broken_record_ends_its_connection_after_what_is_open_was_answered() {
+fn an_invalid_record_ends_its_connection_after_open_requests_are_answered() {
     let (fixture, mut engine) = up();
-    let (mut broken, mut other) = (fixture.client(), fixture.client());
-    broken.send_look(1, 1);
+    let (mut invalid, mut other) = (fixture.client(), fixture.client());
+    invalid.send_look(1, 1);
     let (call, _) = engine.next_run();
-    // One is half read when a record of another version comes.
-    broken.send(&records::record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0]));
-    broken.send(&[9, 1, 0, 1, 0, 0, 0, 0]);
-    let half = broken.reply();
-    assert_eq!((half.id, half.status), (2, 400));
+    // A request is incomplete when a record of an unsupported version arrives.
+    invalid.send(&records::record(1, 2, &[0, 1, 1, 0, 0, 0, 0, 0]));
+    invalid.send(&[9, 1, 0, 1, 0, 0, 0, 0]);
+    let incomplete = invalid.reply();
+    assert_eq!((incomplete.id, incomplete.status), (2, 400));
     other.send_look(1, 2);
     let (second, _) = engine.next_run();
     engine.send_done(1, &second, "OK", b"untouched");
     assert_eq!(other.reply().body, b"untouched");
     engine.send_done(2, &call, "OK", b"whole");
-    assert_eq!(broken.reply().body, b"whole");
-    assert!(broken.is_closed());
+    assert_eq!(invalid.reply().body, b"whole");
+    assert!(invalid.is_closed());
 }
 
 #[test]
-fn bad_requests_are_answered_alone_and_a_doubled_id_runs_nothing() {
+fn invalid_requests_fail_alone_and_a_duplicate_attempt_id_is_not_run() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
-    for (script, more, body, status) in [
+    for (script, extra_variables, body, status) in [
         ("/svc/dance", &[][..], 1, 400),
         ("/svc/look", &[("HTTP_X_MEMORY_KB", "much")][..], 1, 400),
         (
@@ -591,17 +626,21 @@
         ),
         ("/svc/look", &[][..], 2049, 413),
     ] {
-        client.send(&request(1, 1, script, more, &vec![7; body]));
-        assert_eq!(client.reply().status, status, "{script} {more:?}");
+        client.send(&request(1, 1, script, extra_variables, &vec![7; body]));
+        assert_eq!(
+            client.reply().status,
+            status,
+            "{script} {extra_variables:?}"
+        );
     }
-    // A role that is no Responder is refused in the protocol's own words.
+    // A role other than Responder is refused with the FastCGI protocol status.
     client.send(&records::record(1, 1, &[0, 2, 1, 0, 0, 0, 0, 0]));
     assert_eq!(client.reply().status, 3);
     client.send_look(1, 1);
     let (call, _) = engine.next_run();
     client.send_look(2, 1);
-    let doubled = client.reply();
-    assert_eq!((doubled.id, doubled.status), (2, 400));
+    let duplicate = client.reply();
+    assert_eq!((duplicate.id, duplicate.status), (2, 400));
     engine.send_done(1, &call, "OK", b"once");
     assert_eq!(client.reply().body, b"once");
     client.send_look(3, 1);
@@ -609,7 +648,7 @@
 }
 
 #[test]
-fn management_records_are_answered_and_a_connection_not_to_be_kept_is_closed_after_its_answer() {
+fn management_records_are_answered_and_a_connection_without_keep_alive_is_closed() {
     let (fixture, _engine) = up();
     let mut client = fixture.client();
     client.send(
@@ -634,7 +673,7 @@
     assert_eq!(
         (read(8)[1], read(8)[0]),
         (11, 77),
-        "UNKNOWN_TYPE of what was sent"
+        "UNKNOWN_TYPE with the type that was sent"
     );
     let mut check = request(5, 1, "/status/live", &[], b"");
     check[8 + 2] = 0;
@@ -644,7 +683,7 @@
 }
 
 #[test]
-fn more_open_than_the_protocol_allows_is_refused_as_never_run() {
+fn requests_beyond_the_limit_of_a_connection_are_refused_as_not_run() {
     let (fixture, mut engine) =
         up_with(|config| config["settings"]["family_info"]["cores"] = json!(100));
     let mut client = fixture.client();
@@ -667,16 +706,16 @@
 }
 
 #[test]
-fn what_a_broken_connection_had_open_is_stopped() {
+fn the_open_runs_of_a_reset_connection_are_cancelled() {
     let (fixture, mut engine) = up();
-    let (mut gone, mut client) = (fixture.client(), fixture.client());
-    gone.send_look(1, 1);
+    let (mut reset, mut client) = (fixture.client(), fixture.client());
+    reset.send_look(1, 1);
     let (call, _) = engine.next_run();
     engine.send_done(1, &call, "OK", b"never read");
-    gone.send_look(2, 2);
+    reset.send_look(2, 2);
     let (call, _) = engine.next_run();
-    // The first answer lies unread, so closing resets the connection.
-    drop(gone);
+    // The first answer is unread, so closing the socket resets the connection.
+    drop(reset);
     assert_eq!(engine.next_command(), json!({"msg": "HALT", "call": call}));
     engine.send_done(2, &call, "STOPPED", b"");
     client.send_look(1, 3);
@@ -686,14 +725,14 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_as_decided_and_one_with_a_request_open_is_not() {
+fn an_idle_connection_is_closed_after_its_idle_limit_and_one_with_an_open_request_is_not() {
     let gauges = json!(["core_use", "links"]);
     let (fixture, mut engine) =
         up_with(|config| config["settings"]["family_info"]["gauges"] = gauges);
     let (mut idle, mut client) = (fixture.client(), fixture.client());
     client.send_look(1, 1);
     let (call, _) = engine.next_run();
-    // How long one may lie idle is decided with a reading of the gauges.
+    // The idle limit is decided at each reading of the gauges.
     engine.answer_stats(3);
     assert!(idle.is_closed());
     engine.send_done(1, &call, "OK", b"still here");
@@ -701,7 +740,7 @@
 }
 
 #[test]
-fn a_request_that_trickles_is_answered_and_its_connection_closed() {
+fn an_incomplete_request_is_answered_at_its_deadline_and_its_connection_closed() {
     let (fixture, _engine) = up_with(|config| {
         for lane in 0..2 {
             config["settings"]["lanes"][lane]["deadline"] = json!(200_000);
@@ -715,28 +754,28 @@
 }
 
 #[test]
-fn who_connects_and_asks_nothing_is_closed_and_who_asked_once_may_stay() {
+fn a_connection_without_a_request_is_closed_and_one_that_had_a_request_stays_open() {
     let (fixture, _engine) = up_with(|config| {
         for lane in 0..2 {
             config["settings"]["lanes"][lane]["deadline"] = json!(1_500_000);
         }
     });
-    let mut known = fixture.client();
-    known.send(&request(1, 1, "/status/live", &[], b""));
-    assert_eq!(known.reply().status, 200);
-    let (mut silent, mut half) = (fixture.client(), fixture.client());
-    half.send(&[1, 1, 0]);
-    assert!(silent.is_closed() && half.is_closed());
-    known.send(&request(2, 2, "/status/live", &[], b""));
-    assert_eq!(known.reply().status, 200);
+    let mut used = fixture.client();
+    used.send(&request(1, 1, "/status/live", &[], b""));
+    assert_eq!(used.reply().status, 200);
+    let (mut silent, mut incomplete) = (fixture.client(), fixture.client());
+    incomplete.send(&[1, 1, 0]);
+    assert!(silent.is_closed() && incomplete.is_closed());
+    used.send(&request(2, 2, "/status/live", &[], b""));
+    assert_eq!(used.reply().status, 200);
 }
 
 #[test]
-fn a_body_without_end_is_refused_at_once_and_its_connection_given_up() {
+fn an_endless_body_is_refused_at_once_and_its_connection_closed() {
     let (fixture, _engine) = up();
     let mut client = fixture.client();
     let whole = request(7, 1, "/svc/look", &[], &[9; 2048]);
-    // All but the end of the stream, and then more of it.
+    // The request without the end of its stream, and then more of the stream.
     client.send(
         &[
             &whole[..whole.len() - 11],
@@ -748,15 +787,15 @@
     assert_eq!(
         (refused.id, refused.status),
         (7, 413),
-        "before its end has come"
+        "refused before the end of the body"
     );
     let more = records::record(5, 7, &[9; 60_000]);
-    let given_up = (0..1000).any(|_| client.sock.write_all(&more).is_err());
-    assert!(given_up, "60 MB were read");
+    let closed = (0..1000).any(|_| client.sock.write_all(&more).is_err());
+    assert!(closed, "the node read 60 MB");
 }
 
 #[test]
-fn after_a_stall_ends_count_before_times_that_ran_out_and_all_is_answered_once() {
+fn after_a_stall_ended_runs_count_before_expired_deadlines_and_each_request_is_answered_once() {
     let (fixture, mut engine) = up_with(|config| {
         for lane in 0..2 {
             config["settings"]["lanes"][lane]["deadline"] = json!(2_000_000);
@@ -777,11 +816,11 @@
     assert_eq!(statuses, [200, 500, 503, 503, 503]);
     engine.send_done(2, &second, "OK", b"too late for any answer");
     client.send(&request(9, 9, "/status/live", &[], b""));
-    assert_eq!(client.reply().id, 9, "one was answered twice");
+    assert_eq!(client.reply().id, 9, "a request was answered twice");
 }
 
 #[test]
-fn a_node_whose_work_hangs_is_reported_unfit_until_it_goes_on() {
+fn a_node_whose_runs_hang_reports_draining_until_they_end() {
     let (fixture, mut engine) = up_with(|config| {
         config["settings"]["family_info"]["cores"] = json!(1);
         for lane in 0..2 {
@@ -800,19 +839,19 @@
 }
 
 #[test]
-fn a_full_table_closes_an_idle_connection_and_never_one_with_a_request_open() {
+fn a_full_connection_table_closes_an_idle_connection_and_never_one_with_an_open_request() {
     let (fixture, mut engine) = up_with(|config| config["limits"]["sockets"] = json!(32));
     let mut clients: Vec<Client> = (0..8).map(|_| fixture.client()).collect();
     for (n, client) in clients.iter_mut().enumerate().skip(1) {
         client.send_look(1, n as u64);
     }
     let runs: Vec<String> = (0..6).map(|_| engine.next_run().0).collect();
-    // The ninth takes the place of the one that has nothing open and never asked for anything.
+    // The ninth connection replaces the one that never sent a request.
     let mut ninth = fixture.client();
     ninth.send(&request(1, 9, "/status/live", &[], b""));
     assert_eq!(ninth.reply().status, 200);
     assert!(clients[0].is_closed());
-    // A tenth waits in the backlog until there is room again.
+    // A tenth connection waits in the backlog until a place is free.
     ninth.send_look(2, 10);
     let mut tenth = fixture.client();
     tenth.send(&request(1, 11, "/status/live", &[], b""));
@@ -825,16 +864,18 @@
 }
 
 #[test]
-fn answers_that_nobody_reads_cost_bounded_memory_and_the_others_nothing() {
+fn unread_answers_take_bounded_memory_and_do_not_affect_other_callers() {
     let (fixture, mut engine) = up_with(|config| {
         config["limits"]["memory_mb"] = json!(16);
         config["settings"]["family_info"]["memory_kb"] = json!(1000);
     });
-    let (mut deaf, mut client) = (fixture.client(), fixture.client());
-    deaf.sock
+    let (mut non_reading, mut client) = (fixture.client(), fixture.client());
+    non_reading
+        .sock
         .set_write_timeout(Some(Duration::from_millis(300)))
         .unwrap();
-    // Each is rejected at once for its size. Past what the sockets hold the node stops reading, or hangs up.
+    // Each request is rejected at once for its size. Once the socket buffers are full, the node stops reading or closes
+    // the connection.
     let bytes: Vec<u8> = (1..=50)
         .flat_map(|n| {
             request(
@@ -846,23 +887,28 @@
             )
         })
         .collect();
-    let stuck = (0..4000).any(|_| deaf.sock.write_all(&bytes).is_err());
-    assert!(stuck, "the node went on reading");
+    let blocked = (0..4000).any(|_| non_reading.sock.write_all(&bytes).is_err());
+    assert!(blocked, "the node kept reading");
     client.send_look(1, 99_999);
     let (call, _) = engine.next_run();
     engine.send_done(1, &call, "OK", b"as ever");
     assert_eq!(client.reply().body, b"as ever");
     let status = std::fs::read_to_string(format!("/proc/{}/status", fixture.program.id())).unwrap();
-    let peak = status
+    let peak_line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
         .unwrap();
-    let kb: u64 = peak.split_whitespace().next().unwrap().parse().unwrap();
-    assert!(kb < 16_000, "{kb} kB");
+    let peak_kb: u64 = peak_line
+        .split_whitespace()
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
+    assert!(peak_kb < 16_000, "{peak_kb} kB");
 }
 
 #[test]
-fn a_drain_answers_what_it_took_in_denies_what_comes_late_and_ends_by_itself() {
+fn a_drain_answers_accepted_requests_rejects_later_ones_and_ends_by_itself() {
     let (fixture, mut engine) = up_with(|config| {
         config["stop_ms"] = json!(1500);
         config["settings"]["safety"]["drain_grace"] = json!(0);
@@ -875,26 +921,30 @@
     assert_eq!(fixture.next_report(), "BEAT n1 ready");
     fixture.signal("-TERM");
     fixture.wait_for_report("draining");
-    // Stamps are whole ms, so one that surely lies after the notice is a little in the future.
-    let stamp = (unix_ms() + 10).to_string();
+    // Arrival times are whole ms, so one that is certainly after the signal lies a little in the future.
+    let arrived_at = (unix_ms() + 10).to_string();
     client.send(&request(
         3,
         3,
         "/svc/look",
-        &[("HTTP_X_REQUEST_START", &stamp)],
+        &[("HTTP_X_REQUEST_START", &arrived_at)],
         b"",
     ));
     let late = client.reply();
-    assert_eq!((late.id, late.status), (3, 503), "it came after the grace");
+    assert_eq!(
+        (late.id, late.status),
+        (3, 503),
+        "the request arrived after the grace period"
+    );
     client.send(&request(4, 4, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 503);
     engine.send_done(1, &call, "OK", b"in time");
     assert_eq!(client.reply().body, b"in time");
-    let cut = client.reply();
+    let unfinished = client.reply();
     assert_eq!(
-        (cut.id, cut.status),
+        (unfinished.id, unfinished.status),
         (2, 500),
-        "what can't be done by the stop is failed before it"
+        "a run that can't end by the stop fails before it"
     );
     assert!(client.is_closed());
     let (code, log) = fixture.wait_for_exit();
@@ -903,24 +953,25 @@
 }
 
 #[test]
-fn faults_at_the_start_are_plain_and_name_the_key() {
-    let ends = |change: fn(&mut Value)| start(change).wait_for_exit();
-    let (code, log) = ends(|config| config["settings"]["family_info"]["below"] = json!("common"));
+fn faults_at_startup_are_reported_in_one_line_that_names_the_key() {
+    let exit_after = |change: fn(&mut Value)| start(change).wait_for_exit();
+    let (code, log) =
+        exit_after(|config| config["settings"]["family_info"]["below"] = json!("common"));
     assert_eq!(code, Some(1));
     assert!(log.contains("below") && log.lines().count() == 1, "{log}");
-    let (code, log) = ends(|config| config["listen"] = json!("192.0.2.1:9"));
+    let (code, log) = exit_after(|config| config["listen"] = json!("192.0.2.1:9"));
     assert_eq!(code, Some(1));
     assert!(
         log.contains("config.listen") && !log.contains("panicked"),
         "{log}"
     );
     for (name, file) in [("GW_CONFIG", "/nowhere/at/all"), ("GW_OTHER", "")] {
-        let out = Command::new(env!("CARGO_BIN_EXE_doortrack"))
+        let output = Command::new(env!("CARGO_BIN_EXE_doortrack"))
             .env_clear()
             .env(name, file)
             .output()
             .unwrap();
-        assert_eq!(out.status.code(), Some(1));
-        assert!(String::from_utf8_lossy(&out.stderr).contains("GW_CONFIG"));
+        assert_eq!(output.status.code(), Some(1));
+        assert!(String::from_utf8_lossy(&output.stderr).contains("GW_CONFIG"));
     }
 }
