--- a/crates/node/src/network/listeners/reading.rs
+++ b/crates/node/src/network/listeners/reading.rs
@@ -1,4 +1,4 @@
-//! Reads the clients' connections and assembles requests from what arrives.
+//! Reads client connections and assembles requests from their input.
 
 use doortrack_protocols::fastcgi::{self, RESPONDER};
 use doortrack_protocols::{RequestEvent, uwsgi};
@@ -13,17 +13,17 @@
 use crate::network::termination::Termination;
 
 impl Listeners {
-    /// Handles what the poller reports of a connection.
+    /// Handles an event that the poller reports for a connection.
     pub fn on_event(&mut self, event: Event, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
         let slot = event.key - FIRST_CONNECTION_KEY;
         if !self.connections.contains(slot) {
-            return; // Closed earlier in this turn.
+            return; // The connection was closed earlier in this turn.
         }
         if event.writable {
             self.queue_flush(slot);
         }
-        // After a stall the event loop polls twice in a turn, and the second poll reports again what ended in the
-        // first: the poller learns only at the end of the turn that the connection is not read any more.
+        // After a stall the event loop polls twice in a turn, and the second poll reports the end of a connection's
+        // input again: the poller's events are updated only at the end of the turn.
         let connection = &self.connections[slot];
         let ended_in_this_turn = !connection.is_reading()
             && !connection.is_lingering()
@@ -36,9 +36,9 @@
     /// Reads a connection once.
     pub(super) fn read(&mut self, slot: usize, now: TenthMillis, events: &mut Vec<ListenerEvent>) {
         let connection = &mut self.connections[slot];
-        let waits = connection.is_backlogged() || connection.is_suspended();
-        if connection.is_reading() && waits {
-            return; // What it sends next stays with the system until its peer has read answers.
+        let must_wait = connection.is_backlogged() || connection.is_suspended();
+        if connection.is_reading() && must_wait {
+            return; // Further input stays in the socket until the peer has read enough answers.
         }
         let mut buffer = std::mem::take(&mut self.read_buffer);
         let received = connection.read(&mut buffer, now);
@@ -46,7 +46,7 @@
             self.discard(slot, received, events);
         } else {
             match received {
-                Ok(count) => self.split(slot, &buffer[..count], now, events),
+                Ok(count) => self.parse_input(slot, &buffer[..count], now, events),
                 Err(Termination::Reset) => self.close(slot, Termination::Reset, events),
                 Err(termination) => self.stop_reading(slot, termination),
             }
@@ -54,8 +54,8 @@
         self.read_buffer = buffer;
     }
 
-    /// Discards what came on a lingering connection, and closes it once the peer has closed or sent too much.
-    /// Nothing is owed on it, so it does not matter how it ends.
+    /// Discards the input of a lingering connection, and closes the connection once the peer has closed it or has
+    /// sent too much. All its requests are answered, so it does not matter how it ends.
     fn discard(
         &mut self,
         slot: usize,
@@ -63,15 +63,15 @@
         events: &mut Vec<ListenerEvent>,
     ) {
         let connection = &mut self.connections[slot];
-        let is_over = received.map_or(true, |count| connection.account_discarded(count));
-        if is_over {
+        let is_finished = received.map_or(true, |count| connection.record_discarded(count));
+        if is_finished {
             let termination = connection.deferred_close();
             self.close(slot, termination.unwrap_or(Termination::Closed), events);
         }
     }
 
-    /// Splits input into requests, as far as the connection's unread answers allow; the rest waits for them.
-    pub(super) fn split(
+    /// Parses input into requests. If the connection becomes backlogged, the rest of the input is suspended.
+    pub(super) fn parse_input(
         &mut self,
         slot: usize,
         mut input: &[u8],
@@ -83,18 +83,18 @@
             match self.connections[slot].reader().next(&mut input) {
                 Ok(Some(request_event)) => self.on_request_event(slot, request_event, now, events),
                 Ok(None) => break,
-                Err(_) => self.give_up(slot),
+                Err(_) => self.reject_malformed(slot),
             }
         }
         let connection = &mut self.connections[slot];
-        if connection.account_split(size - input.len(), now) && connection.is_reading() {
-            self.give_up(slot);
+        if connection.record_parsed(size - input.len(), now) && connection.is_reading() {
+            self.reject_malformed(slot);
         }
         self.suspend_if_backlogged(slot, input);
     }
 
-    /// Stops reading a connection whose input is malformed. Complete requests on it are still answered.
-    fn give_up(&mut self, slot: usize) {
+    /// Stops reading a connection whose input is malformed. Its complete requests are still answered.
+    fn reject_malformed(&mut self, slot: usize) {
         self.answer_incomplete(slot, Answer::Unreadable(Unreadable::Field("record")));
         self.stop_reading(slot, Termination::Malformed);
     }
@@ -141,7 +141,7 @@
     fn begin(&mut self, slot: usize, wire_id: u16, role: u16, keep_connection: bool) {
         let connection = &mut self.connections[slot];
         if connection.pending.find_wire_id(wire_id).is_some() {
-            return self.give_up(slot);
+            return self.reject_malformed(slot);
         }
         if !keep_connection && !connection.is_closing() {
             connection.close_when_answered(Termination::Closed);
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Turns a request down whose variables announce too long a body.
+    /// Rejects a request whose variables announce a body that is too long.
     fn check_body_length(&mut self, slot: usize, wire_id: u16, length: u64) {
         if length <= MAX_BODY_BYTES as u64 {
             return;
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Answered at once, as the request's end may never come.
+    /// Rejects a request that is too long, at once, as its end may never arrive.
     fn answer_too_long(&mut self, caller: Caller) {
         self.answer(caller, Answer::Unreadable(Unreadable::TooLong));
     }
@@ -219,7 +219,7 @@
         };
         let connection_closing = self.connections[slot].is_closing();
         match self.decode(slot, &complete, now) {
-            Ok(inbound) if connection_closing && !may_be_repeat(&inbound) => {
+            Ok(inbound) if connection_closing && !has_idempotency_key(&inbound) => {
                 self.answer(caller, Answer::NoCapacity);
             }
             Ok(DecodedRequest::Request(request)) => events.push(ListenerEvent::Request {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Decodes a complete request: by the installation's rules, or by the platform's variables alone.
+    /// Decodes a complete request, by the installation's rules or by the platform's variables alone.
     fn decode(
         &mut self,
         slot: usize,
@@ -276,7 +276,7 @@
     }
 }
 
-/// Whether a request may repeat one that ran.
-fn may_be_repeat(inbound: &DecodedRequest) -> bool {
+/// Returns true if a request carries an idempotency key, so that it may repeat a request that ran.
+fn has_idempotency_key(inbound: &DecodedRequest) -> bool {
     matches!(inbound, DecodedRequest::Request(request) if request.idempotency_key.is_some())
 }
