--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -48,8 +48,8 @@
     seen_lines: Vec<String>,
 }
 
-/// Contents of version `version` of the installation file: its first and last rules route to the pool with that index, and one rule in
-/// the middle differs in each version.
+/// Contents of one version of the installation file: its first and last rules route to the pool with the index
+/// `version`, and one rule in the middle differs in each version.
 fn installation(
     size: ConfigSize,
     listener: SocketAddr,
@@ -234,8 +234,8 @@
         old_answers.push(count_old_answers_until(&node, version));
     }
     node.wait_until_logged("configuration in force", CHANGES);
-    // Answers continue during a build outside the loop. With a build inside the loop, at most one answer would come from
-    // the old version.
+    // Answers continue during a build outside the loop. With a build inside the loop, at most one answer would come
+    // from the old version.
     assert!(
         old_answers.iter().all(|count| *count >= 3),
         "{old_answers:?}"
--- a/crates/node/tests/node/sockets.rs
+++ b/crates/node/tests/node/sockets.rs
@@ -412,8 +412,8 @@
     assert_eq!(client.reply().body, b"on time");
 }
 
-/// The engine's state in a random scenario: runs in progress, ended runs, and all notices, which are kept to be sent again
-/// after a lost link.
+/// The engine's state in a random scenario: runs in progress, ended runs, and all notices, which are kept to be sent
+/// again after a lost link.
 #[derive(Default)]
 struct EngineState {
     running: Vec<String>,
@@ -529,8 +529,8 @@
             assert_eq!(attach["msg"], "ATTACH");
             sent_notices = attach["serial"].as_u64().unwrap() as usize;
             engine.send(json!({"msg": "HELLO", "how": "WARM", "duration": 1}));
-            // Runs that ended in the meantime are reported first. Then no run ends until the node has sent its runs again,
-            // since in that time the node can't know of an end.
+            // Runs that ended in the meantime are reported first. Then no run ends until the node has sent its runs
+            // again, since in that time the node can't know of an end.
             state.notices[sent_notices..]
                 .iter()
                 .for_each(|notice| engine.send(notice.clone()));
