--- a/crates/node/tests/node/interrupts.rs
+++ b/crates/node/tests/node/interrupts.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 
-use super::notices::{ends_well, signals};
+use super::reload_with_shutdown::{ends_well, signals};
 use super::sockets::up_with;
 
 const INTERRUPT: &str = "-INT";
--- a/crates/node/tests/node/last_moment.rs
+++ b/crates/node/tests/node/last_moment.rs
@@ -10,7 +10,7 @@
 use doortrack_protocols::Protocol::FastCgi;
 use serde_json::json;
 
-use super::notices::ends_well;
+use super::reload_with_shutdown::ends_well;
 use super::sockets::up_with;
 
 const STOP_MS: u64 = 500;
--- a/crates/node/tests/node/late_answers.rs
+++ b/crates/node/tests/node/late_answers.rs
@@ -10,7 +10,7 @@
 use doortrack_protocols::Protocol::FastCgi;
 use serde_json::json;
 
-use super::notices::{LEAVE, ends_well};
+use super::reload_with_shutdown::{LEAVE, ends_well};
 
 /// Longer than the process stands still here, also on a busy machine: a notice may count as old as that.
 const STOP_MS: u64 = 3_000;
--- a/crates/node/tests/node/late_repeats.rs
+++ b/crates/node/tests/node/late_repeats.rs
@@ -5,7 +5,7 @@
 use doortrack_fakes::records::{IDEMPOTENCY_KEY, request};
 use serde_json::json;
 
-use super::notices::ends_well;
+use super::reload_with_shutdown::ends_well;
 use super::sockets::up_with;
 
 const STOP_MS: u64 = 600;
--- a/crates/node/tests/node/late_stops.rs
+++ b/crates/node/tests/node/late_stops.rs
@@ -6,7 +6,7 @@
 use doortrack_fakes::unix_ms;
 use serde_json::json;
 
-use super::notices::{LEAVE, ends_well};
+use super::reload_with_shutdown::{LEAVE, ends_well};
 use super::sockets::up_with;
 
 const STOP_MS: u64 = 1_000;
--- a/crates/node/tests/node/near_stops.rs
+++ b/crates/node/tests/node/near_stops.rs
@@ -4,7 +4,7 @@
 use doortrack_fakes::fixture::{NodeFixture, NodeSetup};
 use serde_json::{Value, json};
 
-use super::notices::{LEAVE, RELOAD, SOON, ends_well, rewrite, signals};
+use super::reload_with_shutdown::{LEAVE, RELOAD, SOON, ends_well, rewrite_config, signals};
 
 /// A stop that lies far beyond the longest that anything waits, in ms.
 const FAR: u64 = 600_000;
@@ -30,7 +30,7 @@
     client.send_look(2, 2);
     let (first, _) = engine.next_run();
     engine.next_run();
-    rewrite(&fixture, |config| config["stop_ms"] = json!(after));
+    rewrite_config(&fixture, |config| config["stop_ms"] = json!(after));
     if stands_still {
         fixture.signal("-STOP");
     }
--- a/crates/node/tests/node/notices.rs
+++ b/crates/node/tests/node/reload_with_shutdown.rs
@@ -35,7 +35,7 @@
 }
 
 /// Changes the configuration's file; nobody is told yet.
-pub fn rewrite(fixture: &NodeFixture, change: impl FnOnce(&mut Value)) {
+pub fn rewrite_config(fixture: &NodeFixture, change: impl FnOnce(&mut Value)) {
     let file = fixture.folder.join("config.json");
     let mut config: Value = serde_json::from_slice(&std::fs::read(&file).unwrap()).unwrap();
     change(&mut config);
@@ -200,7 +200,7 @@
             fixture.engine_listener.local_addr().unwrap(),
             fixture.registry.local_addr().unwrap(),
         );
-        rewrite(&fixture, |config| {
+        rewrite_config(&fixture, |config| {
             config["engine"] = json!(door.to_string());
             config["registry"] = json!(registry.to_string());
         });
@@ -228,7 +228,7 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    rewrite(&fixture, |config| {
+    rewrite_config(&fixture, |config| {
         config["engine"] = json!(nowhere.to_string())
     });
     signals(&fixture, [RELOAD, LEAVE]);
--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -13,7 +13,7 @@
 use doortrack_protocols::{Protocol, Variable, write_request};
 use serde_json::{Value, json};
 
-use super::notices::rewrite;
+use super::reload_with_shutdown::rewrite_config;
 
 const UWSGI: Protocol = Protocol::Uwsgi;
 
@@ -324,10 +324,10 @@
 #[test]
 fn a_node_told_to_leave_waits_for_no_build_and_keeps_to_the_nearer_stop() {
     let mut site = Site::start(LARGE, 2);
-    rewrite(&site.fixture, |config| config["stop_ms"] = json!(600_000));
+    rewrite_config(&site.fixture, |config| config["stop_ms"] = json!(600_000));
     site.fixture.replace_installation(&site.version(1));
     site.until_logged("configuration in force", 1);
-    rewrite(&site.fixture, |config| config["stop_ms"] = json!(1_000));
+    rewrite_config(&site.fixture, |config| config["stop_ms"] = json!(1_000));
     site.fixture.replace_installation(&site.version(2));
     site.fixture.signal("-TERM");
     site.until_logged("draining ", 1);
