--- a/crates/node/tests/node/last_moment.rs
+++ b/crates/node/tests/node/last_moment.rs
@@ -1,5 +1,5 @@
-//! Callers who connect again and again while a node closes its listener: whoever is connected is answered, and whoever
-//! is refused knows that nothing ran.
+//! Callers reconnect continuously while a node closes its listener. Each connection must be answered or refused;
+//! a caller whose connection is refused knows that nothing ran.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,26 +10,29 @@
 use doortrack_protocols::Protocol::FastCgi;
 use serde_json::json;
 
-use super::reload_with_shutdown::ends_well;
+use super::reload_with_shutdown::wait_for_clean_exit;
 use super::sockets::up_with;
 
 const STOP_MS: u64 = 500;
-/// From the notice on; the listener is closed 100 ms before the stop.
-const CROWD_AFTER: Duration = Duration::from_millis(360);
-const CALLERS: u64 = 8;
-const DRAINS: usize = 8;
+/// Delay after the shutdown signal; the listener is closed 100 ms before the stop time.
+const CONNECT_DELAY: Duration = Duration::from_millis(360);
+const CALLER_COUNT: u64 = 8;
+const DRAIN_COUNT: usize = 8;
 
 #[derive(Debug, Default)]
-struct Seen {
+struct CallCounts {
     answered: usize,
     lost: usize,
 }
 
-/// Sends requests on a connection each until one is refused.
-fn call_until_refused(address: SocketAddr, caller: u64) -> Seen {
-    let (mut seen, until) = (Seen::default(), Instant::now() + MAX_WAIT);
+/// Sends each request on its own connection until a connection is refused.
+fn call_until_refused(address: SocketAddr, caller: u64) -> CallCounts {
+    let (mut counts, until) = (CallCounts::default(), Instant::now() + MAX_WAIT);
     for nth in 1.. {
-        assert!(Instant::now() < until, "never refused: {seen:?}");
+        assert!(
+            Instant::now() < until,
+            "connections are never refused: {counts:?}"
+        );
         let Ok(mut sock) = TcpStream::connect(address) else {
             break;
         };
@@ -39,34 +42,34 @@
         let sent = sock.write_all(&request.bytes(FastCgi));
         _ = sent.and_then(|()| sock.read_to_end(&mut answer));
         if answer.is_empty() {
-            seen.lost += 1;
+            counts.lost += 1;
         } else {
-            seen.answered += 1;
+            counts.answered += 1;
         }
     }
-    seen
+    counts
 }
 
-/// Guards against a connection that the system accepts between the last look at the backlog and the listener's close.
+/// Guards against losing a connection that the system accepts between the last accept and the close of the listener.
 #[test]
-fn who_connects_while_the_listener_closes_is_answered_or_refused() {
+fn connections_during_the_listener_close_are_answered_or_refused() {
     let (mut answered, mut lost) = (0, 0);
-    for _ in 0..DRAINS {
+    for _ in 0..DRAIN_COUNT {
         let (fixture, _engine) = up_with(|config| {
             config["stop_ms"] = json!(STOP_MS);
             config["settings"]["safety"]["drain_grace"] = json!(0);
         });
         fixture.signal("-TERM");
-        std::thread::sleep(CROWD_AFTER);
+        std::thread::sleep(CONNECT_DELAY);
         let address = fixture.address;
-        let crowd = (0..CALLERS)
+        let callers = (0..CALLER_COUNT)
             .map(|caller| std::thread::spawn(move || call_until_refused(address, caller)));
-        for caller in crowd.collect::<Vec<_>>() {
-            let seen = caller.join().unwrap();
-            answered += seen.answered;
-            lost += seen.lost;
+        for caller in callers.collect::<Vec<_>>() {
+            let counts = caller.join().unwrap();
+            answered += counts.answered;
+            lost += counts.lost;
         }
-        ends_well(fixture);
+        wait_for_clean_exit(fixture);
     }
-    assert_eq!(lost, 0, "beside {answered} answered");
+    assert_eq!(lost, 0, "requests lost, {answered} answered");
 }
--- a/crates/node/tests/node/late_answers.rs
+++ b/crates/node/tests/node/late_answers.rs
@@ -1,4 +1,4 @@
-//! A notice to leave that is read in the very turn in which answers of servers have got late.
+//! A shutdown signal handled in the same turn in which answers of servers have timed out.
 
 use std::process::Command;
 use std::time::Duration;
@@ -10,18 +10,19 @@
 use doortrack_protocols::Protocol::FastCgi;
 use serde_json::json;
 
-use super::reload_with_shutdown::{LEAVE, ends_well};
+use super::reload_with_shutdown::{TERMINATE, wait_for_clean_exit};
 
-/// Longer than the process stands still here, also on a busy machine: a notice may count as old as that.
+/// Longer than the process is suspended here, also on a busy machine: the signal may be dated back to the
+/// start of the suspension.
 const STOP_MS: u64 = 3_000;
 
-/// Found by reading: a turn that had ends to tell counted as due at the time 0, and a notice read in it as
-/// old as that, so the process was gone at once. Here a run gets late while the node stands still, and the
-/// notice comes while it is busy with all that came meanwhile.
+/// Guards against an immediate exit: a turn with terminations to report counted as due at time 0, and a signal
+/// handled in that turn was dated back to time 0. Here a run times out while the node is suspended, and the
+/// signal comes while the node is busy with the requests that arrived meanwhile.
 #[test]
-fn a_notice_that_is_read_beside_a_late_answer_leaves_the_whole_time_to_the_stop() {
-    const CALLERS: u64 = 100;
-    const EACH: u16 = 32;
+fn a_signal_in_the_turn_of_a_late_answer_keeps_the_full_time_to_the_stop() {
+    const CALLER_COUNT: u64 = 100;
+    const REQUESTS_PER_CALLER: u16 = 32;
     let (server, held) = Server::held(FastCgi);
     let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     plan.config["stop_ms"] = json!(STOP_MS);
@@ -34,16 +35,16 @@
     late.send_look(1, 1);
     let _run = held.recv_timeout(MAX_WAIT).unwrap();
     fixture.signal("-STOP");
-    let mut callers: Vec<Client> = (1..=CALLERS).map(|_| fixture.client()).collect();
+    let mut callers: Vec<Client> = (1..=CALLER_COUNT).map(|_| fixture.client()).collect();
     for (caller, client) in callers.iter_mut().enumerate() {
         let first = (caller as u64 + 1) * 1_000;
-        let all =
-            (1..=EACH).flat_map(|id| request(id, first + u64::from(id), "/svc/look", &[], b""));
+        let all = (1..=REQUESTS_PER_CALLER)
+            .flat_map(|id| request(id, first + u64::from(id), "/svc/look", &[], b""));
         client.send(&all.collect::<Vec<u8>>());
     }
     std::thread::sleep(Duration::from_millis(300));
     let id = fixture.program.id();
-    let line = format!("kill -CONT {id}; sleep 0.002; kill {LEAVE} {id}");
+    let line = format!("kill -CONT {id}; sleep 0.002; kill {TERMINATE} {id}");
     assert!(
         Command::new("sh")
             .args(["-c", &line])
@@ -52,12 +53,16 @@
             .success()
     );
     fixture.wait_for_report("draining");
-    assert_eq!(late.reply().status, 500, "it ran, and is not tried again");
+    assert_eq!(
+        late.reply().status,
+        500,
+        "the run started and is not retried"
+    );
     for client in &mut callers {
-        for _ in 0..EACH {
+        for _ in 0..REQUESTS_PER_CALLER {
             assert!([2, 500, 503].contains(&client.reply().status));
         }
         assert!(client.is_closed());
     }
-    ends_well(fixture);
+    wait_for_clean_exit(fixture);
 }
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,8 +1,8 @@
-//! The node: its parts by themselves, and the program on sockets against stand-ins for all it talks to.
+//! Tests of the node: single modules, and the program on sockets against fakes of all its peers.
 
 #![allow(
     clippy::too_many_lines,
-    reason = "a scenario is read from its start to its end"
+    reason = "a test scenario reads best in one piece"
 )]
 
 mod accepts;
