--- a/crates/node/tests/node/backlog.rs
+++ b/crates/node/tests/node/backlog.rs
@@ -1,4 +1,4 @@
-//! Answers that clients do not read: bounded for each connection and for all, and none is lost to one who reads.
+//! Unread answers are bounded per connection and in total, and a client that reads loses none.
 
 use std::collections::BTreeSet;
 use std::io::{ErrorKind, Read, Write};
@@ -16,38 +16,38 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// More than any answer to what the callers send, but for results.
+/// Upper bound in bytes of an answer that carries no result.
 const MAX_SHORT_ANSWER: usize = 200;
 const MAX_RESULT: usize = 20_000;
-/// Turns after which a caller that reads has all its answers, with much to spare.
+/// Turns within which a caller that reads has received all its answers, with ample margin.
 const MAX_TURNS: usize = 100_000;
 
-/// What a caller sends, one after the other as long as a batch is.
+/// The kind of message that a caller repeats in a batch.
 #[derive(Clone, Copy, Debug)]
-enum Sent {
-    /// Eight bytes, answered with some seventy.
+enum MessageKind {
+    /// Eight bytes, answered with about seventy.
     GetValues,
     /// Eight bytes, answered with sixteen.
     UnknownType,
-    /// A request without variables: 32 bytes, answered with 80. What follows is read after the next sweep.
+    /// A request without variables: 32 bytes, answered with 80. Data after it is read after the next sweep.
     Unreadable,
     /// A request that is run.
     Runnable,
 }
 
-impl Sent {
+impl MessageKind {
     fn bytes(self) -> Vec<u8> {
         match self {
-            Sent::GetValues => vec![1, 9, 0, 0, 0, 0, 0, 0],
-            Sent::UnknownType => vec![1, 77, 0, 0, 0, 0, 0, 0],
-            Sent::Unreadable => [
+            MessageKind::GetValues => vec![1, 9, 0, 0, 0, 0, 0, 0],
+            MessageKind::UnknownType => vec![1, 77, 0, 0, 0, 0, 0, 0],
+            MessageKind::Unreadable => [
                 [1, 1, 0, 1, 0, 8, 0, 0],
                 [0, 1, 1, 0, 0, 0, 0, 0],
                 [1, 4, 0, 1, 0, 0, 0, 0],
                 [1, 5, 0, 1, 0, 0, 0, 0],
             ]
             .concat(),
-            Sent::Runnable => {
+            MessageKind::Runnable => {
                 let now = doortrack_fakes::unix_ms().to_string();
                 let id = doortrack_fakes::attempt_id(1);
                 let fields = [
@@ -68,7 +68,7 @@
     }
 }
 
-/// A caller's connection, and what it has sent and read on it.
+/// A caller's connection, with the messages sent and the bytes received on it.
 struct Caller {
     sock: TcpStream,
     unsent: Vec<u8>,
@@ -78,19 +78,19 @@
 }
 
 impl Caller {
-    /// Has a batch sent: as many whole messages as `bytes` hold. A result is for one request at a time, as all have
-    /// the same id.
-    fn batch(&mut self, sent: Sent, bytes: usize) {
+    /// Queues a batch of as many whole messages as fit into `bytes`. Requests that run are queued one at a time, as
+    /// all have the same id.
+    fn batch(&mut self, sent: MessageKind, bytes: usize) {
         let one = sent.bytes();
         let count = match sent {
-            Sent::Runnable => 1,
+            MessageKind::Runnable => 1,
             _ => (bytes / one.len()).max(1),
         };
         self.unsent.extend(one.repeat(count));
         self.sent += count;
-        if matches!(sent, Sent::GetValues | Sent::UnknownType) {
-            // Only so many bytes are taken without a request among them.
-            self.batch(Sent::Unreadable, 1);
+        if matches!(sent, MessageKind::GetValues | MessageKind::UnknownType) {
+            // The node accepts a limited number of bytes without a request among them.
+            self.batch(MessageKind::Unreadable, 1);
         }
     }
 
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Whole answers that it has read: ends of requests, values and unknown types.
+    /// Number of whole answers received: END_REQUEST, GET_VALUES_RESULT and UNKNOWN_TYPE records.
     fn answers(&self) -> usize {
         let (mut rest, mut count) = (&self.received[..], 0);
         while let [_, kind, _, _, high, low, padding, _, content @ ..] = rest {
@@ -127,8 +127,8 @@
     }
 }
 
-/// Listeners, with callers connected to them, turned by hand.
-struct Turns {
+/// Listeners with connected callers; the test runs each turn itself.
+struct ListenerFixture {
     poller: Arc<Poller>,
     listeners: Listeners,
     callers: Vec<Caller>,
@@ -137,8 +137,8 @@
     events: Vec<ListenerEvent>,
 }
 
-impl Turns {
-    fn new(limit: usize, callers: usize) -> Turns {
+impl ListenerFixture {
+    fn new(limit: usize, callers: usize) -> ListenerFixture {
         static FIXTURES: AtomicU8 = AtomicU8::new(0);
         let poller = Arc::new(Poller::new().unwrap());
         let limits = ResourceLimits {
@@ -173,7 +173,7 @@
             }
         };
         let callers = (0..callers).map(connect).collect();
-        let mut turns = Turns {
+        let mut fixture = ListenerFixture {
             poller,
             listeners,
             callers,
@@ -181,13 +181,13 @@
             result: 0,
             events: Vec::new(),
         };
-        while turns.listeners.connection_count() < turns.callers.len() {
-            turns.listeners.accept(0, 0, &mut turns.events);
+        while fixture.listeners.connection_count() < fixture.callers.len() {
+            fixture.listeners.accept(0, 0, &mut fixture.events);
         }
-        turns
+        fixture
     }
 
-    /// Reads what is ready, answers what is complete, and writes.
+    /// Runs one turn: reads ready connections, answers complete requests and writes.
     fn turn(&mut self) {
         self.listeners.sweep(0, &mut self.events);
         self.listeners.flush(0, &mut self.events);
@@ -228,7 +228,7 @@
         assert!(unread <= connections * each, "{unread} on {connections}");
     }
 
-    /// Callers read until each has all its answers, or was closed.
+    /// Lets callers read until each has all its answers or its connection is closed.
     fn finish(&mut self) {
         for _ in 0..MAX_TURNS {
             for caller in &mut self.callers {
@@ -241,68 +241,72 @@
                 return;
             }
         }
-        let counts = self
+        let answer_counts = self
             .callers
             .iter()
             .map(|caller| (caller.answers(), caller.sent));
-        panic!("answers read, due: {:?}", counts.collect::<Vec<_>>());
+        panic!(
+            "(answers received, messages sent) of each caller: {:?}",
+            answer_counts.collect::<Vec<_>>()
+        );
     }
 }
 
-/// Guards against a bound that is looked at only once a whole read has been worked off.
+/// Guards against a bound that is checked only after a whole read has been processed.
 #[test]
-fn a_read_whose_answers_are_not_taken_stops_at_the_bound_and_goes_on_once_they_are() {
-    let mut turns = Turns::new(10_000_000, 1);
+fn reading_pauses_at_the_unread_answer_bound_and_resumes_once_answers_are_read() {
+    let mut fixture = ListenerFixture::new(10_000_000, 1);
     let mut full_turns = 0;
     while full_turns < 3 {
-        if turns.callers[0].unsent.is_empty() {
-            turns.callers[0].batch(Sent::GetValues, READ_BUFFER_BYTES);
+        if fixture.callers[0].unsent.is_empty() {
+            fixture.callers[0].batch(MessageKind::GetValues, READ_BUFFER_BYTES);
         }
-        turns.callers[0].send();
-        turns.turn(); // Checks the bound of the connection.
-        full_turns += usize::from(turns.listeners.unread_answer_bytes() >= MAX_UNREAD_ANSWER_BYTES);
+        fixture.callers[0].send();
+        fixture.turn(); // Also checks the bound of the connection.
+        full_turns +=
+            usize::from(fixture.listeners.unread_answer_bytes() >= MAX_UNREAD_ANSWER_BYTES);
     }
-    turns.finish();
-    assert!(!turns.callers[0].closed);
-    assert_eq!(turns.callers[0].answers(), turns.callers[0].sent);
-    assert_eq!(turns.listeners.backlog_bytes(), 0);
+    fixture.finish();
+    assert!(!fixture.callers[0].closed);
+    assert_eq!(fixture.callers[0].answers(), fixture.callers[0].sent);
+    assert_eq!(fixture.listeners.backlog_bytes(), 0);
 }
 
-/// Guards against a sum over all connections that grows past its bound while each keeps within its own.
+/// Guards against a total that exceeds its bound while each connection stays within its own.
 #[test]
-fn where_answers_pile_up_on_all_connections_the_largest_is_closed_and_who_reads_is_served() {
-    let mut turns = Turns::new(100_000, 4);
+fn the_connections_with_most_unread_answers_are_closed_and_readers_are_served() {
+    let mut fixture = ListenerFixture::new(100_000, 4);
     let mut closed = BTreeSet::new();
     while closed.len() < 3 {
-        for (index, caller) in turns.callers.iter_mut().enumerate() {
-            let is_deaf = index < 3;
+        for (index, caller) in fixture.callers.iter_mut().enumerate() {
+            let never_reads = index < 3;
             if caller.unsent.is_empty() && !closed.contains(&index) {
                 caller.batch(
-                    Sent::GetValues,
-                    if is_deaf { READ_BUFFER_BYTES } else { 800 },
+                    MessageKind::GetValues,
+                    if never_reads { READ_BUFFER_BYTES } else { 800 },
                 );
             }
             caller.send();
-            if !is_deaf {
+            if !never_reads {
                 caller.receive(READ_BUFFER_BYTES);
             } else if caller.closed {
                 closed.insert(index);
             }
         }
-        turns.turn();
+        fixture.turn();
     }
-    assert_eq!(turns.listeners.counts().terminations["unread"], 3);
-    turns.finish();
-    assert!(!turns.callers[3].closed);
-    assert_eq!(turns.callers[3].answers(), turns.callers[3].sent);
+    assert_eq!(fixture.listeners.counts().terminations["unread"], 3);
+    fixture.finish();
+    assert!(!fixture.callers[3].closed);
+    assert_eq!(fixture.callers[3].answers(), fixture.callers[3].sent);
 }
 
-fn sent() -> impl Strategy<Value = Sent> {
+fn sent() -> impl Strategy<Value = MessageKind> {
     prop_oneof![
-        Just(Sent::GetValues),
-        Just(Sent::UnknownType),
-        Just(Sent::Unreadable),
-        Just(Sent::Runnable),
+        Just(MessageKind::GetValues),
+        Just(MessageKind::UnknownType),
+        Just(MessageKind::Unreadable),
+        Just(MessageKind::Runnable),
     ]
 }
 
@@ -314,28 +318,28 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn unread_answers_keep_within_their_bounds_whatever_callers_send_and_read(
+    fn unread_answers_stay_within_their_bounds(
         limit in prop_oneof![1_000..100_000_usize, 100_000..1_000_000_usize, Just(100_000_000)],
         result in 0..MAX_RESULT,
         callers in 1..6_usize,
         steps in proptest::collection::vec((0..6_usize, sent(), 1..2 * READ_BUFFER_BYTES, 0..4_usize), 1..120),
     ) {
-        let mut turns = Turns::new(limit, callers);
-        turns.result = result;
+        let mut fixture = ListenerFixture::new(limit, callers);
+        fixture.result = result;
         for (caller, sent, bytes, reads) in steps {
-            let caller = &mut turns.callers[caller % callers];
+            let caller = &mut fixture.callers[caller % callers];
             if caller.unsent.is_empty() {
                 caller.batch(sent, bytes);
             }
             caller.send();
-            // Most read nothing for a while.
+            // Most steps read nothing.
             if reads == 0 {
                 caller.receive(bytes);
             }
-            turns.turn();
+            fixture.turn();
         }
-        turns.finish();
-        let unread = turns.listeners.counts().terminations.get("unread").copied().unwrap_or(0);
+        fixture.finish();
+        let unread = fixture.listeners.counts().terminations.get("unread").copied().unwrap_or(0);
         prop_assert!(limit < 100_000_000 || unread == 0);
     }
 }
--- a/crates/node/tests/node/early_signals.rs
+++ b/crates/node/tests/node/early_signals.rs
@@ -1,5 +1,5 @@
-//! Signals that come while the process is still at its start. Its configuration is a pipe here, so the test
-//! says how long that is read.
+//! Signals that arrive while the process is starting. The configuration is read from a pipe, so the test decides
+//! how long that takes.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{Read, Write};
@@ -12,18 +12,18 @@
 use doortrack_protocols::Protocol::FastCgi;
 use serde_json::json;
 
-/// A process whose configuration is being read.
-struct Starting {
+/// A process that is reading its configuration.
+struct StartingNode {
     process: Child,
     folder: PathBuf,
-    plan: NodeSetup,
+    setup: NodeSetup,
     pipe: File,
 }
 
-impl Starting {
-    fn begin(name: &str) -> Starting {
-        let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-        plan.config["stop_ms"] = json!(400);
+impl StartingNode {
+    fn begin(name: &str) -> StartingNode {
+        let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+        setup.config["stop_ms"] = json!(400);
         let folder = std::env::temp_dir().join(format!("doortrack-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
         let file = folder.join("config.json");
@@ -40,16 +40,16 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        // Opened for writing once there is a reader, which then waits for what is written.
+        // Blocks until the process has opened the pipe, which then waits for the configuration.
         let pipe = OpenOptions::new().write(true).open(&file).unwrap();
-        // What is read again is a file like any other.
+        // A reload reads a regular file in place of the pipe.
         let next = folder.join("next.json");
-        fs::write(&next, plan.config.to_string()).unwrap();
+        fs::write(&next, setup.config.to_string()).unwrap();
         fs::rename(next, file).unwrap();
-        Starting {
+        StartingNode {
             process,
             folder,
-            plan,
+            setup,
             pipe,
         }
     }
@@ -58,16 +58,16 @@
         send_signal(self.process.id(), name);
     }
 
-    /// Lets the start go on.
-    fn is_handed_its_configuration(&mut self) {
+    /// Writes the configuration to the pipe, so that the start continues.
+    fn send_configuration(&mut self) {
         self.pipe
-            .write_all(self.plan.config.to_string().as_bytes())
+            .write_all(self.setup.config.to_string().as_bytes())
             .unwrap();
         self.pipe = File::open("/dev/null").unwrap();
     }
 
-    /// Waits for the end of the process: its exit code, and its log.
-    fn end(mut self) -> (Option<i32>, String) {
+    /// Waits until the process exits. Returns its exit code and log.
+    fn wait_for_exit(mut self) -> (Option<i32>, String) {
         let mut log = String::new();
         self.process
             .stderr
@@ -82,27 +82,27 @@
 }
 
 #[test]
-fn a_reload_during_the_start_is_done_after_it() {
-    let mut starting = Starting::begin("early-reload");
+fn a_reload_during_the_start_is_applied_after_it() {
+    let mut starting = StartingNode::begin("early-reload");
     starting.signal("-HUP");
-    starting.is_handed_its_configuration();
-    let seen = CallerRequest::new(1, "/status/live", b"")
-        .send(starting.plan.address, FastCgi)
+    starting.send_configuration();
+    let result = CallerRequest::new(1, "/status/live", b"")
+        .send(starting.setup.address, FastCgi)
         .outcome();
-    assert!(matches!(seen, CallerOutcome::Completed(_)), "{seen:?}");
+    assert!(matches!(result, CallerOutcome::Completed(_)), "{result:?}");
     starting.signal("-TERM");
-    let (code, log) = starting.end();
+    let (code, log) = starting.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
     assert!(log.contains("configuration read again"), "{log}");
 }
 
 #[test]
-fn a_notice_during_the_start_ends_the_process_in_order() {
+fn a_shutdown_signal_during_the_start_drains_the_process() {
     for signal in ["-TERM", "-INT"] {
-        let mut starting = Starting::begin(&format!("early-notice{signal}"));
+        let mut starting = StartingNode::begin(&format!("early-signal{signal}"));
         starting.signal(signal);
-        starting.is_handed_its_configuration();
-        let (code, log) = starting.end();
+        starting.send_configuration();
+        let (code, log) = starting.wait_for_exit();
         assert_eq!(code, Some(0), "{signal}: {log}");
         assert!(log.contains("draining"), "{signal}: {log}");
     }
--- a/crates/node/tests/node/half_closed.rs
+++ b/crates/node/tests/node/half_closed.rs
@@ -1,5 +1,5 @@
-//! A caller that has sent its last byte, and is told of to the node more than once before a turn ends: after
-//! a pause of the process the loop reads twice in one turn.
+//! A caller that has half-closed its connection, for which the node gets several events in one turn: after a pause
+//! of the process the event loop reads twice in a turn.
 
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -15,12 +15,13 @@
 use doortrack_protocols::Protocol;
 use polling::{Events, Poller};
 
-/// Reads what is ready and writes nothing, as the loop does between two readings: the requests that came.
-fn reads(poller: &Poller, listeners: &mut Listeners, now: u64) -> Vec<Caller> {
+/// Handles all ready events without writing, as the loop does between two reads. Returns the callers of new
+/// requests.
+fn handle_ready_events(poller: &Poller, listeners: &mut Listeners, now: u64) -> Vec<Caller> {
     let (mut events, mut listener_events) = (Events::new(), Vec::new());
     assert!(
         poller.wait(&mut events, Some(MAX_WAIT)).unwrap() > 0,
-        "nothing comes"
+        "no event arrives"
     );
     for event in events.iter() {
         match event.key {
@@ -41,9 +42,9 @@
 }
 
 #[test]
-fn a_half_close_that_is_read_twice_in_one_turn_is_no_reset() {
+fn a_half_close_read_twice_in_one_turn_is_no_reset() {
     let poller = Arc::new(Poller::new().unwrap());
-    let room = ResourceLimits {
+    let limits = ResourceLimits {
         connections: 8,
         open_requests: 8,
         dedup_entries: 1,
@@ -56,7 +57,7 @@
         idempotency_keyed: vec![false],
         tenants: Vec::new(),
     };
-    let mut listeners = Listeners::new(poller.clone(), names, room, 100_000);
+    let mut listeners = Listeners::new(poller.clone(), names, limits, 100_000);
     let at: SocketAddr = fresh_address();
     listeners.listen(at, Protocol::FastCgi, None).unwrap();
     let now = doortrack_fakes::unix_ms() * 10;
@@ -67,16 +68,16 @@
     client.send(&request(1, 1, "/svc/look", &[], b"body"));
     client.sock.shutdown(Shutdown::Write).unwrap();
     let caller = loop {
-        if let Some(caller) = reads(&poller, &mut listeners, now).pop() {
+        if let Some(caller) = handle_ready_events(&poller, &mut listeners, now).pop() {
             break caller;
         }
     };
-    // The end of what it had to say, read and read again before anything is written.
-    reads(&poller, &mut listeners, now);
-    reads(&poller, &mut listeners, now);
+    // The end of the stream is read twice before anything is written.
+    handle_ready_events(&poller, &mut listeners, now);
+    handle_ready_events(&poller, &mut listeners, now);
     assert!(
         listeners.is_pending(caller),
-        "it was taken for one that is gone"
+        "the half-closed connection was taken for a closed one"
     );
     listeners.answer(
         caller,
--- a/crates/node/tests/node/interrupts.rs
+++ b/crates/node/tests/node/interrupts.rs
@@ -1,4 +1,4 @@
-//! SIGINT, as sent by Ctrl-C in a terminal, check_drain the node like SIGTERM. The first of several signals counts.
+//! SIGINT, as sent by Ctrl-C in a terminal, drains the node like SIGTERM. The first of several signals counts.
 
 use std::time::{Duration, Instant};
 
--- a/crates/node/tests/node/fronts.rs
+++ b/crates/node/tests/node/listeners.rs
@@ -1,4 +1,5 @@
-//! Fronts of both protocols beside the platform's listener: told the same, over one state, within bounds.
+//! Listeners of the installation file (`fronts`) in both protocols beside the configuration's listener: they give
+//! the same answers, share the node's state and keep their bounds.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,65 +14,66 @@
 use doortrack_protocols::Protocol::{self, FastCgi, Uwsgi};
 use serde_json::{Value, json};
 
-/// A node with a front of each protocol, its engine up: the node, the engine, and where the fronts are.
-fn up_with(
+/// Starts a node with a listener for each protocol and an attached engine. Returns the node, the engine and the
+/// listeners' protocols and addresses.
+fn start_with(
     change: impl FnOnce(&mut Value, &mut Value),
 ) -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
-    let mut installation = json!({"fronts": fronts.map(|(protocol, at)| {
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    let listeners = [(FastCgi, setup.port(9091)), (Uwsgi, setup.port(9092))];
+    let mut installation = json!({"fronts": listeners.map(|(protocol, at)| {
         json!({"protocol": protocol.name(), "listen": at.to_string()})
     })});
-    change(&mut plan.config, &mut installation);
-    plan.installation = Some(installation);
-    let (fixture, engine) = plan.start_with_engine();
-    (fixture, engine, fronts)
+    change(&mut setup.config, &mut installation);
+    setup.installation = Some(installation);
+    let (fixture, engine) = setup.start_with_engine();
+    (fixture, engine, listeners)
 }
 
-fn up() -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
-    up_with(|_, _| {})
+fn start() -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
+    start_with(|_, _| {})
 }
 
 fn pay(nth: u64, body: &[u8]) -> CallerRequest<'_> {
     CallerRequest::new(nth, "/svc/pay", body).with(IDEMPOTENCY_KEY.0, IDEMPOTENCY_KEY.1)
 }
 
-/// Sends these bytes on a connection of their own and reads all that comes back.
-fn raw(at: SocketAddr, protocol: Protocol, bytes: &[u8]) -> CallerOutcome {
+/// Sends these bytes on a new connection and reads the answer to its end.
+fn send_raw(at: SocketAddr, protocol: Protocol, bytes: &[u8]) -> CallerOutcome {
     let mut sock = connect(at);
-    // It may have been refused, and the connection given up, before all is sent.
+    // The node may refuse the request and close the connection before all bytes are sent.
     _ = sock.write_all(bytes);
     PendingAnswer { sock, protocol }.outcome()
 }
 
 #[test]
-fn what_is_told_is_the_same_on_every_front() {
-    let (_bed, mut engine, fronts) = up_with(|config, _| {
+fn outcomes_are_the_same_on_every_listener() {
+    let (_fixture, mut engine, listeners) = start_with(|config, _| {
         config["settings"]["family_info"]["memory_kb"] = json!(1000);
     });
     let body: Vec<u8> = (0..2048).map(|n| n as u8).collect();
     let result: Vec<u8> = body.iter().rev().copied().cycle().take(4096).collect();
-    let mut tell = |protocol, at, base: u64| {
+    let mut collect_outcomes = |protocol, at, base: u64| {
         let mut all = Vec::new();
-        let waits = CallerRequest::new(base, "/svc/look", &body).send(at, protocol);
+        let pending_answer = CallerRequest::new(base, "/svc/look", &body).send(at, protocol);
         assert_eq!(
             engine.next_run(),
             (attempt_id(base), body.clone()),
-            "a body passes unchanged"
+            "the body is passed on unchanged"
         );
         engine.finish_run(&attempt_id(base), "OK", &result);
-        let (seen, mut headers) = waits.outcome_with_headers();
-        assert_eq!(seen, CallerOutcome::Completed(result.clone()));
+        let (caller_outcome, mut headers) = pending_answer.outcome_with_headers();
+        assert_eq!(caller_outcome, CallerOutcome::Completed(result.clone()));
         headers.remove("Content-Length");
         all.push(format!("{headers:?}"));
-        let waits = CallerRequest::new(base + 1, "/svc/look", b"").send(at, protocol);
+        let pending_answer = CallerRequest::new(base + 1, "/svc/look", b"").send(at, protocol);
         engine.next_run();
         engine.finish_run(&attempt_id(base + 1), "ERROR", b"");
-        let (seen, mut headers) = waits.outcome_with_headers();
+        let (caller_outcome, mut headers) = pending_answer.outcome_with_headers();
         headers.remove("Content-Length");
-        all.push(format!("{seen:?} {headers:?}"));
+        all.push(format!("{caller_outcome:?} {headers:?}"));
         let long = [1; 2049];
-        for ask in [
+        for request in [
             CallerRequest::new(base + 2, "/status/live", b""),
             CallerRequest::new(base + 3, "/svc/look", b"").with("HTTP_X_MEMORY_KB", "1999"),
             CallerRequest::new(base + 4, "/svc/none", b""),
@@ -85,15 +87,16 @@
             CallerRequest::new(base + 10, "/svc/look", &long),
             CallerRequest::new(base, "/svc/look", b"an id that was used"),
         ] {
-            let (seen, mut headers) = ask.send(at, protocol).outcome_with_headers();
+            let (caller_outcome, mut headers) = request.send(at, protocol).outcome_with_headers();
             headers.remove("Content-Length");
-            all.push(format!("{seen:?} {headers:?}"));
+            all.push(format!("{caller_outcome:?} {headers:?}"));
         }
         all
     };
-    let told =
-        fronts.map(|(protocol, at)| tell(protocol, at, if protocol == Uwsgi { 100 } else { 200 }));
-    assert_eq!(told[0], told[1]);
+    let reported = listeners.map(|(protocol, at)| {
+        collect_outcomes(protocol, at, if protocol == Uwsgi { 100 } else { 200 })
+    });
+    assert_eq!(reported[0], reported[1]);
     let kinds = [
         "Failed",
         "Completed",
@@ -110,30 +113,30 @@
     assert!(
         kinds
             .iter()
-            .zip(&told[0][1..])
-            .all(|(kind, told)| told.contains(kind)),
+            .zip(&reported[0][1..])
+            .all(|(kind, reported)| reported.contains(kind)),
         "{:#?}",
-        told[0]
+        reported[0]
     );
 }
 
 #[test]
-fn a_confirmation_that_comes_again_over_another_protocol_runs_once() {
-    let (_bed, mut engine, [fast, uwsgi]) = up();
+fn a_deduplicated_request_repeated_over_another_protocol_runs_once() {
+    let (_fixture, mut engine, [fastcgi, uwsgi]) = start();
     let mut nth = 0;
-    for (first, again) in [(fast, uwsgi), (uwsgi, fast)] {
+    for (first, again) in [(fastcgi, uwsgi), (uwsgi, fastcgi)] {
         for how in ["OK", "ERROR", "MOOT"] {
             let key = format!("{nth:032x}");
-            let mut ask = |(protocol, at): (Protocol, SocketAddr)| {
+            let mut send_request = |(protocol, at): (Protocol, SocketAddr)| {
                 nth += 1;
-                let ask = CallerRequest::new(nth, "/svc/pay", b"berth 4")
+                let request = CallerRequest::new(nth, "/svc/pay", b"berth 4")
                     .with("HTTP_IDEMPOTENCY_KEY", &key);
-                (attempt_id(nth), ask.send(at, protocol))
+                (attempt_id(nth), request.send(at, protocol))
             };
-            let (call, one) = ask(first);
+            let (call, one) = send_request(first);
             assert_eq!(engine.next_run().0, call);
-            // While it runs: attached. Nothing but readings may come of it.
-            let (_, two) = ask(again);
+            // A repeat during the run is attached to it: the engine receives nothing but STAT.
+            let (_, two) = send_request(again);
             engine.answer_stats(4);
             engine.finish_run(&call, how, b"moored");
             let wanted = if how == "OK" {
@@ -146,8 +149,8 @@
                 [wanted.clone(), wanted.clone()],
                 "{how}"
             );
-            // After its end: its result, or a failure; what never ran may run now.
-            let (call, three) = ask(again);
+            // A repeat after the run gets its result or a failure; a request that never ran may run now.
+            let (call, three) = send_request(again);
             if how == "MOOT" {
                 assert_eq!(engine.next_run().0, call);
                 engine.finish_run(&call, "OK", b"at last");
@@ -160,25 +163,25 @@
 }
 
 #[test]
-fn two_tries_of_one_turn_and_one_held_behind_another_run_once() {
-    let (fixture, mut engine, [fast, uwsgi]) = up_with(|config, _| {
+fn two_attempts_in_one_turn_and_a_held_one_run_once() {
+    let (fixture, mut engine, [fastcgi, uwsgi]) = start_with(|config, _| {
         config["settings"]["family_info"]["cores"] = json!(1);
     });
-    for (round, (first, again)) in [(fast, uwsgi), (uwsgi, fast)].into_iter().enumerate() {
+    for (round, (first, again)) in [(fastcgi, uwsgi), (uwsgi, fastcgi)].into_iter().enumerate() {
         let (base, key) = (round as u64 * 10, format!("{round:032x}"));
-        let ask =
+        let new_request =
             |n| CallerRequest::new(base + n, "/svc/pay", b"x").with("HTTP_IDEMPOTENCY_KEY", &key);
-        // The one core is taken, so the next is held.
+        // The only core is in use, so the next request is held.
         engine.answer_stats(2);
-        let busy = CallerRequest::new(base + 1, "/svc/look", b"").send(fast.1, fast.0);
+        let busy = CallerRequest::new(base + 1, "/svc/look", b"").send(fastcgi.1, fastcgi.0);
         assert_eq!(engine.next_run().0, attempt_id(base + 1));
-        // Both are read in one turn: the process stands still while they are sent.
+        // The process is suspended while both are sent, so that it reads them in one turn.
         fixture.signal("-STOP");
-        let one = ask(2).send(first.1, first.0);
-        let two = ask(3).send(again.1, again.0);
+        let one = new_request(2).send(first.1, first.0);
+        let two = new_request(3).send(again.1, again.0);
         std::thread::sleep(Duration::from_millis(30));
         fixture.signal("-CONT");
-        let held = ask(4).send(first.1, first.0);
+        let held = new_request(4).send(first.1, first.0);
         engine.finish_run(&attempt_id(base + 1), "OK", b"");
         assert!(matches!(busy.outcome(), CallerOutcome::Completed(_)));
         let (call, _) = engine.next_run();
@@ -188,17 +191,20 @@
         );
         engine.answer_stats(4);
         engine.finish_run(&call, "OK", b"once");
-        for waits in [one, two, held] {
-            assert_eq!(waits.outcome(), CallerOutcome::Completed(b"once".into()));
+        for pending_answer in [one, two, held] {
+            assert_eq!(
+                pending_answer.outcome(),
+                CallerOutcome::Completed(b"once".into())
+            );
         }
     }
 }
 
 #[test]
-fn a_uwsgi_peer_that_leaves_at_any_byte_loses_nothing_for_others() {
-    let (fixture, mut engine, [fast, uwsgi]) = up();
+fn a_uwsgi_peer_that_disconnects_at_any_byte_affects_no_others() {
+    let (fixture, mut engine, [fastcgi, uwsgi]) = start();
     let whole = pay(1, b"a body").bytes(Uwsgi);
-    // Mid-head, mid-variables, mid-body: it was never had.
+    // Cut within the head, the variables or the body: the request never runs.
     for cut in [
         1,
         3,
@@ -223,12 +229,12 @@
             }
         }
     }
-    // Just after its last byte, and mid-answer: it runs once, and its result is there for the next try.
+    // Left after the last byte or within the answer: the request runs once, and a repeat gets its result.
     for round in 0..4 {
         let (n, key) = (10 * (round + 1), format!("{round:032x}"));
-        let ask =
+        let new_request =
             |n| CallerRequest::new(n, "/svc/pay", b"a body").with("HTTP_IDEMPOTENCY_KEY", &key);
-        let pending = ask(n).send(uwsgi.1, Uwsgi);
+        let pending = new_request(n).send(uwsgi.1, Uwsgi);
         let result = vec![7; 4096];
         match round {
             0 => drop(pending),
@@ -247,9 +253,9 @@
                 pending.reset();
             }
         }
-        let mut again = Some(ask(n + 1).send(fast.1, FastCgi));
+        let mut again = Some(new_request(n + 1).send(fastcgi.1, FastCgi));
         if round < 2 {
-            // A broken connection may stop the run; then the repeat is told that it was.
+            // A broken connection may stop the run; then the repeat fails.
             let (call, _) = engine.next_run();
             assert_eq!(call, attempt_id(n));
             let halted = round == 1
@@ -257,13 +263,13 @@
                     .next_command_within_stats(6)
                     .is_some_and(|c| c["msg"] == "HALT");
             engine.finish_run(&call, if halted { "STOPPED" } else { "OK" }, &result);
-            let seen = again.take().unwrap().outcome();
+            let caller_outcome = again.take().unwrap().outcome();
             let wanted = if halted {
                 CallerOutcome::Failed
             } else {
                 CallerOutcome::Completed(result)
             };
-            assert_eq!(seen, wanted, "round {round}");
+            assert_eq!(caller_outcome, wanted, "round {round}");
         } else {
             assert_eq!(
                 again.take().unwrap().outcome(),
@@ -277,12 +283,12 @@
 }
 
 #[test]
-fn what_is_no_request_is_told_so_at_once() {
-    let (_bed, mut engine, [_, (_, at)]) = up();
+fn invalid_requests_are_refused_at_once() {
+    let (_fixture, mut engine, [_, (_, at)]) = start();
     let sound = CallerRequest::new(1, "/svc/look", b"");
     let with_length = |length: &str, body: &[u8]| {
         let mut bytes = sound.bytes(Uwsgi);
-        // The length is the last variable: one digit, in its own two bytes of length.
+        // CONTENT_LENGTH is the last variable: one digit after its length in two bytes.
         bytes.truncate(bytes.len() - 3);
         bytes.extend((length.len() as u16).to_le_bytes());
         bytes.extend(length.bytes());
@@ -291,14 +297,14 @@
         bytes.extend(body);
         bytes
     };
-    let refused = |status, bytes: &[u8]| match raw(at, Uwsgi, bytes) {
-        CallerOutcome::Unreadable(seen, _) => assert_eq!(seen, status),
+    let refused = |status, bytes: &[u8]| match send_raw(at, Uwsgi, bytes) {
+        CallerOutcome::Unreadable(answer_status, _) => assert_eq!(answer_status, status),
         other => panic!("{other:?}"),
     };
     for length in ["-1", "x", "99999999999999999999", "1 "] {
         refused(400, &with_length(length, b""));
     }
-    // Told before a byte of the body is there, and also while it keeps coming.
+    // Refused before any byte of the body has arrived, and also while the body keeps arriving.
     refused(413, &with_length("2049", b""));
     refused(413, &with_length("999999999999", &vec![b'x'; 200_000]));
     refused(400, &[5, 0, 0, 0]);
@@ -309,7 +315,7 @@
     );
     refused(400, &[100, 1, 0, 0, 0]);
     refused(400, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    // More than the body: the request is sound, what follows belongs to nobody.
+    // Bytes after the body: the request is valid and the rest is ignored.
     let mut sock = connect(at);
     sock.write_all(&[sound.bytes(Uwsgi), vec![0; 5000]].concat())
         .unwrap();
@@ -326,8 +332,8 @@
 }
 
 #[test]
-fn a_ping_is_a_health_check_and_who_is_slow_is_closed() {
-    let (fixture, _engine, [_, (_, at)]) = up_with(|config, _| {
+fn a_ping_is_a_health_check_and_slow_connections_are_closed() {
+    let (fixture, _engine, [_, (_, at)]) = start_with(|config, _| {
         for lane in config["settings"]["lanes"].as_array_mut().unwrap() {
             lane["deadline"] = json!(600_000);
             lane["target"] = json!(300_000);
@@ -344,20 +350,24 @@
     for cut in [0, 2, 30, whole.len() - 2] {
         let mut sock = connect(at);
         sock.write_all(&whole[..cut]).unwrap();
-        let seen = PendingAnswer {
+        let caller_outcome = PendingAnswer {
             sock,
             protocol: Uwsgi,
         }
         .outcome();
         let begun = cut >= 4;
         assert_eq!(
-            matches!(seen, CallerOutcome::Unreadable(400, _)),
+            matches!(caller_outcome, CallerOutcome::Unreadable(400, _)),
             begun,
-            "{cut}: {seen:?}"
+            "{cut}: {caller_outcome:?}"
+        );
+        assert_eq!(
+            caller_outcome == CallerOutcome::Nothing,
+            !begun,
+            "{cut}: {caller_outcome:?}"
         );
-        assert_eq!(seen == CallerOutcome::Nothing, !begun, "{cut}: {seen:?}");
     }
-    // One that trickles is closed as well, however often a byte comes.
+    // A connection that sends single bytes is closed as well, however often a byte arrives.
     let mut sock = connect(at);
     sock.set_nonblocking(true).unwrap();
     let mut closed = false;
@@ -369,44 +379,47 @@
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(closed, "it may trickle for ever");
+    assert!(closed, "a request sent byte by byte never times out");
     fixture.signal("-TERM");
     fixture.wait_for_report("draining");
     assert_eq!(ping(at), [&[100, 9, 0, 1][..], b"not ready"].concat());
 }
 
 #[test]
-fn a_front_whose_answers_nobody_reads_slows_no_other() {
-    let (_bed, mut engine, [fast, uwsgi]) = up();
-    // Deaf on one front: many answers wait to be read.
-    let deaf: Vec<PendingAnswer> = (0..40)
-        .map(|n| CallerRequest::new(n, "/status/live", b"").send(fast.1, FastCgi))
+fn a_listener_with_unread_answers_slows_no_other() {
+    let (_fixture, mut engine, [fastcgi, uwsgi]) = start();
+    // Many answers on one listener are left unread.
+    let unread_answers: Vec<PendingAnswer> = (0..40)
+        .map(|n| CallerRequest::new(n, "/status/live", b"").send(fastcgi.1, FastCgi))
         .collect();
-    let mut loud = connect(fast.1);
-    loud.set_nonblocking(true).unwrap();
+    let mut sender = connect(fastcgi.1);
+    sender.set_nonblocking(true).unwrap();
     let check = CallerRequest::new(1, "/status/live", b"").bytes(FastCgi);
     let mut kept = check.clone();
-    kept[10] = 1; // The flag that keeps a connection.
+    kept[10] = 1; // The FCGI_KEEP_CONN flag.
     for _ in 0..2000 {
-        // Cut anywhere: what is sent of one that it does not take is no matter.
-        let sent = loud.write(&kept);
-        assert!(sent.is_ok_and(|n| n > 0) || loud.take_error().unwrap().is_none());
+        // A partial write may cut a request anywhere, which does not matter here.
+        let sent = sender.write(&kept);
+        assert!(sent.is_ok_and(|n| n > 0) || sender.take_error().unwrap().is_none());
     }
     for n in 100..130 {
-        let waits = CallerRequest::new(n, "/svc/look", b"").send(uwsgi.1, Uwsgi);
+        let pending_answer = CallerRequest::new(n, "/svc/look", b"").send(uwsgi.1, Uwsgi);
         let (call, _) = engine.next_run();
         engine.finish_run(&call, "OK", b"heard");
-        assert_eq!(waits.outcome(), CallerOutcome::Completed(b"heard".into()));
+        assert_eq!(
+            pending_answer.outcome(),
+            CallerOutcome::Completed(b"heard".into())
+        );
     }
-    assert_eq!(deaf.len(), 40);
+    assert_eq!(unread_answers.len(), 40);
 }
 
 #[test]
-fn ten_thousand_short_connections_leave_nothing_behind() {
-    let (fixture, mut engine, [_, (_, at)]) = up();
+fn ten_thousand_short_connections_leak_no_descriptors_or_memory() {
+    let (fixture, mut engine, [_, (_, at)]) = start();
     let id = fixture.program.id();
     let descriptors = || std::fs::read_dir(format!("/proc/{id}/fd")).unwrap().count();
-    let kb = || {
+    let resident_kb = || {
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap();
         let line = status
             .lines()
@@ -419,10 +432,10 @@
             .unwrap()
     };
     let check = CallerRequest::new(1, "/status/live", b"").bytes(Uwsgi);
-    let play = |count: u32| {
+    let run_connections = |count: u32| {
         for nth in 0..count {
             let mut sock = connect(at);
-            // Some say nothing, some leave within a request, most are served.
+            // Some connections send nothing, some close within a request, most are served.
             match nth % 10 {
                 0 => {}
                 1 => sock.write_all(&check[..check.len() / 2]).unwrap(),
@@ -438,15 +451,18 @@
             }
         }
     };
-    play(1000);
-    let (before, kb_before) = (descriptors(), kb());
-    play(9000);
-    // Served after all the others, so what those left is known to be gone.
-    let waits = CallerRequest::new(1, "/svc/look", b"").send(at, Uwsgi);
+    run_connections(1000);
+    let (before, kb_before) = (descriptors(), resident_kb());
+    run_connections(9000);
+    // This request is served after all the others, whose connections the node has then closed.
+    let pending_answer = CallerRequest::new(1, "/svc/look", b"").send(at, Uwsgi);
     let (call, _) = engine.next_run();
     engine.finish_run(&call, "OK", b"");
-    assert!(matches!(waits.outcome(), CallerOutcome::Completed(_)));
-    let (after, kb_after) = (descriptors(), kb());
+    assert!(matches!(
+        pending_answer.outcome(),
+        CallerOutcome::Completed(_)
+    ));
+    let (after, kb_after) = (descriptors(), resident_kb());
     assert!(after <= before + 2, "{before} descriptors, then {after}");
     assert!(
         kb_after <= kb_before + 1000,
@@ -455,11 +471,11 @@
 }
 
 #[test]
-fn a_front_keeps_within_its_own_bound() {
-    let (_bed, _engine, [fast, uwsgi]) = up_with(|_, installation| {
+fn a_listener_keeps_its_own_connection_limit() {
+    let (_fixture, _engine, [fastcgi, uwsgi]) = start_with(|_, installation| {
         installation["fronts"][1]["connections"] = json!(2);
     });
-    // Two that say nothing hold all places of the one front; a third pushes the first out.
+    // Two silent connections use up the listener's limit; a third evicts the first.
     let mut silent: Vec<TcpStream> = (0..2).map(|_| connect(uwsgi.1)).collect();
     std::thread::sleep(Duration::from_millis(20));
     let served = CallerRequest::new(1, "/status/live", b"")
@@ -468,7 +484,7 @@
     assert!(matches!(served, CallerOutcome::Completed(_)));
     assert_eq!(silent[0].read(&mut [0]).unwrap(), 0);
     let others: Vec<PendingAnswer> = (0..30)
-        .map(|n| CallerRequest::new(n, "/status/live", b"").send(fast.1, FastCgi))
+        .map(|n| CallerRequest::new(n, "/status/live", b"").send(fastcgi.1, FastCgi))
         .collect();
     assert!(
         others
@@ -478,12 +494,13 @@
 }
 
 #[test]
-fn who_goes_on_sending_after_its_answer_holds_no_place() {
-    let (_bed, _engine, [_, (_, at)]) = up_with(|_, installation| {
+fn clients_that_send_after_their_answer_hold_no_slot() {
+    let (_fixture, _engine, [_, (_, at)]) = start_with(|_, installation| {
         installation["fronts"][1]["connections"] = json!(3);
     });
-    // Refused while it still sends, and its connection kept for a while so that it can read that.
-    let loud: Vec<TcpStream> = (0..3)
+    // The request is refused while the client still sends; the connection stays open for a while so that the client
+    // can read the answer.
+    let senders: Vec<TcpStream> = (0..3)
         .map(|_| {
             let mut sock = connect(at);
             sock.write_all(&[5, 0, 0, 0, 1, 2, 3]).unwrap();
@@ -495,25 +512,27 @@
         })
         .collect();
     for n in 0..20 {
-        let seen = CallerRequest::new(n, "/status/live", b"")
+        let caller_outcome = CallerRequest::new(n, "/status/live", b"")
             .send(at, Uwsgi)
             .outcome();
-        assert!(matches!(seen, CallerOutcome::Completed(_)));
+        assert!(matches!(caller_outcome, CallerOutcome::Completed(_)));
     }
-    drop(loud);
+    drop(senders);
 }
 
 #[test]
-fn fronts_change_under_way_and_nothing_in_hand_is_lost() {
-    let (fixture, mut engine, [fast, uwsgi]) = up();
+fn listeners_change_at_run_time_and_no_pending_request_is_lost() {
+    let (fixture, mut engine, [fastcgi, uwsgi]) = start();
     let new = SocketAddr::new(fixture.address.ip(), 9093);
-    let front = |protocol: Protocol, at: SocketAddr| json!({"protocol": protocol.name(), "listen": at.to_string()});
-    let waits = [fast, uwsgi].map(|(protocol, at)| {
+    let listener_entry = |protocol: Protocol, at: SocketAddr| json!({"protocol": protocol.name(), "listen": at.to_string()});
+    let pending_answers = [fastcgi, uwsgi].map(|(protocol, at)| {
         CallerRequest::new(at.port().into(), "/svc/look", b"").send(at, protocol)
     });
     let calls = [engine.next_run().0, engine.next_run().0];
-    // A file that can't be served changes nothing.
-    fixture.replace_installation(&json!({"fronts": [front(Uwsgi, new), front(FastCgi, new)]}));
+    // An installation file with a conflicting address changes nothing.
+    fixture.replace_installation(
+        &json!({"fronts": [listener_entry(Uwsgi, new), listener_entry(FastCgi, new)]}),
+    );
     engine.answer_stats(4);
     assert!(matches!(
         CallerRequest::new(7, "/status/live", b"")
@@ -521,8 +540,10 @@
             .outcome(),
         CallerOutcome::Completed(_)
     ));
-    // One stays, one goes, one comes; and one changes what it speaks.
-    fixture.replace_installation(&json!({"fronts": [front(Uwsgi, new), front(FastCgi, uwsgi.1)]}));
+    // One listener is closed, one is opened and one changes its protocol.
+    fixture.replace_installation(
+        &json!({"fronts": [listener_entry(Uwsgi, new), listener_entry(FastCgi, uwsgi.1)]}),
+    );
     assert!(matches!(
         CallerRequest::new(8, "/status/live", b"")
             .send(new, Uwsgi)
@@ -535,8 +556,11 @@
             .outcome(),
         CallerOutcome::Completed(_)
     ));
-    assert!(TcpStream::connect(fast.1).is_err(), "it still listens");
-    for (call, pending) in calls.iter().zip(waits) {
+    assert!(
+        TcpStream::connect(fastcgi.1).is_err(),
+        "the removed listener still accepts"
+    );
+    for (call, pending) in calls.iter().zip(pending_answers) {
         engine.finish_run(call, "OK", b"kept");
         assert_eq!(pending.outcome(), CallerOutcome::Completed(b"kept".into()));
     }
@@ -551,25 +575,29 @@
 }
 
 #[test]
-fn a_drain_answers_what_is_held_and_runs_on_all_fronts() {
-    let (fixture, mut engine, [fast, uwsgi]) = up_with(|config, _| {
+fn a_drain_answers_held_and_running_requests_on_all_listeners() {
+    let (fixture, mut engine, [fastcgi, uwsgi]) = start_with(|config, _| {
         config["stop_ms"] = json!(1500);
         config["settings"]["safety"]["drain_grace"] = json!(0);
         config["settings"]["family_info"]["cores"] = json!(2);
     });
     let mut nth = 0;
-    let mut ask = |(protocol, at): (Protocol, SocketAddr)| {
+    let mut send_request = |(protocol, at): (Protocol, SocketAddr)| {
         nth += 1;
         CallerRequest::new(nth, "/svc/look", b"").send(at, protocol)
     };
-    let runs = [ask(fast), ask(uwsgi), ask(fast)];
+    let runs = [
+        send_request(fastcgi),
+        send_request(uwsgi),
+        send_request(fastcgi),
+    ];
     let mut calls = [
         engine.next_run().0,
         engine.next_run().0,
         engine.next_run().0,
     ];
     calls.sort_unstable();
-    let held = [ask(fast), ask(uwsgi)];
+    let held = [send_request(fastcgi), send_request(uwsgi)];
     engine.answer_stats(2);
     fixture.signal("-TERM");
     fixture.wait_for_report("draining");
@@ -580,13 +608,13 @@
             .send(at, protocol)
             .outcome()
     };
-    let late = [late(50, fast), late(51, uwsgi)];
+    let late = [late(50, fastcgi), late(51, uwsgi)];
     assert!(
         late.iter()
-            .all(|seen| matches!(seen, CallerOutcome::Rejected { .. })),
+            .all(|caller_outcome| matches!(caller_outcome, CallerOutcome::Rejected { .. })),
         "{late:?}"
     );
-    // Half a request at the stop is refused, not left without a word.
+    // A partial request at the stop is refused, not left without an answer.
     let mut half = connect(uwsgi.1);
     half.write_all(&CallerRequest::new(60, "/svc/look", b"body").bytes(Uwsgi)[..50])
         .unwrap();
@@ -603,7 +631,7 @@
     assert_eq!(
         three.outcome(),
         CallerOutcome::Failed,
-        "what can't be done by the stop is told so before it"
+        "a run that cannot finish by the stop fails before it"
     );
     assert!(matches!(
         PendingAnswer {
@@ -615,20 +643,20 @@
     ));
     let (code, log) = fixture.wait_for_exit();
     assert_eq!(code, Some(0), "{log}");
-    let tells = |what: &str| {
+    let has_summary = |what: &str| {
         log.lines()
             .any(|line| line.contains("listener summary") && line.contains(what))
     };
     assert!(
-        tells("protocol=uwsgi") && tells("protocol=fastcgi"),
+        has_summary("protocol=uwsgi") && has_summary("protocol=fastcgi"),
         "{log}"
     );
 }
 
-fn doortrack(words: &[&str]) -> (Option<i32>, String, String) {
+fn run_doortrack(arguments: &[&str]) -> (Option<i32>, String, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_doortrack"))
         .env_clear()
-        .args(words)
+        .args(arguments)
         .output()
         .unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -636,38 +664,38 @@
 }
 
 #[test]
-fn the_schema_kept_is_the_schema_printed() {
-    let kept = concat!(
+fn the_stored_schema_matches_the_printed_one() {
+    let schema_file = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/installation.schema.json"
     );
-    let (code, printed, _) = doortrack(&["schema"]);
+    let (code, printed, _) = run_doortrack(&["schema"]);
     assert_eq!(code, Some(0));
     assert!(
-        std::fs::read_to_string(kept).unwrap() == printed,
+        std::fs::read_to_string(schema_file).unwrap() == printed,
         "doortrack schema > deploy/installation.schema.json"
     );
 }
 
 #[test]
-fn every_fault_of_an_installation_is_told_with_its_path() {
+fn every_fault_of_an_installation_is_reported_with_its_path() {
     let folder = std::env::temp_dir().join(format!("doortrack-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("installation.json");
     let check = |value: Value| {
         std::fs::write(&file, value.to_string()).unwrap();
-        let (code, out, _) = doortrack(&["check", "--installation", file.to_str().unwrap()]);
+        let (code, out, _) = run_doortrack(&["check", "--installation", file.to_str().unwrap()]);
         (code, out)
     };
     let good =
         json!({"fronts": [{"protocol": "uwsgi", "listen": "127.0.0.1:9091", "connections": 4}]});
-    let (code, said) = check(good);
+    let (code, output) = check(good);
     assert_eq!(
-        (code, said.as_str()),
+        (code, output.as_str()),
         (Some(0), "good: uwsgi on 127.0.0.1:9091\n")
     );
     assert_eq!(check(json!({})).0, Some(0));
-    let (code, told) = check(json!({"front": [], "fronts": [
+    let (code, reported) = check(json!({"front": [], "fronts": [
         {"protocol": "uwsgi", "listen": "127.0.0.1:65536"},
         {"protocl": "uwsgi", "listen": "127.0.0.1:9091"},
         {"protocol": "http", "listen": 5, "connections": -1}
@@ -683,12 +711,13 @@
         "fronts[2].connections:",
     ] {
         assert!(
-            told.lines()
+            reported
+                .lines()
                 .any(|line| line.starts_with(&format!("installation.{path}"))),
-            "{path}\n{told}"
+            "{path}\n{reported}"
         );
     }
-    let (_, told) = check(json!({"fronts": [
+    let (_, reported) = check(json!({"fronts": [
         {"protocol": "uwsgi", "listen": "127.0.0.1:0"}, {"protocol": "uwsgi", "listen": "127.0.0.1:9091"},
         {"protocol": "fastcgi", "listen": "0.0.0.0:9091", "connections": 0}
     ]}));
@@ -698,8 +727,8 @@
         "fronts[2].connections",
     ] {
         assert!(
-            told.contains(&format!("installation.{path}: ")),
-            "{path}\n{told}"
+            reported.contains(&format!("installation.{path}: ")),
+            "{path}\n{reported}"
         );
     }
     let fleet = |more: Value| {
@@ -710,11 +739,11 @@
             .extend(more.as_object().unwrap().clone());
         json!({"fleet": whole})
     };
-    let (code, said) = check(fleet(
+    let (code, output) = check(fleet(
         json!({"seeds": ["127.0.0.1:7402"], "voters": ["n1", "n2", "n3"]}),
     ));
     assert_eq!(
-        (code, said.as_str()),
+        (code, output.as_str()),
         (Some(0), "good: no fronts; of fleet delta\n")
     );
     let wrong = [
@@ -740,11 +769,11 @@
         (json!({"key_file": "nowhere"}), ".key_file"),
     ];
     for (more, path) in wrong {
-        let (code, told) = check(fleet(more));
+        let (code, reported) = check(fleet(more));
         assert_eq!(code, Some(1));
         assert!(
-            told.starts_with(&format!("installation.fleet{path}: ")),
-            "{path}\n{told}"
+            reported.starts_with(&format!("installation.fleet{path}: ")),
+            "{path}\n{reported}"
         );
     }
     assert!(
@@ -754,28 +783,33 @@
     );
     for text in ["", "[]", "nonsense", "{\"fronts\": 3}"] {
         std::fs::write(&file, text).unwrap();
-        let (code, told, _) = doortrack(&["check", "--installation", file.to_str().unwrap()]);
-        assert_eq!((code, told.lines().count()), (Some(1), 1), "{text}: {told}");
+        let (code, reported, _) =
+            run_doortrack(&["check", "--installation", file.to_str().unwrap()]);
+        assert_eq!(
+            (code, reported.lines().count()),
+            (Some(1), 1),
+            "{text}: {reported}"
+        );
     }
-    let (code, told, _) = doortrack(&[
+    let (code, reported, _) = run_doortrack(&[
         "check",
         "--installation",
         "/nowhere/at/all",
         "--config",
         "/nor/here",
     ]);
-    assert_eq!((code, told.lines().count()), (Some(1), 2), "{told}");
+    assert_eq!((code, reported.lines().count()), (Some(1), 2), "{reported}");
     _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_log_in_json_is_one_object_a_line_and_keeps_its_bound() {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    plan.arguments = ["--log-format", "json", "--log-level", "debug"]
+fn a_json_log_has_one_object_per_line_and_keeps_its_rate_limit() {
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    setup.arguments = ["--log-format", "json", "--log-level", "debug"]
         .map(String::from)
         .to_vec();
-    plan.installation = Some(json!({"fronts": []}));
-    let (fixture, _engine) = plan.start_with_engine();
+    setup.installation = Some(json!({"fronts": []}));
+    let (fixture, _engine) = setup.start_with_engine();
     for _ in 0..60 {
         fixture.signal("-HUP");
         std::thread::sleep(Duration::from_millis(2));
@@ -786,17 +820,20 @@
         .lines()
         .map(|line| serde_json::from_str(line).expect(line))
         .collect();
-    let mut a_second = std::collections::BTreeMap::<u64, u32>::new();
+    let mut lines_per_second = std::collections::BTreeMap::<u64, u32>::new();
     for line in &lines {
         assert!(
             line["msg"].is_string() && line["level"].is_string() && line["node"] == "n1",
             "{line}"
         );
-        *a_second
+        *lines_per_second
             .entry(line["time"].as_u64().unwrap() / 1000)
             .or_default() += 1;
     }
-    assert!(a_second.values().all(|count| *count <= 21), "{a_second:?}");
+    assert!(
+        lines_per_second.values().all(|count| *count <= 21),
+        "{lines_per_second:?}"
+    );
     let last = lines.iter().rfind(|line| line["msg"] == "summary").unwrap();
     assert!(
         last["completed"].is_u64() && last["ends"].is_object(),
--- a/crates/node/tests/node/instants.rs
+++ b/crates/node/tests/node/races.rs
@@ -1,5 +1,5 @@
-//! Narrow moments: what crosses the end of a connection, of a link or of the process itself. Both ends are
-//! played and each step waits for what the one before brought, so the order is the test's and not chance's.
+//! Races: events that cross the end of a connection, of an engine link or of the process. The test plays both ends
+//! and each step waits for the result of the one before, so that the order of events is fixed.
 
 use std::io::{Read, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -13,28 +13,36 @@
 
 use super::sockets::{start, up, up_with};
 
-/// Lets the clock pass `moment`, a little more than a stamp in whole ms can hide.
+/// Waits until the clock is past `moment`, with a margin for timestamps rounded to whole ms.
 fn wait_until(moment: u64) {
     while unix_ms() <= moment + 2 {
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The node has ended this connection in order; what is sent on it now brings no reset, nor anything else.
-fn ends_in_order(client: &mut Client, crossing: &[u8], barrier: impl FnOnce()) {
-    assert_eq!(client.sock.read(&mut [0]).unwrap(), 0, "it is not ended");
+/// Checks that the node has half-closed this connection, and that data sent on it now causes no reset.
+fn check_half_closed_without_reset(
+    client: &mut Client,
+    crossing: &[u8],
+    wait_for_node: impl FnOnce(),
+) {
+    assert_eq!(
+        client.sock.read(&mut [0]).unwrap(),
+        0,
+        "the connection is not half-closed"
+    );
     client.sock.write_all(crossing).unwrap();
-    barrier();
-    // The system keeps a reset as the socket's error, though a reading after the end tells nothing of it.
+    wait_for_node();
+    // A reset is kept as the socket's error, which a read after the end of the stream does not report.
     assert_eq!(
         client.sock.take_error().unwrap().map(|e| e.kind()),
         None,
-        "it was reset"
+        "the connection was reset"
     );
 }
 
 #[test]
-fn what_crosses_the_end_of_an_idle_connection_is_not_run_and_resets_nothing() {
+fn a_request_that_crosses_an_eviction_is_not_run_and_causes_no_reset() {
     let gauges = json!(["core_use", "links"]);
     let (fixture, mut engine) =
         up_with(|config| config["settings"]["family_info"]["gauges"] = gauges);
@@ -44,7 +52,7 @@
     client.send_look(1, 2);
     let (call, _) = engine.next_run();
     engine.answer_stats(3);
-    ends_in_order(
+    check_half_closed_without_reset(
         &mut idle,
         &request(1, 3, "/svc/look", &[], b"crosses"),
         || {
@@ -52,7 +60,7 @@
             assert_eq!(
                 engine.next_run().0,
                 attempt_id(4),
-                "one that came after the end was run"
+                "a request sent after the half-close was run"
             );
         },
     );
@@ -61,21 +69,21 @@
 }
 
 #[test]
-fn what_crosses_an_answer_that_ends_its_connection_takes_nothing_away() {
+fn data_that_crosses_the_last_answer_of_a_connection_causes_no_reset() {
     let (fixture, _engine) = up();
     let (mut once, mut other) = (fixture.client(), fixture.client());
     let mut check = request(5, 1, "/status/live", &[], b"");
     check[8 + 2] = 0;
     once.send(&check);
     assert_eq!(once.reply().status, 200);
-    ends_in_order(&mut once, &[1, 1, 0, 7], || {
+    check_half_closed_without_reset(&mut once, &[1, 1, 0, 7], || {
         other.send(&request(1, 2, "/status/live", &[], b""));
         assert_eq!(other.reply().status, 200);
     });
 }
 
 #[test]
-fn a_node_that_stood_still_over_its_stop_answers_what_it_had_read() {
+fn a_node_suspended_past_its_stop_answers_pending_requests() {
     let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(400));
     let mut client = fixture.client();
     client.send_look(1, 1);
@@ -84,7 +92,7 @@
     fixture.wait_for_report("draining");
     fixture.signal("-STOP");
     let stopped = unix_ms();
-    // Nothing comes meanwhile: only the time itself can move the node to answer.
+    // No event arrives meanwhile: the node must answer because the stop time has passed.
     wait_until(stopped + 400);
     fixture.signal("-CONT");
     assert_eq!(client.reply().status, 500);
@@ -92,57 +100,65 @@
     assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
-/// A caller and what the grace of a node that leaves was, in ms.
-const GRACE: u64 = 600;
+/// The drain grace in ms.
+const DRAIN_GRACE_MS: u64 = 600;
 
-fn leaves_late(config: &mut Value) {
+fn set_drain_grace(config: &mut Value) {
     config["stop_ms"] = json!(20_000);
-    config["settings"]["safety"]["drain_grace"] = json!(GRACE * 1000);
+    config["settings"]["safety"]["drain_grace"] = json!(DRAIN_GRACE_MS * 1000);
 }
 
 #[test]
-fn the_grace_counts_from_the_notice_though_the_process_stood_still() {
-    let (fixture, _engine) = up_with(leaves_late);
+fn the_drain_grace_counts_from_the_signal_though_the_process_was_suspended() {
+    let (fixture, _engine) = up_with(set_drain_grace);
     let mut client = fixture.client();
     client.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 200);
     fixture.signal("-STOP");
-    let noticed = unix_ms();
+    let signalled = unix_ms();
     fixture.signal("-TERM");
-    wait_until(noticed + GRACE);
+    wait_until(signalled + DRAIN_GRACE_MS);
     fixture.signal("-CONT");
     fixture.wait_for_report("draining");
-    // The process may have learnt of the notice up to its next due time later.
-    wait_until(noticed + GRACE + 400);
+    // The process may notice the signal as late as its next timer.
+    wait_until(signalled + DRAIN_GRACE_MS + 400);
     client.send_look(2, 2);
-    assert_eq!(client.reply().status, 503, "it came after the grace");
+    assert_eq!(
+        client.reply().status,
+        503,
+        "the request came after the drain grace"
+    );
 }
 
 #[test]
-fn the_grace_counts_from_the_notice_though_the_engine_comes_up_later() {
-    let fixture = start(leaves_late);
+fn the_drain_grace_counts_from_the_signal_though_the_engine_attaches_later() {
+    let fixture = start(set_drain_grace);
     fixture.wait_for_report("ready");
     fixture.signal("-TERM");
     fixture.wait_for_report("draining");
     let reported = unix_ms();
-    wait_until(reported + GRACE);
+    wait_until(reported + DRAIN_GRACE_MS);
     let mut engine = fixture.accept_engine();
     engine.handshake(0);
     engine.answer_stats(1);
     let mut client = fixture.client();
     client.send_look(1, 1);
-    assert_eq!(client.reply().status, 503, "it came after the grace");
+    assert_eq!(
+        client.reply().status,
+        503,
+        "the request came after the drain grace"
+    );
 }
 
 #[test]
-fn what_waits_in_a_full_backlog_at_the_end_is_answered_too() {
+fn requests_in_a_full_backlog_at_the_stop_are_answered() {
     let (fixture, mut engine) = up_with(|config| {
         config["limits"]["sockets"] = json!(32);
         config["stop_ms"] = json!(700);
         config["settings"]["family_info"]["cores"] = json!(20);
     });
     let mut clients = Vec::new();
-    // Eight are taken in and run; three more wait where only the system has them.
+    // Eight connections are accepted and their requests run; three more wait in the system's backlog.
     for n in 0..11 {
         let mut client = fixture.client();
         client.send_look(1, n);
@@ -157,20 +173,20 @@
         assert_eq!(
             client.reply().status,
             500,
-            "it ran and was cut short by the stop"
+            "the run is cut short by the stop"
         );
     }
     for client in &mut clients[8..] {
         assert!(
             [2, 503].contains(&client.reply().status),
-            "never run, and told so"
+            "the request never ran and is refused"
         );
     }
     assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
 #[test]
-fn what_waits_in_a_full_backlog_is_answered_though_the_node_stood_still_over_its_stop() {
+fn requests_in_a_full_backlog_are_answered_by_a_node_suspended_past_its_stop() {
     let (fixture, mut engine) = up_with(|config| {
         config["limits"]["sockets"] = json!(32);
         config["stop_ms"] = json!(700);
@@ -189,31 +205,27 @@
     fixture.wait_for_report("draining");
     fixture.signal("-STOP");
     let stopped = unix_ms();
-    // The answers to what runs and the last look at the backlog fall into one turn.
+    // The answers to the pending runs and the last accept fall into one turn.
     wait_until(stopped + 700);
     fixture.signal("-CONT");
     for client in &mut clients[..8] {
         assert_eq!(
             client.reply().status,
             500,
-            "it ran and was cut short by the stop"
+            "the run is cut short by the stop"
         );
     }
     for client in &mut clients[8..] {
         assert!(
             [2, 503].contains(&client.reply().status),
-            "never run, and told so"
+            "the request never ran and is refused"
         );
     }
     assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
-/// A deduplicated request is asked for, and the link breaks behind its RUN: the next link.
-fn loses_the_link_over_a_run(
-    fixture: &NodeFixture,
-    mut engine: Engine,
-    client: &mut Client,
-) -> Engine {
+/// Sends a deduplicated request and breaks the link after its RUN. Returns the next link.
+fn lose_link_after_run(fixture: &NodeFixture, mut engine: Engine, client: &mut Client) -> Engine {
     engine.answer_stats(1);
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     while engine.read_command()["msg"] != "RUN" {}
@@ -227,30 +239,34 @@
 fn a_deduplicated_run_that_may_have_arrived_is_not_sent_again() {
     let (fixture, engine) = up();
     let mut client = fixture.client();
-    let mut engine = loses_the_link_over_a_run(&fixture, engine, &mut client);
+    let mut engine = lose_link_after_run(&fixture, engine, &mut client);
     engine.answer_stats(3);
     client.send_look(2, 2);
     assert_eq!(
         engine.next_run().0,
         attempt_id(2),
-        "what may run was sent again"
+        "a run that may have arrived was sent again"
     );
     engine.finish_run(&attempt_id(1), "OK", b"paid once");
     assert_eq!(client.reply().body, b"paid once");
 }
 
 #[test]
-fn a_deduplicated_run_that_never_arrived_is_answered_in_time_and_a_later_try_runs() {
+fn a_deduplicated_run_that_never_arrived_is_answered_in_time_and_a_later_retry_runs() {
     let (fixture, engine) =
         up_with(|config| config["settings"]["lanes"][1]["deadline"] = json!(1_000_000));
     let mut client = fixture.client();
-    let mut engine = loses_the_link_over_a_run(&fixture, engine, &mut client);
+    let mut engine = lose_link_after_run(&fixture, engine, &mut client);
     assert_eq!(
         engine.next_command(),
         json!({"msg": "HALT", "call": attempt_id(1)})
     );
-    assert_eq!(client.reply().status, 500, "whether it ran is not known");
-    // The engine may know nothing of it, or keep silent; to a RUN it has to say what became of it.
+    assert_eq!(
+        client.reply().status,
+        500,
+        "the node does not know whether the request ran"
+    );
+    // The engine may not know the run, or may not answer the HALT; it must answer a RUN.
     assert_eq!(engine.next_run().0, attempt_id(1));
     engine.finish_run(&attempt_id(1), "MOOT", b"");
     engine.answer_stats(1);
@@ -261,7 +277,7 @@
 }
 
 #[test]
-fn a_notice_cut_in_the_middle_by_a_lost_link_is_told_whole_on_the_next() {
+fn a_notice_cut_by_a_lost_link_is_repeated_whole_on_the_next() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send_look(1, 1);
@@ -277,14 +293,14 @@
     engine.handshake(0);
     engine.send_done(1, &call, "OK", b"whole");
     assert_eq!(client.reply().body, b"whole");
-    // Seen twice under one number, it answers nothing twice.
+    // A notice repeated under the same serial number causes no second answer.
     engine.send_done(1, &call, "OK", b"again");
     client.send(&request(2, 2, "/status/live", &[], b""));
     assert_eq!(client.reply().id, 2);
 }
 
 #[test]
-fn an_end_that_crosses_the_halt_of_an_aborted_run_is_no_fault() {
+fn a_finished_run_that_crosses_the_halt_of_its_abort_is_no_fault() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send_look(1, 1);
@@ -300,7 +316,7 @@
 }
 
 #[test]
-fn a_second_notice_and_a_reload_during_the_drain_change_nothing_of_it() {
+fn a_second_signal_and_a_reload_during_the_drain_change_nothing() {
     let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(900));
     let mut client = fixture.client();
     client.send_look(1, 1);
@@ -313,62 +329,63 @@
     assert_eq!(
         client.reply().status,
         500,
-        "the first notice names the stop"
+        "the first signal sets the stop time"
     );
     assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
 #[test]
-fn a_registry_that_is_gone_and_back_is_reported_to_and_ends_nothing() {
+fn a_registry_that_returns_gets_reports_and_its_outage_ends_nothing() {
     let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    // Nobody has it open yet: every datagram to it is refused.
-    let gone = fresh_address();
-    plan.config["registry"] = json!(gone.to_string());
+    // The address is not open yet: every datagram to it is refused.
+    let registry_address = fresh_address();
+    plan.config["registry"] = json!(registry_address.to_string());
     let (fixture, mut engine) = plan.start_with_engine();
     let mut client = fixture.client();
     client.send_look(1, 1);
     let (call, _) = engine.next_run();
     engine.finish_run(&call, "OK", b"served");
     assert_eq!(client.reply().body, b"served");
-    // More than one report was refused by now, as they go out every 0.3 s.
+    // At least two reports have been refused by now, as one is sent every 0.3 s.
     let since = unix_ms();
     wait_until(since + 700);
-    let back = std::net::UdpSocket::bind(gone).unwrap();
-    back.set_read_timeout(Some(doortrack_fakes::MAX_WAIT))
+    let registry = std::net::UdpSocket::bind(registry_address).unwrap();
+    registry
+        .set_read_timeout(Some(doortrack_fakes::MAX_WAIT))
         .unwrap();
     let mut text = [0; 64];
-    let n = back.recv(&mut text).unwrap();
+    let n = registry.recv(&mut text).unwrap();
     assert_eq!(&text[..n], b"BEAT n1 ready");
 }
 
 #[test]
-fn a_repeat_whose_stamp_is_of_a_clock_ahead_does_not_run_again() {
+fn a_repeat_with_a_timestamp_in_the_future_does_not_run_again() {
     let (fixture, mut engine) = up();
     let mut client = fixture.client();
     client.send(&request(1, 1, "/svc/pay", &[IDEMPOTENCY_KEY], b""));
     let (call, _) = engine.next_run();
     engine.finish_run(&call, "OK", b"paid once");
     assert_eq!(client.reply().body, b"paid once");
-    // The window is 60 s; by this stamp it would be over, though it has hardly begun.
-    let ahead = (unix_ms() + 100_000).to_string();
+    // The dedup window is 60 s; by this timestamp it would already be over.
+    let future_timestamp = (unix_ms() + 100_000).to_string();
     client.send(&request(
         2,
         2,
         "/svc/pay",
-        &[IDEMPOTENCY_KEY, ("HTTP_X_REQUEST_START", &ahead)],
+        &[IDEMPOTENCY_KEY, ("HTTP_X_REQUEST_START", &future_timestamp)],
         b"",
     ));
     client.send_look(3, 3);
-    assert_eq!(engine.next_run().0, attempt_id(3), "it was run again");
+    assert_eq!(engine.next_run().0, attempt_id(3), "the repeat was run");
     assert_eq!(client.reply().body, b"paid once");
 }
 
 #[test]
-fn what_lies_unread_or_half_sent_as_the_stop_comes_is_refused_in_order() {
+fn unread_and_partial_requests_at_the_stop_are_refused() {
     let (fixture, _engine) = up_with(|config| config["stop_ms"] = json!(400));
-    let (mut whole, mut half) = (fixture.client(), fixture.client());
-    half.send(&record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]));
-    // Both are known to the node, as connections are taken in in their order.
+    let (mut whole, mut partial) = (fixture.client(), fixture.client());
+    partial.send(&record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]));
+    // The node has accepted both, as connections are accepted in order.
     whole.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(whole.reply().status, 200);
     fixture.signal("-STOP");
@@ -379,18 +396,18 @@
     fixture.signal("-CONT");
     assert!(
         [2, 503].contains(&whole.reply().status),
-        "never run, and told so"
+        "the request never ran and is refused"
     );
     assert!(
-        [2, 503].contains(&half.reply().status),
-        "never whole, and told so"
+        [2, 503].contains(&partial.reply().status),
+        "the request was never complete and is refused"
     );
-    assert!(whole.is_closed() && half.is_closed());
+    assert!(whole.is_closed() && partial.is_closed());
     assert_eq!(fixture.wait_for_exit().0, Some(0));
 }
 
-/// Time that the program has spent on a core, in ms.
-fn spent(program: u32) -> u64 {
+/// CPU time that the program has used, in ms.
+fn cpu_time_ms(program: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{program}/stat")).unwrap();
     let fields = stat.rsplit(')').next().unwrap().split_whitespace();
     fields
@@ -401,59 +418,59 @@
 }
 
 #[test]
-fn with_no_descriptor_left_those_connected_are_served_and_nothing_spins() {
-    let own = std::env::temp_dir().join(format!("doortrack-few-{}", std::process::id()));
+fn without_free_descriptors_open_connections_are_served_and_nothing_spins() {
+    let wrapper = std::env::temp_dir().join(format!("doortrack-few-{}", std::process::id()));
     std::fs::write(
-        &own,
+        &wrapper,
         format!(
             "#!/bin/sh\nulimit -n 32\nexec {} \"$@\"\n",
             env!("CARGO_BIN_EXE_doortrack")
         ),
     )
     .unwrap();
-    std::fs::set_permissions(&own, PermissionsExt::from_mode(0o755)).unwrap();
-    let (fixture, mut engine) = NodeSetup::new(&own).start_with_engine();
+    std::fs::set_permissions(&wrapper, PermissionsExt::from_mode(0o755)).unwrap();
+    let (fixture, mut engine) = NodeSetup::new(&wrapper).start_with_engine();
     let mut client = fixture.client();
     client.send_look(1, 1);
     let (call, _) = engine.next_run();
-    // More than it can take in, though by its configuration it could.
+    // More connections than the descriptor limit allows, though the configuration would allow them.
     let mut others: Vec<Client> = (0..60).map(|_| fixture.client()).collect();
     engine.finish_run(&call, "OK", b"served");
     assert_eq!(client.reply().body, b"served");
-    let (spent_before, since) = (spent(fixture.program.id()), unix_ms());
+    let (spent_before, since) = (cpu_time_ms(fixture.program.id()), unix_ms());
     engine.answer_stats(10);
     wait_until(since + 500);
     let (spent, passed) = (
-        spent(fixture.program.id()) - spent_before,
+        cpu_time_ms(fixture.program.id()) - spent_before,
         unix_ms() - since,
     );
-    assert!(spent < passed / 2, "{spent} ms of {passed} on a core");
-    // Once those that came first have gone, the rest has its turn.
+    assert!(spent < passed / 2, "{spent} ms of CPU time in {passed} ms");
+    // Once the earlier connections are closed, the remaining one is accepted.
     let mut last = others.pop().unwrap();
     drop(others);
     last.send(&request(1, 2, "/status/live", &[], b""));
     assert_eq!(last.reply().status, 200);
-    std::fs::remove_file(own).unwrap();
+    std::fs::remove_file(wrapper).unwrap();
 }
 
 #[test]
-fn an_address_in_use_is_told_at_the_start_and_a_killed_node_comes_back_under_its_own() {
+fn an_address_in_use_fails_the_start_and_a_killed_node_restarts_on_its_address() {
     let (fixture, _engine) = up();
     let at = fixture.address;
-    let again = || start(|config| config["listen"] = json!(at.to_string()));
-    let (code, log) = again().wait_for_exit();
+    let start_again = || start(|config| config["listen"] = json!(at.to_string()));
+    let (code, log) = start_again().wait_for_exit();
     assert_eq!(code, Some(1));
     assert!(
         log.contains("config.listen") && log.contains(&at.to_string()),
         "{log}"
     );
-    // Killed with a connection open, whose other end the system keeps for a while.
+    // The node is killed with a connection open, whose other end the system keeps for a while.
     let mut client = fixture.client();
     client.send(&request(1, 1, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 200);
     fixture.signal("-KILL");
     assert_eq!(fixture.wait_for_exit().0, None);
-    let _back = again();
+    let _restarted = start_again();
     let mut client = Client { sock: connect(at) };
     client.send(&request(1, 2, "/status/live", &[], b""));
     assert_eq!(client.reply().status, 200);
--- a/crates/node/tests/node/reload_with_shutdown.rs
+++ b/crates/node/tests/node/reload_with_shutdown.rs
@@ -106,7 +106,7 @@
         let at_the_stop = fronts.map(|front| send_request(u64::from(front.1.port()) + 10, front));
         engine.next_run();
         engine.next_run();
-        let halves = fronts.map(|(protocol, at)| {
+        let partial_requests = fronts.map(|(protocol, at)| {
             let bytes = CallerRequest::new(50, "/svc/look", b"body").bytes(protocol);
             let mut sock = doortrack_fakes::fixture::connect(at);
             std::io::Write::write_all(&mut sock, &bytes[..bytes.len() - 2]).unwrap();
@@ -125,9 +125,9 @@
                 "{order:?}"
             );
         }
-        for half in halves {
+        for partial in partial_requests {
             assert!(
-                matches!(half.outcome(), CallerOutcome::Rejected { .. }),
+                matches!(partial.outcome(), CallerOutcome::Rejected { .. }),
                 "the request was never complete and is refused"
             );
         }
@@ -171,7 +171,7 @@
     fixture.wait_for_report("draining");
     engine.finish_run(&call, "OK", b"in time");
     assert_eq!(withdrawn_client.reply().body, b"in time");
-    // The node half-closes the connection, which then withdrawn_client open until the peer closes it.
+    // The node partial-closes the connection, which then stays open until the peer closes it.
     assert!(withdrawn_client.is_closed());
     for client in &mut busy_clients {
         assert_eq!(
@@ -219,10 +219,10 @@
 #[test]
 fn an_engine_that_moves_out_of_reach_with_the_signal_leaves_nothing_unanswered() {
     let (fixture, mut engine) = up_with(|config| config["stop_ms"] = json!(SHORT_STOP_MS));
-    let (mut client, mut half) = (fixture.client(), fixture.client());
+    let (mut client, mut partial) = (fixture.client(), fixture.client());
     client.send_look(1, 1);
     engine.next_run();
-    half.send(&record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]));
+    partial.send(&record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]));
     // Nothing listens on this address.
     let unused_address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -234,9 +234,9 @@
     send_two_signals(&fixture, [RELOAD, TERMINATE]);
     assert_eq!(client.reply().status, 500);
     assert!(
-        [2, 503].contains(&half.reply().status),
+        [2, 503].contains(&partial.reply().status),
         "the request was never complete and is refused"
     );
-    assert!(client.is_closed() && half.is_closed());
+    assert!(client.is_closed() && partial.is_closed());
     wait_for_clean_exit(fixture);
 }
