--- a/crates/node/src/network/engine/messages.rs
+++ b/crates/node/src/network/engine/messages.rs
@@ -1,4 +1,4 @@
-//! What is sent and received on the link to the engine.
+//! Sends commands on the link to the engine and handles its messages.
 
 use doortrack_time::MILLISECOND;
 use slog::{info, warn};
@@ -9,15 +9,15 @@
 use crate::network::request::AttemptId;
 
 impl EngineLink {
-    /// Queries the gauges; the number that the answer will carry.
+    /// Queries the gauges. Returns the query's number, which the answer carries.
     pub fn query_gauges(&mut self) -> u64 {
         self.last_cookie += 1;
         engine_protocol::write_gauge_query(&mut self.out, self.last_cookie);
         self.last_cookie
     }
 
-    /// Begins a run; `group` is the endpoint group's name as JSON. Returns the number of the last gauge query
-    /// before it: once a later one is answered, the run has arrived.
+    /// Begins a run; `group` is the endpoint group's name as JSON. Returns the number of the last gauge query sent
+    /// before the run: once a later query is answered, the engine has received the run.
     pub fn run(&mut self, attempt_id: &AttemptId, group: &str, body: &[u8]) -> u64 {
         engine_protocol::write_run(&mut self.out, attempt_id, group, body);
         self.last_cookie
@@ -31,7 +31,7 @@
     /// Handles one line.
     ///
     /// # Errors
-    /// The link is to be made again, so that missed notices are repeated.
+    /// The node has to reconnect, so that the engine repeats missed notices.
     pub(super) fn on_line(
         &mut self,
         line: &[u8],
@@ -41,7 +41,7 @@
             Ok(message) => message,
             Err(error) => {
                 warn!(self.log, "engine line ignored"; "why" => %error);
-                return self.doubt(LinkError::UnreadableLine);
+                return self.reconnect_once(LinkError::UnreadableLine);
             }
         };
         if self.is_repeated(&message)? {
@@ -50,7 +50,8 @@
         self.on_message(message, events)
     }
 
-    /// Whether a message is a notice that was read on the link before. A new notice is counted.
+    /// Returns true if a message is a notice that has been read before, on this connection or an earlier one. The
+    /// number of a new notice is recorded.
     fn is_repeated(&mut self, message: &EngineMessage) -> Result<bool, LinkError> {
         let Some(serial) = message.serial() else {
             return Ok(false);
@@ -59,7 +60,7 @@
             return Ok(true);
         }
         if serial > self.last_serial + 1 {
-            self.doubt(LinkError::MissingNotices)?;
+            self.reconnect_once(LinkError::MissingNotices)?;
         }
         self.last_serial = serial;
         Ok(false)
@@ -78,7 +79,7 @@
                 let cookie = self.query_gauges();
                 self.state = State::CatchingUp { cookie };
             }
-            EngineMessage::Hello { .. } => return self.doubt(LinkError::UnexpectedHello),
+            EngineMessage::Hello { .. } => return self.reconnect_once(LinkError::UnexpectedHello),
             EngineMessage::Stats { cookie, .. } if self.state == (State::CatchingUp { cookie }) => {
                 self.state = State::Up;
                 let answered_cookie = std::mem::replace(&mut self.answered_cookie, cookie);
@@ -95,11 +96,11 @@
         Ok(())
     }
 
-    /// Has the link made again for an error, once for each position in the notices. If that did not help, the
-    /// error is ignored.
-    fn doubt(&mut self, error: LinkError) -> Result<(), LinkError> {
-        let is_repeated = self.doubted_serial == Some(self.last_serial);
-        self.doubted_serial = Some(self.last_serial);
+    /// Returns the error, so that the node reconnects, once for each position in the sequence of notices. If the
+    /// error recurs at the same position, it is ignored.
+    fn reconnect_once(&mut self, error: LinkError) -> Result<(), LinkError> {
+        let is_repeated = self.reconnected_at_serial == Some(self.last_serial);
+        self.reconnected_at_serial = Some(self.last_serial);
         if is_repeated { Ok(()) } else { Err(error) }
     }
 }
