--- a/crates/node/tests/node/accepts.rs
+++ b/crates/node/tests/node/accepts.rs
@@ -28,8 +28,8 @@
 fn send_until_completed(at: SocketAddr, protocol: Protocol, first: u64) {
     let until = Instant::now() + MAX_WAIT;
     for nth in first.. {
-        let ask = CallerRequest::new(nth, "/svc/look", b"body");
-        if let Ok(pending) = ask.try_send(at, protocol)
+        let request = CallerRequest::new(nth, "/svc/look", b"body");
+        if let Ok(pending) = request.try_send(at, protocol)
             && matches!(pending.outcome(), CallerOutcome::Completed(_))
         {
             return;
--- a/crates/node/tests/node/idle.rs
+++ b/crates/node/tests/node/idle.rs
@@ -93,7 +93,7 @@
     let check = || {
         CallerRequest::new(nth, "/status/live", b"")
             .try_send(at, FastCgi)
-            .map(|waits| waits.outcome())
+            .map(|pending| pending.outcome())
     };
     let result = answered("health check", || check().unwrap_or(CallerOutcome::Nothing));
     assert!(matches!(result, CallerOutcome::Completed(_)), "{result:?}");
@@ -111,7 +111,7 @@
         let (at, nth) = (fixture.address, *request_count);
         let caller = thread::spawn(move || {
             let sent = CallerRequest::new(nth, "/svc/look", b"work").try_send(at, FastCgi);
-            sent.map_or(CallerOutcome::Nothing, |waits| waits.outcome())
+            sent.map_or(CallerOutcome::Nothing, |pending| pending.outcome())
         });
         while !caller.is_finished() {
             assert!(Instant::now() < until, "no request ran");
@@ -253,7 +253,7 @@
             outcomes.insert(
                 nth,
                 answered("request", || {
-                    send_look().map_or(CallerOutcome::Nothing, |waits| waits.outcome())
+                    send_look().map_or(CallerOutcome::Nothing, |pending| pending.outcome())
                 }),
             );
         }
--- a/crates/node/tests/node/late_answers.rs
+++ b/crates/node/tests/node/late_answers.rs
@@ -24,13 +24,13 @@
     const CALLER_COUNT: u64 = 100;
     const REQUESTS_PER_CALLER: u16 = 32;
     let (server, held) = Server::held(FastCgi);
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    plan.config["stop_ms"] = json!(STOP_MS);
-    plan.installation = Some(
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    setup.config["stop_ms"] = json!(STOP_MS);
+    setup.installation = Some(
         json!({"servers": {"protocol": "fastcgi", "addresses": [server.address.to_string()],
         "answer_within_ms": 200, "retries": {"tries": 1}}}),
     );
-    let fixture = plan.start();
+    let fixture = setup.start();
     let mut late = fixture.client();
     late.send_look(1, 1);
     let _run = held.recv_timeout(MAX_WAIT).unwrap();
--- a/crates/node/tests/node/near_stops.rs
+++ b/crates/node/tests/node/near_stops.rs
@@ -13,10 +13,10 @@
 
 /// Starts a node with this `stop_ms` and, optionally, an installation file.
 fn start_with_stop(stop_ms: u64, installation: Option<Value>) -> (NodeFixture, Engine) {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    plan.config["stop_ms"] = json!(stop_ms);
-    plan.installation = installation;
-    plan.start_with_engine()
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    setup.config["stop_ms"] = json!(stop_ms);
+    setup.installation = installation;
+    setup.start_with_engine()
 }
 
 /// Checks that the shorter stop applies: of two runs, one finishes in time and the stop ends the other.
--- a/crates/node/tests/node/races.rs
+++ b/crates/node/tests/node/races.rs
@@ -336,11 +336,11 @@
 
 #[test]
 fn a_registry_that_returns_gets_reports_and_its_outage_ends_nothing() {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
     // The address is not open yet: every datagram to it is refused.
     let registry_address = fresh_address();
-    plan.config["registry"] = json!(registry_address.to_string());
-    let (fixture, mut engine) = plan.start_with_engine();
+    setup.config["registry"] = json!(registry_address.to_string());
+    let (fixture, mut engine) = setup.start_with_engine();
     let mut client = fixture.client();
     client.send_look(1, 1);
     let (call, _) = engine.next_run();
--- a/crates/node/tests/node/reload_with_shutdown.rs
+++ b/crates/node/tests/node/reload_with_shutdown.rs
@@ -54,23 +54,23 @@
 fn start_with_listeners(
     change: impl FnOnce(&mut Value),
 ) -> (NodeFixture, Engine, [(Protocol, SocketAddr); 2]) {
-    let mut plan = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
-    plan.config["stop_ms"] = json!(SHORT_STOP_MS);
-    change(&mut plan.config);
-    let fronts = [(FastCgi, plan.port(9091)), (Uwsgi, plan.port(9092))];
-    let listed =
-        fronts.map(|(protocol, at)| json!({"protocol": protocol.name(), "listen": at.to_string()}));
-    plan.installation = Some(json!({"fronts": listed}));
-    let (fixture, engine) = plan.start_with_engine();
-    (fixture, engine, fronts)
+    let mut setup = NodeSetup::new(env!("CARGO_BIN_EXE_doortrack"));
+    setup.config["stop_ms"] = json!(SHORT_STOP_MS);
+    change(&mut setup.config);
+    let listeners = [(FastCgi, setup.port(9091)), (Uwsgi, setup.port(9092))];
+    let listed = listeners
+        .map(|(protocol, at)| json!({"protocol": protocol.name(), "listen": at.to_string()}));
+    setup.installation = Some(json!({"fronts": listed}));
+    let (fixture, engine) = setup.start_with_engine();
+    (fixture, engine, listeners)
 }
 
 #[test]
 fn a_reload_of_invalid_files_with_the_signal_loses_nothing() {
     for order in BOTH_ORDERS {
-        let (fixture, mut engine, fronts) = start_with_listeners(|_| {});
+        let (fixture, mut engine, listeners) = start_with_listeners(|_| {});
         let pending_answers: Vec<PendingAnswer> = (1..)
-            .zip(fronts)
+            .zip(listeners)
             .map(|(n, (protocol, at))| CallerRequest::new(n, "/svc/look", b"").send(at, protocol))
             .collect();
         let calls = [engine.next_run().0, engine.next_run().0];
@@ -97,16 +97,17 @@
 #[test]
 fn a_listener_withdrawn_with_the_signal_answers_its_pending_requests() {
     for order in BOTH_ORDERS {
-        let (fixture, mut engine, fronts) = start_with_listeners(|_| {});
+        let (fixture, mut engine, listeners) = start_with_listeners(|_| {});
         let send_request = |n, (protocol, at): (Protocol, SocketAddr)| {
             CallerRequest::new(n, "/svc/look", b"body").send(at, protocol)
         };
-        let in_time = fronts.map(|front| send_request(front.1.port().into(), front));
+        let in_time = listeners.map(|listener| send_request(listener.1.port().into(), listener));
         let calls = [engine.next_run().0, engine.next_run().0];
-        let at_the_stop = fronts.map(|front| send_request(u64::from(front.1.port()) + 10, front));
+        let at_the_stop =
+            listeners.map(|listener| send_request(u64::from(listener.1.port()) + 10, listener));
         engine.next_run();
         engine.next_run();
-        let partial_requests = fronts.map(|(protocol, at)| {
+        let partial_requests = listeners.map(|(protocol, at)| {
             let bytes = CallerRequest::new(50, "/svc/look", b"body").bytes(protocol);
             let mut sock = doortrack_fakes::fixture::connect(at);
             std::io::Write::write_all(&mut sock, &bytes[..bytes.len() - 2]).unwrap();
@@ -171,7 +172,7 @@
     fixture.wait_for_report("draining");
     engine.finish_run(&call, "OK", b"in time");
     assert_eq!(withdrawn_client.reply().body, b"in time");
-    // The node partial-closes the connection, which then stays open until the peer closes it.
+    // The node half-closes the connection, which then stays open until the peer closes it.
     assert!(withdrawn_client.is_closed());
     for client in &mut busy_clients {
         assert_eq!(
