--- a/crates/node/tests/node/conformance.rs
+++ b/crates/node/tests/node/conformance.rs
@@ -144,8 +144,8 @@
             ));
         }
     }
-    for (name, results) in &all[1..] {
-        assert_eq!(*results, all[0].1, "{name} differs from {}", all[0].0);
+    for (pair_name, results) in &all[1..] {
+        assert_eq!(*results, all[0].1, "{pair_name} differs from {}", all[0].0);
     }
 }
 
