--- a/crates/bench/src/bin/budgets.rs
+++ b/crates/bench/src/bin/budgets.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use doortrack_budgets::{Budget, Kind, Parameters};
-use doortrack_fault_harness::divided::{self, Options, Outcome};
-use doortrack_fault_harness::history::name;
+use doortrack_fault_harness::budget_simulation::{self, Options, Outcome};
+use doortrack_fault_harness::history::node_name;
 use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 use doortrack_membership::Name;
 use doortrack_simulation::Distribution;
@@ -69,14 +69,14 @@
             count_from_ms: self.count_from_ms,
             count_bytes: true,
         };
-        let outcome = divided::run(&script, &options);
+        let outcome = budget_simulation::run(&script, &options);
         assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
         outcome
     }
 }
 
 fn names(count: usize) -> Arc<[Name]> {
-    (0..count).map(|node| Name::from(name(node))).collect()
+    (0..count).map(|node| Name::from(node_name(node))).collect()
 }
 
 fn budget(nodes: usize) -> Budget {
--- a/crates/bench/src/bin/membership/detection.rs
+++ b/crates/bench/src/bin/membership/detection.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use doortrack_fault_harness::history::{History, HistoryEvent, name};
+use doortrack_fault_harness::history::{History, HistoryEvent, node_name};
 use doortrack_fault_harness::script::{Fault, TimedFault};
 
 /// Kills of one run and their interval.
@@ -79,7 +79,9 @@
                 change,
                 member: Some(member),
                 ..
-            } if change == "dead" && *member == name(killed) => entry.at_ms.checked_sub(killed_ms),
+            } if change == "dead" && *member == node_name(killed) => {
+                entry.at_ms.checked_sub(killed_ms)
+            }
             _ => None,
         })
         .collect();
--- a/crates/fault-harness/src/divided/limit_check.rs
+++ b/crates/fault-harness/src/budget_simulation/limit_check.rs
@@ -5,7 +5,7 @@
 use doortrack_simulation::{MachineId, Micros};
 
 use super::world::TENTH_MS;
-use crate::links::MS;
+use crate::network_faults::MICROS_PER_MS;
 
 /// Tolerance of a rate, in units: each node truncates times to tenths of a ms.
 const TOLERANCE: f64 = 0.01;
@@ -54,7 +54,7 @@
     pub(super) fn new(budgets: &'a [Budget], mean_hold_ms: u64) -> LimitCheck<'a> {
         LimitCheck {
             budgets,
-            mean_hold: mean_hold_ms * MS,
+            mean_hold: mean_hold_ms * MICROS_PER_MS,
             buckets: vec![LeakyBucket::default(); budgets.len()],
             holds: vec![Vec::new(); budgets.len()],
             violations: Vec::new(),
@@ -123,7 +123,7 @@
             .any(|violation| violation.contains(&**budget));
         if !is_known {
             self.violations
-                .push(format!("{} ms: {budget}: {excess}", now / MS));
+                .push(format!("{} ms: {budget}: {excess}", now / MICROS_PER_MS));
         }
     }
 }
--- a/crates/fault-harness/src/divided/world.rs
+++ b/crates/fault-harness/src/budget_simulation/world.rs
@@ -10,21 +10,21 @@
 use super::limit_check::{Hold, LimitCheck};
 use super::message_size::encoded_size;
 use super::{Options, Outcome};
-use crate::history::name;
-use crate::links::{self, MS};
+use crate::history::node_name;
+use crate::network_faults::{self, MICROS_PER_MS};
 use crate::script::{Fault, Script, TimedFault};
 
 /// Microseconds in a tenth of a ms, the unit of the decisions' time.
 pub(super) const TENTH_MS: Micros = 100;
 /// What clocks read at the start of a run; large enough that a clock set back shows no negative time.
-const CLOCK_START: i64 = 100_000 * MS as i64;
+const CLOCK_START: i64 = 100_000 * MICROS_PER_MS as i64;
 /// Interval at which a node's demand arrives.
-const DEMAND_INTERVAL: Micros = 10 * MS;
+const DEMAND_INTERVAL: Micros = 10 * MICROS_PER_MS;
 /// Delay after which all nodes know of a start, and the timer that marks it.
-const MEMBERSHIP_DELAY: Micros = 500 * MS;
+const MEMBERSHIP_DELAY: Micros = 500 * MICROS_PER_MS;
 const MEMBERSHIP_TIMER: u64 = u64::MAX;
 /// Interval of the counts in [`Outcome::by_time`].
-const COUNT_INTERVAL: Micros = 100 * MS;
+const COUNT_INTERVAL: Micros = 100 * MICROS_PER_MS;
 /// Bytes around each envelope: IP, UDP, version, hash, the fleet's name.
 const OVERHEAD_BYTES: u64 = 52;
 /// Weight of each node.
@@ -59,7 +59,7 @@
         for _ in 0..script.nodes {
             let offset_ms = random.i64(-options.offset_ms..=options.offset_ms);
             let clock = MachineClock {
-                offset: offset_ms * MS as i64 + CLOCK_START,
+                offset: offset_ms * MICROS_PER_MS as i64 + CLOCK_START,
                 drift_ppm: random.i64(options.drift_ppm.0..=options.drift_ppm.1),
             };
             network.add_machine(clock, 0);
@@ -86,10 +86,10 @@
     }
 
     pub(super) fn run(mut self, script: &Script) -> Outcome {
-        let faults = links::schedule_faults(&mut self.network, script);
+        let faults = network_faults::schedule_faults(&mut self.network, script);
         (0..script.nodes).for_each(|node| self.start(node));
         self.announce_members();
-        while let Some(event) = self.network.next_event(script.duration_ms * MS) {
+        while let Some(event) = self.network.next_event(script.duration_ms * MICROS_PER_MS) {
             self.handle_network(event, &faults);
         }
         self.outcome.violations = self.limits.violations;
@@ -123,7 +123,7 @@
     }
 
     fn is_counted(&self) -> bool {
-        self.network.now() >= self.options.count_from_ms * MS
+        self.network.now() >= self.options.count_from_ms * MICROS_PER_MS
     }
 
     fn start(&mut self, node: MachineId) {
@@ -134,7 +134,7 @@
         self.last_incarnation += 1;
         self.incarnations[node] = Incarnation(self.last_incarnation);
         let id = NodeId {
-            name: name(node).into(),
+            name: node_name(node).into(),
             incarnation: self.incarnations[node],
         };
         self.nodes[node] = Some(Budgets::new(
@@ -233,7 +233,7 @@
             return;
         }
         self.next_demand[node] = reading + DEMAND_INTERVAL;
-        let at_ms = self.network.now() / MS;
+        let at_ms = self.network.now() / MICROS_PER_MS;
         for index in 0..self.options.budgets.len() {
             self.end_holds(index);
             let per_second = (self.options.demand)(node, index, at_ms);
@@ -285,7 +285,7 @@
     }
 
     fn inject(&mut self, fault: &Fault) {
-        links::inject(&mut self.network, self.options.latency, fault);
+        network_faults::inject(&mut self.network, self.options.latency, fault);
         match fault {
             Fault::Kill { nodes } => nodes.iter().for_each(|node| self.kill(*node)),
             Fault::Start { nodes, .. } | Fault::StartOlder { nodes } => {
--- a/crates/fault-harness/src/checks.rs
+++ b/crates/fault-harness/src/checks.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::ground_truth::{GroundTruth, Span};
-use crate::history::{History, HistoryEvent, Member, name};
+use crate::history::{History, HistoryEvent, Member, node_name};
 
 /// One violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 }
 
 /// All invariants of membership.
-pub fn membership() -> Vec<Box<dyn Invariant>> {
+pub fn membership_invariants() -> Vec<Box<dyn Invariant>> {
     vec![
         Box::new(NoFalseDeath),
         Box::new(LeftIsNotDead),
@@ -95,7 +95,12 @@
         });
     let wrong = declared.filter(|declaration| is_wrong(*declaration));
     wrong
-        .map(|wrong| (wrong.at, describe(name(wrong.node), name(wrong.member))))
+        .map(|wrong| {
+            (
+                wrong.at,
+                describe(node_name(wrong.node), node_name(wrong.member)),
+            )
+        })
         .collect()
 }
 
@@ -182,7 +187,7 @@
                     if incarnation < *last {
                         let description = format!(
                             "{} went back from incarnation {last:x} of {member} to {incarnation:x}",
-                            name(*node)
+                            node_name(*node)
                         );
                         violations.push((entry.at_ms, description));
                     }
@@ -260,7 +265,7 @@
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let running: Vec<String> = (0..history.nodes)
             .filter(|node| truth.running[*node])
-            .map(name)
+            .map(node_name)
             .collect();
         let (mut violations, mut digests) = (Vec::new(), BTreeMap::new());
         for entry in &history.entries {
@@ -277,7 +282,7 @@
                 continue;
             }
             if let Some(difference) = difference(&present(members), &running) {
-                violations.push((entry.at_ms, format!("{} {difference}", name(*node))));
+                violations.push((entry.at_ms, format!("{} {difference}", node_name(*node))));
             }
             digests
                 .entry(digest.clone())
--- a/crates/fault-harness/src/history.rs
+++ b/crates/fault-harness/src/history.rs
@@ -18,7 +18,7 @@
     pub event: HistoryEvent,
 }
 
-/// An event of a run. Nodes are numbers; names are those of [`name`].
+/// An event of a run. Nodes are numbers; names are those of [`node_name`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum HistoryEvent {
@@ -130,7 +130,7 @@
 }
 
 /// The name of a node by its number.
-pub fn name(node: usize) -> String {
+pub fn node_name(node: usize) -> String {
     format!("n{node}")
 }
 
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -8,14 +8,15 @@
 //! Safety is judged at all times. Liveness is judged by the nodes' final views, for which the harness waits
 //! long enough that a slow machine changes no verdict.
 
+pub mod budget_simulation;
 pub mod checks;
-pub mod divided;
 pub mod drains;
 pub mod ground_truth;
 pub mod history;
-mod links;
 pub mod load;
+mod network_faults;
 pub mod processes;
+pub mod progress;
 pub mod relay;
 #[allow(
     missing_docs,
@@ -23,10 +24,9 @@
 )]
 pub mod scale;
 pub mod script;
-pub mod serving;
 pub mod shrink;
 pub mod simulated;
-pub mod streams;
+pub mod tcp_proxy;
 pub mod traffic;
 pub mod usage;
 
--- a/crates/fault-harness/src/load.rs
+++ b/crates/fault-harness/src/load.rs
@@ -15,7 +15,7 @@
 use doortrack_protocols::Protocol;
 use serde_json::{Value, json};
 
-use crate::usage::Admitted;
+use crate::usage::AdmittedRequest;
 
 /// Share of requests that go to the preferred node, where there is one.
 const PREFERRED_SHARE: f64 = 0.6;
@@ -68,9 +68,9 @@
     /// All requests.
     pub requests: Vec<RequestRecord>,
     /// Requests without an idempotency key (`/svc/look`) that ran.
-    pub unkeyed: Vec<Admitted>,
+    pub unkeyed: Vec<AdmittedRequest>,
     /// Requests with an idempotency key (`/svc/pay`) that ran.
-    pub keyed: Vec<Admitted>,
+    pub keyed: Vec<AdmittedRequest>,
     /// Start and end of the runs of keyed requests by the server's clock, in Unix ms.
     pub runs: Vec<(u64, u64)>,
 }
@@ -144,7 +144,7 @@
             let Some(request) = by_attempt.get(&ran.attempt_id) else {
                 continue;
             };
-            let admitted = Admitted {
+            let admitted = AdmittedRequest {
                 sent: request.sent,
                 ran: ran.at,
             };
--- a/crates/fault-harness/src/main.rs
+++ b/crates/fault-harness/src/main.rs
@@ -7,7 +7,7 @@
 use clap::{Args, Parser, Subcommand};
 use doortrack_fakes::interrupt::on_interrupt;
 use doortrack_fakes::scratch_folder;
-use doortrack_fault_harness::checks::{Violation, judge, membership};
+use doortrack_fault_harness::checks::{Violation, judge, membership_invariants};
 use doortrack_fault_harness::drains::{self, DrainReport};
 use doortrack_fault_harness::history::HistoryError;
 use doortrack_fault_harness::scale::command::{self, HollowArgs, ScaleArgs};
@@ -189,7 +189,7 @@
 
 fn judge_file(path: &Path) -> Result<bool, CommandError> {
     let history = History::parse(&read(path)?)?;
-    let violations = judge(&history, &membership());
+    let violations = judge(&history, &membership_invariants());
     print_verdict(&path.display().to_string(), &history, &violations);
     Ok(violations.is_empty())
 }
@@ -284,7 +284,7 @@
     fn run(&self, script: &Script) -> Result<(History, Vec<Violation>), CommandError> {
         if self.simulated {
             let history = simulated::run(script, &simulated::Options::default()).0;
-            let violations = judge(&history, &membership());
+            let violations = judge(&history, &membership_invariants());
             return Ok((history, violations));
         }
         if script.nodes > script::MAX_PROCESSES {
@@ -293,14 +293,14 @@
         let older = self.older.as_deref();
         let result = processes::run_with_older(&self.program, older, script, self.callers)
             .map_err(io_error(&self.program))?;
-        let mut violations = judge(&result.history, &membership());
+        let mut violations = judge(&result.history, &membership_invariants());
         let of_rules = result.violations.into_iter();
         violations.extend(of_rules.map(|description| Violation {
             rule: "the four rules",
             at_ms: script.duration_ms,
             description,
         }));
-        let served = result.served;
+        let served = result.traffic;
         println!(
             "{} exchanges, {} completed, {} asked of processes that were ended",
             served.sent, served.completed, served.unanswered
--- a/crates/fault-harness/src/links.rs
+++ b/crates/fault-harness/src/network_faults.rs
@@ -5,16 +5,16 @@
 use crate::script::{Fault, Script, TimedFault};
 
 /// Microseconds in a ms.
-pub(crate) const MS: u64 = 1_000;
+pub(crate) const MICROS_PER_MS: u64 = 1_000;
 
 /// The faults of a script by time. Sets a timer at the time of each, with its index as the identifier.
 pub(crate) fn schedule_faults<M: Clone>(
     network: &mut Network<M>,
     script: &Script,
 ) -> Vec<TimedFault> {
-    let faults = script.in_order();
+    let faults = script.faults_by_time();
     for (index, timed) in faults.iter().enumerate() {
-        network.set_timer(timed.at_ms * MS, index as u64);
+        network.set_timer(timed.at_ms * MICROS_PER_MS, index as u64);
     }
     network.record_deliveries = faults
         .iter()
@@ -64,7 +64,7 @@
     match delay_ms {
         0 => undisturbed,
         delay_ms => Distribution::Exponential {
-            mean: (delay_ms * MS) as f64,
+            mean: (delay_ms * MICROS_PER_MS) as f64,
         },
     }
 }
--- a/crates/fault-harness/src/processes.rs
+++ b/crates/fault-harness/src/processes.rs
@@ -23,7 +23,7 @@
 
 use crate::history::{History, HistoryEvent};
 use crate::relay::{Relay, RelayCounts};
-use crate::streams::Stream;
+use crate::tcp_proxy::TcpProxy;
 use crate::traffic::{Backend, ProcessExit, TrafficCounts};
 use doortrack_fakes::scratch_folder::ScratchFolder;
 
@@ -54,9 +54,9 @@
     log_readers: Vec<JoinHandle<()>>,
     exits: Vec<ProcessExit>,
     /// Proxies between each node and its server.
-    server_proxies: Vec<Stream>,
+    server_proxies: Vec<TcpProxy>,
     /// Proxies between each node and its callers, where the script has faults for them.
-    caller_proxies: Vec<Stream>,
+    caller_proxies: Vec<TcpProxy>,
     /// An older build, for `start_older`.
     pub older: Option<PathBuf>,
     /// Further arguments of a node's command line, by its number.
@@ -77,7 +77,7 @@
     /// Datagrams between the nodes.
     pub relay: RelayCounts,
     /// Requests of the callers.
-    pub served: TrafficCounts,
+    pub traffic: TrafficCounts,
     /// Violations of the four rules, described.
     pub violations: Vec<String>,
 }
@@ -148,7 +148,7 @@
     /// A proxy can't be started.
     pub fn connect_backend(&mut self, backend: &Backend) -> io::Result<Vec<Value>> {
         for node in 0..self.nodes.len() {
-            let proxy = Stream::to(backend.address(), node as u64)?;
+            let proxy = TcpProxy::start(backend.address(), node as u64)?;
             self.server_proxies.push(proxy);
         }
         Ok(self
@@ -165,7 +165,7 @@
     pub fn open_caller_proxies(&mut self) -> io::Result<()> {
         for node in 0..self.nodes.len() {
             let seed = CALLER_PROXY_SEEDS + node as u64;
-            let proxy = Stream::to(self.listener_address(node), seed)?;
+            let proxy = TcpProxy::start(self.listener_address(node), seed)?;
             self.caller_proxies.push(proxy);
         }
         Ok(())
--- a/crates/fault-harness/src/processes/faults.rs
+++ b/crates/fault-harness/src/processes/faults.rs
@@ -9,7 +9,7 @@
 use super::{ExtraSettings, Rig};
 use crate::history::HistoryEvent;
 use crate::script::{Fault, NetworkConditions};
-use crate::streams::Stream;
+use crate::tcp_proxy::TcpProxy;
 use crate::traffic::ProcessExit;
 
 /// The end of a graceful shutdown, in ms, in which a node may read no more requests.
@@ -80,7 +80,7 @@
     }
 }
 
-fn set_conditions(proxies: &[Stream], nodes: &[usize], conditions: NetworkConditions) {
+fn set_conditions(proxies: &[TcpProxy], nodes: &[usize], conditions: NetworkConditions) {
     nodes
         .iter()
         .filter_map(|node| proxies.get(*node))
--- a/crates/fault-harness/src/processes/lifecycle.rs
+++ b/crates/fault-harness/src/processes/lifecycle.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use super::{Node, Rig, RunResult, log};
-use crate::history::{HistoryEvent, name};
+use crate::history::{HistoryEvent, node_name};
 use crate::traffic::{Backend, ProcessExit, Traffic, TrafficCounts};
 use doortrack_fakes::child_process::end_with_parent;
 
@@ -63,7 +63,7 @@
 
     fn write_config(&self, node: usize, named: usize) -> io::Result<PathBuf> {
         let mut config = config();
-        config["name"] = json!(name(named));
+        config["name"] = json!(node_name(named));
         config["listen"] = json!(self.listener_address(node).to_string());
         config["stop_ms"] = json!(SHUTDOWN_MS);
         config["seed"] = json!(format!("{:016x}", FIRST_SEED + node as u64));
@@ -152,7 +152,7 @@
 
     /// As [`Rig::finish`], once the callers have their last answers, which are judged.
     pub fn finish_with(&mut self, traffic: Option<(Traffic, &Backend)>) -> RunResult {
-        let (served, violations) = match traffic {
+        let (counts, violations) = match traffic {
             Some((traffic, backend)) => traffic.finish(backend, &self.exits_and_breaks()),
             None => (TrafficCounts::default(), Vec::new()),
         };
@@ -171,7 +171,7 @@
         RunResult {
             history,
             relay: self.relay.counts(),
-            served,
+            traffic: counts,
             violations,
         }
     }
--- a/crates/fault-harness/src/processes/run.rs
+++ b/crates/fault-harness/src/processes/run.rs
@@ -48,7 +48,7 @@
         .collect();
     let traffic = Traffic::start(callers, &addresses, script.seed);
     let mut running = vec![true; script.nodes];
-    for timed in script.in_order() {
+    for timed in script.faults_by_time() {
         sleep_until(&rig, timed.at_ms);
         rig.inject(&timed.fault, extra)?;
         update_running(&mut running, &timed.fault);
--- a/crates/fault-harness/src/scale/simulated/machine.rs
+++ b/crates/fault-harness/src/scale/simulated/machine.rs
@@ -8,7 +8,7 @@
 use doortrack_time::TenthMillis;
 use postcard::experimental::serialized_size;
 
-use crate::history::name;
+use crate::history::node_name;
 
 /// Bytes round what is said: IP and UDP, version, hash, the fleet's name and its length, the kind.
 const HEADERS: u64 = 28;
@@ -71,7 +71,7 @@
 impl Machine {
     pub fn new(start: Start) -> Machine {
         let me = MemberUpdate {
-            name: name(start.machine).into(),
+            name: node_name(start.machine).into(),
             incarnation: Incarnation::from_start_time(start.unix_ms, start.machine as u64),
             version: 0,
             state: MemberState::Alive,
--- a/crates/fault-harness/src/scale/simulated/topology.rs
+++ b/crates/fault-harness/src/scale/simulated/topology.rs
@@ -4,7 +4,7 @@
 use doortrack_membership::Name;
 use doortrack_simulation::{Distribution, LinkModel};
 
-use crate::history::name;
+use crate::history::node_name;
 
 /// Zones of the whole fleet; the first four are one region, the last three the other.
 pub const ZONES: usize = 7;
@@ -89,7 +89,7 @@
     pub fn names(machines: impl IntoIterator<Item = usize>) -> Vec<Name> {
         machines
             .into_iter()
-            .map(|machine| Name::from(name(machine)))
+            .map(|machine| Name::from(node_name(machine)))
             .collect()
     }
 
--- a/crates/fault-harness/src/scale/simulated/verdict.rs
+++ b/crates/fault-harness/src/scale/simulated/verdict.rs
@@ -7,9 +7,9 @@
 use super::topology::Topology;
 use super::traffic::{Load, Peaks};
 use super::world::{Played, Watched, play};
-use crate::checks::{Invariant, judge, membership};
+use crate::checks::{Invariant, judge, membership_invariants};
 use crate::ground_truth::GroundTruth;
-use crate::history::{History, HistoryEvent, name};
+use crate::history::{History, HistoryEvent, node_name};
 use crate::scale::series::Role;
 
 const MS: Micros = 1_000;
@@ -196,7 +196,7 @@
 }
 
 fn breaches(scenario: &Scenario, played: &Played, outcome: &Outcome) -> Vec<String> {
-    let mut rules = membership();
+    let mut rules = membership_invariants();
     if let Some(parting) = scenario.parting {
         rules.push(Box::new(OwnSideDeclaresNobodyDead {
             topology: scenario.topology,
@@ -332,7 +332,7 @@
             if !reason {
                 breaches.push((
                     entry.at_ms,
-                    format!("{} declared {} dead", name(*node), name(member)),
+                    format!("{} declared {} dead", node_name(*node), node_name(member)),
                 ));
             }
         }
--- a/crates/fault-harness/src/scale/simulated/world.rs
+++ b/crates/fault-harness/src/scale/simulated/world.rs
@@ -12,7 +12,7 @@
 use super::traffic::Traffic;
 use super::usage::Usage;
 use crate::history::{History, HistoryEvent, Member};
-use crate::links;
+use crate::network_faults;
 use crate::script::Fault;
 
 mod carrying;
@@ -321,7 +321,7 @@
                 fault: fault.clone(),
             },
         );
-        links::inject(&mut self.network, Topology::latency(), &fault);
+        network_faults::inject(&mut self.network, Topology::latency(), &fault);
         match fault {
             Fault::Kill { nodes } => nodes.into_iter().for_each(|machine| self.kill(machine)),
             Fault::Start { nodes, clock_ms } => {
--- a/crates/fault-harness/src/script.rs
+++ b/crates/fault-harness/src/script.rs
@@ -222,7 +222,7 @@
     }
 
     /// The faults by time; those of one time in the script's order.
-    pub fn in_order(&self) -> Vec<TimedFault> {
+    pub fn faults_by_time(&self) -> Vec<TimedFault> {
         let mut faults = self.faults.clone();
         faults.sort_by_key(|timed| timed.at_ms);
         faults
--- a/crates/fault-harness/src/simulated/world.rs
+++ b/crates/fault-harness/src/simulated/world.rs
@@ -11,14 +11,14 @@
 use doortrack_simulation::{LinkModel, MachineClock, MachineId, Micros, Network, NetworkEvent};
 
 use super::{Cost, Options};
-use crate::history::{History, HistoryEvent, Member, name};
-use crate::links::{self, MS};
+use crate::history::{History, HistoryEvent, Member, node_name};
+use crate::network_faults::{self, MICROS_PER_MS};
 use crate::script::{Fault, Script, TimedFault};
 
 /// Microseconds in a tenth of a ms, the unit of the decisions' time.
 const TENTH_MS: Micros = 100;
 /// What clocks read at the start of a run; large enough that a clock set back shows no negative time.
-const CLOCK_START: i64 = 100_000 * MS as i64;
+const CLOCK_START: i64 = 100_000 * MICROS_PER_MS as i64;
 /// Bytes of IP and UDP headers of each datagram.
 const HEADER_BYTES: u64 = 28;
 /// Nodes queried for their views at the end, spread evenly.
@@ -77,7 +77,7 @@
         for node in 0..script.nodes {
             let offset_ms = draw_within(&mut random, options.offset_ms);
             let clock = MachineClock {
-                offset: offset_ms * MS as i64 + CLOCK_START,
+                offset: offset_ms * MICROS_PER_MS as i64 + CLOCK_START,
                 drift_ppm: draw_within(&mut random, options.drift_ppm),
             };
             network.add_machine(clock, node as u32 % options.zones.max(1));
@@ -99,9 +99,9 @@
     }
 
     pub(super) fn run(mut self, script: &Script) -> (History, Cost) {
-        let faults = links::schedule_faults(&mut self.network, script);
+        let faults = network_faults::schedule_faults(&mut self.network, script);
         (0..script.nodes).for_each(|node| self.start(node));
-        while let Some(event) = self.network.next_event(script.duration_ms * MS) {
+        while let Some(event) = self.network.next_event(script.duration_ms * MICROS_PER_MS) {
             self.handle_network(event, &faults);
         }
         let step = script.nodes.div_ceil(MAX_QUERIED).max(1);
@@ -127,7 +127,7 @@
     }
 
     fn now_ms(&self) -> u64 {
-        self.network.now() / MS
+        self.network.now() / MICROS_PER_MS
     }
 
     /// The time of a node's clock in tenths of a ms.
@@ -142,9 +142,9 @@
         self.network.start(node);
         self.history
             .record(self.now_ms(), HistoryEvent::Began { node });
-        let started_ms = self.network.clock_reading(node) / MS;
+        let started_ms = self.network.clock_reading(node) / MICROS_PER_MS;
         let own = MemberUpdate {
-            name: name(node).into(),
+            name: node_name(node).into(),
             incarnation: Incarnation::from_start_time(started_ms, node as u64),
             version: 0,
             state: MemberState::Alive,
@@ -220,7 +220,7 @@
             fault: fault.clone(),
         };
         self.history.record(self.now_ms(), event);
-        links::inject(&mut self.network, self.options.latency, fault);
+        network_faults::inject(&mut self.network, self.options.latency, fault);
         match fault {
             Fault::Kill { nodes } => {
                 let mut running = nodes.clone();
@@ -257,7 +257,7 @@
             }
             if self.network.is_down(*node) {
                 let clock = MachineClock {
-                    offset: CLOCK_START + clock_ms * MS as i64,
+                    offset: CLOCK_START + clock_ms * MICROS_PER_MS as i64,
                     drift_ppm: 0,
                 };
                 self.network.set_clock(*node, clock);
--- a/crates/fault-harness/src/streams.rs
+++ b/crates/fault-harness/src/tcp_proxy.rs
@@ -18,7 +18,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A proxy that runs until it is dropped.
-pub struct Stream {
+pub struct TcpProxy {
     /// Where it listens.
     pub at: SocketAddr,
     conditions: Arc<Mutex<NetworkConditions>>,
@@ -36,14 +36,14 @@
         .push(unix_ms());
 }
 
-impl Stream {
-    /// Starts a proxy that forwards to `target` what reaches its own address, [`Stream::at`].
+impl TcpProxy {
+    /// Starts a proxy that forwards to `target` what reaches its own address, [`TcpProxy::at`].
     ///
     /// # Errors
     /// The listening socket, or the thread, can't be created.
-    pub fn to(target: SocketAddr, seed: u64) -> io::Result<Stream> {
+    pub fn start(target: SocketAddr, seed: u64) -> io::Result<TcpProxy> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let stream = Stream {
+        let stream = TcpProxy {
             at: listener.local_addr()?,
             conditions: Arc::default(),
             breaks: Arc::default(),
@@ -79,7 +79,7 @@
     }
 }
 
-impl Drop for Stream {
+impl Drop for TcpProxy {
     fn drop(&mut self) {
         self.is_over.store(true, Ordering::Relaxed);
         // Wakes the accepting thread.
--- a/crates/fault-harness/src/traffic/records.rs
+++ b/crates/fault-harness/src/traffic/records.rs
@@ -6,7 +6,7 @@
 use doortrack_fakes::rules::{Bounds, CallerAttempt, ExecutedRun, find_violations};
 
 use super::expected_body;
-use crate::serving::Offer;
+use crate::progress::Offer;
 
 /// The deadline of both endpoint groups of the fixture's configuration, and what a slow machine may add, in ms.
 const MAX_ANSWER_MS: u64 = 30_000 + 10_000;
@@ -51,7 +51,7 @@
 }
 
 impl CallerRecords {
-    /// What was offered to each listener, for [`crate::serving`].
+    /// What was offered to each listener, for [`crate::progress`].
     pub fn offers(&self) -> Vec<Offer> {
         let requests = self.requests.iter().map(|(listener, request)| Offer {
             listener: *listener,
--- a/crates/fault-harness/src/usage.rs
+++ b/crates/fault-harness/src/usage.rs
@@ -3,7 +3,7 @@
 
 /// One admitted request. It was admitted at some time between these two, in ms of one clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Admitted {
+pub struct AdmittedRequest {
     /// When it was sent.
     pub sent: u64,
     /// When it ran.
@@ -12,7 +12,7 @@
 
 /// The first span in which more requests were admitted than `limit` a second and `burst` beyond, whenever
 /// each was admitted between its two times. `None` if there is no such span.
-pub fn rate_exceeded(admitted: &[Admitted], limit: u32, burst: u32) -> Option<String> {
+pub fn rate_exceeded(admitted: &[AdmittedRequest], limit: u32, burst: u32) -> Option<String> {
     let mut by_sent = admitted.to_vec();
     by_sent.sort_unstable();
     for (index, first) in by_sent.iter().enumerate() {
@@ -60,7 +60,7 @@
 }
 
 /// The share of a rate's limit that was used from `start` to `end`, in ms, by requests surely admitted then.
-pub fn used(admitted: &[Admitted], limit: u32, start: u64, end: u64) -> f64 {
+pub fn utilization(admitted: &[AdmittedRequest], limit: u32, start: u64, end: u64) -> f64 {
     let count = admitted
         .iter()
         .filter(|request| request.sent >= start && request.ran < end)
--- a/crates/fault-harness/tests/checkers.rs
+++ b/crates/fault-harness/tests/checkers.rs
@@ -1,13 +1,15 @@
 //! A checker that cannot fail is none: each is shown a good history, and the same one tampered with.
 
-use doortrack_fault_harness::checks::{judge, membership};
-use doortrack_fault_harness::history::{History, HistoryEvent, Member, name};
+use doortrack_fault_harness::checks::{judge, membership_invariants};
+use doortrack_fault_harness::history::{History, HistoryEvent, Member, node_name};
 use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 use doortrack_fault_harness::shrink::shrink;
-use doortrack_fault_harness::usage::{Admitted, concurrency_exceeded, rate_exceeded, used};
+use doortrack_fault_harness::usage::{
+    AdmittedRequest, concurrency_exceeded, rate_exceeded, utilization,
+};
 
 fn reported(node: usize, change: &str, member: usize, incarnation: u64) -> HistoryEvent {
-    let (member, incarnation) = (Some(name(member)), Some(format!("{incarnation:x}")));
+    let (member, incarnation) = (Some(node_name(member)), Some(format!("{incarnation:x}")));
     HistoryEvent::MemberChange {
         node,
         change: change.into(),
@@ -20,7 +22,7 @@
 
 fn status(node: usize, there: &[usize]) -> HistoryEvent {
     let member = |of: &usize| Member {
-        name: name(*of),
+        name: node_name(*of),
         incarnation: "1".into(),
         state: "alive".into(),
     };
@@ -57,7 +59,7 @@
 }
 
 fn violated(history: &History) -> Vec<&'static str> {
-    judge(history, &membership())
+    judge(history, &membership_invariants())
         .into_iter()
         .map(|violation| violation.rule)
         .collect()
@@ -261,8 +263,8 @@
 
 #[test]
 fn more_than_a_budget_is_seen_and_what_may_have_passed_earlier_is_not() {
-    let admitted = |sent: u64, ran: u64| Admitted { sent, ran };
-    let even: Vec<Admitted> = (0..100)
+    let admitted = |sent: u64, ran: u64| AdmittedRequest { sent, ran };
+    let even: Vec<AdmittedRequest> = (0..100)
         .map(|nth| admitted(nth * 10, nth * 10 + 2))
         .collect();
     assert_eq!(rate_exceeded(&even, 100, 5), None);
@@ -279,7 +281,7 @@
         None
     );
     assert!(concurrency_exceeded(&[(0, 10), (5, 15), (9, 20)], 2).is_some());
-    assert!((used(&even, 100, 0, 1_000) - 1.0).abs() < 0.02);
+    assert!((utilization(&even, 100, 0, 1_000) - 1.0).abs() < 0.02);
 }
 
 /// What an earlier build wrote: its keys and words, a death among them that is no less wrong for its name.
--- a/crates/fault-harness/tests/divided.rs
+++ b/crates/fault-harness/tests/divided.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 use doortrack_budgets::{Budget, Kind, Parameters, Safeguards};
-use doortrack_fault_harness::divided::{self, Options, Outcome};
-use doortrack_fault_harness::history::name;
+use doortrack_fault_harness::budget_simulation::{self, Options, Outcome};
+use doortrack_fault_harness::history::node_name;
 use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 use doortrack_membership::Name;
 use doortrack_simulation::Distribution;
@@ -18,7 +18,7 @@
 const NODES: usize = 9;
 
 fn names(count: usize) -> Arc<[Name]> {
-    (0..count).map(|of| Name::from(name(of))).collect()
+    (0..count).map(|of| Name::from(node_name(of))).collect()
 }
 
 fn rate(limit: u32, burst: u32, reserved: u32) -> Budget {
@@ -98,7 +98,7 @@
         count_from_ms: 0,
         count_bytes: false,
     };
-    divided::run(script, &options)
+    budget_simulation::run(script, &options)
 }
 
 fn holds(script: &Script) -> Outcome {
@@ -345,7 +345,7 @@
         count_from_ms: 6_000,
         count_bytes: false,
     };
-    let out = divided::run(&script(16_000, 1, vec![]), &options);
+    let out = budget_simulation::run(&script(16_000, 1, vec![]), &options);
     assert!(out.violations.is_empty(), "{:?}", out.violations);
     // A ninth of 90 a second for 10 s each, whoever shouts.
     assert!(
--- a/crates/fault-harness/tests/serving.rs
+++ b/crates/fault-harness/tests/serving.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use doortrack_fault_harness::serving::{Offer, ProcessLifetime, ProgressBounds, Stall, stalls};
+use doortrack_fault_harness::progress::{Offer, ProcessLifetime, ProgressBounds, Stall, stalls};
 
 const PATIENCE: ProgressBounds = ProgressBounds {
     window_ms: 3_000,
--- a/crates/fault-harness/tests/simulated.rs
+++ b/crates/fault-harness/tests/simulated.rs
@@ -6,7 +6,7 @@
     reason = "a scenario is read from its start to its end"
 )]
 
-use doortrack_fault_harness::checks::{judge, membership};
+use doortrack_fault_harness::checks::{judge, membership_invariants};
 use doortrack_fault_harness::history::{History, HistoryEvent};
 use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 use doortrack_fault_harness::simulated::{Options, run};
@@ -27,7 +27,7 @@
 
 fn holds(script: &Script, options: &Options) -> History {
     let (history, _) = run(script, options);
-    let violations = judge(&history, &membership());
+    let violations = judge(&history, &membership_invariants());
     assert!(violations.is_empty(), "{violations:#?}");
     history
 }
@@ -189,7 +189,7 @@
                 ..Options::default()
             },
         );
-        judge(&history, &membership())
+        judge(&history, &membership_invariants())
             .into_iter()
             .map(|violation| violation.rule)
             .collect()
--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -8,7 +8,7 @@
 use doortrack_fault_harness::load::{Load, LoadProfile, LoadReport};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::{Fault, Script};
-use doortrack_fault_harness::usage::{concurrency_exceeded, rate_exceeded, used};
+use doortrack_fault_harness::usage::{concurrency_exceeded, rate_exceeded, utilization};
 use doortrack_node::commands::fleet::query_budgets;
 use doortrack_node::peers::peer_message::BudgetStatus;
 use doortrack_protocols::Protocol;
@@ -92,7 +92,7 @@
         .collect();
     load.start(&fronts, script.seed);
     let began = std::time::Instant::now();
-    for timed in script.in_order() {
+    for timed in script.faults_by_time() {
         std::thread::sleep(Duration::from_millis(timed.at_ms).saturating_sub(began.elapsed()));
         rig.inject(&timed.fault, &more).unwrap();
     }
@@ -329,7 +329,11 @@
         .copied()
         .collect();
     assert_eq!(rate_exceeded(&all, 20, 10), None);
-    assert!(used(&all, 20, began, began + 2_000) > 0.5, "{}", all.len());
+    assert!(
+        utilization(&all, 20, began, began + 2_000) > 0.5,
+        "{}",
+        all.len()
+    );
     let rejected = report
         .requests
         .iter()
--- a/crates/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -20,7 +20,7 @@
 
 use std::path::Path;
 
-use doortrack_fault_harness::checks::{judge, membership};
+use doortrack_fault_harness::checks::{judge, membership_invariants};
 use doortrack_fault_harness::processes::RunResult;
 use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 
@@ -42,14 +42,14 @@
 }
 
 fn holds(result: &RunResult) {
-    let violations = judge(&result.history, &membership());
+    let violations = judge(&result.history, &membership_invariants());
     assert!(
         violations.is_empty(),
         "{violations:#?}\n{}",
         result.history.to_lines()
     );
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
-    assert!(result.served.completed > 0, "{:?}", result.served);
+    assert!(result.traffic.completed > 0, "{:?}", result.traffic);
 }
 
 /// Nothing passes between two groups, either way, for a while.
