--- a/crates/fault-harness/src/budget_simulation.rs
+++ b/crates/fault-harness/src/budget_simulation.rs
@@ -1,5 +1,5 @@
-//! Fleet-wide budgets in simulated time, on the package that the node runs: a script of faults, demand by
-//! node and time, and an independent check of the limits.
+//! Simulates fleet-wide budgets with the node's own `doortrack_budgets`: injects the faults of a script,
+//! generates demand by node and time, and checks the limits independently.
 
 mod limit_check;
 mod message_size;
@@ -18,7 +18,7 @@
 pub struct Options<'a> {
     /// Parameters of all nodes.
     pub parameters: Parameters,
-    /// The budgets that the nodes divide.
+    /// The budgets that are shared among the nodes.
     pub budgets: Vec<Budget>,
     /// Latency of undisturbed links.
     pub latency: Distribution,
@@ -28,7 +28,7 @@
     pub offset_ms: i64,
     /// Requested uses a second, by node, index of the budget, and time in ms.
     pub demand: &'a dyn Fn(usize, usize, u64) -> f64,
-    /// Mean hold time of a unit of concurrency, in ms; bounded by the budget's `max_hold`.
+    /// Mean time in ms for which a unit of concurrency is held; bounded by the budget's `max_hold`.
     pub mean_hold_ms: u64,
     /// Start of the counts in [`Outcome`], in ms.
     pub count_from_ms: u64,
@@ -49,7 +49,7 @@
     pub by_node: Vec<u64>,
     /// Admitted uses of the first budget, by node and tenth of a second since the start.
     pub by_time: BTreeMap<(usize, u64), u32>,
-    /// Elections won.
+    /// Number of elections won.
     pub leaders: u64,
     /// The cost of decisions, and datagrams and bytes since `count_from_ms`.
     pub cost: Cost,
--- a/crates/fault-harness/src/budget_simulation/limit_check.rs
+++ b/crates/fault-harness/src/budget_simulation/limit_check.rs
@@ -1,4 +1,4 @@
-//! Whether uses exceed the limits, judged without knowledge of leases: each use is recorded at its true time.
+//! Checks whether uses exceed the limits, without knowledge of leases: each use is recorded at its true time.
 
 use doortrack_budgets::{Budget, Kind};
 use doortrack_membership::Incarnation;
@@ -8,10 +8,10 @@
 use crate::network_faults::MICROS_PER_MS;
 
 /// Tolerance of a rate, in units: each node truncates times to tenths of a ms.
-const TOLERANCE: f64 = 0.01;
+const RATE_TOLERANCE: f64 = 0.01;
 const MICROS_PER_S: f64 = 1e6;
 
-/// The true use of all budgets.
+/// Tracks the actual use of all budgets.
 pub(super) struct LimitCheck<'a> {
     budgets: &'a [Budget],
     mean_hold: Micros,
@@ -74,7 +74,7 @@
         match budget.kind {
             Kind::Rate { burst } => {
                 let level = self.buckets[index].add(limit, now);
-                if level > f64::from(burst) + TOLERANCE {
+                if level > f64::from(burst) + RATE_TOLERANCE {
                     let excess = format!("{level:.3} beyond {limit} a second, a burst of {burst}");
                     self.record_violation(index, now, &excess);
                 }
@@ -103,7 +103,7 @@
         hold.min(max_hold) as Micros
     }
 
-    /// Removes and returns the holds of a budget whose time has come and that `can_end`.
+    /// Removes and returns the holds of a budget that have expired and for which `can_end` returns true.
     pub(super) fn end_holds(
         &mut self,
         index: usize,
--- a/crates/fault-harness/src/budget_simulation/world.rs
+++ b/crates/fault-harness/src/budget_simulation/world.rs
@@ -14,19 +14,19 @@
 use crate::network_faults::{self, MICROS_PER_MS};
 use crate::script::{Fault, Script, TimedFault};
 
-/// Microseconds in a tenth of a ms, the unit of the decisions' time.
+/// Microseconds in a tenth of a ms, the time unit of the budgets code.
 pub(super) const TENTH_MS: Micros = 100;
-/// What clocks read at the start of a run; large enough that a clock set back shows no negative time.
-const CLOCK_START: i64 = 100_000 * MICROS_PER_MS as i64;
+/// Reading of the clocks at the start of a run; large enough that a clock set back is never negative.
+const CLOCK_START_MICROS: i64 = 100_000 * MICROS_PER_MS as i64;
 /// Interval at which a node's demand arrives.
 const DEMAND_INTERVAL: Micros = 10 * MICROS_PER_MS;
-/// Delay after which all nodes know of a start, and the timer that marks it.
+/// Delay after which all nodes know of a start, and the identifier of its timer.
 const MEMBERSHIP_DELAY: Micros = 500 * MICROS_PER_MS;
 const MEMBERSHIP_TIMER: u64 = u64::MAX;
 /// Interval of the counts in [`Outcome::by_time`].
 const COUNT_INTERVAL: Micros = 100 * MICROS_PER_MS;
 /// Bytes around each envelope: IP, UDP, version, hash, the fleet's name.
-const OVERHEAD_BYTES: u64 = 52;
+const ENVELOPE_OVERHEAD_BYTES: u64 = 52;
 /// Weight of each node.
 const WEIGHT: u32 = 4;
 /// Distinguishes the random numbers of nodes and demand from those of the links.
@@ -40,7 +40,7 @@
     last_incarnation: u64,
     random: fastrand::Rng,
     limits: LimitCheck<'a>,
-    /// By node, when its clock reads that its next demand is due.
+    /// By node, the reading of its clock at which its next demand is due.
     next_demand: Vec<Micros>,
     bytes_sent: Vec<u64>,
     outcome: Outcome,
@@ -59,7 +59,7 @@
         for _ in 0..script.nodes {
             let offset_ms = random.i64(-options.offset_ms..=options.offset_ms);
             let clock = MachineClock {
-                offset: offset_ms * MICROS_PER_MS as i64 + CLOCK_START,
+                offset: offset_ms * MICROS_PER_MS as i64 + CLOCK_START_MICROS,
                 drift_ppm: random.i64(options.drift_ppm.0..=options.drift_ppm.1),
             };
             network.add_machine(clock, 0);
@@ -188,7 +188,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.outcome
             .cost
-            .decide(|| budgets.handle(now, event, &mut actions));
+            .measure(|| budgets.handle(now, event, &mut actions));
         for action in actions.drain(..) {
             match action {
                 Action::Send(envelope) => self.send(node, envelope),
@@ -208,7 +208,7 @@
         if self.is_counted() {
             self.outcome.cost.datagrams += 1;
             if self.options.count_bytes {
-                let bytes = encoded_size(&envelope) + OVERHEAD_BYTES;
+                let bytes = encoded_size(&envelope) + ENVELOPE_OVERHEAD_BYTES;
                 self.outcome.cost.bytes += bytes;
                 self.bytes_sent[node] += bytes;
             }
@@ -218,15 +218,15 @@
         self.network.send(node, receiver, envelope);
     }
 
-    /// Adds an event to the digest of the run.
+    /// Adds an event to the run's digest.
     fn hash(&mut self, event: &impl Hash) {
-        // The same in every run, unlike the standard library's hasher of maps.
+        // `DefaultHasher::new` gives the same hash in every run, unlike the hasher of a `HashMap`.
         let mut hasher = DefaultHasher::new();
         (self.outcome.digest, event).hash(&mut hasher);
         self.outcome.digest = hasher.finish();
     }
 
-    /// Requests what was demanded at a node since the last interval.
+    /// Sends the requests that fell due at a node in the last interval.
     fn send_demand(&mut self, node: MachineId) {
         let reading = self.network.clock_reading(node);
         if reading < self.next_demand[node] {
@@ -238,7 +238,7 @@
             self.end_holds(index);
             let per_second = (self.options.demand)(node, index, at_ms);
             let mean = per_second * DEMAND_INTERVAL as f64 / 1e6;
-            // The mean is met exactly; its fraction by chance.
+            // The whole part of the mean is always requested, one more with the probability of the fraction.
             let count = mean as u64 + u64::from(self.random.f64() < mean.fract());
             for _ in 0..count {
                 self.request(node, index);
@@ -268,7 +268,7 @@
         self.limits.record_use(index, now, user, &mut self.random);
     }
 
-    /// Ends holds whose time has come; a suspended node releases them when it is resumed.
+    /// Ends expired holds; a suspended node releases its holds when it is resumed.
     fn end_holds(&mut self, index: usize) {
         let (network, incarnations) = (&self.network, &self.incarnations);
         let is_current = |hold: &Hold| incarnations[hold.node] == hold.incarnation;
--- a/crates/fault-harness/src/checks.rs
+++ b/crates/fault-harness/src/checks.rs
@@ -1,7 +1,7 @@
 //! Invariants of every run, judged on its history alone.
 //!
-//! Bounds here are those of the promise to operators, never of a machine's speed: a process that the machine
-//! did not run for a while logs `resumed`, and declarations about it are excused.
+//! Bounds are those guaranteed to operators and don't depend on the machine's speed: a process that was not
+//! scheduled for a while logs `resumed`, and declarations about it are excused.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 
 /// A rule that must hold in every history.
 pub trait Invariant {
-    /// What is printed with a violation.
+    /// The name that is printed with a violation.
     fn name(&self) -> &'static str;
 
     /// Every violation in a history, with its time in ms; `truth` is the true state it implies.
@@ -32,11 +32,11 @@
 pub fn membership_invariants() -> Vec<Box<dyn Invariant>> {
     vec![
         Box::new(NoFalseDeath),
-        Box::new(LeftIsNotDead),
-        Box::new(IncarnationsGoForward),
+        Box::new(NoDeathAfterLeave),
+        Box::new(IncarnationsIncrease),
         Box::new(IsolatedDeclaresNobodyDead),
         Box::new(ResumedDeclaresNobodyDead),
-        Box::new(InTheEndAllAgree),
+        Box::new(FinalViewsAgree),
     ]
 }
 
@@ -104,11 +104,11 @@
         .collect()
 }
 
-/// A reason for a declaration of death lies at most so many ms before it.
-const MAX_REASON_AGE: u64 = 8_000;
+/// Longest time in ms between the cause of a declaration of death and the declaration.
+const MAX_CAUSE_AGE_MS: u64 = 8_000;
 
-/// A node that runs and is reached by others is never declared dead: neither for a single broken link nor for
-/// some lost datagrams.
+/// A node that runs and is reachable is never declared dead, neither for a single broken link nor for a
+/// few lost datagrams.
 pub struct NoFalseDeath;
 
 impl Invariant for NoFalseDeath {
@@ -118,11 +118,11 @@
 
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let is_wrong = |Declaration { at, node, member }: Declaration| {
-            let since = at.saturating_sub(MAX_REASON_AGE);
-            let reason = |node| {
+            let since = at.saturating_sub(MAX_CAUSE_AGE_MS);
+            let has_cause = |node| {
                 truth.was_unhealthy(node, since, at) || truth.was_partitioned(node, since, at)
             };
-            !reason(member) && !reason(node) && !truth.was_degraded(since, at)
+            !has_cause(member) && !has_cause(node) && !truth.was_degraded(since, at)
         };
         wrong_declarations(history, is_wrong, |node, member| {
             format!("{node} declared {member} dead")
@@ -130,13 +130,13 @@
     }
 }
 
-/// A node that shut down gracefully, and was not killed at once, is never declared dead.
-pub struct LeftIsNotDead;
+/// A node that shut down gracefully is never declared dead.
+pub struct NoDeathAfterLeave;
 
-/// Time in which a node that leaves, or is isolated, makes it known, in ms.
-const ANNOUNCEMENT: u64 = 2_000;
+/// Time in ms in which a node announces that it leaves, or notices that it is isolated.
+const ANNOUNCEMENT_MS: u64 = 2_000;
 
-impl Invariant for LeftIsNotDead {
+impl Invariant for NoDeathAfterLeave {
     fn name(&self) -> &'static str {
         "left is not dead"
     }
@@ -150,22 +150,22 @@
             let restarted = truth.began[member]
                 .iter()
                 .any(|began| began > left && *began <= at);
-            let since = left.saturating_sub(MAX_REASON_AGE);
-            let partitioned = |node| truth.was_partitioned(node, since, left + ANNOUNCEMENT);
+            let since = left.saturating_sub(MAX_CAUSE_AGE_MS);
+            let partitioned = |node| truth.was_partitioned(node, since, left + ANNOUNCEMENT_MS);
             let excused = partitioned(member) || partitioned(node) || truth.was_degraded(since, at);
             let receiver_unhealthy =
-                truth.was_unhealthy(node, left.saturating_sub(ANNOUNCEMENT), at);
-            !restarted && !excused && !receiver_unhealthy && at > left + ANNOUNCEMENT
+                truth.was_unhealthy(node, left.saturating_sub(ANNOUNCEMENT_MS), at);
+            !restarted && !excused && !receiver_unhealthy && at > left + ANNOUNCEMENT_MS
         };
         let describe = |node, member| format!("{node} declared {member} dead, which left");
         wrong_declarations(history, is_wrong, describe)
     }
 }
 
-/// No process returns to an earlier incarnation of a member.
-pub struct IncarnationsGoForward;
+/// No process reports a lower incarnation of a member than it reported before.
+pub struct IncarnationsIncrease;
 
-impl Invariant for IncarnationsGoForward {
+impl Invariant for IncarnationsIncrease {
     fn name(&self) -> &'static str {
         "incarnations go forward"
     }
@@ -210,12 +210,12 @@
 
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let is_wrong = |Declaration { at, node, member }: Declaration| {
-            // A suspicion that others confirmed before may time out just after the cut.
+            // A suspicion that other nodes confirmed before the cut may still time out just after it.
             let isolated = truth.isolated(node);
-            let within = isolated
+            let is_within = isolated
                 .iter()
-                .any(|span| at >= span.start + ANNOUNCEMENT && at < span.end);
-            within && !truth.was_unhealthy(member, at.saturating_sub(MAX_REASON_AGE), at)
+                .any(|span| at >= span.start + ANNOUNCEMENT_MS && at < span.end);
+            is_within && !truth.was_unhealthy(member, at.saturating_sub(MAX_CAUSE_AGE_MS), at)
         };
         let describe = |node, member| format!("{node}, isolated, declared {member} dead");
         wrong_declarations(history, is_wrong, describe)
@@ -226,10 +226,10 @@
 /// anything.
 pub struct ResumedDeclaresNobodyDead;
 
-/// Time after a resumption, in ms; shorter than every suspicion.
-const RESUMPTION: u64 = 250;
-/// Shorter pauses, in ms, are not judged.
-const MIN_PAUSE: u64 = 1_000;
+/// Time in ms after a resumption in which a node may declare nobody dead; shorter than any suspicion timeout.
+const RESUMPTION_GRACE_MS: u64 = 250;
+/// Shortest pause in ms that is checked.
+const MIN_PAUSE_MS: u64 = 1_000;
 
 impl Invariant for ResumedDeclaresNobodyDead {
     fn name(&self) -> &'static str {
@@ -240,24 +240,28 @@
         let is_wrong = |Declaration { at, node, member }: Declaration| {
             let just_resumed = |suspension: &&Span| {
                 let is_long =
-                    suspension.end != u64::MAX && suspension.end >= suspension.start + MIN_PAUSE;
-                is_long && at >= suspension.end && at < suspension.end + RESUMPTION
+                    suspension.end != u64::MAX && suspension.end >= suspension.start + MIN_PAUSE_MS;
+                is_long && at >= suspension.end && at < suspension.end + RESUMPTION_GRACE_MS
             };
             let Some(suspension) = truth.suspensions[node].iter().find(just_resumed) else {
                 return false;
             };
-            // A member that died meanwhile is rightly declared dead: others say so.
-            !truth.was_unhealthy(member, suspension.start.saturating_sub(MAX_REASON_AGE), at)
+            // A member that died during the pause may be declared dead: other nodes report it.
+            !truth.was_unhealthy(
+                member,
+                suspension.start.saturating_sub(MAX_CAUSE_AGE_MS),
+                at,
+            )
         };
         let describe = |node, member| format!("{node}, just resumed, declared {member} dead");
         wrong_declarations(history, is_wrong, describe)
     }
 }
 
-/// At the end, after all faults, the running nodes agree on one view, whose members are exactly those nodes.
-pub struct InTheEndAllAgree;
+/// In the final views the running nodes agree, and the members are exactly those nodes.
+pub struct FinalViewsAgree;
 
-impl Invariant for InTheEndAllAgree {
+impl Invariant for FinalViewsAgree {
     fn name(&self) -> &'static str {
         "in the end all agree"
     }
--- a/crates/fault-harness/src/drains.rs
+++ b/crates/fault-harness/src/drains.rs
@@ -1,6 +1,6 @@
-//! A soak of graceful shutdowns: real processes in front of application servers, clients that go on using their open
-//! connections, signals in series, and SIGKILL at exactly the time to the stop after the first of SIGTERM and SIGINT.
-//! Judged by what clients and servers recorded.
+//! Repeated tests of graceful shutdown. A real node process stands in front of application servers, clients keep using
+//! their open connections, and the node gets a series of signals. SIGKILL follows exactly the stop time after the first
+//! SIGTERM or SIGINT. The records of clients and servers are checked against the rules.
 
 mod client;
 mod judge;
@@ -22,17 +22,17 @@
 pub struct DrainReport {
     /// The seed.
     pub seed: u64,
-    /// The signals and their times in ms, as in `HUP 0, TERM 37`; empty times are at once.
+    /// The signals and their times in ms, as in `HUP 0, TERM 37`; equal times follow without a pause.
     pub signals: String,
-    /// Whether a crowd of clients was connected.
+    /// Whether many additional clients were connected.
     pub crowd: bool,
-    /// What became of the requests.
+    /// Outcomes of the requests.
     pub counts: DrainCounts,
     /// Violations of the rules, described.
     pub violations: Vec<String>,
 }
 
-/// Runs the seeds from `first` on, some at once, and hands each report over as it comes.
+/// Runs `count` seeds from `first` on, `parallel` at a time, and passes each report to `report` when it is ready.
 pub fn run_seeds(
     program: &Path,
     first: u64,
--- a/crates/fault-harness/src/drains/client.rs
+++ b/crates/fault-harness/src/drains/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends one request after the other, on an open connection as long as there is one.
+//! A client that sends one request after another, and reuses its connection while that is open.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,16 +11,16 @@
 
 use super::judge::{ConnectionEnd, RequestRecord};
 
-/// Pauses between two pieces of a request, in ms.
+/// Pause between the two pieces of a split request, in ms.
 const PIECE_PAUSE_MS: std::ops::Range<u64> = 0..25;
-/// One request in so many is sent in pieces.
-const IN_PIECES: usize = 5;
-/// Idempotency keys that all clients share.
-const KEYS: u64 = 2_000;
+/// One request in so many is sent in two pieces.
+const SPLIT_REQUEST_EVERY: usize = 5;
+/// Number of idempotency keys, which all clients share.
+const IDEMPOTENCY_KEYS: u64 = 2_000;
 /// Requests of one client are numbered from its index shifted by this, so that no two clients share one.
 const CLIENT_SHIFT: u32 = 32;
-/// The record of FastCGI that ends an answer.
-const END_REQUEST: u8 = 3;
+/// Type of the FastCGI record that ends an answer.
+const FASTCGI_END_REQUEST: u8 = 3;
 const RECORD_HEADER_BYTES: usize = 8;
 
 /// A client of one listener.
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends requests until it is over.
+    /// Sends requests until `is_over` is set.
     pub(super) fn run(mut self, is_over: &AtomicBool) -> Vec<RequestRecord> {
         while !is_over.load(Ordering::Relaxed) {
             if self.connect() {
@@ -68,7 +68,7 @@
         std::thread::sleep(Duration::from_millis(self.random.u64(range)));
     }
 
-    /// Keeps the open connection unless the node has ended it, or opens one; whether there is one.
+    /// Keeps the connection unless the node has closed it, else opens one. Returns whether there is a connection.
     fn connect(&mut self) -> bool {
         self.connection = self.connection.take().filter(is_open);
         if self.connection.is_none() {
@@ -89,12 +89,12 @@
         self.last_request += 1;
         let number = self.last_request;
         let keyed = self.random.bool();
-        let key = keyed.then(|| format!("{:032x}", self.random.u64(..KEYS)));
+        let key = keyed.then(|| format!("{:032x}", self.random.u64(..IDEMPOTENCY_KEYS)));
         let bytes = self.encode(number, key.as_deref());
         let written = self.write(&mut sock, &bytes);
         let sent = unix_ms();
         if !written {
-            return; // The node never had it whole.
+            return; // The node never received the whole request.
         }
         let (answer, end) = read_answer(&mut sock, self.protocol);
         let (outcome, _) = caller::parse_response(self.protocol, &answer);
@@ -106,7 +106,7 @@
             sent,
             answered: unix_ms(),
             outcome,
-            is_begun: !answer.is_empty(),
+            has_answer_bytes: !answer.is_empty(),
             end,
         });
     }
@@ -128,9 +128,9 @@
         bytes
     }
 
-    /// Writes a request, at times in two pieces; whether all of it was taken.
+    /// Writes a request, sometimes in two pieces. Returns whether all of it was written.
     fn write(&mut self, sock: &mut TcpStream, bytes: &[u8]) -> bool {
-        if self.random.usize(..IN_PIECES) > 0 {
+        if self.random.usize(..SPLIT_REQUEST_EVERY) > 0 {
             return sock.write_all(bytes).is_ok();
         }
         let cut = self.random.usize(1..bytes.len());
@@ -142,13 +142,13 @@
     }
 }
 
-/// Sets the flag of the first record of a request, by which its connection stays open.
+/// Sets the keep-connection flag in the first record of a request.
 fn keep_connection(bytes: &mut [u8]) {
     const FLAGS: usize = RECORD_HEADER_BYTES + 2;
     bytes[FLAGS] = 1;
 }
 
-/// Whether the peer has neither ended the connection nor sent what nobody asked for.
+/// Whether the peer has neither closed the connection nor sent unexpected data.
 fn is_open(sock: &TcpStream) -> bool {
     if sock.set_nonblocking(true).is_err() {
         return false;
@@ -171,20 +171,20 @@
             }
             Err(_) => return (answer, Some(ConnectionEnd::TimedOut)),
         }
-        if protocol == Protocol::FastCgi && is_whole(&answer) {
+        if protocol == Protocol::FastCgi && is_complete(&answer) {
             return (answer, None);
         }
     }
 }
 
-/// Whether these records of FastCGI end an answer.
-fn is_whole(mut records: &[u8]) -> bool {
+/// Whether these FastCGI records contain the end of an answer.
+fn is_complete(mut records: &[u8]) -> bool {
     while let [_, kind, _, _, high, low, padding, _, content @ ..] = records {
         let length = usize::from(*high) << 8 | usize::from(*low);
         let Some(rest) = content.get(length + usize::from(*padding)..) else {
             return false;
         };
-        if *kind == END_REQUEST {
+        if *kind == FASTCGI_END_REQUEST {
             return true;
         }
         records = rest;
--- a/crates/fault-harness/src/drains/judge.rs
+++ b/crates/fault-harness/src/drains/judge.rs
@@ -1,4 +1,4 @@
-//! What clients recorded of their requests, judged by the four rules.
+//! Checks the clients' records of their requests against the four rules.
 
 use doortrack_fakes::caller::CallerOutcome;
 use doortrack_fakes::rules::{Bounds, CallerAttempt, ExecutedRun, find_violations};
@@ -6,28 +6,28 @@
 
 use crate::traffic::expected_body;
 
-/// A request that meets the orderly end of its connection, in ms. It was written when the end was on its way, so nobody
-/// read it.
-const CROSSING_MS: u64 = 20;
-/// What may be added to the grace after the notice, in ms, until a request that is sent must not run.
+/// Longest time in ms from sending a request to seeing its connection closed, for which the request counts as sent while
+/// the close was under way and never read.
+const MAX_CROSSING_MS: u64 = 20;
+/// Time in ms, added to the grace time after the shutdown notice, after which a request that is sent must not run.
 const NOTICE_MARGIN_MS: u64 = 150;
-/// The deadline of both endpoint groups of the fixture's configuration, and what a slow machine may add, in ms.
+/// The deadline of both endpoint groups of the fixture's configuration, plus a margin for a slow machine, in ms.
 const MAX_ANSWER_MS: u64 = 30_000 + 10_000;
-/// Attempts that a node may make of one request.
+/// Greatest number of attempts that a node may make for one request.
 const MAX_ATTEMPTS: usize = 3;
 
 /// How a connection ended before an answer was whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
-    /// In order.
+    /// Closed by the peer.
     Closed,
-    /// By a reset.
+    /// Reset by the peer.
     Reset,
     /// Not within the client's long timeout.
     TimedOut,
 }
 
-/// A request that was written whole. Times are in Unix ms.
+/// A request that was written completely. Times are in Unix ms.
 #[derive(Clone, Debug)]
 pub(super) struct RequestRecord {
     pub(super) number: u64,
@@ -37,39 +37,39 @@
     /// When the answer, or the connection, ended.
     pub(super) answered: u64,
     pub(super) outcome: CallerOutcome,
-    /// Whether any byte of an answer came.
-    pub(super) is_begun: bool,
+    /// Whether any byte of an answer was received.
+    pub(super) has_answer_bytes: bool,
     /// How the connection ended, if it did.
     pub(super) end: Option<ConnectionEnd>,
 }
 
-/// When the node was told to shut down and when it was killed, in Unix ms.
+/// When the node received its shutdown signal and when it was killed, in Unix ms.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DrainTimes {
-    pub(super) told: u64,
+    pub(super) shutdown_signaled: u64,
     pub(super) killed: u64,
     /// Time after the notice in which requests may still run, in ms.
     pub(super) grace_ms: u64,
 }
 
-/// What became of the requests.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DrainCounts {
-    /// Written whole.
+    /// Written completely.
     pub sent: usize,
-    /// Of these, after the node was told to shut down.
+    /// Of these, sent after the shutdown signal.
     pub sent_in_drain: usize,
     /// Answered with a result.
     pub completed: usize,
-    /// Told that they did not run.
+    /// Answered that they did not run.
     pub rejected: usize,
-    /// Told that they failed.
+    /// Answered that they failed.
     pub failed: usize,
-    /// Met the orderly end of their connection, and did not run.
+    /// Sent while the node closed the connection, and not run.
     pub crossed: usize,
 }
 
-/// Counts what became of the requests, and describes what breaks a rule.
+/// Counts the outcomes of the requests, and describes each violation of a rule.
 pub(super) fn judge(
     records: Vec<RequestRecord>,
     ran: &[ExecutedRun],
@@ -101,28 +101,28 @@
     }
     let bounds = Bounds {
         max_latency_ms: MAX_ANSWER_MS,
-        accepts_until_ms: Some(times.told + times.grace_ms + NOTICE_MARGIN_MS),
+        accepts_until_ms: Some(times.shutdown_signaled + times.grace_ms + NOTICE_MARGIN_MS),
         max_attempts: MAX_ATTEMPTS,
     };
     violations.extend(find_violations(&attempts, ran, bounds, expected_body));
     (counts, violations)
 }
 
-/// Whether a request met the orderly end of its connection within the drain, and did not run: its client knows that from
-/// the end, as no byte of an answer came.
+/// Whether a request was sent while the draining node closed its connection, and did not run. Its client can tell from
+/// the close, as no byte of an answer was received.
 fn is_crossed(record: &RequestRecord, ran: &[ExecutedRun], times: DrainTimes) -> bool {
     let id = doortrack_fakes::attempt_id(record.number);
     record.end == Some(ConnectionEnd::Closed)
-        && !record.is_begun
-        && record.sent >= times.told
-        && record.answered <= record.sent + CROSSING_MS
+        && !record.has_answer_bytes
+        && record.sent >= times.shutdown_signaled
+        && record.answered <= record.sent + MAX_CROSSING_MS
         && !ran.iter().any(|run| run.attempt_id == id)
 }
 
 impl DrainCounts {
     fn add(&mut self, record: &RequestRecord, crossed: bool, times: DrainTimes) {
         self.sent += 1;
-        self.sent_in_drain += usize::from(record.sent >= times.told);
+        self.sent_in_drain += usize::from(record.sent >= times.shutdown_signaled);
         self.crossed += usize::from(crossed);
         match record.outcome {
             CallerOutcome::Completed(_) => self.completed += 1,
--- a/crates/fault-harness/src/drains/run.rs
+++ b/crates/fault-harness/src/drains/run.rs
@@ -1,4 +1,4 @@
-//! One soak, from the start of the node to its end.
+//! Runs one shutdown test, from the start of the node to its exit.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -26,24 +26,24 @@
 const SERVERS: usize = 2;
 /// Concurrency of each server, as the installation file says it.
 const SERVER_CONCURRENCY: u32 = 64;
-/// Time in which a node waits for an answer of a server, in ms: longer than any run.
+/// Time in ms for which a node waits for a server's answer; longer than any run.
 const SERVER_TIMEOUT_MS: u64 = 20_000;
-/// Cores of the machine that the node believes in, so that it takes what is sent.
+/// Number of cores in the node's settings, high enough that the node accepts the load.
 const CORES: u32 = 64;
 /// Time after the notice in which requests may still run, in ms.
 const GRACE_MS: u64 = 200;
 /// Clients of each listener, and their longest pause between two requests, in ms.
-const CLIENTS: u64 = 4;
-const PAUSE_MS: u64 = 12;
-/// Clients of the crowd, and their longest pause.
-const CROWD: u64 = 150;
-const CROWD_PAUSE_MS: u64 = 600;
-/// Load before the first signal.
+const CLIENTS_PER_LISTENER: u64 = 4;
+const MAX_PAUSE_MS: u64 = 12;
+/// Additional clients that send less often, and their longest pause in ms.
+const EXTRA_CLIENTS: u64 = 150;
+const EXTRA_CLIENT_MAX_PAUSE_MS: u64 = 600;
+/// Duration of the load before the first signal.
 const WARM_UP: Duration = Duration::from_millis(400);
-/// One run in so many takes up to one and a half times the time to the stop; the others take a few ms.
+/// One run in so many takes up to 1.5 times the stop time; the others are bounded by [`MAX_SHORT_WORK_MS`].
 const LONG_RUN_EVERY: u64 = 12;
 const MAX_SHORT_WORK_MS: u64 = 20;
-/// Clients go on this long after the kill.
+/// Time for which clients keep sending after the kill.
 const AFTER_KILL: Duration = Duration::from_millis(30);
 
 /// Runs one scenario on real processes.
@@ -70,14 +70,14 @@
             "rule 1: {stalled} clients met what they can't read"
         ));
     }
-    // Without a code it was killed, which it has to outlast where answers are not taken.
+    // There is no code if the node was killed, which is allowed: it stays up while clients don't read its answers.
     if log.contains("panicked") || code.is_some_and(|code| code != 0) {
         violations.push(format!("rule 4: the node ended with {code:?}: {log}"));
     }
     DrainReport {
         seed: scenario.seed,
         signals: scenario.describe_signals(),
-        crowd: scenario.crowd,
+        crowd: scenario.has_extra_clients,
         counts,
         violations,
     }
@@ -110,7 +110,7 @@
     Duration::from_millis(random.u64(MIN_WORK_MS..max_ms))
 }
 
-/// Starts the node; its listeners, each with its protocol.
+/// Starts the node. Returns its listeners, each with its protocol.
 fn start_node(
     program: &Path,
     scenario: &Scenario,
@@ -152,14 +152,18 @@
 impl Clients {
     fn start(scenario: &Scenario, listeners: &[(SocketAddr, Protocol)]) -> Clients {
         let is_over: Arc<AtomicBool> = Arc::default();
-        let crowd = if scenario.crowd { CROWD } else { 0 };
-        let busy = CLIENTS * listeners.len() as u64;
-        let threads = (0..busy + crowd).map(|index| {
+        let extra = if scenario.has_extra_clients {
+            EXTRA_CLIENTS
+        } else {
+            0
+        };
+        let busy = CLIENTS_PER_LISTENER * listeners.len() as u64;
+        let threads = (0..busy + extra).map(|index| {
             let (address, protocol) = listeners[index as usize % listeners.len()];
             let max_pause_ms = if index < busy {
-                PAUSE_MS
+                MAX_PAUSE_MS
             } else {
-                CROWD_PAUSE_MS
+                EXTRA_CLIENT_MAX_PAUSE_MS
             };
             let client = Client::new(index, scenario.seed, address, protocol, max_pause_ms);
             let is_over = is_over.clone();
@@ -169,7 +173,7 @@
         Clients { is_over, threads }
     }
 
-    /// What the clients recorded, and how many ended by a panic.
+    /// Stops the clients. Returns their records, and the number of clients that panicked.
     fn finish(self) -> (Vec<RequestRecord>, usize) {
         self.is_over.store(true, Ordering::Relaxed);
         let (mut records, mut stalled) = (Vec::new(), 0);
@@ -183,22 +187,22 @@
     }
 }
 
-/// Sends the series, and SIGKILL at exactly the time to the stop after the first signal that shuts the node down.
+/// Sends the series of signals, and SIGKILL exactly the stop time after the first signal that shuts the node down.
 fn send_signals(fixture: &NodeFixture, scenario: &Scenario) -> DrainTimes {
     let began = Instant::now();
-    let (shutdown_at, mut told) = (scenario.shutdown_at_ms(), unix_ms());
+    let (shutdown_at, mut shutdown_signaled) = (scenario.shutdown_at_ms(), unix_ms());
     for timed in &scenario.signals {
         sleep_until(began, timed.at_ms);
         if timed.signal != Signal::HUP && timed.at_ms == shutdown_at {
-            told = told.max(unix_ms());
+            shutdown_signaled = shutdown_signaled.max(unix_ms());
         }
         signal(fixture, timed.signal);
     }
-    let kill_in = (told + scenario.stop_ms).saturating_sub(unix_ms());
+    let kill_in = (shutdown_signaled + scenario.stop_ms).saturating_sub(unix_ms());
     std::thread::sleep(Duration::from_millis(kill_in));
     signal(fixture, Signal::KILL);
     DrainTimes {
-        told,
+        shutdown_signaled,
         killed: unix_ms(),
         grace_ms: GRACE_MS,
     }
@@ -209,7 +213,7 @@
 }
 
 fn signal(fixture: &NodeFixture, signal: Signal) {
-    // It has not been waited for, so the id is still its own where it has ended by itself.
+    // The process has not been waited for, so its id is not reused even if it has exited.
     if let Some(pid) = Pid::from_raw(fixture.program.id() as i32) {
         _ = kill_process(pid, signal);
     }
--- a/crates/fault-harness/src/drains/scenario.rs
+++ b/crates/fault-harness/src/drains/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in one soak of a shutdown, drawn from a seed.
+//! The scenario of one shutdown test, generated from a seed.
 
 use std::ops::Range;
 
@@ -7,12 +7,12 @@
 
 /// Time from the first of SIGTERM and SIGINT to SIGKILL, in ms.
 const STOP_MS: Range<u64> = 600..1_600;
-/// Signals of one series.
-const SIGNALS: Range<usize> = 1..6;
-/// Pauses between two signals of a series, in ms; a third follow at once.
+/// Number of signals in a series.
+const SIGNAL_COUNT: Range<usize> = 1..6;
+/// Pause between two signals of a series, in ms; a third of the signals follow without a pause.
 const SIGNAL_PAUSE_MS: Range<u64> = 0..120;
-/// Every so many seeds have a crowd.
-const CROWD_EVERY: u64 = 3;
+/// One seed in so many has additional clients.
+const EXTRA_CLIENTS_EVERY: u64 = 3;
 /// The shortest run of a request, in ms.
 pub(super) const MIN_WORK_MS: u64 = 2;
 
@@ -25,19 +25,19 @@
     pub signal: Signal,
 }
 
-/// One soak.
+/// One shutdown test.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Of everything random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// What the application servers speak.
+    /// Protocol of the application servers.
     pub server_protocol: Protocol,
     /// Time from the first of SIGTERM and SIGINT to SIGKILL, in ms.
     pub stop_ms: u64,
     /// The signals, in their order; at least one of them shuts the node down.
     pub signals: Vec<TimedSignal>,
-    /// Whether a crowd of clients is connected.
-    pub crowd: bool,
+    /// Whether many additional clients are connected.
+    pub has_extra_clients: bool,
 }
 
 impl Scenario {
@@ -50,11 +50,11 @@
             server_protocol: protocols[random.usize(..2)],
             stop_ms: random.u64(STOP_MS),
             signals: signals(&mut random),
-            crowd: seed.is_multiple_of(CROWD_EVERY),
+            has_extra_clients: seed.is_multiple_of(EXTRA_CLIENTS_EVERY),
         }
     }
 
-    /// When the node is told to shut down, in ms from the first signal.
+    /// Time from the first signal to the first that shuts the node down, in ms.
     pub fn shutdown_at_ms(&self) -> u64 {
         let shutdowns = self
             .signals
@@ -63,7 +63,7 @@
         shutdowns.map(|timed| timed.at_ms).min().unwrap_or(0)
     }
 
-    /// The signals in words.
+    /// The signals and their times, as in `HUP 0, TERM 37`.
     pub fn describe_signals(&self) -> String {
         let name = |signal| match signal {
             Signal::HUP => "HUP",
@@ -82,7 +82,7 @@
 
 fn signals(random: &mut fastrand::Rng) -> Vec<TimedSignal> {
     let kinds = [Signal::HUP, Signal::TERM, Signal::INT];
-    let count = random.usize(SIGNALS);
+    let count = random.usize(SIGNAL_COUNT);
     let mut at_ms = 0;
     let mut series: Vec<TimedSignal> = Vec::new();
     for _ in 0..count {
--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! A [`Script`] says which faults occur and when. It is run by [`processes::run`] on real `doortrack`
 //! processes with a relay between every pair of them, or by [`simulated::run`] in simulated time on the same
-//! decisions. Both give one [`History`]: the faults injected, and what each node reported. [`checks`] judge a
-//! history and know nothing of a node's code; [`shrink`] reduces a script that fails.
+//! decisions. Both give one [`History`]: the faults injected, and what each node reported. [`checks`] verify a
+//! history without access to a node's code; [`shrink`] reduces a script that fails.
 //!
-//! Safety is judged at all times. Liveness is judged by the nodes' final views, for which the harness waits
-//! long enough that a slow machine changes no verdict.
+//! Safety is checked throughout a run, liveness by the nodes' final views. The harness waits long enough for
+//! these that a slow machine doesn't change the verdict.
 
 pub mod budget_simulation;
 pub mod checks;
--- a/crates/fault-harness/src/main.rs
+++ b/crates/fault-harness/src/main.rs
@@ -1,4 +1,4 @@
-//! `doortrack-harness`: runs scripts of faults on fleets, and judges the joint history.
+//! `doortrack-harness`: runs fault scripts on fleets and checks the joint history.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 use doortrack_fault_harness::simulated;
 use doortrack_fault_harness::{History, Script, processes, script};
 
-/// Plays fleets of doortrack nodes while parts of the system fail, and judges the joint history.
+/// Runs fleets of doortrack nodes under injected faults, and checks the joint history.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -29,27 +29,27 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays one script
+    /// Runs one script
     Play {
         #[arg(long, value_name = "FILE")]
         script: PathBuf,
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Plays scripts drawn from seeds, and tells the smallest script that still fails of the first that does
+    /// Runs scripts generated from seeds; reduces the first that fails to the smallest that still fails
     Seeds(SeedOptions),
-    /// Drains nodes by signals in series while clients go on using their connections until SIGKILL
+    /// Shuts nodes down by series of signals while clients keep using their connections until SIGKILL
     Drains(DrainOptions),
-    /// Judges a history that was kept
+    /// Checks a stored history
     Judge {
         #[arg(value_name = "FILE")]
         history: PathBuf,
     },
-    /// Plays a fleet at full size in simulated time
+    /// Runs a full-size fleet in simulated time
     ScaleSimulated(Options),
     /// Prints the JSON Schema of a script
     Schema,
-    /// Measures what a fleet costs by its size
+    /// Measures the cost of a fleet by its size
     Scale(ScaleArgs),
     ScaleNode(node_cost::Options),
     /// A process of hollow nodes, which `scale` starts
@@ -66,43 +66,43 @@
     count: u64,
     #[arg(long, default_value = "5")]
     nodes: usize,
-    /// Troubles of each play
+    /// Disruptions in each script
     #[arg(long, default_value = "4")]
     troubles: usize,
     #[command(flatten)]
     options: RunOptions,
 }
 
-/// Which soaks of a shutdown run.
+/// Which shutdown tests run.
 #[derive(Args)]
 struct DrainOptions {
     #[arg(long, default_value = "1")]
     from: u64,
     #[arg(long, default_value = "50")]
     count: u64,
-    /// Soaks at once
+    /// Tests that run in parallel
     #[arg(long, default_value = "2")]
     parallel: usize,
-    /// The program that is drained
+    /// The program under test
     #[arg(long, value_name = "FILE", default_value = "target/release/doortrack")]
     program: PathBuf,
 }
 
 #[derive(Args)]
 struct RunOptions {
-    /// In simulated time instead of on processes
+    /// Runs in simulated time instead of on processes
     #[arg(long)]
     simulated: bool,
-    /// The program that is played
+    /// The program under test
     #[arg(long, value_name = "FILE", default_value = "target/release/doortrack")]
     program: PathBuf,
-    /// An older build, which `start_older` starts beside it
+    /// An older build, started by the fault `start_older`
     #[arg(long, value_name = "FILE")]
     older: Option<PathBuf>,
-    /// Callers that ask the nodes meanwhile; judged by the four rules
+    /// Callers that send requests meanwhile; checked by the four rules
     #[arg(long, default_value = "3")]
     callers: usize,
-    /// Where the history of a play, or of the first that fails, is kept
+    /// File for the history of the run, or of the first run that fails
     #[arg(long, value_name = "FILE")]
     history: Option<PathBuf>,
 }
@@ -132,11 +132,11 @@
 }
 
 /// The exit code of a program that was interrupted, as shells have it.
-const INTERRUPTED: i32 = 130;
+const EXIT_CODE_INTERRUPTED: i32 = 130;
 
 fn main() -> ExitCode {
     let command = Cli::parse().command;
-    if let Err(e) = end_in_order_on_interrupt(&command) {
+    if let Err(e) = clean_up_on_interrupt(&command) {
         eprintln!("doortrack-harness: signals: {e}");
         return ExitCode::FAILURE;
     }
@@ -150,19 +150,19 @@
     }
 }
 
-/// At SIGINT or SIGTERM no file is left behind. The processes that were started end with this one.
-fn end_in_order_on_interrupt(command: &Command) -> io::Result<()> {
+/// Removes all scratch files at SIGINT or SIGTERM. Child processes end with this process.
+fn clean_up_on_interrupt(command: &Command) -> io::Result<()> {
     if matches!(command, Command::Hollow(_)) {
-        return Ok(()); // Has no files and no children, and ends with the process that started it.
+        return Ok(()); // Has no files or children, and ends with its parent.
     }
     on_interrupt(|| {
         eprintln!("doortrack-harness: interrupted");
         scratch_folder::remove_all_at_exit();
-        std::process::exit(INTERRUPTED);
+        std::process::exit(EXIT_CODE_INTERRUPTED);
     })
 }
 
-/// Carries out a command. Returns whether nothing was violated.
+/// Runs a command. Returns whether there were no violations.
 fn run(command: Command) -> Result<bool, CommandError> {
     match command {
         Command::Schema => {
@@ -217,7 +217,7 @@
     Ok(true)
 }
 
-/// Runs soaks of a shutdown: each as a line of JSON, progress and what is broken on standard error.
+/// Runs shutdown tests. Prints each report as a line of JSON; progress and violations go to standard error.
 fn run_drains(options: &DrainOptions) -> Result<bool, CommandError> {
     std::fs::metadata(&options.program).map_err(io_error(&options.program))?;
     let (mut done, mut broken) = (0, Vec::new());
@@ -294,8 +294,8 @@
         let result = processes::run_with_older(&self.program, older, script, self.callers)
             .map_err(io_error(&self.program))?;
         let mut violations = judge(&result.history, &membership_invariants());
-        let of_rules = result.violations.into_iter();
-        violations.extend(of_rules.map(|description| Violation {
+        let rule_violations = result.violations.into_iter();
+        violations.extend(rule_violations.map(|description| Violation {
             rule: "the four rules",
             at_ms: script.duration_ms,
             description,
--- a/crates/fault-harness/src/network_faults.rs
+++ b/crates/fault-harness/src/network_faults.rs
@@ -1,10 +1,9 @@
-//! Injects the faults of a script into a simulated network, whatever runs in it.
+//! Injects the faults of a script into a simulated network.
 
 use doortrack_simulation::{Distribution, Network};
 
 use crate::script::{Fault, Script, TimedFault};
 
-/// Microseconds in a ms.
 pub(crate) const MICROS_PER_MS: u64 = 1_000;
 
 /// The faults of a script by time. Sets a timer at the time of each, with its index as the identifier.
@@ -22,8 +21,8 @@
     faults
 }
 
-/// Injects a fault of links, or one of machines that keep their state. `latency` is that of undisturbed
-/// links. Faults that start, end or remove nodes are left to the caller.
+/// Injects a fault of links, or one that suspends or resumes machines. `latency` is that of links without
+/// faults. The caller handles the faults that start or end nodes.
 pub(crate) fn inject<M: Clone>(network: &mut Network<M>, latency: Distribution, fault: &Fault) {
     match fault {
         Fault::Replay { nodes } => nodes.iter().for_each(|node| network.replay(*node)),
@@ -49,7 +48,7 @@
             // A garbled datagram is discarded by its receiver.
             links.loss_rate = loss + garbled;
             links.duplication_rate = *doubled;
-            links.latency = delayed(latency, *delay_ms);
+            links.latency = latency_with_delay(latency, *delay_ms);
         }
         Fault::Kill { .. }
         | Fault::Start { .. }
@@ -60,9 +59,9 @@
     }
 }
 
-fn delayed(undisturbed: Distribution, delay_ms: u64) -> Distribution {
+fn latency_with_delay(normal: Distribution, delay_ms: u64) -> Distribution {
     match delay_ms {
-        0 => undisturbed,
+        0 => normal,
         delay_ms => Distribution::Exponential {
             mean: (delay_ms * MICROS_PER_MS) as f64,
         },
--- a/crates/fault-harness/src/simulated.rs
+++ b/crates/fault-harness/src/simulated.rs
@@ -1,5 +1,5 @@
-//! Runs a script in simulated time, on the decisions that the node runs. Every run gives the same history to
-//! the byte.
+//! Runs a script in simulated time with the node's own membership code. Repeated runs give byte-identical
+//! histories.
 
 mod world;
 
@@ -19,7 +19,7 @@
     pub parameters: Parameters,
     /// Latency of undisturbed links.
     pub latency: Distribution,
-    /// Zones, to which nodes are assigned in turn.
+    /// Number of zones; nodes are assigned to them round-robin.
     pub zones: u32,
     /// Additional latency between two zones, in microseconds.
     pub inter_zone_latency: Micros,
@@ -54,21 +54,21 @@
 /// The cost of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
-    /// Events handled by the decisions.
+    /// Events handled.
     pub events: u64,
-    /// Real time spent in decisions, in ns.
+    /// Real time spent handling events, in ns.
     pub decisions_ns: u64,
     /// Datagrams sent.
     pub datagrams: u64,
-    /// With IP and UDP headers; only with [`Options::count_bytes`].
+    /// Bytes sent, with IP and UDP headers; counted only with [`Options::count_bytes`].
     pub bytes: u64,
 }
 
 impl Cost {
-    /// Runs the decisions of one event and adds their time.
-    pub(crate) fn decide(&mut self, decide: impl FnOnce()) {
+    /// Handles one event with `handle`, and adds the time that it takes.
+    pub(crate) fn measure(&mut self, handle: impl FnOnce()) {
         let began = Instant::now();
-        decide();
+        handle();
         self.decisions_ns += began.elapsed().as_nanos() as u64;
         self.events += 1;
     }
--- a/crates/fault-harness/src/simulated/world.rs
+++ b/crates/fault-harness/src/simulated/world.rs
@@ -15,16 +15,16 @@
 use crate::network_faults::{self, MICROS_PER_MS};
 use crate::script::{Fault, Script, TimedFault};
 
-/// Microseconds in a tenth of a ms, the unit of the decisions' time.
+/// Microseconds in a tenth of a ms, the time unit of the membership code.
 const TENTH_MS: Micros = 100;
-/// What clocks read at the start of a run; large enough that a clock set back shows no negative time.
-const CLOCK_START: i64 = 100_000 * MICROS_PER_MS as i64;
+/// Reading of the clocks at the start of a run; large enough that a clock set back is never negative.
+const CLOCK_START_MICROS: i64 = 100_000 * MICROS_PER_MS as i64;
 /// Bytes of IP and UDP headers of each datagram.
 const HEADER_BYTES: u64 = 28;
-/// Nodes queried for their views at the end, spread evenly.
+/// Greatest number of nodes, evenly spaced, queried for their views at the end.
 const MAX_QUERIED: usize = 60;
 /// Nodes that each node contacts to join the fleet.
-const SEEDS: usize = 3;
+const SEED_COUNT: usize = 3;
 /// Weight of each node.
 const WEIGHT: u32 = 4;
 const PORT: u16 = 7_400;
@@ -34,7 +34,7 @@
     fleets: Vec<Option<Fleet>>,
     seeds: Vec<SocketAddr>,
     options: Options,
-    seal: DatagramCodec,
+    codec: DatagramCodec,
     seed: u64,
     history: History,
     cost: Cost,
@@ -57,7 +57,7 @@
     }
 }
 
-/// A uniform draw from `-bound` to `bound`.
+/// A uniformly distributed number from `-bound` to `bound`.
 fn draw_within(random: &mut fastrand::Rng, bound: u64) -> i64 {
     match bound as i64 {
         0 => 0,
@@ -77,7 +77,7 @@
         for node in 0..script.nodes {
             let offset_ms = draw_within(&mut random, options.offset_ms);
             let clock = MachineClock {
-                offset: offset_ms * MICROS_PER_MS as i64 + CLOCK_START,
+                offset: offset_ms * MICROS_PER_MS as i64 + CLOCK_START_MICROS,
                 drift_ppm: draw_within(&mut random, options.drift_ppm),
             };
             network.add_machine(clock, node as u32 % options.zones.max(1));
@@ -85,9 +85,9 @@
         World {
             network,
             fleets: (0..script.nodes).map(|_| None).collect(),
-            seeds: (0..script.nodes.min(SEEDS)).map(address).collect(),
+            seeds: (0..script.nodes.min(SEED_COUNT)).map(address).collect(),
             options: options.clone(),
-            seal: DatagramCodec::new(None, "simulated"),
+            codec: DatagramCodec::new(None, "simulated"),
             seed: script.seed,
             history: History {
                 nodes: script.nodes,
@@ -174,7 +174,7 @@
             return;
         };
         let mut actions = std::mem::take(&mut self.actions);
-        self.cost.decide(|| fleet.handle(now, event, &mut actions));
+        self.cost.measure(|| fleet.handle(now, event, &mut actions));
         for action in actions.drain(..) {
             match action {
                 Action::Send { to, datagram } => self.send(node, to, *datagram),
@@ -192,8 +192,10 @@
             return;
         };
         if self.options.count_bytes {
-            let sealed = self.seal.encode(&PeerMessage::Membership(datagram.clone()));
-            self.cost.bytes += sealed.map_or(0, |bytes| bytes.len() as u64) + HEADER_BYTES;
+            let encoded = self
+                .codec
+                .encode(&PeerMessage::Membership(datagram.clone()));
+            self.cost.bytes += encoded.map_or(0, |bytes| bytes.len() as u64) + HEADER_BYTES;
         }
         self.network.send(node, receiver, datagram);
     }
@@ -248,7 +250,7 @@
     /// Starts nodes that do not run, each with its clock off by `clock_ms`.
     fn restart(&mut self, nodes: &[usize], clock_ms: i64) {
         for node in nodes {
-            // A node that left still answers until it is restarted.
+            // A node that left still runs until it is restarted.
             let has_left = self.fleets[*node]
                 .as_ref()
                 .is_some_and(|fleet| fleet.me().state == MemberState::Left);
@@ -257,7 +259,7 @@
             }
             if self.network.is_down(*node) {
                 let clock = MachineClock {
-                    offset: CLOCK_START + clock_ms * MICROS_PER_MS as i64,
+                    offset: CLOCK_START_MICROS + clock_ms * MICROS_PER_MS as i64,
                     drift_ppm: 0,
                 };
                 self.network.set_clock(*node, clock);
