--- a/crates/fault-harness/src/checks.rs
+++ b/crates/fault-harness/src/checks.rs
@@ -143,11 +143,11 @@
 
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let is_wrong = |Declaration { at, node, member }: Declaration| {
-            let departures = truth.left.get(&member).into_iter().flatten();
+            let departures = truth.shutdowns.get(&member).into_iter().flatten();
             let Some(left) = departures.filter(|left| **left <= at).max() else {
                 return false;
             };
-            let restarted = truth.began[member]
+            let restarted = truth.process_starts[member]
                 .iter()
                 .any(|began| began > left && *began <= at);
             let since = left.saturating_sub(MAX_CAUSE_AGE_MS);
@@ -211,7 +211,7 @@
     fn judge(&self, history: &History, truth: &GroundTruth) -> Vec<(u64, String)> {
         let is_wrong = |Declaration { at, node, member }: Declaration| {
             // A suspicion that other nodes confirmed before the cut may still time out just after it.
-            let isolated = truth.isolated(node);
+            let isolated = truth.isolation_spans(node);
             let is_within = isolated
                 .iter()
                 .any(|span| at >= span.start + ANNOUNCEMENT_MS && at < span.end);
--- a/crates/fault-harness/src/ground_truth.rs
+++ b/crates/fault-harness/src/ground_truth.rs
@@ -6,7 +6,7 @@
 use crate::history::{History, HistoryEvent};
 use crate::script::Fault;
 
-/// Loss, and delay in ms, from which all links count as degraded.
+/// Loss rate, and delay in ms, from which all links count as degraded.
 const DEGRADED_LOSS: f64 = 0.2;
 const DEGRADED_DELAY_MS: u64 = 100;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Ends the open spans among these.
+/// Sets the end of all open spans.
 fn close(spans: &mut [Span], at: u64) {
     spans
         .iter_mut()
@@ -48,14 +48,14 @@
         .for_each(|span| span.end = at);
 }
 
-/// Datagrams from some nodes to others were dropped for a while.
+/// A span in which all datagrams from some nodes to others were dropped.
 struct Cut {
     from: Vec<usize>,
     to: Vec<usize>,
     span: Span,
 }
 
-/// When the present degradation of all links began, by its cause.
+/// When the current degradation of all links began, by its cause.
 #[derive(Default)]
 struct DegradedSince {
     links: Option<u64>,
@@ -64,16 +64,17 @@
 
 /// What a history implies of the true state. Vectors are indexed by node; times are in ms.
 pub struct GroundTruth {
-    /// When a node itself was at fault: not running, just started, suspended, resumed or leaving.
+    /// When a node itself could cause a declaration of death: not running, just started, suspended, resumed or
+    /// leaving.
     unhealthy: Vec<Vec<Span>>,
     cuts: Vec<Cut>,
     /// When all links were degraded, by [`DEGRADED_LOSS`], [`DEGRADED_DELAY_MS`] or a throttle.
     degraded: Vec<Span>,
-    /// When the graceful shutdown of each node began.
-    pub left: BTreeMap<usize, Vec<u64>>,
-    /// When each process of a node began.
-    pub began: Vec<Vec<u64>>,
-    /// When each node was suspended.
+    /// By node, when its graceful shutdowns began.
+    pub shutdowns: BTreeMap<usize, Vec<u64>>,
+    /// By node, when its processes started.
+    pub process_starts: Vec<Vec<u64>>,
+    /// By node, when it was suspended.
     pub suspensions: Vec<Vec<Span>>,
     /// Whether a node runs at the end, and is not shutting down.
     pub running: Vec<bool>,
@@ -87,8 +88,8 @@
             unhealthy: vec![Vec::new(); nodes],
             cuts: Vec::new(),
             degraded: Vec::new(),
-            left: BTreeMap::new(),
-            began: vec![Vec::new(); nodes],
+            shutdowns: BTreeMap::new(),
+            process_starts: vec![Vec::new(); nodes],
             suspensions: vec![Vec::new(); nodes],
             running: vec![false; nodes],
         };
@@ -107,7 +108,7 @@
             HistoryEvent::Began { node } => {
                 close(&mut self.unhealthy[*node], at);
                 self.unhealthy[*node].push(Span::instant(at));
-                self.began[*node].push(at);
+                self.process_starts[*node].push(at);
                 self.running[*node] = true;
             }
             HistoryEvent::Ended { node } => {
@@ -126,7 +127,7 @@
             Fault::Kill { nodes } => nodes.iter().for_each(|node| self.record_exit(*node, at)),
             Fault::Leave { nodes } => nodes.iter().for_each(|node| {
                 self.record_exit(*node, at);
-                self.left.entry(*node).or_default().push(at);
+                self.shutdowns.entry(*node).or_default().push(at);
             }),
             Fault::Suspend { nodes } => nodes
                 .iter()
@@ -198,20 +199,20 @@
         }
     }
 
-    /// Whether the node itself gave reason, from `start` to `end`, to be declared dead.
+    /// Whether the node itself, between `start` and `end`, could cause its declaration of death.
     pub fn was_unhealthy(&self, node: usize, start: u64, end: u64) -> bool {
         self.unhealthy[node]
             .iter()
             .any(|span| span.overlaps(start, end))
     }
 
-    /// Whether all links were so bad, from `start` to `end`, that suspicions are to be expected.
+    /// Whether all links, at some time between `start` and `end`, were so degraded that suspicions are expected.
     pub fn was_degraded(&self, start: u64, end: u64) -> bool {
         self.degraded.iter().any(|span| span.overlaps(start, end))
     }
 
-    /// Whether a cut, from `start` to `end`, separated the node from more than one other. A single broken
-    /// link is no reason to declare a node dead, as there are indirect probers.
+    /// Whether the node, between `start` and `end`, was part of a cut of more than one link. A single broken
+    /// link doesn't justify declaring a node dead, as indirect probes go around it.
     pub fn was_partitioned(&self, node: usize, start: u64, end: u64) -> bool {
         let mut cuts = self.cuts.iter().filter(|cut| cut.span.overlaps(start, end));
         cuts.any(|cut| {
@@ -220,8 +221,8 @@
         })
     }
 
-    /// The spans in which cuts stopped everything from this node to all others, and from all others to it.
-    pub fn isolated(&self, node: usize) -> Vec<Span> {
+    /// The spans in which cuts dropped all datagrams between this node and the others, in both directions.
+    pub fn isolation_spans(&self, node: usize) -> Vec<Span> {
         let all_others =
             |nodes: &[usize]| (0..self.running.len()).all(|id| id == node || nodes.contains(&id));
         let outward = self
--- a/crates/fault-harness/src/history.rs
+++ b/crates/fault-harness/src/history.rs
@@ -1,5 +1,5 @@
-//! The joint history of a run: what the harness did and what each node reported, by time. In a file, one
-//! JSON object a line.
+//! The joint history of a run: the harness's actions and the nodes' reports, by time. A history file has one
+//! JSON object per line.
 
 use std::fmt::Write as _;
 
@@ -61,7 +61,7 @@
     Status {
         /// The node that answered.
         node: usize,
-        /// Whether it takes itself for isolated.
+        /// Whether the node considers itself isolated.
         #[serde(alias = "cut_off")]
         isolated: bool,
         /// Digest of its view; equal for equal views.
@@ -95,17 +95,17 @@
 pub struct History {
     /// Number of nodes.
     pub nodes: usize,
-    /// Events, by time once sorted.
+    /// Events; sorted by time after [`History::sort`].
     pub entries: Vec<Entry>,
 }
 
 /// A history file that cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
-    /// The first line does not say the number of nodes.
-    #[error("line 1: the number of nodes is wanted")]
+    /// The first line lacks the number of nodes.
+    #[error("line 1: the number of nodes is missing")]
     NodeCountMissing,
-    /// A line is no valid entry.
+    /// A line is not a valid entry.
     #[error("line {line}: {source}")]
     InvalidLine {
         /// Number of the line, from 1.
@@ -115,9 +115,10 @@
     },
 }
 
-/// The present name of a change or state that earlier builds wrote in logs and histories; others unchanged.
+/// Translates names of changes and states that earlier builds write in logs and histories to the current
+/// ones. Other names are returned unchanged.
 ///
-/// Nodes of an earlier build may run beside newer ones, and their reports are judged alike.
+/// Nodes of an earlier build may run beside newer ones, and their reports are checked in the same way.
 pub fn current_name(written: &str) -> &str {
     match written {
         "lost" => "dead",
@@ -135,7 +136,7 @@
 }
 
 impl Entry {
-    /// The entry, with names of earlier builds replaced by the present ones.
+    /// The entry, with names of earlier builds replaced by the current ones.
     fn with_current_names(mut self) -> Entry {
         match &mut self.event {
             HistoryEvent::MemberChange { change, .. } => *change = current_name(change).to_string(),
@@ -158,7 +159,7 @@
         self.entries.push(Entry { at_ms, event });
     }
 
-    /// Sorts entries, which several threads recorded, by time.
+    /// Sorts the entries by time; several threads record them.
     pub fn sort(&mut self) {
         self.entries.sort_by_key(|entry| entry.at_ms);
     }
--- a/crates/fault-harness/src/load.rs
+++ b/crates/fault-harness/src/load.rs
@@ -1,5 +1,5 @@
 //! Load for the tests of budgets: callers that together send more than the budgets admit, most of it to one
-//! node that changes, and a server that records each run.
+//! node at a time, and a server that records each run.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 
 /// Share of requests that go to the preferred node, where there is one.
 const PREFERRED_SHARE: f64 = 0.6;
-/// Requests that a caller has in flight at once at the most. With fewer, callers that wait for slow answers would send
-/// less than the budgets admit, and nothing could be exceeded.
-const REQUESTS_IN_FLIGHT: u32 = 8;
-/// The server's concurrency, as the installation file says it.
+/// Greatest number of concurrent requests of a caller. With fewer, callers that wait for slow answers would send less
+/// than the budgets admit, and no limit could be exceeded.
+const MAX_CALLER_CONCURRENCY: u32 = 8;
+/// The server's concurrency limit in the installation file.
 const SERVER_CONCURRENCY: u32 = 64;
 
 /// How callers send requests, and how long the server runs them.
@@ -30,15 +30,15 @@
 pub struct LoadProfile {
     /// Number of callers.
     pub callers: usize,
-    /// Pause between two requests of a caller while answers come at once.
+    /// Mean pause between two requests of a caller if answers are immediate.
     pub pause: Duration,
-    /// After this time the next node is preferred; `None`: all nodes alike.
+    /// Time for which each node in turn is preferred; `None`: no node is preferred.
     pub preferred_for: Option<Duration>,
     /// Run time of a request.
     pub run_time: Duration,
 }
 
-/// One request as its caller knows it. Times are in Unix ms.
+/// One request as its caller recorded it. Times are in Unix ms.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// Identifier of the attempt.
@@ -75,7 +75,7 @@
     pub runs: Vec<(u64, u64)>,
 }
 
-/// One of the [`REQUESTS_IN_FLIGHT`] of a caller: sends one request after the other.
+/// One of the [`MAX_CALLER_CONCURRENCY`] senders of a caller, which sends one request after another.
 struct Sender {
     profile: LoadProfile,
     addresses: Vec<SocketAddr>,
@@ -110,7 +110,7 @@
     /// Starts the callers, which send to the nodes at these addresses.
     pub fn start(&mut self, addresses: &[SocketAddr], seed: u64) {
         let started = Instant::now();
-        let senders = self.profile.callers as u64 * u64::from(REQUESTS_IN_FLIGHT);
+        let senders = self.profile.callers as u64 * u64::from(MAX_CALLER_CONCURRENCY);
         for index in 0..senders {
             let sender = Sender {
                 profile: self.profile,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Stops the callers, once each has the answer to its last request.
+    /// Stops the callers and waits for the answers to their last requests.
     pub fn finish(mut self) -> LoadReport {
         self.is_over.store(true, Ordering::Relaxed);
         let senders = std::mem::take(&mut self.senders).into_iter();
@@ -170,7 +170,7 @@
             let node = self.choose_node(started.elapsed());
             let keyed = self.random.bool();
             self.send(node, keyed);
-            std::thread::sleep(self.profile.pause * REQUESTS_IN_FLIGHT);
+            std::thread::sleep(self.profile.pause * MAX_CALLER_CONCURRENCY);
         }
         self.requests
     }
@@ -178,8 +178,8 @@
     fn choose_node(&mut self, elapsed: Duration) -> usize {
         let nodes = self.addresses.len();
         let preferred = self.profile.preferred_for.map(|each| {
-            let turns = elapsed.as_millis() / each.as_millis().max(1);
-            turns as usize % nodes
+            let periods = elapsed.as_millis() / each.as_millis().max(1);
+            periods as usize % nodes
         });
         match preferred {
             Some(preferred) if self.random.f64() < PREFERRED_SHARE => preferred,
--- a/crates/fault-harness/src/processes.rs
+++ b/crates/fault-harness/src/processes.rs
@@ -1,6 +1,6 @@
-//! Real processes of the program on loopback: their addresses, files and proxies.
+//! A fleet of real node processes on loopback: addresses, files and proxies.
 //!
-//! The modules below start and end processes, read their logs, inject faults, query nodes and run scripts.
+//! The submodules start and end processes, read their logs, inject faults, query nodes and run scripts.
 
 mod faults;
 mod lifecycle;
@@ -29,20 +29,21 @@
 
 pub use run::{run, run_with_older};
 
-/// Ports at each node's own loopback address: of its callers, of its fleet, and of the relay for its fleet.
+/// Ports at each node's own loopback address: for its callers, for its fleet, and of its socket in the relay.
 const LISTENER_PORT: u16 = 9_090;
 const FLEET_PORT: u16 = 7_400;
 const RELAY_PORT: u16 = 7_401;
 /// Nodes that each node contacts to join the fleet.
-const SEEDS: usize = 3;
-/// Each byte of the fleet's key, and their number.
+const SEED_COUNT: usize = 3;
+/// Value of each byte of the fleet's key, and the key's length in bytes.
 const KEY_BYTE: u8 = 0x5a;
 const KEY_BYTES: usize = 32;
 const KEY_FILE: &str = "fleet.key";
-/// Seeds of the proxies before the nodes start here; those of the proxies before the server start at 0.
-const CALLER_PROXY_SEEDS: u64 = 1_000;
+/// First random seed of the proxies in front of nodes; those in front of the server start at 0.
+const FIRST_CALLER_PROXY_SEED: u64 = 1_000;
 
-/// The nodes of one run and what connects them. Every process is killed when it is dropped.
+/// A test rig: the node processes of one run, and the relay and proxies between them. Dropping the rig kills all
+/// processes.
 pub struct Rig {
     program: PathBuf,
     nodes: Vec<Node>,
@@ -64,7 +65,7 @@
 }
 
 struct Node {
-    /// An address of its own; the port is not used.
+    /// The node's own loopback address; the port is unused.
     address: SocketAddr,
     process: Option<Child>,
     is_suspended: bool,
@@ -72,11 +73,11 @@
 
 /// The result of a run on processes.
 pub struct RunResult {
-    /// What happened.
+    /// The joint history.
     pub history: History,
-    /// Datagrams between the nodes.
+    /// Counts of datagrams between the nodes.
     pub relay: RelayCounts,
-    /// Requests of the callers.
+    /// Counts of the callers' requests.
     pub traffic: TrafficCounts,
     /// Violations of the four rules, described.
     pub violations: Vec<String>,
@@ -91,7 +92,7 @@
         }
     }
 
-    fn at_port(&self, port: u16) -> SocketAddr {
+    fn address_with_port(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.address.ip(), port)
     }
 
@@ -106,11 +107,11 @@
     }
 }
 
-/// Further keys of each node's installation file, beside its fleet.
+/// Gives additional keys of a node's installation file, by its number.
 pub type ExtraSettings<'a> = &'a dyn Fn(usize) -> Value;
 
 impl Rig {
-    /// Prepares addresses, files and the relay of so many nodes; none is started.
+    /// Prepares addresses, files and the relay for `node_count` nodes. Starts no node.
     ///
     /// # Errors
     /// The folder can't be created, or the relay can't be opened.
@@ -118,7 +119,12 @@
         let nodes: Vec<Node> = (0..node_count).map(|_| Node::new()).collect();
         let addresses: Vec<(SocketAddr, SocketAddr)> = nodes
             .iter()
-            .map(|node| (node.at_port(FLEET_PORT), node.at_port(RELAY_PORT)))
+            .map(|node| {
+                (
+                    node.address_with_port(FLEET_PORT),
+                    node.address_with_port(RELAY_PORT),
+                )
+            })
             .collect();
         let relay = Relay::open(&addresses, seed)?;
         let folder = create_folder(nodes.first())?;
@@ -154,7 +160,7 @@
         Ok(self
             .server_proxies
             .iter()
-            .map(|proxy| backend.installation(proxy.at))
+            .map(|proxy| backend.installation(proxy.address))
             .collect())
     }
 
@@ -164,21 +170,21 @@
     /// A proxy can't be started.
     pub fn open_caller_proxies(&mut self) -> io::Result<()> {
         for node in 0..self.nodes.len() {
-            let seed = CALLER_PROXY_SEEDS + node as u64;
+            let seed = FIRST_CALLER_PROXY_SEED + node as u64;
             let proxy = TcpProxy::start(self.listener_address(node), seed)?;
             self.caller_proxies.push(proxy);
         }
         Ok(())
     }
 
-    /// The address for callers: of the node, or of the proxy before it.
+    /// The address for callers: that of the proxy in front of the node, if there is one, or else of the node.
     pub fn caller_address(&self, node: usize) -> SocketAddr {
         self.caller_proxies
             .get(node)
-            .map_or(self.listener_address(node), |proxy| proxy.at)
+            .map_or(self.listener_address(node), |proxy| proxy.address)
     }
 
-    /// Starts the run's clock.
+    /// Sets the start of the run to now.
     pub fn start_clock(&mut self) {
         self.began = Instant::now();
     }
@@ -197,12 +203,12 @@
 
     /// The node's own address for callers.
     pub fn listener_address(&self, node: usize) -> SocketAddr {
-        self.nodes[node].at_port(LISTENER_PORT)
+        self.nodes[node].address_with_port(LISTENER_PORT)
     }
 
     /// The node's own address for its fleet, without the relay.
     pub fn fleet_address(&self, node: usize) -> SocketAddr {
-        self.nodes[node].at_port(FLEET_PORT)
+        self.nodes[node].address_with_port(FLEET_PORT)
     }
 
     /// The file of the fleet's key.
@@ -215,10 +221,16 @@
         self.nodes[node].process.as_ref().map(Child::id)
     }
 
-    /// A node's installation file: its fleet, and `extra`, whose objects extend those of the same key.
+    /// A node's installation file: its fleet settings, merged with `extra`, whose objects extend those of the same
+    /// key.
     pub fn installation(&self, node: usize, extra: &Value) -> Value {
-        let relay_address = |node: &Node| node.at_port(RELAY_PORT).to_string();
-        let seeds: Vec<String> = self.nodes.iter().take(SEEDS).map(relay_address).collect();
+        let relay_address = |node: &Node| node.address_with_port(RELAY_PORT).to_string();
+        let seeds: Vec<String> = self
+            .nodes
+            .iter()
+            .take(SEED_COUNT)
+            .map(relay_address)
+            .collect();
         let mut file = json!({"fleet": {
             "name": "rig",
             "listen": self.fleet_address(node).to_string(),
--- a/crates/fault-harness/src/processes/faults.rs
+++ b/crates/fault-harness/src/processes/faults.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a script into processes and what connects them.
+//! Injects the faults of a script into the processes, the relay and the proxies.
 
 use std::io;
 
@@ -12,8 +12,8 @@
 use crate::tcp_proxy::TcpProxy;
 use crate::traffic::ProcessExit;
 
-/// The end of a graceful shutdown, in ms, in which a node may read no more requests.
-const UNREAD_MS: u64 = 300;
+/// Time in ms before the exit of a graceful shutdown in which a node may no longer read requests.
+const UNREAD_BEFORE_EXIT_MS: u64 = 300;
 
 impl Rig {
     /// Injects a fault and records it. `extra` gives the settings of nodes that it starts.
@@ -48,7 +48,7 @@
             Fault::Callers { nodes, conditions } => {
                 set_conditions(&self.caller_proxies, nodes, *conditions);
             }
-            // The relay's.
+            // Injected by the relay.
             Fault::Cut { .. }
             | Fault::Heal { .. }
             | Fault::Links { .. }
@@ -70,8 +70,8 @@
 
     fn shut_down(&mut self, node: usize) {
         self.nodes[node].signal(Signal::TERM);
-        // A request that arrives in the last moments may not be read before the exit.
-        let last_read = unix_ms() + SHUTDOWN_MS - UNREAD_MS;
+        // A request that arrives shortly before the exit may stay unread.
+        let last_read = unix_ms() + SHUTDOWN_MS - UNREAD_BEFORE_EXIT_MS;
         self.exits.push(ProcessExit {
             listener: self.caller_address(node),
             at: last_read,
--- a/crates/fault-harness/src/processes/lifecycle.rs
+++ b/crates/fault-harness/src/processes/lifecycle.rs
@@ -17,13 +17,13 @@
 
 /// Time from SIGTERM to a node's exit, in ms.
 pub(super) const SHUTDOWN_MS: u64 = 1_000;
-/// Log lines a second that a node may write: enough for every member change.
+/// Limit of a node's log lines per second, high enough for every member change.
 const LOG_LINES_PER_S: &str = "5000";
-/// Seeds of the nodes start here.
+/// Random seed of the first node; the others follow.
 const FIRST_SEED: u64 = 0x5eed_0000;
 
 impl Rig {
-    /// Starts a node's process, unless one runs. It is configured with the name of node `named`.
+    /// Starts a node's process, unless one runs. The process gets the name of the node with number `named`.
     ///
     /// # Errors
     /// The program can't be started.
@@ -124,7 +124,7 @@
     }
 
     pub(super) fn kill(&mut self, node: usize) {
-        // Before the signal: a caller may notice the exit sooner than the harness.
+        // Read before the signal, as a caller may notice the exit before the harness does.
         let at = unix_ms();
         self.nodes[node].signal(Signal::KILL);
         if let Some(mut process) = self.nodes[node].process.take() {
@@ -150,7 +150,7 @@
         self.finish_with(None)
     }
 
-    /// As [`Rig::finish`], once the callers have their last answers, which are judged.
+    /// As [`Rig::finish`], after the callers have their last answers, which are checked by the four rules.
     pub fn finish_with(&mut self, traffic: Option<(Traffic, &Backend)>) -> RunResult {
         let (counts, violations) = match traffic {
             Some((traffic, backend)) => traffic.finish(backend, &self.exits_and_breaks()),
@@ -176,11 +176,11 @@
         }
     }
 
-    /// Exits of processes, and connections that a proxy broke, whose requests need no answer either.
+    /// Exits of processes, and connections that a proxy broke: the requests of both need no answer.
     fn exits_and_breaks(&self) -> Vec<ProcessExit> {
         let breaks = self.caller_proxies.iter().flat_map(|proxy| {
             proxy.breaks().into_iter().map(|at| ProcessExit {
-                listener: proxy.at,
+                listener: proxy.address,
                 at,
                 answers_due_before: 0,
             })
--- a/crates/fault-harness/src/processes/log.rs
+++ b/crates/fault-harness/src/processes/log.rs
@@ -8,10 +8,10 @@
 
 use crate::history::{History, HistoryEvent, current_name};
 
-/// Message of the line that reports a member change.
+/// Message of the log lines that report member changes.
 const MEMBER_MESSAGE: &str = "member";
 
-/// Records the member changes that a process logs in the history, until its output ends.
+/// Copies the member changes in a process's log to the history, until the log ends.
 pub(super) fn record_member_changes(
     node: usize,
     output: impl Read,
@@ -29,13 +29,13 @@
     }
 }
 
-/// The member change that a line of JSON reports, also one of an earlier build.
+/// Parses the member change in a JSON log line, of this or an earlier build.
 fn member_change(node: usize, line: &str) -> Option<HistoryEvent> {
     let line: Value = serde_json::from_str(line).ok()?;
     if line["msg"] != MEMBER_MESSAGE {
         return None;
     }
-    // The key of today's builds, then those of earlier ones.
+    // The current key comes first, then that of earlier builds.
     let text = |keys: &[&str]| {
         let value = keys.iter().find_map(|key| line[*key].as_str());
         value.map(str::to_string)
--- a/crates/fault-harness/src/processes/querying.rs
+++ b/crates/fault-harness/src/processes/querying.rs
@@ -7,13 +7,13 @@
 use super::{KEY_BYTE, KEY_BYTES, Rig};
 use crate::history::{HistoryEvent, Member};
 
-/// How long nodes have to reach an expected state. Generous, so that a slow machine changes no verdict.
+/// Time in which nodes have to reach an expected state; long enough that a slow machine doesn't change the verdict.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Pauses between two queries of one node, and of all.
+/// Pause between two queries of one node, and between two rounds of queries of all nodes.
 const QUERY_INTERVAL: Duration = Duration::from_millis(50);
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Number of members that are present in a status.
+/// Number of members that a status shows as present.
 fn present_count(status: &HistoryEvent) -> usize {
     match status {
         HistoryEvent::Status { members, .. } => {
--- a/crates/fault-harness/src/processes/run.rs
+++ b/crates/fault-harness/src/processes/run.rs
@@ -1,4 +1,4 @@
-//! A run of a script on processes, from its start to its end.
+//! Runs a script on real processes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use crate::script::{Fault, Script};
 use crate::traffic::{Backend, Traffic};
 
-/// Runs a script while `callers` send requests to the nodes and one server does their work.
+/// Runs a script while `callers` send requests to the nodes, which share one application server.
 ///
 /// # Errors
 /// A process can't be started, or the relay can't be opened.
@@ -62,7 +62,7 @@
     std::thread::sleep(Duration::from_millis(at_ms.saturating_sub(rig.now_ms())));
 }
 
-/// Updates which nodes are expected to run after a fault.
+/// Updates the set of nodes that are expected to run after a fault.
 fn update_running(running: &mut [bool], fault: &Fault) {
     let is_running = match fault {
         Fault::Kill { .. } | Fault::Leave { .. } => false,
--- a/crates/fault-harness/src/progress.rs
+++ b/crates/fault-harness/src/progress.rs
@@ -1,25 +1,24 @@
-//! Whether every process that runs makes progress.
+//! Checks that every running process makes progress.
 //!
-//! A process that is ready and completes nothing while it is offered work breaks no promise to any one caller:
-//! each request may have been rejected by the rules. It is useless all the same, so it counts as a failure.
-//! All times are Unix milliseconds.
+//! A process that is ready and completes no request may break none of the four rules, as each request may have
+//! been properly rejected. It still counts as a failure. All times are Unix milliseconds.
 
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Bounds of the time for which a process may complete nothing.
+/// Bounds from which a span without a completion is a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProgressBounds {
-    /// A span this long without a completion, in ms, is a failure.
+    /// Shortest length of such a span, in ms.
     pub window_ms: u64,
-    /// Only spans with at least so many offers count.
+    /// Smallest number of offers in such a span.
     pub min_offers: usize,
 }
 
-/// One process: from when it was ready to its end, or to that of the observation.
+/// One process, from when it was ready to its end or the end of the observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessLifetime {
-    /// Where it takes requests.
+    /// Where it accepts requests.
     pub listener: SocketAddr,
     /// When it was ready.
     pub ready_at: u64,
@@ -27,7 +26,7 @@
     pub ended_at: u64,
 }
 
-/// One request that a caller offered to a listener; an attempt that found no connection is one too.
+/// One request that a caller offered to a listener; a refused connection counts as an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer {
     /// The listener.
@@ -38,7 +37,7 @@
     pub completed_at: Option<u64>,
 }
 
-/// A span in which a process completed nothing of what it was offered.
+/// A span in which a process completed none of the requests that it was offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stall {
     /// The listener of the process.
@@ -64,7 +63,7 @@
     }
 }
 
-/// Every span beyond the bounds in which a process that ran completed nothing.
+/// All spans beyond the bounds in which a running process completed nothing.
 pub fn stalls(
     lifetimes: &[ProcessLifetime],
     offers: &[Offer],
@@ -104,8 +103,8 @@
         .collect()
 }
 
-/// The stall between two times of progress. It starts with the first offer: before it there was nothing to
-/// complete.
+/// The stall between two completions, if there is one. A stall starts with the first offer after the first
+/// completion, as there was nothing to complete before.
 fn stall(
     listener: SocketAddr,
     (after, until): (u64, u64),
--- a/crates/fault-harness/src/relay.rs
+++ b/crates/fault-harness/src/relay.rs
@@ -1,8 +1,8 @@
-//! A relay of datagrams between nodes: it has a stand-in socket for each node, whose address the node
+//! A relay of datagrams between nodes. It has a proxy socket for each node, whose address the node
 //! advertises to the others.
 //!
-//! A datagram that reaches a node's stand-in was sent by the node whose address it bears. So the relay knows
-//! its link, applies the link's faults, and forwards it from the sender's own stand-in.
+//! The proxy socket at which a datagram arrives identifies the receiver, its source address the sender. The relay
+//! applies the faults of that link, and forwards the datagram from the sender's proxy socket.
 
 mod forwarder;
 
@@ -16,7 +16,7 @@
 use self::forwarder::Forwarder;
 use crate::script::Fault;
 
-/// The present faults of links, by pairs of nodes (from, to) or for all.
+/// The current faults of links, by pairs of nodes (from, to) or for all links.
 #[derive(Default)]
 struct Rules {
     cuts: BTreeMap<(usize, usize), u32>,
@@ -51,14 +51,14 @@
 }
 
 impl Relay {
-    /// Opens a relay for nodes, each with its real address and that of its stand-in.
+    /// Opens a relay for nodes, each given by its real address and that of its proxy socket.
     ///
     /// # Errors
-    /// A stand-in's socket can't be bound.
+    /// A proxy socket can't be bound.
     pub fn open(nodes: &[(SocketAddr, SocketAddr)], seed: u64) -> io::Result<Relay> {
         let mut sockets = Vec::new();
-        for (_, stand_in) in nodes {
-            let socket = UdpSocket::bind(stand_in)?;
+        for (_, proxy_address) in nodes {
+            let socket = UdpSocket::bind(proxy_address)?;
             socket.set_nonblocking(true)?;
             sockets.push(socket);
         }
@@ -78,7 +78,7 @@
         Ok(relay)
     }
 
-    /// Injects a fault, if it is one of links between nodes.
+    /// Injects a fault of the links between nodes; ignores other faults.
     pub fn inject(&self, fault: &Fault) {
         let mut rules = self.rules.lock().unwrap_or_else(PoisonError::into_inner);
         match fault {
@@ -89,14 +89,14 @@
             }
             Fault::Heal { from, to } => {
                 for pair in pairs(from, to) {
-                    let left = rules
+                    let remaining = rules
                         .cuts
                         .get(&pair)
                         .map_or(0, |count| count.saturating_sub(1));
-                    if left == 0 {
+                    if remaining == 0 {
                         rules.cuts.remove(&pair);
                     } else {
-                        rules.cuts.insert(pair, left);
+                        rules.cuts.insert(pair, remaining);
                     }
                 }
             }
--- a/crates/fault-harness/src/relay/forwarder.rs
+++ b/crates/fault-harness/src/relay/forwarder.rs
@@ -1,4 +1,4 @@
-//! The relay's thread.
+//! The relay's thread, which receives, delays and forwards datagrams.
 
 use std::cmp::{Ordering as Order, Reverse};
 use std::collections::binary_heap::PeekMut;
@@ -10,23 +10,23 @@
 
 use super::{RelayCounts, Rules};
 
-/// Bound of a datagram.
+/// Greatest size of a datagram in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// Datagrams queued at once; further ones are dropped.
+/// Greatest number of queued datagrams; further ones are dropped.
 const MAX_QUEUED: usize = 100_000;
-/// Bytes of IP and UDP headers of each datagram.
+/// Size of the IP and UDP headers of a datagram in bytes.
 const HEADER_BYTES: u64 = 28;
-/// Pause of the relay when no datagram arrives.
+/// Pause after a pass in which no datagram arrived.
 const IDLE_PAUSE: Duration = Duration::from_micros(300);
-/// Datagrams to each node that are retained for a replay.
+/// Greatest number of datagrams to each node that are retained for a replay.
 const MAX_RETAINED: usize = 300;
-/// On a throttled link, a datagram that would wait longer is dropped, as by a full queue.
+/// Longest wait for a throttled link; datagrams that would wait longer are dropped, as by a full queue.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(1);
 
-/// A datagram to be forwarded at a time.
+/// A datagram and when it is to be forwarded.
 struct Queued {
     at: Instant,
-    /// Order of arrival, among those of one time.
+    /// Order of arrival, which orders datagrams with equal times.
     sequence: u64,
     from: usize,
     to: usize,
@@ -53,36 +53,36 @@
     }
 }
 
-/// Receives datagrams and forwards them under the present rules.
+/// Receives datagrams and forwards them under the current rules.
 pub(super) struct Forwarder {
     sockets: Vec<UdpSocket>,
-    real: Vec<SocketAddr>,
+    node_addresses: Vec<SocketAddr>,
     by_address: BTreeMap<SocketAddr, usize>,
     rules: Arc<Mutex<Rules>>,
     counts: Arc<Mutex<RelayCounts>>,
     queue: BinaryHeap<Reverse<Queued>>,
-    /// By receiving node, the last datagrams: the sending node, and the bytes.
+    /// By receiving node, the last datagrams with their senders.
     retained: Vec<VecDeque<(usize, Vec<u8>)>>,
     random: fastrand::Rng,
     sequence: u64,
-    /// When a throttled link will have sent what it accepted.
+    /// By throttled link, when it will have sent all accepted datagrams.
     free_at: BTreeMap<(usize, usize), Instant>,
 }
 
 impl Forwarder {
-    /// A forwarder between nodes, each with the socket of its stand-in and its real address.
+    /// A forwarder between nodes, each given by its proxy socket and its node_addresses address.
     pub(super) fn new(
         sockets: Vec<UdpSocket>,
-        real: Vec<SocketAddr>,
+        node_addresses: Vec<SocketAddr>,
         rules: &Arc<Mutex<Rules>>,
         counts: &Arc<Mutex<RelayCounts>>,
         seed: u64,
     ) -> Forwarder {
-        let by_address = real.iter().copied().zip(0..).collect();
+        let by_address = node_addresses.iter().copied().zip(0..).collect();
         Forwarder {
             retained: vec![VecDeque::new(); sockets.len()],
             sockets,
-            real,
+            node_addresses,
             by_address,
             rules: rules.clone(),
             counts: counts.clone(),
@@ -126,7 +126,7 @@
                 return;
             }
             let Reverse(queued) = PeekMut::pop(due);
-            _ = self.sockets[queued.from].send_to(&queued.bytes, self.real[queued.to]);
+            _ = self.sockets[queued.from].send_to(&queued.bytes, self.node_addresses[queued.to]);
         }
     }
 
@@ -137,12 +137,12 @@
         };
         for to in nodes.into_iter().filter(|to| *to < self.retained.len()) {
             for (from, bytes) in &self.retained[to] {
-                _ = self.sockets[*from].send_to(bytes, self.real[to]);
+                _ = self.sockets[*from].send_to(bytes, self.node_addresses[to]);
             }
         }
     }
 
-    /// Applies the faults of its link to a datagram, and queues what passes.
+    /// Applies the link's faults to a datagram, and queues it unless it is dropped.
     fn forward(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let rules = self.rules.clone();
         let rules = rules.lock().unwrap_or_else(PoisonError::into_inner);
@@ -174,13 +174,13 @@
             1
         };
         for _ in 0..copies {
-            // Drawn for each copy, so that datagrams overtake one another.
+            // Each copy has its own random delay, so that datagrams are reordered.
             let delay = Duration::from_micros(self.random.u64(0..=rules.delay_ms * 2_000));
             self.schedule(sent_at + delay, from, to, bytes.clone());
         }
     }
 
-    /// When a link, throttled or not, will have sent a datagram of `size` bytes.
+    /// When a link will have sent a datagram of `size` bytes; `now` if the link is not throttled.
     fn transmission_end(
         &self,
         from: usize,
@@ -196,7 +196,7 @@
         free_at.unwrap_or(now).max(now) + Duration::from_micros(micros)
     }
 
-    /// The datagram, with one byte changed at this probability.
+    /// A copy of the datagram, with one byte changed with this probability.
     fn garble(&mut self, bytes: &[u8], probability: f64) -> Vec<u8> {
         let mut bytes = bytes.to_vec();
         if self.random.f64() < probability && !bytes.is_empty() {
--- a/crates/fault-harness/src/script.rs
+++ b/crates/fault-harness/src/script.rs
@@ -5,11 +5,11 @@
 use schemars::{JsonSchema, schema_for};
 use serde::{Deserialize, Serialize};
 
-/// Bound of the nodes of a run on real processes.
+/// Greatest number of nodes in a run on real processes.
 pub const MAX_PROCESSES: usize = 50;
-/// Bound of the nodes of a run in simulated time.
-pub const MAX_SIMULATED: usize = 5_000;
-/// Bound of a script's faults.
+/// Greatest number of nodes in a run in simulated time.
+pub const MAX_SIMULATED_NODES: usize = 5_000;
+/// Greatest number of faults in a script.
 const MAX_FAULTS: usize = 10_000;
 
 /// A script: some nodes, and the faults of one run.
@@ -123,22 +123,22 @@
 /// A script that cannot be run. Each message starts with the path of the key.
 #[derive(Debug, thiserror::Error)]
 pub enum ScriptError {
-    /// The text is no JSON of a script.
+    /// The text is not valid JSON, or not a script.
     #[error("script.{}: {}", .0.path(), .0.inner())]
     Syntax(#[from] serde_path_to_error::Error<serde_json::Error>),
     /// The number of nodes is out of range.
-    #[error("script.nodes: 1 to {MAX_SIMULATED} are wanted, found {found}")]
+    #[error("script.nodes: 1 to {MAX_SIMULATED_NODES} are allowed, found {found}")]
     NodeCount {
         /// The number found.
         found: usize,
     },
     /// Too many nodes for a run on processes.
-    #[error("script.nodes: at most {MAX_PROCESSES} processes are played")]
+    #[error("script.nodes: at most {MAX_PROCESSES} are allowed on real processes")]
     TooManyProcesses,
     /// There are more faults than a script may have.
-    #[error("script.faults: at most {MAX_FAULTS} are wanted")]
+    #[error("script.faults: at most {MAX_FAULTS} are allowed")]
     TooManyFaults,
-    /// A fault names a node that there is not.
+    /// A fault names a node that doesn't exist.
     #[error("script.faults[{index}]: there is no node {node}")]
     UnknownNode {
         /// Index of the fault.
@@ -147,7 +147,7 @@
         node: usize,
     },
     /// A probability of a fault is out of range.
-    #[error("script.faults[{index}]: shares from 0 to 1 are wanted")]
+    #[error("script.faults[{index}]: probabilities must be from 0 to 1")]
     Probability {
         /// Index of the fault.
         index: usize,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The probabilities among its parameters.
+    /// The probabilities among the fault's parameters.
     fn probabilities(&self) -> Vec<f64> {
         match self {
             Fault::Links {
@@ -202,7 +202,7 @@
     }
 
     fn validate(&self) -> Result<(), ScriptError> {
-        if !(1..=MAX_SIMULATED).contains(&self.nodes) {
+        if !(1..=MAX_SIMULATED_NODES).contains(&self.nodes) {
             return Err(ScriptError::NodeCount { found: self.nodes });
         }
         if self.faults.len() > MAX_FAULTS {
@@ -221,7 +221,7 @@
         Ok(())
     }
 
-    /// The faults by time; those of one time in the script's order.
+    /// The faults by time. Faults with equal times keep the script's order.
     pub fn faults_by_time(&self) -> Vec<TimedFault> {
         let mut faults = self.faults.clone();
         faults.sort_by_key(|timed| timed.at_ms);
--- a/crates/fault-harness/src/script/seeded.rs
+++ b/crates/fault-harness/src/script/seeded.rs
@@ -4,13 +4,13 @@
 
 use super::{Fault, NetworkConditions, Script, TimedFault};
 
-/// Time before the first trouble, and after the last, in ms.
-const FIRST_AT: u64 = 3_000;
-const CALM_AT_END: u64 = 12_000;
-/// From a node's leave to its earliest start, in ms: it may take a second to exit.
-const EXIT_TIME: u64 = 1_500;
-/// From that start to the replay of old datagrams, in ms.
-const REPLAY_AFTER: u64 = 300;
+/// Time before the first disruption, and without faults after the last, in ms.
+const FIRST_DISRUPTION_MS: u64 = 3_000;
+const FAULT_FREE_END_MS: u64 = 12_000;
+/// Shortest time from a node's leave to its start, in ms; a node may take a second to exit.
+const MAX_EXIT_DURATION_MS: u64 = 1_500;
+/// Time from that start to the replay of old datagrams, in ms.
+const REPLAY_DELAY_MS: u64 = 300;
 
 /// The faults generated so far.
 struct Generator {
@@ -18,32 +18,32 @@
     faults: Vec<TimedFault>,
 }
 
-/// When a trouble begins and ends, in ms, and the nodes it concerns.
-struct Trouble {
+/// A disruption: its start and end, in ms, the affected nodes, and the others.
+struct Disruption {
     start: u64,
     end: u64,
-    few: Vec<usize>,
-    rest: Vec<usize>,
+    affected: Vec<usize>,
+    others: Vec<usize>,
 }
 
 impl Script {
-    /// A script of so many `troubles` one after the other, each ended after a while, and no fault at the end.
-    /// The same arguments always give the same script.
-    pub fn seeded(seed: u64, nodes: usize, troubles: usize) -> Script {
+    /// A script of several consecutive disruptions, each of which ends before the next. No fault is active at the
+    /// end. The same arguments always give the same script.
+    pub fn seeded(seed: u64, nodes: usize, disruptions: usize) -> Script {
         let mut generator = Generator {
             random: Rng::with_seed(seed),
             faults: Vec::new(),
         };
-        let mut at = FIRST_AT;
-        for _ in 0..troubles {
-            let trouble = generator.trouble(at, nodes);
-            let end = trouble.end;
-            generator.add(trouble);
+        let mut at = FIRST_DISRUPTION_MS;
+        for _ in 0..disruptions {
+            let disruption = generator.disruption(at, nodes);
+            let end = disruption.end;
+            generator.add(disruption);
             at = end + generator.random.u64(1_500..4_000);
         }
         Script {
             nodes,
-            duration_ms: at + CALM_AT_END,
+            duration_ms: at + FAULT_FREE_END_MS,
             seed,
             faults: generator.faults,
         }
@@ -55,44 +55,52 @@
         self.faults.push(TimedFault { at_ms, fault });
     }
 
-    /// Up to half of the nodes, and the others.
-    fn trouble(&mut self, start: u64, nodes: usize) -> Trouble {
+    /// A disruption from `start` on, of up to half of the nodes.
+    fn disruption(&mut self, start: u64, nodes: usize) -> Disruption {
         let duration = self.random.u64(300..6_000);
         let mut shuffled: Vec<usize> = (0..nodes).collect();
         self.random.shuffle(&mut shuffled);
-        let (few, rest) = shuffled.split_at(self.random.usize(1..=(nodes / 2).max(1)));
-        Trouble {
+        let (affected, others) = shuffled.split_at(self.random.usize(1..=(nodes / 2).max(1)));
+        Disruption {
             start,
             end: start + duration,
-            few: few.to_vec(),
-            rest: rest.to_vec(),
+            affected: affected.to_vec(),
+            others: others.to_vec(),
         }
     }
 
-    fn add(&mut self, trouble: Trouble) {
+    fn add(&mut self, disruption: Disruption) {
         match self.random.u32(0..8) {
-            0 => self.crash(trouble),
-            1 => self.pause(trouble),
-            2 => self.partition(trouble),
-            3 => self.cut_one_way(trouble),
-            4 => self.degrade_links(trouble),
-            5 => self.degrade_connections(trouble),
-            6 => self.leave(trouble),
-            _ => self.restart(trouble),
+            0 => self.crash(disruption),
+            1 => self.pause(disruption),
+            2 => self.partition(disruption),
+            3 => self.cut_one_way(disruption),
+            4 => self.degrade_links(disruption),
+            5 => self.degrade_connections(disruption),
+            6 => self.leave(disruption),
+            _ => self.restart(disruption),
         }
     }
 
     fn crash(
         &mut self,
-        Trouble {
-            start, end, few, ..
-        }: Trouble,
+        Disruption {
+            start,
+            end,
+            affected,
+            ..
+        }: Disruption,
     ) {
-        self.put(start, Fault::Kill { nodes: few.clone() });
+        self.put(
+            start,
+            Fault::Kill {
+                nodes: affected.clone(),
+            },
+        );
         self.put(
             end,
             Fault::Start {
-                nodes: few,
+                nodes: affected,
                 clock_ms: 0,
             },
         );
@@ -100,79 +108,87 @@
 
     fn pause(
         &mut self,
-        Trouble {
-            start, end, few, ..
-        }: Trouble,
+        Disruption {
+            start,
+            end,
+            affected,
+            ..
+        }: Disruption,
     ) {
-        self.put(start, Fault::Suspend { nodes: few.clone() });
-        self.put(end, Fault::Resume { nodes: few });
+        self.put(
+            start,
+            Fault::Suspend {
+                nodes: affected.clone(),
+            },
+        );
+        self.put(end, Fault::Resume { nodes: affected });
     }
 
     fn partition(
         &mut self,
-        Trouble {
+        Disruption {
             start,
             end,
-            few,
-            rest,
-        }: Trouble,
+            affected,
+            others,
+        }: Disruption,
     ) {
         self.put(
             start,
             Fault::Cut {
-                from: few.clone(),
-                to: rest.clone(),
+                from: affected.clone(),
+                to: others.clone(),
             },
         );
         self.put(
             start,
             Fault::Cut {
-                from: rest.clone(),
-                to: few.clone(),
+                from: others.clone(),
+                to: affected.clone(),
             },
         );
         self.put(
             end,
             Fault::Heal {
-                from: few.clone(),
-                to: rest.clone(),
+                from: affected.clone(),
+                to: others.clone(),
             },
         );
         self.put(
             end,
             Fault::Heal {
-                from: rest,
-                to: few,
+                from: others,
+                to: affected,
             },
         );
     }
 
     fn cut_one_way(
         &mut self,
-        Trouble {
+        Disruption {
             start,
             end,
-            few,
-            rest,
-        }: Trouble,
+            affected,
+            others,
+        }: Disruption,
     ) {
         self.put(
             start,
             Fault::Cut {
-                from: few.clone(),
-                to: rest.clone(),
+                from: affected.clone(),
+                to: others.clone(),
             },
         );
         self.put(
             end,
             Fault::Heal {
-                from: few,
-                to: rest,
+                from: affected,
+                to: others,
             },
         );
     }
 
-    fn degrade_links(&mut self, Trouble { start, end, .. }: Trouble) {
+    fn degrade_links(&mut self, Disruption { start, end, .. }: Disruption) {
         let loss = self.random.f64() * 0.15;
         let delay_ms = self.random.u64(0..30);
         self.put(
@@ -195,12 +211,15 @@
         );
     }
 
-    /// Degrades connections to the server, or those of callers.
+    /// Degrades the connections to the server, or those from callers.
     fn degrade_connections(
         &mut self,
-        Trouble {
-            start, end, few, ..
-        }: Trouble,
+        Disruption {
+            start,
+            end,
+            affected,
+            ..
+        }: Disruption,
     ) {
         let cut = self.random.bool();
         let delay_ms = self.random.u64(0..40);
@@ -211,48 +230,63 @@
             broken,
             bytes_a_second: 0,
         };
-        let calm = NetworkConditions::default();
+        let unimpaired = NetworkConditions::default();
         let fault: fn(Vec<usize>, NetworkConditions) -> Fault = if self.random.bool() {
             |nodes, conditions| Fault::Server { nodes, conditions }
         } else {
             |nodes, conditions| Fault::Callers { nodes, conditions }
         };
-        self.put(start, fault(few.clone(), conditions));
-        self.put(end, fault(few, calm));
+        self.put(start, fault(affected.clone(), conditions));
+        self.put(end, fault(affected, unimpaired));
     }
 
-    /// Old datagrams are replayed once the nodes that left have started again.
+    /// Has nodes leave and start again, and then replays old datagrams to the others.
     fn leave(
         &mut self,
-        Trouble {
+        Disruption {
             start,
             end,
-            few,
-            rest,
-        }: Trouble,
+            affected,
+            others,
+        }: Disruption,
     ) {
-        self.put(start, Fault::Leave { nodes: few.clone() });
         self.put(
-            end + EXIT_TIME,
+            start,
+            Fault::Leave {
+                nodes: affected.clone(),
+            },
+        );
+        self.put(
+            end + MAX_EXIT_DURATION_MS,
             Fault::Start {
-                nodes: few,
+                nodes: affected,
                 clock_ms: 0,
             },
         );
         self.put(
-            end + EXIT_TIME + REPLAY_AFTER,
-            Fault::Replay { nodes: rest },
+            end + MAX_EXIT_DURATION_MS + REPLAY_DELAY_MS,
+            Fault::Replay { nodes: others },
         );
     }
 
-    /// Restarts at once, with the clock set back.
-    fn restart(&mut self, Trouble { start, few, .. }: Trouble) {
-        self.put(start, Fault::Kill { nodes: few.clone() });
+    /// Restarts nodes immediately, with their clocks set back.
+    fn restart(
+        &mut self,
+        Disruption {
+            start, affected, ..
+        }: Disruption,
+    ) {
+        self.put(
+            start,
+            Fault::Kill {
+                nodes: affected.clone(),
+            },
+        );
         let clock_ms = -self.random.i64(0..2_000);
         self.put(
             start,
             Fault::Start {
-                nodes: few,
+                nodes: affected,
                 clock_ms,
             },
         );
--- a/crates/fault-harness/src/shrink.rs
+++ b/crates/fault-harness/src/shrink.rs
@@ -2,8 +2,8 @@
 
 use crate::script::Script;
 
-/// Removes faults from a failing script, half of them at first and one at a time in the end, as long as
-/// `fails` holds for the rest. `fails` is called at most `max_runs` times.
+/// Removes faults from a failing script in chunks, from half of the faults down to single ones, and keeps each
+/// removal after which `fails` still returns true. `fails` is called at most `max_runs` times.
 pub fn shrink(script: &Script, max_runs: usize, mut fails: impl FnMut(&Script) -> bool) -> Script {
     let mut smallest = script.clone();
     let (mut chunk, mut runs_left) = (smallest.faults.len().div_ceil(2), max_runs);
--- a/crates/fault-harness/src/tcp_proxy.rs
+++ b/crates/fault-harness/src/tcp_proxy.rs
@@ -1,5 +1,5 @@
 //! A TCP proxy between one node and its server, or between a node and its callers: it forwards connections
-//! under the [`NetworkConditions`] of the moment.
+//! under the current [`NetworkConditions`].
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,21 +12,21 @@
 
 use crate::script::NetworkConditions;
 
-/// Bytes forwarded at once.
-const CHUNK: usize = 8_192;
-/// How often a connection checks whether the proxy has ended, or a cut has been mended.
+/// Greatest number of bytes forwarded at once.
+const MAX_CHUNK_BYTES: usize = 8_192;
+/// How often a connection checks whether the proxy has ended, or a cut has been healed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A proxy that runs until it is dropped.
 pub struct TcpProxy {
-    /// Where it listens.
-    pub at: SocketAddr,
+    /// Address at which the proxy listens.
+    pub address: SocketAddr,
     conditions: Arc<Mutex<NetworkConditions>>,
     breaks: Breaks,
     is_over: Arc<AtomicBool>,
 }
 
-/// When, in Unix ms, the proxy itself closed or held up a connection.
+/// Times, in Unix ms, at which the proxy itself closed or delayed a connection.
 type Breaks = Arc<Mutex<Vec<u64>>>;
 
 fn record_break(breaks: &Breaks) {
@@ -37,32 +37,32 @@
 }
 
 impl TcpProxy {
-    /// Starts a proxy that forwards to `target` what reaches its own address, [`TcpProxy::at`].
+    /// Starts a proxy that forwards connections from its own address, [`TcpProxy::address`], to `target`.
     ///
     /// # Errors
     /// The listening socket, or the thread, can't be created.
     pub fn start(target: SocketAddr, seed: u64) -> io::Result<TcpProxy> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let stream = TcpProxy {
-            at: listener.local_addr()?,
+        let proxy = TcpProxy {
+            address: listener.local_addr()?,
             conditions: Arc::default(),
             breaks: Arc::default(),
             is_over: Arc::default(),
         };
         let acceptor = Acceptor {
             target,
-            conditions: stream.conditions.clone(),
-            breaks: stream.breaks.clone(),
-            is_over: stream.is_over.clone(),
+            conditions: proxy.conditions.clone(),
+            breaks: proxy.breaks.clone(),
+            is_over: proxy.is_over.clone(),
             random: fastrand::Rng::with_seed(seed),
         };
         thread::Builder::new()
             .name("stream".into())
             .spawn(move || acceptor.run(&listener))?;
-        Ok(stream)
+        Ok(proxy)
     }
 
-    /// Replaces the conditions of all connections, also of open ones.
+    /// Replaces the conditions of all connections, including open ones.
     pub fn set_conditions(&self, conditions: NetworkConditions) {
         *self
             .conditions
@@ -70,7 +70,7 @@
             .unwrap_or_else(PoisonError::into_inner) = conditions;
     }
 
-    /// When, in Unix ms, the proxy itself closed or held up a connection.
+    /// Times, in Unix ms, at which the proxy itself closed or delayed a connection.
     pub fn breaks(&self) -> Vec<u64> {
         self.breaks
             .lock()
@@ -83,7 +83,7 @@
     fn drop(&mut self) {
         self.is_over.store(true, Ordering::Relaxed);
         // Wakes the accepting thread.
-        _ = TcpStream::connect(self.at);
+        _ = TcpStream::connect(self.address);
     }
 }
 
@@ -98,14 +98,14 @@
 
 impl Acceptor {
     fn run(mut self, listener: &TcpListener) {
-        for near in listener.incoming().map_while(Result::ok) {
+        for client in listener.incoming().map_while(Result::ok) {
             if self.is_over.load(Ordering::Relaxed) {
                 return;
             }
             match TcpStream::connect(self.target) {
-                Ok(far) => {
-                    self.forward(&near, &far);
-                    self.forward(&far, &near);
+                Ok(server) => {
+                    self.forward(&client, &server);
+                    self.forward(&server, &client);
                 }
                 Err(_) => record_break(&self.breaks),
             }
@@ -140,29 +140,29 @@
 }
 
 impl Direction {
-    /// Waits for the end of a cut, and returns the conditions then; a connection held up counts as a break.
+    /// Waits for the end of a cut and returns the conditions then. A connection that had to wait counts as broken.
     fn wait_while_cut(&self) -> NetworkConditions {
-        let mut was_held_up = false;
+        let mut has_waited = false;
         loop {
             let conditions = *self
                 .conditions
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
             if !conditions.cut || self.is_over.load(Ordering::Relaxed) {
-                if was_held_up {
+                if has_waited {
                     // The other side may have timed out meanwhile.
                     record_break(&self.breaks);
                 }
                 return conditions;
             }
-            was_held_up = true;
+            has_waited = true;
             thread::sleep(POLL_INTERVAL);
         }
     }
 
     fn run(mut self) {
         _ = self.from.set_read_timeout(Some(POLL_INTERVAL));
-        let mut bytes = [0; CHUNK];
+        let mut bytes = [0; MAX_CHUNK_BYTES];
         while !self.is_over.load(Ordering::Relaxed) {
             match self.from.read(&mut bytes) {
                 // The other direction may still carry data.
@@ -184,7 +184,7 @@
         _ = self.to.shutdown(Shutdown::Both);
     }
 
-    /// Forwards a chunk under the present conditions. Returns false if the connection is to be closed.
+    /// Forwards a chunk under the current conditions. Returns false if the connection is to be closed.
     fn transmit(&mut self, bytes: &[u8]) -> bool {
         let conditions = self.wait_while_cut();
         if self.random.f64() < conditions.broken {
--- a/crates/fault-harness/src/traffic.rs
+++ b/crates/fault-harness/src/traffic.rs
@@ -1,5 +1,5 @@
 //! Callers that send requests to nodes over FastCGI during a run, and the application server behind all
-//! nodes; what both recorded is judged by the four rules.
+//! nodes. The records of both are checked against the four rules.
 
 mod caller;
 mod records;
@@ -19,9 +19,9 @@
 
 pub use records::{CallerRecords, ProcessExit, TrafficCounts};
 
-/// Time in which a node waits for an answer of the server, in ms.
+/// Time for which a node waits for an answer of the server, in ms.
 const SERVER_TIMEOUT_MS: u64 = 3_000;
-/// The server's concurrency limit, as the installation file says it.
+/// The server's concurrency limit in the installation file.
 const SERVER_CONCURRENCY: u32 = 8;
 /// Run time of a request.
 const RUN_TIME: Duration = Duration::from_millis(3);
@@ -31,7 +31,7 @@
     server: Server,
 }
 
-/// The body with which a run of this attempt is answered; the rules require it of any server.
+/// The body of the answer to an attempt. The rules require it of any server.
 pub fn expected_body(attempt_id: &str) -> Vec<u8> {
     format!("of {attempt_id}").into_bytes()
 }
@@ -47,7 +47,7 @@
         Backend { server }
     }
 
-    /// Where it listens.
+    /// The server's address.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Stops the callers once each has its answer.
+    /// Stops the callers and waits for their last answers.
     pub fn stop(self) -> CallerRecords {
         self.is_over.store(true, Ordering::Relaxed);
         let mut records = CallerRecords::default();
@@ -108,8 +108,8 @@
         records
     }
 
-    /// Stops the callers once each has its answer, and judges by the four rules. Returns the violations,
-    /// described. Requests to processes that exited need no answer.
+    /// Stops the callers, waits for their last answers, and checks the records against the four rules. Returns
+    /// the violations, described. Requests to processes that exited need no answer.
     pub fn finish(self, backend: &Backend, exits: &[ProcessExit]) -> (TrafficCounts, Vec<String>) {
         let records = self.stop();
         let ran: Vec<ExecutedRun> = backend
--- a/crates/fault-harness/src/traffic/caller.rs
+++ b/crates/fault-harness/src/traffic/caller.rs
@@ -1,4 +1,4 @@
-//! One caller.
+//! A caller, which sends requests and records their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,22 +11,22 @@
 
 use super::CallerRecords;
 
-/// Pause after each request, so that callers leave the machine to the nodes.
+/// Pause after each request, which leaves processor time to the nodes.
 const PAUSE: Duration = Duration::from_millis(40);
-/// Listeners to which a request is sent, until it may have run.
+/// Greatest number of listeners to which one request is sent.
 const MAX_LISTENERS: usize = 2;
 /// Attempts of one caller are numbered from its index shifted by this, so that no two callers share one.
 const ATTEMPT_CALLER_SHIFT: u32 = 32;
 
-/// A caller, which sends to one node after the other. A request that is rejected or finds no listener is sent
+/// A caller, which sends requests to randomly chosen nodes. A request that is rejected or finds no listener is sent
 /// once more, to the next node, under the same idempotency key.
 pub(super) struct Caller {
     last_attempt: u64,
     random: fastrand::Rng,
     listeners: Vec<SocketAddr>,
-    /// Named in each request, where the nodes know tenants.
+    /// The tenant that each request names, if any.
     tenant: Option<&'static str>,
-    /// Requests, each with the listener.
+    /// Requests, each with the listener that it was sent to.
     requests: Vec<(SocketAddr, CallerAttempt)>,
     refused: Vec<(SocketAddr, u64)>,
 }
@@ -60,7 +60,7 @@
                 let listener = self.listeners[(first + offset) % self.listeners.len()];
                 match self.send(listener, key.as_deref()) {
                     None | Some(CallerOutcome::Rejected { .. }) => {}
-                    // It may have run, and nodes share no idempotency keys.
+                    // The request may have run, and nodes share no idempotency keys.
                     Some(_) => break,
                 }
             }
@@ -69,7 +69,7 @@
         self
     }
 
-    /// Sends one request. Returns its end, or `None` without a connection.
+    /// Sends one request. Returns its outcome, or `None` if the connection was refused.
     fn send(&mut self, listener: SocketAddr, key: Option<&str>) -> Option<CallerOutcome> {
         self.last_attempt += 1;
         let path = if key.is_some() {
--- a/crates/fault-harness/src/traffic/records.rs
+++ b/crates/fault-harness/src/traffic/records.rs
@@ -1,4 +1,4 @@
-//! What the callers recorded, and its judgement by the four rules.
+//! The callers' records, and their check against the four rules.
 
 use std::net::SocketAddr;
 
@@ -8,21 +8,21 @@
 use super::expected_body;
 use crate::progress::Offer;
 
-/// The deadline of both endpoint groups of the fixture's configuration, and what a slow machine may add, in ms.
+/// The deadline of both endpoint groups of the fixture's configuration, plus a margin for a slow machine, in ms.
 const MAX_ANSWER_MS: u64 = 30_000 + 10_000;
-/// Attempts that a node may make of one request.
+/// Greatest number of attempts that a node may make for one request.
 const MAX_ATTEMPTS: usize = 3;
 /// A request sent this long before an exit, in ms, may have been written to the process that exited.
 const EXIT_MARGIN_MS: u64 = 1_000;
 
-/// What the callers recorded.
+/// The records of the callers.
 #[derive(Debug, Default)]
 pub struct CallerRecords {
     /// Requests, each with the listener that it was sent to.
     pub requests: Vec<(SocketAddr, CallerAttempt)>,
-    /// Listeners that took no connection, and when, in Unix ms.
+    /// Refused connections: the listener and the time in Unix ms.
     pub refused: Vec<(SocketAddr, u64)>,
-    /// Callers whose connection did not end within their long timeout.
+    /// Number of callers whose connection did not end within their timeout.
     pub stalled: usize,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl CallerRecords {
-    /// What was offered to each listener, for [`crate::progress`].
+    /// The offers to all listeners, for [`crate::progress`].
     pub fn offers(&self) -> Vec<Offer> {
         let requests = self.requests.iter().map(|(listener, request)| Offer {
             listener: *listener,
@@ -66,7 +66,7 @@
         requests.chain(refused).collect()
     }
 
-    /// Judges by the four rules. Returns the violations, described. Requests to processes that exited need no
+    /// Checks the records against the four rules. Returns the violations, described. Requests to processes that exited need no
     /// answer.
     pub fn judge(self, ran: &[ExecutedRun], exits: &[ProcessExit]) -> (TrafficCounts, Vec<String>) {
         let requests: Vec<CallerAttempt> = self
@@ -106,7 +106,7 @@
     }
 }
 
-/// Treats a request as abandoned by its caller if its process exited before the answer.
+/// Removes the outcome of a request whose process exited before it answered.
 fn excuse_unanswered(
     listener: SocketAddr,
     mut request: CallerAttempt,
--- a/crates/fault-harness/src/usage.rs
+++ b/crates/fault-harness/src/usage.rs
@@ -1,7 +1,7 @@
-//! Whether a fleet exceeded the limit of a budget, judged by what callers and servers know: when a request
-//! was sent and when it ran. Leases and allocations are not known here.
+//! Checks whether a fleet exceeded the limit of a budget, by the times at which callers sent requests and
+//! servers ran them, without knowledge of leases and allocations.
 
-/// One admitted request. It was admitted at some time between these two, in ms of one clock.
+/// One admitted request. It was admitted at some time between the two times, which are in ms of one clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AdmittedRequest {
     /// When it was sent.
@@ -10,8 +10,8 @@
     pub ran: u64,
 }
 
-/// The first span in which more requests were admitted than `limit` a second and `burst` beyond, whenever
-/// each was admitted between its two times. `None` if there is no such span.
+/// Describes the first span in which more requests were admitted than `limit` per second plus `burst`,
+/// whenever each was admitted between its two times. `None` if there is no such span.
 pub fn rate_exceeded(admitted: &[AdmittedRequest], limit: u32, burst: u32) -> Option<String> {
     let mut by_sent = admitted.to_vec();
     by_sent.sort_unstable();
@@ -32,17 +32,17 @@
     None
 }
 
-/// Requests that a rate admits from `start` to `end`, in ms.
+/// Number of requests that a rate limit admits from `start` to `end`, in ms.
 fn max_admitted(start: u64, end: u64, limit: u32, burst: u32) -> f64 {
     // Times are truncated to whole ms, so a span may be 1 ms longer than it looks.
     let seconds = (end - start + 1) as f64 / 1_000.0;
     f64::from(limit) * seconds + f64::from(burst)
 }
 
-/// The first time at which more than `limit` requests ran at once, by the times in ms at which each began and
-/// ended. `None` if there is no such time.
+/// Describes the first time at which more than `limit` requests ran at once, given the start and end of each
+/// in ms. `None` if there is no such time.
 pub fn concurrency_exceeded(runs: &[(u64, u64)], limit: u32) -> Option<String> {
-    // Times are truncated to whole ms: of an end and a beginning in one ms, the end may have been first.
+    // Times are truncated to whole ms. Of an end and a start in the same ms, the end may have come first.
     let mut edges: Vec<(u64, i32)> = runs
         .iter()
         .filter(|(start, end)| start < end)
@@ -59,7 +59,7 @@
     None
 }
 
-/// The share of a rate's limit that was used from `start` to `end`, in ms, by requests surely admitted then.
+/// The fraction of a rate limit used from `start` to `end`, in ms, by requests certainly admitted in that span.
 pub fn utilization(admitted: &[AdmittedRequest], limit: u32, start: u64, end: u64) -> f64 {
     let count = admitted
         .iter()
