--- a/crates/fault-harness/src/main.rs
+++ b/crates/fault-harness/src/main.rs
@@ -300,7 +300,7 @@
             at_ms: script.duration_ms,
             description,
         }));
-        let served = result.traffic;
+        let served = result.traffic_counts;
         println!(
             "{} exchanges, {} completed, {} asked of processes that were ended",
             served.sent, served.completed, served.unanswered
--- a/crates/fault-harness/src/processes.rs
+++ b/crates/fault-harness/src/processes.rs
@@ -78,7 +78,7 @@
     /// Counts of datagrams between the nodes.
     pub relay: RelayCounts,
     /// Counts of the callers' requests.
-    pub traffic: TrafficCounts,
+    pub traffic_counts: TrafficCounts,
     /// Violations of the four rules, described.
     pub violations: Vec<String>,
 }
--- a/crates/fault-harness/src/processes/lifecycle.rs
+++ b/crates/fault-harness/src/processes/lifecycle.rs
@@ -152,7 +152,7 @@
 
     /// As [`Rig::finish`], after the callers have their last answers, which are checked by the four rules.
     pub fn finish_with(&mut self, traffic: Option<(Traffic, &Backend)>) -> RunResult {
-        let (counts, violations) = match traffic {
+        let (traffic_counts, violations) = match traffic {
             Some((traffic, backend)) => traffic.finish(backend, &self.exits_and_breaks()),
             None => (TrafficCounts::default(), Vec::new()),
         };
@@ -171,7 +171,7 @@
         RunResult {
             history,
             relay: self.relay.counts(),
-            traffic: counts,
+            traffic_counts,
             violations,
         }
     }
--- a/crates/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -49,7 +49,11 @@
         result.history.to_lines()
     );
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
-    assert!(result.traffic.completed > 0, "{:?}", result.traffic);
+    assert!(
+        result.traffic_counts.completed > 0,
+        "{:?}",
+        result.traffic_counts
+    );
 }
 
 /// Nothing passes between two groups, either way, for a while.
--- a/crates/node/tests/fleet/served.rs
+++ b/crates/node/tests/fleet/served.rs
@@ -41,7 +41,7 @@
     }
     let result = rig.finish_with(Some((traffic, &behind)));
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
-    let served = result.traffic;
+    let served = result.traffic_counts;
     assert!(
         served.completed * 10 >= served.sent * 8 && served.sent > 100,
         "{served:?}"
--- a/crates/node/tests/fleet/troubles.rs
+++ b/crates/node/tests/fleet/troubles.rs
@@ -293,7 +293,7 @@
     ];
     let result = run_and_judge(&script(3, 7_000, faults));
     // Some were broken off, and most went through.
-    let served = result.traffic;
+    let served = result.traffic_counts;
     assert!(
         served.unanswered > 0 && served.completed * 10 > served.sent * 5,
         "{served:?}"
