--- a/crates/fault-harness/tests/checkers.rs
+++ b/crates/fault-harness/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! A checker that cannot fail is none: each is shown a good history, and the same one tampered with.
+//! Checks that each checker accepts a valid history and finds the violation in an altered one.
 
 use doortrack_fault_harness::checks::{judge, membership_invariants};
 use doortrack_fault_harness::history::{History, HistoryEvent, Member, node_name};
@@ -20,23 +20,23 @@
     }
 }
 
-fn status(node: usize, there: &[usize]) -> HistoryEvent {
-    let member = |of: &usize| Member {
-        name: node_name(*of),
+fn status(node: usize, present: &[usize]) -> HistoryEvent {
+    let member = |member_number: &usize| Member {
+        name: node_name(*member_number),
         incarnation: "1".into(),
         state: "alive".into(),
     };
-    let digest = format!("{there:?}");
+    let digest = format!("{present:?}");
     HistoryEvent::Status {
         node,
         isolated: false,
         digest,
-        members: there.iter().map(member).collect(),
+        members: present.iter().map(member).collect(),
     }
 }
 
-/// Three nodes that start, and say so of one another.
-fn good() -> History {
+/// A history of three nodes that start and report each other as alive.
+fn valid_history() -> History {
     let mut history = History {
         nodes: 3,
         entries: Vec::new(),
@@ -44,21 +44,23 @@
     (0..3).for_each(|node| history.record(0, HistoryEvent::Began { node }));
     for node in 0..3 {
         (0..3)
-            .filter(|of| *of != node)
-            .for_each(|of| history.record(500, reported(node, "alive", of, 0x10)));
+            .filter(|member_number| *member_number != node)
+            .for_each(|member_number| {
+                history.record(500, reported(node, "alive", member_number, 0x10))
+            });
     }
     history
 }
 
-fn ended(mut history: History, there: &[usize]) -> History {
-    there
+fn with_final_views(mut history: History, present: &[usize]) -> History {
+    present
         .iter()
-        .for_each(|node| history.record(60_000, status(*node, there)));
+        .for_each(|node| history.record(60_000, status(*node, present)));
     history.sort();
     history
 }
 
-fn violated(history: &History) -> Vec<&'static str> {
+fn violated_rules(history: &History) -> Vec<&'static str> {
     judge(history, &membership_invariants())
         .into_iter()
         .map(|violation| violation.rule)
@@ -70,28 +72,28 @@
 }
 
 #[test]
-fn a_good_history_passes_and_reads_back() {
-    let history = ended(good(), &[0, 1, 2]);
-    assert_eq!(violated(&history), Vec::<&str>::new());
+fn valid_history_passes_and_round_trips() {
+    let history = with_final_views(valid_history(), &[0, 1, 2]);
+    assert_eq!(violated_rules(&history), Vec::<&str>::new());
     assert_eq!(History::parse(&history.to_lines()).unwrap(), history);
-    let torn = history.to_lines().replacen("kind", "knid", 1);
-    assert!(History::parse(&torn).is_err_and(|error| error.to_string().starts_with("line 2")));
+    let corrupted = history.to_lines().replacen("kind", "knid", 1);
+    assert!(History::parse(&corrupted).is_err_and(|error| error.to_string().starts_with("line 2")));
 }
 
 #[test]
-fn a_loss_without_a_reason_is_found() {
-    let mut history = good();
+fn death_without_a_cause_is_a_violation() {
+    let mut history = valid_history();
     history.record(30_000, reported(0, "dead", 1, 0x10));
     history.record(30_200, reported(0, "back", 1, 0x10));
     assert_eq!(
-        violated(&ended(history, &[0, 1, 2])),
+        violated_rules(&with_final_views(history, &[0, 1, 2])),
         ["nobody wrongly declared dead"]
     );
 }
 
 #[test]
-fn one_broken_link_is_no_reason_and_a_stop_is_one() {
-    let mut history = good();
+fn broken_link_does_not_justify_a_death_and_a_suspension_does() {
+    let mut history = valid_history();
     fault(
         &mut history,
         20_000,
@@ -102,38 +104,44 @@
     );
     history.record(25_000, reported(0, "dead", 1, 0x10));
     assert_eq!(
-        violated(&ended(history, &[0, 1, 2])),
+        violated_rules(&with_final_views(history, &[0, 1, 2])),
         ["nobody wrongly declared dead"]
     );
-    let mut history = good();
+    let mut history = valid_history();
     fault(&mut history, 20_000, Fault::Suspend { nodes: vec![1] });
     history.record(25_000, reported(0, "dead", 1, 0x10));
     fault(&mut history, 26_000, Fault::Resume { nodes: vec![1] });
-    assert_eq!(violated(&ended(history, &[0, 1, 2])), Vec::<&str>::new());
+    assert_eq!(
+        violated_rules(&with_final_views(history, &[0, 1, 2])),
+        Vec::<&str>::new()
+    );
 }
 
 #[test]
-fn one_that_left_and_is_declared_dead_is_found() {
-    let mut history = good();
+fn death_after_leave_is_a_violation() {
+    let mut history = valid_history();
     fault(&mut history, 20_000, Fault::Leave { nodes: vec![2] });
     history.record(20_100, reported(0, "left", 2, 0x10));
     history.record(24_000, reported(1, "dead", 2, 0x10));
-    assert_eq!(violated(&ended(history, &[0, 1])), ["left is not dead"]);
+    assert_eq!(
+        violated_rules(&with_final_views(history, &[0, 1])),
+        ["left is not dead"]
+    );
 }
 
 #[test]
-fn an_earlier_incarnation_is_found() {
-    let mut history = good();
+fn decreasing_incarnation_is_a_violation() {
+    let mut history = valid_history();
     history.record(20_000, reported(0, "alive", 2, 0x9));
     assert_eq!(
-        violated(&ended(history, &[0, 1, 2])),
+        violated_rules(&with_final_views(history, &[0, 1, 2])),
         ["incarnations go forward"]
     );
 }
 
 #[test]
-fn a_death_declared_by_one_that_is_isolated_is_found() {
-    let mut history = good();
+fn death_declared_by_an_isolated_node_is_a_violation() {
+    let mut history = valid_history();
     fault(
         &mut history,
         20_000,
@@ -168,50 +176,50 @@
         },
     );
     assert_eq!(
-        violated(&ended(history, &[0, 1, 2])),
+        violated_rules(&with_final_views(history, &[0, 1, 2])),
         ["isolated, declares nobody dead"]
     );
 }
 
 #[test]
-fn a_death_declared_by_one_that_just_woke_is_found() {
-    let mut history = good();
+fn death_declared_by_a_just_resumed_node_is_a_violation() {
+    let mut history = valid_history();
     fault(&mut history, 20_000, Fault::Suspend { nodes: vec![0] });
     fault(&mut history, 25_000, Fault::Resume { nodes: vec![0] });
     history.record(25_050, reported(0, "dead", 1, 0x10));
     assert_eq!(
-        violated(&ended(history, &[0, 1, 2])),
+        violated_rules(&with_final_views(history, &[0, 1, 2])),
         ["resumed, declares nobody dead"]
     );
 }
 
 #[test]
-fn views_that_differ_from_who_runs_or_from_one_another_are_found() {
-    let mut history = good();
+fn final_views_that_are_wrong_or_differ_are_violations() {
+    let mut history = valid_history();
     fault(&mut history, 20_000, Fault::Kill { nodes: vec![2] });
     history.record(20_001, HistoryEvent::Ended { node: 2 });
     history.record(60_000, status(0, &[0, 1]));
     history.record(60_000, status(1, &[0, 1, 2]));
-    assert_eq!(violated(&history), ["in the end all agree"]);
-    let mut history = ended(good(), &[0, 1, 2]);
+    assert_eq!(violated_rules(&history), ["in the end all agree"]);
+    let mut history = with_final_views(valid_history(), &[0, 1, 2]);
     if let Some(HistoryEvent::Status { digest, .. }) =
         history.entries.last_mut().map(|entry| &mut entry.event)
     {
         *digest = "another".into();
     }
-    assert_eq!(violated(&history), ["in the end all agree"]);
+    assert_eq!(violated_rules(&history), ["in the end all agree"]);
 }
 
 #[test]
-fn the_smallest_script_keeps_what_makes_it_fail() {
-    let put = |at_ms, fault| TimedFault { at_ms, fault };
+fn shrunk_script_keeps_the_faults_that_make_it_fail() {
+    let timed = |at_ms, fault| TimedFault { at_ms, fault };
     let mut faults: Vec<TimedFault> = (0..20)
-        .map(|nth| put(nth, Fault::Suspend { nodes: vec![1] }))
+        .map(|index| timed(index, Fault::Suspend { nodes: vec![1] }))
         .collect();
-    faults.insert(7, put(7, Fault::Kill { nodes: vec![0] }));
+    faults.insert(7, timed(7, Fault::Kill { nodes: vec![0] }));
     faults.insert(
         13,
-        put(
+        timed(
             13,
             Fault::Start {
                 nodes: vec![0],
@@ -225,18 +233,18 @@
         seed: 1,
         faults,
     };
-    let wanted = |script: &Script| {
+    let still_fails = |script: &Script| {
         let has = |kind: fn(&Fault) -> bool| script.faults.iter().any(|timed| kind(&timed.fault));
         has(|fault| matches!(fault, Fault::Kill { .. }))
             && has(|fault| matches!(fault, Fault::Start { .. }))
     };
-    let least = shrink(&script, 1_000, wanted);
-    assert_eq!(least.faults.len(), 2, "{least:?}");
+    let smallest = shrink(&script, 1_000, still_fails);
+    assert_eq!(smallest.faults.len(), 2, "{smallest:?}");
 }
 
 #[test]
-fn a_script_tells_its_faults_by_their_paths() {
-    let wrong = [
+fn script_errors_name_the_path_of_the_key() {
+    let invalid_scripts = [
         (r#"{"nodes": 0, "ms": 1}"#, "script.nodes"),
         (r#"{"nodes": 2, "ms": "x"}"#, "script.ms"),
         (
@@ -252,7 +260,7 @@
             "script.faults[0]",
         ),
     ];
-    for (text, path) in wrong {
+    for (text, path) in invalid_scripts {
         let error = Script::parse(text).unwrap_err();
         assert!(error.to_string().starts_with(path), "{text}: {error}");
     }
@@ -262,19 +270,19 @@
 }
 
 #[test]
-fn more_than_a_budget_is_seen_and_what_may_have_passed_earlier_is_not() {
+fn exceeded_budgets_are_found_and_possibly_earlier_admissions_are_not_counted() {
     let admitted = |sent: u64, ran: u64| AdmittedRequest { sent, ran };
     let even: Vec<AdmittedRequest> = (0..100)
-        .map(|nth| admitted(nth * 10, nth * 10 + 2))
+        .map(|index| admitted(index * 10, index * 10 + 2))
         .collect();
     assert_eq!(rate_exceeded(&even, 100, 5), None);
-    let mut more = even.clone();
-    more.extend((0..6).map(|nth| admitted(500 + nth, 503 + nth)));
-    assert!(rate_exceeded(&more, 100, 5).is_some());
-    // The same six, asked long before: they may have passed whenever there was room.
+    let mut exceeding = even.clone();
+    exceeding.extend((0..6).map(|index| admitted(500 + index, 503 + index)));
+    assert!(rate_exceeded(&exceeding, 100, 5).is_some());
+    // The same six requests, sent long before they ran, may have been admitted at any time in between.
     let mut early = even.clone();
     early.truncate(50);
-    early.extend((0..6).map(|nth| admitted(100, 503 + nth)));
+    early.extend((0..6).map(|index| admitted(100, 503 + index)));
     assert_eq!(rate_exceeded(&early, 120, 5), None);
     assert_eq!(
         concurrency_exceeded(&[(0, 10), (5, 15), (10, 20), (15, 30)], 2),
@@ -284,13 +292,13 @@
     assert!((utilization(&even, 100, 0, 1_000) - 1.0).abs() < 0.02);
 }
 
-/// What an earlier build wrote: its keys and words, a death among them that is no less wrong for its name.
+/// A history with the keys and names of an earlier build parses to the same history, and its violation is found.
 #[test]
-fn a_history_in_the_words_of_an_earlier_build_is_judged_alike() {
-    let mut history = good();
+fn history_of_an_earlier_build_is_checked_alike() {
+    let mut history = valid_history();
     history.record(25_000, reported(0, "dead", 1, 0x10));
-    let history = ended(history, &[0, 1, 2]);
-    let earlier_words = [
+    let history = with_final_views(history, &[0, 1, 2]);
+    let earlier_names = [
         ("\"incarnation\":", "\"life\":"),
         ("\"dead\"", "\"lost\""),
         ("\"kind\":\"member_change\"", "\"kind\":\"news\""),
@@ -298,12 +306,12 @@
         ("\"member\":", "\"of\":"),
     ];
     let mut earlier = history.to_lines();
-    for (present, before) in earlier_words {
-        let replaced = earlier.replace(present, before);
-        assert_ne!(replaced, earlier, "{present} is not written");
+    for (present, earlier_name) in earlier_names {
+        let replaced = earlier.replace(present, earlier_name);
+        assert_ne!(replaced, earlier, "{present} is not in the history");
         earlier = replaced;
     }
     let read = History::parse(&earlier).unwrap();
     assert_eq!(read, history);
-    assert_eq!(violated(&read), ["nobody wrongly declared dead"]);
+    assert_eq!(violated_rules(&read), ["nobody wrongly declared dead"]);
 }
--- a/crates/fault-harness/tests/divided.rs
+++ b/crates/fault-harness/tests/divided.rs
@@ -1,5 +1,5 @@
-//! Budgets under faults in simulated time: never more than the limit, by a count that knows nothing of
-//! leases. Each safeguard is taken out in turn, and the count must tell.
+//! Fleet-wide budgets under faults in simulated time. A check that is independent of leases must find no exceeded
+//! limit, and must find one when any single safeguard is disabled.
 
 #![allow(
     clippy::too_many_lines,
@@ -18,7 +18,7 @@
 const NODES: usize = 9;
 
 fn names(count: usize) -> Arc<[Name]> {
-    (0..count).map(|of| Name::from(node_name(of))).collect()
+    (0..count).map(|node| Name::from(node_name(node))).collect()
 }
 
 fn rate(limit: u32, burst: u32, reserved: u32) -> Budget {
@@ -53,19 +53,19 @@
     }
 }
 
-/// More is asked for everywhere than there is, in turns most of it at one node.
-fn greedy(of: usize, index: usize, ms: u64) -> f64 {
-    let here = (ms / 1_000) as usize % NODES == of;
+/// Demand that exceeds the limit everywhere, with most of it at one node at a time.
+fn excessive_demand(node: usize, index: usize, ms: u64) -> f64 {
+    let is_preferred = (ms / 1_000) as usize % NODES == node;
     match index {
         0 => {
-            if here {
+            if is_preferred {
                 900.0
             } else {
                 60.0
             }
         }
         _ => {
-            if here {
+            if is_preferred {
                 60.0
             } else {
                 8.0
@@ -75,7 +75,7 @@
 }
 
 fn run(script: &Script, safeguards: Safeguards) -> Outcome {
-    run_with(script, safeguards, (-20_000, 20_000), &greedy)
+    run_with(script, safeguards, (-20_000, 20_000), &excessive_demand)
 }
 
 fn run_with(
@@ -101,10 +101,10 @@
     budget_simulation::run(script, &options)
 }
 
-fn holds(script: &Script) -> Outcome {
-    let out = run(script, Safeguards::default());
-    assert!(out.violations.is_empty(), "{:?}", out.violations);
-    out
+fn assert_within_limits(script: &Script) -> Outcome {
+    let outcome = run(script, Safeguards::default());
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
+    outcome
 }
 
 fn script(ms: u64, seed: u64, faults: Vec<(u64, Fault)>) -> Script {
@@ -121,29 +121,32 @@
 }
 
 #[test]
-fn healthy_it_is_put_to_use_and_the_same_each_time() {
-    let one = holds(&script(20_000, 1, vec![]));
-    // All but what went before there was a leader that grants: 3 s of the 20.
+fn healthy_fleet_uses_its_budgets_and_runs_are_deterministic() {
+    let outcome = assert_within_limits(&script(20_000, 1, vec![]));
+    // The first 3 of 20 s are not counted, as no leader grants allocations yet.
     assert!(
-        one.admitted[0] > 17 * 600 * 85 / 100,
+        outcome.admitted[0] > 17 * 600 * 85 / 100,
         "{} of {}",
-        one.admitted[0],
-        one.requested[0]
+        outcome.admitted[0],
+        outcome.requested[0]
+    );
+    assert_eq!(outcome.leaders, 1);
+    assert_eq!(
+        outcome.digest,
+        assert_within_limits(&script(20_000, 1, vec![])).digest
     );
-    assert_eq!(one.leaders, 1);
-    assert_eq!(one.digest, holds(&script(20_000, 1, vec![])).digest);
 }
 
 #[test]
-fn whatever_fails_the_limit_is_never_exceeded() {
+fn limit_is_not_exceeded_under_seeded_faults() {
     for seed in 1..=40 {
-        holds(&Script::seeded(seed, NODES, 6));
+        assert_within_limits(&Script::seeded(seed, NODES, 6));
     }
 }
 
 #[test]
-fn with_most_voters_gone_allocations_run_out_to_the_reserved_minimums() {
-    let gone = script(
+fn without_a_majority_allocations_expire_to_the_reserved_minimums() {
+    let killed_voters = script(
         20_000,
         3,
         vec![(
@@ -153,24 +156,25 @@
             },
         )],
     );
-    let out = holds(&gone);
-    let used = |from: u64, till: u64| -> u32 {
-        out.by_time
+    let outcome = assert_within_limits(&killed_voters);
+    let uses = |from: u64, until: u64| -> u32 {
+        outcome
+            .by_time
             .iter()
-            .filter(|((_, at), _)| (from..till).contains(at))
+            .filter(|((_, at), _)| (from..until).contains(at))
             .map(|(_, count)| count)
             .sum()
     };
-    // Two reserved minimums of 20 a second are left, for 8 s.
-    assert!((250..=340).contains(&used(120, 200)), "{}", used(120, 200));
-    assert!(used(40, 80) > 1_800, "{}", used(40, 80));
+    // Two nodes still have their reserved minimums of 20 a second, for 8 s.
+    assert!((250..=340).contains(&uses(120, 200)), "{}", uses(120, 200));
+    assert!(uses(40, 80) > 1_800, "{}", uses(40, 80));
 }
 
-/// The scripts that each safeguard is there for.
+/// Scripts whose faults require the safeguards.
 fn scripts() -> Vec<Script> {
     let all: Vec<usize> = (0..NODES).collect();
     let cut = |from: Vec<usize>, to: Vec<usize>| Fault::Cut { from, to };
-    let mend = |from: Vec<usize>, to: Vec<usize>| Fault::Heal { from, to };
+    let heal = |from: Vec<usize>, to: Vec<usize>| Fault::Heal { from, to };
     let mut scripts: Vec<Script> = (1..=12)
         .map(|seed| Script::seeded(seed, NODES, 6))
         .collect();
@@ -182,12 +186,12 @@
             vec![
                 (6_000, cut(few.clone(), rest.clone())),
                 (6_000, cut(rest.clone(), few.clone())),
-                (18_000, mend(few.clone(), rest.clone())),
-                (18_000, mend(rest, few)),
+                (18_000, heal(few.clone(), rest.clone())),
+                (18_000, heal(rest, few)),
             ],
         ));
-        // All at once, twice; each leader in turn, with nothing left of what it knew.
-        let again = |at| {
+        // All nodes restart at once several times; then each voter in turn restarts without its state.
+        let restart_all = |at| {
             (
                 at,
                 Fault::Start {
@@ -199,13 +203,13 @@
         scripts.push(script(
             16_000,
             seed,
-            vec![again(6_000), again(9_300), again(12_100)],
+            vec![restart_all(6_000), restart_all(9_300), restart_all(12_100)],
         ));
-        let start = |at: u64, of: usize| {
+        let start = |at: u64, node: usize| {
             (
                 at,
                 Fault::Start {
-                    nodes: vec![of],
+                    nodes: vec![node],
                     clock_ms: 0,
                 },
             )
@@ -214,16 +218,16 @@
             20_000,
             seed,
             (0..30)
-                .map(|nth| start(5_000 + nth * 400, nth as usize % 5))
+                .map(|index| start(5_000 + index * 400, index as usize % 5))
                 .collect(),
         ));
-        let rough = Fault::Links {
+        let degraded = Fault::Links {
             loss: 0.1,
             doubled: 0.3,
             garbled: 0.0,
             delay_ms: 150,
         };
-        scripts.push(script(25_000, seed, vec![(4_000, rough)]));
+        scripts.push(script(25_000, seed, vec![(4_000, degraded)]));
         scripts.push(script(
             25_000,
             seed,
@@ -246,66 +250,71 @@
     scripts
 }
 
-fn breaks(what: &str, safeguards: Safeguards) {
+fn assert_exceeds_without(safeguard: &str, safeguards: Safeguards) {
     let found = scripts()
         .iter()
         .map(|script| run(script, safeguards).violations)
         .find(|violations| !violations.is_empty());
-    assert!(found.is_some(), "{what}: nothing came of taking it out");
+    assert!(
+        found.is_some(),
+        "{safeguard}: no limit is exceeded without it"
+    );
 }
 
 #[test]
-fn with_all_safeguards_those_plays_hold() {
-    scripts().iter().for_each(|script| _ = holds(script));
+fn limits_hold_with_all_safeguards() {
+    scripts()
+        .iter()
+        .for_each(|script| _ = assert_within_limits(script));
 }
 
 #[test]
 fn each_safeguard_is_needed() {
     let all = Safeguards::default();
-    breaks(
+    assert_exceeds_without(
         "majority",
         Safeguards {
             majority_vote: false,
             ..all
         },
     );
-    breaks(
+    assert_exceeds_without(
         "settle",
         Safeguards {
             wait_for_old_leases: false,
             ..all
         },
     );
-    breaks(
+    assert_exceeds_without(
         "confirm",
         Safeguards {
             await_confirmation: false,
             ..all
         },
     );
-    breaks(
+    assert_exceeds_without(
         "run out",
         Safeguards {
             lease_expiry: false,
             ..all
         },
     );
-    breaks(
+    assert_exceeds_without(
         "held",
         Safeguards {
             count_max_hold: false,
             ..all
         },
     );
-    // All clocks too fast at once: each makes more of a second than there is.
-    let fast = script(30_000, 1, vec![]);
+    // All clocks run fast, so each node admits more than its allocation per true second.
+    let fast_clocks = script(30_000, 1, vec![]);
     assert!(
-        run_with(&fast, all, (20_000, 20_000), &|_, _, _| 200.0)
+        run_with(&fast_clocks, all, (20_000, 20_000), &|_, _, _| 200.0)
             .violations
             .is_empty()
     );
     let without = run_with(
-        &fast,
+        &fast_clocks,
         Safeguards {
             drift_margin: false,
             ..all
@@ -316,16 +325,16 @@
     assert!(!without.violations.is_empty(), "{}", without.admitted[0]);
 }
 
-/// Two hundred budgets go in pages; one node's need is absurd, and takes no more than its fair part.
+/// Two hundred budgets need several messages. A node with an extreme demand gets no more than its fair share.
 #[test]
-fn two_hundred_budgets_and_an_absurd_need() {
+fn two_hundred_budgets_and_an_extreme_demand() {
     let budgets: Vec<Budget> = (0..200)
-        .map(|nth| Budget {
-            name: format!("b{nth}").into(),
+        .map(|number| Budget {
+            name: format!("b{number}").into(),
             ..rate(90, 90, 0)
         })
         .collect();
-    let demand = |of: usize, index: usize, _: u64| match (index, of) {
+    let demand = |node: usize, index: usize, _: u64| match (index, node) {
         (0, 8) => 1e6,
         (0, _) => 20.0,
         (199, 3) => 80.0,
@@ -345,13 +354,13 @@
         count_from_ms: 6_000,
         count_bytes: false,
     };
-    let out = budget_simulation::run(&script(16_000, 1, vec![]), &options);
-    assert!(out.violations.is_empty(), "{:?}", out.violations);
-    // A ninth of 90 a second for 10 s each, whoever shouts.
+    let outcome = budget_simulation::run(&script(16_000, 1, vec![]), &options);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
+    // Each node uses a ninth of 90 a second for 10 s, whatever its demand.
     assert!(
-        out.by_node.iter().all(|used| (88..=110).contains(used)),
+        outcome.by_node.iter().all(|uses| (88..=110).contains(uses)),
         "{:?}",
-        out.by_node
+        outcome.by_node
     );
-    assert!(out.admitted[199] > 700, "{}", out.admitted[199]);
+    assert!(outcome.admitted[199] > 700, "{}", outcome.admitted[199]);
 }
--- a/crates/fault-harness/tests/interrupt.rs
+++ b/crates/fault-harness/tests/interrupt.rs
@@ -1,4 +1,4 @@
-//! The harness interrupted in the middle of a play: it ends in order, and leaves no process and no file behind.
+//! Checks that the harness, when it is interrupted during a run, leaves no process and no file behind.
 
 use std::fs;
 use std::io::Read;
@@ -12,14 +12,14 @@
 
 const NODES: usize = 3;
 
-/// Calls `look` until it finds something.
-fn wait_for<T>(what: &str, look: impl Fn() -> Option<T>) -> T {
+/// Calls `poll` until it returns a value.
+fn wait_for<T>(condition: &str, poll: impl Fn() -> Option<T>) -> T {
     let until = Instant::now() + MAX_WAIT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < until, "{what}");
+        assert!(Instant::now() < until, "{condition}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -39,7 +39,7 @@
         .is_ok_and(|stat| stat.state != 'Z')
 }
 
-fn folders_of(harness: u32) -> Vec<PathBuf> {
+fn scratch_folders(harness: u32) -> Vec<PathBuf> {
     let prefix = format!("doortrack-harness-{harness}-");
     let all = fs::read_dir(std::env::temp_dir()).unwrap().flatten();
     all.map(|entry| entry.path())
@@ -50,15 +50,15 @@
         .collect()
 }
 
-/// In place of a node: a process that would outlive everything.
+/// Writes a program that takes the place of a node and would outlive the test.
 fn write_program(path: &Path) {
     fs::write(path, "#!/bin/sh\nexec sleep 600\n").unwrap();
     fs::set_permissions(path, fs::Permissions::from_mode(0o755)).unwrap();
 }
 
-/// Guards against an end that leaves the nodes of a play running, and their files.
+/// The nodes of an interrupted run must not keep running, and its files must not remain.
 #[test]
-fn an_interrupted_play_ends_with_its_processes_and_files() {
+fn interrupted_run_leaves_no_processes_and_files() {
     for signal in ["-INT", "-TERM"] {
         let folder =
             std::env::temp_dir().join(format!("doortrack-interrupt-{}", std::process::id()));
@@ -75,23 +75,23 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let started = || Some(children(harness.id())).filter(|all| all.len() == NODES);
-        let nodes = wait_for("all nodes run", started);
-        assert_eq!(folders_of(harness.id()).len(), 1);
+        let running_nodes = || Some(children(harness.id())).filter(|all| all.len() == NODES);
+        let nodes = wait_for("all nodes run", running_nodes);
+        assert_eq!(scratch_folders(harness.id()).len(), 1);
         send_signal(harness.id(), signal);
-        let mut said = String::new();
+        let mut stderr_text = String::new();
         harness
             .stderr
             .take()
             .unwrap()
-            .read_to_string(&mut said)
+            .read_to_string(&mut stderr_text)
             .unwrap();
-        assert_eq!(harness.wait().unwrap().code(), Some(130), "{said}");
-        assert!(said.contains("interrupted"), "{said}");
+        assert_eq!(harness.wait().unwrap().code(), Some(130), "{stderr_text}");
+        assert!(stderr_text.contains("interrupted"), "{stderr_text}");
         wait_for("no node is left", || {
             nodes.iter().all(|pid| !is_running(*pid)).then_some(())
         });
-        assert!(folders_of(harness.id()).is_empty());
+        assert!(scratch_folders(harness.id()).is_empty());
         fs::remove_dir_all(folder).unwrap();
     }
 }
--- a/crates/fault-harness/tests/simulated.rs
+++ b/crates/fault-harness/tests/simulated.rs
@@ -1,4 +1,4 @@
-//! Fleets in simulated time, on the decisions that the node runs, judged by the checkers that judge real
+//! Runs fleets in simulated time with the node's own membership code, and applies the same checkers as to real
 //! processes.
 
 #![allow(
@@ -25,7 +25,7 @@
     }
 }
 
-fn holds(script: &Script, options: &Options) -> History {
+fn run_and_check(script: &Script, options: &Options) -> History {
     let (history, _) = run(script, options);
     let violations = judge(&history, &membership_invariants());
     assert!(violations.is_empty(), "{violations:#?}");
@@ -33,7 +33,7 @@
 }
 
 fn deaths(history: &History) -> usize {
-    let dead = |what: &HistoryEvent| matches!(what, HistoryEvent::MemberChange { change, .. } if change == "dead");
+    let dead = |history_event: &HistoryEvent| matches!(history_event, HistoryEvent::MemberChange { change, .. } if change == "dead");
     history
         .entries
         .iter()
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn drawn_troubles_break_no_promise_whatever_clocks_show() {
+fn seeded_faults_violate_nothing_with_inexact_clocks() {
     for seed in 1..=12 {
         let options = Options {
             offset_ms: 2_000,
@@ -51,12 +51,12 @@
             inter_zone_latency: 2_000,
             ..Options::default()
         };
-        holds(&Script::seeded(seed, 7, 5), &options);
+        run_and_check(&Script::seeded(seed, 7, 5), &options);
     }
 }
 
 #[test]
-fn the_same_script_is_the_same_play_to_the_byte() {
+fn same_script_gives_a_byte_identical_history() {
     let script = Script::seeded(5, 9, 4);
     let (one, other) = (
         run(&script, &Options::default()).0,
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn half_of_sixty_die_at_once_and_come_back_at_once() {
+fn half_of_sixty_nodes_crash_and_restart_at_once() {
     let half: Vec<usize> = (0..30).collect();
     let faults = vec![
         (
@@ -83,33 +83,33 @@
             },
         ),
     ];
-    let history = holds(&script(60, 20_000, faults), &Options::default());
+    let history = run_and_check(&script(60, 20_000, faults), &Options::default());
     assert!(deaths(&history) >= 30 * 30);
 }
 
 #[test]
-fn halves_that_declare_one_another_dead_find_together_within_three_seconds() {
+fn partitioned_halves_rejoin_within_three_seconds() {
     let (one, other): (Vec<usize>, Vec<usize>) = ((0..25).collect(), (25..50).collect());
     let cut = |from: &Vec<usize>, to: &Vec<usize>| Fault::Cut {
         from: from.clone(),
         to: to.clone(),
     };
-    let mend = |from: &Vec<usize>, to: &Vec<usize>| Fault::Heal {
+    let heal = |from: &Vec<usize>, to: &Vec<usize>| Fault::Heal {
         from: from.clone(),
         to: to.clone(),
     };
     let faults = vec![
         (5_000, cut(&one, &other)),
         (5_000, cut(&other, &one)),
-        (25_000, mend(&one, &other)),
-        (25_000, mend(&other, &one)),
+        (25_000, heal(&one, &other)),
+        (25_000, heal(&other, &one)),
     ];
-    let history = holds(&script(50, 28_000, faults), &Options::default());
+    let history = run_and_check(&script(50, 28_000, faults), &Options::default());
     assert!(deaths(&history) >= 2 * 25 * 25);
 }
 
 #[test]
-fn a_twentieth_of_all_datagrams_lost_declares_nobody_dead_in_ten_minutes() {
+fn five_percent_loss_causes_no_death_in_ten_minutes() {
     let faults = vec![(
         0,
         Fault::Links {
@@ -119,14 +119,14 @@
             delay_ms: 2,
         },
     )];
-    let history = holds(&script(50, 600_000, faults), &Options::default());
+    let history = run_and_check(&script(50, 600_000, faults), &Options::default());
     assert_eq!(deaths(&history), 0);
 }
 
-/// Plays that break a promise once a safeguard is taken out, which shows that the checkers see it.
+/// Each script violates an invariant if a safeguard is disabled, which shows that the checkers detect it.
 #[test]
-fn each_safeguard_taken_out_breaks_a_promise() {
-    let rest: Vec<usize> = (1..6).collect();
+fn each_disabled_safeguard_violates_an_invariant() {
+    let others: Vec<usize> = (1..6).collect();
     let isolated = script(
         6,
         30_000,
@@ -135,13 +135,13 @@
                 12_000,
                 Fault::Cut {
                     from: vec![0],
-                    to: rest.clone(),
+                    to: others.clone(),
                 },
             ),
             (
                 12_000,
                 Fault::Cut {
-                    from: rest.clone(),
+                    from: others.clone(),
                     to: vec![0],
                 },
             ),
@@ -149,13 +149,13 @@
                 26_000,
                 Fault::Heal {
                     from: vec![0],
-                    to: rest.clone(),
+                    to: others.clone(),
                 },
             ),
             (
                 26_000,
                 Fault::Heal {
-                    from: rest,
+                    from: others,
                     to: vec![0],
                 },
             ),
@@ -181,7 +181,7 @@
             ),
         ],
     );
-    let breaks = |script: &Script, parameters: Parameters| -> Vec<&'static str> {
+    let violated_rules = |script: &Script, parameters: Parameters| -> Vec<&'static str> {
         let (history, _) = run(
             script,
             &Options {
@@ -194,33 +194,37 @@
             .map(|violation| violation.rule)
             .collect()
     };
-    assert!(breaks(&isolated, Parameters::default()).is_empty());
-    let deaf = Parameters {
+    assert!(violated_rules(&isolated, Parameters::default()).is_empty());
+    let no_isolation_check = Parameters {
         max_silent_periods: u32::MAX,
         ..Parameters::default()
     };
-    assert!(breaks(&isolated, deaf).contains(&"isolated, declares nobody dead"));
-    // Where suspicions are hardly given time to be contradicted, what comes before them shows.
-    let hasty = Parameters {
+    assert!(
+        violated_rules(&isolated, no_isolation_check).contains(&"isolated, declares nobody dead")
+    );
+    // Short suspicion timeouts, which leave hardly time for a refutation, expose the effect of the other safeguards.
+    let short_suspicion = Parameters {
         suspicion_min: 50,
         suspicion_max: 100,
         ..Parameters::default()
     };
-    assert!(breaks(&one_link, hasty.clone()).is_empty());
-    let alone = Parameters {
+    assert!(violated_rules(&one_link, short_suspicion.clone()).is_empty());
+    let no_indirect_probes = Parameters {
         indirect_probers: 0,
-        ..hasty.clone()
+        ..short_suspicion.clone()
     };
-    assert!(breaks(&one_link, alone).contains(&"nobody wrongly declared dead"));
-    let rest: Vec<usize> = (1..6).collect();
-    let woken = script(
+    assert!(
+        violated_rules(&one_link, no_indirect_probes).contains(&"nobody wrongly declared dead")
+    );
+    let others: Vec<usize> = (1..6).collect();
+    let resumed = script(
         6,
         30_000,
         vec![
             (
                 12_000,
                 Fault::Cut {
-                    from: rest.clone(),
+                    from: others.clone(),
                     to: vec![0],
                 },
             ),
@@ -229,16 +233,19 @@
             (
                 17_300,
                 Fault::Heal {
-                    from: rest,
+                    from: others,
                     to: vec![0],
                 },
             ),
         ],
     );
-    assert!(!breaks(&woken, hasty.clone()).contains(&"resumed, declares nobody dead"));
-    let unaware = Parameters {
+    assert!(
+        !violated_rules(&resumed, short_suspicion.clone())
+            .contains(&"resumed, declares nobody dead")
+    );
+    let no_lateness_check = Parameters {
         max_lateness: u64::MAX,
-        ..hasty
+        ..short_suspicion
     };
-    assert!(breaks(&woken, unaware).contains(&"resumed, declares nobody dead"));
+    assert!(violated_rules(&resumed, no_lateness_check).contains(&"resumed, declares nobody dead"));
 }
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -1,5 +1,7 @@
-//! What each thing that a node keeps takes of its memory, counted by the allocator, against the bound that
-//! the node's own sizes rest on. `cargo test -p doortrack-fault-harness --test state_bytes -- --nocapture` prints all.
+//! Measures with a counting allocator the memory of each kind of state that a node keeps, and checks it against
+//! the bound that the node's own table sizes assume.
+//!
+//! `cargo test -p doortrack-fault-harness --test state_bytes -- --nocapture` prints all sizes.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
@@ -22,57 +24,58 @@
 use doortrack_node::state::results::ResultTable;
 use doortrack_routes::{GroupName, Names, Rule, Table};
 
-/// Counts the bytes that a thread has taken and not given back.
-struct Counting;
+/// An allocator that counts the bytes each thread has allocated and not freed.
+struct CountingAllocator;
 
 thread_local! {
-    static HELD: Cell<i64> = const { Cell::new(0) };
+    static ALLOCATED: Cell<i64> = const { Cell::new(0) };
 }
 
-// SAFETY: everything is handed on to the system's allocator.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: all calls are forwarded to the system's allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        _ = HELD.try_with(|held| held.set(held.get() + layout.size() as i64));
+        _ = ALLOCATED.try_with(|allocated| allocated.set(allocated.get() + layout.size() as i64));
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        _ = HELD.try_with(|held| held.set(held.get() - layout.size() as i64));
+        _ = ALLOCATED.try_with(|allocated| allocated.set(allocated.get() - layout.size() as i64));
         unsafe { System.dealloc(at, layout) }
     }
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-fn held() -> i64 {
-    HELD.with(Cell::get)
+fn allocated() -> i64 {
+    ALLOCATED.with(Cell::get)
 }
 
-/// Bytes of what `make` makes, for each of `count`.
+/// Memory of the value that `make` returns, in bytes for each of its `count` entries.
 fn bytes_each<T>(count: usize, make: impl FnOnce() -> T) -> f64 {
-    let before = held();
+    let before = allocated();
     let made = make();
-    let bytes = (held() - before) as f64;
+    let bytes = (allocated() - before) as f64;
     drop(made);
     bytes / count as f64
 }
 
-/// Prints a figure; it is to be within what the pages and the node's own bounds reckon with.
-fn within(what: &str, bytes: f64, most: f64) {
-    println!("{what}: {bytes:.0} bytes (at most {most:.0})");
+/// Prints a size, and checks it against the bound that the documentation and the node assume.
+fn assert_within(subject: &str, bytes: f64, max: f64) {
+    println!("{subject}: {bytes:.0} bytes (at most {max:.0})");
     assert!(
-        bytes > 0.0 && bytes <= most,
-        "{what}: {bytes} bytes, at most {most} are reckoned with"
+        bytes > 0.0 && bytes <= max,
+        "{subject}: {bytes} bytes, the bound is {max}"
     );
 }
 
-/// The bounds of `installation::orders`: an entry of the table of keys, a connection with nothing open.
-const ENTRY: f64 = 300.0;
-const CONNECTION: f64 = 20_000.0;
+/// Bounds in bytes that the node's installation settings assume: for an entry of the table of idempotency keys, and
+/// for a connection without open requests.
+const MAX_KEY_ENTRY_BYTES: f64 = 300.0;
+const MAX_CONNECTION_BYTES: f64 = 20_000.0;
 
 #[test]
-fn an_idempotency_key_and_its_result_are_within_their_bound() {
+fn idempotency_key_with_result_is_within_its_bound() {
     const COUNT: usize = 20_000;
     let result = RunOutput {
         headers: &[],
@@ -80,20 +83,24 @@
     };
     let bytes = bytes_each(COUNT, || {
         let mut results = ResultTable::new(COUNT, usize::MAX, 10_000);
-        for nth in 0..COUNT {
+        for index in 0..COUNT {
             let mut key = [0; 32];
-            key[..8].copy_from_slice(&nth.to_le_bytes());
-            results.record(nth as u32, (1, key), b"{}", 0, 600_000, 0);
-            results.complete(nth as u32, Ok(result));
+            key[..8].copy_from_slice(&index.to_le_bytes());
+            results.record(index as u32, (1, key), b"{}", 0, 600_000, 0);
+            results.complete(index as u32, Ok(result));
         }
         results
     });
-    within("an idempotency key with a result of 4 bytes", bytes, ENTRY);
+    assert_within(
+        "an idempotency key with a result of 4 bytes",
+        bytes,
+        MAX_KEY_ENTRY_BYTES,
+    );
 }
 
-fn exchange(nth: usize) -> InFlightRequest {
+fn in_flight_request(index: usize) -> InFlightRequest {
     let mut attempt_id = [0; 16];
-    attempt_id[..8].copy_from_slice(&nth.to_le_bytes());
+    attempt_id[..8].copy_from_slice(&index.to_le_bytes());
     InFlightRequest {
         attempt_id,
         group: 0,
@@ -110,41 +117,41 @@
 }
 
 #[test]
-fn exchanges_in_hand_and_ended_tries_are_small() {
+fn in_flight_requests_and_ended_attempts_are_within_their_bounds() {
     const COUNT: usize = 10_000;
     let bytes = bytes_each(COUNT, || {
-        let mut exchanges = InFlightTable::default();
-        (0..COUNT).for_each(|nth| _ = exchanges.insert(exchange(nth)));
-        exchanges
+        let mut requests = InFlightTable::default();
+        (0..COUNT).for_each(|index| _ = requests.insert(in_flight_request(index)));
+        requests
     });
-    within(
-        "an exchange in hand, with a body of 2 bytes and no variables",
+    assert_within(
+        "an in-flight request with a body of 2 bytes and no variables",
         bytes,
         600.0,
     );
     let bytes = bytes_each(COUNT, || {
-        let mut exchanges = InFlightTable::default();
-        for nth in 0..COUNT {
-            let id = exchanges.insert(exchange(nth)).unwrap();
-            exchanges.remove(id).unwrap();
+        let mut requests = InFlightTable::default();
+        for index in 0..COUNT {
+            let id = requests.insert(in_flight_request(index)).unwrap();
+            requests.remove(id).unwrap();
         }
-        exchanges
+        requests
     });
-    within(
-        "the id of a try that has ended, of the last 16384",
+    assert_within(
+        "the id of an ended attempt, of the last 16384",
         bytes,
         100.0,
     );
 }
 
 #[test]
-fn a_connection_by_its_type_is_within_its_bound() {
-    within(
+fn connection_type_is_within_its_bound() {
+    assert_within(
         "a connection without its buffers",
         size_of::<Connection>() as f64,
-        CONNECTION,
+        MAX_CONNECTION_BYTES,
     );
-    within(
+    assert_within(
         "an open request without its parameters and body",
         size_of::<PendingRequest>() as f64,
         200.0,
@@ -152,7 +159,7 @@
 }
 
 #[test]
-fn a_route_and_a_tenant_are_small() {
+fn route_and_tenant_are_within_their_bounds() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let addresses = Addresses {
         listen: address,
@@ -187,23 +194,25 @@
         .collect();
     let names = |tenants: usize| Names {
         groups: vec![GroupName::new("look", false), GroupName::new("pay", true)],
-        tenants: (0..tenants).map(|nth| format!("tenant-{nth}")).collect(),
+        tenants: (0..tenants)
+            .map(|index| format!("tenant-{index}"))
+            .collect(),
         pools: pools.clone(),
     };
-    let (few, many) = (names(1), names(size.tenants));
+    let (one_tenant, all_tenants) = (names(1), names(size.tenants));
     let table = |names: &Names| Table::build(&rules, names, Limits::default()).unwrap();
-    let bytes = bytes_each(rules.len(), || table(&few));
-    within("a route, compiled and in the index", bytes, 2_000.0);
-    let bytes = bytes_each(size.tenants, || table(&many))
+    let bytes = bytes_each(rules.len(), || table(&one_tenant));
+    assert_within("a route, compiled and in the index", bytes, 2_000.0);
+    let bytes = bytes_each(size.tenants, || table(&all_tenants))
         - bytes * rules.len() as f64 / size.tenants as f64;
-    within("a customer in the table of routes", bytes, 100.0);
+    assert_within("a tenant in the table of routes", bytes, 100.0);
 }
 
-fn update(nth: usize) -> MemberUpdate {
-    let address = SocketAddr::from(([10, 0, (nth >> 8) as u8, nth as u8], 7_400));
+fn update(index: usize) -> MemberUpdate {
+    let address = SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], 7_400));
     let (name, incarnation) = (
-        format!("node-{nth:04}").into(),
-        Incarnation(1_000 + nth as u64),
+        format!("node-{index:04}").into(),
+        Incarnation(1_000 + index as u64),
     );
     MemberUpdate {
         name,
@@ -215,22 +224,22 @@
     }
 }
 
-/// A node that was told of so many members by one of them.
+/// A node that learned of `members` members from one of them.
 fn fleet_of(members: usize) -> Fleet {
-    let me = update(0);
-    let incarnation = me.incarnation;
-    let mut fleet = Fleet::new(me, Parameters::default(), 1, 0);
-    let mut out = Vec::new();
+    let own_update = update(0);
+    let incarnation = own_update.incarnation;
+    let mut fleet = Fleet::new(own_update, Parameters::default(), 1, 0);
+    let mut actions = Vec::new();
     let all: Vec<usize> = (1..members).collect();
-    for (nth, part) in all.chunks(MAX_UPDATES).enumerate() {
+    for (index, part) in all.chunks(MAX_UPDATES).enumerate() {
         let head = DatagramHeader {
             sender: update(1),
             to: incarnation,
-            sequence: nth as u64 + 1,
+            sequence: index as u64 + 1,
             digest: 0,
             view: 0,
         };
-        let updates = part.iter().map(|nth| update(*nth)).collect();
+        let updates = part.iter().map(|index| update(*index)).collect();
         let datagram = Datagram {
             head,
             message: doortrack_membership::Message::Updates,
@@ -238,30 +247,26 @@
         };
         let from = update(1).address;
         fleet.handle(
-            nth as u64,
+            index as u64,
             FleetEvent::Received { from, datagram },
-            &mut out,
+            &mut actions,
         );
-        out.clear();
+        actions.clear();
     }
     assert_eq!(fleet.view().members.len(), members);
     fleet
 }
 
 #[test]
-fn a_member_is_small() {
+fn member_is_within_its_bound() {
     const MEMBERS: usize = 770;
     let bytes = bytes_each(MEMBERS, || fleet_of(MEMBERS));
-    within(
-        "a member, with what is still to be passed on of it",
-        bytes,
-        2_000.0,
-    );
+    assert_within("a member, with its pending gossip", bytes, 2_000.0);
 }
 
-fn budget(nth: usize) -> Budget {
+fn budget(index: usize) -> Budget {
     Budget {
-        name: format!("budget-{nth}").into(),
+        name: format!("budget-{index}").into(),
         kind: Kind::Rate { burst: 10_000 },
         limit: 10_000,
         reserved: 0,
@@ -270,10 +275,10 @@
     }
 }
 
-fn node_id(nth: usize) -> NodeId {
+fn node_id(index: usize) -> NodeId {
     NodeId {
-        name: format!("node-{nth:04}").into(),
-        incarnation: Incarnation(1 + nth as u64),
+        name: format!("node-{index:04}").into(),
+        incarnation: Incarnation(1 + index as u64),
     }
 }
 
@@ -284,19 +289,19 @@
         ..Default::default()
     };
     let mut leader = Budgets::new(node_id(0), 1, parameters, budgets, 1, 0);
-    let (mut now, mut out) = (0, Vec::new());
+    let (mut now, mut actions) = (0, Vec::new());
     while !leader.is_leader(now) {
         now = leader.next_due();
-        leader.handle(now, BudgetEvent::Tick, &mut out);
-        out.clear();
+        leader.handle(now, BudgetEvent::Tick, &mut actions);
+        actions.clear();
     }
     (leader, now)
 }
 
-/// The same with reports of so many holders on all budgets.
+/// The same leader after `holders` nodes reported on all budgets.
 fn leader_of(holders: usize, budgets: &[Budget]) -> Budgets {
     let (mut leader, now) = leader(budgets);
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     let item = |budget: &Budget| {
         let (limit, reserved) = (budget.limit(), 0);
         ReportItem {
@@ -309,10 +314,10 @@
         }
     };
     for holder in 1..=holders {
-        for (nth, part) in budgets.chunks(MAX_REPORT_ITEMS).enumerate() {
+        for (index, part) in budgets.chunks(MAX_REPORT_ITEMS).enumerate() {
             let items = part.iter().map(item).collect();
             let message = Message::Report {
-                seq: nth as u64 + 1,
+                seq: index as u64 + 1,
                 weight: 1,
                 items,
             };
@@ -321,33 +326,33 @@
                 to: node_id(0),
                 message,
             };
-            leader.handle(now, BudgetEvent::Received(envelope), &mut out);
-            out.clear();
+            leader.handle(now, BudgetEvent::Received(envelope), &mut actions);
+            actions.clear();
         }
     }
     leader
 }
 
 #[test]
-fn budgets_are_small_at_a_node_and_at_the_leader() {
+fn budgets_are_within_their_bounds_at_a_node_and_at_the_leader() {
     const HOLDERS: usize = 770;
     let list: Vec<Budget> = (0..40).map(budget).collect();
     let node = bytes_each(list.len(), || leader(&list));
-    within("a budget at one node", node, 1_000.0);
+    assert_within("a budget at one node", node, 1_000.0);
     let one = bytes_each(HOLDERS, || leader_of(HOLDERS, &list[..1]));
     let forty = bytes_each(HOLDERS, || leader_of(HOLDERS, &list));
-    within("a holder of one budget at the leader", one, 2_000.0);
-    let line = (forty - one) / (list.len() - 1) as f64;
-    within(
+    assert_within("a holder of one budget at the leader", one, 2_000.0);
+    let per_budget = (forty - one) / (list.len() - 1) as f64;
+    assert_within(
         "each further budget of a holder at the leader",
-        line,
+        per_budget,
         1_000.0,
     );
-    let most: Vec<Budget> = (0..MAX_BUDGETS).map(budget).collect();
-    let whole = bytes_each(1, || leader_of(HOLDERS, &most));
-    within(
-        "the leader of 770 holders with as many budgets as there may be",
-        whole,
+    let all_budgets: Vec<Budget> = (0..MAX_BUDGETS).map(budget).collect();
+    let all_budgets_bytes = bytes_each(1, || leader_of(HOLDERS, &all_budgets));
+    assert_within(
+        "the leader of 770 holders with the greatest number of budgets",
+        all_budgets_bytes,
         60_000_000.0,
     );
 }
