--- a/crates/fault-harness/src/checks.rs
+++ b/crates/fault-harness/src/checks.rs
@@ -1,4 +1,4 @@
-//! Invariants of every run, judged on its history alone.
+//! Invariants of every run, checked on its history alone.
 //!
 //! Bounds are those guaranteed to operators and don't depend on the machine's speed: a process that was not
 //! scheduled for a while logs `resumed`, and declarations about it are excused.
@@ -226,7 +226,7 @@
 /// anything.
 pub struct ResumedDeclaresNobodyDead;
 
-/// Time in ms after a resumption in which a node may declare nobody dead; shorter than any suspicion timeout.
+/// Time in ms after a resumption in which a node must not declare members dead; shorter than any suspicion timeout.
 const RESUMPTION_GRACE_MS: u64 = 250;
 /// Shortest pause in ms that is checked.
 const MIN_PAUSE_MS: u64 = 1_000;
--- a/crates/fault-harness/src/main.rs
+++ b/crates/fault-harness/src/main.rs
@@ -99,7 +99,7 @@
     /// An older build, started by the fault `start_older`
     #[arg(long, value_name = "FILE")]
     older: Option<PathBuf>,
-    /// Callers that send requests meanwhile; checked by the four rules
+    /// Number of callers that send requests during the run, checked by the four rules
     #[arg(long, default_value = "3")]
     callers: usize,
     /// File for the history of the run, or of the first run that fails
--- a/crates/fault-harness/src/traffic/records.rs
+++ b/crates/fault-harness/src/traffic/records.rs
@@ -45,7 +45,7 @@
     pub listener: SocketAddr,
     /// When, in Unix ms.
     pub at: u64,
-    /// Requests sent before this, in Unix ms, need an answer all the same: a process that shuts down
+    /// Requests sent before this, in Unix ms, still need an answer, as a process that shuts down
     /// gracefully answers what it has read.
     pub answers_due_before: u64,
 }
