--- a/crates/fault-harness/src/lib.rs
+++ b/crates/fault-harness/src/lib.rs
@@ -2,20 +2,21 @@
 //!
 //! A [`Script`] says which faults occur and when. It is run by [`processes::run`] on real `doortrack`
 //! processes with a relay between every pair of them, or by [`simulated::run`] in simulated time on the same
-//! decisions. Both give one [`History`]: the faults injected, and what each node reported. [`checks`] judge a
-//! history and know nothing of a node's code; [`shrink`] reduces a script that fails.
+//! decisions. Both give one [`History`]: the faults injected, and what each node reported. [`checks`] verify a
+//! history without access to a node's code; [`shrink`] reduces a script that fails.
 //!
-//! Safety is judged at all times. Liveness is judged by the nodes' final views, for which the harness waits
-//! long enough that a slow machine changes no verdict.
+//! Safety is checked throughout a run, liveness by the nodes' final views. The harness waits long enough for
+//! these that a slow machine doesn't change the verdict.
 
+pub mod budget_simulation;
 pub mod checks;
-pub mod divided;
 pub mod drains;
 pub mod ground_truth;
 pub mod history;
-mod links;
 pub mod load;
+mod network_faults;
 pub mod processes;
+pub mod progress;
 pub mod relay;
 #[allow(
     missing_docs,
@@ -23,10 +24,9 @@
 )]
 pub mod scale;
 pub mod script;
-pub mod serving;
 pub mod shrink;
 pub mod simulated;
-pub mod streams;
+pub mod tcp_proxy;
 pub mod traffic;
 pub mod usage;
 
--- a/crates/node/tests/fleet/flooded_link.rs
+++ b/crates/node/tests/fleet/flooded_link.rs
@@ -41,7 +41,7 @@
     }
     let result = rig.finish_with(Some((traffic, &backend)));
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
-    let served = result.served;
+    let served = result.traffic_counts;
     assert!(
         served.completed * 10 >= served.sent * 8 && served.sent > 100,
         "{served:?}"
--- a/crates/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -20,7 +20,7 @@
 
 use std::path::Path;
 
-use doortrack_fault_harness::checks::{judge, membership};
+use doortrack_fault_harness::checks::{judge, membership_invariants};
 use doortrack_fault_harness::processes::RunResult;
 use doortrack_fault_harness::script::{Fault, Script, TimedFault};
 
@@ -43,14 +43,18 @@
 
 /// Checks membership on the history, the rules on the requests, and that requests were completed.
 fn assert_no_violations(result: &RunResult) {
-    let violations = judge(&result.history, &membership());
+    let violations = judge(&result.history, &membership_invariants());
     assert!(
         violations.is_empty(),
         "{violations:#?}\n{}",
         result.history.to_lines()
     );
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
-    assert!(result.served.completed > 0, "{:?}", result.served);
+    assert!(
+        result.traffic_counts.completed > 0,
+        "{:?}",
+        result.traffic_counts
+    );
 }
 
 /// Cuts the links between two groups of nodes in both directions from `at` until `heal_at`, in ms.
