--- a/crates/fault-harness/src/scale/node_cost.rs
+++ b/crates/fault-harness/src/scale/node_cost.rs
@@ -172,7 +172,7 @@
     let mut taken = Vec::new();
     for size in sizes {
         progress.set_message(format!("{dimension:?} {size}"));
-        let found = match measure(bench, &Size::HELD.with(dimension, *size), spans) {
+        let found = match measure(bench, &Size::BASELINE.with(dimension, *size), spans) {
             Ok(measured) => Taken::Measured(Box::new(measured)),
             Err(MeasureError::DoesNotStart(why)) => Taken::Refused { size: *size, why },
             Err(fault) => return Err(fault),
@@ -182,7 +182,7 @@
     }
     Ok(Swept {
         dimension,
-        held: Size::HELD.held_beside(dimension),
+        held: Size::BASELINE.held_beside(dimension),
         taken,
     })
 }
--- a/crates/fault-harness/src/scale/node_cost/alone.rs
+++ b/crates/fault-harness/src/scale/node_cost/alone.rs
@@ -106,7 +106,7 @@
 ) -> Result<Started, MeasureError> {
     let size = Size {
         budgets: Some(0),
-        ..Size::HELD
+        ..Size::BASELINE
     };
     bench.start_at(name, &size, at, |installation| {
         installation["fleet"]["seeds"] = json!([seed.fleet.to_string()]);
@@ -116,7 +116,7 @@
 }
 
 fn ask(caller: &mut Connection, kind: Kind) -> std::io::Result<Outcome> {
-    let (path, tenant) = (request_path(&Size::HELD, 0), tenant(kind as usize));
+    let (path, tenant) = (request_path(&Size::BASELINE, 0), tenant(kind as usize));
     caller.ask(&Request {
         path: &path,
         tenant: &tenant,
--- a/crates/fault-harness/src/scale/node_cost/full_table.rs
+++ b/crates/fault-harness/src/scale/node_cost/full_table.rs
@@ -84,7 +84,7 @@
 pub fn measure(bench: &Bench, callers: usize) -> Result<FullTable, MeasureError> {
     let size = Size {
         callers: REGULARS,
-        ..Size::HELD
+        ..Size::BASELINE
     };
     let mut started = bench.start(&size)?;
     started.process.wait_ready()?;
--- a/crates/fault-harness/src/scale/node_cost/keys.rs
+++ b/crates/fault-harness/src/scale/node_cost/keys.rs
@@ -65,7 +65,7 @@
 /// # Errors
 /// The process does not start, or ends a connection.
 pub fn measure(bench: &Bench, at_peak_for: Duration, fill: bool) -> Result<KeysHeld, MeasureError> {
-    let mut started = bench.start(&Size::HELD)?;
+    let mut started = bench.start(&Size::BASELINE)?;
     started.process.wait_ready()?;
     let connection = Connection::open(started.addresses.front)?;
     let mut caller = KeyedCaller {
--- a/crates/fault-harness/src/scale/node_cost/log_volume.rs
+++ b/crates/fault-harness/src/scale/node_cost/log_volume.rs
@@ -19,7 +19,7 @@
 /// As many pools as there may be, the one without a name included.
 const MOST_SERVICES: Size = Size {
     services: MAX_POOLS + 1,
-    ..Size::HELD
+    ..Size::BASELINE
 };
 
 /// One situation over a time.
@@ -56,7 +56,7 @@
 /// A process does not start or ends.
 pub fn measure(bench: &Bench, lasts: Duration) -> Result<LogVolumes, MeasureError> {
     std::thread::scope(|scope| {
-        let few_pools = scope.spawn(|| calm(bench, Size::HELD, lasts));
+        let few_pools = scope.spawn(|| calm(bench, Size::BASELINE, lasts));
         let most_pools = scope.spawn(|| calm(bench, MOST_SERVICES, lasts));
         let rejecting = scope.spawn(|| rejecting(bench, lasts));
         let servers_gone = scope.spawn(|| servers_gone(bench, lasts));
@@ -96,7 +96,7 @@
     let size = Size {
         tenants: 1,
         budgets: Some(1),
-        ..Size::HELD
+        ..Size::BASELINE
     };
     let mut started = bench.start_changed(&size, |installation| {
         installation["budgets"][0] = json!({"name": "scarce", "kind": "rate", "whole": 1, "burst": 1,
--- a/crates/fault-harness/src/scale/node_cost/settings.rs
+++ b/crates/fault-harness/src/scale/node_cost/settings.rs
@@ -44,8 +44,8 @@
 }
 
 impl Size {
-    /// What is held while one dimension grows.
-    pub const HELD: Size = Size {
+    /// The values of all dimensions that are not being varied.
+    pub const BASELINE: Size = Size {
         routes: 850,
         tenants: 2_000,
         services: 10,
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -37,9 +37,9 @@
 }
 
 fn sizes() -> Vec<Size> {
-    let one = |dimension, size| Size::HELD.with(dimension, size);
+    let one = |dimension, size| Size::BASELINE.with(dimension, size);
     vec![
-        Size::HELD,
+        Size::BASELINE,
         one(Dimension::Routes, 0),
         one(Dimension::Routes, 3_400),
         one(Dimension::Tenants, 200),
@@ -89,13 +89,13 @@
 
 #[test]
 fn one_dimension_grows_and_the_others_are_held() {
-    let grown = Size::HELD.with(Dimension::Routes, 3_400);
+    let grown = Size::BASELINE.with(Dimension::Routes, 3_400);
     assert_eq!(
         Size {
-            routes: Size::HELD.routes,
+            routes: Size::BASELINE.routes,
             ..grown
         },
-        Size::HELD
+        Size::BASELINE
     );
     let held = grown.held_beside(Dimension::Routes);
     assert_eq!(held, "2000 tenants, 10 pools, 50 callers, no fleet");
@@ -103,7 +103,7 @@
 
 #[test]
 fn more_pools_than_a_node_may_have_are_refused() {
-    let size = Size::HELD.with(Dimension::Services, 150);
+    let size = Size::BASELINE.with(Dimension::Services, 150);
     let text = installation("n1", &size, &addresses()).to_string();
     let faults = installation::parse(text.as_bytes()).unwrap_err();
     assert!(
@@ -132,7 +132,7 @@
 #[test]
 fn every_request_of_the_load_has_a_rule() {
     for routes in [340, 3_400] {
-        let size = Size::HELD.with(Dimension::Routes, routes);
+        let size = Size::BASELINE.with(Dimension::Routes, routes);
         let table = table(&size, &read(&size).1);
         for nth in 0..2 * routes {
             let path = request_path(&size, nth);
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_change_is_of_the_last_rule_alone_and_refuses_what_was_served() {
-    for size in [Size::HELD, Size::HELD.with(Dimension::Routes, 0)] {
+    for size in [Size::BASELINE, Size::BASELINE.with(Dimension::Routes, 0)] {
         let before = installation("n1", &size, &addresses());
         let after = installation_changed(&before);
         let parse =
--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -164,7 +164,7 @@
     let size = Size {
         routes: 3_400,
         tenants: 20_000,
-        ..Size::HELD
+        ..Size::BASELINE
     };
     let generated = installation("n1", &size, &addresses);
     let text = |rule: &serde_json::Value, key: &str| rule[key].as_str().map(str::to_string);
