--- a/crates/node/tests/fleet/budgets.rs
+++ b/crates/node/tests/fleet/budgets.rs
@@ -8,7 +8,7 @@
 use doortrack_fault_harness::load::{Load, LoadProfile, LoadReport};
 use doortrack_fault_harness::processes::Rig;
 use doortrack_fault_harness::script::{Fault, Script};
-use doortrack_fault_harness::usage::{concurrency_exceeded, rate_exceeded, used};
+use doortrack_fault_harness::usage::{concurrency_exceeded, rate_exceeded, utilization};
 use doortrack_node::commands::fleet::query_budgets;
 use doortrack_node::peers::peer_message::BudgetStatus;
 use doortrack_protocols::Protocol;
@@ -101,7 +101,7 @@
         .collect();
     load.start(&listeners, script.seed);
     let started = std::time::Instant::now();
-    for timed in script.in_order() {
+    for timed in script.faults_by_time() {
         std::thread::sleep(Duration::from_millis(timed.at_ms).saturating_sub(started.elapsed()));
         rig.inject(&timed.fault, &installation).unwrap();
     }
@@ -341,7 +341,7 @@
         .collect();
     assert_eq!(rate_exceeded(&admitted, 20, 10), None);
     assert!(
-        used(&admitted, 20, started_at, started_at + 2_000) > 0.5,
+        utilization(&admitted, 20, started_at, started_at + 2_000) > 0.5,
         "{}",
         admitted.len()
     );
--- a/crates/node/tests/fleet/faults.rs
+++ b/crates/node/tests/fleet/faults.rs
@@ -312,7 +312,7 @@
     ];
     let result = run_and_judge(&script(3, 7_000, faults));
     // Some requests were cut off, and most were completed.
-    let served = result.served;
+    let served = result.traffic;
     assert!(
         served.unanswered > 0 && served.completed * 10 > served.sent * 5,
         "{served:?}"
