--- a/crates/fault-harness/src/scale.rs
+++ b/crates/fault-harness/src/scale.rs
@@ -1,11 +1,11 @@
-//! What a fleet costs as it grows: each quantity measured at several sizes, with the slope through them.
+//! Measures the resource usage of fleets of several sizes and fits a line through each quantity.
 //!
-//! A fleet of some hundred nodes does not fit one machine as processes. Most of its nodes are *hollow*: they
-//! run the node's own link, codec, membership and budgets on a socket of their own, serve nobody, and share a
-//! process and a loop ([`hollow`]). Beside them run real `doortrack serve` processes under load, and one
-//! process for each voter. [`plan`] lays a fleet out, [`fleet`] starts and ends it, [`measure`] takes the
-//! figures, [`sweep`] plays one fleet for each size, [`fit`] and [`table`] make slopes and text of them.
-//! What one real node costs by its settings and callers is measured by [`node_cost`].
+//! One machine can't run several hundred nodes as separate processes. Most nodes are therefore *hollow*: each
+//! runs the node's own peer link, codec, membership and budgets on its own socket, but serves no requests and
+//! shares a process and an event loop with others ([`hollow`]). Real `doortrack serve` processes under load
+//! and one process for each voter run beside them. [`plan`] defines the layout of a fleet, [`fleet`] starts
+//! and stops it, [`measure`] computes the figures, [`sweep`] runs one fleet for each size, and [`fit`] and
+//! [`table`] fit lines and format tables. [`node_cost`] measures a single real node by its settings and callers.
 
 pub mod added;
 pub mod child;
--- a/crates/fault-harness/src/scale/added.rs
+++ b/crates/fault-harness/src/scale/added.rs
@@ -1,7 +1,8 @@
-//! What control adds to a request: half of the real nodes have fleet and budgets, the others have neither.
+//! Measures the latency that control adds to a request. Half of the real nodes have fleet and budgets (with
+//! control), the others have neither.
 //!
-//! Callers ask one of each half in turns, in changing order, while the hollow nodes of a whole fleet run
-//! beside them. So both halves meet the same machine at the same time, and are compared pair by pair.
+//! Callers send pairs of requests, one to a node of each half, in alternating order while the hollow nodes of
+//! the fleet run. Both halves thus share the load of the machine, and are compared pair by pair.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,59 +21,59 @@
 use super::measure::core_thousandths;
 use super::plan::{CALLERS_TENANT, TENANT_FIELD};
 use super::settle::settle;
-use super::sweep::{PlayTerms, Size};
+use super::sweep::{Size, TrialOptions};
 
-/// Connections that a node keeps to the server behind it.
-const AT_ONCE: usize = 4;
-/// Callers that time requests, each one after the other.
+/// Connections that each node keeps to the application server.
+const CONNECTIONS_PER_NODE: usize = 4;
+/// Callers that measure latency; each sends one request at a time.
 const TIMING_CALLERS: usize = 2;
-/// A caller's rest after each pair.
-const REST: Duration = Duration::from_millis(1);
+/// Pause of a caller after each pair.
+const PAUSE: Duration = Duration::from_millis(1);
 
-/// How long requests to one half took, in microseconds, and what its processes used.
+/// Latencies of one half of the real nodes, in microseconds, and the resource usage of its processes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Half {
+pub struct VariantStats {
     pub p50_us: f64,
     pub p99_us: f64,
     pub mean_us: f64,
-    /// Of each process, in the mean.
+    /// Mean per process, as is `resident_kilobytes`.
     pub core_thousandths: f64,
     pub resident_kilobytes: f64,
 }
 
-/// Both halves, and what the half with control takes beyond the other.
+/// Results of both halves, and the difference between them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AddedReport {
     pub size: Size,
     pub real_with_control: usize,
     pub real_without_control: usize,
     pub agreed_after_ms: Option<u64>,
-    /// Pairs in which both requests were completed, and the others.
+    /// Number of pairs in which both requests were completed; the others are in `incomplete_pairs`.
     pub pairs: usize,
     pub incomplete_pairs: usize,
-    pub with_control: Half,
-    pub without_control: Half,
+    pub with_control: VariantStats,
+    pub without_control: VariantStats,
     pub ratio_p50: f64,
     pub ratio_p99: f64,
     pub added_p50_us: f64,
     pub added_p99_us: f64,
-    /// The middle of the differences within pairs.
+    /// Median of the differences within pairs.
     pub paired_difference_p50_us: f64,
     pub added_core_thousandths: f64,
     pub added_kilobytes: f64,
 }
 
-/// One pair of requests, in microseconds.
+/// Latencies of one pair of requests, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pair {
     pub with_control: f64,
     pub without_control: f64,
 }
 
-/// The value below which this share of the sorted values lies; 0 of none.
+/// Returns a quantile of sorted values, or 0 if there are none.
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
-    let place = (sorted.len() as f64 * share).ceil() as usize;
-    sorted.get(place.saturating_sub(1)).copied().unwrap_or(0.0)
+    let index = (sorted.len() as f64 * share).ceil() as usize;
+    sorted.get(index.saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
 fn sorted(values: impl Iterator<Item = f64>) -> Vec<f64> {
@@ -81,31 +82,30 @@
     values
 }
 
-/// Plays a fleet of this size with half of its real nodes outside it, and times requests for so long.
+/// Runs a fleet of this size with half of the real nodes outside it, and measures latencies for `duration`.
 ///
 /// # Errors
-/// A process that can't be started, or that ended before its time.
-pub fn play(
-    terms: &PlayTerms,
+/// A process can't be started or ends early.
+pub fn run_trial(
+    options: &TrialOptions,
     size: Size,
-    lasts: Duration,
+    duration: Duration,
     progress: &ProgressBar,
 ) -> Result<AddedReport, ScaleError> {
     let ports = Ports::hold()?;
-    let server = immediate::start_server(Protocol::FastCgi, terms.real * AT_ONCE);
-    let server = server.map_err(ScaleError::io("the server behind the nodes"))?;
-    let servers =
-        json!({"protocol": "fastcgi", "addresses": [server.to_string()], "at_once": AT_ONCE});
-    let plan = terms.plan(size, &ports);
+    let server = immediate::start_server(Protocol::FastCgi, options.real * CONNECTIONS_PER_NODE);
+    let server = server.map_err(ScaleError::io("the application server"))?;
+    let servers = json!({"protocol": "fastcgi", "addresses": [server.to_string()], "at_once": CONNECTIONS_PER_NODE});
+    let plan = options.plan(size, &ports);
     let first = plan.real_nodes().start;
-    // In turns, so that neither half starts first.
+    // Alternating, so that neither half starts first.
     let in_fleet = |node: usize| (node - first).is_multiple_of(2);
     progress.set_message("start");
-    let mut fleet = RunningFleet::start(&terms.programs, plan, &servers, in_fleet)?;
+    let mut fleet = RunningFleet::start(&options.programs, plan, &servers, in_fleet)?;
     let members = fleet.members();
-    let agreed = fleet.agree(members, terms.agree_within)?;
+    let agreed = fleet.wait_for_agreement(members, options.agree_within)?;
     progress.set_message("settle");
-    settle(&mut fleet, terms.settle)?;
+    settle(&mut fleet, options.settle)?;
     progress.set_message("time requests");
     let fronts = |in_fleet: bool| -> Vec<SocketAddr> {
         fleet
@@ -117,17 +117,17 @@
     };
     let (with, without) = (fronts(true), fronts(false));
     let before = usages(&fleet)?;
-    let (pairs, incomplete_pairs) = time_pairs(&with, &without, lasts);
+    let (pairs, incomplete_pairs) = time_pairs(&with, &without, duration);
     let after = usages(&fleet)?;
-    let half = |in_fleet: bool| half(&fleet, in_fleet, &pairs, &before, &after);
+    let variant_stats = |in_fleet: bool| variant_stats(&fleet, in_fleet, &pairs, &before, &after);
     let counts = (with.len(), without.len(), incomplete_pairs);
     Ok(AddedReport::of(
         size,
         agreed,
         counts,
         &pairs,
-        half(true),
-        half(false),
+        variant_stats(true),
+        variant_stats(false),
     ))
 }
 
@@ -135,13 +135,13 @@
     fleet.real.iter().map(|real| usage(real.pid())).collect()
 }
 
-fn half(
+fn variant_stats(
     fleet: &RunningFleet,
     in_fleet: bool,
     pairs: &[Pair],
     before: &[Usage],
     after: &[Usage],
-) -> Half {
+) -> VariantStats {
     let times = sorted(pairs.iter().map(|pair| {
         if in_fleet {
             pair.with_control
@@ -149,18 +149,18 @@
             pair.without_control
         }
     }));
-    let places = (0..fleet.real.len()).filter(|place| fleet.real[*place].in_fleet == in_fleet);
-    let places: Vec<usize> = places.collect();
-    let count = places.len().max(1) as f64;
-    let cores: f64 = places
+    let indices = (0..fleet.real.len()).filter(|index| fleet.real[*index].in_fleet == in_fleet);
+    let indices: Vec<usize> = indices.collect();
+    let count = indices.len().max(1) as f64;
+    let cores: f64 = indices
         .iter()
-        .map(|place| core_thousandths(before[*place], after[*place]))
+        .map(|index| core_thousandths(before[*index], after[*index]))
         .sum();
-    let kilobytes: u64 = places
+    let kilobytes: u64 = indices
         .iter()
-        .map(|place| after[*place].resident_kilobytes)
+        .map(|index| after[*index].resident_kilobytes)
         .sum();
-    Half {
+    VariantStats {
         p50_us: quantile(&times, 0.5),
         p99_us: quantile(&times, 0.99),
         mean_us: times.iter().sum::<f64>() / times.len().max(1) as f64,
@@ -169,9 +169,13 @@
     }
 }
 
-/// Times pairs of requests; those that were completed, and how many were not.
-fn time_pairs(with: &[SocketAddr], without: &[SocketAddr], lasts: Duration) -> (Vec<Pair>, usize) {
-    let (over, began) = (
+/// Sends pairs of requests. Returns the completed pairs and the number of incomplete ones.
+fn time_pairs(
+    with: &[SocketAddr],
+    without: &[SocketAddr],
+    duration: Duration,
+) -> (Vec<Pair>, usize) {
+    let (stop, began) = (
         AtomicBool::new(with.is_empty() || without.is_empty()),
         Instant::now(),
     );
@@ -179,15 +183,15 @@
     let mut incomplete = 0;
     std::thread::scope(|scope| {
         let callers: Vec<_> = (0..TIMING_CALLERS as u64)
-            .map(|place| {
+            .map(|index| {
                 scope.spawn({
-                    let over = &over;
-                    move || time_until(over, place, with, without)
+                    let stop = &stop;
+                    move || time_pairs_until_stopped(stop, index, with, without)
                 })
             })
             .collect();
-        std::thread::sleep(lasts.saturating_sub(began.elapsed()));
-        over.store(true, Ordering::Relaxed);
+        std::thread::sleep(duration.saturating_sub(began.elapsed()));
+        stop.store(true, Ordering::Relaxed);
         for (timed, failed) in callers.into_iter().filter_map(|caller| caller.join().ok()) {
             pairs.extend(timed);
             incomplete += failed;
@@ -196,20 +200,20 @@
     (pairs, incomplete)
 }
 
-fn time_until(
-    over: &AtomicBool,
-    place: u64,
+fn time_pairs_until_stopped(
+    stop: &AtomicBool,
+    index: u64,
     with: &[SocketAddr],
     without: &[SocketAddr],
 ) -> (Vec<Pair>, usize) {
     let (mut pairs, mut incomplete) = (Vec::new(), 0);
-    let mut nth = (place + 1) << 32;
-    while !over.load(Ordering::Relaxed) {
+    let mut nth = (index + 1) << 32;
+    while !stop.load(Ordering::Relaxed) {
         nth += 2;
-        let turn = (nth / 2) as usize;
-        let (one, other) = (with[turn % with.len()], without[turn % without.len()]);
-        // Who is asked first changes with each round of the nodes.
-        let with_first = (turn / with.len()).is_multiple_of(2);
+        let round = (nth / 2) as usize;
+        let (one, other) = (with[round % with.len()], without[round % without.len()]);
+        // The half that is asked first alternates with each pass over the nodes.
+        let with_first = (round / with.len()).is_multiple_of(2);
         let (first, second) = if with_first {
             (one, other)
         } else {
@@ -230,29 +234,30 @@
             }
             _ => incomplete += 1,
         }
-        std::thread::sleep(REST);
+        std::thread::sleep(PAUSE);
     }
     (pairs, incomplete)
 }
 
-/// Microseconds from before the connection to the end of the answer; none if it was not completed.
+/// Returns the microseconds from the connection attempt to the end of the response, or None if the request
+/// was not completed.
 fn time_one(front: SocketAddr, nth: u64) -> Option<f64> {
-    let ask = CallerRequest::new(nth, "/svc/look", b"berth").with(TENANT_FIELD, CALLERS_TENANT);
+    let request = CallerRequest::new(nth, "/svc/look", b"berth").with(TENANT_FIELD, CALLERS_TENANT);
     let began = Instant::now();
-    let seen = ask.try_send(front, Protocol::FastCgi).ok()?.outcome();
+    let seen = request.try_send(front, Protocol::FastCgi).ok()?.outcome();
     let took = began.elapsed().as_secs_f64() * 1e6;
     matches!(seen, CallerOutcome::Completed(_)).then_some(took)
 }
 
 impl AddedReport {
-    /// `counts` are the nodes of each half and the pairs that were not completed.
+    /// Builds the report. `counts` are the nodes of each half and the number of incomplete pairs.
     pub fn of(
         size: Size,
         agreed: Option<Duration>,
         counts: (usize, usize, usize),
         pairs: &[Pair],
-        with_control: Half,
-        without_control: Half,
+        with_control: VariantStats,
+        without_control: VariantStats,
     ) -> AddedReport {
         let differences = sorted(
             pairs
@@ -279,24 +284,24 @@
         }
     }
 
-    /// For a reader.
+    /// Formats the report as text.
     pub fn text(&self) -> String {
-        let half = |name: &str, half: &Half| {
+        let variant_stats = |name: &str, variant_stats: &VariantStats| {
             format!(
                 "{name}: p50 {:.0} us, p99 {:.0} us, mean {:.0} us, {:.1} thousandths of a core, {:.0} kB\n",
-                half.p50_us,
-                half.p99_us,
-                half.mean_us,
-                half.core_thousandths,
-                half.resident_kilobytes
+                variant_stats.p50_us,
+                variant_stats.p99_us,
+                variant_stats.mean_us,
+                variant_stats.core_thousandths,
+                variant_stats.resident_kilobytes
             )
         };
         let mut text = format!(
             "{} nodes, {} budgets; {} pairs, {} not completed\n",
             self.size.nodes, self.size.budgets, self.pairs, self.incomplete_pairs
         );
-        text += &half("with control", &self.with_control);
-        text += &half("without", &self.without_control);
+        text += &variant_stats("with control", &self.with_control);
+        text += &variant_stats("without", &self.without_control);
         text += &format!(
             "added: p50 {:.0} us (ratio {:.3}), p99 {:.0} us (ratio {:.3}), middle of pairs {:.0} us, ",
             self.added_p50_us,
--- a/crates/fault-harness/src/scale/child.rs
+++ b/crates/fault-harness/src/scale/child.rs
@@ -1,4 +1,4 @@
-//! Processes of the rig's own, and what any process has used.
+//! Processes of hollow nodes, and the resource usage of processes.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::ops::Range;
@@ -10,19 +10,19 @@
 use super::protocol::{HollowCommand, HollowReply};
 use doortrack_fakes::child_process::end_with_parent;
 
-/// What a process has used by a moment.
+/// The resource usage of a process up to `at`.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     pub at: Instant,
-    /// User and system time of all threads, in steps of the system's tick (mostly 10 ms).
+    /// User and system time of all threads, with the resolution of the system clock tick (usually 10 ms).
     pub processor: Duration,
     pub resident_kilobytes: u64,
 }
 
-/// Reads `/proc/PID/stat` and `/proc/PID/status`.
+/// Reads the usage from `/proc/PID/stat` and `/proc/PID/status`.
 ///
 /// # Errors
-/// The process is gone.
+/// The process has ended.
 pub fn usage(pid: u32) -> Result<Usage, ScaleError> {
     let wrap = |source| ScaleError::Proc { pid, source };
     let process = procfs::process::Process::new(pid as i32).map_err(wrap)?;
@@ -37,7 +37,7 @@
     })
 }
 
-/// A process of hollow nodes; ended when it is dropped.
+/// A process of hollow nodes, killed on drop.
 pub struct HollowProcess {
     pub nodes: Range<usize>,
     child: Child,
@@ -45,17 +45,17 @@
     output: BufReader<ChildStdout>,
 }
 
-/// What a process of hollow nodes is started with.
+/// The program and plan of a process of hollow nodes.
 #[derive(Clone, Debug)]
 pub struct HollowProgram {
-    /// The rig's own program.
-    pub rig: PathBuf,
+    /// The program of the harness.
+    pub harness: PathBuf,
     /// The plan as JSON.
     pub plan_file: PathBuf,
 }
 
 impl HollowProcess {
-    /// Starts a process with the nodes of this range.
+    /// Starts a process that runs the nodes of this range.
     ///
     /// # Errors
     /// The program can't be started.
@@ -63,10 +63,10 @@
         program: &HollowProgram,
         nodes: Range<usize>,
     ) -> Result<HollowProcess, ScaleError> {
-        let mut command = hollow_command(&program.rig, &program.plan_file, &nodes);
+        let mut command = hollow_command(&program.harness, &program.plan_file, &nodes);
         let mut child = command
             .spawn()
-            .map_err(ScaleError::io(program.rig.display()))?;
+            .map_err(ScaleError::io(program.harness.display()))?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
         let no_pipe = || ScaleError::Hollow {
             nodes: nodes.clone(),
@@ -88,7 +88,7 @@
     /// Sends a command without waiting for its reply.
     ///
     /// # Errors
-    /// The process is gone.
+    /// The process has ended.
     pub fn send(&mut self, command: &HollowCommand) -> Result<(), ScaleError> {
         let text = serde_json::to_string(command).map_err(|e| self.failed(e))?;
         let input = self.input.as_mut();
@@ -98,10 +98,10 @@
         written.map_err(|e| self.failed(e))
     }
 
-    /// Waits for the reply to the command that was sent first of those without one.
+    /// Waits for the reply to the oldest unanswered command.
     ///
     /// # Errors
-    /// The process is gone, or could not do it.
+    /// The process has ended, or the command failed.
     pub fn receive(&mut self) -> Result<HollowReply, ScaleError> {
         let mut line = String::new();
         let len = self
@@ -109,7 +109,7 @@
             .read_line(&mut line)
             .map_err(|e| self.failed(e))?;
         if len == 0 {
-            return Err(self.failed("it has ended"));
+            return Err(self.failed("the process has ended"));
         }
         match serde_json::from_str(&line).map_err(|e| self.failed(e))? {
             HollowReply::Failed { why } => Err(self.failed(why)),
@@ -133,8 +133,8 @@
     }
 }
 
-fn hollow_command(rig: &Path, plan_file: &Path, nodes: &Range<usize>) -> Command {
-    let mut command = Command::new(rig);
+fn hollow_command(harness: &Path, plan_file: &Path, nodes: &Range<usize>) -> Command {
+    let mut command = Command::new(harness);
     command.arg("hollow").arg("--plan").arg(plan_file);
     command.arg("--from").arg(nodes.start.to_string());
     command.arg("--to").arg(nodes.end.to_string());
--- a/crates/fault-harness/src/scale/command.rs
+++ b/crates/fault-harness/src/scale/command.rs
@@ -16,21 +16,21 @@
 use super::hollow;
 use super::plan::FleetPlan;
 use super::series::Dimension;
-use super::settle::SettleTerms;
-use super::sweep::{PlayReport, PlayTerms, Size, fitted, play};
+use super::settle::SettleOptions;
+use super::sweep::{Size, TrialOptions, TrialReport, fitted, run_trial};
 use super::table;
 use super::watchdog::Watchdog;
 
-/// The most processes of one play.
-const MOST_PROCESSES: usize = 300;
+/// Maximum number of processes of one trial.
+const MAX_PROCESSES: usize = 300;
 
-/// Measures what a fleet costs by its size, mostly with hollow nodes, beside real processes under load.
+/// Measures what a fleet costs by its size, mostly with hollow nodes beside real processes under load.
 #[derive(Args, Clone, Debug)]
 pub struct ScaleArgs {
-    /// The program of the real nodes
+    /// Program of the real nodes
     #[arg(long, value_name = "FILE", default_value = "target/release/doortrack")]
     program: PathBuf,
-    /// Sizes of the series over nodes; 0 leaves it out
+    /// Fleet sizes of the series over nodes; 0 skips the series
     #[arg(
         long,
         value_delimiter = ',',
@@ -38,10 +38,10 @@
         value_name = "COUNTS"
     )]
     nodes: Vec<usize>,
-    /// Budgets while the nodes grow
+    /// Number of budgets in the series over nodes
     #[arg(long, default_value_t = 1, value_name = "COUNT")]
     budgets_held: usize,
-    /// Sizes of the series over budgets; 0 leaves it out
+    /// Budget counts of the series over budgets; 0 skips the series
     #[arg(
         long,
         value_delimiter = ',',
@@ -49,63 +49,63 @@
         value_name = "COUNTS"
     )]
     budgets: Vec<usize>,
-    /// Nodes while the budgets grow
+    /// Number of nodes in the series over budgets
     #[arg(long, default_value_t = 100, value_name = "COUNT")]
     nodes_held: usize,
-    /// Nodes at which the line over nodes is read
+    /// Number of nodes at which the line over nodes is evaluated
     #[arg(long, default_value_t = 770, value_name = "COUNT")]
     wanted_nodes: usize,
-    /// Budgets at which the line over budgets is read
+    /// Number of budgets at which the line over budgets is evaluated
     #[arg(long, default_value_t = 250, value_name = "COUNT")]
     wanted_budgets: usize,
-    /// Instead of the series: the time that control adds to a request, at the greatest of the sizes
+    /// Instead of the series: measures the latency that fleet and budgets add to a request, at the largest size
     #[arg(long)]
     added: bool,
-    /// Instead of the series: kills, restarts, a rack, a zone, regions parted, at the greatest of the sizes
+    /// Instead of the series: kills nodes, a rack and a zone, restarts nodes, partitions regions, at the largest size
     #[arg(long, conflicts_with = "added")]
     faults: bool,
-    /// How long regions are parted
+    /// Duration of the partition between regions
     #[arg(long, default_value_t = 25.0, value_name = "SECONDS")]
     parted_for: f64,
-    /// How long requests are timed
+    /// Duration of the latency measurement
     #[arg(long, default_value_t = 20.0, value_name = "SECONDS")]
     added_for: f64,
-    /// Real processes under load among the nodes
+    /// Number of real processes under load among the nodes
     #[arg(long, default_value_t = 24, value_name = "COUNT")]
     real: usize,
     /// Nodes that vote and lead, a process each
     #[arg(long, default_value_t = 4, value_name = "COUNT")]
     voters: usize,
-    /// Stand-in callers of the real processes
+    /// Simulated callers of the real processes
     #[arg(long, default_value_t = 6, value_name = "COUNT")]
     callers: usize,
-    /// Requests a second that each hollow node books on its budgets
+    /// Requests per second that each hollow node admits under its budgets
     #[arg(long, default_value_t = 2, value_name = "COUNT")]
     uses_per_second: u32,
-    /// Within which the hollow nodes of each process are started one after the other
+    /// Period over which the hollow nodes of each process are started one by one
     #[arg(long, default_value_t = 3.0, value_name = "SECONDS")]
     start_spread: f64,
-    /// How long all views are waited for to agree
+    /// Time limit for all views to agree
     #[arg(long, default_value_t = 25.0, value_name = "SECONDS")]
     agree_within: f64,
-    /// From then on, at the least, until the fleet's traffic is looked at
+    /// Minimum wait after agreement before the traffic is checked
     #[arg(long, default_value_t = 5.0, value_name = "SECONDS")]
     settle: f64,
-    /// How long it is waited for to stay the same
+    /// Time limit for the traffic to become steady
     #[arg(long, default_value_t = 35.0, value_name = "SECONDS")]
     settle_most: f64,
-    /// In which is measured
+    /// Duration of the measurement
     #[arg(long, default_value_t = 10.0, value_name = "SECONDS")]
     window: f64,
-    /// Ends the run with exit code 3 if it takes longer
+    /// Time limit of the command, which then ends with exit code 3
     #[arg(long, default_value_t = 420, value_name = "SECONDS")]
     most_seconds: u64,
-    /// Where the results are written as JSON
+    /// File for the results as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
-/// What a process of hollow nodes is started with, by the rig itself.
+/// Arguments with which the harness starts a process of hollow nodes.
 #[derive(Args, Clone, Debug)]
 pub struct HollowArgs {
     #[arg(long)]
@@ -116,22 +116,22 @@
     to: usize,
 }
 
-/// All results of one run.
+/// All results of one command.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScaleReport {
-    /// The words of the command line.
+    /// The command line arguments.
     pub command: Vec<String>,
     pub cores: usize,
-    pub plays: Vec<PlayReport>,
+    pub plays: Vec<TrialReport>,
     pub series: Vec<FittedSeries>,
     pub added: Option<AddedReport>,
     pub faults: Option<FaultReport>,
 }
 
-/// Runs the nodes of one process until its input ends.
+/// Runs the nodes of one process until the end of standard input.
 ///
 /// # Errors
-/// The plan can't be read, an address can't be had.
+/// The plan can't be read, or an address can't be bound.
 pub fn run_hollow(args: &HollowArgs) -> Result<(), ScaleError> {
     let at = args.plan.display().to_string();
     let text = std::fs::read_to_string(&args.plan).map_err(ScaleError::io(&at))?;
@@ -139,14 +139,14 @@
     hollow::run(plan, args.from..args.to)
 }
 
-/// Runs the series, prints the table and writes the results; whether all was as it should be.
+/// Runs the trials, prints the tables and writes the results. Returns true if no fault was found.
 ///
 /// # Errors
-/// A size that can't be played, a process that can't be started or ended before its time.
+/// A size is not possible, or a process can't be started or ends early.
 pub fn run(args: &ScaleArgs) -> Result<bool, ScaleError> {
     args.check()?;
     let _watchdog = Watchdog::start(Duration::from_secs(args.most_seconds));
-    let report = args.play_all()?;
+    let report = args.run_all()?;
     println!("{}", table::text(&report.series));
     if let Some(added) = &report.added {
         println!("{}", added.text());
@@ -154,7 +154,7 @@
     if let Some(faults) = &report.faults {
         println!("{}", faults.text());
     }
-    let of_plays = report.plays.iter().flat_map(play_faults);
+    let of_plays = report.plays.iter().flat_map(trial_faults);
     let faults: Vec<String> = of_plays
         .chain(report.faults.iter().flat_map(FaultReport::faults))
         .collect();
@@ -167,37 +167,38 @@
     Ok(faults.is_empty())
 }
 
-/// What makes a play's figures doubtful, or breaks a promise.
-fn play_faults(play: &PlayReport) -> Vec<String> {
-    let of = format!("{} nodes, {} budgets", play.size.nodes, play.size.budgets);
+/// Describes what makes the figures of a trial unreliable or violates a guarantee.
+fn trial_faults(trial: &TrialReport) -> Vec<String> {
+    let of = format!("{} nodes, {} budgets", trial.size.nodes, trial.size.budgets);
     let mut faults = Vec::new();
-    if play.agreed_after_ms.is_none() {
+    if trial.agreed_after_ms.is_none() {
         faults.push(format!("{of}: views did not agree before the window"));
     }
-    if !play.calm {
+    if !trial.calm {
         faults.push(format!("{of}: traffic still changed when the window began"));
     }
-    if play.declared_dead > 0 {
+    if trial.declared_dead > 0 {
         faults.push(format!(
             "{of}: nodes were declared dead {} times in the window",
-            play.declared_dead
+            trial.declared_dead
         ));
     }
-    if play.leaders[0] != play.leaders[1] {
+    if trial.leaders[0] != trial.leaders[1] {
         faults.push(format!(
             "{of}: the leader changed in the window: {:?}",
-            play.leaders
+            trial.leaders
         ));
     }
-    // Budgets are so great that no request has a reason to be rejected.
-    if play.completed < play.asked {
+    // The budgets are large enough that no request should be rejected.
+    if trial.completed < trial.asked {
         faults.push(format!(
             "{of}: of {} exchanges {} were completed",
-            play.asked, play.completed
+            trial.asked, trial.completed
         ));
     }
     faults.extend(
-        play.broken_rules
+        trial
+            .broken_rules
             .iter()
             .map(|broken| format!("{of}: {broken}")),
     );
@@ -206,34 +207,37 @@
 
 impl ScaleArgs {
     fn check(&self) -> Result<(), ScaleError> {
-        let own = self.voters + self.real;
+        let own_processes = self.voters + self.real;
         let by_budgets = self.budgets.iter().any(|budgets| *budgets > 0);
         let sizes = self.nodes.iter().filter(|nodes| **nodes > 0);
         let sizes = sizes.chain(by_budgets.then_some(&self.nodes_held));
-        if let Some(&size) = sizes.clone().find(|size| **size < own) {
-            return Err(ScaleError::TooFewNodes { size, own });
+        if let Some(&size) = sizes.clone().find(|size| **size < own_processes) {
+            return Err(ScaleError::TooFewNodes {
+                size,
+                own_processes,
+            });
         }
-        let most = sizes.max().copied().unwrap_or(0);
-        let processes = own
-            + most
-                .saturating_sub(own)
+        let max_wait = sizes.max().copied().unwrap_or(0);
+        let processes = own_processes
+            + max_wait
+                .saturating_sub(own_processes)
                 .div_ceil(super::fleet::NODES_PER_PROCESS);
-        if processes > MOST_PROCESSES {
+        if processes > MAX_PROCESSES {
             return Err(ScaleError::TooManyProcesses {
                 needed: processes,
-                max: MOST_PROCESSES,
+                max: MAX_PROCESSES,
             });
         }
         Ok(())
     }
 
-    fn terms(&self) -> Result<PlayTerms, ScaleError> {
-        let rig = std::env::current_exe().map_err(ScaleError::io("this program"))?;
+    fn options(&self) -> Result<TrialOptions, ScaleError> {
+        let harness = std::env::current_exe().map_err(ScaleError::io("this program"))?;
         let programs = Programs {
             doortrack: self.program.clone(),
-            rig,
+            harness,
         };
-        Ok(PlayTerms {
+        Ok(TrialOptions {
             programs,
             voters: self.voters,
             real: self.real,
@@ -241,16 +245,16 @@
             uses_per_second: self.uses_per_second,
             start_spread: Duration::from_secs_f64(self.start_spread),
             agree_within: Duration::from_secs_f64(self.agree_within),
-            settle: SettleTerms {
-                least: Duration::from_secs_f64(self.settle),
-                most: Duration::from_secs_f64(self.settle_most),
+            settle: SettleOptions {
+                min_wait: Duration::from_secs_f64(self.settle),
+                max_wait: Duration::from_secs_f64(self.settle_most),
             },
             window: Duration::from_secs_f64(self.window),
         })
     }
 
-    fn play_all(&self) -> Result<ScaleReport, ScaleError> {
-        let terms = self.terms()?;
+    fn run_all(&self) -> Result<ScaleReport, ScaleError> {
+        let options = self.options()?;
         let mut report = ScaleReport {
             command: std::env::args().collect(),
             cores: std::thread::available_parallelism().map_or(0, usize::from),
@@ -267,20 +271,24 @@
         if self.faults {
             let progress = progress_bar(1);
             let parted_for = Duration::from_secs_f64(self.parted_for);
-            report.faults = Some(faults::play(&terms, size, parted_for, &progress)?);
+            report.faults = Some(faults::run_trial(&options, size, parted_for, &progress)?);
             progress.finish_and_clear();
         } else if self.added {
             let progress = progress_bar(1);
             let lasts = Duration::from_secs_f64(self.added_for);
-            report.added = Some(added::play(&terms, size, lasts, &progress)?);
+            report.added = Some(added::run_trial(&options, size, lasts, &progress)?);
             progress.finish_and_clear();
         } else {
-            self.play_series(&terms, &mut report)?;
+            self.run_series(&options, &mut report)?;
         }
         Ok(report)
     }
 
-    fn play_series(&self, terms: &PlayTerms, report: &mut ScaleReport) -> Result<(), ScaleError> {
+    fn run_series(
+        &self,
+        options: &TrialOptions,
+        report: &mut ScaleReport,
+    ) -> Result<(), ScaleError> {
         let nodes = self.nodes.iter().filter(|nodes| **nodes > 0);
         let by_nodes: Vec<Size> = nodes
             .map(|nodes| Size {
@@ -296,8 +304,8 @@
             })
             .collect();
         let progress = progress_bar(by_nodes.len() + by_budgets.len());
-        let by_nodes = play_each(terms, by_nodes, &progress)?;
-        let by_budgets = play_each(terms, by_budgets, &progress)?;
+        let by_nodes = run_trials(options, by_nodes, &progress)?;
+        let by_budgets = run_trials(options, by_budgets, &progress)?;
         progress.finish_and_clear();
         let (held, wanted) = (
             format!("{} budgets", self.budgets_held),
@@ -328,20 +336,20 @@
     }
 }
 
-fn play_each(
-    terms: &PlayTerms,
+fn run_trials(
+    options: &TrialOptions,
     sizes: Vec<Size>,
     progress: &ProgressBar,
-) -> Result<Vec<PlayReport>, ScaleError> {
-    let played = sizes.into_iter().map(|size| {
-        let report = play(terms, size, progress);
+) -> Result<Vec<TrialReport>, ScaleError> {
+    let reports = sizes.into_iter().map(|size| {
+        let report = run_trial(options, size, progress);
         progress.inc(1);
         report
     });
-    played.collect()
+    reports.collect()
 }
 
-/// Drawn on standard error, and hidden where that is no terminal.
+/// Creates a progress bar on standard error, hidden if that is not a terminal.
 fn progress_bar(plays: usize) -> ProgressBar {
     let bar = ProgressBar::new(plays as u64);
     if let Ok(style) = ProgressStyle::with_template("{bar:30} {pos}/{len} {elapsed} {msg}") {
--- a/crates/fault-harness/src/scale/error.rs
+++ b/crates/fault-harness/src/scale/error.rs
@@ -1,4 +1,4 @@
-//! What ends a measurement of scale before its time, and how its results are written.
+//! Errors of scale measurements, and writing of reports.
 
 use std::io;
 use std::ops::Range;
@@ -17,58 +17,58 @@
     /// A file, a socket or a process could not be used.
     #[error("{what}: {source}")]
     Io {
-        /// What was tried, or on what.
+        /// The operation, or the object it was applied to.
         what: String,
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file or a message is not the JSON that it should be, or could not be written as such.
+    /// A file or a message is not valid JSON of its type, or could not be serialized.
     #[error("{what}: {source}")]
     Json {
-        /// The file, or what the message is.
+        /// The file or the kind of message.
         what: String,
-        /// Where and why.
+        /// The JSON error.
         source: serde_json::Error,
     },
-    /// What a process has used could not be read.
+    /// The resource usage of a process could not be read.
     #[error("process {pid}: {source}")]
     Proc {
-        /// Its id.
+        /// The process id.
         pid: u32,
-        /// Why.
+        /// The error from `/proc`.
         source: procfs::ProcError,
     },
     /// A process of hollow nodes failed.
     #[error("hollow nodes {nodes:?}: {why}")]
     Hollow {
-        /// Its nodes.
+        /// The nodes of the process.
         nodes: Range<usize>,
-        /// What it said.
+        /// The reason.
         why: String,
     },
-    /// The files of a plan's node are invalid.
+    /// The generated configuration of a node is invalid.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
     /// A hollow node's link could not be opened.
     #[error(transparent)]
     OpenLink(#[from] OpenLinkError),
-    /// The installation of a plan's node names no fleet.
+    /// The generated installation of a node has no fleet.
     #[error("the plan has no fleet")]
     NoFleet,
-    /// A size has fewer nodes than have to be processes of their own.
-    #[error("{size} nodes: {own} are voters and real ones")]
+    /// The fleet size is smaller than the number of voters and real nodes.
+    #[error("{size} nodes: {own_processes} are voters and real ones")]
     TooFewNodes {
         /// Nodes of that size.
         size: usize,
         /// Voters and real nodes.
-        own: usize,
+        own_processes: usize,
     },
-    /// A size takes too many processes.
+    /// The fleet size needs too many processes.
     #[error("{needed} processes are needed, {max} are the most")]
     TooManyProcesses {
-        /// How many it takes.
+        /// Number of processes needed.
         needed: usize,
-        /// How many there may be.
+        /// Maximum number of processes.
         max: usize,
     },
     /// One node could not be measured.
@@ -77,20 +77,20 @@
 }
 
 impl ScaleError {
-    /// For `map_err`, with what was tried.
+    /// Returns a function for `map_err` that adds the operation.
     pub fn io(what: impl ToString) -> impl FnOnce(io::Error) -> ScaleError {
         let what = what.to_string();
         move |source| ScaleError::Io { what, source }
     }
 
-    /// For `map_err`, with the file or what the message is.
+    /// Returns a function for `map_err` that adds the file or the kind of message.
     pub fn json(what: impl ToString) -> impl FnOnce(serde_json::Error) -> ScaleError {
         let what = what.to_string();
         move |source| ScaleError::Json { what, source }
     }
 }
 
-/// Writes a report as JSON for readers.
+/// Writes a report as indented JSON.
 ///
 /// # Errors
 /// The file can't be written.
--- a/crates/fault-harness/src/scale/fault_report.rs
+++ b/crates/fault-harness/src/scale/fault_report.rs
@@ -1,4 +1,4 @@
-//! What a play of faults came to, and how it is told.
+//! The report of a fault trial.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 use super::protocol::Loss;
 use super::sweep::Size;
 
-/// What happened to the fleet.
+/// The kind of a fault or recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
@@ -14,7 +14,7 @@
     RealKilled,
     LeaderKilled,
     Returned,
-    /// Killed, and started anew at once.
+    /// Killed and restarted at once.
     Restarted,
     RackKilled,
     RackReturned,
@@ -24,30 +24,30 @@
     RegionsJoined,
 }
 
-/// One fault, and when all knew.
+/// One fault, and the time until all nodes knew of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultEvent {
     pub kind: FaultKind,
     pub nodes: usize,
     pub at_ms: u64,
-    /// Until all live views were the same and right; none if not within 20 s.
+    /// Time until the views of all live nodes were equal and correct; None if that took more than 20 s.
     pub known_after_ms: Option<u64>,
 }
 
-/// What came of a play.
+/// The results of a fault trial.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FaultReport {
     pub size: Size,
     pub agreed_after_ms: Option<u64>,
-    /// When the processes were started; `at_ms` of events count from here.
+    /// When the processes were started; `at_ms` of events is relative to this time.
     pub began_unix_ms: u64,
     pub events: Vec<FaultEvent>,
-    /// Losses that were seen by hollow nodes and voters, and those of them that nothing explains.
+    /// Number of members declared dead by hollow nodes and voters; `wrongly_lost` lists those without a cause.
     pub losses: usize,
     pub wrongly_lost: Vec<Loss>,
-    /// Of one real node that was never killed.
+    /// Requests to one real node that was never killed.
     pub never_killed: Option<Served>,
-    /// Of all real nodes.
+    /// Requests to all real nodes.
     pub asked: usize,
     pub completed: usize,
     pub unanswered_by_killed: usize,
@@ -55,7 +55,7 @@
 }
 
 impl FaultReport {
-    /// For a reader: one line for each event.
+    /// Formats the report as text, with one line for each event.
     pub fn text(&self) -> String {
         let line = |event: &FaultEvent| {
             let known = event
@@ -85,7 +85,7 @@
         text
     }
 
-    /// What broke a promise.
+    /// Describes each violated guarantee.
     pub fn faults(&self) -> Vec<String> {
         let mut faults: Vec<String> = Vec::new();
         let late = self
--- a/crates/fault-harness/src/scale/faults.rs
+++ b/crates/fault-harness/src/scale/faults.rs
@@ -1,5 +1,5 @@
-//! Faults on a fleet at size: kills, restarts, a rack, a zone, two regions parted; after each, how long until
-//! every live view is the same and right.
+//! Injects faults into a large fleet: kills and restarts of nodes, a rack and a zone, and a partition of two
+//! regions. Measures after each how long it takes until the views of all live nodes are equal and correct.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,76 +16,82 @@
 use super::probe::Probe;
 use super::protocol::{HollowCommand, Loss};
 use super::settle::settle;
-use super::sweep::{PlayTerms, Size};
+use super::sweep::{Size, TrialOptions};
 use crate::traffic::{Backend, ProcessExit, Traffic};
 
-/// Single nodes that die; every fifth is a real one, and the middle one is the leader.
-const KILLS: usize = 15;
-const REAL_EVERY: usize = 5;
-/// 3,600 restarts a day.
-const RESTART_EVERY: Duration = Duration::from_secs(24);
-pub const RACK: usize = 30;
-pub const ZONE: usize = 110;
-/// Each event is waited for so long at the most.
-const PATIENCE: Duration = Duration::from_secs(20);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Number of single nodes that are killed; every fifth is a real node, and the middle one is the leader.
+const SINGLE_KILLS: usize = 15;
+const REAL_KILL_INTERVAL: usize = 5;
+/// Interval between restarts: 3,600 per day.
+const RESTART_INTERVAL: Duration = Duration::from_secs(24);
+pub const RACK_NODES: usize = 30;
+pub const ZONE_NODES: usize = 110;
+/// Time limit for each event to be known to all nodes.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-struct FaultPlay<'a> {
+struct FaultTrial<'a> {
     fleet: RunningFleet,
     progress: &'a ProgressBar,
     began: Instant,
     began_unix_ms: u64,
     down: BTreeSet<usize>,
-    /// The nodes of the region that is parted from the others.
+    /// The nodes of the region that is partitioned from the others.
     parted: BTreeSet<usize>,
     outages: Vec<Outage>,
     events: Vec<FaultEvent>,
-    deaths: Vec<ProcessExit>,
+    exits: Vec<ProcessExit>,
     losses: Vec<Loss>,
-    /// Hollow nodes that nothing has happened to yet: one that comes back twice is held back by design.
-    fresh: std::ops::Range<usize>,
+    /// Hollow nodes without a fault so far; a node that returns a second time is held back by design.
+    unaffected: std::ops::Range<usize>,
     restart_at: Instant,
 }
 
-/// Plays all faults on a fleet of this size; the regions are parted for `parted_for`.
+/// Injects all faults into a fleet of this size; the partition lasts for `partition_duration`.
 ///
 /// # Errors
-/// A process that can't be started, or that ended before its time.
-pub fn play(
-    terms: &PlayTerms,
+/// A process can't be started or ends early.
+pub fn run_trial(
+    options: &TrialOptions,
     size: Size,
-    parted_for: Duration,
+    partition_duration: Duration,
     progress: &ProgressBar,
 ) -> Result<FaultReport, ScaleError> {
     let ports = Ports::hold()?;
-    let behind = Backend::start();
-    let servers = behind.installation(behind.address())["servers"].clone();
-    let plan = terms.plan(size, &ports);
-    let fresh = plan.hollow_nodes();
-    let fleet = RunningFleet::start(&terms.programs, plan, &servers, |_| true)?;
-    let mut play = FaultPlay::new(fleet, fresh, progress);
-    let agreed = play.fleet.agree(size.nodes, terms.agree_within)?;
-    settle(&mut play.fleet, terms.settle)?;
-    // What was lost while it found together is not of this play.
-    play.take_losses()?;
-    play.losses.clear();
-    let fronts: Vec<SocketAddr> = play.fleet.real.iter().map(|real| real.front).collect();
-    let callers = if fronts.is_empty() { 0 } else { terms.callers };
+    let backend = Backend::start();
+    let servers = backend.installation(backend.address())["servers"].clone();
+    let plan = options.plan(size, &ports);
+    let unaffected = plan.hollow_nodes();
+    let fleet = RunningFleet::start(&options.programs, plan, &servers, |_| true)?;
+    let mut trial = FaultTrial::new(fleet, unaffected, progress);
+    let agreed = trial
+        .fleet
+        .wait_for_agreement(size.nodes, options.agree_within)?;
+    settle(&mut trial.fleet, options.settle)?;
+    // Losses while the fleet formed are not part of this play.
+    trial.take_losses()?;
+    trial.losses.clear();
+    let fronts: Vec<SocketAddr> = trial.fleet.real.iter().map(|real| real.front).collect();
+    let callers = if fronts.is_empty() {
+        0
+    } else {
+        options.callers
+    };
     let traffic = Traffic::start_for(Some(CALLERS_TENANT), callers, &fronts, 1);
     let probe = fronts.last().map(|front| Probe::start(*front));
-    let played = play.all(parted_for);
+    let outcome = trial.run_all(partition_duration);
     let never_killed = probe.map(Probe::finish);
-    let (served, broken_rules) = traffic.finish(&behind, &play.deaths);
-    played?;
-    let wrongly_lost = wrongly_lost(&play.losses, &play.outages, |name| {
-        play.fleet.plan.node_named(name)
+    let (served, broken_rules) = traffic.finish(&backend, &trial.exits);
+    outcome?;
+    let wrongly_lost = wrongly_lost(&trial.losses, &trial.outages, |name| {
+        trial.fleet.plan.node_named(name)
     });
     Ok(FaultReport {
         size,
         agreed_after_ms: agreed.map(|span| span.as_millis() as u64),
-        began_unix_ms: play.began_unix_ms,
-        events: play.events,
-        losses: play.losses.len(),
+        began_unix_ms: trial.began_unix_ms,
+        events: trial.events,
+        losses: trial.losses.len(),
         wrongly_lost,
         never_killed,
         asked: served.sent,
@@ -95,13 +101,13 @@
     })
 }
 
-impl FaultPlay<'_> {
+impl FaultTrial<'_> {
     fn new(
         fleet: RunningFleet,
-        fresh: std::ops::Range<usize>,
+        unaffected: std::ops::Range<usize>,
         progress: &ProgressBar,
-    ) -> FaultPlay<'_> {
-        FaultPlay {
+    ) -> FaultTrial<'_> {
+        FaultTrial {
             fleet,
             progress,
             began: Instant::now(),
@@ -110,34 +116,34 @@
             parted: BTreeSet::new(),
             outages: Vec::new(),
             events: Vec::new(),
-            deaths: Vec::new(),
+            exits: Vec::new(),
             losses: Vec::new(),
-            fresh,
-            restart_at: Instant::now() + RESTART_EVERY,
+            unaffected,
+            restart_at: Instant::now() + RESTART_INTERVAL,
         }
     }
 
-    fn all(&mut self, parted_for: Duration) -> Result<(), ScaleError> {
-        for nth in 0..KILLS {
-            self.one_kill(nth)?;
+    fn run_all(&mut self, partition_duration: Duration) -> Result<(), ScaleError> {
+        for nth in 0..SINGLE_KILLS {
+            self.kill_and_restart_one(nth)?;
             self.restart_if_due()?;
         }
-        self.block(RACK, FaultKind::RackKilled, FaultKind::RackReturned)?;
+        self.kill_and_restart(RACK_NODES, FaultKind::RackKilled, FaultKind::RackReturned)?;
         self.restart_if_due()?;
-        self.block(ZONE, FaultKind::ZoneKilled, FaultKind::ZoneReturned)?;
+        self.kill_and_restart(ZONE_NODES, FaultKind::ZoneKilled, FaultKind::ZoneReturned)?;
         self.restart_if_due()?;
-        self.regions(parted_for)?;
+        self.partition_regions(partition_duration)?;
         self.take_losses()
     }
 
-    /// The next hollow nodes that nothing has happened to, from the first on.
-    fn take_fresh(&mut self, count: usize) -> Vec<usize> {
-        self.fresh.by_ref().take(count).collect()
+    /// Takes the next hollow nodes without a fault.
+    fn take_unaffected(&mut self, count: usize) -> Vec<usize> {
+        self.unaffected.by_ref().take(count).collect()
     }
 
-    fn one_kill(&mut self, nth: usize) -> Result<(), ScaleError> {
+    fn kill_and_restart_one(&mut self, nth: usize) -> Result<(), ScaleError> {
         let real = self.fleet.plan.real_nodes();
-        let (kind, nodes) = if nth == KILLS / 2 {
+        let (kind, nodes) = if nth == SINGLE_KILLS / 2 {
             let leader = self
                 .fleet
                 .node_samples()?
@@ -145,9 +151,9 @@
                 .and_then(|sample| sample.leader.clone());
             let leader = leader.and_then(|name| self.fleet.plan.node_named(&name));
             (FaultKind::LeaderKilled, leader.into_iter().collect())
-        } else if nth % REAL_EVERY == REAL_EVERY - 1 && !real.is_empty() {
+        } else if nth % REAL_KILL_INTERVAL == REAL_KILL_INTERVAL - 1 && !real.is_empty() {
             // The last real node is never killed.
-            let node = real.start + nth / REAL_EVERY;
+            let node = real.start + nth / REAL_KILL_INTERVAL;
             let nodes = if node + 1 < real.end {
                 vec![node]
             } else {
@@ -155,44 +161,44 @@
             };
             (FaultKind::RealKilled, nodes)
         } else {
-            (FaultKind::HollowKilled, self.take_fresh(1))
+            (FaultKind::HollowKilled, self.take_unaffected(1))
         };
         if nodes.is_empty() {
             return Ok(());
         }
         self.kill(&nodes)?;
-        self.wait(kind, nodes.len())?;
+        self.wait_until_known(kind, nodes.len())?;
         self.start(&nodes)?;
-        self.wait(FaultKind::Returned, nodes.len())
+        self.wait_until_known(FaultKind::Returned, nodes.len())
     }
 
-    fn block(
+    fn kill_and_restart(
         &mut self,
         count: usize,
         killed: FaultKind,
         returned: FaultKind,
     ) -> Result<(), ScaleError> {
-        let nodes = self.take_fresh(count);
+        let nodes = self.take_unaffected(count);
         self.kill(&nodes)?;
-        self.wait(killed, nodes.len())?;
+        self.wait_until_known(killed, nodes.len())?;
         self.start(&nodes)?;
-        self.wait(returned, nodes.len())
+        self.wait_until_known(returned, nodes.len())
     }
 
     fn restart_if_due(&mut self) -> Result<(), ScaleError> {
         if Instant::now() < self.restart_at {
             return Ok(());
         }
-        self.restart_at += RESTART_EVERY;
-        let nodes = self.take_fresh(1);
+        self.restart_at += RESTART_INTERVAL;
+        let nodes = self.take_unaffected(1);
         self.kill(&nodes)?;
         self.start(&nodes)?;
-        self.wait(FaultKind::Restarted, nodes.len())
+        self.wait_until_known(FaultKind::Restarted, nodes.len())
     }
 
-    /// Parts the hollow nodes that nothing has happened to from all the others: voters, real nodes, the rest.
-    fn regions(&mut self, parted_for: Duration) -> Result<(), ScaleError> {
-        let untouched = self.fresh.clone();
+    /// Partitions hollow nodes without a fault, up to half of the fleet, from all other nodes.
+    fn partition_regions(&mut self, partition_duration: Duration) -> Result<(), ScaleError> {
+        let untouched = self.unaffected.clone();
         let half = self.fleet.plan.nodes / 2;
         self.parted = untouched.rev().take(half).collect();
         let nodes: Vec<usize> = self.parted.iter().copied().collect();
@@ -200,21 +206,21 @@
             nodes: self.parted.clone(),
             parted: true,
             from_unix_ms: unix_ms(),
-            till_unix_ms: None,
+            until_unix_ms: None,
         });
         let began = Instant::now();
-        self.fleet.ask_all(&HollowCommand::Part {
+        self.fleet.ask_all(&HollowCommand::Partition {
             nodes: nodes.clone(),
         })?;
-        self.wait(FaultKind::RegionsParted, nodes.len())?;
-        std::thread::sleep(parted_for.saturating_sub(began.elapsed()));
+        self.wait_until_known(FaultKind::RegionsParted, nodes.len())?;
+        std::thread::sleep(partition_duration.saturating_sub(began.elapsed()));
         self.parted.clear();
         self.fleet
-            .ask_all(&HollowCommand::Part { nodes: Vec::new() })?;
+            .ask_all(&HollowCommand::Partition { nodes: Vec::new() })?;
         if let Some(outage) = self.outages.last_mut() {
-            outage.till_unix_ms = Some(unix_ms());
+            outage.until_unix_ms = Some(unix_ms());
         }
-        self.wait(FaultKind::RegionsJoined, nodes.len())
+        self.wait_until_known(FaultKind::RegionsJoined, nodes.len())
     }
 
     fn kill(&mut self, nodes: &[usize]) -> Result<(), ScaleError> {
@@ -222,7 +228,7 @@
         let real = self.fleet.plan.real_nodes();
         for node in nodes.iter().filter(|node| real.contains(node)) {
             let front = self.fleet.plan.front_address(*node);
-            self.deaths.push(ProcessExit {
+            self.exits.push(ProcessExit {
                 listener: front,
                 at: from_unix_ms,
                 answers_due_before: 0,
@@ -238,12 +244,12 @@
             nodes,
             parted: false,
             from_unix_ms,
-            till_unix_ms: None,
+            until_unix_ms: None,
         });
         Ok(())
     }
 
-    /// Starts these nodes anew, which were killed last.
+    /// Restarts these nodes, which were the last to be killed.
     fn start(&mut self, nodes: &[usize]) -> Result<(), ScaleError> {
         let real = self.fleet.plan.real_nodes();
         for node in nodes.iter().filter(|node| real.contains(node)) {
@@ -254,22 +260,22 @@
         })?;
         nodes.iter().for_each(|node| _ = self.down.remove(node));
         if let Some(outage) = self.outages.last_mut() {
-            outage.till_unix_ms = Some(unix_ms());
+            outage.until_unix_ms = Some(unix_ms());
         }
         Ok(())
     }
 
-    /// Waits until all know what has just happened, and takes note of how long it took.
-    fn wait(&mut self, kind: FaultKind, nodes: usize) -> Result<(), ScaleError> {
+    /// Waits until all nodes know of the last fault, and records how long it took.
+    fn wait_until_known(&mut self, kind: FaultKind, nodes: usize) -> Result<(), ScaleError> {
         let began = Instant::now();
         self.progress
             .set_message(format!("{kind:?}, {nodes} nodes"));
         let mut known_after_ms = None;
-        while known_after_ms.is_none() && began.elapsed() < PATIENCE {
-            std::thread::sleep(LOOK_EVERY);
-            // Looked at before the views are asked for, which takes a while.
+        while known_after_ms.is_none() && began.elapsed() < EVENT_TIMEOUT {
+            std::thread::sleep(POLL_INTERVAL);
+            // Read before the views are queried, which takes some time.
             let after = began.elapsed().as_millis() as u64;
-            known_after_ms = self.all_know()?.then_some(after);
+            known_after_ms = self.all_views_current()?.then_some(after);
         }
         let at_ms = began.duration_since(self.began).as_millis() as u64;
         self.events.push(FaultEvent {
@@ -281,12 +287,13 @@
         self.take_losses()
     }
 
-    /// Whether the live nodes of each region have one view, with all of that region that live.
-    fn all_know(&mut self) -> Result<bool, ScaleError> {
+    /// Returns true if the live nodes of each region have equal views that contain exactly the live nodes of
+    /// the region.
+    fn all_views_current(&mut self) -> Result<bool, ScaleError> {
         let samples = self.fleet.node_samples()?;
         let live = self.fleet.plan.nodes - self.down.len();
         if samples.len() + self.fleet.real.len() != live {
-            // One that was started anew has not come up yet.
+            // A restarted node is not running yet.
             return Ok(false);
         }
         let sizes = [live - self.parted.len(), self.parted.len()];
@@ -298,7 +305,7 @@
                 return Ok(false);
             }
         }
-        let agrees = |view: super::serving::ViewSeen| {
+        let agrees = |view: super::serving::ViewStatus| {
             view.members == sizes[0] && digests[0].is_none_or(|digest| view.digest == digest)
         };
         Ok(self
--- a/crates/fault-harness/src/scale/fit.rs
+++ b/crates/fault-harness/src/scale/fit.rs
@@ -1,4 +1,4 @@
-//! Straight lines through measured points, by least squares (`linregress`).
+//! Linear least-squares fits of measured points (`linregress`).
 
 use linregress::{FormulaRegressionBuilder, RegressionDataBuilder};
 use serde::{Deserialize, Serialize};
@@ -6,13 +6,13 @@
 
 use super::series::{Point, Series};
 
-/// A line needs two sizes, and a third for its error.
-const FEWEST_SIZES: usize = 3;
+/// Minimum number of different sizes: two for the line, and a third for its standard error.
+const MIN_SIZES: usize = 3;
 
-/// Why no line was drawn.
+/// Why no line was fitted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FitError {
-    #[error("{found} different sizes, at least {FEWEST_SIZES} are needed")]
+    #[error("{found} different sizes, at least {MIN_SIZES} are needed")]
     TooFewSizes { found: usize },
     #[error("a point is not a number")]
     NotFinite,
@@ -24,27 +24,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
     pub intercept: f64,
-    /// What one more of the dimension costs.
+    /// Cost of one more unit of the dimension.
     pub slope: f64,
     pub slope_standard_error: f64,
-    /// Root of the mean square distance of the points from the line, with two degrees of freedom taken off.
+    /// Root mean square residual, with the degrees of freedom reduced by two.
     pub residual_standard_error: f64,
-    /// 1 where the line explains all, 0 where it explains nothing. 1 as well where all values are the same.
+    /// Coefficient of determination; also 1 if all values are equal.
     pub r_squared: f64,
-    /// The greatest size that was measured: beyond it the line is an extrapolation.
+    /// The largest measured size. Values beyond it are extrapolated.
     pub greatest_size: f64,
 }
 
-/// What a line says of a size.
+/// The value of a line at a size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Projection {
     pub size: f64,
     pub value: f64,
-    /// Whether the size is beyond all that were measured.
+    /// True if the size exceeds all measured sizes.
     pub extrapolated: bool,
 }
 
-/// A series with the line through it; none where there are too few points.
+/// A series with its fitted line, or None if there are too few points.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FittedSeries {
     #[serde(flatten)]
@@ -54,7 +54,7 @@
 }
 
 impl Fit {
-    /// What the line says of a size.
+    /// Evaluates the line at a size.
     pub fn at(&self, size: f64) -> Projection {
         let value = self.intercept + self.slope * size;
         Projection {
@@ -66,7 +66,7 @@
 }
 
 impl FittedSeries {
-    /// Draws the line, and reads it at `wanted` if there is such a size.
+    /// Fits a line and evaluates it at `wanted`, if given.
     pub fn of(series: Series, wanted: Option<f64>) -> FittedSeries {
         let fit = fit(&series.points).ok();
         let projection = fit.zip(wanted).map(|(fit, size)| fit.at(size));
@@ -78,10 +78,10 @@
     }
 }
 
-/// The line of least squares through the points.
+/// Fits a least-squares line through the points.
 ///
 /// # Errors
-/// Fewer than three different sizes, or a value that is no number.
+/// Fewer than three different sizes, or a value is not finite.
 pub fn fit(points: &[Point]) -> Result<Fit, FitError> {
     if points
         .iter()
@@ -92,13 +92,13 @@
     let mut sizes: Vec<f64> = points.iter().map(|point| point.size).collect();
     sizes.sort_by(f64::total_cmp);
     sizes.dedup();
-    if sizes.len() < FEWEST_SIZES {
+    if sizes.len() < MIN_SIZES {
         return Err(FitError::TooFewSizes { found: sizes.len() });
     }
     let greatest_size = sizes.last().copied().unwrap_or_default();
     let first = points[0].value;
     if points.iter().all(|point| point.value == first) {
-        // The library divides by the spread of the values.
+        // The library divides by the variance of the values.
         return Ok(Fit {
             intercept: first,
             slope: 0.0,
--- a/crates/fault-harness/src/scale/fleet.rs
+++ b/crates/fault-harness/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet that runs: its processes, how they are started, asked and ended.
+//! A running fleet: starts, queries and stops its processes.
 
 use std::net::{TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -13,67 +13,67 @@
 use super::serving::{KEY_FILE, RealNode, ServeProgram};
 use doortrack_fakes::scratch_folder::ScratchFolder;
 
-/// Hollow nodes that share a process.
+/// Maximum number of hollow nodes per process.
 pub const NODES_PER_PROCESS: usize = 110;
-/// How often a fleet is asked whether its views agree.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Interval between checks whether the views agree.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The programs that are played.
+/// Paths of the programs of a trial.
 #[derive(Clone, Debug)]
 pub struct Programs {
     pub doortrack: PathBuf,
-    pub rig: PathBuf,
+    pub harness: PathBuf,
 }
 
-/// Ports that belong to this run for as long as it lives.
+/// Ports reserved for as long as this value exists.
 pub struct Ports {
     fleet: UdpSocket,
     front: TcpListener,
 }
 
 impl Ports {
-    /// Holds a free port of each kind on 127.0.0.1, so that the system gives them to nobody else.
+    /// Binds a free UDP and TCP port on 127.0.0.1, so that the system assigns them to no other process.
     ///
     /// # Errors
-    /// None is free.
+    /// No port is free.
     pub fn hold() -> Result<Ports, ScaleError> {
         let fleet = UdpSocket::bind("127.0.0.1:0").map_err(ScaleError::io("a UDP port"))?;
         let front = TcpListener::bind("127.0.0.1:0").map_err(ScaleError::io("a TCP port"))?;
         Ok(Ports { fleet, front })
     }
 
-    /// The port of all links.
+    /// The UDP port of all peer links.
     pub fn fleet(&self) -> u16 {
         self.fleet.local_addr().map_or(0, |address| address.port())
     }
 
-    /// The port of all fronts.
+    /// The TCP port of all listeners for callers.
     pub fn front(&self) -> u16 {
         self.front.local_addr().map_or(0, |address| address.port())
     }
 }
 
-/// All that is known of a fleet at one moment.
+/// The state of a fleet at one moment.
 #[derive(Clone, Debug)]
 pub struct FleetSample {
     pub at: Instant,
-    /// Voters and hollow nodes that run.
+    /// Running voters and hollow nodes.
     pub nodes: Vec<NodeSample>,
-    /// By process of hollow nodes: how many nodes it has, and what it has used.
+    /// Nodes and resource usage of each process of voters or hollow nodes.
     pub processes: Vec<ProcessSample>,
 }
 
-/// One process at one moment.
+/// The nodes of one process and its resource usage.
 #[derive(Clone, Debug)]
 pub struct ProcessSample {
     pub nodes: std::ops::Range<usize>,
     pub usage: Usage,
 }
 
-/// A fleet under way; all its processes are ended when it is dropped.
+/// A running fleet; all its processes are killed on drop.
 pub struct RunningFleet {
     pub plan: FleetPlan,
-    /// One process for each voter, then those of the hollow nodes.
+    /// One process for each voter, followed by those of the hollow nodes.
     pub hollow: Vec<HollowProcess>,
     pub real: Vec<RealNode>,
     folder: ScratchFolder,
@@ -82,10 +82,10 @@
 }
 
 impl RunningFleet {
-    /// Starts all processes of a plan. `in_fleet` tells of a real node whether it is of the fleet.
+    /// Starts all processes of a plan. `in_fleet` returns true for each real node that joins the fleet.
     ///
     /// # Errors
-    /// A file that can't be written, or a program that can't be started.
+    /// A file can't be written, or a program can't be started.
     pub fn start(
         programs: &Programs,
         plan: FleetPlan,
@@ -105,7 +105,7 @@
         };
         let plan_file = fleet.folder.join(PLAN_FILE);
         let program = HollowProgram {
-            rig: programs.rig.clone(),
+            harness: programs.harness.clone(),
             plan_file,
         };
         for voter in 0..fleet.plan.voters {
@@ -124,10 +124,10 @@
         Ok(fleet)
     }
 
-    /// Starts a real node, the first time or anew.
+    /// Starts or restarts a real node.
     ///
     /// # Errors
-    /// A file that can't be written, or a program that can't be started.
+    /// A file can't be written, or a program can't be started.
     pub fn start_real(&mut self, node: usize, in_fleet: bool) -> Result<(), ScaleError> {
         let with = ServeProgram {
             program: &self.doortrack,
@@ -139,15 +139,15 @@
         Ok(())
     }
 
-    /// Ends a real node by SIGKILL.
+    /// Kills a real node with SIGKILL.
     pub fn kill_real(&mut self, node: usize) {
         self.real.retain(|real| real.node != node);
     }
 
-    /// Has every process of hollow nodes do the same, at once; their replies in order.
+    /// Sends a command to all processes of voters and hollow nodes, then returns their replies in order.
     ///
     /// # Errors
-    /// A process that is gone.
+    /// A process has ended.
     pub fn ask_all(&mut self, command: &HollowCommand) -> Result<Vec<HollowReply>, ScaleError> {
         for process in &mut self.hollow {
             process.send(command)?;
@@ -155,10 +155,10 @@
         self.hollow.iter_mut().map(HollowProcess::receive).collect()
     }
 
-    /// Counters and views of all voters and hollow nodes.
+    /// Returns the counters and views of all voters and hollow nodes.
     ///
     /// # Errors
-    /// A process that is gone.
+    /// A process has ended.
     pub fn node_samples(&mut self) -> Result<Vec<NodeSample>, ScaleError> {
         let replies = self.ask_all(&HollowCommand::Sample)?.into_iter();
         let nodes = replies.flat_map(|reply| match reply {
@@ -168,10 +168,10 @@
         Ok(nodes.collect())
     }
 
-    /// Members that voters and hollow nodes declared dead since this was last asked.
+    /// Returns the members declared dead by voters and hollow nodes since the last call.
     ///
     /// # Errors
-    /// A process that is gone.
+    /// A process has ended.
     pub fn take_losses(&mut self) -> Result<Vec<Loss>, ScaleError> {
         let replies = self.ask_all(&HollowCommand::Losses)?.into_iter();
         let losses = replies.flat_map(|reply| match reply {
@@ -181,10 +181,10 @@
         Ok(losses.collect())
     }
 
-    /// Counters, views and what the processes have used.
+    /// Samples counters, views and the resource usage of the processes.
     ///
     /// # Errors
-    /// A process that is gone.
+    /// A process has ended.
     pub fn sample(&mut self) -> Result<FleetSample, ScaleError> {
         let processes = self.hollow.iter().map(|process| {
             let usage = usage(process.pid())?;
@@ -201,36 +201,36 @@
         })
     }
 
-    /// Nodes that are of the fleet.
+    /// Returns the number of nodes in the fleet.
     pub fn members(&self) -> usize {
         self.plan.nodes - self.real.iter().filter(|real| !real.in_fleet).count()
     }
 
-    /// Waits until all views are the same with `members` in them, and all know one leader. How long it took;
-    /// none if it does not come to that within the time.
+    /// Waits until all views are equal with this number of members and all nodes know one leader. Returns the
+    /// time it took, or None on timeout.
     ///
     /// # Errors
-    /// A process that is gone.
-    pub fn agree(
+    /// A process has ended.
+    pub fn wait_for_agreement(
         &mut self,
         members: usize,
         within: Duration,
     ) -> Result<Option<Duration>, ScaleError> {
         let began = Instant::now();
         while began.elapsed() < within {
-            if self.agrees(members)? {
+            if self.views_agree(members)? {
                 return Ok(Some(began.elapsed()));
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(None)
     }
 
-    /// Whether all views that can be asked for are the same, with so many members.
+    /// Returns true if all running nodes have equal views with this number of members, and know one leader.
     ///
     /// # Errors
-    /// A process that is gone.
-    pub fn agrees(&mut self, members: usize) -> Result<bool, ScaleError> {
+    /// A process has ended.
+    pub fn views_agree(&mut self, members: usize) -> Result<bool, ScaleError> {
         let samples = self.node_samples()?;
         let Some(first) = samples.first() else {
             return Ok(false);
@@ -245,11 +245,11 @@
             return Ok(false);
         }
         let mut in_fleet = self.real.iter().filter(|real| real.in_fleet);
-        let agrees = |real: &RealNode| {
+        let views_agree = |real: &RealNode| {
             real.view()
                 .is_some_and(|view| view.members == members && view.digest == first.digest)
         };
-        Ok(in_fleet.all(agrees))
+        Ok(in_fleet.all(views_agree))
     }
 }
 
--- a/crates/fault-harness/src/scale/losses.rs
+++ b/crates/fault-harness/src/scale/losses.rs
@@ -1,29 +1,30 @@
-//! Whether a member was declared dead that was alive and reachable.
+//! Finds members that were declared dead while alive and reachable.
 
 use std::collections::BTreeSet;
 
 use super::protocol::Loss;
 
-/// Losses are excused for so long after their cause: doubts last up to 2 s, news and last looks come on top.
-pub const EXCUSED_MS: u64 = 8_000;
+/// How long after its cause a loss is still excused, in ms. A suspicion lasts up to 2 s; gossip and the final
+/// probes take additional time.
+pub const EXCUSE_WINDOW_MS: u64 = 8_000;
 
-/// Nodes that were down, or that nobody outside could reach, for a time.
+/// A period in which nodes were down or partitioned from the rest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outage {
     pub nodes: BTreeSet<usize>,
-    /// Whether these nodes ran and reached one another: then only losses across the line are excused.
+    /// True for a partition: the nodes ran and reached one another, so only losses across it are excused.
     pub parted: bool,
     pub from_unix_ms: u64,
-    /// None while it lasts.
-    pub till_unix_ms: Option<u64>,
+    /// None while the outage lasts.
+    pub until_unix_ms: Option<u64>,
 }
 
 impl Outage {
-    /// Whether it explains that `by` declared `lost` dead at that time.
+    /// Returns true if the outage explains why `by` declared `lost` dead at that time.
     pub fn excuses(&self, by: usize, lost: usize, unix_ms: u64) -> bool {
         let over = self
-            .till_unix_ms
-            .is_some_and(|till| unix_ms > till + EXCUSED_MS);
+            .until_unix_ms
+            .is_some_and(|until| unix_ms > until + EXCUSE_WINDOW_MS);
         if unix_ms < self.from_unix_ms || over {
             return false;
         }
@@ -35,7 +36,7 @@
     }
 }
 
-/// Losses that no outage explains. `number` gives the node of a name.
+/// Returns the losses that no outage explains. `number` maps names to node numbers.
 pub fn wrongly_lost(
     losses: &[Loss],
     outages: &[Outage],
--- a/crates/fault-harness/src/scale/measure.rs
+++ b/crates/fault-harness/src/scale/measure.rs
@@ -1,4 +1,4 @@
-//! What each role spends, from two samples of a fleet.
+//! Computes the resource usage of each role from two samples of a fleet.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use super::series::{Quantity, Role};
 use super::serving::LinkCounts;
 
-/// Bytes of the IP and UDP headers of each datagram, which the counters leave out.
+/// Bytes of the IP and UDP headers per datagram, which the counters do not include.
 pub const HEADER_BYTES: u64 = 28;
 const THOUSANDTHS: f64 = 1_000.0;
 
-/// One quantity of one role, in the mean of the nodes of that role.
+/// One quantity, averaged over the nodes of a role.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
     pub role: Role,
@@ -23,7 +23,7 @@
     pub value: f64,
 }
 
-/// Datagrams and bytes of a link by two of its counts.
+/// Datagrams and bytes per second on a peer link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkRates {
     pub datagrams_in: f64,
@@ -34,7 +34,8 @@
 }
 
 impl LinkRates {
-    /// A second, of what came and went in `span`. A counter that went back (a restart) counts as nothing.
+    /// Computes rates from two counter readings that are `span` apart. A counter that decreased because the
+    /// node restarted yields 0.
     pub fn between(before: LinkCounts, after: LinkCounts, span: Duration) -> LinkRates {
         let rate = |before: u64, after: u64| {
             after.saturating_sub(before) as f64 / span.as_secs_f64().max(1e-9)
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The mean of several links; none of none.
+    /// Returns the mean of several links, or None if there are none.
     pub fn mean(links: &[LinkRates]) -> Option<LinkRates> {
         let count = links.len() as f64;
         let mean = |of: fn(&LinkRates) -> f64| links.iter().map(of).sum::<f64>() / count;
@@ -62,7 +63,7 @@
         })
     }
 
-    /// As figures of a role.
+    /// Converts the rates to figures of a role.
     pub fn figures(&self, role: Role) -> Vec<Figure> {
         let all = [
             (Quantity::DatagramsInPerSecond, self.datagrams_in),
@@ -89,7 +90,7 @@
     }
 }
 
-/// Thousandths of a core that a process took between two moments.
+/// Returns the processor time between two readings, in thousandths of one core.
 pub fn core_thousandths(before: Usage, after: Usage) -> f64 {
     let span = after
         .at
@@ -104,7 +105,7 @@
         * THOUSANDTHS
 }
 
-/// The role of a voter or hollow node, where `leader` led from one sample to the other.
+/// Returns the role of a voter or hollow node, given the leader between the samples.
 pub fn role(plan: &FleetPlan, node: usize, leader: Option<usize>) -> Role {
     match node {
         _ if leader == Some(node) => Role::Leader,
@@ -113,7 +114,7 @@
     }
 }
 
-/// Figures of voters, leader and hollow nodes.
+/// Computes the figures of voters, leader and hollow nodes.
 pub fn figures(
     plan: &FleetPlan,
     before: &FleetSample,
@@ -152,7 +153,7 @@
     LinkRates::mean(&rates).map_or(Vec::new(), |mean| mean.figures(wanted))
 }
 
-/// Processor time and memory, for each node of the processes that hold nodes of this role alone.
+/// Computes processor time and memory per node, from the processes whose first node has this role.
 fn process_figures(
     plan: &FleetPlan,
     before: &FleetSample,
@@ -186,7 +187,7 @@
     ]
 }
 
-/// Figures of the processes with all of a node in them.
+/// Computes the figures of the real nodes.
 pub fn serving_figures(usages: &[(Usage, Usage)], links: &[LinkRates]) -> Vec<Figure> {
     let role = Role::ServingNode;
     let mut figures = LinkRates::mean(links).map_or(Vec::new(), |mean| mean.figures(role));
--- a/crates/fault-harness/src/scale/plan.rs
+++ b/crates/fault-harness/src/scale/plan.rs
@@ -1,7 +1,8 @@
-//! How a fleet is laid out: who is a voter, who is real, which addresses and files each node has.
+//! The layout of a fleet: voters, real nodes, and the addresses and files of each node.
 //!
-//! Nodes are numbered from 0: voters first, then real nodes, then hollow ones. Each has an address of
-//! `127.230.0.0/16` of its own; all share one port that the run holds on 127.0.0.1, so that no two runs meet.
+//! Nodes are numbered from 0: voters first, then real nodes, then hollow ones. Each has its own address in
+//! `127.230.0.0/16`. All share one port, which the trial reserves on 127.0.0.1 so that concurrent trials do not
+//! collide.
 
 use std::net::SocketAddr;
 
@@ -10,26 +11,26 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// The key of every fleet that is played.
+/// The key of every fleet.
 pub const FLEET_KEY: [u8; 32] = [0x5a; 32];
-/// Wholes so great that no load is rejected, with a burst that leaves every node a share.
-const BUDGET_WHOLE: u32 = 1_000_000;
+/// Limit and burst of each budget, large enough that no load is rejected and every node has a share.
+const BUDGET_LIMIT: u32 = 1_000_000;
 const TENANT_ALLOWANCE_PER_SECOND: f64 = 1_000.0;
-/// The tenant on whose behalf the stand-in callers ask; nodes with one budget know none and disregard it.
+/// The tenant of the simulated callers. Nodes with only one budget have no tenants and ignore it.
 pub const CALLERS_TENANT: &str = "tenant-0000";
-/// The field of a request that names its tenant.
+/// The request field with the tenant.
 pub const TENANT_FIELD: &str = "HTTP_X_TENANT";
-/// From SIGTERM to a real node's stop.
+/// Time limit for a real node to stop after SIGTERM, in ms.
 const STOP_MS: u64 = 1_000;
 /// The first two bytes of all addresses.
 const NETWORK: [u8; 2] = [127, 230];
-/// Nodes whose addresses share their third byte.
-const ADDRESSES_IN_A_ROW: usize = 250;
+/// Number of nodes whose addresses share the third byte.
+const ADDRESSES_PER_BLOCK: usize = 250;
 
-/// One fleet. Two processes with the same plan agree on every address and name.
+/// The plan of one fleet. All processes derive the same addresses and names from it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetPlan {
-    /// All nodes together.
+    /// Total number of nodes.
     pub nodes: usize,
     pub voters: usize,
     /// `doortrack serve` processes.
@@ -37,9 +38,9 @@
     pub budgets: usize,
     pub fleet_port: u16,
     pub front_port: u16,
-    /// Requests a second that each hollow node books on its budgets, as its load would.
+    /// Requests per second that each hollow node admits under its budgets, in place of load from callers.
     pub uses_per_second: u32,
-    /// Hollow nodes of one process are started one after the other within this time.
+    /// Period over which the hollow nodes of a process are started one by one.
     pub start_spread_ms: u64,
 }
 
@@ -57,25 +58,25 @@
     }
 
     fn address(&self, node: usize, port: u16) -> SocketAddr {
-        let (row, place) = (node / ADDRESSES_IN_A_ROW, node % ADDRESSES_IN_A_ROW);
+        let (block, place) = (node / ADDRESSES_PER_BLOCK, node % ADDRESSES_PER_BLOCK);
         let [first, second] = NETWORK;
-        SocketAddr::from(([first, second, row as u8, place as u8 + 1], port))
+        SocketAddr::from(([first, second, block as u8, place as u8 + 1], port))
     }
 
-    /// The number of the node at a fleet address.
+    /// Returns the number of the node with this fleet address.
     pub fn node_at(&self, address: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(address) = address else {
             return None;
         };
-        let [first, second, row, place] = address.ip().octets();
+        let [first, second, block, place] = address.ip().octets();
         if [first, second] != NETWORK {
             return None;
         }
-        let node = usize::from(row) * ADDRESSES_IN_A_ROW + usize::from(place).checked_sub(1)?;
+        let node = usize::from(block) * ADDRESSES_PER_BLOCK + usize::from(place).checked_sub(1)?;
         (node < self.nodes).then_some(node)
     }
 
-    /// The number of the node of a name.
+    /// Returns the number of the node with this name.
     pub fn node_named(&self, name: &str) -> Option<usize> {
         name.strip_prefix("node-")?
             .parse()
@@ -95,7 +96,7 @@
         self.voters + self.real..self.nodes
     }
 
-    /// Budgets that are for a tenant: all but the first, which is for the endpoint group `look`.
+    /// Returns the number of tenant budgets: all but the first, which is for the endpoint group `look`.
     pub fn tenant_budgets(&self) -> usize {
         self.budgets.saturating_sub(1)
     }
@@ -104,7 +105,7 @@
         format!("tenant-{nth:04}")
     }
 
-    /// The platform's configuration of a node.
+    /// Returns the node configuration file of a node.
     pub fn config(&self, node: usize) -> Value {
         let mut config = fixture::config();
         config["name"] = json!(self.name(node));
@@ -117,7 +118,7 @@
         config
     }
 
-    /// The operators' file of a node, without servers. The same budgets stand in all.
+    /// Returns the installation file of a node, without servers. All nodes have the same budgets.
     pub fn installation(&self, node: usize) -> Value {
         let voters: Vec<String> = (0..self.voters).map(|voter| self.name(voter)).collect();
         let seeds: Vec<String> = (0..self.voters)
@@ -132,18 +133,18 @@
     }
 
     fn budget(nth: usize) -> Value {
-        let falls = match nth.checked_sub(1) {
+        let scope = match nth.checked_sub(1) {
             None => json!({"group": "look"}),
             Some(tenant) => json!({"customer": FleetPlan::tenant(tenant)}),
         };
         let name = format!("budget-{nth:03}");
-        json!({"name": name, "kind": "rate", "whole": BUDGET_WHOLE, "burst": BUDGET_WHOLE, "for": falls})
+        json!({"name": name, "kind": "rate", "whole": BUDGET_LIMIT, "burst": BUDGET_LIMIT, "for": scope})
     }
 
-    /// What a hollow node is opened with: the same files as a real one's, read by the same code.
+    /// Parses the files of a node, with the same code as a real node does.
     ///
     /// # Errors
-    /// All errors of either file.
+    /// The errors of either file.
     pub fn parsed(&self, node: usize) -> Result<(Installation, NodeConfig), ConfigErrors> {
         let config = node_config::parse(self.config(node).to_string().as_bytes())?;
         let installation = installation::parse(self.installation(node).to_string().as_bytes())?;
--- a/crates/fault-harness/src/scale/probe.rs
+++ b/crates/fault-harness/src/scale/probe.rs
@@ -1,4 +1,4 @@
-//! Whether a node keeps serving: one caller that asks it again and again.
+//! Checks whether a node keeps serving, with one caller that sends requests continuously.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 
 use super::plan::{CALLERS_TENANT, TENANT_FIELD};
 
-const REST: Duration = Duration::from_millis(20);
+const PAUSE: Duration = Duration::from_millis(20);
 
-/// Requests without a completed answer that are told one by one.
-const MOST_TOLD: usize = 200;
+/// Maximum number of requests that were not completed that are recorded individually.
+const MAX_RECORDED_FAILURES: usize = 200;
 
 /// One request that was not completed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -25,47 +25,48 @@
     pub what: String,
 }
 
-/// What the caller came to.
+/// The results of the caller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Served {
     pub asked: usize,
     pub completed: usize,
-    /// The longest time from one completed answer to the next.
+    /// The longest time between two completed requests.
     pub longest_gap_ms: u64,
-    /// The first of those that were not completed.
+    /// The first requests that were not completed.
     pub not_completed: Vec<NotCompleted>,
 }
 
-/// A caller under way.
+/// A running caller.
 pub struct Probe {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     caller: JoinHandle<Served>,
 }
 
 impl Probe {
     pub fn start(front: SocketAddr) -> Probe {
-        let over = Arc::new(AtomicBool::new(false));
-        let until = over.clone();
+        let stop = Arc::new(AtomicBool::new(false));
+        let until = stop.clone();
         let caller = std::thread::spawn(move || run(front, &until));
-        Probe { over, caller }
+        Probe { stop, caller }
     }
 
-    /// Ends the caller once it has its answer.
+    /// Stops the caller after its current request.
     pub fn finish(self) -> Served {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         self.caller.join().unwrap_or_default()
     }
 }
 
-fn run(front: SocketAddr, over: &AtomicBool) -> Served {
+fn run(front: SocketAddr, stop: &AtomicBool) -> Served {
     let (mut served, mut last) = (Served::default(), Instant::now());
     let mut nth = 7 << 56;
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         nth += 1;
         served.asked += 1;
         let unix_ms = unix_ms();
-        let ask = CallerRequest::new(nth, "/svc/look", b"berth").with(TENANT_FIELD, CALLERS_TENANT);
-        match ask
+        let request =
+            CallerRequest::new(nth, "/svc/look", b"berth").with(TENANT_FIELD, CALLERS_TENANT);
+        match request
             .try_send(front, Protocol::FastCgi)
             .map(|pending| pending.outcome())
         {
@@ -75,7 +76,7 @@
                     served.longest_gap_ms.max(last.elapsed().as_millis() as u64);
                 last = Instant::now();
             }
-            other if served.not_completed.len() < MOST_TOLD => {
+            other if served.not_completed.len() < MAX_RECORDED_FAILURES => {
                 served.not_completed.push(NotCompleted {
                     unix_ms,
                     what: format!("{other:?}"),
@@ -83,7 +84,7 @@
             }
             _ => {}
         }
-        std::thread::sleep(REST);
+        std::thread::sleep(PAUSE);
     }
     served.longest_gap_ms = served.longest_gap_ms.max(last.elapsed().as_millis() as u64);
     served
--- a/crates/fault-harness/src/scale/protocol.rs
+++ b/crates/fault-harness/src/scale/protocol.rs
@@ -1,21 +1,23 @@
-//! What the rig and a process of hollow nodes say to one another: one JSON object a line, on the process's
-//! standard input and output. Each command has one reply.
+//! Messages between the harness and a process of hollow nodes: one JSON object per line on the standard
+//! input and output of the process. Each command has one reply.
 
 use serde::{Deserialize, Serialize};
 
-/// What a process of hollow nodes is asked to do. Nodes go by their numbers in the plan.
+/// A command to a process of hollow nodes. Nodes are given by their numbers in the plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HollowCommand {
-    /// Counters and views of all its nodes that run.
+    /// Requests the counters and views of all running nodes of the process.
     Sample,
-    /// Closes these nodes' sockets without a word, as a kill does; others of the process are passed over.
+    /// Closes the sockets of these nodes without notifying their peers, as a kill does. Numbers of nodes that
+    /// belong to another process are ignored.
     Kill { nodes: Vec<usize> },
-    /// Opens these nodes anew with nothing of what they knew.
+    /// Restarts these nodes without any of their earlier state.
     Start { nodes: Vec<usize> },
-    /// Drops all datagrams between a node of this list and one that is not on it. An empty list ends it.
-    Part { nodes: Vec<usize> },
-    /// Which members its nodes declared dead since this was last asked.
+    /// Drops all datagrams between nodes in this list and nodes outside it. An empty list ends the partition.
+    #[serde(rename = "part")]
+    Partition { nodes: Vec<usize> },
+    /// Requests the members that nodes of the process have declared dead since the last such command.
     Losses,
 }
 
@@ -30,13 +32,13 @@
     Losses {
         losses: Vec<Loss>,
     },
-    /// What could not be done, in words.
+    /// The command failed; `why` is the error message.
     Failed {
         why: String,
     },
 }
 
-/// One node at one moment. Counts are since its start.
+/// The state of one node at one moment. Counters start at the start of the node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeSample {
     pub node: usize,
@@ -45,19 +47,19 @@
     /// Without IP and UDP headers.
     pub bytes_in: u64,
     pub bytes_out: u64,
-    /// Datagrams that the system did not take.
+    /// Datagrams that the operating system did not accept for sending.
     pub unsent: u64,
-    /// Datagrams that were not listened to, for whatever reason.
+    /// Received datagrams that were rejected, for any reason.
     pub refused: u64,
-    /// Members in its view, and the view's digest: the same in two nodes exactly when their members are.
+    /// Members in the node's view, and the digest of the view. Two digests are equal exactly if the members are.
     pub members: usize,
     pub digest: u64,
     pub isolated: bool,
-    /// The node that grants the budgets, as far as this one knows.
+    /// The budget leader, as far as this node knows.
     pub leader: Option<String>,
 }
 
-/// One node declared another dead.
+/// One node's declaration that another member is dead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
     pub by: usize,
--- a/crates/fault-harness/src/scale/series.rs
+++ b/crates/fault-harness/src/scale/series.rs
@@ -1,8 +1,8 @@
-//! Measured quantities against a size, as they are written to the results.
+//! Measured quantities by size, as written to reports.
 
 use serde::{Deserialize, Serialize};
 
-/// Whose cost a series tells.
+/// The role whose resource usage a series describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -12,14 +12,13 @@
     Voter,
     /// The elected leader of the budgets.
     Leader,
-    /// A node with its whole program, which serves callers meanwhile: its processor time and memory are for
-    /// both.
+    /// A real node that also serves callers; its processor time and memory include that work.
     ServingNode,
-    /// What a node spends on the callers that connect to it.
+    /// The part of a node that handles the callers connected to it.
     Dispatcher,
 }
 
-/// What is measured. The unit of each is part of its name.
+/// A measured quantity. Each name includes the unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Quantity {
@@ -33,14 +32,14 @@
     ResidentKilobytes,
     /// From the start of the process to its first good health check.
     ReadyMilliseconds,
-    /// From a configuration's signal to its first effect.
+    /// From the reload signal to the first effect of the new configuration.
     ReloadMilliseconds,
     AddedP50Microseconds,
     AddedP99Microseconds,
     LogBytesPerSecond,
 }
 
-/// What grows while all else is held.
+/// The dimension that is varied while the others stay fixed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Dimension {
@@ -65,7 +64,7 @@
     pub role: Role,
     pub quantity: Quantity,
     pub dimension: Dimension,
-    /// What is held while the dimension grows, for a reader: "770 nodes, one budget".
+    /// Human-readable values of the fixed dimensions, such as "770 nodes, one budget".
     pub held: String,
     pub points: Vec<Point>,
 }
--- a/crates/fault-harness/src/scale/serving.rs
+++ b/crates/fault-harness/src/scale/serving.rs
@@ -1,4 +1,4 @@
-//! Real nodes: `doortrack serve` processes, how they see their fleet, and what they log of their link.
+//! Real nodes: `doortrack serve` processes, their views of the fleet, and the link counters in their logs.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::{SocketAddr, UdpSocket};
@@ -16,15 +16,14 @@
 use super::plan::{FLEET_KEY, FleetPlan};
 use doortrack_fakes::child_process::end_with_parent;
 
-/// The line of the log with the counters of the link, which a node writes every 10 s; former builds write the
-/// second one.
-const SUMMARIES: [&str; 2] = ["fleet summary", "so far of the fleet"];
+/// Messages of the log line with link counters, written every 10 s; older builds write the second one.
+const SUMMARY_MESSAGES: [&str; 2] = ["fleet summary", "so far of the fleet"];
 const LOG_LINES_PER_SECOND: &str = "1000";
-/// An answer about a view is waited for so long, and asked for so often.
-const PATIENCE: Duration = Duration::from_millis(200);
-const TRIES: usize = 3;
+/// Timeout of one status query, and the maximum number of queries.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
+const MAX_ATTEMPTS: usize = 3;
 
-/// Counters of a link by one line of the log.
+/// Link counters from one log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkCounts {
     pub datagrams_in: u64,
@@ -33,10 +32,13 @@
     pub bytes_out: u64,
 }
 
-/// The counters that a line of a node's JSON log tells; none for any other line.
+/// Parses the link counters from a line of a node's JSON log; None for any other line.
 pub fn link_counts(line: &str) -> Option<LinkCounts> {
     let line: Value = serde_json::from_str(line).ok()?;
-    if !SUMMARIES.iter().any(|summary| line["msg"] == *summary) {
+    if !SUMMARY_MESSAGES
+        .iter()
+        .any(|summary| line["msg"] == *summary)
+    {
         return None;
     }
     let number = |key: &str| line[key].as_u64();
@@ -48,20 +50,20 @@
     })
 }
 
-/// How a node sees its fleet.
+/// A node's view of its fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ViewSeen {
+pub struct ViewStatus {
     pub members: usize,
     pub digest: u64,
 }
 
 type Summaries = Arc<Mutex<Vec<(Instant, LinkCounts)>>>;
 
-/// One process; ended when it is dropped.
+/// One `doortrack serve` process, killed on drop.
 pub struct RealNode {
     pub node: usize,
     pub front: SocketAddr,
-    /// Whether it is of the fleet at all.
+    /// True if the node is a member of the fleet.
     pub in_fleet: bool,
     fleet_address: SocketAddr,
     child: Child,
@@ -69,21 +71,21 @@
     reader: Option<JoinHandle<()>>,
 }
 
-/// What a real node is started with beside the plan.
+/// What a real node needs to start besides the plan.
 #[derive(Clone, Copy)]
 pub struct ServeProgram<'a> {
     pub program: &'a Path,
-    /// Where files are written; it holds the fleet's key file.
+    /// Folder for generated files; contains the key file of the fleet.
     pub folder: &'a Path,
-    /// The key `servers` of the operators' file.
+    /// The value of `servers` in the installation file.
     pub servers: &'a Value,
 }
 
 impl RealNode {
-    /// Starts a node of the plan; without `in_fleet` it has neither fleet nor budgets.
+    /// Starts a node of the plan. If `in_fleet` is false, the node has neither fleet nor budgets.
     ///
     /// # Errors
-    /// A file that can't be written, or a program that can't be started.
+    /// A file can't be written, or the program can't be started.
     pub fn start(
         with: ServeProgram,
         plan: &FleetPlan,
@@ -139,7 +141,7 @@
         self.child.id()
     }
 
-    /// The last two summaries of its link, with when they were read.
+    /// Returns the last two link counters and the times at which they were read.
     pub fn last_summaries(&self) -> Option<[(Instant, LinkCounts); 2]> {
         let summaries = self
             .summaries
@@ -148,8 +150,8 @@
         summaries.last_chunk::<2>().copied()
     }
 
-    /// How it sees its fleet; none where it does not answer.
-    pub fn view(&self) -> Option<ViewSeen> {
+    /// Queries the node's view of the fleet; None if the node does not reply.
+    pub fn view(&self) -> Option<ViewStatus> {
         view_of(self.fleet_address).ok().flatten()
     }
 }
@@ -164,7 +166,7 @@
     }
 }
 
-/// The name of the key's file, in the folder of a play.
+/// Name of the fleet key file in the folder of a trial.
 pub const KEY_FILE: &str = "fleet.key";
 
 fn write(file: &Path, value: &Value) -> Result<(), ScaleError> {
@@ -182,28 +184,28 @@
     }
 }
 
-/// Asks for the first page alone, which tells the digest of the whole view.
-fn view_of(address: SocketAddr) -> io::Result<Option<ViewSeen>> {
-    let seal = DatagramCodec::new(Some(FLEET_KEY), "");
+/// Requests only the first page of the status, which contains the digest of the whole view.
+fn view_of(address: SocketAddr) -> io::Result<Option<ViewStatus>> {
+    let codec = DatagramCodec::new(Some(FLEET_KEY), "");
     let socket = UdpSocket::bind("127.0.0.1:0")?;
-    socket.set_read_timeout(Some(PATIENCE))?;
+    socket.set_read_timeout(Some(REPLY_TIMEOUT))?;
     let mut bytes = [0; MAX_DATAGRAM_LEN];
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let nonce = fastrand::u64(..);
-        let question = seal
+        let query = codec
             .encode(&PeerMessage::StatusQuery(StatusQuery {
                 nonce,
                 after: None,
             }))
             .unwrap_or_default();
-        socket.send_to(&question, address)?;
+        socket.send_to(&query, address)?;
         let Ok((len, _)) = socket.recv_from(&mut bytes) else {
             continue;
         };
-        if let Ok(PeerMessage::Status(status)) = seal.decode(&bytes[..len])
+        if let Ok(PeerMessage::Status(status)) = codec.decode(&bytes[..len])
             && status.nonce == nonce
         {
-            return Ok(Some(ViewSeen {
+            return Ok(Some(ViewStatus {
                 members: status.in_view as usize,
                 digest: status.digest,
             }));
--- a/crates/fault-harness/src/scale/settle.rs
+++ b/crates/fault-harness/src/scale/settle.rs
@@ -1,57 +1,57 @@
-//! Waiting until a fleet that has just found together is calm: news of who joined is passed on for some time
-//! after all know it, and would be measured as if it were the cost of standing still.
+//! Waits until the traffic of a newly formed fleet is steady. Updates about joined members are gossiped for some
+//! time after all nodes know them, and would be measured as idle traffic.
 
 use std::time::{Duration, Instant};
 
 use super::error::ScaleError;
 use super::fleet::RunningFleet;
 
-/// Traffic is compared from one such span to the next.
-const SPAN: Duration = Duration::from_secs(2);
-/// By which part of it traffic may differ between two spans of a calm fleet.
-const SWAY: f64 = 0.05;
+/// Traffic is compared between consecutive intervals of this length.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum relative difference of traffic between two consecutive intervals of a steady fleet.
+const MAX_RELATIVE_CHANGE: f64 = 0.05;
 
-/// How long to wait.
+/// Bounds on the wait.
 #[derive(Clone, Copy, Debug)]
-pub struct SettleTerms {
-    pub least: Duration,
-    pub most: Duration,
+pub struct SettleOptions {
+    pub min_wait: Duration,
+    pub max_wait: Duration,
 }
 
-/// Since when a fleet was calm.
+/// The result of waiting for steady traffic.
 #[derive(Clone, Copy, Debug)]
 pub struct Settled {
-    /// The beginning of the two spans with the same traffic; none if it did not come to that.
-    pub calm_since: Option<Instant>,
+    /// Start of the two intervals with equal traffic; None if the traffic did not become steady.
+    pub steady_since: Option<Instant>,
 }
 
-/// Whether the last two of these rates are the same but for a twentieth.
-pub fn is_calm(rates: &[f64]) -> bool {
+/// Returns true if the last two rates differ by at most 5%.
+pub fn is_steady(rates: &[f64]) -> bool {
     match rates {
-        [.., earlier, later] => (later - earlier).abs() <= SWAY * earlier.abs(),
+        [.., earlier, later] => (later - earlier).abs() <= MAX_RELATIVE_CHANGE * earlier.abs(),
         _ => false,
     }
 }
 
-/// Waits until the traffic of voters and hollow nodes stays as it is.
+/// Waits until the traffic of voters and hollow nodes is steady.
 ///
 /// # Errors
-/// A process that is gone.
-pub fn settle(fleet: &mut RunningFleet, terms: SettleTerms) -> Result<Settled, ScaleError> {
+/// A process has ended.
+pub fn settle(fleet: &mut RunningFleet, options: SettleOptions) -> Result<Settled, ScaleError> {
     let began = Instant::now();
-    std::thread::sleep(terms.least);
+    std::thread::sleep(options.min_wait);
     let (mut rates, mut before) = (Vec::new(), (Instant::now(), bytes(fleet)?));
-    let mut calm_since = None;
+    let mut steady_since = None;
     let mut span_before = before.0;
-    while calm_since.is_none() && began.elapsed() < terms.most {
-        std::thread::sleep(SPAN);
+    while steady_since.is_none() && began.elapsed() < options.max_wait {
+        std::thread::sleep(SAMPLE_INTERVAL);
         let now = (Instant::now(), bytes(fleet)?);
         rates.push(now.1.saturating_sub(before.1) as f64 / (now.0 - before.0).as_secs_f64());
-        calm_since = is_calm(&rates).then_some(span_before);
+        steady_since = is_steady(&rates).then_some(span_before);
         span_before = before.0;
         before = now;
     }
-    Ok(Settled { calm_since })
+    Ok(Settled { steady_since })
 }
 
 fn bytes(fleet: &mut RunningFleet) -> Result<u64, ScaleError> {
--- a/crates/fault-harness/src/scale/sweep.rs
+++ b/crates/fault-harness/src/scale/sweep.rs
@@ -1,4 +1,4 @@
-//! One fleet for each size of a series: started, left to settle, measured for a window, ended.
+//! Runs one fleet for each size of a series: starts it, waits until it is steady, measures it and stops it.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,25 +14,25 @@
 use super::plan::{CALLERS_TENANT, FleetPlan};
 use super::series::{Dimension, Point, Series};
 use super::serving::RealNode;
-use super::settle::{SettleTerms, Settled, settle};
+use super::settle::{SettleOptions, Settled, settle};
 use crate::traffic::{Backend, Traffic, TrafficCounts};
 
-/// A node writes its counters to the log so often; a little more is waited.
-const SUMMARY_EVERY: Duration = Duration::from_millis(10_500);
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// How long to wait for the next log line with link counters; a node writes one every 10 s.
+const SUMMARY_TIMEOUT: Duration = Duration::from_millis(10_500);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What all plays of a run share.
+/// Options shared by all trials of a command.
 #[derive(Clone, Debug)]
-pub struct PlayTerms {
+pub struct TrialOptions {
     pub programs: Programs,
     pub voters: usize,
     pub real: usize,
     pub callers: usize,
     pub uses_per_second: u32,
     pub start_spread: Duration,
-    /// Until all views agree and a leader is known.
+    /// Time limit until all views agree and a leader is known.
     pub agree_within: Duration,
-    pub settle: SettleTerms,
+    pub settle: SettleOptions,
     pub window: Duration,
 }
 
@@ -43,36 +43,36 @@
     pub budgets: usize,
 }
 
-/// What came of one fleet.
+/// The results of one fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PlayReport {
+pub struct TrialReport {
     pub size: Size,
     pub hollow: usize,
     pub real: usize,
-    /// From the start of the processes until all views were the same and all knew one leader; none if that
-    /// did not come in time, and the figures are of a fleet that had not found together.
+    /// Time from the start of the processes until all views were equal and all nodes knew one leader. None if
+    /// that did not happen in time; the figures are then those of a fleet without agreement.
     pub agreed_after_ms: Option<u64>,
-    /// Whether its traffic stayed the same before the window.
+    /// True if the traffic was steady before the window.
     pub calm: bool,
     pub window_ms: u64,
-    /// Before the window and after it.
+    /// The leader before and after the window.
     pub leaders: [Option<String>; 2],
-    /// Datagrams of the whole machine that met a full receive buffer during the window.
+    /// Datagrams dropped on the whole machine during the window because a receive buffer was full.
     pub receive_buffer_errors: u64,
-    /// How often a voter or hollow node declared another dead in the window, in which none dies.
+    /// Members declared dead by voters and hollow nodes during the window, in which no node is killed.
     pub declared_dead: usize,
-    /// Datagrams of hollow nodes and voters that the system did not take, and that were not listened to.
+    /// Datagrams of hollow nodes and voters that could not be sent, and received ones that were rejected.
     pub unsent: u64,
     pub refused: u64,
-    /// What the stand-in callers of the real nodes came to, and each breach of the four rules in words.
+    /// Requests of the simulated callers of the real nodes, those completed, and descriptions of violations.
     pub asked: usize,
     pub completed: usize,
     pub broken_rules: Vec<String>,
     pub figures: Vec<Figure>,
 }
 
-impl PlayTerms {
-    /// The plan of a fleet of this size.
+impl TrialOptions {
+    /// Returns the plan of a fleet of this size.
     pub fn plan(&self, size: Size, ports: &Ports) -> FleetPlan {
         FleetPlan {
             nodes: size.nodes,
@@ -87,31 +87,35 @@
     }
 }
 
-/// Plays a fleet of one size.
+/// Runs and measures a fleet of one size.
 ///
 /// # Errors
-/// A process that can't be started, or that ended before its time.
-pub fn play(
-    terms: &PlayTerms,
+/// A process can't be started or ends early.
+pub fn run_trial(
+    options: &TrialOptions,
     size: Size,
     progress: &ProgressBar,
-) -> Result<PlayReport, ScaleError> {
+) -> Result<TrialReport, ScaleError> {
     let ports = Ports::hold()?;
-    let behind = Backend::start();
-    let servers = behind.installation(behind.address())["servers"].clone();
-    let plan = terms.plan(size, &ports);
+    let backend = Backend::start();
+    let servers = backend.installation(backend.address())["servers"].clone();
+    let plan = options.plan(size, &ports);
     let label = format!("{} nodes, {} budgets", size.nodes, size.budgets);
     progress.set_message(format!("{label}: start"));
-    let mut fleet = RunningFleet::start(&terms.programs, plan, &servers, |_| true)?;
-    let agreed = fleet.agree(size.nodes, terms.agree_within)?;
+    let mut fleet = RunningFleet::start(&options.programs, plan, &servers, |_| true)?;
+    let agreed = fleet.wait_for_agreement(size.nodes, options.agree_within)?;
     let fronts: Vec<SocketAddr> = fleet.real.iter().map(|real| real.front).collect();
-    let callers = if fronts.is_empty() { 0 } else { terms.callers };
+    let callers = if fronts.is_empty() {
+        0
+    } else {
+        options.callers
+    };
     let traffic = Traffic::start_for(Some(CALLERS_TENANT), callers, &fronts, size.nodes as u64);
     progress.set_message(format!("{label}: settle"));
-    let settled = settle(&mut fleet, terms.settle)?;
+    let settled = settle(&mut fleet, options.settle)?;
     progress.set_message(format!("{label}: measure"));
-    let measured = measure(&mut fleet, terms.window, settled);
-    let (served, broken_rules) = traffic.finish(&behind, &[]);
+    let measured = measure(&mut fleet, options.window, settled);
+    let (served, broken_rules) = traffic.finish(&backend, &[]);
     Ok(report(
         &fleet,
         size,
@@ -144,7 +148,7 @@
     let began = Instant::now();
     std::thread::sleep(window);
     let after = fleet.sample()?;
-    let lasted = began.elapsed();
+    let elapsed_time = began.elapsed();
     let declared_dead = fleet.take_losses()?.len();
     let errors = receive_buffer_errors().saturating_sub(errors_before);
     let real_after = usages(fleet)?;
@@ -158,8 +162,8 @@
     let pairs: Vec<(Usage, Usage)> = real_before.into_iter().zip(real_after).collect();
     all.extend(serving_figures(&pairs, &links));
     Ok(Measured {
-        calm: settled.calm_since.is_some(),
-        window: lasted,
+        calm: settled.steady_since.is_some(),
+        window: elapsed_time,
         leaders,
         receive_buffer_errors: errors,
         declared_dead,
@@ -173,23 +177,23 @@
     fleet.real.iter().map(|real| usage(real.pid())).collect()
 }
 
-/// Of each real node the last span between two lines of its log that began in the calm fleet; waits for the
-/// next line where there is none yet.
+/// Returns the link rates of each real node between its last two log lines with counters, if both were
+/// written while the fleet was steady. Waits for the next line if necessary.
 fn real_links(fleet: &RunningFleet, settled: Settled) -> Vec<LinkRates> {
-    let Some(calm_since) = settled.calm_since else {
+    let Some(steady_since) = settled.steady_since else {
         return Vec::new();
     };
-    let until = Instant::now() + SUMMARY_EVERY;
-    let in_calm = |real: &RealNode| {
+    let until = Instant::now() + SUMMARY_TIMEOUT;
+    let steady_rates = |real: &RealNode| {
         let [(at, counts), (later, more)] = real.last_summaries()?;
-        (at >= calm_since).then(|| LinkRates::between(counts, more, later - at))
+        (at >= steady_since).then(|| LinkRates::between(counts, more, later - at))
     };
     loop {
-        let links: Vec<LinkRates> = fleet.real.iter().filter_map(in_calm).collect();
+        let links: Vec<LinkRates> = fleet.real.iter().filter_map(steady_rates).collect();
         if links.len() == fleet.real.len() || Instant::now() > until {
             return links;
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -200,8 +204,8 @@
     measured: Measured,
     served: TrafficCounts,
     broken_rules: Vec<String>,
-) -> PlayReport {
-    PlayReport {
+) -> TrialReport {
+    TrialReport {
         size,
         hollow: fleet.plan.hollow_nodes().len(),
         real: fleet.real.len(),
@@ -220,24 +224,24 @@
     }
 }
 
-/// Of the whole machine since its start; 0 where the system does not tell.
+/// Returns the receive buffer errors of the whole machine since its start, or 0 if they are not available.
 fn receive_buffer_errors() -> u64 {
     procfs::net::snmp().map_or(0, |snmp| snmp.udp_rcvbuf_errors)
 }
 
-/// One series for each role and quantity of the plays, with the line through it, read at `wanted`.
+/// Builds one series for each role and quantity, fits a line, and evaluates the line at `wanted`.
 pub fn fitted(
-    plays: &[PlayReport],
+    plays: &[TrialReport],
     dimension: Dimension,
     held: &str,
     size: impl Fn(Size) -> usize,
     wanted: f64,
 ) -> Vec<FittedSeries> {
     let mut series: Vec<Series> = Vec::new();
-    for play in plays {
-        for figure in &play.figures {
+    for trial in plays {
+        for figure in &trial.figures {
             let point = Point {
-                size: size(play.size) as f64,
+                size: size(trial.size) as f64,
                 value: figure.value,
             };
             let same =
--- a/crates/fault-harness/src/scale/table.rs
+++ b/crates/fault-harness/src/scale/table.rs
@@ -1,4 +1,4 @@
-//! Series and their lines as text.
+//! Formats series and their fitted lines as tables.
 
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::{CellAlignment, Table};
@@ -7,7 +7,7 @@
 use super::fit::{Fit, FittedSeries, Projection};
 use super::series::Dimension;
 
-/// The name of a role, quantity or dimension, as it stands in the results.
+/// Returns the serialized name of a role, quantity or dimension.
 fn word(value: &impl Serialize) -> String {
     let value = serde_json::to_value(value).ok();
     value
@@ -17,7 +17,7 @@
         .to_string()
 }
 
-/// Four significant digits.
+/// Formats a number with four significant digits.
 pub fn number(value: f64) -> String {
     if !value.is_finite() {
         return "-".into();
@@ -31,18 +31,19 @@
     format!("{value:.decimals$}")
 }
 
-/// One table for each dimension and what is held beside it, with a column for each size.
+/// Formats one table for each dimension and set of fixed values, with a column for each size.
 pub fn text(all: &[FittedSeries]) -> String {
     let mut groups: Vec<(Dimension, &str)> = Vec::new();
-    for one in all {
-        let group = (one.series.dimension, one.series.held.as_str());
+    for fitted in all {
+        let group = (fitted.series.dimension, fitted.series.held.as_str());
         if !groups.contains(&group) {
             groups.push(group);
         }
     }
     let tables = groups.into_iter().map(|(dimension, held)| {
-        let of_group =
-            |one: &&FittedSeries| one.series.dimension == dimension && one.series.held == held;
+        let of_group = |fitted: &&FittedSeries| {
+            fitted.series.dimension == dimension && fitted.series.held == held
+        };
         let members: Vec<&FittedSeries> = all.iter().filter(of_group).collect();
         format!(
             "by {}, with {held}:\n{}\n",
@@ -56,7 +57,7 @@
 fn table(members: &[&FittedSeries]) -> Table {
     let mut sizes: Vec<f64> = members
         .iter()
-        .flat_map(|one| one.series.points.iter().map(|point| point.size))
+        .flat_map(|fitted| fitted.series.points.iter().map(|point| point.size))
         .collect();
     sizes.sort_by(f64::total_cmp);
     sizes.dedup();
@@ -66,8 +67,8 @@
     header.extend(sizes.iter().map(|size| number(*size)));
     header.extend(["at 0", "for each", "+-", "R2", "line says"].map(String::from));
     table.set_header(header);
-    for one in members {
-        table.add_row(row(one, &sizes));
+    for fitted in members {
+        table.add_row(row(fitted, &sizes));
     }
     for column in table.column_iter_mut().skip(2) {
         column.set_cell_alignment(CellAlignment::Right);
@@ -75,10 +76,14 @@
     table
 }
 
-fn row(one: &FittedSeries, sizes: &[f64]) -> Vec<String> {
-    let mut row = vec![word(&one.series.role), word(&one.series.quantity)];
+fn row(fitted: &FittedSeries, sizes: &[f64]) -> Vec<String> {
+    let mut row = vec![word(&fitted.series.role), word(&fitted.series.quantity)];
     for size in sizes {
-        let values = one.series.points.iter().filter(|point| point.size == *size);
+        let values = fitted
+            .series
+            .points
+            .iter()
+            .filter(|point| point.size == *size);
         let values: Vec<String> = values.map(|point| number(point.value)).collect();
         row.push(if values.is_empty() {
             "-".into()
@@ -86,8 +91,13 @@
             values.join(", ")
         });
     }
-    row.extend(fit_cells(one.fit.as_ref()));
-    row.push(one.projection.as_ref().map_or("-".into(), projection_cell));
+    row.extend(fit_cells(fitted.fit.as_ref()));
+    row.push(
+        fitted
+            .projection
+            .as_ref()
+            .map_or("-".into(), projection_cell),
+    );
     row
 }
 
--- a/crates/fault-harness/src/scale/watchdog.rs
+++ b/crates/fault-harness/src/scale/watchdog.rs
@@ -1,31 +1,31 @@
-//! The bound in time of a whole run.
+//! A time limit for the whole command.
 
 use std::process::exit;
 use std::sync::mpsc::{RecvTimeoutError, Sender, channel};
 use std::thread;
 use std::time::Duration;
 
-/// The exit code of a run that did not end by itself.
-pub const OVER_TIME: i32 = 3;
+/// Exit code of a command that exceeded its time limit.
+pub const TIMEOUT_EXIT_CODE: i32 = 3;
 
-/// Ends this process if it is not dropped in time; the system ends its children then (see
+/// Ends this process unless dropped within the time limit. The system then kills its children (see
 /// [`doortrack_fakes::child_process::end_with_parent`]).
 pub struct Watchdog {
-    _alive: Sender<()>,
+    _sender: Sender<()>,
 }
 
 impl Watchdog {
-    pub fn start(most: Duration) -> Watchdog {
-        let (alive, gone) = channel::<()>();
+    pub fn start(time_limit: Duration) -> Watchdog {
+        let (sender, receiver) = channel::<()>();
         thread::spawn(move || {
-            if gone.recv_timeout(most) == Err(RecvTimeoutError::Timeout) {
+            if receiver.recv_timeout(time_limit) == Err(RecvTimeoutError::Timeout) {
                 eprintln!(
                     "doortrack-harness scale: not over after {} s, ended",
-                    most.as_secs()
+                    time_limit.as_secs()
                 );
-                exit(OVER_TIME);
+                exit(TIMEOUT_EXIT_CODE);
             }
         });
-        Watchdog { _alive: alive }
+        Watchdog { _sender: sender }
     }
 }
--- a/crates/fault-harness/tests/scale.rs
+++ b/crates/fault-harness/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Lines, tables and what is read of logs, on values that are known; and a small fleet of hollow nodes.
+//! Tests fits, tables and log parsing with known values, and runs a small fleet of hollow nodes.
 
 use std::path::Path;
 use std::process::Command;
@@ -8,19 +8,19 @@
 use doortrack_fault_harness::scale::command::ScaleReport;
 use doortrack_fault_harness::scale::fit::{FitError, FittedSeries, fit};
 use doortrack_fault_harness::scale::fleet::{Ports, Programs, RunningFleet};
-use doortrack_fault_harness::scale::losses::{EXCUSED_MS, Outage, wrongly_lost};
+use doortrack_fault_harness::scale::losses::{EXCUSE_WINDOW_MS, Outage, wrongly_lost};
 use doortrack_fault_harness::scale::measure::{HEADER_BYTES, LinkRates};
 use doortrack_fault_harness::scale::plan::FleetPlan;
 use doortrack_fault_harness::scale::protocol::{HollowCommand, Loss};
 use doortrack_fault_harness::scale::series::{Dimension, Point, Quantity, Role, Series};
 use doortrack_fault_harness::scale::serving::{LinkCounts, link_counts};
-use doortrack_fault_harness::scale::settle::is_calm;
+use doortrack_fault_harness::scale::settle::is_steady;
 use doortrack_fault_harness::scale::table::{number, text};
 use serde_json::Value;
 
-/// Generous: other work runs beside the tests.
-const LONG: Duration = Duration::from_secs(60);
-const RIG: &str = env!("CARGO_BIN_EXE_doortrack-harness");
+/// Long enough for a machine that runs other work at the same time.
+const TIMEOUT: Duration = Duration::from_secs(60);
+const HARNESS: &str = env!("CARGO_BIN_EXE_doortrack-harness");
 
 fn points(of: &[(f64, f64)]) -> Vec<Point> {
     of.iter()
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_line_is_found_again() {
+fn a_fit_recovers_a_known_line() {
     let line = fit(&points(&[
         (50.0, 110.0),
         (100.0, 210.0),
@@ -56,10 +56,10 @@
     assert!(near(line.at(1_000.0).value, 2_010.0));
 }
 
-/// Worked by hand: sizes 1 to 4 with values 2, 4, 5, 4 have the line 2 + 0.7 x; 2.3 is the sum of squares
-/// about it.
+/// Computed by hand: the points (1, 2), (2, 4), (3, 5), (4, 4) have the line 2 + 0.7 x and a residual sum of
+/// squares of 2.3.
 #[test]
-fn errors_of_a_line_are_those_of_the_textbook() {
+fn standard_errors_match_values_computed_by_hand() {
     let line = fit(&points(&[(1.0, 2.0), (2.0, 4.0), (3.0, 5.0), (4.0, 4.0)])).unwrap();
     assert!(
         near(line.slope, 0.7) && near(line.intercept, 2.0),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn no_line_is_drawn_through_what_has_none() {
+fn constant_values_fit_and_too_few_or_invalid_points_are_rejected() {
     let flat = fit(&points(&[(1.0, 3.0), (2.0, 3.0), (3.0, 3.0)])).unwrap();
     assert_eq!(
         (flat.slope, flat.intercept, flat.r_squared),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_table_tells_what_is_measured_and_what_is_extrapolated() {
+fn a_table_marks_extrapolated_values() {
     let measured = series(points(&[(50.0, 110.0), (100.0, 210.0), (400.0, 810.0)]));
     let beyond = text(&[FittedSeries::of(measured.clone(), Some(770.0))]);
     assert!(beyond.contains("by nodes, with 1 budgets"), "{beyond}");
@@ -120,13 +120,13 @@
 }
 
 #[test]
-fn numbers_have_four_digits() {
+fn numbers_have_four_significant_digits() {
     let all = [0.0, 0.012_346, 1.234_56, 123.456, 12_345.6, f64::NAN].map(number);
     assert_eq!(all, ["0.000", "0.01235", "1.235", "123.5", "12346", "-"]);
 }
 
 #[test]
-fn quantiles_are_values_that_were_measured() {
+fn quantiles_are_measured_values() {
     let hundred: Vec<f64> = (1..=100).map(f64::from).collect();
     assert_eq!(
         (quantile(&hundred, 0.5), quantile(&hundred, 0.99)),
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn a_fleet_is_calm_once_two_rates_are_the_same() {
-    assert!(!is_calm(&[]) && !is_calm(&[100.0]));
-    assert!(!is_calm(&[100.0, 100.0, 80.0]) && !is_calm(&[80.0, 100.0]));
-    assert!(is_calm(&[500.0, 100.0, 95.0]) && is_calm(&[95.0, 97.0]));
+fn a_fleet_is_steady_once_two_rates_are_equal() {
+    assert!(!is_steady(&[]) && !is_steady(&[100.0]));
+    assert!(!is_steady(&[100.0, 100.0, 80.0]) && !is_steady(&[80.0, 100.0]));
+    assert!(is_steady(&[500.0, 100.0, 95.0]) && is_steady(&[95.0, 97.0]));
 }
 
 #[test]
-fn counters_are_read_off_the_log_and_made_rates() {
+fn link_counters_are_parsed_from_the_log_and_converted_to_rates() {
     let line = r#"{"msg":"fleet summary","level":"INFO","received":40,"received_bytes":4000,"sent":20,
         "sent_bytes":1000,"unsent":0}"#;
     let after = link_counts(line).unwrap();
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn addresses_and_names_lead_back_to_their_nodes() {
+fn addresses_and_names_map_back_to_their_nodes() {
     let plan = plan(&Ports::hold().unwrap(), 770);
     for node in [0, 249, 250, 769] {
         assert_eq!(plan.node_at(plan.fleet_address(node)), Some(node));
@@ -225,13 +225,13 @@
 }
 
 #[test]
-fn only_a_death_or_a_partition_excuses_a_loss() {
+fn only_an_outage_excuses_a_loss() {
     let plan = plan(&Ports::hold().unwrap(), 20);
-    let outage = |nodes: &[usize], parted, from_unix_ms, till_unix_ms| Outage {
+    let outage = |nodes: &[usize], parted, from_unix_ms, until_unix_ms| Outage {
         nodes: nodes.iter().copied().collect(),
         parted,
         from_unix_ms,
-        till_unix_ms,
+        until_unix_ms,
     };
     let outages = [
         outage(&[7], false, 1_000, Some(2_000)),
@@ -239,7 +239,7 @@
     ];
     let excused = [
         lost(1, 7, 1_500),
-        lost(1, 7, 2_000 + EXCUSED_MS),
+        lost(1, 7, 2_000 + EXCUSE_WINDOW_MS),
         lost(8, 1, 50_000),
         lost(1, 9, 60_000),
     ];
@@ -247,7 +247,7 @@
     assert_eq!(wrongly_lost(&excused, &outages, name), []);
     let wrong = [
         lost(1, 7, 999),
-        lost(1, 7, 2_001 + EXCUSED_MS),
+        lost(1, 7, 2_001 + EXCUSE_WINDOW_MS),
         lost(7, 1, 1_500),
         lost(8, 9, 60_000),
         lost(1, 2, 60_000),
@@ -256,26 +256,26 @@
     assert_eq!(wrongly_lost(&wrong, &outages, name), wrong);
 }
 
-/// Waits until `wanted` holds of the fleet.
+/// Waits until `wanted` returns true for the fleet.
 fn until(fleet: &mut RunningFleet, what: &str, mut wanted: impl FnMut(&mut RunningFleet) -> bool) {
     let began = Instant::now();
     while !wanted(fleet) {
-        assert!(began.elapsed() < LONG, "not in time: {what}");
+        assert!(began.elapsed() < TIMEOUT, "not in time: {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn hollow_nodes_are_a_fleet_with_a_leader_and_leave_nothing_behind() {
+fn hollow_nodes_form_a_fleet_with_a_leader_and_their_processes_end() {
     let ports = Ports::hold().unwrap();
     let programs = Programs {
         doortrack: "none".into(),
-        rig: RIG.into(),
+        harness: HARNESS.into(),
     };
     let mut fleet =
         RunningFleet::start(&programs, plan(&ports, 12), &Value::Null, |_| true).unwrap();
     assert!(
-        fleet.agree(12, LONG).unwrap().is_some(),
+        fleet.wait_for_agreement(12, TIMEOUT).unwrap().is_some(),
         "views do not agree"
     );
     let before = fleet.sample().unwrap();
@@ -295,7 +295,7 @@
         .ask_all(&HollowCommand::Kill { nodes: vec![5, 11] })
         .unwrap();
     until(&mut fleet, "two that died are lost", |fleet| {
-        fleet.agrees(10).unwrap()
+        fleet.views_agree(10).unwrap()
     });
     let losses = fleet.take_losses().unwrap().into_iter();
     let mut lost: Vec<String> = losses.map(|loss| loss.name).collect();
@@ -306,7 +306,7 @@
         .ask_all(&HollowCommand::Start { nodes: vec![5, 11] })
         .unwrap();
     until(&mut fleet, "two that came back are members", |fleet| {
-        fleet.agrees(12).unwrap()
+        fleet.views_agree(12).unwrap()
     });
     let processes: Vec<u32> = fleet.hollow.iter().map(|process| process.pid()).collect();
     drop(fleet);
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn a_run_ends_by_itself_and_writes_its_results() {
+fn the_scale_command_ends_and_writes_its_report() {
     let file =
         std::env::temp_dir().join(format!("doortrack-scale-test-{}.json", std::process::id()));
     let words = [
@@ -344,7 +344,7 @@
         "--agree-within",
         "60",
     ];
-    let run = Command::new(RIG)
+    let run = Command::new(HARNESS)
         .args(words)
         .args(more)
         .arg("--json")
@@ -377,8 +377,8 @@
 }
 
 #[test]
-fn a_size_without_room_for_voters_and_real_nodes_is_refused() {
-    let run = Command::new(RIG)
+fn a_size_smaller_than_voters_and_real_nodes_is_rejected() {
+    let run = Command::new(HARNESS)
         .args(["scale", "--nodes", "10", "--budgets", "0"])
         .output()
         .unwrap();
