--- a/crates/fault-harness/src/scale/node_cost.rs
+++ b/crates/fault-harness/src/scale/node_cost.rs
@@ -1,4 +1,4 @@
-//! What one real node costs as its settings and callers grow, each dimension alone at fixed others.
+//! Measures the resource usage of one real node by its settings and callers, varying one dimension at a time.
 
 pub mod alone;
 pub mod bench;
@@ -24,51 +24,52 @@
 use self::bench::Bench;
 use self::measure::{Spans, measure};
 pub use self::process::MeasureError;
-use self::report::{Report, Swept, Taken};
+use self::report::{Report, Sweep, SweepPoint};
 use self::settings::Size;
 use crate::scale::error::{ScaleError, write_report};
 use crate::scale::series::{Dimension, Point};
 
-/// The size of two years, as far as the settings of one node allow.
-const AT_SIZE: Size = Size {
+/// The expected size in two years, as far as the settings of one node allow it.
+const TARGET_SIZE: Size = Size {
     routes: 3_400,
     tenants: 20_000,
     services: MAX_POOLS + 1,
     callers: 700,
     budgets: Some(MAX_BUDGETS),
 };
-/// Callers of the whole fleet, all at one node.
-const ALL_CALLERS: usize = 12_000;
+/// The callers of the whole fleet, all connected to one node.
+const FLEET_CALLERS: usize = 12_000;
 
 /// Measures what one node costs as its settings and callers grow
 #[derive(Args, Debug)]
 pub struct Options {
-    /// The program that is measured
+    /// Program to measure
     #[arg(long, value_name = "FILE", default_value = "target/release/doortrack")]
     program: PathBuf,
-    /// Smallest and greatest sizes only, for short times: under a minute
+    /// Measures only the smallest and largest sizes, for short times: under a minute
     #[arg(long)]
     quick: bool,
-    /// Where everything found is written as JSON
+    /// File for the results as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
-/// How long each part of a run lasts.
-struct Lengths {
+/// Durations of the parts of a measurement.
+struct Durations {
     sweep: Spans,
     at_size: Spans,
-    /// Reloads one after the other.
+    /// Number of consecutive reloads.
     reloads: usize,
-    /// Keys, log and the time alone; no longer than the window of the deduplicated group, 60 s.
+    /// Duration of the measurements of keys, log and isolation; at most the dedup window of the deduplicated
+    /// group, 60 s.
     situations: Duration,
 }
 
-impl Lengths {
-    fn of(quick: bool) -> Lengths {
+impl Durations {
+    fn of(quick: bool) -> Durations {
         let seconds =
             |quick_for, full_for| Duration::from_secs(if quick { quick_for } else { full_for });
-        Lengths {
+        Durations {
             sweep: Spans {
                 rest: seconds(1, 1),
                 load: seconds(1, 5),
@@ -101,7 +102,7 @@
 /// Measures everything, prints the tables and writes the JSON.
 ///
 /// # Errors
-/// What could not be measured, or the file that can't be written.
+/// A measurement fails, or the file can't be written.
 pub fn run(options: &Options) -> Result<bool, ScaleError> {
     let report = measure_all(options)?;
     print!("{}", report::tables(&report));
@@ -113,38 +114,38 @@
 
 fn measure_all(options: &Options) -> Result<Report, MeasureError> {
     let began = Instant::now();
-    let lengths = Lengths::of(options.quick);
+    let durations = Durations::of(options.quick);
     let bench = Bench::open(&options.program)?;
     let sizes = sizes(options.quick);
     let steps: usize = sizes.iter().map(|(_, list)| list.len()).sum();
     let progress = progress(steps as u64 + 3);
-    let swept: Vec<Swept> = sizes
+    let swept: Vec<Sweep> = sizes
         .into_iter()
-        .map(|(dimension, list)| sweep(&bench, dimension, &list, lengths.sweep, &progress))
+        .map(|(dimension, list)| sweep(&bench, dimension, &list, durations.sweep, &progress))
         .collect::<Result<_, _>>()?;
     progress.set_message("all at the size of two years");
-    let at_size = measure(&bench, &AT_SIZE, lengths.at_size)?;
-    let repeated_reloads = repeated_reloads(&bench, lengths.reloads)?;
+    let at_size = measure(&bench, &TARGET_SIZE, durations.at_size)?;
+    let repeated_reloads = repeated_reloads(&bench, durations.reloads)?;
     progress.inc(1);
     progress.set_message("more callers than sockets");
-    let crowds = if options.quick {
+    let batches = if options.quick {
         vec![1_200]
     } else {
-        vec![1_200, ALL_CALLERS]
+        vec![1_200, FLEET_CALLERS]
     };
-    let full_tables = crowds
+    let full_tables = batches
         .into_iter()
         .map(|callers| full_table::measure(&bench, callers))
         .collect::<Result<_, _>>()?;
     progress.inc(1);
     progress.set_message("keys, log and a node alone");
-    let (keys, log, alone) = situations(&bench, lengths.situations, !options.quick)?;
+    let (keys, log, alone) = situations(&bench, durations.situations, !options.quick)?;
     progress.finish_and_clear();
     Ok(Report {
         program: options.program.display().to_string(),
         quick: options.quick,
-        load_seconds: lengths.sweep.load.as_secs_f64(),
-        series: swept.iter().flat_map(Swept::series).collect(),
+        load_seconds: durations.sweep.load.as_secs_f64(),
+        series: swept.iter().flat_map(Sweep::series).collect(),
         swept,
         at_size,
         repeated_reloads,
@@ -157,7 +158,7 @@
 }
 
 fn repeated_reloads(bench: &Bench, count: usize) -> Result<Vec<Point>, MeasureError> {
-    let mut started = bench.start(&AT_SIZE)?;
+    let mut started = bench.start(&TARGET_SIZE)?;
     started.process.wait_ready()?;
     reload::repeat(&started, count)
 }
@@ -168,19 +169,19 @@
     sizes: &[usize],
     spans: Spans,
     progress: &ProgressBar,
-) -> Result<Swept, MeasureError> {
+) -> Result<Sweep, MeasureError> {
     let mut taken = Vec::new();
     for size in sizes {
         progress.set_message(format!("{dimension:?} {size}"));
         let found = match measure(bench, &Size::BASELINE.with(dimension, *size), spans) {
-            Ok(measured) => Taken::Measured(Box::new(measured)),
-            Err(MeasureError::DoesNotStart(why)) => Taken::Refused { size: *size, why },
+            Ok(measured) => SweepPoint::Measured(Box::new(measured)),
+            Err(MeasureError::DoesNotStart(why)) => SweepPoint::Refused { size: *size, why },
             Err(fault) => return Err(fault),
         };
         taken.push((*size, found));
         progress.inc(1);
     }
-    Ok(Swept {
+    Ok(Sweep {
         dimension,
         held: Size::BASELINE.held_beside(dimension),
         taken,
@@ -189,16 +190,16 @@
 
 type Situations = (keys::KeysHeld, log_volume::LogVolumes, alone::Alone);
 
-/// Side by side, as what they measure does not rest on how fast the machine is.
+/// Runs these measurements concurrently, as their results do not depend on the speed of the machine.
 fn situations(
     bench: &Bench,
-    lasts: Duration,
+    duration: Duration,
     fill_table: bool,
 ) -> Result<Situations, MeasureError> {
     std::thread::scope(|scope| {
-        let keys = scope.spawn(|| keys::measure(bench, lasts, fill_table));
-        let log = scope.spawn(|| log_volume::measure(bench, lasts));
-        let alone = alone::measure(bench.program, bench.server, lasts);
+        let keys = scope.spawn(|| keys::measure(bench, duration, fill_table));
+        let log = scope.spawn(|| log_volume::measure(bench, duration));
+        let alone = alone::measure(bench.program, bench.server, duration);
         let keys = keys
             .join()
             .unwrap_or_else(|panic| std::panic::resume_unwind(panic));
@@ -209,7 +210,7 @@
     })
 }
 
-/// Shown on a terminal alone.
+/// Creates a progress bar, shown only on a terminal.
 fn progress(steps: u64) -> ProgressBar {
     let progress = ProgressBar::new(steps);
     if let Ok(style) = ProgressStyle::with_template("{elapsed} {bar:30} {pos}/{len} {msg}") {
--- a/crates/fault-harness/src/scale/node_cost/alone.rs
+++ b/crates/fault-harness/src/scale/node_cost/alone.rs
@@ -1,4 +1,4 @@
-//! What a node does alone, while it hears neither its registry nor any other node of its fleet.
+//! Measures an isolated node that reaches neither its registry nor any other node of its fleet.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -15,35 +15,36 @@
 use super::units::thousandths;
 
 const NAMES: [&str; 3] = ["n1", "n2", "n3"];
-/// Requests a second of a budget's whole, and what is set aside for the node that stays.
-const WHOLE: u32 = 300;
-const FLOOR: u32 = 60;
-/// Until the node has a share of both budgets.
-const SHARED_WITHIN: Duration = Duration::from_secs(30);
-const RETRY_EVERY: Duration = Duration::from_millis(20);
+/// Requests per second of each budget's limit, and the minimum reserved for the isolated node.
+const BUDGET_LIMIT: u32 = 300;
+const RESERVED_MINIMUM: u32 = 60;
+/// Time limit until the node has an allocation of the budgets.
+const ALLOCATION_TIMEOUT: Duration = Duration::from_secs(30);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Requests of one kind over the time alone, in quarters.
+/// Outcomes of the requests of one kind, for each quarter of the isolation.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Quarters(pub [Outcomes; 4]);
 
-/// What came of a node that was left alone.
+/// The results of the isolated node.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Alone {
     pub seconds: f64,
-    /// Under no budget.
+    /// Requests without a budget.
     pub without_budget: Quarters,
-    /// Under a budget with a floor for this node.
+    /// Requests under a budget with a reserved minimum for this node.
     pub with_floor: Quarters,
-    /// Under a budget without one: its share ends with the lease.
+    /// Requests under a budget without a reserved minimum: the allocation ends with the lease.
     pub without_floor: Quarters,
-    /// Processor time meanwhile, in thousandths of one core.
+    /// Processor time in thousandths of one core.
     pub core_thousandths: f64,
     pub resident_before_kb: u64,
     pub resident_after_kb: u64,
     pub log_bytes: u64,
 }
 
-/// The kinds of requests, by the tenant that asks; a tenant's budget stands at the place before its own.
+/// The kinds of requests; each is sent for the tenant with the number of the variant. The budget of a tenant
+/// has the index one below that number.
 #[derive(Clone, Copy)]
 enum Kind {
     WithoutBudget,
@@ -55,23 +56,24 @@
 
 fn budgets() -> serde_json::Value {
     let budget = |name: &str, kind: Kind, floor: u32| {
-        json!({"name": name, "kind": "rate", "whole": WHOLE, "burst": WHOLE, "floor": floor,
+        json!({"name": name, "kind": "rate", "whole": BUDGET_LIMIT, "burst": BUDGET_LIMIT, "floor": floor,
             "floors_for": [NAMES[0]], "for": {"customer": tenant(kind as usize)}})
     };
     json!([
-        budget("floored", Kind::WithFloor, FLOOR),
+        budget("floored", Kind::WithFloor, RESERVED_MINIMUM),
         budget("unfloored", Kind::WithoutFloor, 0)
     ])
 }
 
-/// Starts a fleet of three, kills two and closes the registry, and asks the third at the peak's rate.
+/// Starts a fleet of three, kills two nodes, closes the registry, and sends requests to the third at the peak
+/// rate.
 ///
 /// # Errors
-/// A process does not start, or the third gets no share before the others die.
+/// A process does not start, or the third node gets no allocation before the others are killed.
 pub fn measure(
     program: &Path,
     server: std::net::SocketAddr,
-    lasts: Duration,
+    duration: Duration,
 ) -> Result<Alone, MeasureError> {
     let bench = Bench {
         program,
@@ -92,10 +94,10 @@
     }
     let alone = nodes.swap_remove(0);
     let mut caller = Connection::open(alone.addresses.front)?;
-    wait_for_shares(&mut caller, &alone)?;
+    wait_for_allocation(&mut caller, &alone)?;
     drop(nodes);
     drop(bench);
-    play(&alone, &mut caller, lasts)
+    run_load(&alone, &mut caller, duration)
 }
 
 fn start(
@@ -124,36 +126,42 @@
     })
 }
 
-fn wait_for_shares(caller: &mut Connection, alone: &Started) -> Result<(), MeasureError> {
-    let until = Instant::now() + SHARED_WITHIN;
+fn wait_for_allocation(caller: &mut Connection, alone: &Started) -> Result<(), MeasureError> {
+    let until = Instant::now() + ALLOCATION_TIMEOUT;
     while Instant::now() < until {
         if ask(caller, Kind::WithoutFloor)? == Outcome::Completed {
             return Ok(());
         }
-        std::thread::sleep(RETRY_EVERY);
+        std::thread::sleep(RETRY_INTERVAL);
     }
-    Err(alone.process.too_late("a share of a budget", SHARED_WITHIN))
+    Err(alone
+        .process
+        .too_late("a share of a budget", ALLOCATION_TIMEOUT))
 }
 
-fn play(alone: &Started, caller: &mut Connection, lasts: Duration) -> Result<Alone, MeasureError> {
+fn run_load(
+    alone: &Started,
+    caller: &mut Connection,
+    duration: Duration,
+) -> Result<Alone, MeasureError> {
     let before = alone.process.usage()?;
     let log_before = alone.process.log().bytes;
     let mut counted = [Quarters::default(); 3];
-    let turns = (PEAK_RATE * lasts.as_secs_f64()) as usize;
-    paced(PEAK_RATE, lasts, |nth, _| {
+    let total_requests = (PEAK_RATE * duration.as_secs_f64()) as usize;
+    paced(PEAK_RATE, duration, |nth, _| {
         let kind = KINDS[nth % KINDS.len()];
-        let quarter = nth * 4 / turns;
+        let quarter = nth * 4 / total_requests;
         counted[kind as usize].0[quarter].count(&ask(caller, kind));
     });
     let after = alone.process.usage()?;
     let processor = after.processor.saturating_sub(before.processor);
     let [without_budget, with_floor, without_floor] = counted;
     Ok(Alone {
-        seconds: lasts.as_secs_f64(),
+        seconds: duration.as_secs_f64(),
         without_budget,
         with_floor,
         without_floor,
-        core_thousandths: thousandths(processor, lasts),
+        core_thousandths: thousandths(processor, duration),
         resident_before_kb: before.resident_kb,
         resident_after_kb: after.resident_kb,
         log_bytes: alone.process.log().bytes - log_before,
--- a/crates/fault-harness/src/scale/node_cost/bench.rs
+++ b/crates/fault-harness/src/scale/node_cost/bench.rs
@@ -1,4 +1,4 @@
-//! What every measurement of one node needs, and how a node is started for it.
+//! The environment shared by all measurements of one node, and starting a node in it.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -11,18 +11,18 @@
 use super::process::{MeasureError, NodeProcess, fresh_addresses};
 use super::settings::{Addresses, Size, configuration, installation};
 
-/// Threads of the application server; each serves one kept connection.
+/// Threads of the application server; each serves one persistent connection.
 const SERVER_THREADS: usize = 400;
-/// Name of the node.
+/// Default name of the node.
 const NAME: &str = "n1";
 
-/// What every measurement needs: the program, a registry and an application server that answers at once.
+/// The environment of a measurement: the program, a registry and an application server that responds at once.
 pub struct Bench<'a> {
-    /// The program that is measured.
+    /// The measured program.
     pub program: &'a Path,
     /// Receives the load reports.
     pub registry: UdpSocket,
-    /// Where the application server listens.
+    /// Address of the application server.
     pub server: SocketAddr,
 }
 
@@ -30,7 +30,7 @@
     /// Opens the registry and starts the application server.
     ///
     /// # Errors
-    /// No socket can be had.
+    /// A socket can't be opened.
     pub fn open(program: &'a Path) -> Result<Bench<'a>, MeasureError> {
         let server = immediate::start_server(Protocol::FastCgi, SERVER_THREADS)?;
         Ok(Bench {
@@ -40,18 +40,18 @@
         })
     }
 
-    /// Starts a process with generated settings of a size.
+    /// Starts a process with settings generated for a size.
     ///
     /// # Errors
-    /// It can't be started.
+    /// The process can't be started.
     pub fn start(&self, size: &Size) -> Result<Started, MeasureError> {
         self.start_changed(size, |_| {})
     }
 
-    /// The same with its installation changed.
+    /// Starts a process after applying `change` to the installation.
     ///
     /// # Errors
-    /// It can't be started.
+    /// The process can't be started.
     pub fn start_changed(
         &self,
         size: &Size,
@@ -61,10 +61,10 @@
         self.start_at(NAME, size, addresses, change)
     }
 
-    /// The same under a name and at addresses of the caller's choice.
+    /// Starts a process with a changed installation under the given name and addresses.
     ///
     /// # Errors
-    /// It can't be started.
+    /// The process can't be started.
     pub fn start_at(
         &self,
         name: &str,
@@ -84,11 +84,11 @@
     }
 }
 
-/// A process that was started with generated settings.
+/// A process started with generated settings.
 pub struct Started {
     /// The process.
     pub process: NodeProcess,
-    /// Its addresses, and those that it talks to.
+    /// The addresses of the process and of its peers.
     pub addresses: Addresses,
     /// Its installation file.
     pub installation: Value,
--- a/crates/fault-harness/src/scale/node_cost/caller.rs
+++ b/crates/fault-harness/src/scale/node_cost/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: one kept FastCGI connection with one request in hand at a time, and a pace to ask at.
+//! A caller with one persistent FastCGI connection and one request in flight, and a fixed request rate.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,17 +10,17 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// An answer is waited for so long.
-const ANSWER_WITHIN: Duration = Duration::from_secs(20);
+/// Timeout of a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 const REQUEST_ID: u16 = 1;
-const MOST_ANSWER: usize = 64 * 1024;
-/// Longest latency that is told apart, in ns.
-const LONGEST_LATENCY: u64 = 60_000_000_000;
+const MAX_RESPONSE_LEN: usize = 64 * 1024;
+/// Largest latency that the histograms distinguish, in ns.
+const MAX_LATENCY_NS: u64 = 60_000_000_000;
 
-/// The try ids that were used.
-static TRIES: AtomicU64 = AtomicU64::new(1);
+/// The next attempt id.
+static NEXT_ATTEMPT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// What is asked.
+/// The variable parts of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
     pub path: &'a str,
@@ -28,20 +28,20 @@
     pub idempotency_key: Option<u64>,
 }
 
-/// What an answer said.
+/// The outcome of a request that was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Completed,
     /// Never run: 429 or 503.
     Rejected,
-    /// FastCGI's OVERLOADED: there is no room for it in a table.
+    /// FastCGI OVERLOADED: a table of the node is full.
     Refused,
     Failed,
-    /// Answered as one that can't be read or classed, with this status.
+    /// The node could not parse or classify the request and answered with this status.
     Unreadable(u16),
 }
 
-/// How many requests came to what.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Outcomes {
     pub completed: u64,
@@ -49,7 +49,7 @@
     pub refused: u64,
     pub failed: u64,
     pub unreadable: u64,
-    /// The connection ended, or nothing came in time.
+    /// The connection ended, or no response came in time.
     pub unanswered: u64,
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// One connection that is kept from request to request.
+/// A persistent connection.
 pub struct Connection {
     socket: TcpStream,
     buffer: Vec<u8>,
@@ -93,15 +93,15 @@
 
 impl Connection {
     /// # Errors
-    /// The address takes no connection.
+    /// The address accepts no connection.
     pub fn open(address: SocketAddr) -> io::Result<Connection> {
-        Connection::on(TcpStream::connect(address)?, ANSWER_WITHIN)
+        Connection::on(TcpStream::connect(address)?, RESPONSE_TIMEOUT)
     }
 
-    /// The same with bounds on connecting and on each answer.
+    /// Opens a connection with a timeout for connecting and for each response.
     ///
     /// # Errors
-    /// The address takes no connection within `within`.
+    /// The address accepts no connection within `within`.
     pub fn open_within(address: SocketAddr, within: Duration) -> io::Result<Connection> {
         Connection::on(TcpStream::connect_timeout(&address, within)?, within)
     }
@@ -115,12 +115,12 @@
         })
     }
 
-    /// Asks and waits for the answer.
+    /// Sends a request and waits for the response.
     ///
     /// # Errors
-    /// The connection ends, or no answer comes in time.
+    /// The connection ends, or no response comes in time.
     pub fn ask(&mut self, request: &Request) -> io::Result<Outcome> {
-        let attempt_id = format!("{:016x}", TRIES.fetch_add(1, Ordering::Relaxed));
+        let attempt_id = format!("{:016x}", NEXT_ATTEMPT_ID.fetch_add(1, Ordering::Relaxed));
         let key = request.idempotency_key.map(|key| format!("{key:032x}"));
         let now = unix_ms().to_string();
         let mut fields = vec![
@@ -137,7 +137,7 @@
         self.exchange(&fields)
     }
 
-    /// Asks for the health of a node.
+    /// Sends a health check.
     ///
     /// # Errors
     /// As [`Connection::ask`].
@@ -145,7 +145,7 @@
         self.exchange(&[("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")])
     }
 
-    /// Whether the other side has not ended it. Nothing is to be in hand.
+    /// Returns true if the other side has not closed the connection. No request may be in flight.
     pub fn is_open(&self) -> bool {
         let unblocked = self.socket.set_nonblocking(true).is_ok();
         let seen = self.socket.peek(&mut [0]);
@@ -169,7 +169,7 @@
         )
         .map_err(io::Error::other)?;
         self.socket.write_all(&bytes)?;
-        let mut reader = ResponseReader::new(Protocol::FastCgi, REQUEST_ID, MOST_ANSWER);
+        let mut reader = ResponseReader::new(Protocol::FastCgi, REQUEST_ID, MAX_RESPONSE_LEN);
         loop {
             let count = self.socket.read(&mut self.buffer)?;
             if count == 0 {
@@ -195,19 +195,19 @@
     }
 }
 
-/// An empty histogram of latencies in ns.
+/// Returns an empty histogram of latencies in ns.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_LATENCY, 3).expect("bounds that make sense")
+    Histogram::new_with_bounds(1, MAX_LATENCY_NS, 3).expect("bounds that make sense")
 }
 
-/// Does something `rate` times a second, at equal distances, for so long; handed the number of the turn and
-/// when it was due. A turn that is late is not left out.
-pub fn paced(rate: f64, lasts: Duration, mut turn: impl FnMut(usize, Instant)) {
+/// Calls `action` `rate` times per second at equal intervals, with the number of the call and its due time.
+/// Late calls are not skipped.
+pub fn paced(rate: f64, duration: Duration, mut action: impl FnMut(usize, Instant)) {
     let start = Instant::now();
     let period = Duration::from_secs_f64(1.0 / rate);
-    for nth in 0..(rate * lasts.as_secs_f64()) as usize {
+    for nth in 0..(rate * duration.as_secs_f64()) as usize {
         let due = start + period * nth as u32;
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        turn(nth, due);
+        action(nth, due);
     }
 }
--- a/crates/fault-harness/src/scale/node_cost/full_table.rs
+++ b/crates/fault-harness/src/scale/node_cost/full_table.rs
@@ -1,4 +1,4 @@
-//! More callers than a node has sockets for.
+//! Measures a node with more callers than sockets.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -11,79 +11,79 @@
 use super::process::MeasureError;
 use super::settings::{Size, request_path, tenant};
 
-/// Threads that connect side by side.
+/// Threads that open connections concurrently.
 const THREADS: usize = 8;
-/// Connecting and each answer.
-const CALLER_WAITS: Duration = Duration::from_secs(2);
-/// No caller comes after so long.
-const COMING_FOR: Duration = Duration::from_secs(12);
-/// Those that were there before ask on for so long at least.
-const LASTS_AT_LEAST: Duration = Duration::from_secs(3);
-/// Callers that were there before the others and ask on.
-const REGULARS: usize = 50;
-/// Between two looks at the descriptors.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Timeout of a connection attempt and of each response.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Period in which new callers connect.
+const ARRIVAL_PERIOD: Duration = Duration::from_secs(12);
+/// Minimum duration for which the existing callers send requests.
+const MIN_DURATION: Duration = Duration::from_secs(3);
+/// Callers that connect first and keep sending requests.
+const EXISTING_CALLERS: usize = 50;
+/// Interval between samples of the descriptor count.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What came of so many callers, each of whom connects, asks once and stays.
+/// The results of callers that each connect, send one request and stay connected.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct FullTable {
     pub callers: usize,
-    /// Callers that had come before the time was over.
+    /// Callers that tried to connect within the period.
     pub came: u64,
     pub seconds: f64,
     pub not_connected: u64,
-    /// What the first request of each that connected came to.
+    /// Outcomes of the first request of each connected caller.
     pub first_requests: Outcomes,
-    /// Connections that the node had not ended when all had come.
+    /// Connections that the node had not closed after the last caller.
     pub still_open: u64,
     pub most_descriptors: usize,
     pub resident_kb: u64,
-    /// Callers that were there before, at the peak's rate meanwhile.
+    /// Outcomes of the existing callers, which send requests at the peak rate.
     pub regulars: Outcomes,
     pub regulars_reconnected: u64,
     pub regulars_latency: Latency,
 }
 
-/// What one thread's callers met.
+/// The callers of one thread and their results.
 #[derive(Default)]
-struct Crowd {
+struct CallerBatch {
     came: u64,
     not_connected: u64,
     first_requests: Outcomes,
     connections: Vec<Connection>,
 }
 
-impl Crowd {
-    fn come(count: usize, started: &Started, size: &Size) -> Crowd {
-        let until = Instant::now() + COMING_FOR;
+impl CallerBatch {
+    fn connect_all(count: usize, started: &Started, size: &Size) -> CallerBatch {
+        let until = Instant::now() + ARRIVAL_PERIOD;
         let (path, tenant) = (request_path(size, 0), tenant(0));
         let request = Request {
             path: &path,
             tenant: &tenant,
             idempotency_key: None,
         };
-        let mut crowd = Crowd::default();
-        while crowd.came < count as u64 && Instant::now() < until {
-            crowd.came += 1;
-            match Connection::open_within(started.addresses.front, CALLER_WAITS) {
-                Err(_) => crowd.not_connected += 1,
+        let mut batch = CallerBatch::default();
+        while batch.came < count as u64 && Instant::now() < until {
+            batch.came += 1;
+            match Connection::open_within(started.addresses.front, CALLER_TIMEOUT) {
+                Err(_) => batch.not_connected += 1,
                 Ok(mut connection) => {
-                    crowd.first_requests.count(&connection.ask(&request));
-                    crowd.connections.push(connection);
+                    batch.first_requests.count(&connection.ask(&request));
+                    batch.connections.push(connection);
                 }
             }
         }
-        crowd
+        batch
     }
 }
 
-/// Has `callers` come as fast as they are let in, while others ask on.
+/// Connects `callers` as fast as the node accepts them, while existing callers send requests.
 ///
 /// # Errors
-/// The process does not start, or ends.
+/// The process does not start, or ends early.
 pub fn measure(bench: &Bench, callers: usize) -> Result<FullTable, MeasureError> {
     let size = Size {
-        callers: REGULARS,
+        callers: EXISTING_CALLERS,
         ..Size::BASELINE
     };
     let mut started = bench.start(&size)?;
@@ -92,38 +92,41 @@
     let mut latencies = histogram();
     let over = AtomicBool::new(false);
     let began = Instant::now();
-    let (crowds, most_descriptors) = std::thread::scope(|scope| {
+    let (batches, most_descriptors) = std::thread::scope(|scope| {
         let (started, over) = (&started, &over);
-        let crowds: Vec<_> = (0..THREADS)
-            .map(|_| scope.spawn(move || Crowd::come(callers / THREADS, started, &size)))
+        let batches: Vec<_> = (0..THREADS)
+            .map(|_| {
+                scope.spawn(move || CallerBatch::connect_all(callers / THREADS, started, &size))
+            })
             .collect();
         let watch = scope.spawn(move || watch_descriptors(started, over));
-        while began.elapsed() < LASTS_AT_LEAST || !crowds.iter().all(|crowd| crowd.is_finished()) {
-            paced(PEAK_RATE, LOOK_EVERY, |_, due| {
+        while began.elapsed() < MIN_DURATION || !batches.iter().all(|batch| batch.is_finished()) {
+            paced(PEAK_RATE, SAMPLE_INTERVAL, |_, due| {
                 regulars.ask_next();
                 latencies.saturating_record(due.elapsed().as_nanos() as u64);
             });
         }
         over.store(true, Ordering::Relaxed);
-        let crowds: Vec<Crowd> = crowds
+        let batches: Vec<CallerBatch> = batches
             .into_iter()
-            .filter_map(|crowd| crowd.join().ok())
+            .filter_map(|batch| batch.join().ok())
             .collect();
-        (crowds, watch.join().unwrap_or(0))
+        (batches, watch.join().unwrap_or(0))
     });
     let seconds = began.elapsed().as_secs_f64();
     let mut first_requests = Outcomes::default();
-    crowds
+    batches
         .iter()
-        .for_each(|crowd| first_requests.add(&crowd.first_requests));
-    let open = |crowd: &Crowd| crowd.connections.iter().filter(|one| one.is_open()).count() as u64;
+        .for_each(|batch| first_requests.add(&batch.first_requests));
+    let open =
+        |batch: &CallerBatch| batch.connections.iter().filter(|one| one.is_open()).count() as u64;
     Ok(FullTable {
         callers,
-        came: crowds.iter().map(|crowd| crowd.came).sum(),
+        came: batches.iter().map(|batch| batch.came).sum(),
         seconds,
-        not_connected: crowds.iter().map(|crowd| crowd.not_connected).sum(),
+        not_connected: batches.iter().map(|batch| batch.not_connected).sum(),
         first_requests,
-        still_open: crowds.iter().map(open).sum(),
+        still_open: batches.iter().map(open).sum(),
         most_descriptors,
         resident_kb: started.process.usage()?.resident_kb,
         regulars: regulars.outcomes,
@@ -136,7 +139,7 @@
     let mut most = 0;
     while !over.load(Ordering::Relaxed) {
         most = most.max(started.process.usage().map_or(0, |usage| usage.descriptors));
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(SAMPLE_INTERVAL);
     }
     most
 }
--- a/crates/fault-harness/src/scale/node_cost/keys.rs
+++ b/crates/fault-harness/src/scale/node_cost/keys.rs
@@ -1,4 +1,4 @@
-//! What idempotency keys and results take of the memory, and what comes when their table is full.
+//! Measures the memory used by idempotency keys and stored results, and the behavior when their table is full.
 
 use std::time::{Duration, Instant};
 
@@ -11,29 +11,29 @@
 use super::settings::{KEYED_PATH, Size, tenant};
 use crate::scale::series::Point;
 
-/// Keys between two looks at the memory once they come as fast as one caller asks.
-const LOOK_EVERY: usize = 2_000;
-/// No table of the settings used here has room for so many.
-const MOST_KEYS: usize = 100_000;
-/// Asking as fast as possible ends after so long at the latest.
-const FAST_FOR: Duration = Duration::from_secs(25);
+/// Number of keys between memory samples while requests are sent as fast as possible.
+const KEYS_PER_SAMPLE: usize = 2_000;
+/// Maximum number of keys; larger than any table with the settings used here.
+const MAX_KEYS: usize = 100_000;
+/// Maximum duration of sending requests as fast as possible.
+const MAX_FILL_DURATION: Duration = Duration::from_secs(25);
 
 /// Keys held against resident memory.
 #[derive(Clone, Debug, Serialize)]
 pub struct KeysHeld {
-    /// At the peak's rate, all of it deduplicated, a point a second: resident kB by keys held.
+    /// Resident kB by keys held, at the peak rate of deduplicated requests, with one point per second.
     pub at_peak: Vec<Point>,
-    /// Then as fast as one caller asks.
+    /// Resident kB by keys held, afterwards, as fast as one caller can send.
     pub beyond: Vec<Point>,
-    /// Keys held when the first was refused for lack of room; none if all were taken.
+    /// Keys held when the first request was refused because the table was full; None if none was.
     pub full_at: Option<usize>,
-    /// What a new key is answered when the table is full.
+    /// The outcome of a new key when the table is full.
     pub when_full: Option<String>,
-    /// What a repeat of the first key is answered then.
+    /// The outcome of a repeat of the first key at that time.
     pub repeat_when_full: Option<String>,
 }
 
-/// One caller whose every request has a key that was never used before.
+/// A caller that uses a new key for each request.
 struct KeyedCaller {
     connection: Connection,
     tenant: String,
@@ -51,7 +51,7 @@
         Ok(self.connection.ask(&request)?)
     }
 
-    /// Asks with the next key; whether it was completed.
+    /// Sends a request with the next key, and counts the key if the request is completed.
     fn ask_next(&mut self) -> Result<Outcome, MeasureError> {
         let outcome = self.ask(self.keys)?;
         self.keys += usize::from(outcome == Outcome::Completed);
@@ -59,11 +59,11 @@
     }
 }
 
-/// Asks for `at_peak_for`, which is to be no longer than the window of the settings, at the peak's rate;
-/// then, if the table is to be filled, as fast as possible until it is full.
+/// Sends requests at the peak rate for `at_peak_for`, which must not exceed the dedup window of the settings.
+/// If `fill` is set, it then sends as fast as possible until the table is full.
 ///
 /// # Errors
-/// The process does not start, or ends a connection.
+/// The process does not start, or closes a connection.
 pub fn measure(bench: &Bench, at_peak_for: Duration, fill: bool) -> Result<KeysHeld, MeasureError> {
     let mut started = bench.start(&Size::BASELINE)?;
     started.process.wait_ready()?;
@@ -97,15 +97,15 @@
             value: resident()?,
         });
     }
-    let until = Instant::now() + FAST_FOR;
-    while fill && held.full_at.is_none() && caller.keys < MOST_KEYS && Instant::now() < until {
+    let until = Instant::now() + MAX_FILL_DURATION;
+    while fill && held.full_at.is_none() && caller.keys < MAX_KEYS && Instant::now() < until {
         let outcome = caller.ask_next()?;
         if outcome != Outcome::Completed {
             held.full_at = Some(caller.keys);
             held.when_full = Some(format!("{outcome:?}"));
             held.repeat_when_full = Some(format!("{:?}", caller.ask(0)?));
         }
-        if caller.keys.is_multiple_of(LOOK_EVERY) || held.full_at.is_some() {
+        if caller.keys.is_multiple_of(KEYS_PER_SAMPLE) || held.full_at.is_some() {
             held.beyond.push(Point {
                 size: caller.keys as f64,
                 value: resident()?,
--- a/crates/fault-harness/src/scale/node_cost/log_volume.rs
+++ b/crates/fault-harness/src/scale/node_cost/log_volume.rs
@@ -1,4 +1,4 @@
-//! Bytes that a node logs: with nobody asking, with every request rejected, and with every server gone.
+//! Measures the log volume of a node without requests, with all requests rejected, and without servers.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -13,23 +13,23 @@
 use super::process::MeasureError;
 use super::settings::{Size, tenant};
 
-/// Servers of each pool where all are gone.
+/// Number of unreachable servers in each pool.
 const SERVERS_GONE: usize = 4;
 
-/// As many pools as there may be, the one without a name included.
-const MOST_SERVICES: Size = Size {
+/// The maximum number of pools, including the unnamed pool.
+const MAX_SERVICES: Size = Size {
     services: MAX_POOLS + 1,
     ..Size::BASELINE
 };
 
-/// One situation over a time.
+/// The log volume in one situation.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LogVolume {
     pub pools: usize,
     pub seconds: f64,
     pub bytes: u64,
     pub lines: u64,
-    /// Requests asked meanwhile and what came of them.
+    /// Outcomes of the requests sent during the measurement.
     pub outcomes: Outcomes,
 }
 
@@ -39,27 +39,27 @@
     }
 }
 
-/// The situations, each on a process of its own.
+/// The log volume in each situation; each is measured on its own process.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LogVolumes {
-    /// Nobody asks.
+    /// No requests.
     pub calm: LogVolume,
-    /// The same with as many pools as there may be.
+    /// No requests, with the maximum number of pools.
     pub calm_most_pools: LogVolume,
-    /// A budget has room for next to none of the peak's requests.
+    /// A budget that rejects almost all requests at the peak rate.
     pub rejecting: LogVolume,
-    /// No server takes a connection.
+    /// No server accepts connections.
     pub servers_gone: LogVolume,
 }
 
 /// # Errors
-/// A process does not start or ends.
-pub fn measure(bench: &Bench, lasts: Duration) -> Result<LogVolumes, MeasureError> {
+/// A process does not start, or ends early.
+pub fn measure(bench: &Bench, duration: Duration) -> Result<LogVolumes, MeasureError> {
     std::thread::scope(|scope| {
-        let few_pools = scope.spawn(|| calm(bench, Size::BASELINE, lasts));
-        let most_pools = scope.spawn(|| calm(bench, MOST_SERVICES, lasts));
-        let rejecting = scope.spawn(|| rejecting(bench, lasts));
-        let servers_gone = scope.spawn(|| servers_gone(bench, lasts));
+        let few_pools = scope.spawn(|| calm(bench, Size::BASELINE, duration));
+        let most_pools = scope.spawn(|| calm(bench, MAX_SERVICES, duration));
+        let rejecting = scope.spawn(|| rejecting(bench, duration));
+        let servers_gone = scope.spawn(|| servers_gone(bench, duration));
         let ended = |thread: std::thread::ScopedJoinHandle<Result<LogVolume, MeasureError>>| {
             thread
                 .join()
@@ -74,14 +74,14 @@
     })
 }
 
-fn calm(bench: &Bench, size: Size, lasts: Duration) -> Result<LogVolume, MeasureError> {
+fn calm(bench: &Bench, size: Size, duration: Duration) -> Result<LogVolume, MeasureError> {
     let mut started = bench.start(&size)?;
     started.process.wait_ready()?;
     let before = started.process.log();
-    std::thread::sleep(lasts);
+    std::thread::sleep(duration);
     let after = started.process.log();
     let (bytes, lines) = (after.bytes - before.bytes, after.lines - before.lines);
-    let seconds = lasts.as_secs_f64();
+    let seconds = duration.as_secs_f64();
     Ok(LogVolume {
         pools: size.services,
         seconds,
@@ -91,8 +91,8 @@
     })
 }
 
-/// All requests are of one tenant, whose budget has one a second.
-fn rejecting(bench: &Bench, lasts: Duration) -> Result<LogVolume, MeasureError> {
+/// Measures with all requests from one tenant, whose budget allows one request per second.
+fn rejecting(bench: &Bench, duration: Duration) -> Result<LogVolume, MeasureError> {
     let size = Size {
         tenants: 1,
         budgets: Some(1),
@@ -102,13 +102,14 @@
         installation["budgets"][0] = json!({"name": "scarce", "kind": "rate", "whole": 1, "burst": 1,
             "for": {"customer": tenant(0)}});
     })?;
-    under_load(&mut started, size, lasts)
+    under_load(&mut started, size, duration)
 }
 
-/// Every pool names servers that nobody listens at; of several, most are put aside.
-fn servers_gone(bench: &Bench, lasts: Duration) -> Result<LogVolume, MeasureError> {
-    let size = MOST_SERVICES;
-    let nobody = addresses_of_nobody()?;
+/// Measures with server addresses that nothing listens on in all pools. Most of several such servers are
+/// ejected.
+fn servers_gone(bench: &Bench, duration: Duration) -> Result<LogVolume, MeasureError> {
+    let size = MAX_SERVICES;
+    let nobody = unused_addresses()?;
     let mut started = bench.start_changed(&size, |installation| {
         installation["servers"]["addresses"] = json!(nobody);
         installation["servers"]["at_once"] = json!(1);
@@ -117,11 +118,11 @@
             *pool = servers.clone();
         }
     })?;
-    under_load(&mut started, size, lasts)
+    under_load(&mut started, size, duration)
 }
 
-/// Addresses that were free a moment ago.
-fn addresses_of_nobody() -> std::io::Result<Vec<String>> {
+/// Returns addresses that were unused a moment ago.
+fn unused_addresses() -> std::io::Result<Vec<String>> {
     let listeners: Vec<TcpListener> = (0..SERVERS_GONE)
         .map(|_| TcpListener::bind("127.0.0.1:0"))
         .collect::<Result<_, _>>()?;
@@ -134,15 +135,15 @@
 fn under_load(
     started: &mut Started,
     size: Size,
-    lasts: Duration,
+    duration: Duration,
 ) -> Result<LogVolume, MeasureError> {
     started.process.wait_ready()?;
     let mut callers = Callers::open(started.addresses.front, size)?;
     let before = started.process.log();
-    paced(PEAK_RATE, lasts, |_, _| callers.ask_next());
+    paced(PEAK_RATE, duration, |_, _| callers.ask_next());
     let after = started.process.log();
     let (bytes, lines) = (after.bytes - before.bytes, after.lines - before.lines);
-    let (pools, seconds, outcomes) = (size.services, lasts.as_secs_f64(), callers.outcomes);
+    let (pools, seconds, outcomes) = (size.services, duration.as_secs_f64(), callers.outcomes);
     Ok(LogVolume {
         pools,
         seconds,
--- a/crates/fault-harness/src/scale/node_cost/measure.rs
+++ b/crates/fault-harness/src/scale/node_cost/measure.rs
@@ -1,4 +1,4 @@
-//! One size measured on one real process: its start, its cost at rest and under load, and a changed rule.
+//! Measures one size on a real process: start, idle and loaded resource usage, and a reload with a changed rule.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,47 +13,47 @@
 use super::settings::{Size, request_path, tenant};
 use super::units::{milliseconds, thousandths};
 
-/// Requests a second that a node gets at the peak: 85,000 over 770 nodes.
+/// Requests per second of one node at the peak: 85,000 over 770 nodes.
 pub const PEAK_RATE: f64 = 110.0;
-/// Between a change of what the node holds and the look at its memory.
-const SETTLES: Duration = Duration::from_millis(200);
-/// Until the node has a share of its budgets, at the longest.
-const SHARED_WITHIN: Duration = Duration::from_secs(20);
-const RETRY_EVERY: Duration = Duration::from_millis(10);
-/// Distance between two tenants that ask one after the other; a prime, so that all have their turn.
+/// Wait between a change of the load and the memory sample.
+const SETTLE_TIME: Duration = Duration::from_millis(200);
+/// Time limit until the node has an allocation of its budgets.
+const ALLOCATION_TIMEOUT: Duration = Duration::from_secs(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// Step between the tenants of consecutive requests; a prime, so that all tenants are used.
 const TENANT_STRIDE: usize = 7_919;
 
-/// What was measured at one size.
+/// The results of one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measured {
     pub size: Size,
-    /// From the start of the process to its first good health check.
+    /// From the start of the process to its first successful health check.
     pub ready_ms: f64,
-    /// Processor time until then.
+    /// Processor time up to the first successful health check.
     pub start_processor_ms: f64,
     /// Before any caller connects.
     pub resident_at_rest_kb: u64,
-    /// All callers are connected, have asked once and now rest.
+    /// With all callers connected and idle after one request each.
     pub resident_idle_callers_kb: u64,
     /// At the end of the load.
     pub resident_under_load_kb: u64,
-    /// The most at any time, a changed rule included.
+    /// Peak over the whole measurement, including the reload.
     pub peak_resident_kb: u64,
-    /// Processor time while nobody is connected, in thousandths of one core.
+    /// Processor time without connections, in thousandths of one core.
     pub rest_core_thousandths: f64,
-    /// The same under load.
+    /// Processor time under load, in thousandths of one core.
     pub core_thousandths: f64,
     pub through_node: Latency,
-    /// The same request by the same caller without the node between.
+    /// The same requests sent directly to the server.
     pub straight: Latency,
     pub outcomes: Outcomes,
-    /// Connections that the node had ended when their turn came.
+    /// Connections that the node had closed before their next request.
     pub reconnected: u64,
     pub reload: Reload,
     pub log_bytes: u64,
 }
 
-/// Latencies of one way, in microseconds.
+/// Latencies of one path, in microseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Latency {
     pub count: u64,
@@ -73,7 +73,7 @@
 }
 
 impl Measured {
-    /// The median with the node less the median without it.
+    /// Returns the median through the node minus the median without it.
     pub fn added_p50_us(&self) -> f64 {
         self.through_node.p50_us - self.straight.p50_us
     }
@@ -83,31 +83,31 @@
     }
 }
 
-/// How long the parts of one measurement last.
+/// Durations of the parts of one measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Spans {
-    /// Nobody is connected.
+    /// Without connections.
     pub rest: Duration,
-    /// At the peak's rate.
+    /// At the peak rate.
     pub load: Duration,
 }
 
 /// Measures one size.
 ///
 /// # Errors
-/// The program does not start with these settings, or something does not come in time.
+/// The program does not start with these settings, or a step exceeds its time limit.
 pub fn measure(bench: &Bench, size: &Size, spans: Spans) -> Result<Measured, MeasureError> {
     let mut started = bench.start(size)?;
     let ready = started.process.wait_ready()?;
     let at_ready = started.process.usage()?;
-    wait_for_budgets(&started, size)?;
-    std::thread::sleep(SETTLES);
+    wait_for_allocation(&started, size)?;
+    std::thread::sleep(SETTLE_TIME);
     let before_rest = started.process.usage()?;
     std::thread::sleep(spans.rest);
     let at_rest = started.process.usage()?;
     let rest_processor = at_rest.processor.saturating_sub(before_rest.processor);
     let mut callers = Callers::open(started.addresses.front, *size)?;
-    std::thread::sleep(SETTLES);
+    std::thread::sleep(SETTLE_TIME);
     let idle = started.process.usage()?;
     let load = load(&started, &mut callers, bench.server, spans.load)?;
     let under_load = started.process.usage()?;
@@ -131,8 +131,9 @@
     })
 }
 
-/// A node that has just started gives no vote for a while, so it has no share of any budget.
-fn wait_for_budgets(started: &Started, size: &Size) -> Result<(), MeasureError> {
+/// Waits until the node has a budget allocation. A node that has just started gives no vote for some time, so
+/// at first no leader grants it one.
+fn wait_for_allocation(started: &Started, size: &Size) -> Result<(), MeasureError> {
     let Some(1..) = size.budgets else {
         return Ok(());
     };
@@ -143,19 +144,19 @@
         tenant: "tenant-0",
         idempotency_key: None,
     };
-    let until = Instant::now() + SHARED_WITHIN;
+    let until = Instant::now() + ALLOCATION_TIMEOUT;
     while connection.ask(&request)? != Outcome::Completed {
         if Instant::now() > until {
             return Err(started
                 .process
-                .too_late("a share of a budget", SHARED_WITHIN));
+                .too_late("a share of a budget", ALLOCATION_TIMEOUT));
         }
-        std::thread::sleep(RETRY_EVERY);
+        std::thread::sleep(RETRY_INTERVAL);
     }
     Ok(())
 }
 
-/// The callers of one node, which ask in turn.
+/// The callers of one node, which send requests in rotation.
 pub struct Callers {
     front: SocketAddr,
     size: Size,
@@ -166,10 +167,10 @@
 }
 
 impl Callers {
-    /// Connects all; each asks once, as one that says nothing is ended.
+    /// Connects all callers. Each sends one request, as the node closes connections that send nothing.
     ///
     /// # Errors
-    /// The front takes no connection.
+    /// The node accepts no connection.
     pub fn open(front: SocketAddr, size: Size) -> Result<Callers, MeasureError> {
         let (connections, outcomes) = Default::default();
         let mut callers = Callers {
@@ -187,7 +188,7 @@
         Ok(callers)
     }
 
-    /// Has the next caller ask; one whose connection was ended meanwhile connects anew.
+    /// Sends a request on the next caller, which reconnects if its connection has been closed.
     pub fn ask_next(&mut self) {
         self.ask_on(self.asked % self.connections.len());
     }
@@ -219,12 +220,12 @@
     straight: Histogram<u64>,
 }
 
-/// Asks in turn through the node and straight at the server, each at the peak's rate.
+/// Sends requests alternately through the node and directly to the server, each at the peak rate.
 fn load(
     started: &Started,
     callers: &mut Callers,
     server: SocketAddr,
-    lasts: Duration,
+    duration: Duration,
 ) -> Result<Load, MeasureError> {
     let mut direct = Connection::open(server)?;
     let (mut through_node, mut straight) = (histogram(), histogram());
@@ -237,7 +238,7 @@
         idempotency_key: None,
     };
     let mut failed = Ok(());
-    paced(2.0 * PEAK_RATE, lasts, |nth, _| {
+    paced(2.0 * PEAK_RATE, duration, |nth, _| {
         let asked_at = Instant::now();
         if nth % 2 == 0 {
             callers.ask_next();
--- a/crates/fault-harness/src/scale/node_cost/process.rs
+++ b/crates/fault-harness/src/scale/node_cost/process.rs
@@ -1,4 +1,4 @@
-//! A real process of the program: started with generated settings, read from `/proc`, and ended when dropped.
+//! A real process of the program, started with generated settings, measured through `/proc` and killed on drop.
 
 use std::io::{self, Read};
 use std::net::{SocketAddr, UdpSocket};
@@ -21,21 +21,21 @@
 
 const FRONT_PORT: u16 = 9_091;
 const FLEET_PORT: u16 = 7_400;
-/// From the start to the first good health check, at the longest.
-const READY_WITHIN: Duration = Duration::from_secs(60);
-/// Between two tries to reach a process that starts.
-const RETRY_EVERY: Duration = Duration::from_micros(500);
-/// Bytes of the log's end that are kept for error messages.
-const LOG_TAIL: usize = 600;
-
-/// What keeps a measurement from being made.
+/// Time limit from the start to the first successful health check.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between attempts to reach a starting process.
+const RETRY_INTERVAL: Duration = Duration::from_micros(500);
+/// Number of bytes of the end of the log kept for error messages.
+const MAX_LOG_TAIL_LEN: usize = 600;
+
+/// Why a measurement failed.
 #[derive(Debug, Error)]
 pub enum MeasureError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("/proc: {0}")]
     Proc(#[from] procfs::ProcError),
-    /// The program ended before its first good health check: what it wrote last.
+    /// The program ended before its first successful health check; contains the end of its log.
     #[error("the program does not start: {0}")]
     DoesNotStart(String),
     #[error("{what} is not seen within {within:?}; the log ends with: {log}")]
@@ -46,27 +46,27 @@
     },
 }
 
-/// What a process has used so far.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
-    /// Processor time of the threads that there are now.
+    /// Processor time of the existing threads.
     pub processor: Duration,
     pub resident_kb: u64,
-    /// The most that was resident so far.
+    /// Peak of the resident memory.
     pub peak_resident_kb: u64,
     pub descriptors: usize,
 }
 
-/// What was written to standard error.
+/// The log written to standard error.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Log {
     pub bytes: u64,
     pub lines: u64,
-    /// The last bytes of it.
+    /// The end of the log.
     pub tail: String,
 }
 
-/// Addresses that no other start uses. `server` is what all pools name.
+/// Returns addresses that no other process uses. `server` is the address in all pools.
 pub fn fresh_addresses(registry: &UdpSocket, server: SocketAddr) -> io::Result<Addresses> {
     let listen = fresh_address();
     Ok(Addresses {
@@ -78,8 +78,8 @@
     })
 }
 
-/// One `doortrack serve`. Dropped, it is killed and its folder removed; it is killed as well when the thread
-/// that started it ends, however that comes.
+/// A `doortrack serve` process. It is killed and its folder removed on drop; it is also killed when the thread
+/// that started it ends for any reason.
 pub struct NodeProcess {
     child: Child,
     folder: ScratchFolder,
@@ -90,10 +90,10 @@
 }
 
 impl NodeProcess {
-    /// Starts the program; it is not waited for.
+    /// Starts the program without waiting until it is ready.
     ///
     /// # Errors
-    /// No folder can be made, or the program can't be run.
+    /// The folder can't be created, or the program can't be run.
     pub fn start(
         program: &Path,
         addresses: &Addresses,
@@ -132,12 +132,12 @@
         })
     }
 
-    /// Waits for the first good health check; how long that took since the start.
+    /// Waits for the first successful health check, and returns the time since the start.
     ///
     /// # Errors
-    /// The program has ended, or is not ready for too long.
+    /// The program has ended, or is not ready in time.
     pub fn wait_ready(&mut self) -> Result<Duration, MeasureError> {
-        while self.started.elapsed() < READY_WITHIN {
+        while self.started.elapsed() < READY_TIMEOUT {
             if self.child.try_wait()?.is_some() {
                 _ = self.reader.take().map(JoinHandle::join);
                 return Err(MeasureError::DoesNotStart(self.log().tail));
@@ -145,9 +145,9 @@
             if self.is_healthy() {
                 return Ok(self.started.elapsed());
             }
-            std::thread::sleep(RETRY_EVERY);
+            std::thread::sleep(RETRY_INTERVAL);
         }
-        Err(self.too_late("a good health check", READY_WITHIN))
+        Err(self.too_late("a good health check", READY_TIMEOUT))
     }
 
     fn is_healthy(&self) -> bool {
@@ -168,11 +168,11 @@
     }
 
     /// # Errors
-    /// The process is gone.
+    /// The process has ended.
     pub fn usage(&self) -> Result<Usage, MeasureError> {
         let process = Process::new(self.child.id() as i32)?;
         let status = process.status()?;
-        // The process's own file tells of its first thread alone.
+        // `/proc/PID/schedstat` covers only the main thread.
         let of_threads = process
             .tasks()?
             .map(|thread| Ok(thread?.schedstat()?.sum_exec_runtime));
@@ -192,7 +192,7 @@
             .clone()
     }
 
-    /// Replaces the operators' own file; the process learns of it by [`NodeProcess::hang_up`].
+    /// Replaces the installation file; the process reads it after [`NodeProcess::send_sighup`].
     ///
     /// # Errors
     /// The file can't be written.
@@ -206,8 +206,8 @@
     /// Sends SIGHUP.
     ///
     /// # Errors
-    /// The process is gone.
-    pub fn hang_up(&self) -> io::Result<()> {
+    /// The process has ended.
+    pub fn send_sighup(&self) -> io::Result<()> {
         let pid = Pid::from_raw(self.child.id() as i32).ok_or(io::ErrorKind::NotFound)?;
         Ok(kill_process(pid, Signal::HUP)?)
     }
@@ -226,17 +226,17 @@
     while let Ok(count @ 1..) = stderr.read(&mut buffer) {
         log.lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .take_in(&buffer[..count]);
+            .append(&buffer[..count]);
     }
 }
 
 impl Log {
-    /// Counts what came, and keeps the end of it.
-    pub fn take_in(&mut self, bytes: &[u8]) {
+    /// Counts bytes and lines, and keeps the end of the log.
+    pub fn append(&mut self, bytes: &[u8]) {
         self.bytes += bytes.len() as u64;
         self.lines += bytes.iter().filter(|byte| **byte == b'\n').count() as u64;
         self.tail.push_str(&String::from_utf8_lossy(bytes));
-        let surplus = self.tail.len().saturating_sub(LOG_TAIL);
+        let surplus = self.tail.len().saturating_sub(MAX_LOG_TAIL_LEN);
         let cut = self.tail.ceil_char_boundary(surplus);
         self.tail.drain(..cut);
     }
--- a/crates/fault-harness/src/scale/node_cost/reload.rs
+++ b/crates/fault-harness/src/scale/node_cost/reload.rs
@@ -1,4 +1,4 @@
-//! A rule changed under way: how long until it is in force, and how long a caller waits meanwhile.
+//! Measures a reload with a changed rule: the time until it is in force, and the wait of a caller meanwhile.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,31 +12,31 @@
 use super::units::milliseconds;
 use crate::scale::series::Point;
 
-/// The caller asks so often.
-const ASKS_EVERY: Duration = Duration::from_millis(1);
-/// Asked before the signal, and after the change is in force.
-const AROUND: usize = 100;
-/// Between two of many reloads; each is long over by then.
-const BETWEEN_REPEATS: Duration = Duration::from_millis(700);
-/// The change is in force after so long at the latest.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(20);
+/// Interval between requests of the caller.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(1);
+/// Number of requests before the signal, and again after the change is in force.
+const REQUESTS_AROUND_RELOAD: usize = 100;
+/// Interval between repeated reloads, longer than a reload takes.
+const RELOAD_INTERVAL: Duration = Duration::from_millis(700);
+/// Time limit for the change to be in force.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One changed rule.
+/// The results of one reload.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Reload {
-    /// From the signal to the end of the first answer that follows the changed rule.
+    /// From the signal to the end of the first response under the changed rule.
     pub in_force_ms: f64,
-    /// The longest from when a request was due to its answer; one is due every ms.
+    /// The longest time from when a request was due to its response; one is due every ms.
     pub worst_wait_ms: f64,
-    /// The same before the signal.
+    /// The longest such time before the signal.
     pub worst_wait_before_ms: f64,
-    /// Processor time of the node from the signal to then.
+    /// Processor time of the node from the signal until the rule was in force.
     pub processor_ms: f64,
-    /// After it.
+    /// After the reload.
     pub resident_kb: u64,
 }
 
-/// A caller that asks every ms.
+/// A caller that sends a request every ms.
 struct Prober {
     connection: Connection,
     path: String,
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Asks when the next request is due: what came of it, and the wait since it was due.
+    /// Sends the next request when it is due. Returns its outcome and the time since it was due.
     fn ask(&mut self) -> Result<(Outcome, Duration), MeasureError> {
         std::thread::sleep(self.due.saturating_duration_since(Instant::now()));
         let request = Request {
@@ -62,21 +62,21 @@
         };
         let outcome = self.connection.ask(&request)?;
         let wait = self.due.elapsed();
-        self.due += ASKS_EVERY;
+        self.due += REQUEST_INTERVAL;
         Ok((outcome, wait))
     }
 
-    /// Asks so many times: the longest wait.
+    /// Sends `count` requests and returns the longest wait.
     fn ask_many(&mut self, count: usize) -> Result<Duration, MeasureError> {
         (0..count).try_fold(Duration::ZERO, |worst, _| Ok(worst.max(self.ask()?.1)))
     }
 }
 
-/// Signals so many times in turn with the last rule changed and as it was: resident kB by the number of
-/// reloads.
+/// Reloads `count` times, alternating between the changed and the original last rule. Returns the resident kB
+/// by the number of reloads.
 ///
 /// # Errors
-/// The process is gone.
+/// The process has ended.
 pub fn repeat(started: &Started, count: usize) -> Result<Vec<Point>, MeasureError> {
     let files = [
         installation_changed(&started.installation),
@@ -91,8 +91,8 @@
         started
             .process
             .replace_installation(&files[nth % files.len()])?;
-        started.process.hang_up()?;
-        std::thread::sleep(BETWEEN_REPEATS);
+        started.process.send_sighup()?;
+        std::thread::sleep(RELOAD_INTERVAL);
         points.push(Point {
             size: (nth + 1) as f64,
             value: resident()?,
@@ -101,20 +101,21 @@
     Ok(points)
 }
 
-/// Changes the last rule, signals, and asks until the change is in force: what was served is then refused.
+/// Changes the last rule, sends SIGHUP, and sends requests until the change is in force and they are answered
+/// as unreadable.
 ///
 /// # Errors
-/// The node ends a connection, or the change does not come into force in time.
+/// The node closes a connection, or the change does not come into force in time.
 pub fn measure(started: &Started, size: &Size) -> Result<Reload, MeasureError> {
     let (process, front) = (&started.process, started.addresses.front);
     let mut prober = Prober::open(front, probe_path(size).into())?;
-    let worst_before = prober.ask_many(AROUND)?;
+    let worst_before = prober.ask_many(REQUESTS_AROUND_RELOAD)?;
     process.replace_installation(&installation_changed(&started.installation))?;
-    // Writing the file took some time, which is no wait for the node.
+    // The time spent writing the file does not count as waiting for the node.
     prober.due = Instant::now();
     let processor_before = process.usage()?.processor;
     let signalled = Instant::now();
-    process.hang_up()?;
+    process.send_sighup()?;
     let mut worst = Duration::ZERO;
     loop {
         let (outcome, wait) = prober.ask()?;
@@ -122,16 +123,16 @@
         if matches!(outcome, Outcome::Unreadable(_)) {
             break;
         }
-        if signalled.elapsed() > IN_FORCE_WITHIN {
-            return Err(process.too_late("a changed rule", IN_FORCE_WITHIN));
+        if signalled.elapsed() > IN_FORCE_TIMEOUT {
+            return Err(process.too_late("a changed rule", IN_FORCE_TIMEOUT));
         }
     }
     let in_force = signalled.elapsed();
     let processor = process.usage()?.processor.saturating_sub(processor_before);
-    // What can't be read makes its connection rest for a while, so those that follow have another.
+    // The node pauses a connection after an unreadable request, so the following ones use a new connection.
     let mut after = Prober::open(front, unchanged_path(size))?;
     after.due = prober.due;
-    let worst = worst.max(after.ask_many(AROUND)?);
+    let worst = worst.max(after.ask_many(REQUESTS_AROUND_RELOAD)?);
     Ok(Reload {
         in_force_ms: milliseconds(in_force),
         worst_wait_ms: milliseconds(worst),
--- a/crates/fault-harness/src/scale/node_cost/report.rs
+++ b/crates/fault-harness/src/scale/node_cost/report.rs
@@ -1,4 +1,4 @@
-//! What a run found: as JSON for the pages, and as tables for a reader.
+//! The results of all measurements, as JSON and as tables.
 
 use comfy_table::{Table, presets};
 use serde::Serialize;
@@ -12,30 +12,30 @@
 use crate::scale::fit::fit;
 use crate::scale::series::{Dimension, Point, Quantity, Role, Series};
 
-/// One size of one dimension: measured, or refused by the program with what it said.
+/// The result of one size: measured, or refused by the program with an error message.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Taken {
+pub enum SweepPoint {
     Measured(Box<Measured>),
     Refused { size: usize, why: String },
 }
 
-/// All sizes of one dimension.
+/// The results of all sizes of one dimension.
 #[derive(Clone, Debug, Serialize)]
-pub struct Swept {
+pub struct Sweep {
     pub dimension: Dimension,
     pub held: String,
-    pub taken: Vec<(usize, Taken)>,
+    pub taken: Vec<(usize, SweepPoint)>,
 }
 
-/// Everything that one run found.
+/// All results of one command.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub program: String,
     pub quick: bool,
     pub load_seconds: f64,
-    pub swept: Vec<Swept>,
-    /// All dimensions at the size of two years, as far as the settings allow.
+    pub swept: Vec<Sweep>,
+    /// All dimensions at the expected size in two years, as far as the settings allow it.
     pub at_size: Measured,
     /// Resident kB by the number of reloads, at the same size.
     pub repeated_reloads: Vec<Point>,
@@ -43,12 +43,12 @@
     pub full_tables: Vec<FullTable>,
     pub log: LogVolumes,
     pub alone: Alone,
-    /// The same figures one quantity at a time.
+    /// The figures of the sweeps, one series per quantity.
     pub series: Vec<Series>,
     pub seconds: f64,
 }
 
-/// The quantities that a sweep tells, and where each stands in what was measured.
+/// A quantity of a sweep, and the function that reads it from a measurement.
 type Reading = (Quantity, fn(&Measured) -> f64);
 const READINGS: [Reading; 6] = [
     (Quantity::ReadyMilliseconds, |measured| measured.ready_ms),
@@ -65,8 +65,8 @@
     }),
 ];
 
-impl Swept {
-    /// One series for each quantity.
+impl Sweep {
+    /// Returns one series for each quantity.
     pub fn series(&self) -> Vec<Series> {
         let role = match self.dimension {
             Dimension::Callers => Role::Dispatcher,
@@ -77,11 +77,11 @@
                 .taken
                 .iter()
                 .filter_map(move |(size, taken)| match taken {
-                    Taken::Measured(measured) => Some(Point {
+                    SweepPoint::Measured(measured) => Some(Point {
                         size: *size as f64,
                         value: reading(measured),
                     }),
-                    Taken::Refused { .. } => None,
+                    SweepPoint::Refused { .. } => None,
                 });
             measured.collect()
         };
@@ -162,10 +162,12 @@
     "reconnected",
 ];
 
-fn swept_table(swept: &Swept) -> String {
-    let row = |(size, taken): &(usize, Taken)| match taken {
-        Taken::Measured(measured) => measured_row(size.to_string(), measured),
-        Taken::Refused { why, .. } => vec![size.to_string(), format!("refused: {}", why.trim())],
+fn swept_table(swept: &Sweep) -> String {
+    let row = |(size, taken): &(usize, SweepPoint)| match taken {
+        SweepPoint::Measured(measured) => measured_row(size.to_string(), measured),
+        SweepPoint::Refused { why, .. } => {
+            vec![size.to_string(), format!("refused: {}", why.trim())]
+        }
     };
     let rows = swept.taken.iter().map(row).collect();
     let mut text = table(
@@ -184,7 +186,7 @@
     text
 }
 
-/// The tables, for a reader.
+/// Formats the report as tables.
 pub fn tables(report: &Report) -> String {
     let mut text: String = report.swept.iter().map(swept_table).collect();
     let row = measured_row("all".into(), &report.at_size);
@@ -202,8 +204,8 @@
     text
 }
 
-/// Of the points of keys, which come a second apart, one in so many is shown.
-const SECONDS_SHOWN: usize = 10;
+/// Interval between the points of `keys.at_peak` that are shown, in seconds.
+const SHOWN_KEYS_INTERVAL_S: usize = 10;
 
 fn reloads_text(points: &[Point]) -> String {
     let rows = points
@@ -220,7 +222,7 @@
     let shown = keys
         .at_peak
         .iter()
-        .step_by(SECONDS_SHOWN)
+        .step_by(SHOWN_KEYS_INTERVAL_S)
         .chain(&keys.beyond);
     let rows = shown.map(|point| {
         let bytes = (point.value - keys.at_peak[0].value) * 1_024.0 / point.size.max(1.0);
@@ -287,7 +289,7 @@
     table("Log", &header, all.into_iter().map(row).collect())
 }
 
-/// "completed 9, rejected 1": those that are not 0.
+/// Formats the nonzero counts, such as "completed 9, rejected 1".
 fn outcomes_text(outcomes: &Outcomes) -> String {
     let counts = [
         ("completed", outcomes.completed),
--- a/crates/fault-harness/src/scale/node_cost/settings.rs
+++ b/crates/fault-harness/src/scale/node_cost/settings.rs
@@ -1,4 +1,4 @@
-//! Generated settings of one node: its platform configuration and installation file at a given size.
+//! Generates the node configuration and installation file of one node for a given size.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -8,38 +8,39 @@
 
 use crate::scale::series::Dimension;
 
-/// Services that the paths of rules name. Each goes to one of the server pools, which may be fewer.
+/// Number of services in the paths of the rules. Each is routed to one of the server pools, which may be
+/// fewer.
 pub const SERVICES: usize = 460;
-/// Runs at once on the server of one pool.
-const AT_ONCE: usize = 4;
-/// Capacity that no run of these measurements fills, so that nothing is rejected for lack of it.
+/// Concurrent runs on the server of one pool.
+const CONCURRENT_RUNS: usize = 4;
+/// Capacity that these measurements never exhaust, so that no request is rejected for lack of it.
 const AMPLE_CORES: usize = 1_000;
 const AMPLE_MEMORY_KB: usize = 10_000_000;
 const AMPLE_KEEPALIVE_US: u64 = 3_600_000_000;
-/// Requests a second and burst of a budget that no run of these measurements reaches.
-const AMPLE_BUDGET: u32 = 10_000;
-/// Of every 20 rules 17 compare the start of the path alone; the last three also ask for method or header.
+/// Limit per second and burst of a budget that these measurements never reach.
+const AMPLE_BUDGET_LIMIT: u32 = 10_000;
+/// Of every 20 rules, 17 match only a path prefix; the last three also match the method or a header.
 const RULE_KINDS: usize = 20;
 const METHOD_KINDS: Range<usize> = 17..19;
-/// Where requests of the deduplicated endpoint group go.
+/// Path of requests to the deduplicated endpoint group.
 pub const KEYED_PATH: &str = "/keyed/";
-/// What the last rule takes.
+/// Path matched by the last rule.
 const PROBE_PATH: &str = "/probe";
-/// What no rule takes, where there is one rule after a change.
+/// A path that no rule matches if the changed installation has only one rule.
 const OTHER_PATH: &str = "/other";
-/// The path that the platform's own variables class.
+/// A path that is classified without rules.
 const PLATFORM_PATH: &str = "/svc/look";
 
-/// How much of everything the settings of a node have.
+/// The size of the settings of a node in each dimension.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Size {
     pub routes: usize,
     pub tenants: usize,
     /// Pools of application servers.
     pub services: usize,
-    /// Connections that are open at the front.
+    /// Number of open connections of callers.
     pub callers: usize,
-    /// None: the node is of no fleet.
+    /// Number of budgets, or None if the node is not in a fleet.
     pub budgets: Option<usize>,
 }
 
@@ -53,10 +54,10 @@
         budgets: None,
     };
 
-    /// The held size with one dimension changed.
+    /// Returns the size with one dimension changed.
     ///
     /// # Panics
-    /// For the number of nodes, which is no setting of one node.
+    /// For [`Dimension::Nodes`], which is not a setting of one node.
     pub fn with(self, dimension: Dimension, size: usize) -> Size {
         match dimension {
             Dimension::Routes => Size {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// What a reader is told of the dimensions that did not grow.
+    /// Describes the dimensions that were not varied.
     pub fn held_beside(&self, dimension: Dimension) -> String {
         let parts = [
             (Dimension::Routes, format!("{} routes", self.routes)),
@@ -104,12 +105,12 @@
     }
 }
 
-/// The addresses that a node's settings name.
+/// The addresses in the settings of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     /// The platform's listener.
     pub listen: SocketAddr,
-    /// The FastCGI front that callers ask.
+    /// The FastCGI listener for callers.
     pub front: SocketAddr,
     pub fleet: SocketAddr,
     pub registry: SocketAddr,
@@ -117,7 +118,7 @@
     pub server: SocketAddr,
 }
 
-/// The name of a tenant.
+/// Returns the name of a tenant.
 pub fn tenant(nth: usize) -> String {
     format!("tenant-{nth}")
 }
@@ -130,19 +131,19 @@
     format!("/service-{}/route-{}/", nth % SERVICES, nth / SERVICES)
 }
 
-/// The path of a request that a rule on the path alone takes; where there are no rules, one that the
-/// platform's variables class.
+/// Returns a path matched by a rule with only a path prefix; without rules, one that is classified without
+/// them.
 pub fn request_path(size: &Size, nth: usize) -> String {
     if size.routes == 0 {
         return PLATFORM_PATH.into();
     }
-    // Neither the rule of the deduplicated group nor that of the probe.
+    // Excludes the rules of the deduplicated group and of the probe path.
     let mut route = nth % size.routes.saturating_sub(2).max(1);
     route -= (route % RULE_KINDS).saturating_sub(METHOD_KINDS.start - 1);
     format!("{}item", route_path(route))
 }
 
-/// A path that is served until the installation is changed by [`installation_changed`].
+/// Returns a path that is served until the change by [`installation_changed`].
 pub fn probe_path(size: &Size) -> &'static str {
     if size.routes == 0 {
         PLATFORM_PATH
@@ -151,7 +152,7 @@
     }
 }
 
-/// A path that [`installation_changed`] leaves as it was served.
+/// Returns a path whose handling [`installation_changed`] does not affect.
 pub fn unchanged_path(size: &Size) -> String {
     if size.routes == 0 {
         OTHER_PATH.into()
@@ -160,7 +161,7 @@
     }
 }
 
-/// The platform's configuration.
+/// Generates the node configuration file.
 pub fn configuration(name: &str, size: &Size, addresses: &Addresses) -> Value {
     let mut configuration = fixture::config();
     configuration["name"] = json!(name);
@@ -175,13 +176,13 @@
     configuration
 }
 
-/// The operators' own file.
+/// Generates the installation file.
 pub fn installation(name: &str, size: &Size, addresses: &Addresses) -> Value {
     let server = json!({"protocol": "fastcgi", "addresses": [addresses.server.to_string()],
-        "at_once": AT_ONCE});
+        "at_once": CONCURRENT_RUNS});
     let front = json!({"protocol": "fastcgi", "listen": addresses.front.to_string()});
     let mut installation = json!({"fronts": [front], "servers": server});
-    // The first pool is the one without a name.
+    // The first pool is the unnamed one.
     let pools = (1..size.services).map(|nth| (pool(nth), server.clone()));
     installation["pools"] = Value::Object(pools.collect());
     installation["rules"] = rules(size).into();
@@ -193,8 +194,8 @@
     installation
 }
 
-/// The same with its last rule changed so that it has a tenant whom nobody knows: what it takes is answered
-/// with 400 from then on. Without rules the change adds one.
+/// Returns the installation with an unknown tenant in its last rule, so that requests matching it are answered
+/// with 400. Without rules, such a rule is added.
 pub fn installation_changed(installation: &Value) -> Value {
     let mut changed = installation.clone();
     let unknown = json!("\"nobody\"");
@@ -212,8 +213,8 @@
     changed
 }
 
-/// The rules: the first is for the deduplicated group, the last takes the path of the probe, and those
-/// between are routes of services.
+/// Generates the rules: the first is for the deduplicated group, the last for the probe path, and the others
+/// are routes of services.
 fn rules(size: &Size) -> Vec<Value> {
     let keyed = json!({"when": format!("path.starts_with(\"{KEYED_PATH}\")"), "group": "pay"});
     let probe = json!({"when": format!("path == \"{PROBE_PATH}\""), "group": "look"});
@@ -243,8 +244,8 @@
     rule
 }
 
-/// By the keys that builds of before the settings' new names read too, so that these can be measured.
+/// Generates a budget. The keys are ones that older builds also read, so that those can be measured too.
 fn budget(nth: usize) -> Value {
-    json!({"name": format!("budget-{nth}"), "kind": "rate", "whole": AMPLE_BUDGET, "burst": AMPLE_BUDGET,
+    json!({"name": format!("budget-{nth}"), "kind": "rate", "whole": AMPLE_BUDGET_LIMIT, "burst": AMPLE_BUDGET_LIMIT,
         "for": {"customer": tenant(nth)}})
 }
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -1,5 +1,5 @@
-//! The generated settings are what the program reads, the same each time, and grow in one dimension alone;
-//! what is read of a process and its log is read right.
+//! Checks that the generated settings are valid, deterministic and vary in only one dimension, and that outcomes
+//! and logs are counted correctly.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_program_reads_the_settings_with_as_much_as_was_asked_for() {
+fn generated_settings_are_valid_and_have_the_requested_size() {
     for size in sizes() {
         let (orders, installation) = read(&size);
         assert_eq!(installation.rules.len(), size.routes, "{size:?}");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_settings_are_the_same_each_time() {
+fn generated_settings_are_deterministic() {
     for size in sizes() {
         let both = || {
             (
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn one_dimension_grows_and_the_others_are_held() {
+fn one_dimension_varies_and_the_others_stay_fixed() {
     let grown = Size::BASELINE.with(Dimension::Routes, 3_400);
     assert_eq!(
         Size {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn more_pools_than_a_node_may_have_are_refused() {
+fn more_pools_than_the_maximum_are_rejected() {
     let size = Size::BASELINE.with(Dimension::Services, 150);
     let text = installation("n1", &size, &addresses()).to_string();
     let faults = installation::parse(text.as_bytes()).unwrap_err();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn every_request_of_the_load_has_a_rule() {
+fn every_request_of_the_load_matches_a_rule() {
     for routes in [340, 3_400] {
         let size = Size::BASELINE.with(Dimension::Routes, routes);
         let table = table(&size, &read(&size).1);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_change_is_of_the_last_rule_alone_and_refuses_what_was_served() {
+fn the_change_affects_only_the_last_rule_and_rejects_its_requests() {
     for size in [Size::BASELINE, Size::BASELINE.with(Dimension::Routes, 0)] {
         let before = installation("n1", &size, &addresses());
         let after = installation_changed(&before);
@@ -166,15 +166,15 @@
 }
 
 #[test]
-fn tenants_have_names_of_their_own() {
+fn tenant_names_are_unique() {
     assert_eq!(tenant(7), "tenant-7");
     assert_ne!(tenant(1), tenant(11));
 }
 
 #[test]
-fn a_log_is_counted_whole_and_its_end_is_kept() {
+fn the_whole_log_is_counted_and_its_end_is_kept() {
     let mut log = Log::default();
-    (0..100).for_each(|nth| log.take_in(format!("line é {nth}\n").as_bytes()));
+    (0..100).for_each(|nth| log.append(format!("line é {nth}\n").as_bytes()));
     assert_eq!(log.lines, 100);
     assert_eq!(log.bytes, 100 * "line é ".len() as u64 + 10 * 2 + 90 * 3);
     assert!(
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn outcomes_are_counted_each_once() {
+fn each_outcome_is_counted_once() {
     let mut outcomes = Outcomes::default();
     for outcome in [
         Ok(Outcome::Completed),
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_line_goes_through_points_that_lie_on_one() {
+fn a_fit_recovers_the_line_of_collinear_points() {
     let points: Vec<Point> = [0.0, 340.0, 850.0, 3_400.0]
         .map(|size| Point {
             size,
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_pace_has_all_its_turns_in_order() {
+fn paced_calls_are_complete_and_in_order() {
     let mut turns = Vec::new();
     paced(1_000.0, Duration::from_millis(20), |nth, _| turns.push(nth));
     assert_eq!(turns, (0..20).collect::<Vec<_>>());
