--- a/crates/fault-harness/src/scale/node_cost.rs
+++ b/crates/fault-harness/src/scale/node_cost.rs
@@ -119,7 +119,7 @@
     let sizes = sizes(options.quick);
     let steps: usize = sizes.iter().map(|(_, list)| list.len()).sum();
     let progress = progress(steps as u64 + 3);
-    let swept: Vec<Sweep> = sizes
+    let sweeps: Vec<Sweep> = sizes
         .into_iter()
         .map(|(dimension, list)| sweep(&bench, dimension, &list, durations.sweep, &progress))
         .collect::<Result<_, _>>()?;
@@ -145,8 +145,8 @@
         program: options.program.display().to_string(),
         quick: options.quick,
         load_seconds: durations.sweep.load.as_secs_f64(),
-        series: swept.iter().flat_map(Sweep::series).collect(),
-        swept,
+        series: sweeps.iter().flat_map(Sweep::series).collect(),
+        sweeps,
         at_size,
         repeated_reloads,
         keys,
@@ -170,7 +170,7 @@
     spans: Spans,
     progress: &ProgressBar,
 ) -> Result<Sweep, MeasureError> {
-    let mut taken = Vec::new();
+    let mut results = Vec::new();
     for size in sizes {
         progress.set_message(format!("{dimension:?} {size}"));
         let found = match measure(bench, &Size::BASELINE.with(dimension, *size), spans) {
@@ -178,13 +178,13 @@
             Err(MeasureError::DoesNotStart(why)) => SweepPoint::Refused { size: *size, why },
             Err(fault) => return Err(fault),
         };
-        taken.push((*size, found));
+        results.push((*size, found));
         progress.inc(1);
     }
     Ok(Sweep {
         dimension,
         held: Size::BASELINE.held_beside(dimension),
-        taken,
+        results,
     })
 }
 
--- a/crates/fault-harness/src/scale/node_cost/full_table.rs
+++ b/crates/fault-harness/src/scale/node_cost/full_table.rs
@@ -29,25 +29,30 @@
 pub struct FullTable {
     pub callers: usize,
     /// Callers that tried to connect within the period.
-    pub came: u64,
+    #[serde(rename = "came")]
+    pub connection_attempts: u64,
     pub seconds: f64,
     pub not_connected: u64,
     /// Outcomes of the first request of each connected caller.
     pub first_requests: Outcomes,
     /// Connections that the node had not closed after the last caller.
     pub still_open: u64,
-    pub most_descriptors: usize,
+    #[serde(rename = "most_descriptors")]
+    pub max_descriptors: usize,
     pub resident_kb: u64,
     /// Outcomes of the existing callers, which send requests at the peak rate.
-    pub regulars: Outcomes,
-    pub regulars_reconnected: u64,
-    pub regulars_latency: Latency,
+    #[serde(rename = "regulars")]
+    pub existing_callers: Outcomes,
+    #[serde(rename = "regulars_reconnected")]
+    pub existing_reconnected: u64,
+    #[serde(rename = "regulars_latency")]
+    pub existing_latency: Latency,
 }
 
 /// The callers of one thread and their results.
 #[derive(Default)]
 struct CallerBatch {
-    came: u64,
+    connection_attempts: u64,
     not_connected: u64,
     first_requests: Outcomes,
     connections: Vec<Connection>,
@@ -63,8 +68,8 @@
             idempotency_key: None,
         };
         let mut batch = CallerBatch::default();
-        while batch.came < count as u64 && Instant::now() < until {
-            batch.came += 1;
+        while batch.connection_attempts < count as u64 && Instant::now() < until {
+            batch.connection_attempts += 1;
             match Connection::open_within(started.addresses.front, CALLER_TIMEOUT) {
                 Err(_) => batch.not_connected += 1,
                 Ok(mut connection) => {
@@ -88,11 +93,11 @@
     };
     let mut started = bench.start(&size)?;
     started.process.wait_ready()?;
-    let mut regulars = Callers::open(started.addresses.front, size)?;
+    let mut existing_callers = Callers::open(started.addresses.front, size)?;
     let mut latencies = histogram();
     let over = AtomicBool::new(false);
     let began = Instant::now();
-    let (batches, most_descriptors) = std::thread::scope(|scope| {
+    let (batches, max_descriptors) = std::thread::scope(|scope| {
         let (started, over) = (&started, &over);
         let batches: Vec<_> = (0..THREADS)
             .map(|_| {
@@ -102,7 +107,7 @@
         let watch = scope.spawn(move || watch_descriptors(started, over));
         while began.elapsed() < MIN_DURATION || !batches.iter().all(|batch| batch.is_finished()) {
             paced(PEAK_RATE, SAMPLE_INTERVAL, |_, due| {
-                regulars.ask_next();
+                existing_callers.ask_next();
                 latencies.saturating_record(due.elapsed().as_nanos() as u64);
             });
         }
@@ -122,16 +127,16 @@
         |batch: &CallerBatch| batch.connections.iter().filter(|one| one.is_open()).count() as u64;
     Ok(FullTable {
         callers,
-        came: batches.iter().map(|batch| batch.came).sum(),
+        connection_attempts: batches.iter().map(|batch| batch.connection_attempts).sum(),
         seconds,
         not_connected: batches.iter().map(|batch| batch.not_connected).sum(),
         first_requests,
         still_open: batches.iter().map(open).sum(),
-        most_descriptors,
+        max_descriptors,
         resident_kb: started.process.usage()?.resident_kb,
-        regulars: regulars.outcomes,
-        regulars_reconnected: regulars.reconnected,
-        regulars_latency: Latency::from(&latencies),
+        existing_callers: existing_callers.outcomes,
+        existing_reconnected: existing_callers.reconnected,
+        existing_latency: Latency::from(&latencies),
     })
 }
 
--- a/crates/fault-harness/src/scale/node_cost/log_volume.rs
+++ b/crates/fault-harness/src/scale/node_cost/log_volume.rs
@@ -43,9 +43,11 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LogVolumes {
     /// No requests.
-    pub calm: LogVolume,
+    #[serde(rename = "calm")]
+    pub idle: LogVolume,
     /// No requests, with the maximum number of pools.
-    pub calm_most_pools: LogVolume,
+    #[serde(rename = "calm_most_pools")]
+    pub idle_max_pools: LogVolume,
     /// A budget that rejects almost all requests at the peak rate.
     pub rejecting: LogVolume,
     /// No server accepts connections.
@@ -56,8 +58,8 @@
 /// A process does not start, or ends early.
 pub fn measure(bench: &Bench, duration: Duration) -> Result<LogVolumes, MeasureError> {
     std::thread::scope(|scope| {
-        let few_pools = scope.spawn(|| calm(bench, Size::BASELINE, duration));
-        let most_pools = scope.spawn(|| calm(bench, MAX_SERVICES, duration));
+        let few_pools = scope.spawn(|| measure_idle(bench, Size::BASELINE, duration));
+        let most_pools = scope.spawn(|| measure_idle(bench, MAX_SERVICES, duration));
         let rejecting = scope.spawn(|| rejecting(bench, duration));
         let servers_gone = scope.spawn(|| servers_gone(bench, duration));
         let ended = |thread: std::thread::ScopedJoinHandle<Result<LogVolume, MeasureError>>| {
@@ -66,15 +68,15 @@
                 .unwrap_or_else(|panic| std::panic::resume_unwind(panic))
         };
         Ok(LogVolumes {
-            calm: ended(few_pools)?,
-            calm_most_pools: ended(most_pools)?,
+            idle: ended(few_pools)?,
+            idle_max_pools: ended(most_pools)?,
             rejecting: ended(rejecting)?,
             servers_gone: ended(servers_gone)?,
         })
     })
 }
 
-fn calm(bench: &Bench, size: Size, duration: Duration) -> Result<LogVolume, MeasureError> {
+fn measure_idle(bench: &Bench, size: Size, duration: Duration) -> Result<LogVolume, MeasureError> {
     let mut started = bench.start(&size)?;
     started.process.wait_ready()?;
     let before = started.process.log();
--- a/crates/fault-harness/src/scale/node_cost/report.rs
+++ b/crates/fault-harness/src/scale/node_cost/report.rs
@@ -25,7 +25,8 @@
 pub struct Sweep {
     pub dimension: Dimension,
     pub held: String,
-    pub taken: Vec<(usize, SweepPoint)>,
+    #[serde(rename = "taken")]
+    pub results: Vec<(usize, SweepPoint)>,
 }
 
 /// All results of one command.
@@ -34,7 +35,8 @@
     pub program: String,
     pub quick: bool,
     pub load_seconds: f64,
-    pub swept: Vec<Sweep>,
+    #[serde(rename = "swept")]
+    pub sweeps: Vec<Sweep>,
     /// All dimensions at the expected size in two years, as far as the settings allow it.
     pub at_size: Measured,
     /// Resident kB by the number of reloads, at the same size.
@@ -74,7 +76,7 @@
         };
         let points = |reading: fn(&Measured) -> f64| {
             let measured = self
-                .taken
+                .results
                 .iter()
                 .filter_map(move |(size, taken)| match taken {
                     SweepPoint::Measured(measured) => Some(Point {
@@ -169,7 +171,7 @@
             vec![size.to_string(), format!("refused: {}", why.trim())]
         }
     };
-    let rows = swept.taken.iter().map(row).collect();
+    let rows = swept.results.iter().map(row).collect();
     let mut text = table(
         &format!("{:?}; held: {}", swept.dimension, swept.held),
         &MEASURED_HEADER,
@@ -188,7 +190,7 @@
 
 /// Formats the report as tables.
 pub fn tables(report: &Report) -> String {
-    let mut text: String = report.swept.iter().map(swept_table).collect();
+    let mut text: String = report.sweeps.iter().map(swept_table).collect();
     let row = measured_row("all".into(), &report.at_size);
     text.push_str(&table(
         &format!("At size: {:?}", report.at_size.size),
@@ -272,8 +274,8 @@
         ]
     };
     let all = [
-        ("calm", &log.calm),
-        ("calm, most pools", &log.calm_most_pools),
+        ("calm", &log.idle),
+        ("calm, most pools", &log.idle_max_pools),
         ("rejecting", &log.rejecting),
         ("servers gone", &log.servers_gone),
     ];
@@ -308,18 +310,21 @@
 
 fn full_tables_text(full_tables: &[FullTable]) -> String {
     let row = |full: &FullTable| {
-        let latency = &full.regulars_latency;
+        let latency = &full.existing_latency;
         vec![
-            format!("{} of {} in {:.1} s", full.came, full.callers, full.seconds),
+            format!(
+                "{} of {} in {:.1} s",
+                full.connection_attempts, full.callers, full.seconds
+            ),
             full.not_connected.to_string(),
             outcomes_text(&full.first_requests),
             full.still_open.to_string(),
-            full.most_descriptors.to_string(),
+            full.max_descriptors.to_string(),
             full.resident_kb.to_string(),
             format!(
                 "{}; {} reconnected",
-                outcomes_text(&full.regulars),
-                full.regulars_reconnected
+                outcomes_text(&full.existing_callers),
+                full.existing_reconnected
             ),
             format!("{:.0} / {:.0}", latency.p50_us, latency.p99_us),
         ]
