--- a/crates/fault-harness/src/scale/simulated.rs
+++ b/crates/fault-harness/src/scale/simulated.rs
@@ -1,14 +1,14 @@
-//! Membership and budgets of a whole fleet together, in simulated time and at full size.
+//! Simulates the membership and budgets of a whole fleet at full size.
 //!
-//! Every machine runs the two packages that the node runs (`doortrack-membership`, `doortrack-budgets`), joined as
-//! the node joins them: budgets learn of each change of the view, envelopes go only to members of the view,
-//! and only those of members are read. [`topology`] lays the machines out over zones and regions,
-//! [`scenario`] says what fails and when, [`world`] plays it, and [`verdict`] judges what came of it:
-//! [`agreement`] watches the views, [`usage`] counts what is used of the budgets without any knowledge of
-//! leases, and [`traffic`] counts every datagram of every machine. [`slopes`] plays calm fleets of several
-//! sizes and writes their traffic as [`super::series::Series`].
+//! Every machine runs the two packages that the node runs (`doortrack-membership`, `doortrack-budgets`), combined as
+//! in the node: budgets are notified of each change of the view, and envelopes are sent to and accepted from
+//! members of the view only. [`topology`] places the machines in zones and regions, [`scenario`] defines the
+//! faults and their times, [`world`] runs the simulation, and [`verdict`] checks the results: [`agreement`]
+//! tracks the views, [`usage`] counts the use of the budgets independently of leases, and [`traffic`] counts
+//! every datagram of every machine. [`slopes`] simulates fault-free fleets of several sizes and reports their
+//! traffic as [`super::series::Series`].
 //!
-//! The same scenario with the same seed gives the same outcome, whatever the machine it is played on.
+//! The same scenario with the same seed gives the same outcome on any machine.
 
 pub mod agreement;
 pub mod command;
--- a/crates/fault-harness/src/scale/simulated/agreement.rs
+++ b/crates/fault-harness/src/scale/simulated/agreement.rs
@@ -1,4 +1,4 @@
-//! Whether all live machines hold the same view, and since when.
+//! Tracks whether all live machines have equal views, and since when.
 
 use std::collections::BTreeMap;
 
@@ -6,38 +6,38 @@
 
 use super::topology::{REGIONS, Topology};
 
-/// What one live machine holds.
+/// Digest and member count of one live machine's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct ViewSummary {
     pub digest: u64,
     pub members: usize,
 }
 
-/// What was true from a time on.
+/// The agreement from a time on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct State {
     pub since: Micros,
-    /// All live machines hold exactly the live machines.
+    /// The views of all live machines contain exactly the live machines.
     pub all_agree: bool,
-    /// All live machines of each region hold exactly those of their region.
+    /// By region: the views of its live machines contain exactly the live machines of the region.
     pub region_agrees: [bool; REGIONS],
 }
 
-/// Live machines of a region that hold one view, and the members of that view.
+/// Number of live machines of a region with the same view, and number of members in it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Holders {
     machines: usize,
     members: usize,
 }
 
-/// Follows every change of every view.
+/// Tracks every change of every view.
 pub struct Agreement {
     regions: Vec<usize>,
-    held: Vec<Option<Held>>,
+    held: Vec<Option<ViewSummary>>,
     /// By region and digest of the view.
     views: [BTreeMap<u64, Holders>; REGIONS],
     live: [usize; REGIONS],
-    /// Every change, in the order of time.
+    /// All changes of the agreement in chronological order.
     states: Vec<State>,
 }
 
@@ -54,8 +54,8 @@
         }
     }
 
-    /// What a machine holds from here on; nothing if it is not live.
-    pub fn put(&mut self, now: Micros, machine: usize, held: Option<Held>) {
+    /// Records the new view of a machine; None if the machine is not live.
+    pub fn record_view(&mut self, now: Micros, machine: usize, held: Option<ViewSummary>) {
         let before = std::mem::replace(&mut self.held[machine], held);
         if before == held {
             return;
@@ -77,32 +77,32 @@
             holders.machines += 1;
             holders.members = held.members;
         }
-        self.note(now);
+        self.record_state(now);
     }
 
-    /// The one view of a region, by its digest and members; nothing while there are several.
-    fn only_view(&self, region: usize) -> Option<(u64, usize)> {
+    /// Returns digest and member count of the only view in a region, or None if there are several.
+    fn unanimous_view(&self, region: usize) -> Option<(u64, usize)> {
         let mut views = self.views[region].iter();
         let (digest, holders) = views.next()?;
         views.next().is_none().then_some((*digest, holders.members))
     }
 
-    /// Equal digests mean equal members, and each live machine is in its own view: where as many members are
-    /// held as machines are live, those are the live ones.
-    fn note(&mut self, since: Micros) {
+    /// Records the current agreement. Equal digests mean equal members, and each live machine is in its own view;
+    /// a common view with as many members as live machines therefore contains exactly the live machines.
+    fn record_state(&mut self, since: Micros) {
         let live: usize = self.live.iter().sum();
         let views: [Option<(u64, usize)>; REGIONS] =
-            std::array::from_fn(|region| self.only_view(region));
+            std::array::from_fn(|region| self.unanimous_view(region));
         let members = |region: usize| views[region].map(|(_, members)| members);
         let region_agrees =
             std::array::from_fn(|region| members(region) == Some(self.live[region]));
-        let filled = (0..REGIONS).filter(|region| self.live[*region] > 0);
-        let mut filled = filled.map(|region| views[region]);
-        let first = filled
+        let populated = (0..REGIONS).filter(|region| self.live[*region] > 0);
+        let mut populated = populated.map(|region| views[region]);
+        let first = populated
             .next()
             .flatten()
             .filter(|(_, members)| *members == live);
-        let all_agree = first.is_some() && filled.all(|view| view == first);
+        let all_agree = first.is_some() && populated.all(|view| view == first);
         let same =
             |last: &State| last.all_agree == all_agree && last.region_agrees == region_agrees;
         if !self.states.last().is_some_and(same) {
@@ -114,19 +114,19 @@
         }
     }
 
-    /// When, from `at` on, `holds` was first true; nothing if it never was.
-    pub fn first(&self, at: Micros, holds: impl Fn(&State) -> bool) -> Option<Micros> {
+    /// Returns the first time from `at` on at which `predicate` is true, if any.
+    pub fn first_time(&self, at: Micros, predicate: impl Fn(&State) -> bool) -> Option<Micros> {
         let next = self.states.partition_point(|state| state.since <= at);
-        if next > 0 && holds(&self.states[next - 1]) {
+        if next > 0 && predicate(&self.states[next - 1]) {
             return Some(at);
         }
         self.states[next..]
             .iter()
-            .find(|state| holds(state))
+            .find(|state| predicate(state))
             .map(|state| state.since)
     }
 
-    /// Machines that are live, at the last.
+    /// Returns the number of machines that are live now.
     pub fn live(&self) -> usize {
         self.live.iter().sum()
     }
--- a/crates/fault-harness/src/scale/simulated/command.rs
+++ b/crates/fault-harness/src/scale/simulated/command.rs
@@ -1,4 +1,4 @@
-//! `doortrack-harness scale-simulated`: plays fleets of this size, and prints what came of them.
+//! `doortrack-harness scale-simulated`: simulates large fleets and prints the results.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -17,29 +17,29 @@
 use crate::scale::error::{ScaleError, write_report};
 use crate::scale::series::Series;
 
-/// Machines that fail in a day, each by itself.
-const SINGLES: usize = 15;
+/// Number of single machine failures in a day.
+const SINGLE_FAILURES: usize = 15;
 const LOSS: f64 = 0.05;
-const SHORT_PARTING_MS: u64 = 30_000;
-/// Breaches of one play that are printed.
-const MOST_PRINTED: usize = 12;
+const SHORT_PARTITION_MS: u64 = 30_000;
+/// Maximum number of breaches printed for one simulation.
+const MAX_PRINTED: usize = 12;
 
-/// What is played.
+/// The kind of simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Kind {
-    /// Restarts at the rate of a day, single machines, a rack, a zone, the leader and a voter
+    /// Restarts at the daily rate; failures of single machines, a rack, a zone, the leader and a voter
     Day,
-    /// The same with 5% of all datagrams lost
+    /// The same as `day` with 5% datagram loss
     DayLoss,
-    /// The regions parted for `--parted-s`
+    /// A partition of the regions for `--parted-s` seconds
     Parted,
-    /// The regions parted for 30 s
+    /// A partition of the regions for 30 s
     PartedShort,
-    /// Traffic in calm over nodes, and over budgets
+    /// Traffic without faults by number of nodes and by number of budgets
     Slopes,
 }
 
-/// Plays a fleet of nodes and voters in simulated time, and judges it
+/// Simulates a fleet of nodes and voters and checks the results
 #[derive(Args, Debug)]
 pub struct Options {
     #[arg(long, default_value = "770")]
@@ -53,30 +53,30 @@
     play: Vec<Kind>,
     #[arg(long, default_value = "1")]
     from: u64,
-    /// Seeds of each play; slopes are measured with the first alone
+    /// Number of seeds of each simulation; slopes use only the first
     #[arg(long, default_value = "1")]
     seeds: u64,
     #[arg(long, default_value = "3600")]
     parted_s: u64,
-    /// Nodes of the fleet whose slope over budgets is measured
+    /// Number of nodes for the slope by budgets
     #[arg(long, default_value = "770")]
     budget_nodes: usize,
-    /// Plays at once
+    /// Number of concurrent simulations
     #[arg(long, default_value = "2")]
     threads: usize,
-    /// Where outcomes and series are kept
+    /// File for outcomes and series as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
-/// All that one run of the command found.
+/// All results of one command.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Report {
     pub outcomes: Vec<Outcome>,
     pub series: Vec<Series>,
 }
 
-/// One thing to do, apart from all others.
+/// An independent unit of work.
 enum Task {
     Play(Box<Scenario>, u64),
     OverNodes(u64),
@@ -89,9 +89,11 @@
         let mut tasks = Vec::new();
         for kind in &self.play {
             let scenario = |seed: u64| match kind {
-                Kind::Day => Scenario::day(topology, SINGLES, SLOT_MS, seed),
-                Kind::DayLoss => Scenario::day(topology, SINGLES, SLOT_MS, seed).with_loss(LOSS),
-                Kind::PartedShort => Scenario::parted(topology, SHORT_PARTING_MS, seed),
+                Kind::Day => Scenario::day(topology, SINGLE_FAILURES, SLOT_MS, seed),
+                Kind::DayLoss => {
+                    Scenario::day(topology, SINGLE_FAILURES, SLOT_MS, seed).with_loss(LOSS)
+                }
+                Kind::PartedShort => Scenario::parted(topology, SHORT_PARTITION_MS, seed),
                 Kind::Parted | Kind::Slopes => {
                     Scenario::parted(topology, self.parted_s * 1_000, seed)
                 }
@@ -107,10 +109,10 @@
     }
 }
 
-/// Plays what is asked for; whether no promise was broken.
+/// Runs the requested simulations. Returns true if there was no breach.
 ///
 /// # Errors
-/// The file that can't be written.
+/// The report file can't be written.
 pub fn scale_simulated(options: &Options) -> Result<bool, ScaleError> {
     let tasks = options.tasks();
     let (next, report) = (AtomicUsize::new(0), Mutex::new(Report::default()));
@@ -118,7 +120,7 @@
         for _ in 0..options.threads.max(1) {
             scope.spawn(|| {
                 while let Some(task) = tasks.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    carry_out(options, task, &report);
+                    execute(options, task, &report);
                 }
             });
         }
@@ -138,7 +140,7 @@
         .all(|outcome| outcome.breaches.is_empty()))
 }
 
-fn carry_out(options: &Options, task: &Task, report: &Mutex<Report>) {
+fn execute(options: &Options, task: &Task, report: &Mutex<Report>) {
     let began = Instant::now();
     let (mut outcomes, mut series) = (Vec::new(), Vec::new());
     match task {
@@ -163,7 +165,7 @@
     report.series.extend(series);
 }
 
-/// One outcome for a reader; incidents of one kind are summed up by their middle and worst.
+/// Formats one outcome; incidents of one kind are summarized by their median and worst.
 pub fn outcome_table(outcome: &Outcome) -> String {
     let Outcome {
         scenario,
@@ -172,14 +174,14 @@
         machines,
         simulated_s,
         events,
-        doubts,
+        suspicions,
         leaders,
         ..
     } = outcome;
     let calm = &outcome.calm;
     let mut text = format!(
         "{scenario} seed {seed}: {nodes} nodes, {machines} machines, {simulated_s} s simulated, \
-         {events} events, {doubts} doubts, {leaders} leaders\n"
+         {events} events, {suspicions} doubts, {leaders} leaders\n"
     );
     text += "| incident | times | views one, ms: middle (worst) | budget 0.9 in use, ms: middle (worst) | \
              peak B/s in/out: node | voter | leader | fleet, out |\n\
@@ -197,17 +199,17 @@
     by_label
         .iter()
         .for_each(|(label, list)| text += &incident_line(label, list));
-    if let Some(apart) = &outcome.apart {
+    if let Some(usage) = &outcome.partition_usage {
         text += &format!(
             "parted: with a majority {:.1} of {:.1} a second used, without {:.1} where {:.1} are reserved\n",
-            apart.with_majority, apart.whole, apart.without_majority, apart.reserved
+            usage.with_majority, usage.whole, usage.without_majority, usage.reserved
         );
     }
     text += &format!("{} broken\n", outcome.breaches.len());
     outcome
         .breaches
         .iter()
-        .take(MOST_PRINTED)
+        .take(MAX_PRINTED)
         .for_each(|breach| text += &format!("  {breach}\n"));
     text
 }
@@ -248,7 +250,7 @@
     let peaks = list
         .iter()
         .map(|one| one.peaks)
-        .fold(Peaks::default(), Peaks::most);
+        .fold(Peaks::default(), Peaks::component_max);
     let fleet = list
         .iter()
         .map(|one| one.fleet_peak.bytes_out)
--- a/crates/fault-harness/src/scale/simulated/machine.rs
+++ b/crates/fault-harness/src/scale/simulated/machine.rs
@@ -1,4 +1,4 @@
-//! One running process: its membership and its budgets, and the datagrams between two of them.
+//! A simulated process with membership and budgets, and the datagrams between processes.
 
 use std::net::SocketAddr;
 
@@ -10,57 +10,58 @@
 
 use crate::history::node_name;
 
-/// Bytes round what is said: IP and UDP, version, hash, the fleet's name and its length, the kind.
+/// Bytes around the payload: IP and UDP headers, version and hash, and (with the length and bytes of the fleet's
+/// name) the message kind.
 const HEADERS: u64 = 28;
-const SEAL: u64 = 1 + 16;
-/// The fleet's name, for its length alone.
+const VERSION_AND_HASH: u64 = 1 + 16;
+/// The name of the fleet; only its length matters.
 pub const FLEET: &str = "simulated";
 const KIND: u64 = 1;
-/// Capacity of every machine; equal, so that equal needs have equal shares.
+/// Weight of every machine; equal, so that equal demand gets equal allocations.
 const WEIGHT: u32 = 4;
 
-/// What one datagram carries.
+/// The payload of one datagram.
 #[derive(Clone, Debug)]
-pub enum Content {
+pub enum Payload {
     Membership(Box<Datagram>),
     Budgets(Box<Envelope>),
 }
 
-/// One datagram with its length on the wire, in bytes with IP and UDP headers.
+/// One datagram and its length on the wire, in bytes with IP and UDP headers.
 #[derive(Clone, Debug)]
-pub struct Parcel {
+pub struct Packet {
     pub bytes: u32,
-    pub content: Content,
+    pub payload: Payload,
 }
 
-impl Parcel {
-    pub fn new(content: Content) -> Parcel {
-        let said = match &content {
-            Content::Membership(datagram) => serialized_size(&**datagram),
-            Content::Budgets(envelope) => serialized_size(&**envelope),
+impl Packet {
+    pub fn new(payload: Payload) -> Packet {
+        let payload_len = match &payload {
+            Payload::Membership(datagram) => serialized_size(&**datagram),
+            Payload::Budgets(envelope) => serialized_size(&**envelope),
         };
-        let round = HEADERS + SEAL + 1 + FLEET.len() as u64 + KIND;
-        Parcel {
-            bytes: (round + said.unwrap_or(0) as u64) as u32,
-            content,
+        let overhead = HEADERS + VERSION_AND_HASH + 1 + FLEET.len() as u64 + KIND;
+        Packet {
+            bytes: (overhead + payload_len.unwrap_or(0) as u64) as u32,
+            payload,
         }
     }
 }
 
-/// One running process.
+/// A running simulated process.
 pub struct Machine {
     pub fleet: Fleet,
     pub budgets: Budgets,
-    /// When it asked to be woken; [`TenthMillis::MAX`] for not at all.
+    /// The scheduled wake-up time, or [`TenthMillis::MAX`] for none.
     pub due: TenthMillis,
     pub leaves: bool,
 }
 
-/// What a process is started with.
+/// Parameters of a starting process.
 pub struct Start<'a> {
     pub machine: MachineId,
     pub unix_ms: u64,
-    /// What its clock shows.
+    /// The reading of its clock.
     pub now: TenthMillis,
     pub seed: u64,
     pub membership: Parameters,
@@ -90,12 +91,12 @@
         }
     }
 
-    /// When it has to be woken at the latest.
+    /// Returns the latest time at which it has to be woken.
     pub fn next_due(&self) -> TenthMillis {
         self.fleet.next_due().min(self.budgets.next_due())
     }
 
-    /// Whether this one is in its view.
+    /// Returns true if its view contains this incarnation.
     pub fn knows(&self, id: &NodeId) -> bool {
         self.fleet
             .view()
@@ -104,19 +105,19 @@
             .is_some_and(|member| member.incarnation == id.incarnation)
     }
 
-    /// Where a member of the view is reached; nothing for another incarnation of it.
+    /// Returns the address of a member of the view, or None for another incarnation of it.
     pub fn reaches(&self, id: &NodeId) -> Option<SocketAddr> {
         let member = self.fleet.view().members.get(&id.name)?;
         (member.incarnation == id.incarnation).then_some(member.address)
     }
 }
 
-/// The address of a machine, which tells its number.
+/// Returns the address of a machine, which encodes its number.
 pub fn address(machine: MachineId) -> SocketAddr {
     SocketAddr::from(([10, 0, (machine >> 8) as u8, machine as u8], 7_400))
 }
 
-/// The machine that has this address.
+/// Returns the machine with this address.
 pub fn machine_at(address: SocketAddr) -> Option<MachineId> {
     match address {
         SocketAddr::V4(address) => {
--- a/crates/fault-harness/src/scale/simulated/scenario.rs
+++ b/crates/fault-harness/src/scale/simulated/scenario.rs
@@ -1,4 +1,4 @@
-//! What fails in a fleet of this size, and when.
+//! Scenarios: the faults of a simulation and their times.
 
 use doortrack_budgets::{Budget, Safeguards};
 use doortrack_membership::Parameters;
@@ -7,51 +7,51 @@
 use super::topology::{Topology, ZONES};
 use crate::script::Fault;
 
-/// All start at 0; from here on the views are expected to be one.
+/// Time from the start of all machines by which all views are expected to be equal.
 const SETTLED_MS: u64 = 20_000;
-/// Seconds of calm by which peaks are judged.
-pub const CALM_S: std::ops::Range<usize> = 20..30;
+/// Fault-free seconds whose traffic is the baseline for peaks.
+pub const BASELINE_SECONDS: std::ops::Range<usize> = 20..30;
 const FIRST_SLOT_MS: u64 = 30_000;
-/// One restart a slot: 3,600 a day.
+/// Length of a slot. One restart per slot is 3,600 per day.
 pub const SLOT_MS: u64 = 24_000;
-/// A restart: told to leave, ended, started anew.
-const ENDS_MS: u64 = 1_500;
-const STARTS_MS: u64 = 3_000;
-/// Where in its slot something else fails, so that the restart is over by then.
-const FAILS_MS: u64 = 10_000;
-/// A single machine that failed is back after this.
-const BACK_MS: u64 = 8_000;
-/// The zone that is lost, which has a voter, and the rack.
-const LOST_ZONE: usize = 1;
-const LOST_RACK: usize = 2;
-const TAIL_MS: u64 = 15_000;
+/// Times of kill and start in a restart, relative to the request to leave.
+const RESTART_KILL_MS: u64 = 1_500;
+const RESTART_START_MS: u64 = 3_000;
+/// Time in the slot at which another fault is injected, after the restart has completed.
+const FAULT_OFFSET_MS: u64 = 10_000;
+/// Time until a single failed machine is restarted.
+const DOWNTIME_MS: u64 = 8_000;
+/// The failing zone, which has a voter, and the failing rack.
+const FAILED_ZONE: usize = 1;
+const FAILED_RACK: usize = 2;
+const FINAL_MS: u64 = 15_000;
 
-/// What is done to the fleet.
+/// An action on the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Incident {
     Fault(Fault),
-    /// The leader of the budgets is killed, whichever machine that is by then.
+    /// Kills the machine that is budget leader at that time.
     KillLeader,
-    /// A voter that does not lead is killed.
+    /// Kills a voter that is not the leader.
     KillVoter,
-    /// Those that were killed by the two above are started anew.
+    /// Restarts the machines killed by the other two.
     StartKilled,
 }
 
-/// What the views are to come to after an incident.
+/// The views expected after an incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
     AllAgree,
-    /// Parted regions, each by itself.
+    /// The regions are partitioned, and the views agree within each.
     RegionsAgree,
 }
 
-/// An incident that is measured.
+/// The measurement and check of an incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Watch {
+pub struct IncidentCheck {
     pub label: &'static str,
     pub expected: Expected,
-    /// Bound on the time until the views are as expected.
+    /// Time limit until the views are as expected.
     pub agree_within_ms: u64,
 }
 
@@ -60,35 +60,35 @@
 pub struct Step {
     pub at_ms: u64,
     pub incident: Incident,
-    pub watch: Option<Watch>,
+    pub check: Option<IncidentCheck>,
 }
 
-/// The parting of the regions.
+/// The period in which the regions are partitioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Parting {
+pub struct Partition {
     pub from_ms: u64,
-    pub till_ms: u64,
+    pub until_ms: u64,
 }
 
-/// Uses asked for, a second and node.
+/// Requested uses per second and node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     pub first: f64,
     /// Of each other budget.
     pub others: f64,
-    /// How long a unit of a concurrency is held.
+    /// How long a unit of a concurrency budget is held.
     pub held_ms: u64,
 }
 
-/// One play.
+/// One scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: String,
     pub topology: Topology,
     pub ms: u64,
     pub steps: Vec<Step>,
-    pub parting: Option<Parting>,
-    /// Share of all datagrams that is lost.
+    pub partition: Option<Partition>,
+    /// Share of datagrams lost.
     pub loss: f64,
     pub membership: Parameters,
     pub safeguards: Safeguards,
@@ -96,28 +96,30 @@
     pub demand: Demand,
 }
 
-/// Bounds on agreement: after a loss or a return, as a region is parted, and after the regions' link is back.
-const KNOWN_MS: u64 = 5_000;
-/// The last of some 330 that are lost at once is first probed after about 2 s, one alone after 0.35 s. Its
-/// doubt may last 2 s, and the word on all of them has to go round.
-const REGION_KNOWN_MS: u64 = 8_000;
-const TOGETHER_MS: u64 = 4_000;
+/// Time limit for agreement after a failure or restart.
+const MAX_AGREEMENT_MS: u64 = 5_000;
+/// Time limit for agreement after the start of a partition. The last of some 330 members lost at once is first
+/// probed after about 2 s (a single one after 0.35 s). Its suspicion may last 2 s, and the updates about all of
+/// them have to be gossiped.
+const MAX_PARTITION_AGREEMENT_MS: u64 = 8_000;
+/// Time limit for agreement after the end of a partition.
+const MAX_REJOIN_AGREEMENT_MS: u64 = 4_000;
 
-fn watch(label: &'static str) -> Option<Watch> {
-    Some(Watch {
+fn check(label: &'static str) -> Option<IncidentCheck> {
+    Some(IncidentCheck {
         label,
         expected: Expected::AllAgree,
-        agree_within_ms: KNOWN_MS,
+        agree_within_ms: MAX_AGREEMENT_MS,
     })
 }
 
-/// Units a second for each node of the first budget, and what is asked for: twice as much.
-const PER_NODE: u32 = 30;
-const HELD_PER_NODE: u32 = 3;
-const HELD_MOST_MS: u64 = 2_000;
+/// Units per second of the first budget for each node; the demand is twice as high.
+const RATE_PER_NODE: u32 = 30;
+const CONCURRENCY_PER_NODE: u32 = 3;
+const MAX_HOLD_MS: u64 = 2_000;
 
 impl Scenario {
-    /// A fleet in which nothing fails.
+    /// A scenario without faults.
     pub fn calm(topology: Topology, ms: u64) -> Scenario {
         let seeds = topology.voters().map(address).collect();
         Scenario {
@@ -125,7 +127,7 @@
             topology,
             ms,
             steps: Vec::new(),
-            parting: None,
+            partition: None,
             loss: 0.0,
             membership: Parameters {
                 seeds,
@@ -133,27 +135,27 @@
             },
             safeguards: Safeguards::default(),
             list: vec![
-                topology.rate("requests", PER_NODE),
-                topology.concurrency("slots", HELD_PER_NODE, HELD_MOST_MS),
+                topology.rate("requests", RATE_PER_NODE),
+                topology.concurrency("slots", CONCURRENCY_PER_NODE, MAX_HOLD_MS),
             ],
             demand: Demand {
-                first: 2.0 * f64::from(PER_NODE),
+                first: 2.0 * f64::from(RATE_PER_NODE),
                 others: 4.0,
                 held_ms: 500,
             },
         }
     }
 
-    /// A calm fleet under so many rate budgets.
+    /// A scenario without faults and with this number of rate budgets.
     pub fn budgets(topology: Topology, budgets: usize, ms: u64) -> Scenario {
         let rate = |nth: usize| {
             topology.rate(
                 &format!("customer-{nth}"),
-                PER_NODE / if nth > 0 { 6 } else { 1 },
+                RATE_PER_NODE / if nth > 0 { 6 } else { 1 },
             )
         };
         let demand = Demand {
-            first: f64::from(PER_NODE),
+            first: f64::from(RATE_PER_NODE),
             others: 1.0,
             held_ms: 0,
         };
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Restarts at the rate of 3,600 a day through all of a play, and in between: single machines fail, as
-    /// many as in a day (15), then a rack, a zone, the leader and a voter at once; all return.
+    /// Restarts at the rate of 3,600 per day throughout. Between them single machines fail (15 per day), then a
+    /// rack, a zone, the leader and a voter; all are restarted.
     pub fn day(topology: Topology, singles: usize, slot_ms: u64, seed: u64) -> Scenario {
         let mut steps = Steps {
             slot_ms,
@@ -174,37 +176,47 @@
         let mut order = shuffled(topology, seed);
         for slot in 0..singles {
             let node = order.pop().unwrap_or(0);
-            steps.put(slot, FAILS_MS, kill(vec![node]), watch("one node lost"));
             steps.put(
                 slot,
-                FAILS_MS + BACK_MS,
+                FAULT_OFFSET_MS,
+                kill(vec![node]),
+                check("one node lost"),
+            );
+            steps.put(
+                slot,
+                FAULT_OFFSET_MS + DOWNTIME_MS,
                 start(vec![node]),
-                watch("one node back"),
+                check("one node back"),
             );
         }
         let (rack, zone) = (
-            topology.in_rack(LOST_RACK),
-            topology.in_zone(LOST_ZONE % ZONES),
+            topology.nodes_in_rack(FAILED_RACK),
+            topology.machines_in_zone(FAILED_ZONE % ZONES),
         );
         let mut slot = singles;
         for (nodes, lost, back) in [
             (rack, "rack lost", "rack back"),
             (zone, "zone lost", "zone back"),
         ] {
-            steps.put(slot, FAILS_MS, kill(nodes.clone()), watch(lost));
-            steps.put(slot + 1, FAILS_MS, start(nodes), watch(back));
+            steps.put(slot, FAULT_OFFSET_MS, kill(nodes.clone()), check(lost));
+            steps.put(slot + 1, FAULT_OFFSET_MS, start(nodes), check(back));
             slot += 2;
         }
         for (incident, lost, back) in [
             (Incident::KillLeader, "leader lost", "leader back"),
             (Incident::KillVoter, "voter lost", "voter back"),
         ] {
-            steps.put(slot, FAILS_MS, incident, watch(lost));
-            steps.put(slot + 1, FAILS_MS, Incident::StartKilled, watch(back));
+            steps.put(slot, FAULT_OFFSET_MS, incident, check(lost));
+            steps.put(
+                slot + 1,
+                FAULT_OFFSET_MS,
+                Incident::StartKilled,
+                check(back),
+            );
             slot += 2;
         }
         (0..slot).for_each(|slot| steps.restart(slot, order.pop().unwrap_or(0)));
-        let ms = steps.at(slot, 0) + TAIL_MS;
+        let ms = steps.at(slot, 0) + FINAL_MS;
         Scenario {
             name: "day".into(),
             ms,
@@ -213,27 +225,30 @@
         }
     }
 
-    /// The regions are parted for so long, while nodes of both restart at the rate of a day.
+    /// The regions are partitioned for `parted_ms` while nodes of both restart at the daily rate.
     pub fn parted(topology: Topology, parted_ms: u64, seed: u64) -> Scenario {
         let mut steps = Steps {
             slot_ms: SLOT_MS,
             ..Steps::default()
         };
-        let parting = Parting {
-            from_ms: steps.at(0, FAILS_MS),
-            till_ms: steps.at(0, FAILS_MS) + parted_ms,
+        let partition = Partition {
+            from_ms: steps.at(0, FAULT_OFFSET_MS),
+            until_ms: steps.at(0, FAULT_OFFSET_MS) + parted_ms,
         };
-        let (one, other) = (topology.in_region(0), topology.in_region(1));
+        let (one, other) = (
+            topology.machines_in_region(0),
+            topology.machines_in_region(1),
+        );
         let pairs = [(one.clone(), other.clone()), (other, one)];
-        let apart = Watch {
+        let apart = IncidentCheck {
             label: "regions parted",
             expected: Expected::RegionsAgree,
-            agree_within_ms: REGION_KNOWN_MS,
+            agree_within_ms: MAX_PARTITION_AGREEMENT_MS,
         };
-        let together = Watch {
+        let together = IncidentCheck {
             label: "regions together",
             expected: Expected::AllAgree,
-            agree_within_ms: TOGETHER_MS,
+            agree_within_ms: MAX_REJOIN_AGREEMENT_MS,
         };
         for (nth, (from, to)) in pairs.into_iter().enumerate() {
             let cut = Incident::Fault(Fault::Cut {
@@ -241,38 +256,38 @@
                 to: to.clone(),
             });
             let mend = Incident::Fault(Fault::Heal { from, to });
-            let watch = |watch: Watch| Some(watch).filter(|_| nth == 1);
+            let check = |check: IncidentCheck| Some(check).filter(|_| nth == 1);
             steps.list.push(Step {
-                at_ms: parting.from_ms,
+                at_ms: partition.from_ms,
                 incident: cut,
-                watch: watch(apart),
+                check: check(apart),
             });
             steps.list.push(Step {
-                at_ms: parting.till_ms,
+                at_ms: partition.until_ms,
                 incident: mend,
-                watch: watch(together),
+                check: check(together),
             });
         }
         let mut order = shuffled(topology, seed);
-        // None that is under way when the link breaks or is back, and each is over before the next.
+        // No restart overlaps the start or end of the partition, and each ends before the next.
         let slots = (parted_ms.saturating_sub(SLOT_MS) / SLOT_MS) as usize;
         for slot in 1..=slots {
             let node = order.pop().unwrap_or(0);
             order.insert(0, node);
-            steps.restart_apart(slot, node);
+            steps.restart_in_partition(slot, node);
         }
-        let ms = parting.till_ms + 2 * TAIL_MS;
+        let ms = partition.until_ms + 2 * FINAL_MS;
         let name = format!("parted-{}s", parted_ms / 1_000);
         Scenario {
             name,
             ms,
             steps: steps.list,
-            parting: Some(parting),
+            partition: Some(partition),
             ..Scenario::calm(topology, 0)
         }
     }
 
-    /// The same with so many of all datagrams lost.
+    /// Returns the scenario with this share of datagrams lost.
     pub fn with_loss(self, loss: f64) -> Scenario {
         Scenario {
             name: format!("{}-loss", self.name),
@@ -282,7 +297,7 @@
     }
 }
 
-/// Nodes in an order drawn from the seed.
+/// Returns the nodes in a random order determined by the seed.
 fn shuffled(topology: Topology, seed: u64) -> Vec<usize> {
     let mut order: Vec<usize> = (0..topology.nodes).collect();
     fastrand::Rng::with_seed(seed ^ 0xda7).shuffle(&mut order);
@@ -297,7 +312,7 @@
     Incident::Fault(Fault::Start { nodes, clock_ms: 0 })
 }
 
-/// Steps by slots of equal length.
+/// Builds steps in slots of equal length.
 #[derive(Default)]
 struct Steps {
     slot_ms: u64,
@@ -309,37 +324,37 @@
         FIRST_SLOT_MS.max(SETTLED_MS) + slot as u64 * self.slot_ms + in_slot
     }
 
-    fn put(&mut self, slot: usize, in_slot: u64, incident: Incident, watch: Option<Watch>) {
+    fn put(&mut self, slot: usize, in_slot: u64, incident: Incident, check: Option<IncidentCheck>) {
         let at_ms = self.at(slot, in_slot);
         self.list.push(Step {
             at_ms,
             incident,
-            watch,
+            check,
         });
     }
 
-    /// One node leaves, ends and starts anew.
+    /// Adds a restart of one node: leave, kill and start.
     fn restart(&mut self, slot: usize, node: usize) {
-        self.restart_watched(slot, node, watch("restart"));
+        self.restart_with_check(slot, node, check("restart"));
     }
 
-    fn restart_apart(&mut self, slot: usize, node: usize) {
-        let apart = Watch {
+    fn restart_in_partition(&mut self, slot: usize, node: usize) {
+        let apart = IncidentCheck {
             label: "restart while parted",
             expected: Expected::RegionsAgree,
-            agree_within_ms: KNOWN_MS,
+            agree_within_ms: MAX_AGREEMENT_MS,
         };
-        self.restart_watched(slot, node, Some(apart));
+        self.restart_with_check(slot, node, Some(apart));
     }
 
-    fn restart_watched(&mut self, slot: usize, node: usize, watch: Option<Watch>) {
+    fn restart_with_check(&mut self, slot: usize, node: usize, check: Option<IncidentCheck>) {
         self.put(
             slot,
             0,
             Incident::Fault(Fault::Leave { nodes: vec![node] }),
             None,
         );
-        self.put(slot, ENDS_MS, kill(vec![node]), None);
-        self.put(slot, STARTS_MS, start(vec![node]), watch);
+        self.put(slot, RESTART_KILL_MS, kill(vec![node]), None);
+        self.put(slot, RESTART_START_MS, start(vec![node]), check);
     }
 }
--- a/crates/fault-harness/src/scale/simulated/traffic.rs
+++ b/crates/fault-harness/src/scale/simulated/traffic.rs
@@ -1,4 +1,4 @@
-//! What every machine sends and receives, second by second, and the peaks of it.
+//! Counts the traffic of every machine per second, and computes peaks.
 
 use doortrack_simulation::Micros;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// Datagrams, and bytes with IP and UDP headers.
+/// Numbers of datagrams, and of bytes with IP and UDP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     pub bytes_in: u64,
@@ -24,8 +24,8 @@
         self.datagrams_out += other.datagrams_out;
     }
 
-    /// The greater of each.
-    pub fn most(self, other: Load) -> Load {
+    /// Returns the maximum of each counter.
+    pub fn component_max(self, other: Load) -> Load {
         Load {
             bytes_in: self.bytes_in.max(other.bytes_in),
             bytes_out: self.bytes_out.max(other.bytes_out),
@@ -35,7 +35,7 @@
     }
 }
 
-/// The most that any one machine of each role sent and received in a second.
+/// Maximum traffic in one second of any machine of each role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peaks {
     pub node: Load,
@@ -52,21 +52,23 @@
         }
     }
 
-    /// The most of any machine, whatever its role.
+    /// Returns the maximum over all roles.
     pub fn busiest(self) -> Load {
-        self.leader.most(self.voter).most(self.node)
+        self.leader
+            .component_max(self.voter)
+            .component_max(self.node)
     }
 
-    pub fn most(self, other: Peaks) -> Peaks {
+    pub fn component_max(self, other: Peaks) -> Peaks {
         Peaks {
-            node: self.node.most(other.node),
-            voter: self.voter.most(other.voter),
-            leader: self.leader.most(other.leader),
+            node: self.node.component_max(other.node),
+            voter: self.voter.component_max(other.voter),
+            leader: self.leader.component_max(other.leader),
         }
     }
 }
 
-/// One load a machine and second of the play.
+/// The load of each machine in each second of the simulation.
 #[derive(Clone, Debug)]
 pub struct Traffic {
     machines: usize,
@@ -101,44 +103,44 @@
         load.datagrams_in += 1;
     }
 
-    fn span(&self, from_s: usize, till_s: usize) -> &[Vec<Load>] {
-        let till = till_s.min(self.seconds.len());
-        &self.seconds[from_s.min(till)..till]
+    fn span(&self, from_s: usize, until_s: usize) -> &[Vec<Load>] {
+        let until = until_s.min(self.seconds.len());
+        &self.seconds[from_s.min(until)..until]
     }
 
-    /// The most that any one machine sent and received in any one of these seconds, each for itself, by the
-    /// role that `role` tells by second and number of the machine.
+    /// Returns the maximum traffic of any machine in any of these seconds, separately for each counter and role.
+    /// `role` returns the role for a second and machine.
     pub fn peaks(
         &self,
         from_s: usize,
-        till_s: usize,
+        until_s: usize,
         role: impl Fn(usize, usize) -> Role,
     ) -> Peaks {
         let mut peaks = Peaks::default();
-        for (nth, loads) in self.span(from_s, till_s).iter().enumerate() {
+        for (nth, loads) in self.span(from_s, until_s).iter().enumerate() {
             for (machine, load) in loads.iter().enumerate() {
                 let peak = peaks.of(role(from_s + nth, machine));
-                *peak = peak.most(*load);
+                *peak = peak.component_max(*load);
             }
         }
         peaks
     }
 
-    /// All that the fleet sent, in its busiest second of these.
-    pub fn fleet_peak(&self, from_s: usize, till_s: usize) -> Load {
-        let seconds = self.span(from_s, till_s).iter();
+    /// Returns the maximum total traffic of the fleet in any of these seconds.
+    pub fn fleet_peak(&self, from_s: usize, until_s: usize) -> Load {
+        let seconds = self.span(from_s, until_s).iter();
         let sums = seconds.map(|loads| {
             let mut sum = Load::default();
             loads.iter().for_each(|load| sum.add(*load));
             sum
         });
-        sums.fold(Load::default(), Load::most)
+        sums.fold(Load::default(), Load::component_max)
     }
 
-    /// What these machines sent and received in these seconds, a machine and second in the mean.
-    pub fn mean(&self, from_s: usize, till_s: usize, machines: &[usize]) -> [f64; 4] {
+    /// Returns the mean traffic of these machines in these seconds, per machine and second.
+    pub fn mean(&self, from_s: usize, until_s: usize, machines: &[usize]) -> [f64; 4] {
         let mut sum = Load::default();
-        let span = self.span(from_s, till_s);
+        let span = self.span(from_s, until_s);
         for loads in span {
             machines.iter().for_each(|machine| sum.add(loads[*machine]));
         }
--- a/crates/fault-harness/src/scale/simulated/usage.rs
+++ b/crates/fault-harness/src/scale/simulated/usage.rs
@@ -1,4 +1,4 @@
-//! What is used of the budgets, counted at true time and without any knowledge of leases.
+//! Counts the use of the budgets in simulation time, independently of leases.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,21 +8,21 @@
 
 use super::topology::REGIONS;
 
-/// Microseconds over which uses of the first budget are summed.
-pub const BIN: Micros = 200_000;
-/// What is cut to whole tenths of a ms by every node may come to this part of a unit.
-const CUT: f64 = 0.01;
+/// Length of the intervals in which uses of the first budget are counted, in microseconds.
+pub const BIN_US: Micros = 200_000;
+/// Tolerance in units, as each node rounds down to tenths of a ms.
+const ROUNDING_TOLERANCE: f64 = 0.01;
 
-/// A place in use: till when, by which machine, in which of its starts.
-pub type Place = (Micros, usize, u32);
+/// A unit of a concurrency budget in use: end time, machine, and number of the start of the machine.
+pub type Hold = (Micros, usize, u32);
 
-/// The count of one play.
+/// The budget use of one simulation.
 pub struct Usage {
     list: Vec<Budget>,
-    /// By budget: the leaky count of a rate, and when it was last brought up to date.
+    /// By budget: the leaky bucket level of a rate and the time of its last update.
     levels: Vec<(f64, Micros)>,
-    /// By budget: places in use, the first to end on top.
-    held: Vec<BinaryHeap<Reverse<Place>>>,
+    /// By budget: units in use, earliest end first.
+    held: Vec<BinaryHeap<Reverse<Hold>>>,
     /// Uses of the first budget by bin and region.
     bins: Vec<[u32; REGIONS]>,
     breaches: Vec<String>,
@@ -39,10 +39,10 @@
         }
     }
 
-    /// One use of a rate.
-    pub fn used(&mut self, now: Micros, budget: usize, region: usize) {
+    /// Records one use of a rate budget.
+    pub fn record_use(&mut self, now: Micros, budget: usize, region: usize) {
         if budget == 0 {
-            let bin = (now / BIN) as usize;
+            let bin = (now / BIN_US) as usize;
             if self.bins.len() <= bin {
                 self.bins.resize(bin + 1, [0; REGIONS]);
             }
@@ -55,7 +55,7 @@
         let (level, at) = self.levels[budget];
         let level = (level - limit * (now - at) as f64 / 1e6).max(0.0) + 1.0;
         self.levels[budget] = (level, now);
-        if level > f64::from(burst) + CUT {
+        if level > f64::from(burst) + ROUNDING_TOLERANCE {
             self.breach(
                 now,
                 budget,
@@ -64,48 +64,48 @@
         }
     }
 
-    /// One place taken.
-    pub fn held(&mut self, now: Micros, budget: usize, place: Place) {
-        self.held[budget].push(Reverse(place));
+    /// Records one unit of a concurrency budget taken.
+    pub fn record_hold(&mut self, now: Micros, budget: usize, hold: Hold) {
+        self.held[budget].push(Reverse(hold));
         let limit = self.list[budget].limit;
         if self.held[budget].len() <= limit as usize {
             return;
         }
         let count = self.held[budget]
             .iter()
-            .filter(|Reverse((till, ..))| *till > now)
+            .filter(|Reverse((until, ..))| *until > now)
             .count();
         if count > limit as usize {
             self.breach(now, budget, format!("{count} are held at once of {limit}"));
         }
     }
 
-    /// Takes out the next place whose time is over.
-    pub fn over(&mut self, now: Micros, budget: usize) -> Option<Place> {
+    /// Removes the next unit whose end time has passed.
+    pub fn pop_expired(&mut self, now: Micros, budget: usize) -> Option<Hold> {
         let due = self.held[budget]
             .peek()
-            .is_some_and(|Reverse((till, ..))| *till <= now);
+            .is_some_and(|Reverse((until, ..))| *until <= now);
         if due {
-            self.held[budget].pop().map(|Reverse(place)| place)
+            self.held[budget].pop().map(|Reverse(hold)| hold)
         } else {
             None
         }
     }
 
-    /// What all live machines together may use at this instant.
-    pub fn exposed(&mut self, now: Micros, budget: usize, sum: u64) {
+    /// Checks the sum that all live machines may use at this time.
+    pub fn check_max_in_use(&mut self, now: Micros, budget: usize, sum: u64) {
         if sum > self.list[budget].limit() {
             let limit = self.list[budget].limit();
             self.breach(now, budget, format!("{sum} may be used at once of {limit}"));
         }
     }
 
-    /// The first breach of each budget is told.
+    /// Records the first breach of each budget.
     fn breach(&mut self, now: Micros, budget: usize, what: String) {
         let name = &self.list[budget].name;
-        let told = format!(" ms: {name}: ");
-        if !self.breaches.iter().any(|breach| breach.contains(&told)) {
-            self.breaches.push(format!("{}{told}{what}", now / 1_000));
+        let prefix = format!(" ms: {name}: ");
+        if !self.breaches.iter().any(|breach| breach.contains(&prefix)) {
+            self.breaches.push(format!("{}{prefix}{what}", now / 1_000));
         }
     }
 
@@ -113,20 +113,20 @@
         &self.breaches
     }
 
-    /// Uses of the first budget a second in a region, from one time to another.
-    pub fn rate(&self, from: Micros, till: Micros, region: usize) -> f64 {
-        let (first, end) = ((from / BIN) as usize, (till / BIN) as usize);
+    /// Returns the uses of the first budget per second in a region between two times.
+    pub fn rate(&self, from: Micros, until: Micros, region: usize) -> f64 {
+        let (first, end) = ((from / BIN_US) as usize, (until / BIN_US) as usize);
         let end = end.min(self.bins.len());
         let bins = &self.bins[first.min(end)..end];
         let sum: u64 = bins.iter().map(|bin| u64::from(bin[region])).sum();
-        sum as f64 * 1e6 / (bins.len().max(1) as u64 * BIN) as f64
+        sum as f64 * 1e6 / (bins.len().max(1) as u64 * BIN_US) as f64
     }
 
-    /// How long after `at` the last bin before `till` ended in which less than this share of the whole was
-    /// used; 0 if there was none.
-    pub fn back_after(&self, at: Micros, till: Micros, share: f64) -> Micros {
-        let least = share * f64::from(self.list[0].limit) * BIN as f64 / 1e6;
-        let bins = at.div_ceil(BIN)..till / BIN;
+    /// Returns the time from `at` to the end of the last bin before `until` in which less than this share of the
+    /// limit was used, or 0 if there was none.
+    pub fn recovery_time(&self, at: Micros, until: Micros, share: f64) -> Micros {
+        let least = share * f64::from(self.list[0].limit) * BIN_US as f64 / 1e6;
+        let bins = at.div_ceil(BIN_US)..until / BIN_US;
         let short = |bin: &u64| {
             let used = self
                 .bins
@@ -134,6 +134,8 @@
                 .map_or(0, |bin| bin.iter().sum());
             f64::from(used) < least
         };
-        bins.rev().find(short).map_or(0, |bin| (bin + 1) * BIN - at)
+        bins.rev()
+            .find(short)
+            .map_or(0, |bin| (bin + 1) * BIN_US - at)
     }
 }
--- a/crates/fault-harness/src/scale/simulated/verdict.rs
+++ b/crates/fault-harness/src/scale/simulated/verdict.rs
@@ -1,12 +1,12 @@
-//! What came of a play: figures, and every promise that was broken.
+//! The outcome of a simulation: figures and breaches of guarantees.
 
 use doortrack_simulation::Micros;
 use serde::{Deserialize, Serialize};
 
-use super::scenario::{CALM_S, Expected, Parting, Scenario};
+use super::scenario::{BASELINE_SECONDS, Expected, Partition, Scenario};
 use super::topology::Topology;
 use super::traffic::{Load, Peaks};
-use super::world::{Played, Watched, play};
+use super::world::{CheckedIncident, SimulationResult, simulate};
 use crate::checks::{Invariant, judge, membership_invariants};
 use crate::ground_truth::GroundTruth;
 use crate::history::{History, HistoryEvent, node_name};
@@ -14,35 +14,36 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Share of the whole budget that counts as in use again, and the bound on the time until then.
-const IN_USE: f64 = 0.9;
-const BUDGET_WITHIN_MS: u64 = 5_000;
-/// Seconds after an incident in which peaks are looked for, and times until the budget is in use.
-const AFTER_S: usize = 10;
-/// No machine may send or receive in any second more than so many times the busiest machine in calm.
-const MOST_PEAK: f64 = 4.0;
-/// What a parted side may take to fall back to its reserved minimum, and how exact that is kept.
-const FALLS_BACK: Micros = 5 * SECOND;
+/// Share of the first budget that counts as in use again, and the maximum time until then, in ms.
+const MIN_USED_SHARE: f64 = 0.9;
+const MAX_BUDGET_RECOVERY_MS: u64 = 5_000;
+/// Seconds after an incident in which peaks and the recovery of budget use are measured.
+const OBSERVATION_SECONDS: usize = 10;
+/// Maximum traffic of a machine in one second, as a multiple of the busiest machine without faults.
+const MAX_PEAK_FACTOR: f64 = 4.0;
+/// Time for a side without majority to fall back to its reserved minimum, and the relative tolerance of that
+/// minimum.
+const MAX_FALLBACK_TIME: Micros = 5 * SECOND;
 const RESERVED_MARGIN: f64 = 0.02;
 
-/// One measured incident.
+/// The measurements of one incident.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measured {
     pub label: String,
     pub at_ms: u64,
-    /// Until the views of all live machines were as expected; nothing if they never were.
+    /// Time until the views of all live machines were as expected; None if they never were.
     pub agree_ms: Option<u64>,
-    /// Until at least nine tenths of the first budget were in use again, and stayed so.
+    /// Time until at least 90% of the first budget was in use again and remained so.
     pub budget_ms: u64,
-    /// The most of any one machine in any one of the 10 s that followed.
+    /// Maximum traffic of any machine in any of the following 10 s.
     pub peaks: Peaks,
-    /// All that the fleet sent in the busiest of these seconds.
+    /// Maximum total traffic of the fleet in any of these seconds.
     pub fleet_peak: Load,
 }
 
-/// Uses of the first budget a second while the regions were parted.
+/// Uses of the first budget per second during the partition.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Apart {
+pub struct PartitionUsage {
     pub with_majority: f64,
     pub without_majority: f64,
     /// The reserved minimum of the nodes without a majority.
@@ -50,18 +51,18 @@
     pub whole: f64,
 }
 
-/// What a fleet does while nothing fails.
+/// The behavior of a fleet without faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Calm {
-    /// From the start of all machines at once until all hold the same view.
+    /// Time from the simultaneous start of all machines until all views are equal.
     pub started_agree_ms: Option<u64>,
     pub peaks: Peaks,
     pub fleet_peak: Load,
-    /// Share of the first budget that is in use.
+    /// Share of the first budget in use.
     pub used: f64,
 }
 
-/// One play, judged.
+/// The checked results of one simulation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     pub scenario: String,
@@ -70,45 +71,47 @@
     pub machines: usize,
     pub simulated_s: u64,
     pub events: u64,
-    pub doubts: u64,
-    /// Leaders that followed one another, by looks a second apart.
+    #[serde(rename = "doubts")]
+    pub suspicions: u64,
+    /// Number of consecutive leaders, sampled once per second.
     pub leaders: usize,
     pub calm: Calm,
     pub measured: Vec<Measured>,
-    pub apart: Option<Apart>,
-    /// Every promise that was broken, in words.
+    #[serde(rename = "apart")]
+    pub partition_usage: Option<PartitionUsage>,
+    /// Descriptions of all breaches of guarantees.
     pub breaches: Vec<String>,
 }
 
-/// Plays a scenario and judges it.
+/// Simulates a scenario and checks the results.
 pub fn run(scenario: &Scenario, seed: u64) -> Outcome {
-    let played = play(scenario, seed);
+    let results = simulate(scenario, seed);
     let outcome = Outcome {
         scenario: scenario.name.clone(),
         seed,
         nodes: scenario.topology.nodes,
         machines: scenario.topology.machines(),
         simulated_s: scenario.ms / 1_000,
-        events: played.events,
-        doubts: played.doubts,
-        leaders: leaders(&played),
-        calm: calm(scenario, &played),
-        measured: measure_all(scenario.topology, &played),
-        apart: scenario
-            .parting
-            .map(|parting| apart(scenario, parting, &played)),
+        events: results.events,
+        suspicions: results.suspicions,
+        leaders: leaders(&results),
+        calm: calm(scenario, &results),
+        measured: measure_all(scenario.topology, &results),
+        partition_usage: scenario
+            .partition
+            .map(|partition| partition_usage(scenario, partition, &results)),
         breaches: Vec::new(),
     };
-    let breaches = breaches(scenario, &played, &outcome);
+    let breaches = breaches(scenario, &results, &outcome);
     Outcome {
         breaches,
         ..outcome
     }
 }
 
-impl Played {
-    fn peaks(&self, topology: Topology, from_s: usize, till_s: usize) -> Peaks {
-        self.traffic.peaks(from_s, till_s, |second, machine| {
+impl SimulationResult {
+    fn peaks(&self, topology: Topology, from_s: usize, until_s: usize) -> Peaks {
+        self.traffic.peaks(from_s, until_s, |second, machine| {
             if self.leaders.get(second) == Some(&Some(machine)) {
                 Role::Leader
             } else if topology.is_voter(machine) {
@@ -120,90 +123,105 @@
     }
 }
 
-fn leaders(played: &Played) -> usize {
-    let mut seen: Vec<usize> = played.leaders.iter().flatten().copied().collect();
+fn leaders(results: &SimulationResult) -> usize {
+    let mut seen: Vec<usize> = results.leaders.iter().flatten().copied().collect();
     seen.dedup();
     seen.len()
 }
 
-fn calm(scenario: &Scenario, played: &Played) -> Calm {
-    let (from, till) = (CALM_S.start, CALM_S.end);
-    let span = (from as Micros * SECOND, till as Micros * SECOND);
+fn calm(scenario: &Scenario, results: &SimulationResult) -> Calm {
+    let (from, until) = (BASELINE_SECONDS.start, BASELINE_SECONDS.end);
+    let span = (from as Micros * SECOND, until as Micros * SECOND);
     let used: f64 = (0..2)
-        .map(|region| played.usage.rate(span.0, span.1, region))
+        .map(|region| results.usage.rate(span.0, span.1, region))
         .sum();
     Calm {
-        started_agree_ms: played
+        started_agree_ms: results
             .agreement
-            .first(0, |state| state.all_agree)
+            .first_time(0, |state| state.all_agree)
             .map(|at| at / MS),
-        peaks: played.peaks(scenario.topology, from, till),
-        fleet_peak: played.traffic.fleet_peak(from, till),
+        peaks: results.peaks(scenario.topology, from, until),
+        fleet_peak: results.traffic.fleet_peak(from, until),
         used: used / f64::from(scenario.list[0].limit),
     }
 }
 
-fn measure_all(topology: Topology, played: &Played) -> Vec<Measured> {
-    let ends = played
-        .watched
+fn measure_all(topology: Topology, results: &SimulationResult) -> Vec<Measured> {
+    let ends = results
+        .checked_incidents
         .iter()
         .skip(1)
-        .map(|watched| watched.at)
-        .chain([played.end]);
-    played
-        .watched
+        .map(|incident| incident.at)
+        .chain([results.end]);
+    results
+        .checked_incidents
         .iter()
         .zip(ends)
-        .map(|(watched, next)| measure(topology, played, watched, next))
+        .map(|(incident, next)| measure(topology, results, incident, next))
         .collect()
 }
 
-/// `next` is the time of the next measured incident, up to which this one's effects are looked at.
-fn measure(topology: Topology, played: &Played, watched: &Watched, next: Micros) -> Measured {
-    let at = watched.at;
-    let agreed = played
+/// Measures one incident up to `next`, the time of the next one.
+fn measure(
+    topology: Topology,
+    results: &SimulationResult,
+    incident: &CheckedIncident,
+    next: Micros,
+) -> Measured {
+    let at = incident.at;
+    let agreed = results
         .agreement
-        .first(at, |state| match watched.watch.expected {
+        .first_time(at, |state| match incident.check.expected {
             Expected::AllAgree => state.all_agree,
             Expected::RegionsAgree => state.region_agrees.iter().all(|agrees| *agrees),
         });
-    let (from_s, till_s) = ((at / SECOND) as usize, (at / SECOND) as usize + AFTER_S);
-    let till = next.min(at + AFTER_S as Micros * SECOND);
+    let (from_s, until_s) = (
+        (at / SECOND) as usize,
+        (at / SECOND) as usize + OBSERVATION_SECONDS,
+    );
+    let until = next.min(at + OBSERVATION_SECONDS as Micros * SECOND);
     Measured {
-        label: watched.watch.label.to_string(),
+        label: incident.check.label.to_string(),
         at_ms: at / MS,
         agree_ms: agreed.map(|agreed| (agreed - at) / MS),
-        budget_ms: played.usage.back_after(at, till, IN_USE) / MS,
-        peaks: played.peaks(topology, from_s, till_s),
-        fleet_peak: played.traffic.fleet_peak(from_s, till_s),
+        budget_ms: results.usage.recovery_time(at, until, MIN_USED_SHARE) / MS,
+        peaks: results.peaks(topology, from_s, until_s),
+        fleet_peak: results.traffic.fleet_peak(from_s, until_s),
     }
 }
 
-fn apart(scenario: &Scenario, parting: Parting, played: &Played) -> Apart {
-    let (from, till) = (parting.from_ms * MS + FALLS_BACK, parting.till_ms * MS);
+fn partition_usage(
+    scenario: &Scenario,
+    partition: Partition,
+    results: &SimulationResult,
+) -> PartitionUsage {
+    let (from, until) = (
+        partition.from_ms * MS + MAX_FALLBACK_TIME,
+        partition.until_ms * MS,
+    );
     let topology = scenario.topology;
     let reserved = topology
         .reserved()
         .into_iter()
         .filter(|node| topology.region(*node) == 1)
         .count();
-    Apart {
-        with_majority: played.usage.rate(from, till, 0),
-        without_majority: played.usage.rate(from, till, 1),
+    PartitionUsage {
+        with_majority: results.usage.rate(from, until, 0),
+        without_majority: results.usage.rate(from, until, 1),
         reserved: reserved as f64 * f64::from(scenario.list[0].reserved),
         whole: f64::from(scenario.list[0].limit),
     }
 }
 
-fn breaches(scenario: &Scenario, played: &Played, outcome: &Outcome) -> Vec<String> {
+fn breaches(scenario: &Scenario, results: &SimulationResult, outcome: &Outcome) -> Vec<String> {
     let mut rules = membership_invariants();
-    if let Some(parting) = scenario.parting {
-        rules.push(Box::new(OwnSideDeclaresNobodyDead {
+    if let Some(partition) = scenario.partition {
+        rules.push(Box::new(NoFalseDeathWithinRegion {
             topology: scenario.topology,
-            parting,
+            partition,
         }));
     }
-    let found = judge(&played.history, &rules);
+    let found = judge(&results.history, &rules);
     let mut breaches: Vec<String> = found
         .into_iter()
         .map(|breach| {
@@ -214,21 +232,21 @@
         })
         .collect();
     breaches.extend(
-        played
+        results
             .usage
             .breaches()
             .iter()
             .map(|breach| format!("over the whole: {breach}")),
     );
-    for (measured, watched) in outcome.measured.iter().zip(&played.watched) {
-        breaches.extend(late(measured, watched.watch.agree_within_ms));
-        breaches.extend(stampede(measured, outcome.calm.peaks.busiest()));
+    for (measured, incident) in outcome.measured.iter().zip(&results.checked_incidents) {
+        breaches.extend(late(measured, incident.check.agree_within_ms));
+        breaches.extend(excessive_peak(measured, outcome.calm.peaks.busiest()));
     }
-    breaches.extend(outcome.apart.iter().flat_map(side_breaches));
+    breaches.extend(outcome.partition_usage.iter().flat_map(side_breaches));
     breaches
 }
 
-/// Views or budgets that took too long.
+/// Returns breaches of the time limits for views and budgets.
 pub fn late(measured: &Measured, agree_within_ms: u64) -> Vec<String> {
     let mut late = Vec::new();
     let at = format!("{} ms: {}", measured.at_ms, measured.label);
@@ -239,17 +257,17 @@
         )),
         None => late.push(format!("{at}: views are never one")),
     }
-    if measured.budget_ms > BUDGET_WITHIN_MS {
+    if measured.budget_ms > MAX_BUDGET_RECOVERY_MS {
         let ms = measured.budget_ms;
         late.push(format!(
-            "{at}: the budget is in use after {ms} ms, {BUDGET_WITHIN_MS} at most"
+            "{at}: the budget is in use after {ms} ms, {MAX_BUDGET_RECOVERY_MS} at most"
         ));
     }
     late
 }
 
-/// One machine that sends or receives many times what the busiest does in calm.
-pub fn stampede(measured: &Measured, calm: Load) -> Option<String> {
+/// Returns a breach if one machine sends or receives too many times the fault-free maximum.
+pub fn excessive_peak(measured: &Measured, calm: Load) -> Option<String> {
     let (peak, at) = (measured.peaks.busiest(), measured.at_ms);
     let bytes = [
         (peak.bytes_in, calm.bytes_in, "received"),
@@ -257,7 +275,7 @@
     ];
     let too_much = bytes
         .into_iter()
-        .find(|(peak, calm, _)| *peak as f64 > MOST_PEAK * *calm as f64);
+        .find(|(peak, calm, _)| *peak as f64 > MAX_PEAK_FACTOR * *calm as f64);
     too_much.map(|(peak, calm, what)| {
         format!(
             "{at} ms: {}: one machine {what} {peak} bytes in a second, {calm} in calm",
@@ -266,19 +284,20 @@
     })
 }
 
-/// A side without a majority that used another rate than its reserved minimum, or one with it that stopped.
-pub fn side_breaches(apart: &Apart) -> Vec<String> {
+/// Returns breaches of budget use during the partition: a side without majority that does not use its reserved
+/// minimum, or a side with majority that uses too little.
+pub fn side_breaches(usage: &PartitionUsage) -> Vec<String> {
     let mut breaches = Vec::new();
-    let most = apart.reserved * (1.0 + RESERVED_MARGIN);
-    let least = apart.reserved * (1.0 - 2.0 * RESERVED_MARGIN);
-    if !(least..=most).contains(&apart.without_majority) {
-        let (used, reserved) = (apart.without_majority, apart.reserved);
+    let most = usage.reserved * (1.0 + RESERVED_MARGIN);
+    let least = usage.reserved * (1.0 - 2.0 * RESERVED_MARGIN);
+    if !(least..=most).contains(&usage.without_majority) {
+        let (used, reserved) = (usage.without_majority, usage.reserved);
         breaches.push(format!(
             "without a majority {used:.1} a second are used, {reserved:.1} are reserved"
         ));
     }
-    if apart.with_majority < IN_USE * apart.whole {
-        let (used, whole) = (apart.with_majority, apart.whole);
+    if usage.with_majority < MIN_USED_SHARE * usage.whole {
+        let (used, whole) = (usage.with_majority, usage.whole);
         breaches.push(format!(
             "with a majority {used:.1} a second are used of {whole:.1}"
         ));
@@ -286,17 +305,16 @@
     breaches
 }
 
-/// While regions are parted, each side holds its own members for present: their parting is no reason to
-/// declare a death within one side.
-pub struct OwnSideDeclaresNobodyDead {
+/// Checks that during a partition no member is declared dead by its own side without another cause.
+pub struct NoFalseDeathWithinRegion {
     pub topology: Topology,
-    pub parting: Parting,
+    pub partition: Partition,
 }
 
-/// Reasons to declare a death lie within so many ms before it.
-const REASONS_MS: u64 = 8_000;
+/// Maximum time between the cause of a death declaration and the declaration, in ms.
+const MAX_CAUSE_AGE_MS: u64 = 8_000;
 
-impl Invariant for OwnSideDeclaresNobodyDead {
+impl Invariant for NoFalseDeathWithinRegion {
     fn name(&self) -> &'static str {
         "own side, nobody wrongly declared dead"
     }
@@ -319,13 +337,13 @@
             else {
                 continue;
             };
-            let parted =
-                (self.parting.from_ms..self.parting.till_ms + REASONS_MS).contains(&entry.at_ms);
+            let parted = (self.partition.from_ms..self.partition.until_ms + MAX_CAUSE_AGE_MS)
+                .contains(&entry.at_ms);
             let one_side = self.topology.region(*node) == self.topology.region(member);
             if change != "dead" || !parted || !one_side {
                 continue;
             }
-            let since = entry.at_ms.saturating_sub(REASONS_MS);
+            let since = entry.at_ms.saturating_sub(MAX_CAUSE_AGE_MS);
             let reason = truth.was_unhealthy(member, since, entry.at_ms)
                 || truth.was_unhealthy(*node, since, entry.at_ms)
                 || truth.was_degraded(since, entry.at_ms);
--- a/crates/fault-harness/src/scale/simulated/world.rs
+++ b/crates/fault-harness/src/scale/simulated/world.rs
@@ -1,13 +1,13 @@
-//! The play itself: machines, their clocks and links, and what is done to them.
+//! Runs a simulation: the machines, their clocks and links, and the faults injected into them.
 
 use doortrack_budgets::{Event as BudgetEvent, Parameters as LeaseParameters};
 use doortrack_membership::{Event, Parameters};
 use doortrack_simulation::{MachineClock, MachineId, Micros, Network, NetworkEvent};
 use doortrack_time::TenthMillis;
 
-use super::agreement::{Agreement, Held};
-use super::machine::{Content, Machine, Parcel, Start};
-use super::scenario::{Incident, Scenario, Watch};
+use super::agreement::{Agreement, ViewSummary};
+use super::machine::{Machine, Packet, Payload, Start};
+use super::scenario::{Incident, IncidentCheck, Scenario};
 use super::topology::Topology;
 use super::traffic::Traffic;
 use super::usage::Usage;
@@ -15,71 +15,71 @@
 use crate::network_faults;
 use crate::script::Fault;
 
-mod carrying;
+mod actions;
 mod demand;
 
 pub(super) const MS: Micros = 1_000;
-const TENTH: Micros = 100;
-/// What clocks show at the start, and how far one may be off and drift.
+const TENTH_MS: Micros = 100;
+/// Initial clock reading in microseconds, maximum offset from it, and maximum drift.
 const CLOCK_BASE: i64 = 100_000 * MS as i64;
 const CLOCK_OFFSET: i64 = 1_000 * MS as i64;
 const DRIFT_PPM: i64 = 10_000;
-/// How often something of the callers' or the checkers' is due.
+/// Interval of callers and checkers.
 const TICK: Micros = 5 * MS;
 const TICK_MARK: u64 = u64::MAX;
-/// Ticks between two sums of what all may use, and where there are many budgets.
-const EXPOSED_EVERY: u64 = 40;
-const EXPOSED_SELDOM: u64 = 400;
+/// Ticks between checks of the sum that all machines may use; fewer checks if there are many budgets.
+const MAX_IN_USE_CHECK_TICKS: u64 = 40;
+const MAX_IN_USE_CHECK_TICKS_MANY_BUDGETS: u64 = 400;
 const MANY_BUDGETS: usize = 10;
-const LEADER_EVERY: u64 = 200;
-/// Changes before this is not kept: every machine tells of every other as all start.
-const QUIET: Micros = 20_000 * MS;
-/// Machines that are asked for their views at the end, spread over all.
-const MOST_ASKED: usize = 60;
+const LEADER_SAMPLE_TICKS: u64 = 200;
+/// Member changes before this time are not recorded, as every machine reports every other one at the start.
+const STARTUP_PERIOD: Micros = 20_000 * MS;
+/// Maximum number of machines whose views are recorded at the end, spread evenly.
+const MAX_RECORDED_VIEWS: usize = 60;
 
-/// A measured incident at its time.
+/// A checked incident and the time at which it happened.
 #[derive(Clone, Copy, Debug)]
-pub struct Watched {
+pub struct CheckedIncident {
     pub at: Micros,
-    pub watch: Watch,
+    pub check: IncidentCheck,
 }
 
-/// What a play left.
-pub struct Played {
+/// The results of a simulation.
+pub struct SimulationResult {
     pub history: History,
     pub agreement: Agreement,
     pub traffic: Traffic,
     pub usage: Usage,
     /// The leader at the start of each second.
     pub leaders: Vec<Option<MachineId>>,
-    pub watched: Vec<Watched>,
-    /// Events that machines took in.
+    pub checked_incidents: Vec<CheckedIncident>,
+    /// Number of events handled by machines.
     pub events: u64,
-    /// Doubts that machines told of.
-    pub doubts: u64,
+    /// Number of suspicions reported by machines.
+    pub suspicions: u64,
     pub end: Micros,
 }
 
 struct World<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    network: Network<Parcel>,
+    network: Network<Packet>,
     clocks: Vec<MachineClock>,
     machines: Vec<Option<Box<Machine>>>,
-    /// Starts of each machine so far.
+    /// Number of starts of each machine.
     starts: Vec<u32>,
-    /// By machine and budget: parts of a use that are asked for next time.
-    owed: Vec<Vec<f64>>,
+    /// Fractional demand carried over to the next tick, by machine and budget.
+    accumulated_demand: Vec<Vec<f64>>,
     tick: u64,
-    /// Killed as leader or voter, not started anew yet.
+    /// Machines killed as leader or voter and not restarted yet.
     killed: Vec<MachineId>,
-    played: Played,
+    results: SimulationResult,
     fleet_actions: Vec<doortrack_membership::Action>,
     budget_actions: Vec<doortrack_budgets::Action>,
 }
 
-/// Plays a scenario.
-pub fn play(scenario: &Scenario, seed: u64) -> Played {
+/// Simulates a scenario.
+pub fn simulate(scenario: &Scenario, seed: u64) -> SimulationResult {
     let topology = scenario.topology;
     let links = doortrack_simulation::LinkModel {
         loss_rate: scenario.loss,
@@ -99,8 +99,8 @@
         network.add_machine(clock, topology.zone(machine) as u32);
     }
     let budgets = scenario.list.len();
-    // Nobody's callers come in step with another's.
-    let owed = (0..count)
+    // Random initial fractions, so that the callers of different machines are not synchronized.
+    let accumulated_demand = (0..count)
         .map(|_| (0..budgets).map(|_| chance.f64()).collect())
         .collect();
     let mut world = World {
@@ -110,10 +110,10 @@
         clocks,
         machines: (0..count).map(|_| None).collect(),
         starts: vec![0; count],
-        owed,
+        accumulated_demand,
         tick: 0,
         killed: Vec::new(),
-        played: Played {
+        results: SimulationResult {
             history: History {
                 nodes: count,
                 entries: Vec::new(),
@@ -122,16 +122,16 @@
             traffic: Traffic::new(count),
             usage: Usage::new(&scenario.list),
             leaders: Vec::new(),
-            watched: Vec::new(),
+            checked_incidents: Vec::new(),
             events: 0,
-            doubts: 0,
+            suspicions: 0,
             end: scenario.ms * MS,
         },
         fleet_actions: Vec::new(),
         budget_actions: Vec::new(),
     };
     world.run();
-    world.played
+    world.results
 }
 
 impl World<'_> {
@@ -141,7 +141,7 @@
         }
         self.network.set_timer(TICK, TICK_MARK);
         (0..self.machines.len()).for_each(|machine| self.start(machine));
-        let end = self.played.end;
+        let end = self.results.end;
         while let Some(next) = self.network.next_event(end) {
             match next {
                 NetworkEvent::Timer(TICK_MARK) => self.tick(),
@@ -150,14 +150,14 @@
                 NetworkEvent::Delivered {
                     machine,
                     from: _,
-                    message: parcel,
-                } => self.hears(machine, parcel),
+                    message: packet,
+                } => self.receive(machine, packet),
             }
         }
-        let step = self.machines.len().div_ceil(MOST_ASKED).max(1);
+        let step = self.machines.len().div_ceil(MAX_RECORDED_VIEWS).max(1);
         (0..self.machines.len())
             .step_by(step)
-            .for_each(|machine| self.ask_view(machine));
+            .for_each(|machine| self.record_view_of(machine));
     }
 
     fn now(&self) -> Micros {
@@ -168,9 +168,9 @@
         self.network.now() / MS
     }
 
-    /// What the machine's own clock shows.
-    fn shown(&self, machine: MachineId) -> TenthMillis {
-        self.network.clock_reading(machine) / TENTH
+    /// Returns the reading of the machine's own clock.
+    fn machine_time(&self, machine: MachineId) -> TenthMillis {
+        self.network.clock_reading(machine) / TENTH_MS
     }
 
     fn start(&mut self, machine: MachineId) {
@@ -180,21 +180,23 @@
         self.network.start(machine);
         self.starts[machine] += 1;
         let at_ms = self.now_ms();
-        self.played
+        self.results
             .history
             .record(at_ms, HistoryEvent::Began { node: machine });
-        let shown = self.network.clock_reading(machine);
+        let machine_time = self.network.clock_reading(machine);
         let started = Machine::new(Start {
             machine,
-            unix_ms: shown / MS,
-            now: shown / TENTH,
+            unix_ms: machine_time / MS,
+            now: machine_time / TENTH_MS,
             seed: self.seed ^ self.now() ^ (machine as u64) << 32,
             membership: Parameters::clone(&self.scenario.membership),
             leases: self.lease_parameters(),
             list: &self.scenario.list,
         });
         self.machines[machine] = Some(Box::new(started));
-        self.with(machine, |world, own| world.tell_members(machine, own));
+        self.update_machine(machine, |world, process| {
+            world.update_budget_view(machine, process)
+        });
     }
 
     fn lease_parameters(&self) -> LeaseParameters {
@@ -206,75 +208,77 @@
         }
     }
 
-    /// Lends one machine out, then takes note of its view and of when it has to be woken.
-    fn with(&mut self, machine: MachineId, act: impl FnOnce(&mut Self, &mut Machine)) {
-        let Some(mut own) = self.machines[machine].take() else {
+    /// Applies `act` to one machine, then records its view and schedules its next wake-up.
+    fn update_machine(&mut self, machine: MachineId, act: impl FnOnce(&mut Self, &mut Machine)) {
+        let Some(mut process) = self.machines[machine].take() else {
             return;
         };
-        self.played.events += 1;
-        act(self, &mut own);
-        let view = own.fleet.view();
-        let held = Held {
+        self.results.events += 1;
+        act(self, &mut process);
+        let view = process.fleet.view();
+        let held = ViewSummary {
             digest: view.digest,
             members: view.members.len(),
         };
         let now = self.now();
-        self.played
+        self.results
             .agreement
-            .put(now, machine, Some(held).filter(|_| !own.leaves));
-        let due = own.next_due();
-        if due != own.due {
-            own.due = due;
+            .record_view(now, machine, Some(held).filter(|_| !process.leaves));
+        let due = process.next_due();
+        if due != process.due {
+            process.due = due;
             if due != TenthMillis::MAX {
-                self.network.wake_at(machine, due * TENTH);
+                self.network.wake_at(machine, due * TENTH_MS);
             }
         }
-        self.machines[machine] = Some(own);
+        self.machines[machine] = Some(process);
     }
 
     fn woken(&mut self, machine: MachineId) {
-        self.with(machine, |world, own| {
-            own.due = TenthMillis::MAX;
-            let now = world.shown(machine);
-            if now >= own.fleet.next_due() {
-                world.membership(machine, own, Event::Tick);
+        self.update_machine(machine, |world, process| {
+            process.due = TenthMillis::MAX;
+            let now = world.machine_time(machine);
+            if now >= process.fleet.next_due() {
+                world.membership(machine, process, Event::Tick);
             }
-            if now >= own.budgets.next_due() {
-                world.budgets(machine, own, BudgetEvent::Tick);
+            if now >= process.budgets.next_due() {
+                world.budgets(machine, process, BudgetEvent::Tick);
             }
         });
     }
 
-    fn hears(&mut self, machine: MachineId, parcel: Parcel) {
+    fn receive(&mut self, machine: MachineId, packet: Packet) {
         let now = self.now();
-        self.played
+        self.results
             .traffic
-            .received(now, machine, u64::from(parcel.bytes));
-        self.with(machine, |world, own| match parcel.content {
-            Content::Membership(datagram) => {
+            .received(now, machine, u64::from(packet.bytes));
+        self.update_machine(machine, |world, process| match packet.payload {
+            Payload::Membership(datagram) => {
                 let from = datagram.head.sender.address;
                 world.membership(
                     machine,
-                    own,
+                    process,
                     Event::Received {
                         from,
                         datagram: *datagram,
                     },
                 );
             }
-            // As the node does: a stranger could fill a leader's books.
-            Content::Budgets(envelope) if own.knows(&envelope.from) => {
-                world.budgets(machine, own, BudgetEvent::Received(*envelope));
+            // As in the node: unknown senders could fill the tables of a leader.
+            Payload::Budgets(envelope) if process.knows(&envelope.from) => {
+                world.budgets(machine, process, BudgetEvent::Received(*envelope));
             }
-            Content::Budgets(_) => {}
+            Payload::Budgets(_) => {}
         });
     }
 
     fn step(&mut self, nth: usize) {
         let step = self.scenario.steps[nth].clone();
-        if let Some(watch) = step.watch {
+        if let Some(check) = step.check {
             let at = self.now();
-            self.played.watched.push(Watched { at, watch });
+            self.results
+                .checked_incidents
+                .push(CheckedIncident { at, check });
         }
         match step.incident {
             Incident::Fault(fault) => self.fault(fault),
@@ -303,19 +307,19 @@
         self.fault(Fault::Kill { nodes });
     }
 
-    /// The machine that leads the budgets by its own clock.
+    /// Returns the machine that is budget leader by its own clock.
     fn leader(&self) -> Option<MachineId> {
         self.scenario.topology.voters().find(|voter| {
-            let now = self.shown(*voter);
+            let now = self.machine_time(*voter);
             self.machines[*voter]
                 .as_ref()
-                .is_some_and(|own| own.budgets.is_leader(now))
+                .is_some_and(|process| process.budgets.is_leader(now))
         })
     }
 
     fn fault(&mut self, fault: Fault) {
         let at_ms = self.now_ms();
-        self.played.history.record(
+        self.results.history.record(
             at_ms,
             HistoryEvent::Fault {
                 fault: fault.clone(),
@@ -349,27 +353,27 @@
         self.network.kill(machine);
         self.machines[machine] = None;
         let (now, at_ms) = (self.now(), self.now_ms());
-        self.played.agreement.put(now, machine, None);
-        self.played
+        self.results.agreement.record_view(now, machine, None);
+        self.results
             .history
             .record(at_ms, HistoryEvent::Ended { node: machine });
     }
 
     fn leave(&mut self, machine: MachineId) {
-        self.with(machine, |world, own| {
-            own.leaves = true;
-            world.budgets(machine, own, BudgetEvent::Leave);
-            world.membership(machine, own, Event::Leave);
+        self.update_machine(machine, |world, process| {
+            process.leaves = true;
+            world.budgets(machine, process, BudgetEvent::Leave);
+            world.membership(machine, process, Event::Leave);
         });
     }
 
-    /// A machine is asked for its view, for the checkers.
-    fn ask_view(&mut self, machine: MachineId) {
-        let now = self.shown(machine);
-        let Some(own) = self.machines[machine].as_ref() else {
+    /// Records the view of a machine for the checkers.
+    fn record_view_of(&mut self, machine: MachineId) {
+        let now = self.machine_time(machine);
+        let Some(process) = self.machines[machine].as_ref() else {
             return;
         };
-        let (reports, _) = own.fleet.report(None, usize::MAX, now);
+        let (reports, _) = process.fleet.report(None, usize::MAX, now);
         let members = reports.into_iter().map(|report| Member {
             name: report.name.to_string(),
             incarnation: report.incarnation.to_string(),
@@ -377,11 +381,11 @@
         });
         let members = members.collect();
         let (isolated, digest) = (
-            own.fleet.is_isolated(),
-            format!("{:016x}", own.fleet.view().digest),
+            process.fleet.is_isolated(),
+            format!("{:016x}", process.fleet.view().digest),
         );
         let at_ms = self.now_ms();
-        self.played.history.record(
+        self.results.history.record(
             at_ms,
             HistoryEvent::Status {
                 node: machine,
--- a/crates/fault-harness/tests/scale_simulated.rs
+++ b/crates/fault-harness/tests/scale_simulated.rs
@@ -1,14 +1,14 @@
-//! Membership and budgets together over zones and regions, in simulated time: small fleets with every fault
-//! of the full size. Each checker is shown to fail with a safeguard taken out.
+//! Simulates membership and budgets of small fleets over zones and regions, with all faults of the full size.
+//! Disables single safeguards to verify that each checker detects the resulting breach.
 
 use doortrack_budgets::Safeguards;
-use doortrack_fault_harness::scale::simulated::agreement::{Agreement, Held};
+use doortrack_fault_harness::scale::simulated::agreement::{Agreement, ViewSummary};
 use doortrack_fault_harness::scale::simulated::scenario::Scenario;
 use doortrack_fault_harness::scale::simulated::slopes;
 use doortrack_fault_harness::scale::simulated::topology::{Topology, VOTER_ZONES, ZONES};
 use doortrack_fault_harness::scale::simulated::traffic::{Load, Peaks};
 use doortrack_fault_harness::scale::simulated::verdict::{
-    Apart, Measured, Outcome, late, run, side_breaches, stampede,
+    Measured, Outcome, PartitionUsage, excessive_peak, late, run, side_breaches,
 };
 use doortrack_membership::Parameters;
 
@@ -37,15 +37,19 @@
 }
 
 #[test]
-fn machines_are_dealt_out_over_racks_zones_and_regions() {
+fn machines_are_assigned_to_racks_zones_and_regions() {
     assert_eq!(FULL.machines(), 774);
     for zone in 0..ZONES {
         let voters = VOTER_ZONES.iter().filter(|of| **of == zone).count();
-        assert_eq!(FULL.in_zone(zone).len(), 110 + voters, "zone {zone}");
+        assert_eq!(
+            FULL.machines_in_zone(zone).len(),
+            110 + voters,
+            "zone {zone}"
+        );
     }
-    assert_eq!(FULL.in_region(0).len(), 4 * 110 + 3);
-    assert_eq!(FULL.in_region(1).len(), 3 * 110 + 1);
-    let rack = FULL.in_rack(2);
+    assert_eq!(FULL.machines_in_region(0).len(), 4 * 110 + 3);
+    assert_eq!(FULL.machines_in_region(1).len(), 3 * 110 + 1);
+    let rack = FULL.nodes_in_rack(2);
     assert_eq!((rack.len(), rack[0]), (30, 60));
     let zones: Vec<usize> = FULL
         .reserved()
@@ -56,20 +60,20 @@
 }
 
 #[test]
-fn a_day_of_failures_breaks_no_promise_and_is_the_same_each_time() {
+fn a_day_of_failures_has_no_breach_and_is_deterministic() {
     let day = Scenario::day(SMALL, 1, SLOT_MS, 1);
     let outcome = holds(&day, 1);
     assert_eq!(outcome, run(&day, 1));
 }
 
 #[test]
-fn a_day_of_failures_breaks_no_promise_while_datagrams_are_lost() {
+fn a_day_of_failures_has_no_breach_despite_datagram_loss() {
     holds(&Scenario::day(SMALL, 1, SLOT_MS, 2).with_loss(0.05), 2);
 }
 
-/// Longer than lost members are remembered: the regions find together by their seeds alone.
+/// The partition lasts longer than dead members are remembered, so the regions rejoin only through the seeds.
 #[test]
-fn regions_parted_for_longer_than_the_lost_are_remembered_find_together() {
+fn regions_rejoin_after_a_partition_longer_than_dead_members_are_remembered() {
     let outcome = holds(&Scenario::parted(SMALL, 90_000, 1), 1);
     assert!(
         outcome
@@ -79,25 +83,25 @@
     );
 }
 
-/// Each side says of the other's members that they are lost: none may be lost by its own side for that.
+/// Each side reports the members of the other as dead; no member may be declared dead by its own side for that.
 #[test]
-fn regions_that_find_together_lose_nobody_of_their_own_side() {
+fn regions_that_rejoin_declare_no_member_of_their_own_side_dead() {
     let parted = Scenario::parted(Topology { nodes: 280 }, 30_000, 8);
-    let ms = parted.parting.map_or(0, |parting| parting.till_ms) + 6_000;
+    let ms = parted.partition.map_or(0, |partition| partition.until_ms) + 6_000;
     holds(&Scenario { ms, ..parted }, 8);
 }
 
 #[test]
-fn without_seeds_parted_regions_stay_parted() {
+fn without_seeds_partitioned_regions_do_not_rejoin() {
     let mut parted = Scenario::parted(SMALL, 90_000, 1);
     holds(&parted, 1);
-    // Started with seeds, they find together once; without them nobody does.
+    // With seeds the fleet forms; without them no node finds another.
     parted.membership.seeds.clear();
     breaks(&parted, 1, "never one");
 }
 
 #[test]
-fn without_a_majority_both_sides_use_the_whole() {
+fn without_majority_votes_both_sides_use_the_full_limit() {
     let parted = Scenario::parted(SMALL, 30_000, 1);
     let safeguards = Safeguards {
         majority_vote: false,
@@ -114,7 +118,7 @@
 }
 
 #[test]
-fn where_leases_do_not_run_out_what_the_parted_hold_is_used_twice() {
+fn without_lease_expiry_allocations_of_the_partitioned_side_are_used_twice() {
     let parted = Scenario::parted(SMALL, 30_000, 1);
     let safeguards = Safeguards {
         lease_expiry: false,
@@ -131,7 +135,7 @@
 }
 
 #[test]
-fn where_doubts_have_no_time_somebody_is_wrongly_lost() {
+fn too_short_suspicions_cause_false_death_declarations() {
     let day = Scenario::day(SMALL, 0, SLOT_MS, 1).with_loss(0.05);
     let seeds = day.membership.seeds.clone();
     let hasty = Parameters {
@@ -170,7 +174,7 @@
 }
 
 #[test]
-fn what_takes_too_long_and_what_sends_too_much_is_told() {
+fn delays_excessive_peaks_and_wrong_partition_usage_are_breaches() {
     assert!(late(&measured(Some(4_000), 5_000, 0), 4_000).is_empty());
     assert_eq!(late(&measured(Some(4_001), 5_001, 0), 4_000).len(), 2);
     assert_eq!(late(&measured(None, 0, 0), 4_000).len(), 1);
@@ -178,9 +182,9 @@
         bytes_out: 1_000,
         ..Load::default()
     };
-    assert_eq!(stampede(&measured(None, 0, 4_000), calm), None);
-    assert!(stampede(&measured(None, 0, 4_001), calm).is_some());
-    let apart = |with_majority, without_majority| Apart {
+    assert_eq!(excessive_peak(&measured(None, 0, 4_000), calm), None);
+    assert!(excessive_peak(&measured(None, 0, 4_001), calm).is_some());
+    let apart = |with_majority, without_majority| PartitionUsage {
         with_majority,
         without_majority,
         reserved: 42.0,
@@ -193,38 +197,38 @@
 }
 
 #[test]
-fn views_agree_where_all_live_machines_hold_the_live_ones() {
+fn views_agree_if_they_contain_exactly_the_live_machines() {
     let topology = Topology { nodes: 7 };
     let mut agreement = Agreement::new(topology);
-    let held = |digest: u64, members: usize| Some(Held { digest, members });
+    let held = |digest: u64, members: usize| Some(ViewSummary { digest, members });
     for machine in 0..topology.machines() {
-        agreement.put(10, machine, held(1, 11));
+        agreement.record_view(10, machine, held(1, 11));
     }
-    assert_eq!(agreement.first(0, |state| state.all_agree), Some(10));
-    // One dies; the others learn of it one after the other.
-    agreement.put(20, 6, None);
+    assert_eq!(agreement.first_time(0, |state| state.all_agree), Some(10));
+    // One machine is killed; the others learn of it one by one.
+    agreement.record_view(20, 6, None);
     for machine in (0..topology.machines()).filter(|machine| *machine != 6) {
-        agreement.put(30 + machine as u64, machine, held(2, 10));
+        agreement.record_view(30 + machine as u64, machine, held(2, 10));
     }
-    assert_eq!(agreement.first(20, |state| state.all_agree), Some(40));
-    // Parted, each region holds its own: four nodes and three voters, two nodes and a voter.
+    assert_eq!(agreement.first_time(20, |state| state.all_agree), Some(40));
+    // In a partition each region sees only its own machines: four nodes and three voters, two nodes and a voter.
     for machine in (0..topology.machines()).filter(|machine| *machine != 6) {
         let (digest, members) = if topology.region(machine) == 0 {
             (3, 7)
         } else {
             (4, 3)
         };
-        agreement.put(50, machine, held(digest, members));
+        agreement.record_view(50, machine, held(digest, members));
     }
-    assert_eq!(agreement.first(50, |state| state.all_agree), None);
+    assert_eq!(agreement.first_time(50, |state| state.all_agree), None);
     assert_eq!(
-        agreement.first(50, |state| state.region_agrees == [true, true]),
+        agreement.first_time(50, |state| state.region_agrees == [true, true]),
         Some(50)
     );
 }
 
 #[test]
-fn the_leader_bears_what_grows_with_nodes() {
+fn only_the_traffic_of_the_leader_grows_with_the_number_of_nodes() {
     let series = slopes::over_nodes(&[14, 28], 1);
     let names: Vec<String> = series
         .iter()
