--- a/crates/fault-harness/src/scale/command.rs
+++ b/crates/fault-harness/src/scale/command.rs
@@ -122,7 +122,8 @@
     /// The command line arguments.
     pub command: Vec<String>,
     pub cores: usize,
-    pub plays: Vec<TrialReport>,
+    #[serde(rename = "plays")]
+    pub trials: Vec<TrialReport>,
     pub series: Vec<FittedSeries>,
     pub added: Option<AddedReport>,
     pub faults: Option<FaultReport>,
@@ -154,7 +155,7 @@
     if let Some(faults) = &report.faults {
         println!("{}", faults.text());
     }
-    let of_plays = report.plays.iter().flat_map(trial_faults);
+    let of_plays = report.trials.iter().flat_map(trial_faults);
     let faults: Vec<String> = of_plays
         .chain(report.faults.iter().flat_map(FaultReport::faults))
         .collect();
@@ -174,7 +175,7 @@
     if trial.agreed_after_ms.is_none() {
         faults.push(format!("{of}: views did not agree before the window"));
     }
-    if !trial.calm {
+    if !trial.steady {
         faults.push(format!("{of}: traffic still changed when the window began"));
     }
     if trial.declared_dead > 0 {
@@ -258,7 +259,7 @@
         let mut report = ScaleReport {
             command: std::env::args().collect(),
             cores: std::thread::available_parallelism().map_or(0, usize::from),
-            plays: Vec::new(),
+            trials: Vec::new(),
             series: Vec::new(),
             added: None,
             faults: None,
@@ -331,7 +332,7 @@
             wanted,
         );
         report.series.extend(series);
-        report.plays = by_nodes.into_iter().chain(by_budgets).collect();
+        report.trials = by_nodes.into_iter().chain(by_budgets).collect();
         Ok(())
     }
 }
--- a/crates/fault-harness/src/scale/faults.rs
+++ b/crates/fault-harness/src/scale/faults.rs
@@ -37,7 +37,7 @@
     began_unix_ms: u64,
     down: BTreeSet<usize>,
     /// The nodes of the region that is partitioned from the others.
-    parted: BTreeSet<usize>,
+    partitioned: BTreeSet<usize>,
     outages: Vec<Outage>,
     events: Vec<FaultEvent>,
     exits: Vec<ProcessExit>,
@@ -68,7 +68,7 @@
         .fleet
         .wait_for_agreement(size.nodes, options.agree_within)?;
     settle(&mut trial.fleet, options.settle)?;
-    // Losses while the fleet formed are not part of this play.
+    // Losses while the fleet formed are not part of this trial.
     trial.take_losses()?;
     trial.losses.clear();
     let fronts: Vec<SocketAddr> = trial.fleet.real.iter().map(|real| real.front).collect();
@@ -113,7 +113,7 @@
             began: Instant::now(),
             began_unix_ms: unix_ms(),
             down: BTreeSet::new(),
-            parted: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             outages: Vec::new(),
             events: Vec::new(),
             exits: Vec::new(),
@@ -200,11 +200,11 @@
     fn partition_regions(&mut self, partition_duration: Duration) -> Result<(), ScaleError> {
         let untouched = self.unaffected.clone();
         let half = self.fleet.plan.nodes / 2;
-        self.parted = untouched.rev().take(half).collect();
-        let nodes: Vec<usize> = self.parted.iter().copied().collect();
+        self.partitioned = untouched.rev().take(half).collect();
+        let nodes: Vec<usize> = self.partitioned.iter().copied().collect();
         self.outages.push(Outage {
-            nodes: self.parted.clone(),
-            parted: true,
+            nodes: self.partitioned.clone(),
+            partitioned: true,
             from_unix_ms: unix_ms(),
             until_unix_ms: None,
         });
@@ -214,7 +214,7 @@
         })?;
         self.wait_until_known(FaultKind::RegionsParted, nodes.len())?;
         std::thread::sleep(partition_duration.saturating_sub(began.elapsed()));
-        self.parted.clear();
+        self.partitioned.clear();
         self.fleet
             .ask_all(&HollowCommand::Partition { nodes: Vec::new() })?;
         if let Some(outage) = self.outages.last_mut() {
@@ -242,7 +242,7 @@
         let nodes = nodes.iter().copied().collect();
         self.outages.push(Outage {
             nodes,
-            parted: false,
+            partitioned: false,
             from_unix_ms,
             until_unix_ms: None,
         });
@@ -296,10 +296,10 @@
             // A restarted node is not running yet.
             return Ok(false);
         }
-        let sizes = [live - self.parted.len(), self.parted.len()];
+        let sizes = [live - self.partitioned.len(), self.partitioned.len()];
         let mut digests = [None; 2];
         for sample in &samples {
-            let region = usize::from(self.parted.contains(&sample.node));
+            let region = usize::from(self.partitioned.contains(&sample.node));
             let digest = *digests[region].get_or_insert(sample.digest);
             if sample.members != sizes[region] || sample.digest != digest {
                 return Ok(false);
--- a/crates/fault-harness/src/scale/losses.rs
+++ b/crates/fault-harness/src/scale/losses.rs
@@ -13,7 +13,7 @@
 pub struct Outage {
     pub nodes: BTreeSet<usize>,
     /// True for a partition: the nodes ran and reached one another, so only losses across it are excused.
-    pub parted: bool,
+    pub partitioned: bool,
     pub from_unix_ms: u64,
     /// None while the outage lasts.
     pub until_unix_ms: Option<u64>,
@@ -28,7 +28,7 @@
         if unix_ms < self.from_unix_ms || over {
             return false;
         }
-        if self.parted {
+        if self.partitioned {
             self.nodes.contains(&by) != self.nodes.contains(&lost)
         } else {
             self.nodes.contains(&lost)
--- a/crates/fault-harness/src/scale/simulated/command.rs
+++ b/crates/fault-harness/src/scale/simulated/command.rs
@@ -93,9 +93,9 @@
                 Kind::DayLoss => {
                     Scenario::day(topology, SINGLE_FAILURES, SLOT_MS, seed).with_loss(LOSS)
                 }
-                Kind::PartedShort => Scenario::parted(topology, SHORT_PARTITION_MS, seed),
+                Kind::PartedShort => Scenario::partitioned(topology, SHORT_PARTITION_MS, seed),
                 Kind::Parted | Kind::Slopes => {
-                    Scenario::parted(topology, self.parted_s * 1_000, seed)
+                    Scenario::partitioned(topology, self.parted_s * 1_000, seed)
                 }
             };
             if *kind == Kind::Slopes {
@@ -178,7 +178,7 @@
         leaders,
         ..
     } = outcome;
-    let calm = &outcome.calm;
+    let baseline = &outcome.baseline;
     let mut text = format!(
         "{scenario} seed {seed}: {nodes} nodes, {machines} machines, {simulated_s} s simulated, \
          {events} events, {suspicions} doubts, {leaders} leaders\n"
@@ -186,11 +186,14 @@
     text += "| incident | times | views one, ms: middle (worst) | budget 0.9 in use, ms: middle (worst) | \
              peak B/s in/out: node | voter | leader | fleet, out |\n\
              | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    let started = calm
+    let started = baseline
         .started_agree_ms
         .map_or("never".into(), |ms| ms.to_string());
-    text += &format!("| calm; started | 1 | {started} | {:.3} used | ", calm.used);
-    text += &peak_columns(calm.peaks, calm.fleet_peak.bytes_out);
+    text += &format!(
+        "| calm; started | 1 | {started} | {:.3} used | ",
+        baseline.used
+    );
+    text += &peak_columns(baseline.peaks, baseline.fleet_peak.bytes_out);
     let mut by_label: BTreeMap<&str, Vec<&Measured>> = BTreeMap::new();
     outcome
         .measured
--- a/crates/fault-harness/src/scale/simulated/scenario.rs
+++ b/crates/fault-harness/src/scale/simulated/scenario.rs
@@ -120,7 +120,7 @@
 
 impl Scenario {
     /// A scenario without faults.
-    pub fn calm(topology: Topology, ms: u64) -> Scenario {
+    pub fn without_faults(topology: Topology, ms: u64) -> Scenario {
         let seeds = topology.voters().map(address).collect();
         Scenario {
             name: "calm".into(),
@@ -162,7 +162,7 @@
         Scenario {
             list: (0..budgets).map(rate).collect(),
             demand,
-            ..Scenario::calm(topology, ms)
+            ..Scenario::without_faults(topology, ms)
         }
     }
 
@@ -221,31 +221,31 @@
             name: "day".into(),
             ms,
             steps: steps.list,
-            ..Scenario::calm(topology, 0)
+            ..Scenario::without_faults(topology, 0)
         }
     }
 
     /// The regions are partitioned for `parted_ms` while nodes of both restart at the daily rate.
-    pub fn parted(topology: Topology, parted_ms: u64, seed: u64) -> Scenario {
+    pub fn partitioned(topology: Topology, partition_ms: u64, seed: u64) -> Scenario {
         let mut steps = Steps {
             slot_ms: SLOT_MS,
             ..Steps::default()
         };
         let partition = Partition {
             from_ms: steps.at(0, FAULT_OFFSET_MS),
-            until_ms: steps.at(0, FAULT_OFFSET_MS) + parted_ms,
+            until_ms: steps.at(0, FAULT_OFFSET_MS) + partition_ms,
         };
         let (one, other) = (
             topology.machines_in_region(0),
             topology.machines_in_region(1),
         );
         let pairs = [(one.clone(), other.clone()), (other, one)];
-        let apart = IncidentCheck {
+        let partitioned_check = IncidentCheck {
             label: "regions parted",
             expected: Expected::RegionsAgree,
             agree_within_ms: MAX_PARTITION_AGREEMENT_MS,
         };
-        let together = IncidentCheck {
+        let rejoined = IncidentCheck {
             label: "regions together",
             expected: Expected::AllAgree,
             agree_within_ms: MAX_REJOIN_AGREEMENT_MS,
@@ -255,35 +255,35 @@
                 from: from.clone(),
                 to: to.clone(),
             });
-            let mend = Incident::Fault(Fault::Heal { from, to });
+            let heal = Incident::Fault(Fault::Heal { from, to });
             let check = |check: IncidentCheck| Some(check).filter(|_| nth == 1);
             steps.list.push(Step {
                 at_ms: partition.from_ms,
                 incident: cut,
-                check: check(apart),
+                check: check(partitioned_check),
             });
             steps.list.push(Step {
                 at_ms: partition.until_ms,
-                incident: mend,
-                check: check(together),
+                incident: heal,
+                check: check(rejoined),
             });
         }
         let mut order = shuffled(topology, seed);
         // No restart overlaps the start or end of the partition, and each ends before the next.
-        let slots = (parted_ms.saturating_sub(SLOT_MS) / SLOT_MS) as usize;
+        let slots = (partition_ms.saturating_sub(SLOT_MS) / SLOT_MS) as usize;
         for slot in 1..=slots {
             let node = order.pop().unwrap_or(0);
             order.insert(0, node);
             steps.restart_in_partition(slot, node);
         }
         let ms = partition.until_ms + 2 * FINAL_MS;
-        let name = format!("parted-{}s", parted_ms / 1_000);
+        let name = format!("parted-{}s", partition_ms / 1_000);
         Scenario {
             name,
             ms,
             steps: steps.list,
             partition: Some(partition),
-            ..Scenario::calm(topology, 0)
+            ..Scenario::without_faults(topology, 0)
         }
     }
 
@@ -339,12 +339,12 @@
     }
 
     fn restart_in_partition(&mut self, slot: usize, node: usize) {
-        let apart = IncidentCheck {
+        let partitioned_check = IncidentCheck {
             label: "restart while parted",
             expected: Expected::RegionsAgree,
             agree_within_ms: MAX_AGREEMENT_MS,
         };
-        self.restart_with_check(slot, node, Some(apart));
+        self.restart_with_check(slot, node, Some(partitioned_check));
     }
 
     fn restart_with_check(&mut self, slot: usize, node: usize, check: Option<IncidentCheck>) {
--- a/crates/fault-harness/src/scale/simulated/slopes.rs
+++ b/crates/fault-harness/src/scale/simulated/slopes.rs
@@ -73,7 +73,7 @@
     let one = |nodes: &usize| {
         by_role(
             *nodes,
-            &Scenario::calm(Topology { nodes: *nodes }, DURATION_MS),
+            &Scenario::without_faults(Topology { nodes: *nodes }, DURATION_MS),
             seed,
         )
     };
--- a/crates/fault-harness/src/scale/simulated/verdict.rs
+++ b/crates/fault-harness/src/scale/simulated/verdict.rs
@@ -53,7 +53,7 @@
 
 /// The behavior of a fleet without faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Calm {
+pub struct Baseline {
     /// Time from the simultaneous start of all machines until all views are equal.
     pub started_agree_ms: Option<u64>,
     pub peaks: Peaks,
@@ -75,7 +75,8 @@
     pub suspicions: u64,
     /// Number of consecutive leaders, sampled once per second.
     pub leaders: usize,
-    pub calm: Calm,
+    #[serde(rename = "calm")]
+    pub baseline: Baseline,
     pub measured: Vec<Measured>,
     #[serde(rename = "apart")]
     pub partition_usage: Option<PartitionUsage>,
@@ -95,7 +96,7 @@
         events: results.events,
         suspicions: results.suspicions,
         leaders: leaders(&results),
-        calm: calm(scenario, &results),
+        baseline: baseline(scenario, &results),
         measured: measure_all(scenario.topology, &results),
         partition_usage: scenario
             .partition
@@ -129,13 +130,13 @@
     seen.len()
 }
 
-fn calm(scenario: &Scenario, results: &SimulationResult) -> Calm {
+fn baseline(scenario: &Scenario, results: &SimulationResult) -> Baseline {
     let (from, until) = (BASELINE_SECONDS.start, BASELINE_SECONDS.end);
     let span = (from as Micros * SECOND, until as Micros * SECOND);
     let used: f64 = (0..2)
         .map(|region| results.usage.rate(span.0, span.1, region))
         .sum();
-    Calm {
+    Baseline {
         started_agree_ms: results
             .agreement
             .first_time(0, |state| state.all_agree)
@@ -239,46 +240,49 @@
             .map(|breach| format!("over the whole: {breach}")),
     );
     for (measured, incident) in outcome.measured.iter().zip(&results.checked_incidents) {
-        breaches.extend(late(measured, incident.check.agree_within_ms));
-        breaches.extend(excessive_peak(measured, outcome.calm.peaks.busiest()));
+        breaches.extend(time_limit_breaches(
+            measured,
+            incident.check.agree_within_ms,
+        ));
+        breaches.extend(excessive_peak(measured, outcome.baseline.peaks.busiest()));
     }
     breaches.extend(outcome.partition_usage.iter().flat_map(side_breaches));
     breaches
 }
 
 /// Returns breaches of the time limits for views and budgets.
-pub fn late(measured: &Measured, agree_within_ms: u64) -> Vec<String> {
-    let mut late = Vec::new();
+pub fn time_limit_breaches(measured: &Measured, agree_within_ms: u64) -> Vec<String> {
+    let mut time_limit_breaches = Vec::new();
     let at = format!("{} ms: {}", measured.at_ms, measured.label);
     match measured.agree_ms {
         Some(ms) if ms <= agree_within_ms => {}
-        Some(ms) => late.push(format!(
+        Some(ms) => time_limit_breaches.push(format!(
             "{at}: views are one after {ms} ms, {agree_within_ms} at most"
         )),
-        None => late.push(format!("{at}: views are never one")),
+        None => time_limit_breaches.push(format!("{at}: views are never one")),
     }
     if measured.budget_ms > MAX_BUDGET_RECOVERY_MS {
         let ms = measured.budget_ms;
-        late.push(format!(
+        time_limit_breaches.push(format!(
             "{at}: the budget is in use after {ms} ms, {MAX_BUDGET_RECOVERY_MS} at most"
         ));
     }
-    late
+    time_limit_breaches
 }
 
 /// Returns a breach if one machine sends or receives too many times the fault-free maximum.
-pub fn excessive_peak(measured: &Measured, calm: Load) -> Option<String> {
+pub fn excessive_peak(measured: &Measured, baseline: Load) -> Option<String> {
     let (peak, at) = (measured.peaks.busiest(), measured.at_ms);
     let bytes = [
-        (peak.bytes_in, calm.bytes_in, "received"),
-        (peak.bytes_out, calm.bytes_out, "sent"),
+        (peak.bytes_in, baseline.bytes_in, "received"),
+        (peak.bytes_out, baseline.bytes_out, "sent"),
     ];
     let too_much = bytes
         .into_iter()
-        .find(|(peak, calm, _)| *peak as f64 > MAX_PEAK_FACTOR * *calm as f64);
-    too_much.map(|(peak, calm, what)| {
+        .find(|(peak, baseline, _)| *peak as f64 > MAX_PEAK_FACTOR * *baseline as f64);
+    too_much.map(|(peak, baseline, what)| {
         format!(
-            "{at} ms: {}: one machine {what} {peak} bytes in a second, {calm} in calm",
+            "{at} ms: {}: one machine {what} {peak} bytes in a second, {baseline} in calm",
             measured.label
         )
     })
@@ -337,10 +341,10 @@
             else {
                 continue;
             };
-            let parted = (self.partition.from_ms..self.partition.until_ms + MAX_CAUSE_AGE_MS)
+            let partitioned = (self.partition.from_ms..self.partition.until_ms + MAX_CAUSE_AGE_MS)
                 .contains(&entry.at_ms);
             let one_side = self.topology.region(*node) == self.topology.region(member);
-            if change != "dead" || !parted || !one_side {
+            if change != "dead" || !partitioned || !one_side {
                 continue;
             }
             let since = entry.at_ms.saturating_sub(MAX_CAUSE_AGE_MS);
--- a/crates/fault-harness/src/scale/sweep.rs
+++ b/crates/fault-harness/src/scale/sweep.rs
@@ -53,7 +53,8 @@
     /// that did not happen in time; the figures are then those of a fleet without agreement.
     pub agreed_after_ms: Option<u64>,
     /// True if the traffic was steady before the window.
-    pub calm: bool,
+    #[serde(rename = "calm")]
+    pub steady: bool,
     pub window_ms: u64,
     /// The leader before and after the window.
     pub leaders: [Option<String>; 2],
@@ -127,7 +128,7 @@
 }
 
 struct Measured {
-    calm: bool,
+    steady: bool,
     window: Duration,
     leaders: [Option<String>; 2],
     receive_buffer_errors: u64,
@@ -162,7 +163,7 @@
     let pairs: Vec<(Usage, Usage)> = real_before.into_iter().zip(real_after).collect();
     all.extend(serving_figures(&pairs, &links));
     Ok(Measured {
-        calm: settled.steady_since.is_some(),
+        steady: settled.steady_since.is_some(),
         window: elapsed_time,
         leaders,
         receive_buffer_errors: errors,
@@ -210,7 +211,7 @@
         hollow: fleet.plan.hollow_nodes().len(),
         real: fleet.real.len(),
         agreed_after_ms: agreed.map(|span| span.as_millis() as u64),
-        calm: measured.calm,
+        steady: measured.steady,
         window_ms: measured.window.as_millis() as u64,
         leaders: measured.leaders,
         receive_buffer_errors: measured.receive_buffer_errors,
@@ -231,14 +232,14 @@
 
 /// Builds one series for each role and quantity, fits a line, and evaluates the line at `wanted`.
 pub fn fitted(
-    plays: &[TrialReport],
+    trials: &[TrialReport],
     dimension: Dimension,
     held: &str,
     size: impl Fn(Size) -> usize,
     wanted: f64,
 ) -> Vec<FittedSeries> {
     let mut series: Vec<Series> = Vec::new();
-    for trial in plays {
+    for trial in trials {
         for figure in &trial.figures {
             let point = Point {
                 size: size(trial.size) as f64,
--- a/crates/fault-harness/src/scale/table.rs
+++ b/crates/fault-harness/src/scale/table.rs
@@ -8,7 +8,7 @@
 use super::series::Dimension;
 
 /// Returns the serialized name of a role, quantity or dimension.
-fn word(value: &impl Serialize) -> String {
+fn serialized_name(value: &impl Serialize) -> String {
     let value = serde_json::to_value(value).ok();
     value
         .as_ref()
@@ -18,7 +18,7 @@
 }
 
 /// Formats a number with four significant digits.
-pub fn number(value: f64) -> String {
+pub fn format_number(value: f64) -> String {
     if !value.is_finite() {
         return "-".into();
     }
@@ -47,7 +47,7 @@
         let members: Vec<&FittedSeries> = all.iter().filter(of_group).collect();
         format!(
             "by {}, with {held}:\n{}\n",
-            word(&dimension),
+            serialized_name(&dimension),
             table(&members)
         )
     });
@@ -64,7 +64,7 @@
     let mut table = Table::new();
     table.load_style(ASCII_MARKDOWN);
     let mut header = vec!["role".to_string(), "quantity".to_string()];
-    header.extend(sizes.iter().map(|size| number(*size)));
+    header.extend(sizes.iter().map(|size| format_number(*size)));
     header.extend(["at 0", "for each", "+-", "R2", "line says"].map(String::from));
     table.set_header(header);
     for fitted in members {
@@ -77,14 +77,17 @@
 }
 
 fn row(fitted: &FittedSeries, sizes: &[f64]) -> Vec<String> {
-    let mut row = vec![word(&fitted.series.role), word(&fitted.series.quantity)];
+    let mut row = vec![
+        serialized_name(&fitted.series.role),
+        serialized_name(&fitted.series.quantity),
+    ];
     for size in sizes {
         let values = fitted
             .series
             .points
             .iter()
             .filter(|point| point.size == *size);
-        let values: Vec<String> = values.map(|point| number(point.value)).collect();
+        let values: Vec<String> = values.map(|point| format_number(point.value)).collect();
         row.push(if values.is_empty() {
             "-".into()
         } else {
@@ -107,9 +110,9 @@
     };
     let r_squared = format!("{:.3}", fit.r_squared);
     [
-        number(fit.intercept),
-        number(fit.slope),
-        number(fit.slope_standard_error),
+        format_number(fit.intercept),
+        format_number(fit.slope),
+        format_number(fit.slope_standard_error),
         r_squared,
     ]
 }
@@ -122,7 +125,7 @@
     };
     format!(
         "{} at {} ({how})",
-        number(projection.value),
-        number(projection.size)
+        format_number(projection.value),
+        format_number(projection.size)
     )
 }
--- a/crates/fault-harness/tests/scale.rs
+++ b/crates/fault-harness/tests/scale.rs
@@ -15,7 +15,7 @@
 use doortrack_fault_harness::scale::series::{Dimension, Point, Quantity, Role, Series};
 use doortrack_fault_harness::scale::serving::{LinkCounts, link_counts};
 use doortrack_fault_harness::scale::settle::is_steady;
-use doortrack_fault_harness::scale::table::{number, text};
+use doortrack_fault_harness::scale::table::{format_number, text};
 use serde_json::Value;
 
 /// Long enough for a machine that runs other work at the same time.
@@ -121,7 +121,7 @@
 
 #[test]
 fn numbers_have_four_significant_digits() {
-    let all = [0.0, 0.012_346, 1.234_56, 123.456, 12_345.6, f64::NAN].map(number);
+    let all = [0.0, 0.012_346, 1.234_56, 123.456, 12_345.6, f64::NAN].map(format_number);
     assert_eq!(all, ["0.000", "0.01235", "1.235", "123.5", "12346", "-"]);
 }
 
@@ -212,8 +212,8 @@
     }
     assert_eq!(plan.node_at("127.0.0.1:7400".parse().unwrap()), None);
     assert_eq!(plan.node_named("node-0770"), None);
-    let (installation, orders) = plan.parsed(769).unwrap();
-    assert_eq!(installation.budget_list(&orders).len(), 4);
+    let (installation, config) = plan.parsed(769).unwrap();
+    assert_eq!(installation.budget_list(&config).len(), 4);
 }
 
 fn lost(by: usize, node: usize, unix_ms: u64) -> Loss {
@@ -227,9 +227,9 @@
 #[test]
 fn only_an_outage_excuses_a_loss() {
     let plan = plan(&Ports::hold().unwrap(), 20);
-    let outage = |nodes: &[usize], parted, from_unix_ms, until_unix_ms| Outage {
+    let outage = |nodes: &[usize], partitioned, from_unix_ms, until_unix_ms| Outage {
         nodes: nodes.iter().copied().collect(),
-        parted,
+        partitioned,
         from_unix_ms,
         until_unix_ms,
     };
@@ -355,8 +355,8 @@
     let text = std::fs::read_to_string(&file).unwrap();
     _ = std::fs::remove_file(&file);
     let report: ScaleReport = serde_json::from_str(&text).unwrap();
-    assert_eq!(report.plays.len(), 1, "{said}");
-    assert!(report.plays[0].agreed_after_ms.is_some(), "{said}");
+    assert_eq!(report.trials.len(), 1, "{said}");
+    assert!(report.trials[0].agreed_after_ms.is_some(), "{said}");
     let value = |role, quantity| {
         let of = |one: &&FittedSeries| one.series.role == role && one.series.quantity == quantity;
         report
--- a/crates/fault-harness/tests/scale_node.rs
+++ b/crates/fault-harness/tests/scale_node.rs
@@ -30,10 +30,10 @@
 fn read(size: &Size) -> (NodeConfig, Installation) {
     let configuration = configuration("n1", size, &addresses()).to_string();
     let installation = installation("n1", size, &addresses()).to_string();
-    let orders = node_config::parse(configuration.as_bytes()).unwrap();
+    let config = node_config::parse(configuration.as_bytes()).unwrap();
     let installation = installation::parse(installation.as_bytes()).unwrap();
-    installation.validate_with(&orders).unwrap();
-    (orders, installation)
+    installation.validate_with(&config).unwrap();
+    (config, installation)
 }
 
 fn sizes() -> Vec<Size> {
@@ -53,9 +53,9 @@
 #[test]
 fn generated_settings_are_valid_and_have_the_requested_size() {
     for size in sizes() {
-        let (orders, installation) = read(&size);
+        let (config, installation) = read(&size);
         assert_eq!(installation.rules.len(), size.routes, "{size:?}");
-        assert_eq!(orders.settings.tenant_names.len(), size.tenants, "{size:?}");
+        assert_eq!(config.settings.tenant_names.len(), size.tenants, "{size:?}");
         assert_eq!(
             installation.pools_with_paths().count(),
             size.services,
@@ -113,8 +113,8 @@
 }
 
 fn table(size: &Size, installation: &Installation) -> Table {
-    let (orders, _) = read(size);
-    installation.table(&orders.settings).unwrap().unwrap().table
+    let (config, _) = read(size);
+    installation.table(&config.settings).unwrap().unwrap().table
 }
 
 fn group_of(table: &Table, path: &str) -> Option<u8> {
--- a/crates/fault-harness/tests/scale_simulated.rs
+++ b/crates/fault-harness/tests/scale_simulated.rs
@@ -8,7 +8,7 @@
 use doortrack_fault_harness::scale::simulated::topology::{Topology, VOTER_ZONES, ZONES};
 use doortrack_fault_harness::scale::simulated::traffic::{Load, Peaks};
 use doortrack_fault_harness::scale::simulated::verdict::{
-    Measured, Outcome, PartitionUsage, excessive_peak, late, run, side_breaches,
+    Measured, Outcome, PartitionUsage, excessive_peak, run, side_breaches, time_limit_breaches,
 };
 use doortrack_membership::Parameters;
 
@@ -16,7 +16,7 @@
 const FULL: Topology = Topology { nodes: 770 };
 const SLOT_MS: u64 = 20_000;
 
-fn holds(scenario: &Scenario, seed: u64) -> Outcome {
+fn assert_no_breach(scenario: &Scenario, seed: u64) -> Outcome {
     let outcome = run(scenario, seed);
     assert!(
         outcome.breaches.is_empty(),
@@ -27,7 +27,7 @@
     outcome
 }
 
-fn breaks(scenario: &Scenario, seed: u64, wanted: &str) {
+fn assert_breach(scenario: &Scenario, seed: u64, wanted: &str) {
     let outcome = run(scenario, seed);
     let found = outcome
         .breaches
@@ -62,19 +62,19 @@
 #[test]
 fn a_day_of_failures_has_no_breach_and_is_deterministic() {
     let day = Scenario::day(SMALL, 1, SLOT_MS, 1);
-    let outcome = holds(&day, 1);
+    let outcome = assert_no_breach(&day, 1);
     assert_eq!(outcome, run(&day, 1));
 }
 
 #[test]
 fn a_day_of_failures_has_no_breach_despite_datagram_loss() {
-    holds(&Scenario::day(SMALL, 1, SLOT_MS, 2).with_loss(0.05), 2);
+    assert_no_breach(&Scenario::day(SMALL, 1, SLOT_MS, 2).with_loss(0.05), 2);
 }
 
 /// The partition lasts longer than dead members are remembered, so the regions rejoin only through the seeds.
 #[test]
 fn regions_rejoin_after_a_partition_longer_than_dead_members_are_remembered() {
-    let outcome = holds(&Scenario::parted(SMALL, 90_000, 1), 1);
+    let outcome = assert_no_breach(&Scenario::partitioned(SMALL, 90_000, 1), 1);
     assert!(
         outcome
             .measured
@@ -86,31 +86,34 @@
 /// Each side reports the members of the other as dead; no member may be declared dead by its own side for that.
 #[test]
 fn regions_that_rejoin_declare_no_member_of_their_own_side_dead() {
-    let parted = Scenario::parted(Topology { nodes: 280 }, 30_000, 8);
-    let ms = parted.partition.map_or(0, |partition| partition.until_ms) + 6_000;
-    holds(&Scenario { ms, ..parted }, 8);
+    let partitioned = Scenario::partitioned(Topology { nodes: 280 }, 30_000, 8);
+    let ms = partitioned
+        .partition
+        .map_or(0, |partition| partition.until_ms)
+        + 6_000;
+    assert_no_breach(&Scenario { ms, ..partitioned }, 8);
 }
 
 #[test]
 fn without_seeds_partitioned_regions_do_not_rejoin() {
-    let mut parted = Scenario::parted(SMALL, 90_000, 1);
-    holds(&parted, 1);
+    let mut partitioned = Scenario::partitioned(SMALL, 90_000, 1);
+    assert_no_breach(&partitioned, 1);
     // With seeds the fleet forms; without them no node finds another.
-    parted.membership.seeds.clear();
-    breaks(&parted, 1, "never one");
+    partitioned.membership.seeds.clear();
+    assert_breach(&partitioned, 1, "never one");
 }
 
 #[test]
 fn without_majority_votes_both_sides_use_the_full_limit() {
-    let parted = Scenario::parted(SMALL, 30_000, 1);
+    let partitioned = Scenario::partitioned(SMALL, 30_000, 1);
     let safeguards = Safeguards {
         majority_vote: false,
         ..Safeguards::default()
     };
-    breaks(
+    assert_breach(
         &Scenario {
             safeguards,
-            ..parted
+            ..partitioned
         },
         1,
         "over the whole",
@@ -119,15 +122,15 @@
 
 #[test]
 fn without_lease_expiry_allocations_of_the_partitioned_side_are_used_twice() {
-    let parted = Scenario::parted(SMALL, 30_000, 1);
+    let partitioned = Scenario::partitioned(SMALL, 30_000, 1);
     let safeguards = Safeguards {
         lease_expiry: false,
         ..Safeguards::default()
     };
-    breaks(
+    assert_breach(
         &Scenario {
             safeguards,
-            ..parted
+            ..partitioned
         },
         1,
         "over the whole",
@@ -145,7 +148,7 @@
         suspicion_max: 100,
         ..Parameters::default()
     };
-    breaks(
+    assert_breach(
         &Scenario {
             membership: hasty,
             ..day
@@ -175,25 +178,28 @@
 
 #[test]
 fn delays_excessive_peaks_and_wrong_partition_usage_are_breaches() {
-    assert!(late(&measured(Some(4_000), 5_000, 0), 4_000).is_empty());
-    assert_eq!(late(&measured(Some(4_001), 5_001, 0), 4_000).len(), 2);
-    assert_eq!(late(&measured(None, 0, 0), 4_000).len(), 1);
-    let calm = Load {
+    assert!(time_limit_breaches(&measured(Some(4_000), 5_000, 0), 4_000).is_empty());
+    assert_eq!(
+        time_limit_breaches(&measured(Some(4_001), 5_001, 0), 4_000).len(),
+        2
+    );
+    assert_eq!(time_limit_breaches(&measured(None, 0, 0), 4_000).len(), 1);
+    let baseline = Load {
         bytes_out: 1_000,
         ..Load::default()
     };
-    assert_eq!(excessive_peak(&measured(None, 0, 4_000), calm), None);
-    assert!(excessive_peak(&measured(None, 0, 4_001), calm).is_some());
-    let apart = |with_majority, without_majority| PartitionUsage {
+    assert_eq!(excessive_peak(&measured(None, 0, 4_000), baseline), None);
+    assert!(excessive_peak(&measured(None, 0, 4_001), baseline).is_some());
+    let usage = |with_majority, without_majority| PartitionUsage {
         with_majority,
         without_majority,
         reserved: 42.0,
         whole: 1_000.0,
     };
-    assert!(side_breaches(&apart(950.0, 41.5)).is_empty());
-    assert_eq!(side_breaches(&apart(950.0, 43.0)).len(), 1);
-    assert_eq!(side_breaches(&apart(950.0, 0.0)).len(), 1);
-    assert_eq!(side_breaches(&apart(890.0, 42.0)).len(), 1);
+    assert!(side_breaches(&usage(950.0, 41.5)).is_empty());
+    assert_eq!(side_breaches(&usage(950.0, 43.0)).len(), 1);
+    assert_eq!(side_breaches(&usage(950.0, 0.0)).len(), 1);
+    assert_eq!(side_breaches(&usage(890.0, 42.0)).len(), 1);
 }
 
 #[test]
