--- a/crates/fault-harness/tests/state_bytes.rs
+++ b/crates/fault-harness/tests/state_bytes.rs
@@ -171,7 +171,7 @@
     let size = Size {
         routes: 3_400,
         tenants: 20_000,
-        ..Size::HELD
+        ..Size::BASELINE
     };
     let generated = installation("n1", &size, &addresses);
     let text = |rule: &serde_json::Value, key: &str| rule[key].as_str().map(str::to_string);
