--- a/crates/expr/src/ast.rs
+++ b/crates/expr/src/ast.rs
@@ -1,16 +1,16 @@
-//! The syntax tree of an expression, with the place of each part in the source.
+//! The syntax tree of an expression, with the source span of each node.
 
-/// A range of bytes of the source.
+/// A half-open byte range in the source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Span {
-    /// The first byte.
+    /// Offset of the first byte.
     pub from: usize,
-    /// One past the last byte.
+    /// Offset after the last byte.
     pub to: usize,
 }
 
 impl Span {
-    /// The smallest range that holds both.
+    /// Returns the smallest span that covers both spans.
     pub fn with(self, other: Span) -> Span {
         Span {
             from: self.from.min(other.from),
@@ -22,7 +22,7 @@
 /// An infix operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// `+`, also for texts and bytes.
+    /// `+`; concatenates strings and bytes.
     Add,
     /// `-`
     Sub,
@@ -51,7 +51,7 @@
 }
 
 impl Op {
-    /// As it is written in the source.
+    /// The operator as written in the source.
     pub fn sign(self) -> &'static str {
         match self {
             Op::Add => "+",
@@ -74,11 +74,11 @@
 /// An expression.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expr {
-    /// What it is.
+    /// The kind of expression, with its operands.
     pub kind: Kind,
-    /// Where it stands in the source.
+    /// Position in the source.
     pub span: Span,
-    /// How many expressions are nested here, itself included; at most [`crate::MAX_DEPTH`].
+    /// Nesting depth of this subtree, counting this node; at most [`crate::MAX_DEPTH`].
     pub depth: usize,
 }
 
@@ -97,7 +97,7 @@
     Bytes(Vec<u8>),
     /// A duration such as `250ms`, in microseconds.
     Duration(i64),
-    /// A field of the request, or a bound name.
+    /// A request field or a bound name.
     Name(String),
     /// `[a, b]`
     List(Vec<Expr>),
@@ -105,43 +105,43 @@
     Not(Box<Expr>),
     /// `-a`
     Neg(Box<Expr>),
-    /// `a && b && ...`, side by side.
+    /// `a && b && ...` as one flat node.
     All(Vec<Expr>),
-    /// `a || b || ...`, side by side.
+    /// `a || b || ...` as one flat node.
     Any(Vec<Expr>),
-    /// Two operands with an operator between them.
+    /// An infix operator and its two operands.
     Binary(Op, Box<Expr>, Box<Expr>),
     /// `if condition { a } else { b }`
     If(Box<Expr>, Box<Expr>, Box<Expr>),
     /// `let name = value; body`
     Let {
-        /// The name that is bound.
+        /// The bound name.
         name: String,
-        /// Where the name stands.
+        /// Span of the name.
         at: Span,
-        /// What it is bound to.
+        /// The value bound to the name.
         value: Box<Expr>,
-        /// Where it is known.
+        /// The expression in which the name is in scope.
         body: Box<Expr>,
     },
-    /// `name(args)`, or `first.name(rest)`.
+    /// `name(args)`, or `first.name(rest)` with `first` as the first argument.
     Call {
-        /// The function.
+        /// The function name.
         name: String,
-        /// Where its name stands.
+        /// Span of the function name.
         at: Span,
-        /// Its arguments.
+        /// The arguments.
         args: Vec<Expr>,
     },
-    /// `name -> body`, only as the last argument of a function over a list.
+    /// `name -> body`, valid only as the last argument of a list function.
     Each {
-        /// The name that each item is bound to.
+        /// The name bound to each item.
         name: String,
-        /// Where the name stands.
+        /// Span of the name.
         at: Span,
-        /// What is asked of each item.
+        /// The predicate evaluated for each item.
         body: Box<Expr>,
     },
-    /// Something that could not be read, and was reported.
+    /// A placeholder for source that could not be parsed; the error has been reported.
     Wrong,
 }
--- a/crates/expr/src/check.rs
+++ b/crates/expr/src/check.rs
@@ -1,4 +1,4 @@
-//! Types, bounds of cost, and the compiled form, in one walk over what was read.
+//! Type checking, cost bounds and code generation in one pass over the syntax tree.
 
 mod functions;
 mod lists;
@@ -14,24 +14,26 @@
 use crate::program::{Node, NodeIndex, Program};
 use crate::types::Type;
 
-/// Bytes that all strings of one evaluation may have.
+/// Maximum total size in bytes of the strings built in one evaluation.
 const MAX_BUILT_BYTES: u64 = 4 * MAX_STRING;
-/// Items that a split may have.
+/// Maximum number of parts of a `split`.
 const MAX_SPLIT_ITEMS: i64 = 64;
-/// Items that a list in the source may have.
+/// Maximum number of items in a list literal.
 const MAX_LIST_ITEMS: usize = 1024;
 
-/// What is known of an expression before it is evaluated.
+/// The result of checking an expression: its node, type and cost bounds.
 #[derive(Clone, Debug)]
 struct Checked {
     node: NodeIndex,
-    /// None where it has an error, which was reported.
+    /// `None` if the expression has an error, which has been reported.
     ty: Option<Type>,
-    /// Bounds: of steps, of bytes built, of its length in bytes or items.
+    /// Upper bound on evaluation steps.
     steps: u64,
+    /// Upper bound on the bytes built.
     built: u64,
+    /// Upper bound on the length, in bytes or items.
     len: u64,
-    /// Of a list: bounds of making all items once, and of the length of each.
+    /// For a list: upper bounds on producing all items once, and on the length of each item.
     items: Items,
 }
 
@@ -42,7 +44,7 @@
     len: u64,
 }
 
-struct Bound {
+struct Binding {
     name: String,
     slot: u8,
     checked: Checked,
@@ -51,33 +53,33 @@
 struct Checker {
     limits: Limits,
     nodes: Vec<Node>,
-    names: Vec<Bound>,
-    slots: usize,
+    bindings: Vec<Binding>,
+    slot_count: usize,
     errors: Vec<Diagnostic>,
-    /// The part that takes the most steps by itself.
+    /// Steps and span of the node with the most steps of its own.
     costliest: (u64, Span),
 }
 
 pub(crate) fn compile(
     expr: &Expr,
-    want: Option<&Type>,
+    expected: Option<&Type>,
     limits: Limits,
 ) -> Result<Program, Vec<Diagnostic>> {
-    let (nodes, names, errors) = Default::default();
+    let (nodes, bindings, errors) = Default::default();
     let mut checker = Checker {
         limits,
         nodes,
-        names,
-        slots: 0,
+        bindings,
+        slot_count: 0,
         errors,
         costliest: (0, expr.span),
     };
     let root = checker.check(expr);
-    if let (Some(found), Some(want)) = (&root.ty, want)
-        && found != want
-        && Some(found) != inner(want)
+    if let (Some(found), Some(expected)) = (&root.ty, expected)
+        && found != expected
+        && Some(found) != optional_inner(expected)
     {
-        checker.mismatch(expr.span, want, found);
+        checker.mismatch(expr.span, expected, found);
     }
     if checker.errors.is_empty() && root.steps > limits.max_cost {
         let (steps, span) = checker.costliest;
@@ -117,7 +119,7 @@
     }
 }
 
-fn inner(ty: &Type) -> Option<&Type> {
+fn optional_inner(ty: &Type) -> Option<&Type> {
     if let Type::Optional(of) = ty {
         Some(of)
     } else {
@@ -126,7 +128,7 @@
 }
 
 impl Checker {
-    fn node(&mut self, node: Node) -> NodeIndex {
+    fn push_node(&mut self, node: Node) -> NodeIndex {
         self.nodes.push(node);
         (self.nodes.len() - 1) as NodeIndex
     }
@@ -137,7 +139,7 @@
     }
 
     fn invalid(&mut self) -> Checked {
-        let node = self.node(Node::Bool(false));
+        let node = self.push_node(Node::Bool(false));
         Checked {
             node,
             ty: None,
@@ -148,26 +150,26 @@
         }
     }
 
-    fn mismatch(&mut self, span: Span, want: &Type, found: &Type) -> Checked {
+    fn mismatch(&mut self, span: Span, expected: &Type, found: &Type) -> Checked {
         let mut error = Diagnostic::new(
             span,
-            format!("{want} is wanted, this is {found}"),
+            format!("{expected} is wanted, this is {found}"),
             format!("{found}"),
         );
-        if inner(found) == Some(want) {
+        if optional_inner(found) == Some(expected) {
             error =
                 error.help("it may be absent: say what stands for it then, as in `it ?? other`");
-        } else if *want == Type::Str && *found == Type::Bytes {
+        } else if *expected == Type::Str && *found == Type::Bytes {
             error = error.help("`text(it)` is the text of bytes, absent where they are none");
-        } else if *want == Type::Bytes && *found == Type::Str {
+        } else if *expected == Type::Bytes && *found == Type::Str {
             error = error.help("`bytes(it)` are the bytes of a text");
         }
         self.errors.push(error);
         self.invalid()
     }
 
-    /// Puts a node together with what its parts cost; `own` is what it takes by itself.
-    fn checked(
+    /// Adds a node whose cost is `own_steps` plus the cost of its operands.
+    fn add_node(
         &mut self,
         span: Span,
         node: Node,
@@ -175,7 +177,7 @@
         own_steps: u64,
         parts: &[&Checked],
     ) -> Checked {
-        let node = self.node(node);
+        let node = self.push_node(node);
         if own_steps > self.costliest.0 {
             self.costliest = (own_steps, span);
         }
@@ -198,13 +200,14 @@
         }
     }
 
-    /// Whether it is of this type; if not, that is reported, unless it has an error already.
-    fn expect(&mut self, checked: &Checked, span: Span, want: &Type) -> bool {
+    /// Returns true if the expression has the type `expected`. Otherwise reports a mismatch, unless the expression
+    /// already has an error.
+    fn expect(&mut self, checked: &Checked, span: Span, expected: &Type) -> bool {
         match &checked.ty {
-            Some(found) if found == want => true,
+            Some(found) if found == expected => true,
             Some(found) => {
                 let found = found.clone();
-                self.mismatch(span, want, &found);
+                self.mismatch(span, expected, &found);
                 false
             }
             None => false,
@@ -214,10 +217,10 @@
     fn check(&mut self, expr: &Expr) -> Checked {
         let span = expr.span;
         match &expr.kind {
-            Kind::Bool(truth) => self.checked(span, Node::Bool(*truth), Type::Bool, 1, &[]),
-            Kind::Int(n) => self.checked(span, Node::Int(*n), Type::Int, 1, &[]),
-            Kind::Float(n) => self.checked(span, Node::Float(*n), Type::Float, 1, &[]),
-            Kind::Duration(n) => self.checked(span, Node::Duration(*n), Type::Duration, 1, &[]),
+            Kind::Bool(truth) => self.add_node(span, Node::Bool(*truth), Type::Bool, 1, &[]),
+            Kind::Int(n) => self.add_node(span, Node::Int(*n), Type::Int, 1, &[]),
+            Kind::Float(n) => self.add_node(span, Node::Float(*n), Type::Float, 1, &[]),
+            Kind::Duration(n) => self.add_node(span, Node::Duration(*n), Type::Duration, 1, &[]),
             Kind::Str(text) => self.constant(span, text.as_bytes(), Type::Str),
             Kind::Bytes(bytes) => self.constant(span, bytes, Type::Bytes),
             Kind::Name(name) => self.name(span, name),
@@ -245,7 +248,7 @@
     }
 
     fn constant(&mut self, span: Span, bytes: &[u8], ty: Type) -> Checked {
-        let checked = self.checked(span, Node::Text(bytes.into()), ty, 1, &[]);
+        let checked = self.add_node(span, Node::Text(bytes.into()), ty, 1, &[]);
         Checked {
             len: bytes.len() as u64,
             ..checked
@@ -289,7 +292,7 @@
             len: checked.iter().map(|item| item.len).max().unwrap_or(0),
         };
         let nodes = checked.iter().map(|item| item.node).collect();
-        let list = self.checked(span, Node::List(nodes), ty.list(), 1, &[]);
+        let list = self.add_node(span, Node::List(nodes), ty.list(), 1, &[]);
         Checked {
             len: checked.len() as u64,
             items,
--- a/crates/expr/src/check/functions.rs
+++ b/crates/expr/src/check/functions.rs
@@ -1,4 +1,4 @@
-//! Functions and the lists that some of them go through, checked and bounded.
+//! Checks function calls and bounds their cost.
 
 use super::{Checked, Checker};
 use crate::ast::{Expr, Kind, Span};
@@ -23,14 +23,14 @@
             self.errors.push(error);
             return self.invalid();
         };
-        let wanted = match name {
+        let arity = match name {
             "split" | "substring" => 3..=3,
             "cidr" => 2..=64,
             "matches" | "starts_with" | "ends_with" | "contains" | "get" | "min" | "max"
             | "any" | "all" | "first" => 2..=2,
             _ => 1..=1,
         };
-        if !wanted.contains(&args.len()) {
+        if !arity.contains(&args.len()) {
             let error = Diagnostic::new(
                 span,
                 format!("'{name}' does not take {} values", args.len()),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A text that stands in the source.
+    /// Returns the string literal `arg`, or reports an error if it is another expression.
     pub(super) fn literal<'e>(&mut self, arg: &'e Expr, what: &str) -> Option<&'e str> {
         if let Kind::Str(text) = &arg.kind {
             return Some(text);
@@ -99,14 +99,14 @@
                 Type::Str,
             ),
         };
-        // A text is looked through for what is none.
+        // Strings are scanned for invalid UTF-8.
         let own_steps = own_steps
             + if ty == Type::Str {
                 scan_steps(self.limits.variable)
             } else {
                 0
             };
-        let checked = self.checked(span, node, ty.optional(), own_steps, &[]);
+        let checked = self.add_node(span, node, ty.optional(), own_steps, &[]);
         Checked {
             len: self.limits.variable,
             ..checked
--- a/crates/expr/src/check/lists.rs
+++ b/crates/expr/src/check/lists.rs
@@ -1,4 +1,4 @@
-//! Functions that go through a list, and `split`, which makes one.
+//! Checks functions that iterate over a list, and `split`, which produces one.
 
 use super::{Checked, Checker, Items, MAX_SPLIT_ITEMS};
 use crate::ast::{Expr, Kind, Span};
@@ -8,7 +8,7 @@
 use crate::types::Type;
 
 impl Checker {
-    /// `any`, `all` and `first`: a list, and a predicate over each item.
+    /// Checks `any`, `all` and `first`, which apply a predicate to each item of a list.
     pub(super) fn quantifier(
         &mut self,
         span: Span,
@@ -51,7 +51,7 @@
             slot,
             body: body.node,
         };
-        let checked = self.checked(span, node, ty, own_steps, &[&checked_list]);
+        let checked = self.add_node(span, node, ty, own_steps, &[&checked_list]);
         Checked {
             built: checked.built.saturating_add(own_built),
             len: checked_list.items.len,
@@ -59,7 +59,8 @@
         }
     }
 
-    /// `item -> body`: the slot that each item is bound to, and the body, a bool. None where it is wrong.
+    /// Checks `item -> body`. Returns the slot that each item is bound to and the checked body of type bool, or
+    /// `None` after reporting an error.
     fn predicate(
         &mut self,
         function: &str,
@@ -78,7 +79,7 @@
             return None;
         };
         let item = Checked {
-            node: self.node(Node::Bool(false)),
+            node: self.push_node(Node::Bool(false)),
             ty: Some(item.clone()),
             steps: 1,
             built: 0,
@@ -87,7 +88,7 @@
         };
         let slot = self.bind(name, *at, item)?;
         let checked_body = self.check(body);
-        self.names.pop();
+        self.bindings.pop();
         self.expect(&checked_body, body.span, &Type::Bool)
             .then_some((slot, checked_body))
     }
@@ -118,7 +119,7 @@
             by: by.as_bytes().into(),
             most,
         };
-        let checked = self.checked(span, node, Type::Str.list(), 1, &[&of]);
+        let checked = self.add_node(span, node, Type::Str.list(), 1, &[&of]);
         let items = Items {
             steps: u64::from(most) + scan_steps(of.len),
             built: 0,
--- a/crates/expr/src/check/names.rs
+++ b/crates/expr/src/check/names.rs
@@ -1,6 +1,6 @@
-//! Names: `let` bindings and the fields of the request.
+//! Checks names: `let` bindings and request fields.
 
-use super::{Bound, Checked, Checker, Items};
+use super::{Binding, Checked, Checker, Items};
 use crate::ast::{Expr, Span};
 use crate::cost::scan_steps;
 use crate::diagnostic::{Diagnostic, nearest};
@@ -9,7 +9,7 @@
 use crate::program::{Field, Node};
 
 impl Checker {
-    /// `let name = value; body`: the name is known in the body alone.
+    /// Checks `let name = value; body`. The name is in scope only in the body.
     pub(super) fn let_binding(
         &mut self,
         span: Span,
@@ -23,7 +23,7 @@
             return self.invalid();
         };
         let body = self.check(body);
-        self.names.pop();
+        self.bindings.pop();
         let Some(ty) = body.ty.clone().filter(|_| value.ty.is_some()) else {
             return self.invalid();
         };
@@ -32,7 +32,7 @@
             value: value.node,
             body: body.node,
         };
-        let checked = self.checked(span, node, ty, 1, &[&value, &body]);
+        let checked = self.add_node(span, node, ty, 1, &[&value, &body]);
         Checked {
             len: body.len,
             items: body.items,
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn bind(&mut self, name: &str, at: Span, checked: Checked) -> Option<u8> {
-        if self.slots >= MAX_NAMES {
+        if self.slot_count >= MAX_NAMES {
             self.error(
                 at,
                 format!("at most {MAX_NAMES} names can be bound"),
@@ -49,10 +49,10 @@
             );
             return None;
         }
-        // A slot is never used twice, so a list that is looked at later finds what was bound then.
-        self.slots += 1;
-        let slot = (self.slots - 1) as u8;
-        self.names.push(Bound {
+        // Slots are never reused: list items are evaluated lazily and must still find the values bound earlier.
+        self.slot_count += 1;
+        let slot = (self.slot_count - 1) as u8;
+        self.bindings.push(Binding {
             name: name.to_string(),
             slot,
             checked,
@@ -61,12 +61,12 @@
     }
 
     pub(super) fn name(&mut self, span: Span, name: &str) -> Checked {
-        if let Some(bound) = self.names.iter().rfind(|bound| bound.name == name) {
+        if let Some(bound) = self.bindings.iter().rfind(|bound| bound.name == name) {
             let (slot, of) = (bound.slot, bound.checked.clone());
             let Some(ty) = of.ty.clone() else {
                 return self.invalid();
             };
-            let checked = self.checked(span, Node::Slot(slot), ty, 1, &[]);
+            let checked = self.add_node(span, Node::Slot(slot), ty, 1, &[]);
             return Checked {
                 len: of.len,
                 items: of.items,
@@ -74,7 +74,7 @@
             };
         }
         if let Some((field, ty)) = field(name) {
-            let checked = self.checked(span, Node::Field(field), ty, 1, &[]);
+            let checked = self.add_node(span, Node::Field(field), ty, 1, &[]);
             let variable = self.limits.variable;
             return match field {
                 Field::Method | Field::Front => Checked { len: 64, ..checked },
@@ -103,7 +103,11 @@
             };
         }
         let mut error = Diagnostic::new(span, format!("there is no value '{name}'"), "not known");
-        let bound: Vec<String> = self.names.iter().map(|bound| bound.name.clone()).collect();
+        let bound: Vec<String> = self
+            .bindings
+            .iter()
+            .map(|bound| bound.name.clone())
+            .collect();
         if let Some(usage) = usage(name) {
             error = error.help(format!("it is a function: `{usage}`"));
         } else if let Some(near) = nearest(
--- a/crates/expr/src/check/operators.rs
+++ b/crates/expr/src/check/operators.rs
@@ -1,4 +1,4 @@
-//! Operators and choices, checked and bounded.
+//! Checks operators and conditionals and bounds their cost.
 
 use rustc_hash::FxHashSet;
 
@@ -10,7 +10,7 @@
 use crate::program::{Node, NodeIndex};
 use crate::types::Type;
 
-/// One side of an operator: where it stands, what is known of it, and its type.
+/// One operand of an infix operator.
 struct Operand<'e> {
     span: Span,
     checked: &'e Checked,
@@ -42,7 +42,7 @@
         };
         let ty = match (&first, &second) {
             _ if first == second => first,
-            // One way may be absent.
+            // One branch may be optional.
             (Type::Optional(of), other) if **of == *other => first,
             (other, Type::Optional(of)) if **of == *other => second,
             _ => return self.mismatch(other.span, &first, &second),
@@ -55,7 +55,7 @@
             then: one.node,
             other: two.node,
         };
-        let checked = self.checked(span, node, ty, 1, &[&condition]);
+        let checked = self.add_node(span, node, ty, 1, &[&condition]);
         let items = Items {
             steps: one.items.steps.max(two.items.steps),
             built: one.items.built.max(two.items.built),
@@ -75,7 +75,7 @@
         if !self.expect(&checked, operand.span, &Type::Bool) {
             return self.invalid();
         }
-        self.checked(span, Node::Not(checked.node), Type::Bool, 1, &[&checked])
+        self.add_node(span, Node::Not(checked.node), Type::Bool, 1, &[&checked])
     }
 
     pub(super) fn negate(&mut self, span: Span, operand: &Expr) -> Checked {
@@ -88,17 +88,17 @@
             }
             None => return self.invalid(),
         };
-        // A negated constant is a constant itself.
+        // Folds the negation of a constant.
         let node = match self.nodes[checked.node as usize] {
             Node::Int(n) => Node::Int(n.saturating_neg()),
             Node::Float(n) => Node::Float(-n),
             Node::Duration(n) => Node::Duration(n.saturating_neg()),
             _ => Node::Neg(checked.node),
         };
-        self.checked(span, node, ty, 1, &[&checked])
+        self.add_node(span, node, ty, 1, &[&checked])
     }
 
-    /// A conjunction or disjunction of bools; `node` makes the one or the other of its parts.
+    /// Checks `&&` or `||`; `node` builds the node from the operands.
     pub(super) fn logical(
         &mut self,
         span: Span,
@@ -114,7 +114,7 @@
             return self.invalid();
         }
         let nodes = checked.iter().map(|checked| checked.node).collect();
-        self.checked(
+        self.add_node(
             span,
             node(nodes),
             Type::Bool,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// `left ?? right`: what stands for an optional value where it is absent.
+    /// Checks `left ?? right`, which is `right` if the optional `left` is absent.
     fn coalesce(&mut self, span: Span, left: &Operand, right: &Operand) -> Checked {
         let Type::Optional(inner) = &left.ty else {
             let what = format!("this is {}, and never absent", left.ty);
@@ -158,7 +158,7 @@
             left: left.checked.node,
             right: right.checked.node,
         };
-        let checked = self.checked(span, node, ty, 1, &[left.checked, right.checked]);
+        let checked = self.add_node(span, node, ty, 1, &[left.checked, right.checked]);
         Checked {
             len: left.checked.len.max(right.checked.len),
             ..checked
@@ -191,7 +191,7 @@
             left: left.checked.node,
             right: right.checked.node,
         };
-        self.checked(
+        self.add_node(
             span,
             node,
             Type::Bool,
@@ -200,7 +200,7 @@
         )
     }
 
-    /// Two texts, or the bytes of two, one behind the other.
+    /// Checks the concatenation of two strings or two byte strings.
     fn join(&mut self, span: Span, left: &Operand, right: &Operand) -> Checked {
         if left.ty != right.ty {
             return self.mismatch(right.span, &left.ty, &right.ty);
@@ -216,7 +216,7 @@
             right: right.checked.node,
         };
         let own_steps = 1 + scan_steps(len);
-        let checked = self.checked(
+        let checked = self.add_node(
             span,
             node,
             left.ty.clone(),
@@ -251,7 +251,7 @@
         let (a, b) = (left.checked.node, right.checked.node);
         let parts = [left.checked, right.checked];
         if !matches!(op, Op::Div | Op::Rem) {
-            return self.checked(
+            return self.add_node(
                 span,
                 Node::Arith {
                     op,
@@ -263,13 +263,17 @@
                 &parts,
             );
         }
-        let sure = match self.nodes[b as usize] {
+        let divisor_is_nonzero = match self.nodes[b as usize] {
             Node::Int(n) | Node::Duration(n) => n != 0,
             Node::Float(n) => n != 0.0,
             _ => false,
         };
-        let ty = if sure { ty } else { ty.optional() };
-        self.checked(
+        let ty = if divisor_is_nonzero {
+            ty
+        } else {
+            ty.optional()
+        };
+        self.add_node(
             span,
             Node::Divide {
                 op,
@@ -282,7 +286,7 @@
         )
     }
 
-    /// `left in right`.
+    /// Checks `left in right`.
     fn contained(&mut self, span: Span, left: &Operand, right: &Operand) -> Checked {
         let Type::List(item) = &right.ty else {
             let what = format!("a list is wanted behind 'in', this is {}", right.ty);
@@ -298,14 +302,15 @@
         match self.constant_set(left.checked.node, right.checked.node) {
             Some(node @ Node::InTexts { .. }) => {
                 let own_steps = 2 + scan_steps(left.checked.len);
-                self.checked(span, node, Type::Bool, own_steps, &[left.checked])
+                self.add_node(span, node, Type::Bool, own_steps, &[left.checked])
             }
-            Some(node) => self.checked(span, node, Type::Bool, 2, &[left.checked]),
+            Some(node) => self.add_node(span, node, Type::Bool, 2, &[left.checked]),
             None => self.contained_in_list(span, left.checked, right.checked),
         }
     }
 
-    /// A list of constants becomes a set, which is looked up and not gone through.
+    /// Compiles a list of constants to a hash set, so that `in` is a lookup instead of a scan. Returns `None` for
+    /// other lists.
     fn constant_set(&self, of: NodeIndex, list: NodeIndex) -> Option<Node> {
         let Node::List(items) = &self.nodes[list as usize] else {
             return None;
@@ -337,7 +342,7 @@
             of: value.node,
             list: list.node,
         };
-        let checked = self.checked(span, node, Type::Bool, own_steps, &[value, list]);
+        let checked = self.add_node(span, node, Type::Bool, own_steps, &[value, list]);
         Checked {
             built: checked.built.saturating_add(list.items.built),
             ..checked
--- a/crates/expr/src/check/patterns.rs
+++ b/crates/expr/src/check/patterns.rs
@@ -1,4 +1,4 @@
-//! Functions with a literal that is compiled here: regular expressions, networks; and `substring`.
+//! Checks `matches` and `cidr`, whose literals are compiled here, and `substring`.
 
 use std::net::IpAddr;
 
@@ -30,14 +30,14 @@
             }
             Err(e) => {
                 let what = e.to_string();
-                let last = what
+                let last_line = what
                     .lines()
                     .last()
                     .unwrap_or_default()
                     .trim_start_matches("error: ");
                 return self.error(
                     pattern.span,
-                    format!("no regular expression: {last}"),
+                    format!("no regular expression: {last_line}"),
                     "here",
                 );
             }
@@ -45,9 +45,9 @@
         if !well_typed {
             return self.invalid();
         }
-        // Linear in the text, by the library's word; no step is charged for less than a byte.
+        // The regex crate guarantees matching in linear time; one step is counted for each byte.
         let own_steps = 2 + checked.len;
-        self.checked(
+        self.add_node(
             span,
             Node::Matches {
                 of: checked.node,
@@ -62,12 +62,12 @@
     pub(super) fn substring(&mut self, span: Span, args: &[Expr]) -> Checked {
         let checked: Vec<Checked> = args.iter().map(|arg| self.check(arg)).collect();
         let mut well_typed = true;
-        for ((arg, checked), want) in
+        for ((arg, checked), expected) in
             args.iter()
                 .zip(&checked)
                 .zip([Type::Str, Type::Int, Type::Int])
         {
-            well_typed &= self.expect(checked, arg.span, &want);
+            well_typed &= self.expect(checked, arg.span, &expected);
         }
         if !well_typed {
             return self.invalid();
@@ -79,7 +79,7 @@
             count: checked[2].node,
         };
         let own_steps = 1 + scan_steps(len);
-        let checked = self.checked(
+        let checked = self.add_node(
             span,
             node,
             Type::Str,
@@ -113,7 +113,7 @@
             return self.invalid();
         }
         let own_steps = 1 + nets.len() as u64;
-        self.checked(
+        self.add_node(
             span,
             Node::Networks {
                 of: of.node,
--- a/crates/expr/src/check/signatures.rs
+++ b/crates/expr/src/check/signatures.rs
@@ -1,5 +1,5 @@
-//! Functions that look only at the types of one or two values: which types they take, what they return, what
-//! they cost.
+//! Signatures of functions that depend only on the types of one or two arguments: argument types, result type
+//! and cost.
 
 use super::{Checked, Checker};
 use crate::ast::{Expr, Span};
@@ -8,18 +8,18 @@
 use crate::program::{Function, Node};
 use crate::types::Type;
 
-/// Digits that `hex` writes of an int.
+/// Number of digits that `hex` writes for an int.
 const HEX_DIGITS: u64 = 16;
 
-/// What a function returns, and an upper bound of its cost.
+/// The result type of a function and upper bounds on its cost.
 struct Signature {
     function: Function,
     result: Type,
-    /// Steps beside those of its arguments.
+    /// Steps, not counting those of the arguments.
     steps: u64,
-    /// Bytes of text that it builds.
+    /// Bytes built in the scratch buffer.
     built: u64,
-    /// Length of the result, in bytes.
+    /// Length of the result in bytes.
     len: u64,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A function that returns a text of at most this length.
+    /// A function that returns a string of at most `len` bytes.
     fn text(function: Function, steps: u64, len: u64) -> Signature {
         Signature::new(function, Type::Str, steps).len(len)
     }
@@ -65,7 +65,7 @@
             Signature::new(Function::EndsWith, Type::Bool, shorter)
         }
         ("contains", (Type::Str, Type::Str)) => {
-            // The search restarts at every position; both lengths are bounded, so the product is.
+            // The search restarts at every position, so the bound is the product of both lengths.
             let steps = (1 + scan_steps(left.len)).saturating_mul(1 + scan_steps(right.len));
             Signature::new(Function::Contains, Type::Bool, steps)
         }
@@ -86,7 +86,7 @@
 }
 
 impl Checker {
-    /// Functions that look only at the types of one or two values.
+    /// Checks a function that depends only on the types of one or two arguments.
     pub(super) fn by_signature(
         &mut self,
         span: Span,
@@ -100,7 +100,7 @@
             return self.invalid();
         };
         if let ("bytes", [Type::Str]) = (name, &types[..]) {
-            // The same bytes under another type.
+            // Only the type changes; the bytes stay the same.
             return Checked {
                 ty: Some(Type::Bytes),
                 ..checked[0].clone()
@@ -116,7 +116,7 @@
             with,
         };
         let parts: Vec<&Checked> = checked.iter().collect();
-        let whole = self.checked(span, node, found.result, found.steps, &parts);
+        let whole = self.add_node(span, node, found.result, found.steps, &parts);
         Checked {
             built: whole.built.saturating_add(found.built),
             len: found.len,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// What a function of this name makes of arguments of these types; none where it takes no such arguments.
+    /// Returns the signature of a function for these argument types, or `None` if it doesn't accept them.
     fn signature(&self, name: &str, types: &[Type], args: &[Checked]) -> Option<Signature> {
         match types {
             [ty] => self.unary_signature(name, ty, &args[0]),
--- a/crates/expr/src/cost.rs
+++ b/crates/expr/src/cost.rs
@@ -1,21 +1,22 @@
-//! What evaluating an expression costs: the unit in which the checker bounds it and the evaluator counts it.
+//! The cost model of evaluation, shared by the checker, which bounds the cost, and the evaluator, which counts
+//! it.
 
-/// What one evaluation costs at the most.
+/// Upper bound on the cost of one evaluation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cost {
-    /// Steps: one for a constant, more for what scans bytes.
+    /// Evaluation steps: one for a constant, more for operations that scan bytes.
     pub steps: u64,
-    /// Bytes of strings that have to be built.
+    /// Bytes of strings built in the scratch buffer.
     pub bytes: u64,
 }
 
-/// Steps of looking a variable up.
+/// Steps counted for looking up a variable.
 pub(crate) const LOOKUP_STEPS: u64 = 16;
 
-/// Bytes that are scanned in one step.
+/// Number of bytes scanned in one step.
 const BYTES_PER_STEP: u64 = 16;
 
-/// Steps of scanning so many bytes.
+/// Steps counted for scanning `bytes` bytes.
 pub(crate) fn scan_steps(bytes: u64) -> u64 {
     1 + bytes / BYTES_PER_STEP
 }
--- a/crates/expr/src/diagnostic.rs
+++ b/crates/expr/src/diagnostic.rs
@@ -1,20 +1,20 @@
-//! What is wrong with a source, where, and what may have been meant.
+//! Errors in a source, with their position and a hint for correcting them.
 
 use miette::{GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource};
 
 use crate::ast::Span;
 
-/// An error in a source, with its place.
+/// An error in a source, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct Diagnostic {
-    /// What is wrong.
+    /// The error message.
     pub message: String,
-    /// Where.
+    /// Position in the source.
     pub span: Span,
-    /// What stands there, in a word or two.
+    /// A short label for the span.
     pub label: String,
-    /// What may have been meant.
+    /// A hint for correcting the error.
     pub help: Option<String>,
 }
 
@@ -37,7 +37,7 @@
         self
     }
 
-    /// Line and column of its place, from 1.
+    /// Line and column of the error, counted from 1.
     pub fn place(&self, source: &str) -> (usize, usize) {
         let before = &source[..source.floor_char_boundary(self.span.from.min(source.len()))];
         let line = before.matches('\n').count() + 1;
@@ -51,7 +51,7 @@
         (line, column)
     }
 
-    /// In one line, for a log.
+    /// Formats the error as one line, for a log.
     pub fn line(&self, source: &str) -> String {
         let (line, column) = self.place(source);
         let help = self
@@ -76,7 +76,7 @@
     }
 }
 
-/// All of them as a person reads them, with the lines that they speak of.
+/// Renders all errors with the source lines they refer to.
 pub fn render(name: &str, source: &str, errors: &[Diagnostic]) -> String {
     let handler =
         GraphicalReportHandler::new_themed(GraphicalTheme::unicode_nocolor()).with_width(100);
@@ -90,7 +90,7 @@
     out
 }
 
-/// Of the names that there are, the one that was probably meant.
+/// Returns the known name closest to `name`, if one is close enough to suggest.
 pub(crate) fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let near = known.map(|other| (strsim::damerau_levenshtein(name, other), other));
     let (distance, other) = near.min()?;
--- a/crates/expr/src/eval.rs
+++ b/crates/expr/src/eval.rs
@@ -1,5 +1,5 @@
-//! Evaluation of the compiled form. It can't fail: what could was settled when it was checked. Steps are
-//! counted as the check bounds them, part by part.
+//! Evaluation of the compiled form. Evaluation can't fail, since the checker rejects every program that could.
+//! The steps of each node are counted in the same way as the checker bounds them.
 
 mod functions;
 mod lists;
@@ -16,13 +16,13 @@
 use crate::value::{List, Scratch, Text, Value};
 
 impl Program {
-    /// The value for one request. Texts that had to be built stand in `scratch` until the next evaluation
-    /// with it.
+    /// Evaluates the program for one request. Strings that had to be built stay in `scratch` until the next
+    /// evaluation that uses it.
     pub fn eval<'v, R: Request>(&'v self, request: &'v R, scratch: &mut Scratch) -> Value<'v> {
         run(self, request, scratch)
     }
 
-    /// The value where it is the truth or not.
+    /// Evaluates the program and returns true if the value is `true`.
     pub fn is_true<R: Request>(&self, request: &R, scratch: &mut Scratch) -> bool {
         self.eval(request, scratch).is_true()
     }
@@ -30,7 +30,7 @@
 
 fn run<'v, R: Request>(program: &'v Program, request: &'v R, scratch: &mut Scratch) -> Value<'v> {
     scratch.built.clear();
-    // Had once; from then on a bound below it costs nothing.
+    // Allocates only if the buffer is smaller than the program's bound.
     scratch.built.reserve(program.cost.bytes as usize);
     scratch.steps = 0;
     Eval {
@@ -49,14 +49,14 @@
     slots: [Value<'v>; MAX_NAMES],
 }
 
-/// FNV-1a, so that a hash is the same on every node and after every start; without its sign, so that `%` of
-/// it has none either.
+/// FNV-1a, so that a hash is the same on every node and after every restart. The hash is shifted to be
+/// nonnegative, so that `%` of it is nonnegative too.
 fn hash(bytes: &[u8]) -> i64 {
     let mix = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
     (bytes.iter().fold(0xcbf2_9ce4_8422_2325, mix) >> 1) as i64
 }
 
-fn part(text: Text, from: usize, to: usize) -> Text {
+fn subtext(text: Text, from: usize, to: usize) -> Text {
     match text {
         Text::Ref(bytes) => Text::Ref(&bytes[from..to]),
         Text::Built { from: start, .. } => Text::Built {
@@ -66,7 +66,8 @@
     }
 }
 
-/// A string is one by its type; every way to one went through a check of its bytes.
+/// Returns the bytes of a string value as `str`. They are valid UTF-8, since the bytes were checked wherever a
+/// string value can come from.
 fn utf8(bytes: &[u8]) -> &str {
     std::str::from_utf8(bytes).unwrap_or_default()
 }
@@ -101,23 +102,23 @@
         }
     }
 
-    fn int(&mut self, place: NodeIndex) -> i64 {
-        if let Value::Int(n) = self.eval(place) {
+    fn int(&mut self, index: NodeIndex) -> i64 {
+        if let Value::Int(n) = self.eval(index) {
             n
         } else {
             0
         }
     }
 
-    fn eval(&mut self, place: NodeIndex) -> Value<'v> {
-        match &self.program.nodes[place as usize] {
+    fn eval(&mut self, index: NodeIndex) -> Value<'v> {
+        match &self.program.nodes[index as usize] {
             Node::Compare { op, left, right } => self.compare(*op, *left, *right),
             Node::Call { fun, of, with } => self.call(*fun, *of, *with),
-            node => self.other(node),
+            node => self.eval_node(node),
         }
     }
 
-    fn other(&mut self, node: &'v Node) -> Value<'v> {
+    fn eval_node(&mut self, node: &'v Node) -> Value<'v> {
         self.step(1);
         match node {
             Node::Bool(truth) => Value::Bool(*truth),
@@ -157,12 +158,12 @@
                 Value::Absent => self.eval(*right),
                 value => value,
             },
-            node => self.search(node),
+            node => self.eval_search(node),
         }
     }
 
-    /// Nodes that look through a text, a list or a set.
-    fn search(&mut self, node: &'v Node) -> Value<'v> {
+    /// Evaluates nodes that search a string, a list or a set.
+    fn eval_search(&mut self, node: &'v Node) -> Value<'v> {
         match node {
             Node::InTexts { of, set } => {
                 let value = self.eval(*of);
@@ -233,12 +234,13 @@
         found
     }
 
-    // --- What the request holds ---
+    // --- Access to the request ---
 
-    /// Longer than was declared it is not seen at all: a part would be taken for the whole.
+    /// Returns the text, or an empty text if it is longer than the limit: a truncated value could be mistaken for
+    /// the whole.
     fn bounded(&self, text: &'v str) -> Value<'v> {
-        let seen = text.len() as u64 <= self.program.limits.variable;
-        Value::Text(Text::Ref(if seen { text.as_bytes() } else { b"" }))
+        let within_limit = text.len() as u64 <= self.program.limits.variable;
+        Value::Text(Text::Ref(if within_limit { text.as_bytes() } else { b"" }))
     }
 
     fn field(&self, field: Field) -> Value<'v> {
@@ -292,7 +294,7 @@
         Value::Text(Text::Ref(bytes))
     }
 
-    /// The one value of a parameter of the query, as it came; none where it is there twice.
+    /// Returns the undecoded value of a query parameter; absent if the parameter is missing or repeated.
     fn parameter(&mut self, name: &str) -> Value<'v> {
         let query = self.request.query();
         if query.len() as u64 > self.program.limits.variable {
@@ -328,7 +330,7 @@
         .any(|(network, bits)| is_in(address, *network, *bits))
 }
 
-/// Whether an address is in a network; an IPv4 address that came as IPv6 is what it stands for.
+/// Returns true if the address is in the network. IPv4-mapped IPv6 addresses are treated as IPv4.
 fn is_in(addr: IpAddr, net: IpAddr, bits: u8) -> bool {
     match (addr.to_canonical(), net) {
         (IpAddr::V4(addr), IpAddr::V4(net)) => {
--- a/crates/expr/src/eval/functions.rs
+++ b/crates/expr/src/eval/functions.rs
@@ -1,8 +1,8 @@
-//! What functions do, and the texts that they take apart and build.
+//! Evaluation of functions and comparisons, and the strings that they slice and build.
 
 use std::cmp::Ordering;
 
-use super::{Eval, find, hash, part, utf8};
+use super::{Eval, find, hash, subtext, utf8};
 use crate::ast::Op;
 use crate::cost::scan_steps;
 use crate::program::{Field, Function, NodeIndex};
@@ -23,26 +23,26 @@
         })
     }
 
-    pub(super) fn recase(
+    pub(super) fn change_case(
         &mut self,
         value: Value<'v>,
-        is_other: fn(&u8) -> bool,
-        change: fn(&mut [u8]),
+        needs_change: fn(&u8) -> bool,
+        apply: fn(&mut [u8]),
     ) -> Value<'v> {
         let Value::Text(text) = value else {
             return value;
         };
-        if !self.scratch.text(text).iter().any(is_other) {
+        if !self.scratch.text(text).iter().any(needs_change) {
             return value;
         }
         let built = self.join(text, Text::Ref(b""));
         if let Text::Built { from, len } = built {
-            change(&mut self.scratch.built[from as usize..(from + len) as usize]);
+            apply(&mut self.scratch.built[from as usize..(from + len) as usize]);
         }
         Value::Text(built)
     }
 
-    /// So many signs from a place on, as far as there are any.
+    /// Returns up to `count` characters starting at character `from`.
     pub(super) fn substring(&self, value: Value<'v>, from: i64, count: i64) -> Value<'v> {
         let Value::Text(text) = value else {
             return value;
@@ -55,7 +55,7 @@
                 .nth(nth)
                 .map_or(whole.len(), |(at, _)| at)
         };
-        Value::Text(part(text, at(from), at(from.saturating_add(count))))
+        Value::Text(subtext(text, at(from), at(from.saturating_add(count))))
     }
 
     pub(super) fn order(&self, left: Value<'v>, right: Value<'v>) -> Option<Ordering> {
@@ -99,10 +99,10 @@
         self.step(own_steps(fun, len, self.len(other)));
         match fun {
             Function::Lower => {
-                self.recase(value, u8::is_ascii_uppercase, <[u8]>::make_ascii_lowercase)
+                self.change_case(value, u8::is_ascii_uppercase, <[u8]>::make_ascii_lowercase)
             }
             Function::Upper => {
-                self.recase(value, u8::is_ascii_lowercase, <[u8]>::make_ascii_uppercase)
+                self.change_case(value, u8::is_ascii_lowercase, <[u8]>::make_ascii_uppercase)
             }
             Function::Trim => self.trim(value),
             Function::Length => Value::Int(len as i64),
@@ -146,10 +146,10 @@
         };
         let whole = utf8(self.scratch.text(text));
         let from = whole.len() - whole.trim_start().len();
-        Value::Text(part(text, from, (from + whole.trim().len()).max(from)))
+        Value::Text(subtext(text, from, (from + whole.trim().len()).max(from)))
     }
 
-    /// The sixteen hex digits of an int.
+    /// Formats an int as 16 hex digits.
     fn hex(&mut self, value: Value<'v>) -> Value<'v> {
         let Value::Int(n) = value else { return value };
         Value::Text(self.scratch.build(|built| {
@@ -174,7 +174,7 @@
     }
 }
 
-/// Steps that a function takes by itself over a value and another of these lengths in bytes, as the check
+/// Steps of a function itself for arguments of these lengths in bytes, counted in the same way as the checker
 /// bounds them.
 fn own_steps(fun: Function, len: u64, other_len: u64) -> u64 {
     match fun {
@@ -192,7 +192,7 @@
     }
 }
 
-/// An int of a float, towards zero, and a float of an int.
+/// Converts a float to an int, rounding towards zero, or an int to a float.
 fn convert(value: Value) -> Value {
     match value {
         Value::Float(n) => Value::Int(n as i64),
--- a/crates/expr/src/eval/lists.rs
+++ b/crates/expr/src/eval/lists.rs
@@ -1,24 +1,24 @@
-//! Lists, whose items are made as they are looked at.
+//! Evaluation of lists, whose items are produced lazily.
 
-use super::{Eval, find, part};
+use super::{Eval, find, subtext};
 use crate::cost::scan_steps;
 use crate::program::{Loop, NodeIndex};
 use crate::request::Request;
 use crate::value::{List, Text, Value};
 
 impl<'v, R: Request> Eval<'v, '_, R> {
-    /// Calls `each` with each item, until it returns false.
+    /// Calls `visit` with each item until it returns false.
     pub(super) fn items(
         &mut self,
         list: List<'v>,
-        each: &mut dyn FnMut(&mut Self, Value<'v>) -> bool,
+        visit: &mut dyn FnMut(&mut Self, Value<'v>) -> bool,
     ) {
         match list {
-            List::Items(places) => {
-                for place in places {
+            List::Items(indexes) => {
+                for index in indexes {
                     self.step(1);
-                    let item = self.eval(*place);
-                    if !each(self, item) {
+                    let item = self.eval(*index);
+                    if !visit(self, item) {
                         return;
                     }
                 }
@@ -32,8 +32,8 @@
                     let end = find(&whole[from..], by)
                         .filter(|_| nth < most)
                         .map(|at| from + at);
-                    let item = Value::Text(part(text, from, end.unwrap_or(whole.len())));
-                    if !each(self, item) {
+                    let item = Value::Text(subtext(text, from, end.unwrap_or(whole.len())));
+                    if !visit(self, item) {
                         return;
                     }
                     match end {
@@ -49,7 +49,7 @@
                 }
                 for segment in path.split(|byte| *byte == b'/').take(most as usize) {
                     self.step(1);
-                    if !each(self, Value::Text(Text::Ref(segment))) {
+                    if !visit(self, Value::Text(Text::Ref(segment))) {
                         return;
                     }
                 }
@@ -72,7 +72,7 @@
             eval.step(1);
             eval.slots[usize::from(slot)] = item;
             let truth = eval.eval(body).is_true();
-            // What decides it: one that is so, or for all one that is not.
+            // `any` and `first` stop at the first item that satisfies the predicate, `all` at the first that doesn't.
             if truth != (kind == Loop::All) {
                 found = Some(item);
             }
@@ -85,23 +85,23 @@
         }
     }
 
-    pub(super) fn get(&mut self, list: Value<'v>, place: i64) -> Value<'v> {
-        let (Value::List(list), Ok(place)) = (list, usize::try_from(place)) else {
+    pub(super) fn get(&mut self, list: Value<'v>, index: i64) -> Value<'v> {
+        let (Value::List(list), Ok(index)) = (list, usize::try_from(index)) else {
             return Value::Absent;
         };
         if let List::Items(items) = list {
-            return match items.get(place) {
+            return match items.get(index) {
                 Some(item) => self.eval(*item),
                 None => Value::Absent,
             };
         }
         let (mut nth, mut found) = (0, Value::Absent);
         self.items(list, &mut |_, item| {
-            if nth == place {
+            if nth == index {
                 found = item;
             }
             nth += 1;
-            nth <= place
+            nth <= index
         });
         found
     }
--- a/crates/expr/src/eval/numbers.rs
+++ b/crates/expr/src/eval/numbers.rs
@@ -1,9 +1,9 @@
-//! Arithmetic that can't fail: what is too large stays at the largest, what is divided by nothing is absent.
+//! Arithmetic that can't fail: results saturate, and division by zero is absent.
 
 use crate::ast::Op;
 use crate::value::Value;
 
-/// Floats stay finite.
+/// Clamps an infinite result to the largest finite float.
 fn finite(x: f64) -> f64 {
     x.clamp(f64::MIN, f64::MAX)
 }
@@ -30,7 +30,7 @@
     let whole = |a: i64, b: i64| match (op, b) {
         (_, 0) => None,
         (Op::Div, _) => Some(a.saturating_div(b)),
-        // The one overflow that there is has nothing left over.
+        // `i64::MIN % -1`, the only overflow, has the remainder 0.
         _ => Some(a.checked_rem(b).unwrap_or(0)),
     };
     match (left, right) {
--- a/crates/expr/src/functions.rs
+++ b/crates/expr/src/functions.rs
@@ -1,9 +1,9 @@
-//! The names that an expression may use: values of the request, and functions.
+//! The built-in names of the language: request fields and functions.
 
 use crate::program::Field;
 use crate::types::Type;
 
-/// Values of the request: name, place, type.
+/// Returns the request field of this name and its type.
 pub(crate) fn field(name: &str) -> Option<(Field, Type)> {
     Some(match name {
         "method" => (Field::Method, Type::Str),
@@ -31,7 +31,7 @@
     "time_of_day",
 ];
 
-/// Functions, each with how it is called, for messages.
+/// Function names, each with a usage example for error messages.
 pub(crate) const FUNCTIONS: [(&str, &str); 29] = [
     ("header", "header(\"x-yard\")"),
     ("raw_header", "raw_header(\"x-yard\")"),
--- a/crates/expr/src/lex.rs
+++ b/crates/expr/src/lex.rs
@@ -1,4 +1,4 @@
-//! Source to tokens, with winnow. What is no token is reported and skipped, so that the rest is read as well.
+//! The lexer, built with winnow. Invalid tokens are reported and skipped, so that later errors are found too.
 
 use winnow::Parser;
 use winnow::ascii::{digit1, multispace1};
@@ -17,16 +17,16 @@
     Str(String),
     Bytes(Vec<u8>),
     Name(String),
-    /// A sign or a bracket.
-    Sign(&'static str),
+    /// An operator, bracket or other punctuation.
+    Symbol(&'static str),
     End,
 }
 
-const SIGNS: [&str; 28] = [
+const SYMBOLS: [&str; 28] = [
     "->", "??", "==", "!=", "<=", ">=", "&&", "||", "(", ")", "[", "]", "{", "}", ",", ";", ".",
     "=", "<", ">", "+", "-", "*", "/", "%", "!", ":", "|",
 ];
-/// Microseconds in each unit.
+/// Duration units, each with its length in microseconds.
 const UNITS: [(&str, f64); 5] = [
     ("ms", 1e3),
     ("us", 1.0),
@@ -35,7 +35,7 @@
     ("h", 3.6e9),
 ];
 
-/// Why a piece of the source is no token.
+/// Why a piece of the source is not a valid token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum LexError {
     #[error("an escape \\x wants two hex digits")]
@@ -53,12 +53,12 @@
     #[error("this is no text; write b\"...\" for bytes")]
     NotUtf8,
     #[error("this sign means nothing here")]
-    UnknownSign,
+    UnknownSymbol,
 }
 
 impl LexError {
-    /// Whether the end of the token is unknown, so that nothing after it can be read.
-    fn hides_the_rest(self) -> bool {
+    /// Returns true if the end of the token is unknown, so that lexing can't continue after it.
+    fn is_unrecoverable(self) -> bool {
         matches!(
             self,
             LexError::HexEscape | LexError::UnknownEscape | LexError::UnterminatedString
@@ -68,7 +68,7 @@
 
 type Lexed<T> = Result<T, EmptyError>;
 
-fn blank(input: &mut &str) -> Lexed<()> {
+fn skip_blank(input: &mut &str) -> Lexed<()> {
     let comment = ("#", take_till(0.., '\n')).void();
     repeat(0.., alt((multispace1.void(), comment))).parse_next(input)
 }
@@ -79,11 +79,11 @@
         take_while(0.., |c: char| c.is_ascii_digit() || c == '_'),
     )
         .take();
-    let (whole, part): (&str, Option<&str>) =
+    let (whole, fraction): (&str, Option<&str>) =
         (digits, opt(preceded('.', digit1))).parse_next(input)?;
     let whole = whole.replace('_', "");
-    Ok(match part {
-        Some(part) => (format!("{whole}.{part}"), true),
+    Ok(match fraction {
+        Some(fraction) => (format!("{whole}.{fraction}"), true),
         None => (whole, false),
     })
 }
@@ -98,7 +98,7 @@
         .parse_next(input)
 }
 
-/// What stands between two quotes, with its escapes; none where there is no second one.
+/// Reads a quoted string and decodes its escapes.
 fn quoted(input: &mut &str) -> Result<Vec<u8>, LexError> {
     let mut out = Vec::new();
     let mut chars = input.char_indices();
@@ -135,7 +135,7 @@
     let (mut tokens, mut errors) = (Vec::new(), Vec::new());
     let mut input = source;
     loop {
-        _ = blank(&mut input);
+        _ = skip_blank(&mut input);
         let from = source.len() - input.len();
         let Some(first) = input.chars().next() else {
             tokens.push((Token::End, Span { from, to: from }));
@@ -149,7 +149,7 @@
         match token {
             Ok(token) => tokens.push((token, span)),
             Err(error) => {
-                if error.hides_the_rest() {
+                if error.is_unrecoverable() {
                     let span = Span {
                         from,
                         to: source.len(),
@@ -200,14 +200,14 @@
     if let Ok(name) = name(input) {
         return Ok(Token::Name(name.to_string()));
     }
-    match SIGNS.iter().find(|sign| input.starts_with(**sign)) {
-        Some(sign) => {
-            *input = &input[sign.len()..];
-            Ok(Token::Sign(sign))
+    match SYMBOLS.iter().find(|symbol| input.starts_with(**symbol)) {
+        Some(symbol) => {
+            *input = &input[symbol.len()..];
+            Ok(Token::Symbol(symbol))
         }
         None => {
             *input = &input[first.len_utf8()..];
-            Err(LexError::UnknownSign)
+            Err(LexError::UnknownSymbol)
         }
     }
 }
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -1,20 +1,21 @@
-//! A small typed language over requests. An expression is read, checked against the type that is wanted of
-//! it, bounded in cost and compiled, all before its first use; evaluating it then can't fail, loop or
-//! allocate.
+//! A small typed expression language over requests. An expression is parsed, checked against the expected type,
+//! bounded in cost and compiled before its first use. Evaluation then can't fail, loop forever or, once the
+//! scratch buffer has its capacity, allocate.
 //!
 //! ```text
 //! let yard = header("x-yard") ?? "none";
 //! if yard in ["north", "south"] { lower(yard) + "/" + (segment(1) ?? "") } else { "other" }
 //! ```
 //!
-//! [`compile`] gives a [`Program`] or every [`Diagnostic`] that was found, each with its place. A program is
-//! evaluated against anything that is a [`Request`] with a [`Scratch`] that is kept between evaluations, and
-//! borrows what it can from the request. Neither I/O nor a clock: time of day is a value of the request.
+//! [`compile`] returns a [`Program`], or every [`Diagnostic`] found, each with its position. A program is
+//! evaluated against any [`Request`], with a [`Scratch`] buffer that is reused between evaluations; values are
+//! borrowed from the request where possible. Evaluation does no I/O and reads no clock: the time of day is a
+//! field of the request.
 //!
-//! What holds for every program, and is checked by this package's tests:
-//! - evaluating it takes at most [`Cost::steps`] steps and [`Cost::bytes`] of scratch, whatever the request
-//!   holds, as long as that keeps within the [`Limits`] that the program was compiled for;
-//! - integers saturate, floats stay finite, and what may be absent must be handled before it is used;
+//! The following holds for every program and is checked by this package's tests:
+//! - an evaluation takes at most [`Cost::steps`] steps and [`Cost::bytes`] of scratch for every request within
+//!   the [`Limits`] that the program was compiled for;
+//! - integers saturate, floats stay finite, and optional values must be handled before use;
 //! - the same request gives the same value.
 //!
 //! The language itself is described in `docs/expressions.md`.
@@ -42,28 +43,28 @@
 pub use types::Type;
 pub use value::{List, Scratch, Text, Value};
 
-/// Reads, checks and compiles an expression whose value is to be of type `want`.
+/// Parses, checks and compiles an expression whose value must have the type `expected`.
 ///
 /// # Errors
-/// Every error that could be told apart, in the order of their places.
-pub fn compile(source: &str, want: &Type, limits: Limits) -> Result<Program, Vec<Diagnostic>> {
-    check::compile(&parse(source)?, Some(want), limits)
+/// All errors found, in source order.
+pub fn compile(source: &str, expected: &Type, limits: Limits) -> Result<Program, Vec<Diagnostic>> {
+    check::compile(&parse(source)?, Some(expected), limits)
 }
 
-/// The same without a wanted type; the program tells which it has.
+/// Compiles an expression without an expected type; [`Program::ty`] is the inferred one.
 pub fn infer(source: &str, limits: Limits) -> Result<Program, Vec<Diagnostic>> {
     infer_parsed(&parse(source)?, limits)
 }
 
-/// As [`infer`], of an expression that was read before.
+/// Like [`infer`], for an expression that is already parsed.
 ///
 /// # Errors
-/// Every error that could be told apart, in the order of their places.
+/// All errors found, in source order.
 pub fn infer_parsed(expr: &Expr, limits: Limits) -> Result<Program, Vec<Diagnostic>> {
     check::compile(expr, None, limits)
 }
 
-/// Reads an expression without checking it.
+/// Parses an expression without checking it.
 pub fn parse(source: &str) -> Result<Expr, Vec<Diagnostic>> {
     parse::parse(source)
 }
--- a/crates/expr/src/limits.rs
+++ b/crates/expr/src/limits.rs
@@ -1,26 +1,26 @@
-//! Bounds that hold for every expression, and those that a deployment sets.
+//! Fixed limits of the language, and limits that a deployment configures.
 
-/// Bytes of source that one expression may have.
+/// Maximum length in bytes of an expression's source.
 pub const MAX_SOURCE: usize = 8 * 1024;
-/// How deep expressions may stand within each other.
+/// Maximum nesting depth of expressions.
 pub const MAX_DEPTH: usize = 48;
-/// Names that one expression may bind.
+/// Maximum number of names that one expression may bind.
 pub const MAX_NAMES: usize = 16;
-/// Bytes that any one string may have.
+/// Maximum length in bytes of a string built by concatenation.
 pub const MAX_STRING: u64 = 64 * 1024;
-/// Bytes that a compiled regular expression may take.
+/// Maximum size in bytes of a compiled regular expression.
 pub const MAX_REGEX: usize = 256 * 1024;
 
-/// What requests hold at the most, and what an expression over them may cost.
+/// Limits on the request data that expressions see, and on the cost of an expression.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Steps that one evaluation may take.
+    /// Maximum number of steps of one evaluation.
     pub max_cost: u64,
-    /// Bytes of any one variable, of the path and of the query.
+    /// Maximum length in bytes of a variable, of the path and of the query.
     pub variable: u64,
-    /// Bytes of the body that an expression sees.
+    /// Number of leading body bytes that an expression sees.
     pub body: u64,
-    /// Segments of the path that an expression sees.
+    /// Number of leading path segments that an expression sees.
     pub segments: u64,
 }
 
--- a/crates/expr/src/parse.rs
+++ b/crates/expr/src/parse.rs
@@ -1,5 +1,5 @@
-//! Tokens to a syntax tree, by recursive descent. Several errors are reported at a time: what cannot be read is
-//! skipped up to where the next expression can begin.
+//! A recursive descent parser from tokens to the syntax tree. The parser recovers from errors where it can, so
+//! that several are reported at a time.
 
 mod operators;
 mod primary;
@@ -9,7 +9,7 @@
 use crate::lex::{Token, lex};
 use crate::limits::{MAX_DEPTH, MAX_SOURCE};
 
-/// Errors after which no more are looked for.
+/// Maximum number of errors reported for one source.
 const MAX_ERRORS: usize = 20;
 
 pub(crate) fn parse(source: &str) -> Result<Expr, Vec<Diagnostic>> {
@@ -60,8 +60,8 @@
         self.tokens[self.at].1
     }
 
-    fn is(&self, sign: &str) -> bool {
-        matches!(self.token(), Token::Sign(other) if *other == sign)
+    fn is(&self, symbol: &str) -> bool {
+        matches!(self.token(), Token::Symbol(other) if *other == symbol)
     }
 
     fn is_name(&self, name: &str) -> bool {
@@ -74,8 +74,8 @@
         token
     }
 
-    fn accept(&mut self, sign: &str) -> bool {
-        let is = self.is(sign);
+    fn accept(&mut self, symbol: &str) -> bool {
+        let is = self.is(symbol);
         if is {
             self.next();
         }
@@ -84,7 +84,7 @@
 
     fn error(&mut self, what: impl Into<String>, label: &str) -> Expr {
         let span = self.span();
-        // One for each place: what follows from it is not worth a word.
+        // Only the first of consecutive errors at the same position is reported; the others follow from it.
         if self.errors.last().is_none_or(|last| last.span != span) {
             self.errors.push(Diagnostic::new(span, what, label));
         }
@@ -95,17 +95,17 @@
         }
     }
 
-    fn expect(&mut self, sign: &'static str) -> Span {
-        if !self.is(sign) {
-            self.error(format!("'{sign}' is wanted here"), "before this");
+    fn expect(&mut self, symbol: &'static str) -> Span {
+        if !self.is(symbol) {
+            self.error(format!("'{symbol}' is wanted here"), "before this");
             return self.span();
         }
         self.next().1
     }
 
-    /// Puts together what was read, unless it is too deep by now.
-    fn node(&mut self, kind: Kind, span: Span, within: usize) -> Expr {
-        let depth = within + 1;
+    /// Builds a node, or reports an error if it would exceed the maximum depth.
+    fn node(&mut self, kind: Kind, span: Span, child_depth: usize) -> Expr {
+        let depth = child_depth + 1;
         if depth > MAX_DEPTH {
             if self.errors.iter().all(|error| error.label != "too deep") {
                 let what = format!("expressions stand at most {MAX_DEPTH} deep within each other");
@@ -120,12 +120,12 @@
         Expr { kind, span, depth }
     }
 
-    /// What is deeper is not looked at.
+    /// Reports that the nesting is too deep and skips the remaining tokens.
     fn too_deep(&mut self) -> Expr {
         let what = format!("expressions stand at most {MAX_DEPTH} deep within each other");
-        let wrong = self.error(what, "too deep");
+        let placeholder = self.error(what, "too deep");
         self.at = self.tokens.len() - 1;
-        wrong
+        placeholder
     }
 
     fn expr(&mut self) -> Expr {
--- a/crates/expr/src/parse/operators.rs
+++ b/crates/expr/src/parse/operators.rs
@@ -4,9 +4,9 @@
 use crate::ast::{Expr, Kind, Op};
 use crate::lex::Token;
 
-/// How tight a sign binds, the tightest last.
-fn binding(sign: &str) -> Option<(u8, Op)> {
-    Some(match sign {
+/// The precedence of an infix operator and the operator itself; a higher precedence binds more tightly.
+fn infix_operator(symbol: &str) -> Option<(u8, Op)> {
+    Some(match symbol {
         "==" => (1, Op::Eq),
         "!=" => (1, Op::Ne),
         "<" => (1, Op::Lt),
@@ -31,7 +31,7 @@
         let value = self.expr();
         self.expect(";");
         let body = self.expr();
-        let (span, within) = (start.with(body.span), value.depth.max(body.depth));
+        let (span, child_depth) = (start.with(body.span), value.depth.max(body.depth));
         self.node(
             Kind::Let {
                 name,
@@ -40,7 +40,7 @@
                 body: Box::new(body),
             },
             span,
-            within,
+            child_depth,
         )
     }
 
@@ -66,11 +66,11 @@
             let other = self.expr();
             (other, self.expect("}"))
         };
-        let within = when.depth.max(then.depth).max(other.depth);
+        let child_depth = when.depth.max(then.depth).max(other.depth);
         self.node(
             Kind::If(Box::new(when), Box::new(then), Box::new(other)),
             start.with(end),
-            within,
+            child_depth,
         )
     }
 
@@ -80,53 +80,57 @@
         })
     }
 
-    /// Any number of parts side by side, which does not make them deeper.
+    /// Parses any number of operands joined by the same symbol into one flat node, without adding depth for each.
     pub(super) fn chain(
         &mut self,
-        sign: &str,
+        symbol: &str,
         kind: fn(Vec<Expr>) -> Kind,
         part: impl Fn(&mut Parser) -> Expr,
     ) -> Expr {
         let first = part(self);
-        if !self.is(sign) {
+        if !self.is(symbol) {
             return first;
         }
         let mut parts = vec![first];
-        while self.accept(sign) {
+        while self.accept(symbol) {
             parts.push(part(self));
         }
         let span = parts[0].span.with(parts[parts.len() - 1].span);
-        let within = parts.iter().map(|part| part.depth).max().unwrap_or(0);
-        self.node(kind(parts), span, within)
+        let child_depth = parts.iter().map(|part| part.depth).max().unwrap_or(0);
+        self.node(kind(parts), span, child_depth)
     }
 
-    pub(super) fn infix(&mut self, least: u8) -> Expr {
+    pub(super) fn infix(&mut self, min_precedence: u8) -> Expr {
         let mut left = self.prefix();
         loop {
-            let (tight, op) = match self.token() {
-                Token::Sign(sign) => match binding(sign) {
+            let (precedence, op) = match self.token() {
+                Token::Symbol(symbol) => match infix_operator(symbol) {
                     Some(found) => found,
                     None => return left,
                 },
                 Token::Name(name) if name == "in" => (1, Op::In),
                 _ => return left,
             };
-            if tight < least {
+            if precedence < min_precedence {
                 return left;
             }
             self.next();
-            // Whatever is absent is looked for from left to right.
-            let right = self.infix(if op == Op::Else { tight } else { tight + 1 });
-            let (span, within) = (left.span.with(right.span), left.depth.max(right.depth));
+            // `??` is right-associative; all other operators are left-associative.
+            let right = self.infix(if op == Op::Else {
+                precedence
+            } else {
+                precedence + 1
+            });
+            let (span, child_depth) = (left.span.with(right.span), left.depth.max(right.depth));
             left = self.node(
                 Kind::Binary(op, Box::new(left), Box::new(right)),
                 span,
-                within,
+                child_depth,
             );
-            if tight == 1
+            if precedence == 1
                 && matches!(
                     self.token(),
-                    Token::Sign("==" | "!=" | "<" | "<=" | ">" | ">=")
+                    Token::Symbol("==" | "!=" | "<" | "<=" | ">" | ">=")
                 )
             {
                 return self.error(
--- a/crates/expr/src/parse/primary.rs
+++ b/crates/expr/src/parse/primary.rs
@@ -1,14 +1,14 @@
-//! Prefix and postfix operators, calls, lists and single values.
+//! Parses prefix and postfix operators, calls, lists and literals.
 
 use super::Parser;
 use crate::ast::{Expr, Kind, Span};
 use crate::lex::Token;
 use crate::limits::MAX_DEPTH;
 
-/// Names that can't be used for values.
+/// Reserved words, which can't name a value.
 const KEYWORDS: [&str; 4] = ["let", "if", "else", "in"];
-/// Signs that end an expression.
-const CLOSING_SIGNS: [&str; 5] = [")", "]", "}", ",", ";"];
+/// Symbols that end an expression.
+const CLOSING_SYMBOLS: [&str; 5] = [")", "]", "}", ",", ";"];
 
 impl Parser {
     pub(super) fn prefix(&mut self) -> Expr {
@@ -16,15 +16,15 @@
         let expr = if self.depth > 2 * MAX_DEPTH {
             self.too_deep()
         } else if self.is("!") || self.is("-") {
-            let (sign, start) = self.next();
+            let (symbol, start) = self.next();
             let of = self.prefix();
-            let (span, within) = (start.with(of.span), of.depth);
-            let kind = if sign == Token::Sign("!") {
+            let (span, child_depth) = (start.with(of.span), of.depth);
+            let kind = if symbol == Token::Symbol("!") {
                 Kind::Not(Box::new(of))
             } else {
                 Kind::Neg(Box::new(of))
             };
-            self.node(kind, span, within)
+            self.node(kind, span, child_depth)
         } else {
             self.postfix()
         };
@@ -59,11 +59,11 @@
             .first()
             .map_or(at, |first| first.span.with(at))
             .with(end);
-        let within = args.iter().map(|arg| arg.depth).max().unwrap_or(0);
-        self.node(Kind::Call { name, at, args }, span, within)
+        let child_depth = args.iter().map(|arg| arg.depth).max().unwrap_or(0);
+        self.node(Kind::Call { name, at, args }, span, child_depth)
     }
 
-    /// What stands in brackets behind a function's name.
+    /// Parses the parenthesized arguments of a call.
     fn args(&mut self) -> (Vec<Expr>, Span) {
         self.expect("(");
         let args = self.list(")");
@@ -77,12 +77,12 @@
                 && self
                     .tokens
                     .get(self.at + 1)
-                    .is_some_and(|(token, _)| *token == Token::Sign("->"));
+                    .is_some_and(|(token, _)| *token == Token::Symbol("->"));
             let item = if each {
                 let (name, at) = self.name();
                 self.next();
                 let body = self.expr();
-                let (span, within) = (at.with(body.span), body.depth);
+                let (span, child_depth) = (at.with(body.span), body.depth);
                 self.node(
                     Kind::Each {
                         name,
@@ -90,7 +90,7 @@
                         body: Box::new(body),
                     },
                     span,
-                    within,
+                    child_depth,
                 )
             } else {
                 self.expr()
@@ -103,7 +103,7 @@
         items
     }
 
-    /// A single value, a list, a call, or an expression in parentheses.
+    /// Parses a literal, a name, a list, a call, or an expression in parentheses.
     fn primary(&mut self) -> Expr {
         let span = self.span();
         match self.token().clone() {
@@ -119,14 +119,14 @@
                 format!("'{name}' can't stand here; put it in brackets"),
                 "out of place",
             ),
-            Token::Name(name) => self.named(name, span),
-            Token::Sign("(") => self.parenthesized(span),
-            Token::Sign("[") => self.list_literal(span),
+            Token::Name(name) => self.name_or_call(name, span),
+            Token::Symbol("(") => self.parenthesized(span),
+            Token::Symbol("[") => self.list_literal(span),
             Token::End => self.error(
                 "something is wanted here, and the source has ended",
                 "the end",
             ),
-            Token::Sign(sign) => self.no_value(sign),
+            Token::Symbol(symbol) => self.unexpected_symbol(symbol),
         }
     }
 
@@ -140,12 +140,12 @@
         }
     }
 
-    /// A call, or the name of a value.
-    fn named(&mut self, name: String, span: Span) -> Expr {
+    /// Parses a call or the name of a value.
+    fn name_or_call(&mut self, name: String, span: Span) -> Expr {
         self.next();
         if self.is("(") {
             let (args, end) = self.args();
-            return self.call_from(name, span, args, end);
+            return self.function_call(name, span, args, end);
         }
         Expr {
             kind: Kind::Name(name),
@@ -166,21 +166,25 @@
         self.next();
         let items = self.list("]");
         let end = self.expect("]");
-        let within = items.iter().map(|item| item.depth).max().unwrap_or(0);
-        self.node(Kind::List(items), start.with(end), within)
+        let child_depth = items.iter().map(|item| item.depth).max().unwrap_or(0);
+        self.node(Kind::List(items), start.with(end), child_depth)
     }
 
-    /// A sign where a value has to stand. One that may end what is around it is left for that.
-    fn no_value(&mut self, sign: &str) -> Expr {
-        let wrong = self.error(format!("a value is wanted here, not '{sign}'"), "no value");
-        if !CLOSING_SIGNS.contains(&sign) {
+    /// Reports a symbol where a value is expected. A closing symbol isn't consumed, since it may end the enclosing
+    /// expression.
+    fn unexpected_symbol(&mut self, symbol: &str) -> Expr {
+        let placeholder = self.error(
+            format!("a value is wanted here, not '{symbol}'"),
+            "no value",
+        );
+        if !CLOSING_SYMBOLS.contains(&symbol) {
             self.next();
         }
-        wrong
+        placeholder
     }
 
-    fn call_from(&mut self, name: String, at: Span, args: Vec<Expr>, end: Span) -> Expr {
-        let within = args.iter().map(|arg| arg.depth).max().unwrap_or(0);
-        self.node(Kind::Call { name, at, args }, at.with(end), within)
+    fn function_call(&mut self, name: String, at: Span, args: Vec<Expr>, end: Span) -> Expr {
+        let child_depth = args.iter().map(|arg| arg.depth).max().unwrap_or(0);
+        self.node(Kind::Call { name, at, args }, at.with(end), child_depth)
     }
 }
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -1,5 +1,5 @@
-//! The compiled form: a row of nodes that name each other by place, with all that can be known beforehand
-//! in them.
+//! The compiled form: an array of nodes that refer to each other by index. Regular expressions, networks and
+//! constant sets are built at compile time.
 
 use std::fmt::Write;
 use std::net::IpAddr;
@@ -34,7 +34,7 @@
     First,
 }
 
-/// Functions of one or two values that need nothing else.
+/// Functions that depend only on one or two argument values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Function {
     Lower,
@@ -67,7 +67,7 @@
     Duration(i64),
     Text(Box<[u8]>),
     Field(Field),
-    /// A variable as text; as bytes if it is raw.
+    /// A variable as a string, or as bytes if `raw` is set.
     Variable {
         name: Box<str>,
         raw: bool,
@@ -93,7 +93,7 @@
         left: NodeIndex,
         right: NodeIndex,
     },
-    /// Division whose divisor may be nothing: absent then.
+    /// Division or remainder; absent if the divisor is zero.
     Divide {
         op: Op,
         left: NodeIndex,
@@ -167,24 +167,24 @@
 }
 
 impl Program {
-    /// The type of its value.
+    /// The type of the program's value.
     pub fn ty(&self) -> &Type {
         &self.ty
     }
 
-    /// The bound on what an evaluation costs.
+    /// Upper bound on the cost of one evaluation.
     pub fn cost(&self) -> Cost {
         self.cost
     }
 
-    /// Type, bounds and compiled form, for people.
+    /// Formats the type, cost bounds and compiled form for human readers.
     pub fn explain(&self) -> String {
         let mut out = format!(
             "type   {}\ncost   at most {} steps, {} bytes built\n",
             self.ty, self.cost.steps, self.cost.bytes
         );
-        for (place, node) in self.nodes.iter().enumerate() {
-            let mark = if place as NodeIndex == self.root {
+        for (index, node) in self.nodes.iter().enumerate() {
+            let marker = if index as NodeIndex == self.root {
                 "=>"
             } else {
                 "  "
@@ -194,20 +194,20 @@
                 Node::Text(bytes) => {
                     writeln!(
                         out,
-                        "{mark} {place:>3} text {:?}",
+                        "{marker} {index:>3} text {:?}",
                         String::from_utf8_lossy(bytes)
                     )
                 }
                 Node::InTexts { of, set } => {
-                    writeln!(out, "{mark} {place:>3} {of} in a set of {}", set.len())
+                    writeln!(out, "{marker} {index:>3} {of} in a set of {}", set.len())
                 }
                 Node::InInts { of, set } => {
-                    writeln!(out, "{mark} {place:>3} {of} in a set of {}", set.len())
+                    writeln!(out, "{marker} {index:>3} {of} in a set of {}", set.len())
                 }
                 Node::Matches { of, regex } => {
-                    writeln!(out, "{mark} {place:>3} {of} matches {regex}")
+                    writeln!(out, "{marker} {index:>3} {of} matches {regex}")
                 }
-                node => writeln!(out, "{mark} {place:>3} {node:?}"),
+                node => writeln!(out, "{marker} {index:>3} {node:?}"),
             };
         }
         out
--- a/crates/expr/src/request.rs
+++ b/crates/expr/src/request.rs
@@ -1,31 +1,31 @@
-//! What an expression sees of a request.
+//! The request data that expressions can access.
 
 use std::net::{IpAddr, Ipv4Addr};
 
-/// A request as its listener read it. Texts are as they were sent, undecoded.
+/// A request as received by its listener. Texts are not decoded.
 pub trait Request {
     /// The method, such as `POST`.
     fn method(&self) -> &str;
-    /// Without the query.
+    /// The path, without the query.
     fn path(&self) -> &str;
-    /// What stands behind the question mark, or nothing.
+    /// The part after the question mark; empty if there is none.
     fn query(&self) -> &str;
-    /// The value of a variable by its CGI name; none where it is absent, or there twice, since two readers
-    /// could take different ones.
+    /// The value of a variable by its CGI name; `None` if the variable is absent, or repeated, since two readers
+    /// could pick different values.
     fn variable(&self, name: &str) -> Option<&[u8]>;
     /// The first bytes of the body.
     fn body(&self) -> &[u8];
     /// Length of the whole body, in bytes.
     fn body_length(&self) -> u64;
-    /// The word for the front on which it came.
+    /// The name of the listener that received the request.
     fn front(&self) -> &str;
-    /// The address that it came from.
+    /// The caller's address.
     fn peer(&self) -> IpAddr;
     /// Microseconds since midnight, UTC.
     fn time_of_day(&self) -> i64;
 }
 
-/// The name that CGI gives to a header: `x-yard` is `HTTP_X_YARD`.
+/// Returns the CGI variable name of a header, such as `HTTP_X_YARD` for `x-yard`.
 pub fn cgi_name(header: &str) -> String {
     let variable: String = header
         .chars()
@@ -43,16 +43,16 @@
     }
 }
 
-/// A request that was written down and not received: for trying expressions, and for tests.
+/// A request given by its fields, for trying out expressions and for tests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiteralRequest {
     /// The method.
     pub method: String,
     /// The path, without the query.
     pub path: String,
-    /// What follows the question mark.
+    /// The part after the question mark.
     pub query: String,
-    /// By their CGI names, in order; one may be there twice.
+    /// Variables by their CGI names, in order; names may repeat.
     pub variables: Vec<(String, Vec<u8>)>,
     /// The body.
     pub body: Vec<u8>,
@@ -80,7 +80,7 @@
 }
 
 impl LiteralRequest {
-    /// A booking, for benches and tests.
+    /// An example booking request for benches and tests.
     pub fn example() -> LiteralRequest {
         LiteralRequest {
             path: "/book/north/berth-4".into(),
@@ -94,7 +94,7 @@
         .header("x-yard", "North")
     }
 
-    /// A header that it has, named as in HTTP.
+    /// Adds a header, named as in HTTP.
     pub fn header(mut self, name: &str, value: impl Into<Vec<u8>>) -> LiteralRequest {
         self.variables.push((cgi_name(name), value.into()));
         self
--- a/crates/expr/src/types.rs
+++ b/crates/expr/src/types.rs
@@ -7,11 +7,11 @@
 pub enum Type {
     /// `true` or `false`.
     Bool,
-    /// A signed number of 64 bits; arithmetic saturates.
+    /// A signed 64-bit integer; arithmetic saturates.
     Int,
-    /// A finite number of 64 bits.
+    /// A finite 64-bit floating-point number.
     Float,
-    /// Text in UTF-8.
+    /// UTF-8 text.
     Str,
     /// Any bytes.
     Bytes,
@@ -26,7 +26,7 @@
 }
 
 impl Type {
-    /// This type, where the value may be absent.
+    /// The optional form of this type.
     pub fn optional(self) -> Type {
         Type::Optional(Box::new(self))
     }
--- a/crates/expr/src/value.rs
+++ b/crates/expr/src/value.rs
@@ -1,5 +1,5 @@
-//! Values while an expression is evaluated. They borrow from the request and the program; what has to be built
-//! is written to a scratch buffer that is kept between evaluations.
+//! Values during evaluation. They borrow from the request and the program; strings that have to be built are
+//! written to a scratch buffer that is reused between evaluations.
 
 use std::net::IpAddr;
 
@@ -8,7 +8,7 @@
 pub enum Text<'v> {
     /// Borrowed from the request or the program.
     Ref(&'v [u8]),
-    /// Bytes of the scratch.
+    /// A range of the scratch buffer.
     Built {
         /// Index of the first byte.
         from: u32,
@@ -17,41 +17,41 @@
     },
 }
 
-/// A list, whose items are made as they are looked at.
+/// A list whose items are produced lazily.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum List<'v> {
-    /// Parts of the program, one for each item.
+    /// Indexes of the program nodes that produce the items.
     Items(&'v [u32]),
     /// The parts of a text between separators.
     Split {
-        /// What is split.
+        /// The string that is split.
         text: Text<'v>,
         /// The separator; not empty.
         by: &'v [u8],
-        /// Parts at the most; the last one has the rest.
+        /// Maximum number of parts; the last one holds the rest.
         most: u32,
     },
     /// The segments of a path.
     Segments {
-        /// The path, without its first slash.
+        /// The path without its leading slash.
         path: &'v [u8],
-        /// Segments at the most; later ones are not seen.
+        /// Maximum number of segments; later ones are ignored.
         most: u32,
     },
 }
 
-/// A value. Its type is known from the check, so a wrong one can't come up.
+/// A value. The checker guarantees that it has the expected type.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Value<'v> {
     /// An optional value that is absent.
     Absent,
     /// A bool.
     Bool(bool),
-    /// A whole number.
+    /// An integer.
     Int(i64),
-    /// A finite number.
+    /// A finite floating-point number.
     Float(f64),
-    /// In microseconds.
+    /// A duration in microseconds.
     Duration(i64),
     /// Text or bytes.
     Text(Text<'v>),
@@ -62,22 +62,22 @@
 }
 
 impl Value<'_> {
-    /// Whether it is the truth; what is no bool is none.
+    /// Returns true if the value is the bool `true`, and false for all other values.
     pub fn is_true(&self) -> bool {
         matches!(self, Value::Bool(true))
     }
 }
 
-/// Room for what evaluations build; kept between them, so that it is had once.
+/// A buffer for strings built during evaluation; reused between evaluations to avoid repeated allocation.
 #[derive(Debug, Default)]
 pub struct Scratch {
     pub(crate) built: Vec<u8>,
-    /// Steps that the last evaluation took.
+    /// Number of steps that the last evaluation took.
     pub steps: u64,
 }
 
 impl Scratch {
-    /// The bytes of a text of the last evaluation.
+    /// Returns the bytes of a text from the last evaluation.
     pub fn text<'s, 'v: 's>(&'s self, text: Text<'v>) -> &'s [u8] {
         match text {
             Text::Ref(bytes) => bytes,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Bytes that the last evaluation built.
+    /// Number of bytes that the last evaluation built.
     pub fn bytes(&self) -> u64 {
         self.built.len() as u64
     }
--- a/crates/expr/tests/allocation.rs
+++ b/crates/expr/tests/allocation.rs
@@ -1,20 +1,20 @@
-//! The ordinary path of an evaluation takes nothing from the allocator once the scratch has its room.
+//! Evaluation must not allocate once the scratch buffer has its capacity.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
 use doortrack_expr::{Limits, LiteralRequest, Scratch, infer};
 
-struct Counting;
+struct CountingAllocator;
 
 thread_local! {
-    static TAKEN: Cell<u64> = const { Cell::new(0) };
+    static ALLOCATIONS: Cell<u64> = const { Cell::new(0) };
 }
 
-// SAFETY: everything is handed on to the system's allocator.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded to the system allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        _ = TAKEN.try_with(|taken| taken.set(taken.get() + 1));
+        _ = ALLOCATIONS.try_with(|count| count.set(count.get() + 1));
         unsafe { System.alloc(layout) }
     }
 
@@ -24,11 +24,11 @@
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[test]
 fn typical_expressions_allocate_nothing() {
-    let asked = LiteralRequest::example();
+    let request = LiteralRequest::example();
     for source in [
         "path.starts_with(\"/book/\")",
         "(segment(1) ?? \"\") in [\"north\", \"south\", \"east\", \"west\"]",
@@ -43,12 +43,12 @@
     ] {
         let program = infer(source, Limits::default()).unwrap();
         let mut scratch = Scratch::default();
-        // Once for the scratch, and for what a regular expression keeps.
-        program.eval(&asked, &mut scratch);
-        let before = TAKEN.get();
+        // The first evaluation allocates the scratch buffer and the regex caches.
+        program.eval(&request, &mut scratch);
+        let before = ALLOCATIONS.get();
         for _ in 0..100 {
-            std::hint::black_box(program.eval(&asked, &mut scratch));
+            std::hint::black_box(program.eval(&request, &mut scratch));
         }
-        assert_eq!(TAKEN.get() - before, 0, "{source}");
+        assert_eq!(ALLOCATIONS.get() - before, 0, "{source}");
     }
 }
--- a/crates/expr/tests/expr/language.rs
+++ b/crates/expr/tests/expr/language.rs
@@ -1,42 +1,48 @@
-//! Known sources: their values, or what is told of them and where.
+//! Values of known expressions, and the errors reported for invalid ones with their positions.
 
 use doortrack_expr::{Limits, LiteralRequest, MAX_SOURCE, Scratch, Type, compile, infer, render};
 
-use crate::asked;
-use crate::reference::{Plain, plain};
+use crate::reference::{OwnedValue, to_owned_value};
+use crate::sample_request;
 
-fn value(source: &str) -> (Type, Plain) {
+fn value(source: &str) -> (Type, OwnedValue) {
     let program = infer(source, Limits::default())
-        .unwrap_or_else(|faults| panic!("{}", render("test", source, &faults)));
-    let (asked, mut scratch) = (asked(), Scratch::default());
-    let value = program.eval(&asked, &mut scratch);
-    (program.ty().clone(), plain(value, &scratch).unwrap())
+        .unwrap_or_else(|errors| panic!("{}", render("test", source, &errors)));
+    let (request, mut scratch) = (sample_request(), Scratch::default());
+    let value = program.eval(&request, &mut scratch);
+    (
+        program.ty().clone(),
+        to_owned_value(value, &scratch).unwrap(),
+    )
 }
 
-fn text(text: &str) -> Plain {
-    Plain::Text(text.as_bytes().to_vec())
+fn text(text: &str) -> OwnedValue {
+    OwnedValue::Text(text.as_bytes().to_vec())
 }
 
 #[test]
 fn values_of_known_expressions() {
-    for (source, wanted) in [
-        ("1 + 2 * 3", Plain::Int(7)),
-        ("-(2 - 5) % 2", Plain::Int(1)),
-        ("1_000", Plain::Int(1000)),
-        ("9223372036854775807 + 1", Plain::Int(i64::MAX)),
-        ("-9223372036854775807 - 9", Plain::Int(i64::MIN)),
-        ("(-9223372036854775807 - 1) / -1", Plain::Int(i64::MAX)),
-        ("7 / (body_length - body_length) ?? -1", Plain::Int(-1)),
-        ("1.5 * 2.0 >= 3.0", Plain::Bool(true)),
-        ("float(\"nan\") ?? 0.5", Plain::Float(0.5)),
-        ("float(\"1e400\") ?? 0.5", Plain::Float(0.5)),
-        ("1.5s + 500ms == 2s", Plain::Bool(true)),
-        ("time_of_day >= 8h && time_of_day < 18h", Plain::Bool(true)),
+    for (source, expected) in [
+        ("1 + 2 * 3", OwnedValue::Int(7)),
+        ("-(2 - 5) % 2", OwnedValue::Int(1)),
+        ("1_000", OwnedValue::Int(1000)),
+        ("9223372036854775807 + 1", OwnedValue::Int(i64::MAX)),
+        ("-9223372036854775807 - 9", OwnedValue::Int(i64::MIN)),
+        ("(-9223372036854775807 - 1) / -1", OwnedValue::Int(i64::MAX)),
+        ("7 / (body_length - body_length) ?? -1", OwnedValue::Int(-1)),
+        ("1.5 * 2.0 >= 3.0", OwnedValue::Bool(true)),
+        ("float(\"nan\") ?? 0.5", OwnedValue::Float(0.5)),
+        ("float(\"1e400\") ?? 0.5", OwnedValue::Float(0.5)),
+        ("1.5s + 500ms == 2s", OwnedValue::Bool(true)),
+        (
+            "time_of_day >= 8h && time_of_day < 18h",
+            OwnedValue::Bool(true),
+        ),
         ("header(\"x-yard\") ?? \"none\"", text("North")),
         ("lower(header(\"X-Yard\") ?? \"\")", text("north")),
         ("header(\"x-none\") ?? \"none\"", text("none")),
         ("header(\"x-raw\") ?? \"no text\"", text("no text")),
-        ("len(raw_header(\"x-raw\") ?? b\"\")", Plain::Int(2)),
+        ("len(raw_header(\"x-raw\") ?? b\"\")", OwnedValue::Int(2)),
         ("header(\"x-twice\") ?? \"doubled\"", text("doubled")),
         ("header(\"x-empty\") ?? \"absent\"", text("")),
         ("parameter(\"day\") ?? \"\"", text("sat")),
@@ -45,16 +51,16 @@
         ("segment(1) ?? \"\"", text("north")),
         ("segments[2] ?? \"\"", text("berth-4")),
         ("segments[-1] ?? \"none\"", text("none")),
-        ("len(segments)", Plain::Int(3)),
+        ("len(segments)", OwnedValue::Int(3)),
         (
             "path.starts_with(\"/book/\") && !path.ends_with(\"/\")",
-            Plain::Bool(true),
+            OwnedValue::Bool(true),
         ),
-        ("\"north\" in segments", Plain::Bool(true)),
-        ("method in [\"GET\", \"HEAD\"]", Plain::Bool(false)),
+        ("\"north\" in segments", OwnedValue::Bool(true)),
+        ("method in [\"GET\", \"HEAD\"]", OwnedValue::Bool(false)),
         (
             "any(segments, s -> s.starts_with(\"berth\"))",
-            Plain::Bool(true),
+            OwnedValue::Bool(true),
         ),
         (
             "first(split(text(body) ?? \"\", \";\", 8), p -> p.starts_with(\"nights=\")) ?? \"\"",
@@ -65,23 +71,23 @@
         ("substring(\"abc\", 2, 9)", text("c")),
         (
             "matches(path, \"^/book/[a-z]+/berth-[0-9]+$\")",
-            Plain::Bool(true),
+            OwnedValue::Bool(true),
         ),
         (
             "cidr(peer, \"10.0.0.0/8\") && !cidr(peer, \"10.2.0.0/16\", \"::/0\")",
-            Plain::Bool(true),
+            OwnedValue::Bool(true),
         ),
         (
             "hash(\"a\") == hash(b\"a\") && hash(\"a\") != hash(\"b\") && hash(path) % 8 >= 0",
-            Plain::Bool(true),
+            OwnedValue::Bool(true),
         ),
         ("hex(255)", text("00000000000000ff")),
         (
             "let y = lower(header(\"x-yard\") ?? \"\"); if y == \"north\" { y + \"/\" + front } else { y }",
             text("north/uwsgi"),
         ),
-        ("let x = 1; let x = x + 1; x", Plain::Int(2)),
-        ("# a comment\n  true # and another", Plain::Bool(true)),
+        ("let x = 1; let x = x + 1; x", OwnedValue::Int(2)),
+        ("# a comment\n  true # and another", OwnedValue::Bool(true)),
         (
             "if 1 > 2 { header(\"x-yard\") } else { \"plain\" }",
             text("plain"),
@@ -91,37 +97,40 @@
             text("last"),
         ),
         ("trim(\" a \") + upper(\"bß\")", text("aBß")),
-        ("int(header(\"x-length\") ?? \"\") ?? 0", Plain::Int(12)),
+        (
+            "int(header(\"x-length\") ?? \"\") ?? 0",
+            OwnedValue::Int(12),
+        ),
         (
             "let l = [path, method]; any(l, a -> any(l, b -> a != b))",
-            Plain::Bool(true),
+            OwnedValue::Bool(true),
         ),
-        ("true || false && false", Plain::Bool(true)),
+        ("true || false && false", OwnedValue::Bool(true)),
     ] {
-        assert_eq!(value(source).1, wanted, "{source}");
+        assert_eq!(value(source).1, expected, "{source}");
     }
 }
 
-/// Message, the text at its place, and a part of its help.
-fn told(source: &str) -> Vec<(String, String, String)> {
-    let faults = infer(source, Limits::default())
+/// Returns the message, the source text of the span and the help of each reported error.
+fn reported_errors(source: &str) -> Vec<(String, String, String)> {
+    let errors = infer(source, Limits::default())
         .err()
-        .unwrap_or_else(|| panic!("taken: {source}"));
+        .unwrap_or_else(|| panic!("accepted: {source}"));
     let part = |from: usize, to: usize| source.get(from..to).unwrap_or_default().to_string();
-    faults
+    errors
         .into_iter()
-        .map(|fault| {
+        .map(|error| {
             (
-                fault.message,
-                part(fault.span.from, fault.span.to),
-                fault.help.unwrap_or_default(),
+                error.message,
+                part(error.span.from, error.span.to),
+                error.help.unwrap_or_default(),
             )
         })
         .collect()
 }
 
 #[test]
-fn each_fault_is_told_with_its_place_and_what_may_be_meant() {
+fn errors_have_message_span_and_help() {
     for (source, message, place, help) in [
         ("1 + \"a\"", "int is wanted", "\"a\"", ""),
         ("header(\"x\") == \"a\"", "is wanted, this is", "\"a\"", ""),
@@ -204,27 +213,27 @@
         ("-path", "a number or a duration", "path", ""),
         ("\"\\xff\"", "this is no text", "\"\\xff\"", ""),
     ] {
-        let faults = told(source);
-        let found = faults.iter().any(|(m, p, h)| {
+        let errors = reported_errors(source);
+        let found = errors.iter().any(|(m, p, h)| {
             m.contains(message) && (place.is_empty() || p == place) && h.contains(help)
         });
-        assert!(found, "{source}: {faults:?}");
+        assert!(found, "{source}: {errors:?}");
     }
 }
 
 #[test]
-fn several_faults_are_told_at_a_time() {
-    let faults = told("pth == \"a\" && lowr(path) == 1 && 5 == \"b\" && (mehod in [1])");
-    assert_eq!(faults.len(), 4, "{faults:?}");
+fn several_errors_are_reported_at_once() {
+    let errors = reported_errors("pth == \"a\" && lowr(path) == 1 && 5 == \"b\" && (mehod in [1])");
+    assert_eq!(errors.len(), 4, "{errors:?}");
     let source = "let yard = hedder(\"x-yard\") ?? \"\";\nyard == \"north\"";
-    let shown = render(
+    let rendered = render(
         "rules[3].when",
         source,
         &infer(source, Limits::default()).unwrap_err(),
     );
     assert!(
-        shown.contains("rules[3].when:1:12") && shown.contains("perhaps 'header' is meant"),
-        "{shown}"
+        rendered.contains("rules[3].when:1:12") && rendered.contains("perhaps 'header' is meant"),
+        "{rendered}"
     );
     assert_eq!(
         infer(source, Limits::default()).unwrap_err()[0].line(source),
@@ -233,28 +242,28 @@
 }
 
 #[test]
-fn what_would_cost_too_much_is_refused_with_the_part_that_costs_most() {
+fn too_costly_expressions_are_rejected_with_the_costliest_span() {
     let nested = "any(segments, a -> any(segments, b -> any(segments, c -> a + b + c == path)))";
-    let faults = infer(nested, Limits::default()).unwrap_err();
+    let errors = infer(nested, Limits::default()).unwrap_err();
     assert!(
-        faults[0]
+        errors[0]
             .message
             .contains("steps, and at most 20000 are allowed"),
-        "{faults:?}"
+        "{errors:?}"
     );
-    assert!(faults[0].span.to - faults[0].span.from > 40, "{faults:?}");
-    // Doubled again and again it would be huge: told before the limit on steps.
+    assert!(errors[0].span.to - errors[0].span.from > 40, "{errors:?}");
+    // Repeated doubling exceeds the string limit, which is reported before the step limit.
     let mut huge = "let a = path + path;".to_string();
     let names = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
     for pair in names.windows(2) {
         huge += &format!(" let {} = {} + {};", pair[1], pair[0], pair[0]);
     }
-    let faults = infer(&(huge + " len(l)"), Limits::default()).unwrap_err();
+    let errors = infer(&(huge + " len(l)"), Limits::default()).unwrap_err();
     assert!(
-        faults
+        errors
             .iter()
-            .any(|fault| fault.message.contains("at most 65536 are allowed")),
-        "{faults:?}"
+            .any(|error| error.message.contains("at most 65536 are allowed")),
+        "{errors:?}"
     );
     assert!(
         infer(
@@ -269,7 +278,7 @@
 }
 
 #[test]
-fn nesting_bombs_and_long_sources_are_refused_at_once() {
+fn deeply_nested_and_long_sources_are_rejected() {
     for (open, close) in [
         ("(", ")"),
         ("[", "]"),
@@ -283,10 +292,10 @@
             if source.len() > MAX_SOURCE {
                 continue;
             }
-            let faults = infer(&source, Limits::default()).unwrap_err();
+            let errors = infer(&source, Limits::default()).unwrap_err();
             assert!(
-                faults.iter().any(|fault| fault.message.contains("deep")),
-                "{open} {count}: {faults:?}"
+                errors.iter().any(|error| error.message.contains("deep")),
+                "{open} {count}: {errors:?}"
             );
         }
     }
@@ -300,7 +309,7 @@
             .message
             .contains("at most 8192 bytes")
     );
-    // Side by side any number may stand.
+    // Flat chains of `||` don't count as nesting.
     let wide = vec!["path == \"a\""; 300].join(" || ");
     assert!(
         infer(
@@ -315,39 +324,39 @@
 }
 
 #[test]
-fn more_than_was_declared_is_not_seen_and_costs_no_more() {
+fn data_over_the_limits_is_hidden_and_stays_within_the_cost_bound() {
     let limits = Limits {
         variable: 16,
         body: 4,
         segments: 2,
         ..Limits::default()
     };
-    let asked = LiteralRequest {
+    let request = LiteralRequest {
         path: format!("/{}", "a".repeat(5000)),
-        ..asked()
+        ..sample_request()
     };
     let mut scratch = Scratch::default();
-    for (source, wanted) in [
+    for (source, expected) in [
         ("path", text("")),
         ("header(\"x-yard\") ?? \"\"", text("North")),
-        ("len(body)", Plain::Int(4)),
-        ("body_length", Plain::Int(25)),
-        ("query == \"\"", Plain::Bool(true)),
+        ("len(body)", OwnedValue::Int(4)),
+        ("body_length", OwnedValue::Int(25)),
+        ("query == \"\"", OwnedValue::Bool(true)),
         ("parameter(\"day\") ?? \"unseen\"", text("unseen")),
     ] {
         let program = infer(source, limits).unwrap();
-        let value = program.eval(&asked, &mut scratch);
-        assert_eq!(plain(value, &scratch), Some(wanted), "{source}");
+        let value = program.eval(&request, &mut scratch);
+        assert_eq!(to_owned_value(value, &scratch), Some(expected), "{source}");
         assert!(scratch.steps <= program.cost().steps);
     }
 }
 
 #[test]
-fn the_wanted_type_is_held_against_the_found_one() {
+fn the_expected_type_is_compared_with_the_found_one() {
     assert!(compile("path", &Type::Str, Limits::default()).is_ok());
     assert!(
         compile("path", &Type::Str.optional(), Limits::default()).is_ok(),
-        "what is there may be wanted or absent"
+        "a value that is always present must be accepted where an optional one is expected"
     );
     for (source, want) in [
         ("path", Type::Bool),
@@ -355,11 +364,11 @@
         ("body", Type::Str),
         ("path", Type::Bytes),
     ] {
-        let faults = compile(source, &want, Limits::default()).unwrap_err();
+        let errors = compile(source, &want, Limits::default()).unwrap_err();
         assert!(
-            faults[0].message.contains("is wanted")
-                && faults[0].help.is_some() == (want != Type::Bool),
-            "{faults:?}"
+            errors[0].message.contains("is wanted")
+                && errors[0].help.is_some() == (want != Type::Bool),
+            "{errors:?}"
         );
     }
 }
--- a/crates/expr/tests/expr/main.rs
+++ b/crates/expr/tests/expr/main.rs
@@ -1,9 +1,9 @@
-//! The language: what is read and refused, values of known requests, and the compiled form against a plain
-//! reading of the same source on random expressions.
+//! Tests of the language: accepted and rejected sources, values for known requests, and random expressions whose
+//! compiled form is compared with a reference interpreter.
 
 #![allow(
     clippy::too_many_lines,
-    reason = "a scenario is read from its start to its end"
+    reason = "test tables and generators are clearer in one piece"
 )]
 
 mod documented;
@@ -13,9 +13,9 @@
 
 use doortrack_expr::LiteralRequest;
 
-/// A request with something of each kind.
-pub fn asked() -> LiteralRequest {
-    let mut asked = LiteralRequest {
+/// A request that has every kind of field, with repeated, empty and non-UTF-8 headers.
+pub fn sample_request() -> LiteralRequest {
+    let mut request = LiteralRequest {
         path: "/book/north/berth-4".into(),
         query: "day=sat&boat=12&boat=13".into(),
         body: b"berth=4;nights=2;name=Ana".to_vec(),
@@ -30,6 +30,8 @@
     .header("x-twice", "a")
     .header("x-twice", "b")
     .header("x-empty", "");
-    asked.variables.push(("REMOTE_USER".into(), b"ana".into()));
-    asked
+    request
+        .variables
+        .push(("REMOTE_USER".into(), b"ana".into()));
+    request
 }
--- a/crates/expr/tests/expr/random.rs
+++ b/crates/expr/tests/expr/random.rs
@@ -1,11 +1,12 @@
-//! Random expressions of a wanted type, compiled and read plainly: the same value, within the bound of cost.
+//! Random expressions of a given type: the compiled form must yield the same value as the reference interpreter
+//! and stay within its cost bound.
 
 use doortrack_expr::{Limits, LiteralRequest, Scratch, Type, compile, infer, parse};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use crate::asked;
-use crate::reference::{Reference, plain};
+use crate::reference::{Reference, to_owned_value};
+use crate::sample_request;
 
 type Source = BoxedStrategy<String>;
 
@@ -50,12 +51,12 @@
     }
 }
 
-fn of(ty: Type, depth: u32) -> Source {
+fn expression(ty: Type, depth: u32) -> Source {
     if depth == 0 {
         return literal(&ty);
     }
     let d = depth - 1;
-    let any = |ty: Type| of(ty, d);
+    let any = |ty: Type| expression(ty, d);
     let bind = (any(Type::Int), any(ty.clone()))
         .prop_map(|(value, body)| format!("let n = {value}; {body}"));
     let choice = (any(Type::Bool), any(ty.clone()), any(ty.clone()))
@@ -66,10 +67,12 @@
         1 => choice,
         1 => optional(ty.clone(), d).prop_flat_map({
             let ty = ty.clone();
-            move |may| of(ty.clone(), d).prop_map(move |other| format!("(({may}) ?? ({other}))"))
+            move |maybe| {
+                expression(ty.clone(), d).prop_map(move |other| format!("(({maybe}) ?? ({other}))"))
+            }
         }),
     ];
-    let sign = |signs: &[&'static str]| prop::sample::select(signs.to_vec());
+    let operator = |operators: &[&'static str]| prop::sample::select(operators.to_vec());
     let special: Source = match ty {
         Type::Bool => {
             let comparable = prop::sample::select(vec![
@@ -81,13 +84,13 @@
             ]);
             let compare = comparable.prop_flat_map(move |ty| {
                 (
-                    of(ty.clone(), d),
+                    expression(ty.clone(), d),
                     prop::sample::select(vec!["==", "!=", "<", "<=", ">", ">="]),
-                    of(ty, d),
+                    expression(ty, d),
                 )
                     .prop_map(|(left, op, right)| format!("(({left}) {op} ({right}))"))
             });
-            let joined = (any(Type::Bool), sign(&["&&", "||"]), any(Type::Bool))
+            let joined = (any(Type::Bool), operator(&["&&", "||"]), any(Type::Bool))
                 .prop_map(|(left, op, right)| format!("(({left}) {op} ({right}))"));
             let texts = (
                 prop::sample::select(vec!["starts_with", "ends_with", "contains"]),
@@ -95,7 +98,7 @@
                 any(Type::Str),
             )
                 .prop_map(|(fun, left, right)| format!("{fun}({left}, {right})"));
-            let within = (any(Type::Str), any(Type::Str), any(Type::Str))
+            let is_in_list = (any(Type::Str), any(Type::Str), any(Type::Str))
                 .prop_map(|(of, one, two)| format!("(({of}) in [{one}, {two}, \"north\"])"));
             let ints = any(Type::Int).prop_map(|of| format!("(({of}) in [1, 2, 25])"));
             let each = (
@@ -111,7 +114,7 @@
                 compare,
                 joined,
                 texts,
-                within,
+                is_in_list,
                 ints,
                 each,
                 matches,
@@ -122,13 +125,13 @@
             .boxed()
         }
         Type::Int => {
-            let arithmetic = (any(Type::Int), sign(&["+", "-", "*"]), any(Type::Int))
+            let arithmetic = (any(Type::Int), operator(&["+", "-", "*"]), any(Type::Int))
                 .prop_map(|(left, op, right)| format!("(({left}) {op} ({right}))"));
-            let sure = (any(Type::Int), sign(&["/ 7", "% 10", "/ -1", "% -1"]))
+            let nonzero_divisor = (any(Type::Int), operator(&["/ 7", "% 10", "/ -1", "% -1"]))
                 .prop_map(|(of, by)| format!("(({of}) {by})"));
             prop_oneof![
                 arithmetic,
-                sure,
+                nonzero_divisor,
                 any(Type::Str).prop_map(|of| format!("len({of})")),
                 any(Type::Bytes).prop_map(|of| format!("hash({of})")),
                 list(d).prop_map(|of| format!("len({of})")),
@@ -140,7 +143,11 @@
             .boxed()
         }
         Type::Float => prop_oneof![
-            (any(Type::Float), sign(&["+", "-", "*"]), any(Type::Float))
+            (
+                any(Type::Float),
+                operator(&["+", "-", "*"]),
+                any(Type::Float)
+            )
                 .prop_map(|(left, op, right)| format!("(({left}) {op} ({right}))")),
             any(Type::Int).prop_map(|of| format!("float({of})")),
             (any(Type::Float), any(Type::Float))
@@ -148,7 +155,11 @@
         ]
         .boxed(),
         Type::Duration => prop_oneof![
-            (any(Type::Duration), sign(&["+", "-"]), any(Type::Duration))
+            (
+                any(Type::Duration),
+                operator(&["+", "-"]),
+                any(Type::Duration)
+            )
                 .prop_map(|(left, op, right)| format!("(({left}) {op} ({right}))")),
             (any(Type::Duration), any(Type::Int))
                 .prop_map(|(left, right)| format!("(({left}) * ({right}))")),
@@ -174,9 +185,9 @@
 }
 
 fn list(depth: u32) -> Source {
-    let of_text = (of(Type::Str, depth), 1..6)
+    let of_text = (expression(Type::Str, depth), 1..6)
         .prop_map(|(text, most)| format!("split({text}, \"/\", {most})"));
-    let of_items = (of(Type::Str, depth), of(Type::Str, depth))
+    let of_items = (expression(Type::Str, depth), expression(Type::Str, depth))
         .prop_map(|(one, two)| format!("[{one}, {two}]"));
     prop_oneof![Just("segments".to_string()), of_text, of_items].boxed()
 }
@@ -197,29 +208,35 @@
                 "segment(9)",
             ])
             .prop_map(String::from),
-            of(Type::Bytes, depth).prop_map(|of| format!("text({of})")),
-            (list(depth), of(Type::Int, depth))
+            expression(Type::Bytes, depth).prop_map(|of| format!("text({of})")),
+            (list(depth), expression(Type::Int, depth))
                 .prop_map(|(list, place)| format!("get({list}, {place})")),
             list(depth).prop_map(|list| format!("first({list}, item -> len(item) > 1)")),
         ]
         .boxed(),
         Type::Int => prop_oneof![
-            of(Type::Str, depth).prop_map(|of| format!("int({of})")),
-            (of(Type::Int, depth), of(Type::Int, depth))
+            expression(Type::Str, depth).prop_map(|of| format!("int({of})")),
+            (expression(Type::Int, depth), expression(Type::Int, depth))
                 .prop_map(|(one, two)| format!("({one}) / (0 + ({two}))")),
         ]
         .boxed(),
         Type::Float => prop_oneof![
-            of(Type::Str, depth).prop_map(|of| format!("float({of})")),
-            (of(Type::Float, depth), of(Type::Float, depth))
+            expression(Type::Str, depth).prop_map(|of| format!("float({of})")),
+            (
+                expression(Type::Float, depth),
+                expression(Type::Float, depth)
+            )
                 .prop_map(|(one, two)| format!("({one}) / (0.0 + ({two}))")),
         ]
         .boxed(),
-        Type::Duration => (of(Type::Duration, depth), of(Type::Int, depth))
+        Type::Duration => (
+            expression(Type::Duration, depth),
+            expression(Type::Int, depth),
+        )
             .prop_map(|(one, two)| format!("({one}) / (0 + ({two}))"))
             .boxed(),
         Type::Bytes => Just("raw_header(\"x-raw\")".to_string()).boxed(),
-        _ => of(Type::Bool, depth)
+        _ => expression(Type::Bool, depth)
             .prop_map(|of| format!("first([{of}], item -> item)"))
             .boxed(),
     }
@@ -236,26 +253,26 @@
     ];
     (prop::sample::select(types), 0..4u32)
         .prop_flat_map(|(ty, depth)| {
-            of(ty.clone(), depth).prop_map(move |source| (ty.clone(), source))
+            expression(ty.clone(), depth).prop_map(move |source| (ty.clone(), source))
         })
         .boxed()
 }
 
-/// Requests small and as large as the limits allow.
-fn request() -> impl Strategy<Value = LiteralRequest> {
+/// Small requests, and some that reach or exceed the limits.
+fn any_request() -> impl Strategy<Value = LiteralRequest> {
     (0..4u8, "[a-z/]{0,40}", any::<[u8; 4]>()).prop_map(|(kind, path, addr)| {
-        let mut asked = LiteralRequest {
+        let mut request = LiteralRequest {
             path: format!("/{path}"),
             peer: addr.into(),
-            ..asked()
+            ..sample_request()
         };
         if kind == 0 {
-            asked.path = "/ab".repeat(4096 / 3);
-            asked.body = vec![b'A'; 5000];
-            asked.variables[0].1 = vec![b'N'; 4096];
-            asked.query = "day=x&".repeat(600);
+            request.path = "/ab".repeat(4096 / 3);
+            request.body = vec![b'A'; 5000];
+            request.variables[0].1 = vec![b'N'; 4096];
+            request.query = "day=x&".repeat(600);
         }
-        asked
+        request
     })
 }
 
@@ -266,25 +283,27 @@
     })]
 
     #[test]
-    fn the_compiled_form_agrees_with_a_plain_reading((ty, source) in any_source(), asked in request()) {
+    fn the_compiled_form_agrees_with_the_reference_interpreter(
+        (ty, source) in any_source(), request in any_request()
+    ) {
         let limits = Limits { max_cost: u64::MAX, ..Limits::default() };
         let program = match compile(&source, &ty, limits) {
             Ok(program) => program,
-            // Only bounds may refuse what is sound by its types.
-            Err(faults) => {
+            // A well-typed expression may be rejected only for exceeding a limit.
+            Err(errors) => {
                 let bounds = ["allowed", "deep", "at most", "too long"];
                 let is_bound = |message: &str| bounds.iter().any(|bound| message.contains(bound));
-                let told = faults.iter().all(|fault| is_bound(&fault.message));
-                prop_assert!(told, "{source}\n{faults:?}");
+                let reported = errors.iter().all(|error| is_bound(&error.message));
+                prop_assert!(reported, "{source}\n{errors:?}");
                 return Ok(());
             }
         };
         let parsed = parse(&source).unwrap();
-        let wanted = Reference { request: &asked, names: Vec::new() }.eval(&parsed);
+        let expected = Reference { request: &request, names: Vec::new() }.eval(&parsed);
         let mut scratch = Scratch::default();
         for _ in 0..2 {
-            let value = program.eval(&asked, &mut scratch);
-            prop_assert_eq!(plain(value, &scratch), Some(wanted.clone()), "{}", source);
+            let value = program.eval(&request, &mut scratch);
+            prop_assert_eq!(to_owned_value(value, &scratch), Some(expected.clone()), "{}", source);
             let cost = program.cost();
             prop_assert!(scratch.steps <= cost.steps, "{} of {} steps: {source}", scratch.steps, cost.steps);
             let built = scratch.bytes();
@@ -293,7 +312,7 @@
     }
 
     #[test]
-    fn any_text_is_read_or_refused(words in prop::collection::vec(prop::sample::select(vec![
+    fn any_source_is_compiled_or_rejected_with_valid_spans(words in prop::collection::vec(prop::sample::select(vec![
         "let", "if", "else", "in", "x", "path", "(", ")", "[", "]", "{", "}", ",", ";", ".", "=", "==", "->",
         "??", "&&", "||", "+", "-", "!", "1", "2.5", "3ms", "4x", "\"a\"", "b\"\\xff\"", "\"", "\\",
         "#", "any", "split", "header", "é", "\u{0}",
@@ -301,12 +320,12 @@
         for source in [words.join(" "), words.concat(), noise] {
             match infer(&source, Limits::default()) {
                 Ok(program) => prop_assert!(program.cost().steps <= Limits::default().max_cost),
-                Err(faults) => {
-                    prop_assert!(!faults.is_empty());
-                    let within = |from, to| from <= to && to <= source.len();
-                    let placed = faults.iter().all(|fault| within(fault.span.from, fault.span.to));
-                    prop_assert!(placed, "{source:?}: {faults:?}");
-                    prop_assert!(!doortrack_expr::render("source", &source, &faults).is_empty());
+                Err(errors) => {
+                    prop_assert!(!errors.is_empty());
+                    let is_in_list = |from, to| from <= to && to <= source.len();
+                    let placed = errors.iter().all(|error| is_in_list(error.span.from, error.span.to));
+                    prop_assert!(placed, "{source:?}: {errors:?}");
+                    prop_assert!(!doortrack_expr::render("source", &source, &errors).is_empty());
                 }
             }
         }
--- a/crates/expr/tests/expr/reference.rs
+++ b/crates/expr/tests/expr/reference.rs
@@ -1,5 +1,5 @@
-//! A plain reading of what was parsed, with owned values and no care for cost: what the compiled form must
-//! agree with.
+//! A reference interpreter over the syntax tree, with owned values and no cost accounting. The compiled form
+//! must agree with it.
 
 use std::net::IpAddr;
 
@@ -8,7 +8,7 @@
 };
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Plain {
+pub enum OwnedValue {
     Absent,
     Bool(bool),
     Int(i64),
@@ -16,20 +16,20 @@
     Duration(i64),
     Text(Vec<u8>),
     Addr(IpAddr),
-    List(Vec<Plain>),
+    List(Vec<OwnedValue>),
 }
 
-/// A value of the compiled form, to compare; lists of the program itself can't be told apart and are left
-/// out.
-pub fn plain(value: Value, scratch: &Scratch) -> Option<Plain> {
+/// Converts a value of the compiled form for comparison. Returns `None` for lists, whose items can't be read
+/// outside the evaluator.
+pub fn to_owned_value(value: Value, scratch: &Scratch) -> Option<OwnedValue> {
     Some(match value {
-        Value::Absent => Plain::Absent,
-        Value::Bool(truth) => Plain::Bool(truth),
-        Value::Int(n) => Plain::Int(n),
-        Value::Float(n) => Plain::Float(n),
-        Value::Duration(n) => Plain::Duration(n),
-        Value::Text(text) => Plain::Text(scratch.text(text).to_vec()),
-        Value::Addr(addr) => Plain::Addr(addr),
+        Value::Absent => OwnedValue::Absent,
+        Value::Bool(truth) => OwnedValue::Bool(truth),
+        Value::Int(n) => OwnedValue::Int(n),
+        Value::Float(n) => OwnedValue::Float(n),
+        Value::Duration(n) => OwnedValue::Duration(n),
+        Value::Text(text) => OwnedValue::Text(scratch.text(text).to_vec()),
+        Value::Addr(addr) => OwnedValue::Addr(addr),
         Value::List(
             List::Split {
                 text: Text::Ref(_) | Text::Built { .. },
@@ -45,49 +45,53 @@
 
 pub struct Reference<'r> {
     pub request: &'r LiteralRequest,
-    pub names: Vec<(String, Plain)>,
+    pub names: Vec<(String, OwnedValue)>,
 }
 
-fn text(plain: &Plain) -> &[u8] {
-    if let Plain::Text(bytes) = plain {
+fn text(value: &OwnedValue) -> &[u8] {
+    if let OwnedValue::Text(bytes) = value {
         bytes
     } else {
-        panic!("{plain:?} is no text")
+        panic!("{value:?} is not a text")
     }
 }
 
-fn int(plain: &Plain) -> i64 {
-    if let Plain::Int(n) = plain {
+fn int(value: &OwnedValue) -> i64 {
+    if let OwnedValue::Int(n) = value {
         *n
     } else {
-        panic!("{plain:?} is no int")
+        panic!("{value:?} is not an int")
     }
 }
 
-fn truth(plain: &Plain) -> bool {
-    *plain == Plain::Bool(true)
+fn truth(value: &OwnedValue) -> bool {
+    *value == OwnedValue::Bool(true)
 }
 
 impl Reference<'_> {
-    pub fn eval(&mut self, expr: &Expr) -> Plain {
+    pub fn eval(&mut self, expr: &Expr) -> OwnedValue {
         match &expr.kind {
-            Kind::Bool(truth) => Plain::Bool(*truth),
-            Kind::Int(n) => Plain::Int(*n),
-            Kind::Float(n) => Plain::Float(*n),
-            Kind::Duration(n) => Plain::Duration(*n),
-            Kind::Str(text) => Plain::Text(text.as_bytes().to_vec()),
-            Kind::Bytes(bytes) => Plain::Text(bytes.clone()),
+            Kind::Bool(truth) => OwnedValue::Bool(*truth),
+            Kind::Int(n) => OwnedValue::Int(*n),
+            Kind::Float(n) => OwnedValue::Float(*n),
+            Kind::Duration(n) => OwnedValue::Duration(*n),
+            Kind::Str(text) => OwnedValue::Text(text.as_bytes().to_vec()),
+            Kind::Bytes(bytes) => OwnedValue::Text(bytes.clone()),
             Kind::Name(name) => self.name(name),
-            Kind::List(items) => Plain::List(items.iter().map(|item| self.eval(item)).collect()),
-            Kind::Not(of) => Plain::Bool(!truth(&self.eval(of))),
+            Kind::List(items) => {
+                OwnedValue::List(items.iter().map(|item| self.eval(item)).collect())
+            }
+            Kind::Not(of) => OwnedValue::Bool(!truth(&self.eval(of))),
             Kind::Neg(of) => match self.eval(of) {
-                Plain::Int(n) => Plain::Int(n.checked_neg().unwrap_or(i64::MAX)),
-                Plain::Duration(n) => Plain::Duration(n.checked_neg().unwrap_or(i64::MAX)),
-                Plain::Float(n) => Plain::Float(-n),
+                OwnedValue::Int(n) => OwnedValue::Int(n.checked_neg().unwrap_or(i64::MAX)),
+                OwnedValue::Duration(n) => {
+                    OwnedValue::Duration(n.checked_neg().unwrap_or(i64::MAX))
+                }
+                OwnedValue::Float(n) => OwnedValue::Float(-n),
                 other => panic!("{other:?}"),
             },
-            Kind::All(parts) => Plain::Bool(parts.iter().all(|part| truth(&self.eval(part)))),
-            Kind::Any(parts) => Plain::Bool(parts.iter().any(|part| truth(&self.eval(part)))),
+            Kind::All(parts) => OwnedValue::Bool(parts.iter().all(|part| truth(&self.eval(part)))),
+            Kind::Any(parts) => OwnedValue::Bool(parts.iter().any(|part| truth(&self.eval(part)))),
             Kind::If(when, then, other) => {
                 let way = if truth(&self.eval(when)) { then } else { other };
                 self.eval(way)
@@ -107,22 +111,24 @@
         }
     }
 
-    fn name(&self, name: &str) -> Plain {
+    fn name(&self, name: &str) -> OwnedValue {
         if let Some((_, value)) = self.names.iter().rfind(|(other, _)| other == name) {
             return value.clone();
         }
         let request = self.request;
-        let owned = |text: &str| Plain::Text(text.as_bytes().to_vec());
+        let owned = |text: &str| OwnedValue::Text(text.as_bytes().to_vec());
         match name {
             "method" => owned(request.method()),
             "path" => owned(request.path()),
             "query" => owned(request.query()),
-            "segments" => Plain::List(self.segments().into_iter().map(Plain::Text).collect()),
-            "body" => Plain::Text(request.body[..request.body.len().min(256)].to_vec()),
-            "body_length" => Plain::Int(request.body.len() as i64),
+            "segments" => {
+                OwnedValue::List(self.segments().into_iter().map(OwnedValue::Text).collect())
+            }
+            "body" => OwnedValue::Text(request.body[..request.body.len().min(256)].to_vec()),
+            "body_length" => OwnedValue::Int(request.body.len() as i64),
             "front" => owned("uwsgi"),
-            "peer" => Plain::Addr(request.peer),
-            "time_of_day" => Plain::Duration(request.time_of_day),
+            "peer" => OwnedValue::Addr(request.peer),
+            "time_of_day" => OwnedValue::Duration(request.time_of_day),
             _ => panic!("{name}"),
         }
     }
@@ -137,32 +143,31 @@
         parts.map(|part| part.as_bytes().to_vec()).collect()
     }
 
-    fn binary(&mut self, op: Op, left: &Expr, right: &Expr) -> Plain {
+    fn binary(&mut self, op: Op, left: &Expr, right: &Expr) -> OwnedValue {
         let one = self.eval(left);
         if op == Op::Else {
-            return if one == Plain::Absent {
+            return if one == OwnedValue::Absent {
                 self.eval(right)
             } else {
                 one
             };
         }
         let two = self.eval(right);
-        if let Plain::List(items) = &two {
-            return Plain::Bool(items.contains(&one));
+        if let OwnedValue::List(items) = &two {
+            return OwnedValue::Bool(items.contains(&one));
         }
         match op {
-            Op::Eq => return Plain::Bool(one == two),
-            Op::Ne => return Plain::Bool(one != two),
+            Op::Eq => return OwnedValue::Bool(one == two),
+            Op::Ne => return OwnedValue::Bool(one != two),
             Op::Lt | Op::Le | Op::Gt | Op::Ge => {
                 let order = match (&one, &two) {
-                    (Plain::Int(a), Plain::Int(b)) | (Plain::Duration(a), Plain::Duration(b)) => {
-                        a.cmp(b)
-                    }
-                    (Plain::Float(a), Plain::Float(b)) => a.partial_cmp(b).unwrap(),
-                    (Plain::Text(a), Plain::Text(b)) => a.cmp(b),
+                    (OwnedValue::Int(a), OwnedValue::Int(b))
+                    | (OwnedValue::Duration(a), OwnedValue::Duration(b)) => a.cmp(b),
+                    (OwnedValue::Float(a), OwnedValue::Float(b)) => a.partial_cmp(b).unwrap(),
+                    (OwnedValue::Text(a), OwnedValue::Text(b)) => a.cmp(b),
                     other => panic!("{other:?}"),
                 };
-                return Plain::Bool(match op {
+                return OwnedValue::Bool(match op {
                     Op::Lt => order.is_lt(),
                     Op::Le => order.is_le(),
                     Op::Gt => order.is_gt(),
@@ -183,33 +188,35 @@
             Some(wide.clamp(i64::MIN.into(), i64::MAX.into()) as i64)
         };
         match (one, two) {
-            (Plain::Text(a), Plain::Text(b)) => Plain::Text([a, b].concat()),
-            (Plain::Int(a), Plain::Int(b)) => whole(a, b).map_or(Plain::Absent, Plain::Int),
-            (Plain::Duration(a), Plain::Duration(b) | Plain::Int(b)) => {
-                whole(a, b).map_or(Plain::Absent, Plain::Duration)
+            (OwnedValue::Text(a), OwnedValue::Text(b)) => OwnedValue::Text([a, b].concat()),
+            (OwnedValue::Int(a), OwnedValue::Int(b)) => {
+                whole(a, b).map_or(OwnedValue::Absent, OwnedValue::Int)
+            }
+            (OwnedValue::Duration(a), OwnedValue::Duration(b) | OwnedValue::Int(b)) => {
+                whole(a, b).map_or(OwnedValue::Absent, OwnedValue::Duration)
             }
-            (Plain::Float(a), Plain::Float(b)) => {
+            (OwnedValue::Float(a), OwnedValue::Float(b)) => {
                 let found = match op {
                     Op::Add => a + b,
                     Op::Sub => a - b,
                     Op::Mul => a * b,
-                    _ if b == 0.0 => return Plain::Absent,
+                    _ if b == 0.0 => return OwnedValue::Absent,
                     _ => a / b,
                 };
-                Plain::Float(found.clamp(f64::MIN, f64::MAX))
+                OwnedValue::Float(found.clamp(f64::MIN, f64::MAX))
             }
             other => panic!("{other:?}"),
         }
     }
 
-    fn call(&mut self, name: &str, args: &[Expr]) -> Plain {
+    fn call(&mut self, name: &str, args: &[Expr]) -> OwnedValue {
         let literal = |nth: usize| match &args[nth].kind {
             Kind::Str(text) => text.clone(),
-            _ => panic!("no literal"),
+            _ => panic!("not a literal"),
         };
         if let "any" | "all" | "first" = name {
-            let Plain::List(items) = self.eval(&args[0]) else {
-                panic!("no list")
+            let OwnedValue::List(items) = self.eval(&args[0]) else {
+                panic!("not a list")
             };
             let Kind::Each {
                 name: bound, body, ..
@@ -217,32 +224,32 @@
             else {
                 panic!("no ->")
             };
-            let mut ask = |item: &Plain| {
+            let mut ask = |item: &OwnedValue| {
                 self.names.push((bound.clone(), item.clone()));
                 let found = truth(&self.eval(body));
                 self.names.pop();
                 found
             };
             return match name {
-                "any" => Plain::Bool(items.iter().any(&mut ask)),
-                "all" => Plain::Bool(items.iter().all(&mut ask)),
+                "any" => OwnedValue::Bool(items.iter().any(&mut ask)),
+                "all" => OwnedValue::Bool(items.iter().all(&mut ask)),
                 _ => items
                     .iter()
                     .find(|item| ask(item))
                     .cloned()
-                    .unwrap_or(Plain::Absent),
+                    .unwrap_or(OwnedValue::Absent),
             };
         }
         let as_text = |found: Option<&[u8]>| match found.map(|bytes| std::str::from_utf8(bytes)) {
-            Some(Ok(text)) => Plain::Text(text.as_bytes().to_vec()),
-            _ => Plain::Absent,
+            Some(Ok(text)) => OwnedValue::Text(text.as_bytes().to_vec()),
+            _ => OwnedValue::Absent,
         };
         match name {
             "header" => return as_text(self.request.variable(&cgi_name(&literal(0)))),
             "variable" => return as_text(self.request.variable(&literal(0))),
             "raw_header" => {
                 let found = self.request.variable(&cgi_name(&literal(0)));
-                return found.map_or(Plain::Absent, |bytes| Plain::Text(bytes.to_vec()));
+                return found.map_or(OwnedValue::Absent, |bytes| OwnedValue::Text(bytes.to_vec()));
             }
             "parameter" => {
                 let pairs = self
@@ -255,56 +262,58 @@
                     .map(|(_, value)| value)
                     .collect();
                 return if let [one] = values[..] {
-                    Plain::Text(one.as_bytes().to_vec())
+                    OwnedValue::Text(one.as_bytes().to_vec())
                 } else {
-                    Plain::Absent
+                    OwnedValue::Absent
                 };
             }
             _ => {}
         }
         let of = self.eval(&args[0]);
-        let string = |plain: &Plain| String::from_utf8(text(plain).to_vec()).unwrap();
+        let string = |value: &OwnedValue| String::from_utf8(text(value).to_vec()).unwrap();
         match name {
-            "lower" => Plain::Text(text(&of).to_ascii_lowercase()),
-            "upper" => Plain::Text(text(&of).to_ascii_uppercase()),
-            "trim" => Plain::Text(string(&of).trim().as_bytes().to_vec()),
+            "lower" => OwnedValue::Text(text(&of).to_ascii_lowercase()),
+            "upper" => OwnedValue::Text(text(&of).to_ascii_uppercase()),
+            "trim" => OwnedValue::Text(string(&of).trim().as_bytes().to_vec()),
             "len" => match &of {
-                Plain::List(items) => Plain::Int(items.len() as i64),
-                other => Plain::Int(text(other).len() as i64),
+                OwnedValue::List(items) => OwnedValue::Int(items.len() as i64),
+                other => OwnedValue::Int(text(other).len() as i64),
             },
             "hash" => {
                 let mut hash = 0xcbf2_9ce4_8422_2325_u64;
                 for byte in text(&of) {
                     hash = (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
                 }
-                Plain::Int((hash >> 1) as i64)
+                OwnedValue::Int((hash >> 1) as i64)
             }
-            "hex" => Plain::Text(format!("{:016x}", int(&of)).into_bytes()),
+            "hex" => OwnedValue::Text(format!("{:016x}", int(&of)).into_bytes()),
             "int" => match &of {
-                Plain::Float(n) => Plain::Int(*n as i64),
-                other => string(other).parse().map_or(Plain::Absent, Plain::Int),
+                OwnedValue::Float(n) => OwnedValue::Int(*n as i64),
+                other => string(other)
+                    .parse()
+                    .map_or(OwnedValue::Absent, OwnedValue::Int),
             },
             "float" => match &of {
-                Plain::Int(n) => Plain::Float(*n as f64),
+                OwnedValue::Int(n) => OwnedValue::Float(*n as f64),
                 other => match string(other).parse::<f64>() {
-                    Ok(n) if n.is_finite() => Plain::Float(n),
-                    _ => Plain::Absent,
+                    Ok(n) if n.is_finite() => OwnedValue::Float(n),
+                    _ => OwnedValue::Absent,
                 },
             },
             "text" => {
                 if std::str::from_utf8(text(&of)).is_ok() {
                     of
                 } else {
-                    Plain::Absent
+                    OwnedValue::Absent
                 }
             }
             "bytes" => of,
-            "present" => Plain::Bool(of != Plain::Absent),
+            "present" => OwnedValue::Bool(of != OwnedValue::Absent),
             "segment" => {
                 let place = usize::try_from(int(&of)).ok();
                 place
                     .and_then(|place| self.segments().get(place).cloned())
-                    .map_or(Plain::Absent, Plain::Text)
+                    .map_or(OwnedValue::Absent, OwnedValue::Text)
             }
             "split" => {
                 let (whole, by) = (string(&of), literal(1));
@@ -313,8 +322,8 @@
                 };
                 let parts = whole
                     .splitn(most as usize, by.as_str())
-                    .map(|part| Plain::Text(part.as_bytes().to_vec()));
-                Plain::List(parts.collect())
+                    .map(|part| OwnedValue::Text(part.as_bytes().to_vec()));
+                OwnedValue::List(parts.collect())
             }
             "substring" => {
                 let (from, count) = (
@@ -326,16 +335,16 @@
                     .skip(from as usize)
                     .take(count as usize)
                     .collect();
-                Plain::Text(part.into_bytes())
+                OwnedValue::Text(part.into_bytes())
             }
-            "matches" => Plain::Bool(
+            "matches" => OwnedValue::Bool(
                 regex::Regex::new(&literal(1))
                     .unwrap()
                     .is_match(&string(&of)),
             ),
             "cidr" => {
                 let nets = (1..args.len()).map(literal);
-                let Plain::Addr(IpAddr::V4(addr)) = of else {
+                let OwnedValue::Addr(IpAddr::V4(addr)) = of else {
                     panic!("{of:?}")
                 };
                 let inside = |net: String| {
@@ -345,28 +354,28 @@
                     let kept = |addr: std::net::Ipv4Addr| u64::from(u32::from(addr)) >> (32 - bits);
                     kept(addr) == kept(net)
                 };
-                Plain::Bool(nets.into_iter().any(inside))
+                OwnedValue::Bool(nets.into_iter().any(inside))
             }
             _ => {
                 let with = self.eval(&args[1]);
                 match name {
-                    "starts_with" => Plain::Bool(text(&of).starts_with(text(&with))),
-                    "ends_with" => Plain::Bool(text(&of).ends_with(text(&with))),
-                    "contains" => Plain::Bool(string(&of).contains(&string(&with))),
+                    "starts_with" => OwnedValue::Bool(text(&of).starts_with(text(&with))),
+                    "ends_with" => OwnedValue::Bool(text(&of).ends_with(text(&with))),
+                    "contains" => OwnedValue::Bool(string(&of).contains(&string(&with))),
                     "get" => {
-                        let Plain::List(items) = of else {
-                            panic!("no list")
+                        let OwnedValue::List(items) = of else {
+                            panic!("not a list")
                         };
                         let place = usize::try_from(int(&with)).ok();
                         place
                             .and_then(|place| items.get(place).cloned())
-                            .unwrap_or(Plain::Absent)
+                            .unwrap_or(OwnedValue::Absent)
                     }
                     "min" | "max" => {
                         let less = match (&of, &with) {
-                            (Plain::Int(a), Plain::Int(b))
-                            | (Plain::Duration(a), Plain::Duration(b)) => b < a,
-                            (Plain::Float(a), Plain::Float(b)) => b < a,
+                            (OwnedValue::Int(a), OwnedValue::Int(b))
+                            | (OwnedValue::Duration(a), OwnedValue::Duration(b)) => b < a,
+                            (OwnedValue::Float(a), OwnedValue::Float(b)) => b < a,
                             other => panic!("{other:?}"),
                         };
                         let equal = of == with;
