--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -17,24 +17,24 @@
     random
 }
 
-/// A distribution of durations in microseconds. Each is given by its mean, so that one can replace another.
+/// A distribution of durations in microseconds. Most are given by their mean, so that one can replace another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Distribution {
     /// Always the same duration.
     Fixed(f64),
-    /// The distribution of gaps between independent arrivals.
+    /// Exponential, the distribution of gaps between independent arrivals.
     Exponential {
         /// Mean in microseconds.
         mean: f64,
     },
-    /// A logarithm that is normally distributed.
+    /// Log-normal: the logarithm of the duration is normally distributed.
     LogNormal {
         /// Mean in microseconds.
         mean: f64,
         /// Standard deviation of the natural logarithm.
         sigma: f64,
     },
-    /// A heavy tail that falls as a power of the duration.
+    /// Pareto: a heavy tail that falls as a power of the duration.
     Pareto {
         /// Mean in microseconds.
         mean: f64,
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -1,9 +1,9 @@
-//! The event queue: events by time, and those of one time in the order of insertion.
+//! The event queue. Events are ordered by time, and simultaneous events by insertion.
 
 use crate::Micros;
 
-/// Children of a node of the heap: four share a cache line, and the heap is half as deep as with two.
-const CHILDREN: usize = 4;
+/// Children per heap node. Four share a cache line, and the heap is half as deep as with two.
+const CHILDREN_PER_NODE: usize = 4;
 
 struct Entry<E> {
     at: Micros,
@@ -17,7 +17,7 @@
     }
 }
 
-/// A queue of events, and the simulated time. Insertion and removal take logarithmic time, and allocate only
+/// A queue of events that also holds the simulated time. Insertion and removal take logarithmic time, and allocate only
 /// when the queue grows.
 pub struct EventQueue<E> {
     heap: Vec<Entry<E>>,
@@ -46,7 +46,7 @@
         self.heap.len()
     }
 
-    /// Whether there is no event.
+    /// Returns true if there is no event.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
@@ -80,7 +80,7 @@
 
     fn sift_up(&mut self, mut index: usize) {
         while index > 0 {
-            let parent = (index - 1) / CHILDREN;
+            let parent = (index - 1) / CHILDREN_PER_NODE;
             if !self.heap[index].is_before(&self.heap[parent]) {
                 break;
             }
@@ -99,10 +99,10 @@
         }
     }
 
-    /// The child of a heap node whose event comes first.
+    /// Returns the child of a heap node whose event comes first.
     fn first_child(&self, index: usize) -> Option<usize> {
-        let start = index * CHILDREN + 1;
-        let children = start..(start + CHILDREN).min(self.heap.len());
+        let start = index * CHILDREN_PER_NODE + 1;
+        let children = start..(start + CHILDREN_PER_NODE).min(self.heap.len());
         children.reduce(|first, child| {
             if self.heap[child].is_before(&self.heap[first]) {
                 child
--- a/crates/simulation/src/link.rs
+++ b/crates/simulation/src/link.rs
@@ -1,4 +1,4 @@
-//! What links between machines do to messages.
+//! Latency, loss and duplication of messages on the links between machines.
 
 use crate::{Distribution, Micros, RandomStream};
 
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,5 +1,5 @@
-//! A network of machines whose links delay, lose, duplicate and cut, and whose clocks differ.
-//! What the machines do is the caller's.
+//! A simulated network. Links delay, lose and duplicate messages and can be partitioned, and machines have
+//! different clocks. The caller implements the behavior of the machines.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,18 +10,19 @@
 /// Identifies a machine: its index in the order of [`Network::add_machine`].
 pub type MachineId = usize;
 
-/// Messages buffered for a suspended machine; further ones are lost, as in a full socket buffer.
-const MAX_BUFFERED: usize = 400;
-/// Messages recorded per machine for [`Network::replay`].
-const MAX_RECORDED: usize = 100;
-/// The part of the seed's random streams that the links draw from.
+/// Maximum number of messages buffered for a suspended machine; further ones are lost, as in a full socket
+/// buffer.
+const MAX_BUFFERED_MESSAGES: usize = 400;
+/// Maximum number of messages recorded per machine for [`Network::replay`].
+const MAX_RECORDED_MESSAGES: usize = 100;
+/// Number of the random stream that the links draw from.
 const LINK_STREAM: u64 = 1;
 
 /// The state of a machine's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
     Running,
-    /// Does nothing; its messages are buffered.
+    /// The process is paused; its messages are buffered.
     Suspended,
     Down,
 }
@@ -30,12 +31,12 @@
     clock: MachineClock,
     zone: u32,
     state: ProcessState,
-    /// Grows with each start: events of an earlier one are void.
+    /// Incremented at each start; events of earlier incarnations are ignored.
     incarnation: u32,
-    /// Number of the last wakeup set; earlier ones are void.
+    /// Number of the last wakeup set; earlier wakeups are ignored.
     wakeup: u64,
     buffered: Vec<(MachineId, M)>,
-    /// The last messages delivered.
+    /// The last messages delivered, for [`Network::replay`].
     recorded: VecDeque<(MachineId, M)>,
 }
 
@@ -56,7 +57,7 @@
     message: M,
 }
 
-/// What happens next in the network.
+/// An event that the caller has to handle.
 #[derive(Debug)]
 pub enum NetworkEvent<M> {
     /// A message arrives.
@@ -91,7 +92,7 @@
     pub record_deliveries: bool,
     /// Messages sent.
     pub sent: u64,
-    /// Messages lost on the way, or at a machine that was down or whose buffer was full.
+    /// Messages lost on a link, or at a machine that was down, was restarted or had a full buffer.
     pub lost: u64,
 }
 
@@ -129,12 +130,12 @@
         self.queue.now()
     }
 
-    /// What a machine's clock reads, in microseconds.
+    /// The reading of a machine's clock in microseconds.
     pub fn clock_reading(&self, machine: MachineId) -> Micros {
         self.machines[machine].clock.reading_at(self.queue.now())
     }
 
-    /// The links, to change them from now on.
+    /// The link model; changes apply to messages sent from now on.
     pub fn links_mut(&mut self) -> &mut LinkModel {
         &mut self.links
     }
@@ -144,12 +145,12 @@
         self.machines[machine].clock = clock;
     }
 
-    /// Whether a machine's process runs and is not suspended.
+    /// Returns true if a machine's process is running and not suspended.
     pub fn is_running(&self, machine: MachineId) -> bool {
         self.machines[machine].state == ProcessState::Running
     }
 
-    /// Whether a machine has no process.
+    /// Returns true if a machine has no process.
     pub fn is_down(&self, machine: MachineId) -> bool {
         self.machines[machine].state == ProcessState::Down
     }
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Loses all that `from` sends to `to` until [`Network::heal`]. Calls add up.
+    /// Drops all messages from `from` to `to` until [`Network::heal`]. Each call needs a `heal` of its own.
     pub fn partition(&mut self, from: MachineId, to: MachineId) {
         *self.partitions.entry((from, to)).or_default() += 1;
     }
@@ -300,7 +301,7 @@
             && machine.state == ProcessState::Running
     }
 
-    /// Hands a message to a running machine, buffers it at a suspended one, and loses it otherwise.
+    /// Delivers a message to a running machine, buffers it for a suspended one, and drops it otherwise.
     fn deliver(&mut self, delivery: Delivery<M>) -> Option<NetworkEvent<M>> {
         let Delivery {
             from,
@@ -324,7 +325,7 @@
                     message,
                 });
             }
-            ProcessState::Suspended if machine.buffered.len() < MAX_BUFFERED => {
+            ProcessState::Suspended if machine.buffered.len() < MAX_BUFFERED_MESSAGES => {
                 machine.buffered.push((from, message));
             }
             ProcessState::Suspended | ProcessState::Down => self.lost += 1,
@@ -335,7 +336,7 @@
 
 impl<M> Machine<M> {
     fn record(&mut self, from: MachineId, message: M) {
-        if self.recorded.len() >= MAX_RECORDED {
+        if self.recorded.len() >= MAX_RECORDED_MESSAGES {
             self.recorded.pop_front();
         }
         self.recorded.push_back((from, message));
--- a/crates/simulation/src/station.rs
+++ b/crates/simulation/src/station.rs
@@ -7,7 +7,7 @@
 
 use crate::Micros;
 
-/// Identifies a job of a station until it ends; then the number is used again.
+/// Identifies a job of a station until the job ends; the number may then be reused.
 pub type JobId = usize;
 
 /// How fast a station works.
@@ -17,7 +17,7 @@
     pub cores: f64,
     /// Speed of a core relative to a standard core.
     pub speed: f64,
-    /// Jobs per core beyond which each further job slows down all, as caches and memory do.
+    /// Jobs per core above which each further job slows down all jobs, as contention for caches and memory does.
     pub overload_threshold: f64,
     /// Slowdown for each multiple of `overload_threshold` above it; 0 for none.
     pub overload_slowdown: f64,
@@ -33,11 +33,12 @@
 }
 
 /// A station with processor sharing: all jobs get the same share of the cores, and each ends once its work
-/// is done. A step takes time logarithmic in the number of jobs, as it advances one sum, not each job.
+/// is done. An operation takes time logarithmic in the number of jobs, since it advances one sum and not each
+/// job.
 pub struct ProcessorSharingStation {
     rate: ServiceRate,
     jobs: Slab<Job>,
-    /// Jobs by the value of `work_per_job` at which they are done. Cancelled ones are skipped when reached.
+    /// Jobs by the value of `work_per_job` at which they are done. Cancelled jobs are skipped when reached.
     completions: BinaryHeap<Reverse<Completion>>,
     /// Work done for each job that has been present since the station was last idle.
     work_per_job: f64,
--- a/crates/simulation/tests/network.rs
+++ b/crates/simulation/tests/network.rs
@@ -2,7 +2,7 @@
 
 use doortrack_simulation::{Distribution, LinkModel, MachineClock, Network, NetworkEvent};
 
-/// Microseconds in a ms.
+/// Microseconds in a millisecond.
 const MS: u64 = 1_000;
 
 fn network(machines: usize, links: LinkModel) -> Network<u32> {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn messages_arrive_after_the_latency_and_that_between_zones() {
+fn messages_arrive_after_the_link_and_inter_zone_latency() {
     let links = LinkModel {
         latency: Distribution::Fixed(500.0),
         inter_zone_latency: 2 * MS,
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_suspended_process_gets_its_messages_when_resumed_and_a_killed_one_none() {
+fn messages_reach_a_suspended_process_on_resume_and_never_a_killed_one() {
     let mut network = network(3, LinkModel::default());
     network.suspend(1);
     network.kill(2);
@@ -133,7 +133,7 @@
         ),
         "its wakeup is overdue"
     );
-    // A message on its way to one process does not reach the next one.
+    // A message in flight to one process does not reach its successor.
     network.send(0, 1, 5);
     network.kill(1);
     network.start(1);
--- a/crates/simulation/tests/theory.rs
+++ b/crates/simulation/tests/theory.rs
@@ -1,4 +1,4 @@
-//! Stations against queueing theory, and the event queue against a plain sort.
+//! Compares stations with queueing theory, and the event queue with a sort.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 };
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// Mean work of a job in microseconds.
-const MEAN: f64 = 10_000.0;
+/// Mean work per job in microseconds of a standard core.
+const MEAN_WORK: f64 = 10_000.0;
 
 enum Event {
     Arrival,
@@ -26,12 +26,12 @@
     time: Micros,
 }
 
-/// Arrivals at a station, and what it has observed of them.
+/// A station with its arrivals and the observations of the run.
 struct Simulation {
     station: ProcessorSharingStation,
     queue: EventQueue<Event>,
     started_at: BTreeMap<JobId, Micros>,
-    /// Grows as jobs start or end: completions predicted before are void.
+    /// Incremented when jobs start or end; completions predicted earlier are ignored.
     version: u64,
     observed: Observed,
 }
@@ -84,7 +84,7 @@
 ) -> Observed {
     let (mut arrival_random, mut work_random) = (random_stream(seed, 1), random_stream(seed, 2));
     let interarrival = Distribution::Exponential {
-        mean: MEAN / (load * cores),
+        mean: MEAN_WORK / (load * cores),
     };
     let mut simulation = Simulation::new(cores);
     let first = interarrival.sample(&mut arrival_random);
@@ -116,7 +116,7 @@
     simulation.observed
 }
 
-/// The mean and the half width of its 99.9% confidence interval, by the means of forty batches.
+/// The mean and the half width of its 99.9% confidence interval, from the means of 40 batches.
 fn confidence_interval(values: &[f64]) -> (f64, f64) {
     let batches: Vec<f64> = values
         .chunks_exact(values.len() / 40)
@@ -142,16 +142,16 @@
 }
 
 fn assert_agrees(name: &str, observed: &Observed, expected: f64) {
-    let (mean, half) = confidence_interval(&observed.sojourns);
+    let (mean, half_width) = confidence_interval(&observed.sojourns);
     assert!(
-        (mean - expected).abs() <= half,
-        "{name}: {mean:.0} +- {half:.0}, {expected:.0} by theory"
+        (mean - expected).abs() <= half_width,
+        "{name}: {mean:.0} +- {half_width:.0}, {expected:.0} by theory"
     );
     assert!(
-        half < 0.1 * expected,
-        "{name}: +- {half:.0} of {expected:.0} says little"
+        half_width < 0.1 * expected,
+        "{name}: +- {half_width:.0} of {expected:.0} is too wide"
     );
-    // Little's law holds in every run, to rounding.
+    // Little's law holds for every run, up to rounding.
     let (mean_jobs, throughput) = (
         observed.job_time / observed.time as f64,
         observed.sojourns.len() as f64 / observed.time as f64,
@@ -165,44 +165,48 @@
 }
 
 #[test]
-fn one_shared_core_is_m_m_1_whatever_the_distribution_of_work() {
+fn one_shared_core_matches_m_m_1_for_any_distribution_of_work() {
     for (name, work) in [
-        ("exponential", Distribution::Exponential { mean: MEAN }),
-        ("fixed", Distribution::Fixed(MEAN)),
+        ("exponential", Distribution::Exponential { mean: MEAN_WORK }),
+        ("fixed", Distribution::Fixed(MEAN_WORK)),
         (
             "log-normal",
             Distribution::LogNormal {
-                mean: MEAN,
+                mean: MEAN_WORK,
                 sigma: 1.0,
             },
         ),
         (
             "bimodal",
             Distribution::Bimodal {
-                short: MEAN / 2.0,
-                long: MEAN * 5.5,
+                short: MEAN_WORK / 2.0,
+                long: MEAN_WORK * 5.5,
                 long_fraction: 0.1,
             },
         ),
     ] {
         for load in [0.3, 0.7] {
             let observed = simulate(load, 1.0, work, usize::MAX, 200_000, 7);
-            assert_agrees(&format!("{name} at {load}"), &observed, MEAN / (1.0 - load));
+            assert_agrees(
+                &format!("{name} at {load}"),
+                &observed,
+                MEAN_WORK / (1.0 - load),
+            );
         }
     }
 }
 
 #[test]
-fn many_shared_cores_are_m_m_c() {
+fn several_shared_cores_match_m_m_c() {
     for (cores, load) in [(4, 0.5), (4, 0.8), (16, 0.9)] {
         let offered = f64::from(cores) * load;
         let blocking = erlang_b(cores, offered);
         let waiting = blocking / (1.0 - load * (1.0 - blocking));
-        let expected = MEAN + waiting * MEAN / (f64::from(cores) * (1.0 - load));
+        let expected = MEAN_WORK + waiting * MEAN_WORK / (f64::from(cores) * (1.0 - load));
         let observed = simulate(
             load,
             f64::from(cores),
-            Distribution::Exponential { mean: MEAN },
+            Distribution::Exponential { mean: MEAN_WORK },
             usize::MAX,
             300_000,
             8,
@@ -212,11 +216,11 @@
 }
 
 #[test]
-fn a_station_without_queue_loses_by_erlangs_formula() {
+fn losses_without_a_queue_match_the_erlang_b_formula() {
     for work in [
-        Distribution::Exponential { mean: MEAN },
+        Distribution::Exponential { mean: MEAN_WORK },
         Distribution::LogNormal {
-            mean: MEAN,
+            mean: MEAN_WORK,
             sigma: 1.0,
         },
     ] {
@@ -239,7 +243,7 @@
             0.6,
             2.0,
             Distribution::Pareto {
-                mean: MEAN,
+                mean: MEAN_WORK,
                 shape: 2.2,
             },
             50,
@@ -271,7 +275,7 @@
 }
 
 #[test]
-fn overload_slows_cancelling_frees_and_a_new_rate_counts_from_then_on() {
+fn overload_cancellation_and_rate_changes_affect_completion_times() {
     let rate = ServiceRate {
         cores: 1.0,
         speed: 1.0,
@@ -280,7 +284,7 @@
     };
     let mut station = ProcessorSharingStation::new(rate);
     let jobs: Vec<JobId> = (0..4).map(|_| station.start_job(1000, 0)).collect();
-    // Four jobs on one core, twice the threshold: each at a quarter of the speed, halved.
+    // Four jobs share one core at twice the overload threshold: each gets half of a quarter of the speed.
     assert_eq!(station.next_completion(), Some(8000));
     assert!(
         station.cancel_job(jobs[0], 4000)
