--- a/crates/demo/src/engine.rs
+++ b/crates/demo/src/engine.rs
@@ -1,4 +1,5 @@
-//! A toy engine with two cores: a run takes a second, or longer if more than two run at once.
+//! A simplified engine with two cores. A run takes one second, or longer while more than two runs are in
+//! progress.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, ErrorKind, Write};
@@ -10,13 +11,13 @@
 use serde_json::{Value, json};
 
 const CORES: f64 = 2.0;
-/// Work of each run, in seconds of one core.
-const WORK_S: f64 = 1.0;
-/// Interval at which the runs advance while no command arrives.
+/// CPU time of each run, in seconds on one core.
+const RUN_CPU_S: f64 = 1.0;
+/// Read timeout of a connection: the interval at which runs advance while no command arrives.
 const TICK: Duration = Duration::from_millis(10);
-/// Notices kept for a node that attaches again.
+/// Maximum number of notices kept for a node that attaches again.
 const MAX_NOTICES: usize = 4000;
-/// Bound of a load report to the registry, in bytes.
+/// Maximum length of a load report to the registry, in bytes.
 const MAX_REPORT_BYTES: usize = 200;
 
 /// A run in progress.
@@ -24,16 +25,16 @@
     group: String,
     body: Vec<u8>,
     started_at: Instant,
-    work_left_s: f64,
+    remaining_cpu_s: f64,
 }
 
-/// The end of a run, as sent to the node.
+/// The message that tells the node how a run ended.
 struct Notice {
     serial: u64,
     message: Value,
 }
 
-/// The engine's state, which outlives its connections.
+/// The engine's state, which is kept between connections.
 struct Engine {
     started_at: Instant,
     runs: BTreeMap<String, Run>,
@@ -41,10 +42,10 @@
     last_serial: u64,
 }
 
-/// Serves one node after the other, and prints what they send to the engine and the registry.
+/// Serves one node at a time and prints what it sends to the engine and the registry.
 ///
 /// # Errors
-/// Those of binding the sockets and of accepting connections.
+/// Returns an error if a socket cannot be bound or a connection cannot be accepted.
 pub fn serve(engine_address: &str, registry_address: &str) -> io::Result<()> {
     let listener = TcpListener::bind(engine_address)?;
     let mut registry = Registry::bind(registry_address)?;
@@ -61,13 +62,13 @@
     for stream in listener.incoming() {
         registry.last_report.clear();
         if let Err(e) = engine.serve_node(stream?, &mut registry) {
-            println!("link ended: {e}");
+            println!("connection ended: {e}");
         }
     }
     Ok(())
 }
 
-/// The registry: prints each load report that differs from the one before.
+/// A registry that prints each load report that differs from the previous one.
 struct Registry {
     socket: UdpSocket,
     last_report: String,
@@ -96,7 +97,7 @@
 }
 
 impl Engine {
-    /// Serves one connection until it ends. Runs only advance while there is one.
+    /// Serves one connection until it ends. Runs advance only while a node is connected.
     fn serve_node(&mut self, stream: TcpStream, registry: &mut Registry) -> io::Result<()> {
         stream.set_read_timeout(Some(TICK))?;
         let (mut input, mut output) = (BufReader::new(stream.try_clone()?), stream);
@@ -115,22 +116,22 @@
         }
     }
 
-    /// Executes one command. Returns the serial of the last notice that the node has read if it attaches.
+    /// Executes one command. For an attach command, returns the serial of the last notice that the node has read.
     fn execute(&mut self, command: &Value, output: &mut TcpStream) -> io::Result<Option<u64>> {
-        let call = text(command, "call");
+        let run_id = string_field(command, "call");
         match command["msg"].as_str().unwrap_or_default() {
             "ATTACH" => {
                 println!("a node attached");
-                let age_ms = self.started_at.elapsed().as_millis() as u64;
-                let hello = json!({"msg": "HELLO", "how": "WARM", "duration": age_ms});
+                let uptime_ms = self.started_at.elapsed().as_millis() as u64;
+                let hello = json!({"msg": "HELLO", "how": "WARM", "duration": uptime_ms});
                 writeln!(output, "{hello}")?;
                 return Ok(command["serial"].as_u64());
             }
-            "RUN" => self.start_run(call, command),
+            "RUN" => self.start_run(run_id, command),
             "HALT" => {
-                if let Some(run) = self.runs.remove(call) {
-                    println!("halted {call}");
-                    self.notify(call, "STOPPED", &run, b"");
+                if let Some(run) = self.runs.remove(run_id) {
+                    println!("halted {run_id}");
+                    self.notify(run_id, "STOPPED", &run, b"");
                 }
             }
             "STAT" => {
@@ -139,42 +140,46 @@
                 let reply = json!({"msg": "STATS", "cookie": command["cookie"], "stats": stats});
                 writeln!(output, "{reply}")?;
             }
-            _ => return Err(io::Error::other(format!("not a command: {command}"))),
+            _ => return Err(io::Error::other(format!("unknown command: {command}"))),
         }
         Ok(None)
     }
 
-    fn start_run(&mut self, call: &str, command: &Value) {
-        let group = text(command, "service").to_string();
-        let body = STANDARD.decode(text(command, "blob")).unwrap_or_default();
-        println!("run {call} ({group}): {}", String::from_utf8_lossy(&body));
-        self.runs.entry(call.to_string()).or_insert(Run {
+    fn start_run(&mut self, run_id: &str, command: &Value) {
+        let group = string_field(command, "service").to_string();
+        let body = STANDARD
+            .decode(string_field(command, "blob"))
+            .unwrap_or_default();
+        println!("run {run_id} ({group}): {}", String::from_utf8_lossy(&body));
+        self.runs.entry(run_id.to_string()).or_insert(Run {
             group,
             body,
             started_at: Instant::now(),
-            work_left_s: WORK_S,
+            remaining_cpu_s: RUN_CPU_S,
         });
     }
 
-    /// Advances all runs, which share the cores, and ends those that are done.
+    /// Divides the CPU time of the cores among all runs, and ends the runs that have none remaining.
     fn advance(&mut self, elapsed_s: f64) {
-        let work_s = elapsed_s * (CORES / self.runs.len().max(1) as f64).min(1.0);
+        let cpu_s = elapsed_s * (CORES / self.runs.len().max(1) as f64).min(1.0);
         for run in self.runs.values_mut() {
-            run.work_left_s -= work_s;
+            run.remaining_cpu_s -= cpu_s;
         }
-        let done = self.runs.extract_if(.., |_, run| run.work_left_s <= 0.0);
-        let done: Vec<(String, Run)> = done.collect();
-        for (call, run) in done {
+        let finished = self
+            .runs
+            .extract_if(.., |_, run| run.remaining_cpu_s <= 0.0);
+        let finished: Vec<(String, Run)> = finished.collect();
+        for (run_id, run) in finished {
             let result = [run.group.as_bytes(), b" done: ", &run.body].concat();
-            self.notify(&call, "OK", &run, &result);
+            self.notify(&run_id, "OK", &run, &result);
         }
     }
 
-    /// Appends a notice of the end of a run.
-    fn notify(&mut self, call: &str, how: &str, run: &Run, result: &[u8]) {
+    /// Appends a notice that a run has ended.
+    fn notify(&mut self, run_id: &str, outcome: &str, run: &Run, result: &[u8]) {
         self.last_serial += 1;
         let run_time_ms = run.started_at.elapsed().as_millis() as u64;
-        let message = json!({"msg": "DONE", "serial": self.last_serial, "call": call, "how": how,
+        let message = json!({"msg": "DONE", "serial": self.last_serial, "call": run_id, "how": outcome,
             "duration": run_time_ms, "blob": STANDARD.encode(result)});
         self.notices.push(Notice {
             serial: self.last_serial,
@@ -185,7 +190,7 @@
         }
     }
 
-    /// Sends the notices after `last_sent`. Returns the serial of the last one sent.
+    /// Sends the notices whose serial is above `last_sent`. Returns the serial of the last notice sent.
     fn send_notices(&self, last_sent: u64, output: &mut TcpStream) -> io::Result<u64> {
         let first = self
             .notices
@@ -198,7 +203,8 @@
     }
 }
 
-/// Reads a command if its line is complete within the read timeout. `line` holds what was read of it.
+/// Reads a command, or returns `None` if its line is incomplete when the read times out. `line` keeps the part
+/// that was read.
 fn read_command(input: &mut impl BufRead, line: &mut Vec<u8>) -> io::Result<Option<Value>> {
     match input.read_until(b'\n', line) {
         Ok(0) => Err(ErrorKind::UnexpectedEof.into()),
@@ -213,6 +219,6 @@
     }
 }
 
-fn text<'a>(command: &'a Value, key: &str) -> &'a str {
+fn string_field<'a>(command: &'a Value, key: &str) -> &'a str {
     command[key].as_str().unwrap_or_default()
 }
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,5 +1,5 @@
-//! `doortrack-demo`: toy counterparts of a node, to try one by hand: an engine and a registry, an application
-//! server, and a caller.
+//! `doortrack-demo`: simplified peers of a node, for trying a node by hand: an engine with a registry, an
+//! application server, and a caller.
 
 mod engine;
 mod request;
@@ -16,18 +16,19 @@
 
 use crate::request::Request;
 
-/// Addresses in `examples/node.json`.
-const ENGINE: &str = "127.0.0.1:4400";
-const REGISTRY: &str = "127.0.0.1:2379";
-/// Ports of the node's listeners in the files of `examples/`.
+/// Addresses of the engine and the registry in `examples/node.json`.
+const ENGINE_ADDRESS: &str = "127.0.0.1:4400";
+const REGISTRY_ADDRESS: &str = "127.0.0.1:2379";
+/// Ports of the node's listeners in the files under `examples/`.
 const FASTCGI_PORT: u16 = 9090;
 const UWSGI_PORT: u16 = 9091;
-/// Run time of a request at the application server.
+/// Time that the application server takes for each request.
 const RUN_TIME: Duration = Duration::from_secs(1);
-/// From an interrupt to the application server's end: a run and its answer.
+/// Time from an interrupt to the exit of the application server, long enough for a run to finish and its answer
+/// to be sent.
 const SHUTDOWN_TIME: Duration = Duration::from_millis(1_200);
 
-/// Plays what a node talks to, so that one can be tried by hand with the files of `examples/`.
+/// Simulates the peers of a node, for trying a node by hand with the files under `examples/`.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -37,27 +38,27 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays the engine and the registry of examples/node.json, and tells what it sees
+    /// Run the engine and the registry of examples/node.json, and print the messages they receive
     Serve,
-    /// Plays an application server that takes a second for each run
+    /// Run an application server that takes one second for each request
     Work {
         #[arg(long, value_enum, default_value = "uwsgi")]
         protocol: ProtocolArgument,
         #[arg(long, default_value = "127.0.0.1:7001")]
         listen: SocketAddr,
     },
-    /// Sends one request to the node and prints the answer
+    /// Send one request to the node and print the answer
     Ask {
         #[arg(long, value_enum, default_value = "fastcgi")]
         protocol: ProtocolArgument,
-        /// Absent: 127.0.0.1:9090 over FastCGI, 127.0.0.1:9091 over uwsgi
+        /// Address of the node [default: 127.0.0.1:9090 for FastCGI, 127.0.0.1:9091 for uwsgi]
         #[arg(long)]
         node: Option<SocketAddr>,
         group: String,
         text: String,
         #[arg(default_value = "east-quay")]
         tenant: String,
-        /// 32 hex digits, for the group `moor`
+        /// Idempotency key of 32 hex digits, for the group `moor`
         idempotency_key: Option<String>,
     },
 }
@@ -79,8 +80,8 @@
 
 fn main() -> ExitCode {
     let command = Cli::parse().command;
-    if let Err(e) = end_in_order_on_interrupt(&command) {
-        eprintln!("doortrack-demo: signals: {e}");
+    if let Err(e) = install_shutdown_handler(&command) {
+        eprintln!("doortrack-demo: cannot handle signals: {e}");
         return ExitCode::FAILURE;
     }
     match run(command) {
@@ -92,23 +93,23 @@
     }
 }
 
-/// At SIGINT or SIGTERM a server answers what runs, and ends.
-fn end_in_order_on_interrupt(command: &Command) -> io::Result<()> {
-    let remaining = match command {
-        Command::Serve => Duration::ZERO, // The node learns of the end of its engine by itself.
+/// Makes a server finish its requests and exit on SIGINT or SIGTERM.
+fn install_shutdown_handler(command: &Command) -> io::Result<()> {
+    let grace_period = match command {
+        Command::Serve => Duration::ZERO, // The node detects the closed connection.
         Command::Work { .. } => SHUTDOWN_TIME,
         Command::Ask { .. } => return Ok(()),
     };
     on_interrupt(move || {
         println!("ending");
-        std::thread::sleep(remaining);
+        std::thread::sleep(grace_period);
         std::process::exit(0);
     })
 }
 
 fn run(command: Command) -> io::Result<()> {
     match command {
-        Command::Serve => engine::serve(ENGINE, REGISTRY),
+        Command::Serve => engine::serve(ENGINE_ADDRESS, REGISTRY_ADDRESS),
         Command::Work { protocol, listen } => serve_requests(protocol.into(), listen),
         Command::Ask {
             protocol,
@@ -142,7 +143,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Runs an application server until the process ends.
+/// Runs an application server until the process exits.
 fn serve_requests(protocol: Protocol, listen: SocketAddr) -> io::Result<()> {
     let _server = Server::start_at(listen, protocol, |request| {
         let body = String::from_utf8_lossy(&request.body);
--- a/crates/demo/src/request.rs
+++ b/crates/demo/src/request.rs
@@ -1,4 +1,4 @@
-//! A toy caller: one request over either protocol, and its answer.
+//! A caller that sends one request over FastCGI or uwsgi and prints the answer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,30 +7,30 @@
 use doortrack_fakes::caller::{CallerOutcome, CallerRequest};
 use doortrack_protocols::Protocol;
 
-/// Memory that the request declares, in kB.
+/// Memory that the request declares it needs, in kB.
 const MEMORY_KB: &str = "20";
 
-/// A request as given on the command line.
+/// The parts of a request that are given on the command line.
 pub struct Request<'a> {
-    /// The group whose path it has.
+    /// The endpoint group, which determines the path.
     pub group: &'a str,
-    /// The body.
+    /// The request body.
     pub text: &'a str,
-    /// The tenant that sends it.
+    /// The tenant that sends the request.
     pub tenant: &'a str,
-    /// The idempotency key, if it has one.
+    /// The idempotency key, if any.
     pub idempotency_key: Option<&'a str>,
 }
 
 /// Sends a request and prints the answer.
 ///
 /// # Errors
-/// Those of the connection.
+/// Returns an error if the connection fails.
 pub fn send(node: SocketAddr, protocol: Protocol, request: &Request) -> io::Result<()> {
     let unix_time = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_err(io::Error::other)?;
-    // Unique enough for requests typed by hand.
+    // A timestamp is unique enough for requests that are sent by hand.
     let attempt = unix_time.as_nanos() as u64;
     let path = format!("/svc/{}", request.group);
     let mut message = CallerRequest::new(attempt, &path, request.text.as_bytes())
@@ -53,12 +53,12 @@
         CallerOutcome::Rejected {
             retry_after: Some(ms),
             ..
-        } => format!("rejected: it never ran; come back in {ms} ms"),
+        } => format!("rejected: it never ran; retry after {ms} ms"),
         CallerOutcome::Rejected {
             retry_after: None, ..
         } => "rejected: it never ran".into(),
         CallerOutcome::Failed => "failed: it may have run".into(),
-        CallerOutcome::Unreadable(status, error) => format!("not understood: {status} {error}"),
+        CallerOutcome::Unreadable(status, error) => format!("unreadable answer: {status} {error}"),
         CallerOutcome::Nothing => "the connection ended without an answer".into(),
     }
 }
--- a/crates/demo/tests/interrupt.rs
+++ b/crates/demo/tests/interrupt.rs
@@ -1,4 +1,4 @@
-//! The demo's servers interrupted, as Ctrl-C does it: they end in order.
+//! Tests that the demo's application server shuts down gracefully on SIGINT and SIGTERM.
 
 use std::io::{BufRead, BufReader, Lines};
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
     (demo, lines)
 }
 
-/// Guards against a server that ends in the middle of what it runs.
+/// Guards against an application server that exits before it has answered the request that it runs.
 #[test]
-fn an_interrupted_application_server_answers_what_runs_and_ends() {
-    for name in ["-INT", "-TERM"] {
+fn application_server_finishes_running_request_before_exit_on_interrupt() {
+    for signal in ["-INT", "-TERM"] {
         let address: SocketAddr = fresh_address();
         let (mut demo, mut lines) = start(&["work", "--listen", &address.to_string()]);
         assert!(
@@ -35,10 +35,10 @@
         let request = CallerRequest::new(1, "/svc/look", b"berth");
         let pending = request.send(address, Protocol::Uwsgi);
         assert_eq!(lines.next().unwrap().unwrap(), "run: berth");
-        send_signal(demo.id(), name);
+        send_signal(demo.id(), signal);
         assert_eq!(lines.next().unwrap().unwrap(), "ending");
         let outcome = pending.outcome();
         assert_eq!(outcome, CallerOutcome::Completed(b"done: berth".to_vec()));
-        assert_eq!(demo.wait().unwrap().code(), Some(0), "{name}");
+        assert_eq!(demo.wait().unwrap().code(), Some(0), "{signal}");
     }
 }
