--- a/crates/bench/benches/budgets.rs
+++ b/crates/bench/benches/budgets.rs
@@ -1,4 +1,4 @@
-//! The check of a budget: the decision alone, without reading the clock.
+//! Benchmarks of a budget check, without the time to read the clock.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use doortrack_membership::{Incarnation, Name};
 
 fn checks(criterion: &mut Criterion) {
-    let me: Name = "n0".into();
+    let node_name: Name = "n0".into();
     for (kind_name, kind) in [
         ("rate", Kind::Rate { burst: 1_000 }),
         ("concurrency", Kind::Concurrency { max_hold: 10 }),
@@ -19,12 +19,12 @@
                 kind,
                 limit: 1_000_000,
                 reserved: 1_000_000,
-                reserved_for: Arc::new([me.clone()]),
+                reserved_for: Arc::new([node_name.clone()]),
                 max_per_node: 1_000_000,
             })
             .collect();
         let node = NodeId {
-            name: me.clone(),
+            name: node_name.clone(),
             incarnation: Incarnation(1),
         };
         let mut budgets = Budgets::new(node, 1, Parameters::default(), &list, 1, 0);
--- a/crates/bench/benches/codecs.rs
+++ b/crates/bench/benches/codecs.rs
@@ -1,4 +1,4 @@
-//! Parsers and writers of both protocols: one request read, one answer written and read.
+//! Benchmarks of both protocol codecs: reading a request, and writing and reading an answer.
 
 use criterion::measurement::WallTime;
 use criterion::{BenchmarkGroup, Criterion, Throughput, criterion_group, criterion_main};
@@ -8,7 +8,7 @@
 };
 
 const BODY: [u8; 512] = [b'x'; 512];
-/// Bound of an answer's body, in bytes.
+/// Maximum length of an answer body, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
 const HEADERS: [(&str, &str); 2] = [
     ("Content-Type", "application/octet-stream"),
@@ -51,7 +51,7 @@
     });
 }
 
-/// The variables of a request as encoded.
+/// Returns the encoded variables of a request.
 fn variable_block(protocol: Protocol, mut request: &[u8]) -> Vec<u8> {
     let mut reader = RequestReader::new(protocol);
     let mut block = Vec::new();
--- a/crates/bench/benches/expressions.rs
+++ b/crates/bench/benches/expressions.rs
@@ -1,4 +1,4 @@
-//! The evaluation of ten typical expressions, and the compilation of one.
+//! Benchmarks of the evaluation of ten typical expressions, and of the compilation of one.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use doortrack_bench::typical::TYPICAL;
--- a/crates/bench/benches/routes.rs
+++ b/crates/bench/benches/routes.rs
@@ -1,4 +1,4 @@
-//! The route table: loading few and many rules, and a match among them.
+//! Benchmarks of the rule table: loading few and many rules, and matching a request.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use doortrack_expr::{Limits, LiteralRequest, Scratch};
--- a/crates/bench/src/bin/bad-servers.rs
+++ b/crates/bench/src/bin/bad-servers.rs
@@ -1,5 +1,5 @@
-//! `bad-servers`: the cost of one bad server of four, and how often an outage of all is retried, with
-//! ejection and without. Runs on loopback sockets, with an open loop of callers.
+//! `bad-servers`: measures the effect of one faulty server of four, and the retries during an outage of all four,
+//! with and without ejection. Requests are sent in an open loop over loopback.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,38 +18,38 @@
 
 const SERVERS: usize = 4;
 const LISTENER_PORT: u16 = 9091;
-/// Time for the node to start after it listens.
+/// Time to wait after the node has started to listen.
 const START_TIME: Duration = Duration::from_millis(100);
-/// Start and end of the bad phase, as fractions of a run.
+/// Start and end of the phase with faulty servers, as fractions of the measurement.
 const BAD_PHASE: (f64, f64) = (0.25, 0.75);
-/// Time after which the node should have found a change, in seconds.
+/// Time within which the node should detect a change, in seconds.
 const DETECTION_S: f64 = 0.5;
-/// Failures in a row that eject a server, and a number that is never reached.
+/// Number of consecutive failures that eject a server, and a number that is never reached.
 const EJECTION_FAILURES: u32 = 3;
 const NO_EJECTION: u32 = 1000;
 
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
-    /// The program
+    /// Executable of the node
     #[arg(long, default_value = "target/release/doortrack")]
     node: PathBuf,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 200.0)]
     rate: f64,
-    /// Seconds of each play; the first quarter is sound, then one server, or all, are bad until the last
+    /// Duration of each measurement in seconds; one server, or all, are faulty in the second and third
     /// quarter
     #[arg(long, default_value_t = 8.0)]
     seconds: f64,
-    /// Milliseconds that a sound server takes
+    /// Time that a healthy server takes for a request, in ms
     #[arg(long, default_value_t = 20)]
     work_ms: u64,
-    /// Milliseconds within which an answer counts as in time
+    /// Time within which an answer counts as in time, in ms
     #[arg(long, default_value_t = 150)]
     in_time_ms: u64,
 }
 
-/// How a server behaves.
+/// The behaviour of a server.
 #[derive(Clone, Copy, PartialEq)]
 #[repr(u8)]
 enum Behaviour {
@@ -91,7 +91,7 @@
     }
 }
 
-/// The behaviour of a running server, which can change.
+/// The behaviour of a running server, which can be changed.
 #[derive(Clone)]
 struct BehaviourSwitch(Arc<AtomicU8>);
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// One combination of what is measured.
+/// One combination of protocol, faulty servers, behaviour and ejection.
 struct Case {
     protocol: Protocol,
     bad_servers: usize,
@@ -122,14 +122,15 @@
     ejection: bool,
 }
 
-/// One request: when it was due, as a fraction of the run, and whether it was completed in time.
+/// One request: the time at which it was due, as a fraction of the measurement, and whether it was completed in
+/// time.
 #[derive(Clone, Copy)]
 struct Sent {
     at: f64,
     in_time: bool,
 }
 
-/// Runs a case. Returns its requests and what the node's log says of its servers.
+/// Runs a case. Returns its requests and the pool summary from the log of the node.
 fn run(cli: &Cli, case: &Case) -> (Vec<Sent>, String) {
     let switches: Vec<BehaviourSwitch> = (0..SERVERS).map(|_| BehaviourSwitch::new()).collect();
     let run_time = Duration::from_millis(cli.work_ms);
@@ -140,14 +141,14 @@
             Server::start(case.protocol, move |_| switch.get().act(run_time))
         })
         .collect();
-    let mut plan = NodeSetup::new(&cli.node);
-    let listener = plan.port(LISTENER_PORT);
-    plan.config["settings"]["family_info"]["cores"] = json!(64);
-    // The entries of idempotency keys are not to run out.
-    plan.config["settings"]["family_info"]["memory_kb"] = json!(10_000_000);
-    plan.config["stop_ms"] = json!(1500);
-    plan.installation = Some(installation(case, listener, &servers));
-    let node = plan.start();
+    let mut setup = NodeSetup::new(&cli.node);
+    let listener = setup.port(LISTENER_PORT);
+    setup.config["settings"]["family_info"]["cores"] = json!(64);
+    // Enough memory that the entries of idempotency keys do not run out.
+    setup.config["settings"]["family_info"]["memory_kb"] = json!(10_000_000);
+    setup.config["stop_ms"] = json!(1500);
+    setup.installation = Some(installation(case, listener, &servers));
+    let node = setup.start();
     drop(connect(listener));
     thread::sleep(START_TIME);
     let sent = send_all(cli, listener, |at| {
@@ -182,24 +183,24 @@
     })
 }
 
-/// Sends requests at a fixed rate, each in a thread of its own. Calls `on_request` before each with the time
-/// as a fraction of the run.
+/// Sends requests at a fixed rate, each in a new thread. Calls `on_request` before each of them with the elapsed
+/// fraction of the measurement.
 fn send_all(cli: &Cli, listener: SocketAddr, on_request: impl Fn(f64)) -> Vec<Sent> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let sent = Arc::new(Mutex::new(Vec::new()));
     let count = (cli.rate * cli.seconds) as u64;
     let objective = Duration::from_millis(cli.in_time_ms);
     let threads: Vec<_> = (0..count)
         .map(|index| {
             let due = Duration::from_secs_f64(index as f64 / cli.rate);
-            thread::sleep(due.saturating_sub(began.elapsed()));
+            thread::sleep(due.saturating_sub(started_at.elapsed()));
             let at = index as f64 / count as f64;
             on_request(at);
             let sent = sent.clone();
             thread::spawn(move || {
                 let is_completed = send(index, listener);
-                // From when it was due: a caller that was late counts its delay.
-                let in_time = is_completed && began.elapsed() <= due + objective;
+                // Latency counts from the time at which the request was due, so a late caller adds its delay.
+                let in_time = is_completed && started_at.elapsed() <= due + objective;
                 sent.lock().unwrap().push(Sent { at, in_time });
             })
         })
@@ -210,7 +211,7 @@
     sent.lock().unwrap().clone()
 }
 
-/// Sends one request; every second one has an idempotency key. Returns whether it was completed.
+/// Sends one request; every second one has an idempotency key. Returns true if it was completed.
 fn send(index: u64, listener: SocketAddr) -> bool {
     let key = format!("{index:032x}");
     let request = if index.is_multiple_of(2) {
@@ -222,7 +223,7 @@
     matches!(answer, CallerOutcome::Completed(_))
 }
 
-/// Ends the node and reads the last summary of its server pool.
+/// Shuts the node down and reads the last summary of its server pool from its log.
 fn pool_summary(node: NodeFixture) -> String {
     node.signal("-TERM");
     let (_, log) = node.wait_for_exit();
@@ -231,7 +232,7 @@
         .rfind(|line| log_line::is_pool_summary(line))
         .unwrap_or_default();
     let figure = |key| log_line::value(line, key);
-    // Former builds log ejections as `put_aside`.
+    // Earlier builds log ejections as `put_aside`.
     let ejected = figure("ejected").or_else(|| figure("put_aside"));
     format!(
         "retries {} of {} begun, put aside {}",
@@ -241,7 +242,8 @@
     )
 }
 
-/// Percentages in time: in the bad phase, in the bad phase after its detection, and after the recovery.
+/// Percentages of requests in time: in the faulty phase, in the same phase after its detection, and after the
+/// recovery.
 struct InTime {
     bad: f64,
     detected: f64,
--- a/crates/bench/src/bin/budgets.rs
+++ b/crates/bench/src/bin/budgets.rs
@@ -1,8 +1,9 @@
-//! `budgets`: the cost and benefit of dividing a budget among nodes, in simulated time on the package that
-//! the node runs: utilization under skewed demand, time to follow demand that moves and to recover from a
-//! loss, fairness, and traffic.
+//! `budgets`: measures the division of a budget among nodes: utilization under skewed demand, the time to
+//! follow demand that moves and to recover from a node failure, fairness, and traffic. It runs the budget code
+//! of the node in simulated time.
 //!
-//! Utilization is compared, on the same demand, with fixed shares of 1/N and with an omniscient divider.
+//! Utilization is compared, under the same demand, with fixed shares of 1/N and with an allocator that knows
+//! the demand at all nodes at once.
 
 use std::sync::Arc;
 
@@ -17,24 +18,24 @@
 const LIMIT: u32 = 6_000;
 const LIMIT_PER_S: f64 = LIMIT as f64;
 const VOTERS: usize = 5;
-/// Allocations are granted from here on.
-const CALM_MS: u64 = 5_000;
-/// The end of the runs that measure utilization.
+/// Time by which allocations have been granted; uses are counted from then on.
+const WARM_UP_MS: u64 = 5_000;
+/// Duration of the simulations that measure utilization.
 const UTILIZATION_END_MS: u64 = 35_000;
-/// Time from a node's graceful shutdown to its start.
+/// Time between the graceful shutdown of a node and its restart.
 const RESTART_MS: u64 = 1_000;
-/// When demand moves or a node dies, in the runs that measure recovery.
+/// Time at which demand moves or a node dies, in the simulations that measure recovery.
 const EVENT_MS: u64 = 15_000;
-/// Outcomes count uses by tenths of a second.
+/// Outcomes count uses per tenth of a second.
 const TENTH_MS: u64 = 100;
-/// Tenths of a second within which a recovery is looked for, and for which it has to last.
-const RECOVERY_WITHIN: u64 = 150;
-const RECOVERY_LASTS: u64 = 5;
+/// Maximum time to a recovery, and the time for which it has to last, in tenths of a second.
+const MAX_RECOVERY_TENTHS: u64 = 150;
+const RECOVERY_STABLE_TENTHS: u64 = 5;
 
-/// Requested uses per second, by node and time in ms.
+/// Returns the requested uses per second for a node and a time in ms.
 type Demand<'a> = &'a dyn Fn(usize, u64) -> f64;
 
-/// One simulated run.
+/// One simulation.
 struct Run<'a> {
     nodes: usize,
     end_ms: u64,
@@ -90,7 +91,7 @@
     }
 }
 
-/// Nodes that are restarted, with the times of their starts in ms.
+/// Nodes that are restarted, with the times of their restarts in ms.
 struct Restarts(Vec<(usize, u64)>);
 
 impl Restarts {
@@ -102,7 +103,7 @@
         Restarts(starts.collect())
     }
 
-    /// The demand at a node: none between its shutdown and its start.
+    /// Returns the demand at a node, which is 0 between its shutdown and its restart.
     fn demand(&self, demand: Demand, node: usize, ms: u64) -> f64 {
         let is_restarting = self.0.iter().any(|(restarted, start_ms)| {
             *restarted == node && ms + RESTART_MS >= *start_ms && ms < *start_ms
@@ -111,7 +112,7 @@
     }
 }
 
-/// The uses that other ways of dividing the same budget would admit.
+/// The number of uses that the compared ways of dividing the budget would admit.
 struct Baseline {
     omniscient: f64,
     fixed_shares: f64,
@@ -124,8 +125,8 @@
             omniscient: 0.0,
             fixed_shares: 0.0,
         };
-        // Steps of 10 ms, a hundred of which make the second that demand is counted by.
-        for ms in (CALM_MS..UTILIZATION_END_MS).step_by(10) {
+        // Each step covers 10 ms, a hundredth of a second; demand is given per second.
+        for ms in (WARM_UP_MS..UTILIZATION_END_MS).step_by(10) {
             let requested: Vec<f64> = (0..nodes)
                 .map(|node| restarts.demand(demand, node, ms))
                 .collect();
@@ -142,19 +143,19 @@
     let outcome = Run {
         nodes,
         end_ms: UTILIZATION_END_MS,
-        count_from_ms: CALM_MS,
+        count_from_ms: WARM_UP_MS,
         faults,
         demand,
     }
     .outcome();
     println!(
-        "{title}, {nodes} nodes: {:.3} of what one who knows all puts to use; fixed shares {:.3}",
+        "{title}, {nodes} nodes: {:.3} of the uses that an omniscient allocator admits; fixed shares {:.3}",
         outcome.admitted[0] as f64 / baseline.omniscient,
         baseline.fixed_shares / baseline.omniscient
     );
 }
 
-/// Nine tenths of the limit at one node; a little at each.
+/// Returns the demand of a node: nine tenths of the limit at `hot_node`, a small part of it at each other node.
 fn skewed(nodes: usize, hot_node: usize, node: usize) -> f64 {
     if hot_node == node {
         LIMIT_PER_S * 0.9
@@ -163,12 +164,12 @@
     }
 }
 
-/// Demand concentrated on another node after each `period_ms`.
+/// Demand that moves to another node after each `period_ms`.
 fn moving(nodes: usize, period_ms: u64) -> impl Fn(usize, u64) -> f64 {
     move |node, ms| skewed(nodes, (ms / period_ms) as usize % nodes, node)
 }
 
-/// Six in ten nodes are restarted one after the other within 7 s.
+/// Restarts of six in ten nodes, one after the other within 7 s.
 fn rolling_restart(nodes: usize) -> Vec<TimedFault> {
     let restarted = nodes * 6 / 10;
     let restart = |node: usize| {
@@ -202,8 +203,8 @@
     }
 }
 
-/// Time after [`EVENT_MS`] until `threshold` is used in each tenth of a second for a while, by one node or
-/// by all together.
+/// Returns the time from [`EVENT_MS`] until one node, or all together, admit at least `threshold` uses in each of
+/// [`RECOVERY_STABLE_TENTHS`] successive tenths of a second.
 fn recovery_time(outcome: &Outcome, threshold: f64, node: Option<usize>) -> String {
     let used = |tenth: u64| match node {
         Some(node) => outcome.by_time.get(&(node, tenth)).copied().unwrap_or(0),
@@ -211,9 +212,9 @@
     };
     let event = EVENT_MS / TENTH_MS;
     let has_recovered = |tenth: &u64| {
-        (*tenth..tenth + RECOVERY_LASTS).all(|tenth| f64::from(used(tenth)) >= threshold)
+        (*tenth..tenth + RECOVERY_STABLE_TENTHS).all(|tenth| f64::from(used(tenth)) >= threshold)
     };
-    (event..event + RECOVERY_WITHIN)
+    (event..event + MAX_RECOVERY_TENTHS)
         .find(has_recovered)
         .map_or("never".into(), |tenth| {
             format!("{} ms", (tenth - event) * TENTH_MS)
@@ -242,8 +243,8 @@
         demand: &moved,
     }
     .outcome();
-    let after = recovery_time(&outcome, 0.8 * LIMIT_PER_S * 0.9 / 10.0, Some(7));
-    println!("demand that moves is followed to 80% after {after}");
+    let recovery = recovery_time(&outcome, 0.8 * LIMIT_PER_S * 0.9 / 10.0, Some(7));
+    println!("demand that moves is followed to 80% after {recovery}");
 }
 
 fn measure_deaths() {
@@ -268,15 +269,15 @@
             demand: &excessive,
         }
         .outcome();
-        let after = recovery_time(&outcome, 0.93 * LIMIT_PER_S / 10.0, None);
+        let recovery = recovery_time(&outcome, 0.93 * LIMIT_PER_S / 10.0, None);
         println!(
-            "{role} dies ({} leaders in all): 93% of the limit in use again after {after}",
+            "{role} dies ({} leaders in all): 93% of the limit in use again after {recovery}",
             outcome.leaders
         );
     }
 }
 
-/// Jain's fairness index: 1 if all are equal, 1/N if one has all.
+/// Jain's fairness index: 1 if all shares are equal, 1/N if one node has everything.
 fn jain_index(shares: &[u64]) -> f64 {
     let sum: f64 = shares.iter().map(|share| *share as f64).sum();
     let squares: f64 = shares.iter().map(|share| (*share as f64).powi(2)).sum();
@@ -286,7 +287,7 @@
 fn measure_fairness() {
     let equal = |_: usize, _: u64| LIMIT_PER_S * 0.3;
     for nodes in [9, 30] {
-        let outcome = calm_run(nodes, UTILIZATION_END_MS, &equal);
+        let outcome = run_without_faults(nodes, UTILIZATION_END_MS, &equal);
         println!(
             "equal need, {nodes} nodes: Jain's index {:.4}, {:.3} of the limit used",
             jain_index(&outcome.by_node),
@@ -295,22 +296,22 @@
     }
 }
 
-fn calm_run(nodes: usize, end_ms: u64, demand: Demand) -> Outcome {
+fn run_without_faults(nodes: usize, end_ms: u64, demand: Demand) -> Outcome {
     Run {
         nodes,
         end_ms,
-        count_from_ms: CALM_MS,
+        count_from_ms: WARM_UP_MS,
         faults: vec![],
         demand,
     }
     .outcome()
 }
 
-/// How much allocations vary under constant demand.
+/// Measures how much allocations vary under constant demand.
 fn measure_stability() {
     let constant =
         |node: usize, _: u64| LIMIT_PER_S * if node.is_multiple_of(2) { 0.4 } else { 0.6 };
-    let outcome = calm_run(2, UTILIZATION_END_MS, &constant);
+    let outcome = run_without_faults(2, UTILIZATION_END_MS, &constant);
     let used_in = |second: u64| -> u32 {
         (second * 10..second * 10 + 10)
             .filter_map(|tenth| outcome.by_time.get(&(0, tenth)))
@@ -322,8 +323,8 @@
 
 fn measure_traffic() {
     for nodes in [10, 30, 100, 300, 1_000, 3_000] {
-        let low = move |_: usize, _: u64| LIMIT_PER_S * 0.8 / nodes as f64;
-        let outcome = calm_run(nodes, 15_000, &low);
+        let demand = move |_: usize, _: u64| LIMIT_PER_S * 0.8 / nodes as f64;
+        let outcome = run_without_faults(nodes, 15_000, &demand);
         let cost = &outcome.cost;
         let per_node_and_second = |count: u64| count as f64 / nodes as f64 / 10.0;
         println!(
--- a/crates/bench/src/bin/expression-tail.rs
+++ b/crates/bench/src/bin/expression-tail.rs
@@ -1,5 +1,6 @@
-//! `expression-tail`: tail latencies of the evaluation of expressions, to be run beside a load on the same
-//! machine. Each evaluation is timed by itself, which adds the time to read the clock; it is printed too.
+//! `expression-tail`: measures tail latencies of expression evaluation, to be run alongside a load on the same
+//! machine. Each evaluation is timed separately, which includes reading the clock; that time is printed as
+//! well.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -9,13 +10,13 @@
 use doortrack_expr::{Limits, LiteralRequest, Scratch, infer};
 use hdrhistogram::Histogram;
 
-/// Evaluations over a second count as a second.
+/// Upper bound of recorded latencies in nanoseconds; longer ones are recorded as this.
 const MAX_LATENCY_NS: u64 = 1_000_000_000;
 
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
-    /// Evaluations of each expression
+    /// Number of evaluations of each expression
     #[arg(long, default_value_t = 1_000_000)]
     count: u64,
 }
--- a/crates/bench/src/bin/membership/detection.rs
+++ b/crates/bench/src/bin/membership/detection.rs
@@ -1,27 +1,27 @@
-//! The faults of a run, and what its history says of their detection.
+//! The faults of a simulation or test fleet, and the analysis of its history for their detection.
 
 use std::collections::BTreeMap;
 
 use doortrack_fault_harness::history::{History, HistoryEvent, name};
 use doortrack_fault_harness::script::{Fault, TimedFault};
 
-/// Kills of one run and their interval.
+/// Maximum number of kills and the interval between them.
 pub(crate) const KILLS: usize = 5;
 pub(crate) const KILL_INTERVAL_MS: u64 = 6_000;
-/// Time for all nodes to find one another; the first kill comes then.
-pub(crate) const CALM_MS: u64 = 20_000;
+/// Time for all nodes to discover one another; the first kill happens at its end.
+pub(crate) const WARM_UP_MS: u64 = 20_000;
 
-/// How long after a kill it was known, in ms.
+/// Time from a kill until half of the remaining nodes and until all of them had detected it, in ms.
 #[derive(Clone, Copy)]
 pub(crate) struct Detection {
     to_half: u64,
     to_all: u64,
 }
 
-/// Kills of the last nodes, one after the other.
+/// Returns kills of the nodes with the highest indices, one after the other.
 pub(crate) fn kills(nodes: usize) -> Vec<TimedFault> {
     let kill = |index: usize| TimedFault {
-        at_ms: CALM_MS + KILL_INTERVAL_MS * index as u64,
+        at_ms: WARM_UP_MS + KILL_INTERVAL_MS * index as u64,
         fault: Fault::Kill {
             nodes: vec![nodes - 1 - index],
         },
@@ -29,23 +29,23 @@
     (0..KILLS.min(nodes / 2)).map(kill).collect()
 }
 
-/// A partition between the two halves of a fleet.
+/// Returns a partition between the two halves of a fleet, which is healed at `until_ms`.
 pub(crate) fn partition(nodes: usize, from_ms: u64, until_ms: u64) -> Vec<TimedFault> {
     let first: Vec<usize> = (0..nodes / 2).collect();
     let second: Vec<usize> = (nodes / 2..nodes).collect();
     let directions = [(first.clone(), second.clone()), (second, first)];
-    let cuts = directions.clone().map(|(from, to)| TimedFault {
+    let partitions = directions.clone().map(|(from, to)| TimedFault {
         at_ms: from_ms,
         fault: Fault::Cut { from, to },
     });
-    let mends = directions.map(|(from, to)| TimedFault {
+    let heals = directions.map(|(from, to)| TimedFault {
         at_ms: until_ms,
         fault: Fault::Heal { from, to },
     });
-    cuts.into_iter().chain(mends).collect()
+    partitions.into_iter().chain(heals).collect()
 }
 
-/// The detection of each kill that all remaining nodes detected.
+/// Returns the detection times of each kill that all remaining nodes detected.
 pub(crate) fn detections(history: &History) -> Vec<Detection> {
     let kills = history
         .entries
@@ -69,7 +69,7 @@
         .collect()
 }
 
-/// Delays after which nodes declared a killed one dead, ascending.
+/// Returns the delays after which nodes declared a killed node dead, in ascending order.
 fn detection_delays(history: &History, killed_ms: u64, killed: usize) -> Vec<u64> {
     let mut delays: Vec<u64> = history
         .entries
@@ -87,7 +87,7 @@
     delays
 }
 
-/// How long after `healed_ms` the last node had all members in its view; the maximum if one never had.
+/// Returns the time from `healed_ms` until every node had all members in its view; `u64::MAX` if one never did.
 pub(crate) fn rejoin_time(history: &History, healed_ms: u64) -> u64 {
     let mut last_changes: BTreeMap<usize, (u64, usize)> = BTreeMap::new();
     for entry in &history.entries {
@@ -108,7 +108,7 @@
     last_ms.unwrap_or_default().saturating_sub(healed_ms)
 }
 
-/// The median of times in ms and the longest, as printed.
+/// Formats the median of times in ms and the longest.
 pub(crate) fn median(mut times: Vec<u64>) -> String {
     times.sort_unstable();
     match times.last() {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Prints the detections of all kills of a fleet.
+/// Prints the detection times of all kills of a fleet.
 pub(crate) fn print_detections(kind: &str, nodes: usize, detections: &[Detection]) {
     let to_half = median(detections.iter().map(|found| found.to_half).collect());
     let to_all = median(detections.iter().map(|found| found.to_all).collect());
--- a/crates/bench/src/bin/membership/main.rs
+++ b/crates/bench/src/bin/membership/main.rs
@@ -1,8 +1,8 @@
-//! `membership`: how soon a fleet detects a death and rejoins after a partition, and what that costs: on
-//! processes behind the harness's relay, and in simulated time on the same decisions.
+//! `membership`: measures how fast a fleet detects a dead node and rejoins after a partition, and the CPU and
+//! network cost of membership. Fleets are either processes behind the relay of the fault harness, or simulated.
 //!
-//! `membership sim SIZES`, `membership processes SIZES`, `membership loss NODES SECONDS`. Prints a line for
-//! each figure.
+//! `membership sim SIZES`, `membership processes SIZES`, `membership loss NODES SECONDS`. Prints one
+//! line per figure.
 
 mod detection;
 mod processes;
--- a/crates/bench/src/bin/membership/simulated.rs
+++ b/crates/bench/src/bin/membership/simulated.rs
@@ -1,4 +1,4 @@
-//! Fleets in simulated time.
+//! Measurements on simulated fleets.
 
 use std::time::Instant;
 
@@ -7,47 +7,47 @@
 use doortrack_fault_harness::simulated::{Cost, Options, run};
 
 use crate::detection::{
-    CALM_MS, KILL_INTERVAL_MS, KILLS, detections, kills, median, partition, print_detections,
+    KILL_INTERVAL_MS, KILLS, WARM_UP_MS, detections, kills, median, partition, print_detections,
     rejoin_time,
 };
 
-/// Larger fleets are simulated with one seed, and without a partition.
+/// Maximum fleet sizes that are simulated with several seeds, and with a partition.
 const MAX_NODES_MANY_SEEDS: usize = 500;
 const MAX_NODES_PARTITION: usize = 300;
-/// Time by which the two runs differ whose difference is the cost of calm.
-const CALM_COST_S: u64 = 10;
+/// Difference in duration between the two simulations from which the cost without faults is computed.
+const IDLE_COST_DURATION_S: u64 = 10;
 const PARTITION_START_MS: u64 = 20_000;
 const PARTITION_END_MS: u64 = 30_000;
 const PARTITION_RUN_MS: u64 = 40_000;
 const LOSS_START_MS: u64 = 5_000;
 
-/// Measures detection, cost and rejoining of a fleet, and prints them.
+/// Measures and prints the detection times of a fleet, its idle cost and its rejoin time.
 pub(crate) fn measure(nodes: usize) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let seeds = if nodes > MAX_NODES_MANY_SEEDS { 1 } else { 5 };
-    let found: Vec<_> = (1..=seeds)
+    let detected: Vec<_> = (1..=seeds)
         .flat_map(|seed| {
             let script = Script {
                 nodes,
-                duration_ms: CALM_MS + KILL_INTERVAL_MS * (KILLS as u64 + 1),
+                duration_ms: WARM_UP_MS + KILL_INTERVAL_MS * (KILLS as u64 + 1),
                 seed,
                 faults: kills(nodes),
             };
-            detections(&run(&script, &recording_from(CALM_MS)).0)
+            detections(&run(&script, &recording_from(WARM_UP_MS)).0)
         })
         .collect();
-    print_detections("simulated", nodes, &found);
-    print_calm_cost(nodes);
+    print_detections("simulated", nodes, &detected);
+    print_idle_cost(nodes);
     if nodes <= MAX_NODES_PARTITION {
         let times = (1..=3).map(|seed| simulated_rejoin_time(nodes, seed));
         println!(
-            "simulated {nodes}: whole again {} ms after a cut in halves",
+            "simulated {nodes}: rejoined {} ms after a partition into halves",
             median(times.collect())
         );
     }
     println!(
         "simulated {nodes}: took {:.1} s",
-        began.elapsed().as_secs_f64()
+        started_at.elapsed().as_secs_f64()
     );
 }
 
@@ -58,12 +58,13 @@
     }
 }
 
-fn print_calm_cost(nodes: usize) {
-    let short = calm_cost(nodes, CALM_MS);
-    let long = calm_cost(nodes, CALM_MS + CALM_COST_S * 1_000);
-    let per_node_and_second = |count: u64| count as f64 / nodes as f64 / CALM_COST_S as f64;
+fn print_idle_cost(nodes: usize) {
+    let short = idle_cost(nodes, WARM_UP_MS);
+    let long = idle_cost(nodes, WARM_UP_MS + IDLE_COST_DURATION_S * 1_000);
+    let per_node_and_second =
+        |count: u64| count as f64 / nodes as f64 / IDLE_COST_DURATION_S as f64;
     println!(
-        "simulated {nodes}: calm, {:.0} bytes and {:.1} datagrams a second sent by each, {:.0} ns an event",
+        "simulated {nodes}: without faults, {:.0} bytes and {:.1} datagrams a second sent by each, {:.0} ns an event",
         per_node_and_second(long.bytes - short.bytes),
         per_node_and_second(long.datagrams - short.datagrams),
         (long.decisions_ns.saturating_sub(short.decisions_ns)) as f64
@@ -71,7 +72,7 @@
     );
 }
 
-fn calm_cost(nodes: usize, ms: u64) -> Cost {
+fn idle_cost(nodes: usize, ms: u64) -> Cost {
     let script = Script {
         nodes,
         duration_ms: ms,
@@ -95,7 +96,7 @@
     rejoin_time(&run(&script, &recording_from(0)).0, PARTITION_END_MS)
 }
 
-/// Counts members wrongly suspected and declared dead while a twentieth of all datagrams is lost.
+/// Counts false suspicions and false declarations of death while 5% of all datagrams are lost.
 pub(crate) fn measure_loss(nodes: usize, seconds: u64) {
     let loss = TimedFault {
         at_ms: LOSS_START_MS,
--- a/crates/bench/src/bin/reload/load.rs
+++ b/crates/bench/src/bin/reload/load.rs
@@ -1,4 +1,4 @@
-//! The callers: requests at fixed times, each over a connection of its own.
+//! Callers that send requests at fixed times, each over a new connection.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,20 +12,20 @@
 use doortrack_protocols::{Protocol, Variable, write_request};
 use hdrhistogram::Histogram;
 
-use crate::site::Site;
+use crate::testbed::Testbed;
 use crate::{Changes, Cli};
 
 /// The protocol of the listener and the servers.
 pub(crate) const PROTOCOL: Protocol = Protocol::Uwsgi;
 const CALLERS: u32 = 4;
-/// Latencies over a minute count as a minute.
+/// Upper bound of recorded latencies in microseconds; longer ones are recorded as this.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// How requests ended.
+/// Latencies and outcomes of requests.
 pub(crate) struct Outcomes {
-    /// Microseconds from when a request was due to the end of its answer.
+    /// Microseconds from the time at which a request was due to the end of its answer.
     pub(crate) latencies_us: Histogram<u64>,
-    /// Requests by their end, as printed.
+    /// Number of requests by outcome, as printed.
     pub(crate) answers: BTreeMap<String, u64>,
 }
 
@@ -55,22 +55,22 @@
     }
 }
 
-/// Sends requests for some seconds; the configuration changes at each whole one, or not at all.
-pub(crate) fn run(site: &mut Site, cli: &Cli, changes: Changes) -> Outcomes {
-    let (listener, is_over) = (site.listener, AtomicBool::new(false));
+/// Sends requests for the given number of seconds. The configuration changes every second, or not at all.
+pub(crate) fn run(testbed: &mut Testbed, cli: &Cli, changes: Changes) -> Outcomes {
+    let (listener, should_stop) = (testbed.listener, AtomicBool::new(false));
     thread::scope(|scope| {
-        let is_over = &is_over;
+        let should_stop = &should_stop;
         let callers: Vec<_> = (0..CALLERS)
-            .map(|index| scope.spawn(move || call(listener, index, cli.rate, is_over)))
+            .map(|index| scope.spawn(move || call(listener, index, cli.rate, should_stop)))
             .collect();
-        let began = Instant::now();
+        let started_at = Instant::now();
         for second in 1..=cli.seconds {
-            sleep_until(began + Duration::from_secs(1) * second);
+            sleep_until(started_at + Duration::from_secs(1) * second);
             if changes == Changes::Repeated {
-                site.change();
+                testbed.change();
             }
         }
-        is_over.store(true, Ordering::Relaxed);
+        should_stop.store(true, Ordering::Relaxed);
         let mut outcomes = Outcomes::new();
         for caller in callers {
             outcomes.add(caller.join().unwrap());
@@ -79,14 +79,14 @@
     })
 }
 
-/// Sends the requests of one caller at their times until `is_over`.
-fn call(listener: SocketAddr, caller: u32, rate: u32, is_over: &AtomicBool) -> Outcomes {
+/// Sends the requests of one caller at their scheduled times until `should_stop` is set.
+fn call(listener: SocketAddr, caller: u32, rate: u32, should_stop: &AtomicBool) -> Outcomes {
     let mut outcomes = Outcomes::new();
-    let began = Instant::now();
+    let started_at = Instant::now();
     for index in 0.. {
-        let due = began + Duration::from_secs(1) * (index * CALLERS + caller) / rate;
+        let due = started_at + Duration::from_secs(1) * (index * CALLERS + caller) / rate;
         sleep_until(due);
-        if is_over.load(Ordering::Relaxed) {
+        if should_stop.load(Ordering::Relaxed) {
             break;
         }
         let answer = send(listener, "/elsewhere");
--- a/crates/bench/src/bin/reload/main.rs
+++ b/crates/bench/src/bin/reload/main.rs
@@ -1,11 +1,11 @@
-//! `reload`: the cost of a change of configuration under load: latencies with one changed rule per second and
-//! without any change, how requests ended, and the node's memory after many changes.
+//! `reload`: measures the cost of configuration changes under load: latencies with one changed rule per second
+//! and without changes, the outcomes of requests, and the memory of the node after many changes.
 //!
-//! Requests are sent at fixed times whatever became of those before, and each latency counts from when the
-//! request was due, so that a stalled node is charged for all that pile up meanwhile.
+//! Requests are sent at fixed times, whether or not earlier ones were answered. Latency counts from the time at
+//! which a request was due, so that a stall counts against every request that was due during it.
 
 mod load;
-mod site;
+mod testbed;
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -14,33 +14,33 @@
 use doortrack_bench::log_line;
 
 use crate::load::{Outcomes, run, send};
-use crate::site::Site;
+use crate::testbed::Testbed;
 
-/// Changes whose effect on the next requests is measured, and for how long each.
+/// Number of changes whose effect on the following requests is measured, and the time measured for each.
 const MEASURED_CHANGES: usize = 8;
 const CHANGE_WINDOW: Duration = Duration::from_millis(1_500);
-/// Memory is read after this many changes and after all.
+/// Memory is read after this many changes and again after all of them.
 const FIRST_MEMORY_READING: usize = 10;
 
 #[derive(Parser)]
 struct Cli {
-    /// The program to be measured
+    /// Executable of the node to measure
     #[arg(long)]
     doortrack: PathBuf,
     #[arg(long, default_value_t = 3_400)]
     rules: usize,
     #[arg(long = "customers", default_value_t = 20_000)]
     tenants: usize,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 400)]
     rate: u32,
-    /// Seconds with changes, and as many without
+    /// Duration of each measurement, with and without changes
     #[arg(long, default_value_t = 20)]
     seconds: u32,
-    /// Deadline of every request
+    /// Deadline of every request in ms
     #[arg(long, default_value_t = 30_000)]
     deadline_ms: u64,
-    /// Changes one right after the other; memory is read after 10 and after all
+    /// Number of consecutive changes; memory is read after 10 and after all of them
     #[arg(long, default_value_t = 500)]
     changes: usize,
 }
@@ -65,22 +65,22 @@
     );
 }
 
-/// Prints the longest latency of one caller's requests after each of some changes, or without any.
-fn measure_after_changes(site: &mut Site, changes: Changes) {
+/// Prints the longest latency of one caller's requests after each of several changes, or without changes.
+fn measure_after_changes(testbed: &mut Testbed, changes: Changes) {
     let mut longest_ms = Vec::new();
     for _ in 0..MEASURED_CHANGES {
         if changes == Changes::Repeated {
-            site.change();
+            testbed.change();
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut longest = Duration::ZERO;
-        while began.elapsed() < CHANGE_WINDOW {
+        while started_at.elapsed() < CHANGE_WINDOW {
             let sent_at = Instant::now();
-            send(site.listener, "/elsewhere");
+            send(testbed.listener, "/elsewhere");
             longest = longest.max(sent_at.elapsed());
         }
         longest_ms.push(longest.as_micros() as f64 / 1000.0);
-        site.wait_until_in_force();
+        testbed.wait_until_in_force();
     }
     let title = match changes {
         Changes::Repeated => "after each of some changes",
@@ -89,32 +89,32 @@
     println!("worst wait in 1.5 s {title}, one caller: {longest_ms:.2?} ms");
 }
 
-/// Changes as fast as they come into force. Prints memory and processor time.
-fn measure_many_changes(site: &mut Site, changes: usize) {
-    let cpu_before = site.cpu_ms();
+/// Changes the configuration as soon as the previous change is in force. Prints memory and CPU time.
+fn measure_many_changes(testbed: &mut Testbed, changes: usize) {
+    let cpu_before = testbed.cpu_ms();
     for count in 1..=changes {
-        site.change();
-        site.wait_until_in_force();
+        testbed.change();
+        testbed.wait_until_in_force();
         if count == FIRST_MEMORY_READING || count == changes {
             println!(
                 "after {count} changes: resident {} kB, peak {} kB, {:.1} ms of processor time for each",
-                site.memory_kb("VmRSS"),
-                site.memory_kb("VmHWM"),
-                (site.cpu_ms() - cpu_before) as f64 / count as f64
+                testbed.memory_kb("VmRSS"),
+                testbed.memory_kb("VmHWM"),
+                (testbed.cpu_ms() - cpu_before) as f64 / count as f64
             );
         }
     }
 }
 
-/// Ends the node. Prints how long reloads stalled its event loop, by its own log.
-fn print_stalls(site: Site) {
-    let log = site.end();
+/// Shuts the node down. Prints how long reloads blocked its event loop, as logged by the node.
+fn print_stalls(testbed: Testbed) {
+    let log = testbed.end();
     let figures = |key: &str| -> Vec<u64> {
         log.lines()
             .filter_map(|line| log_line::value(line, key)?.parse().ok())
             .collect()
     };
-    // How runs ended at the servers explains requests that were not completed.
+    // The pool summary shows how runs ended, which explains requests that were not completed.
     log.lines()
         .filter(|line| log_line::is_pool_summary(line))
         .for_each(|line| println!("{line}"));
@@ -127,24 +127,24 @@
 
 fn main() {
     let cli = Cli::parse();
-    let began = Instant::now();
-    let mut site = Site::start(&cli);
+    let started_at = Instant::now();
+    let mut testbed = Testbed::start(&cli);
     println!(
         "start: {} ms, {} ms of processor time, resident {} kB",
-        began.elapsed().as_millis(),
-        site.cpu_ms(),
-        site.memory_kb("VmRSS")
+        started_at.elapsed().as_millis(),
+        testbed.cpu_ms(),
+        testbed.memory_kb("VmRSS")
     );
-    print_latencies("no change", &run(&mut site, &cli, Changes::None));
+    print_latencies("no change", &run(&mut testbed, &cli, Changes::None));
     print_latencies(
         "one change a second",
-        &run(&mut site, &cli, Changes::Repeated),
+        &run(&mut testbed, &cli, Changes::Repeated),
     );
-    site.wait_until_in_force();
-    print_latencies("no change", &run(&mut site, &cli, Changes::None));
-    measure_after_changes(&mut site, Changes::None);
-    measure_after_changes(&mut site, Changes::Repeated);
-    print_stalls(site);
-    let mut site = Site::start(&cli);
-    measure_many_changes(&mut site, cli.changes);
+    testbed.wait_until_in_force();
+    print_latencies("no change", &run(&mut testbed, &cli, Changes::None));
+    measure_after_changes(&mut testbed, Changes::None);
+    measure_after_changes(&mut testbed, Changes::Repeated);
+    print_stalls(testbed);
+    let mut testbed = Testbed::start(&cli);
+    measure_many_changes(&mut testbed, cli.changes);
 }
--- a/crates/bench/src/bin/reload/site.rs
+++ b/crates/bench/src/bin/reload/testbed.rs
@@ -1,4 +1,4 @@
-//! The node under test with its servers, and the changes of its installation file.
+//! The node under test with its servers, and the changes to its installation file.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 use crate::load::{PROTOCOL, send};
 
 const LISTENER_PORT: u16 = 9091;
-/// Server pools to which the probe's rule routes in turn.
+/// Number of server pools. Each change routes the probe to the other one.
 const POOLS: usize = 2;
-/// Interval of probes for a new version.
+/// Interval between probes that check for a new version.
 const PROBE_INTERVAL: Duration = Duration::from_millis(2);
 
 /// A node, its servers, and the versions of its installation file.
-pub(crate) struct Site {
+pub(crate) struct Testbed {
     node: NodeFixture,
     pub(crate) listener: SocketAddr,
     /// Application servers, each of which answers with the name of its pool.
@@ -31,30 +31,30 @@
     version: usize,
 }
 
-impl Site {
+impl Testbed {
     /// Starts a node and waits until it listens.
-    pub(crate) fn start(cli: &Cli) -> Site {
-        let mut plan = NodeSetup::new(&cli.doortrack);
-        let listener = plan.port(LISTENER_PORT);
+    pub(crate) fn start(cli: &Cli) -> Testbed {
+        let mut setup = NodeSetup::new(&cli.doortrack);
+        let listener = setup.port(LISTENER_PORT);
         let servers: Vec<Server> = (0..POOLS)
             .map(|pool| Server::start(PROTOCOL, move |_| Behavior::ok(pool_name(pool))))
             .collect();
-        set_tenants_and_deadlines(&mut plan, cli);
+        set_tenants_and_deadlines(&mut setup, cli);
         let version = |version| installation(cli.rules, listener, &servers, version);
-        plan.installation = Some(version(0));
+        setup.installation = Some(version(0));
         let versions = (0..POOLS).map(|pool| version(pool).to_string()).collect();
-        let site = Site {
-            node: plan.start(),
+        let testbed = Testbed {
+            node: setup.start(),
             listener,
             _servers: servers,
             versions,
             version: 0,
         };
         drop(connect(listener));
-        site
+        testbed
     }
 
-    /// Changes one rule, without waiting until it is in force.
+    /// Changes one rule without waiting until the change is in force.
     pub(crate) fn change(&mut self) {
         self.version += 1;
         let next = self.node.folder.join("next.json");
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A figure of the process in kB, by its name in `/proc/PID/status`.
+    /// Returns a value in kB from `/proc/PID/status` by its name.
     pub(crate) fn memory_kb(&self, name: &str) -> u64 {
         let path = format!("/proc/{}/status", self.node.program.id());
         let status = fs::read_to_string(path).unwrap();
@@ -80,12 +80,12 @@
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Processor time of the process since its start.
+    /// Returns the CPU time of the node since its start.
     pub(crate) fn cpu_ms(&self) -> u64 {
         process::cpu_ms(self.node.program.id())
     }
 
-    /// Ends the node gracefully. Returns its log.
+    /// Shuts the node down gracefully and returns its log.
     pub(crate) fn end(self) -> String {
         self.node.signal("-TERM");
         self.node.wait_for_exit().1
@@ -96,8 +96,8 @@
     format!("p{pool}")
 }
 
-fn set_tenants_and_deadlines(plan: &mut NodeSetup, cli: &Cli) {
-    let settings = &mut plan.config["settings"];
+fn set_tenants_and_deadlines(setup: &mut NodeSetup, cli: &Cli) {
+    let settings = &mut setup.config["settings"];
     settings["parties"] = (0..cli.tenants)
         .map(|index| json!({"name": format!("customer-{index:05}"), "allowance_per_s": 1}))
         .collect();
--- a/crates/bench/src/bin/storm.rs
+++ b/crates/bench/src/bin/storm.rs
@@ -1,6 +1,6 @@
-//! `storm`: a retry storm of a fleet against one server that stalls for a moment: requests completed in time
-//! with no retries, with each node's own retry limit, and with the fleet's retry budget beside it. Runs on
-//! processes of the harness.
+//! `storm`: measures a retry storm of a fleet against one server that stalls for two seconds: the requests
+//! completed in time without retries, with the retry limit of each node, and with the retry budget of the fleet
+//! in addition. The nodes are processes started by the fault harness.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,30 +17,31 @@
 
 const PROGRAM: &str = "target/release/doortrack";
 const NODES: usize = 5;
-/// Concurrency of the server and its time per run.
+/// Concurrency limit of the server, and its time per run.
 const SLOTS: u32 = 4;
 const RUN_TIME: Duration = Duration::from_millis(20);
-/// Requests per second, of the 200 that the server can run.
+/// Offered requests per second; the server can run 200.
 const OFFERED_RATE: u64 = 120;
 const CALLERS: u64 = 120;
-/// Time for the nodes to find one another.
+/// Time for the nodes to discover one another.
 const START_TIME: Duration = Duration::from_secs(4);
-/// Start and end of the server's stall, since the callers began.
+/// Start and end of the server's stall, since the start of the callers.
 const STALL: (Duration, Duration) = (Duration::from_secs(5), Duration::from_secs(7));
 const DURATION: Duration = Duration::from_secs(15);
-/// Results before this do not count.
+/// Results of requests sent before this are ignored.
 const WARM_UP: Duration = Duration::from_secs(1);
 /// Latency objective of a request.
 const OBJECTIVE: Duration = Duration::from_millis(400);
-const STALL_POLL: Duration = Duration::from_millis(5);
+/// Interval at which waiting runs check whether the stall is over.
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A server with a fixed concurrency that stalls once.
+/// A server with a fixed concurrency limit that stalls once.
 #[derive(Default)]
 struct StallingServer {
     busy_slots: Mutex<u32>,
     slot_released: Condvar,
     runs: AtomicU64,
-    began: OnceLock<Instant>,
+    started_at: OnceLock<Instant>,
 }
 
 impl StallingServer {
@@ -50,7 +51,7 @@
         while *busy_slots >= SLOTS || self.is_stalled() {
             busy_slots = self
                 .slot_released
-                .wait_timeout(busy_slots, STALL_POLL)
+                .wait_timeout(busy_slots, STALL_POLL_INTERVAL)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
@@ -68,17 +69,20 @@
     }
 
     fn is_stalled(&self) -> bool {
-        let elapsed = self.began.get().map_or(Duration::ZERO, Instant::elapsed);
+        let elapsed = self
+            .started_at
+            .get()
+            .map_or(Duration::ZERO, Instant::elapsed);
         (STALL.0..STALL.1).contains(&elapsed)
     }
 }
 
-/// One setting of retries.
+/// One retry configuration.
 struct Policy {
     title: &'static str,
-    /// Attempts of a request, the first included.
+    /// Maximum number of attempts of a request, including the first.
     attempts: u32,
-    /// Retries per second of the whole fleet; absent for no such budget.
+    /// Retry budget of the whole fleet in retries per second; `None` for no budget.
     fleet_budget: Option<u32>,
 }
 
@@ -89,12 +93,12 @@
         fleet_budget: None,
     },
     Policy {
-        title: "each node's own bound",
+        title: "each node's own limit",
         attempts: 4,
         fleet_budget: None,
     },
     Policy {
-        title: "the fleet's budget of 10 a second beside it",
+        title: "each node's own limit and a fleet budget of 10 a second",
         attempts: 4,
         fleet_budget: Some(10),
     },
@@ -114,14 +118,15 @@
     }
 }
 
-/// Fractions of the offered requests completed in time, before the stall and after it, and runs in all.
+/// The fractions of the offered requests completed in time before and after the stall, and the total number of
+/// runs.
 struct Outcome {
     before: f64,
     after: f64,
     runs: u64,
 }
 
-/// When a request was sent, since the caller began, and whether it was completed in time.
+/// The time at which a request was sent, since the start of its caller, and whether it was completed in time.
 struct Sent {
     at: Duration,
     in_time: bool,
@@ -130,16 +135,19 @@
 fn run(policy: &Policy) -> Outcome {
     let work = Arc::new(StallingServer::default());
     let runner = work.clone();
-    // It runs what it has read even if no caller waits any more: that is what makes storms.
+    // The server runs each request that it has read even if its caller no longer waits, which causes retry storms.
     let server = Server::start(Protocol::FastCgi, move |_: &ReceivedRequest| {
         runner.run();
         Behavior::ok("done")
     });
     let installation = policy.installation(server.address);
-    let mut rig = Rig::new(Path::new(PROGRAM), NODES, 1).expect("a rig");
-    (0..NODES).for_each(|node| rig.start(node, node, &installation).expect("a process"));
+    let mut rig = Rig::new(Path::new(PROGRAM), NODES, 1).expect("failed to set up the processes");
+    (0..NODES).for_each(|node| {
+        rig.start(node, node, &installation)
+            .expect("failed to start a process")
+    });
     thread::sleep(START_TIME);
-    work.began.set(Instant::now()).expect("set once");
+    work.started_at.set(Instant::now()).expect("set once");
     let listeners: Arc<[SocketAddr]> = (0..NODES).map(|node| rig.listener_address(node)).collect();
     let callers: Vec<_> = (0..CALLERS)
         .map(|index| {
@@ -159,25 +167,25 @@
     }
 }
 
-/// Sends requests at a fixed interval, or later if the one before takes longer.
+/// Sends requests at a fixed interval, or later if the previous request takes longer.
 fn call(index: u64, listeners: &[SocketAddr]) -> Vec<Sent> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let interval = Duration::from_micros(1_000_000 * CALLERS / OFFERED_RATE);
     let mut sent = Vec::new();
     let mut due = interval * index as u32 / CALLERS as u32;
     while due < DURATION {
-        thread::sleep(due.saturating_sub(began.elapsed()));
+        thread::sleep(due.saturating_sub(started_at.elapsed()));
         let attempt = ((index + 1) << 32) + sent.len() as u64;
         let listener = listeners[attempt as usize % listeners.len()];
-        let at = began.elapsed();
+        let at = started_at.elapsed();
         let answer = CallerRequest::new(attempt, "/svc/look", b"berth")
             .try_send(listener, Protocol::FastCgi)
             .ok()
             .map(|pending| pending.outcome());
         let is_completed = matches!(answer, Some(CallerOutcome::Completed(_)));
-        let in_time = is_completed && began.elapsed() - at <= OBJECTIVE;
+        let in_time = is_completed && started_at.elapsed() - at <= OBJECTIVE;
         sent.push(Sent { at, in_time });
-        due = (due + interval).max(began.elapsed());
+        due = (due + interval).max(started_at.elapsed());
     }
     sent
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the programs and benches of this package share.
+//! Code shared by the benchmark programs and the benches of this package.
 
 pub mod log_line;
 pub mod process;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,5 +1,6 @@
-//! Load on a node: closed loop, or open loop whose latencies count from when a request was due, so that a
-//! stalled node is charged for all requests that were due meanwhile.
+//! Load on a node, in a closed or an open loop. In an open loop, latency counts from the time at which the
+//! request was due, so that a stall counts against every request that was due during it (no coordinated
+//! omission).
 
 mod caller;
 mod connection;
@@ -15,18 +16,18 @@
 use self::caller::CallerThread;
 use crate::target::{ResourceUsage, Target};
 
-/// Latencies over a minute count as a minute.
+/// Upper bound of recorded latencies in microseconds; longer ones are recorded as this.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// How requests arrive.
 #[derive(Clone, Copy)]
 pub enum Arrivals {
-    /// A fixed number of callers, each of which waits for its answer before its next request.
+    /// A fixed number of callers, each of which waits for its answer before it sends its next request.
     ClosedLoop {
         /// Requests in flight at once.
         callers: usize,
     },
-    /// A Poisson process, whatever the node does.
+    /// A Poisson process, independent of the answers.
     OpenLoop {
         /// Mean requests per second.
         rate: f64,
@@ -35,43 +36,43 @@
 
 /// The load of one round.
 pub struct Load {
-    /// Where the node listens.
+    /// The address of the node's listener.
     pub address: SocketAddr,
     /// The protocol of the requests.
     pub protocol: Protocol,
     /// When requests are sent.
     pub arrivals: Arrivals,
-    /// Connections in all, where a protocol has many requests on one.
+    /// Total number of connections, for a protocol that multiplexes requests.
     pub connections: usize,
     /// Threads that send requests.
     pub threads: usize,
-    /// Bytes of each body.
+    /// Length of each request body in bytes.
     pub body_bytes: usize,
-    /// Time before the measurement.
+    /// Duration of the load before the measurement.
     pub warm_up: Duration,
-    /// Time of the measurement.
+    /// Duration of the measurement.
     pub duration: Duration,
-    /// Seed of the arrivals.
+    /// Seed of the random arrival times.
     pub seed: u64,
 }
 
-/// The result of one round. Only requests that ended within the measurement count.
+/// The result of one round. Only requests that ended during the measurement are counted.
 pub struct LoadResult {
-    /// Requests that ended, by result and latency.
+    /// The requests that ended.
     pub requests: RequestStats,
-    /// Seconds of the measurement.
+    /// Duration of the measurement in seconds.
     pub seconds: f64,
-    /// What the node used meanwhile.
+    /// CPU time that the node used during the measurement, and its memory at the end.
     pub usage: ResourceUsage,
 }
 
-/// Requests that ended, by result and latency.
+/// Counts of requests by result, and their latencies.
 pub struct RequestStats {
-    /// Microseconds from when a request was due to the end of its answer.
+    /// Microseconds from the time at which a request was due to the end of its answer.
     pub latencies: Histogram<u64>,
     /// Requests answered with status 200.
     pub succeeded: u64,
-    /// All others.
+    /// All other requests.
     pub failed: u64,
 }
 
@@ -108,7 +109,7 @@
     /// Applies the load to a node and measures it.
     ///
     /// # Errors
-    /// Those of sockets, and a connection of FastCGI that the node closes.
+    /// Returns an error if a socket operation fails or the node closes a FastCGI connection.
     pub fn run(&self, target: &Target) -> io::Result<LoadResult> {
         let measure_from = Instant::now() + self.warm_up;
         let measured = measure_from..measure_from + self.duration;
@@ -126,7 +127,7 @@
         for thread in threads {
             let stats = thread
                 .join()
-                .map_err(|_| io::Error::other("a caller's thread has ended"))??;
+                .map_err(|_| io::Error::other("a caller thread panicked"))??;
             requests.add(&stats)?;
         }
         Ok(LoadResult {
--- a/crates/bench/src/load/caller.rs
+++ b/crates/bench/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One thread of callers, over non-blocking connections.
+//! A thread that sends the requests of several callers over non-blocking connections.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -16,12 +16,13 @@
 use super::{Arrivals, Load, RequestStats};
 use crate::request::Template;
 
-/// Attempts of one thread are numbered from its index shifted by this, so that no two threads share one.
+/// The attempt identifiers of a thread start at its index plus one, shifted left by this many bits, so that they
+/// are unique across threads.
 const ATTEMPT_ID_THREAD_SHIFT: u32 = 48;
-/// Seeds of the threads of successive rounds are this far apart.
+/// Distance between the seeds of successive rounds, which leaves a separate seed for each thread.
 const SEEDS_PER_ROUND: u64 = 1000;
 
-/// One thread of callers.
+/// The state of one caller thread.
 pub(super) struct CallerThread {
     address: SocketAddr,
     protocol: Protocol,
@@ -37,7 +38,7 @@
     last_attempt: u64,
 }
 
-/// The part of the load's arrivals that one thread takes.
+/// The share of the load's arrivals that one thread sends.
 #[derive(Clone, Copy)]
 enum ThreadArrivals {
     ClosedLoop { callers: usize },
@@ -124,7 +125,7 @@
         Ok(())
     }
 
-    /// A draw from the exponential distribution of mean 1.
+    /// Draws from the exponential distribution with mean 1.
     fn exponential_factor(&mut self) -> f64 {
         -(1.0 - self.random.f64()).ln()
     }
@@ -132,7 +133,7 @@
     fn connect(&mut self) -> io::Result<usize> {
         let socket = Socket::new(Domain::for_address(self.address), Type::STREAM, None)?;
         socket.set_tcp_nodelay(true)?;
-        // A loopback listener whose backlog is not full accepts without delay.
+        // A blocking connect returns at once on loopback unless the backlog of the listener is full.
         socket.connect(&self.address.into())?;
         socket.set_nonblocking(true)?;
         let stream = TcpStream::from(socket);
--- a/crates/bench/src/load/connection.rs
+++ b/crates/bench/src/load/connection.rs
@@ -7,9 +7,9 @@
 use doortrack_protocols::fastcgi::{ProtocolStatus, ResponseRecord, ResponseSplitter};
 
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Request identifiers of a connection run from 1 to this, then start over.
+/// Highest request identifier of a connection; after it, identifiers start again at 1.
 const MAX_REQUEST_ID: u16 = 30_000;
-/// Bytes kept of an answer over FastCGI: enough for its status.
+/// Maximum number of bytes kept of a FastCGI answer, enough for its status.
 const KEPT_ANSWER_BYTES: usize = 16;
 
 /// One connection to a node.
@@ -26,14 +26,14 @@
 struct InFlight {
     id: u16,
     due: Instant,
-    /// The answer, or the start of it.
+    /// The answer, of which only the start is kept for FastCGI.
     answer: Vec<u8>,
 }
 
-/// A request whose answer has ended.
+/// A request that has ended.
 pub(super) struct FinishedRequest {
     pub(super) due: Instant,
-    /// Whether it was answered completely with status 200.
+    /// True if the answer has status 200 and, for FastCGI, is complete.
     pub(super) succeeded: bool,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Appends a request to the output; `append` gets the output and the request's identifier.
+    /// Appends a request to the output buffer; `append` is called with the buffer and the request identifier.
     pub(super) fn queue_request(&mut self, due: Instant, append: impl FnOnce(&mut Vec<u8>, u16)) {
         self.last_id = self.last_id % MAX_REQUEST_ID + 1;
         append(&mut self.output, self.last_id);
@@ -61,7 +61,7 @@
         });
     }
 
-    /// Writes as much of the output as the socket takes.
+    /// Writes as much of the output buffer as the socket accepts.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         while self.written < self.output.len() {
             match self.stream.write(&self.output[self.written..]) {
@@ -79,14 +79,14 @@
         !self.output.is_empty()
     }
 
-    /// Returns whether the poller's interest in writability has to change.
+    /// Returns true if the poller's interest in writability has to change.
     pub(super) fn update_write_interest(&mut self) -> bool {
         let has_changed = self.is_write_pending() != self.polls_writable;
         self.polls_writable = self.is_write_pending();
         has_changed
     }
 
-    /// Reads part of the only answer. Returns whether the connection has ended, and with it the answer.
+    /// Reads part of the only answer. Returns true if the connection, and with it the answer, has ended.
     pub(super) fn read_until_close(&mut self) -> io::Result<bool> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         let Some(count) = self.read(&mut buffer)? else {
@@ -96,7 +96,7 @@
         Ok(count == 0)
     }
 
-    /// The requests of a connection that has ended.
+    /// Returns the requests of a connection that has ended.
     pub(super) fn into_finished(self) -> Vec<FinishedRequest> {
         self.in_flight
             .into_iter()
@@ -107,7 +107,7 @@
             .collect()
     }
 
-    /// Reads FastCGI records. Returns the requests that they end.
+    /// Reads FastCGI records. Returns the requests that have ended.
     pub(super) fn read_records(&mut self) -> io::Result<Vec<FinishedRequest>> {
         let mut buffer = [0; READ_BUFFER_BYTES];
         let Some(count) = self.read(&mut buffer)? else {
@@ -135,7 +135,7 @@
         Ok(finished)
     }
 
-    /// Reads what has arrived; `None` if nothing has.
+    /// Reads available bytes; returns `None` if there are none.
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<Option<usize>> {
         match self.stream.read(buffer) {
             Ok(count) => Ok(Some(count)),
@@ -151,8 +151,9 @@
 
 impl InFlight {
     fn keep_start(&mut self, bytes: &[u8]) {
-        let missing = KEPT_ANSWER_BYTES.saturating_sub(self.answer.len());
-        self.answer.extend(&bytes[..bytes.len().min(missing)]);
+        let remaining_bytes = KEPT_ANSWER_BYTES.saturating_sub(self.answer.len());
+        self.answer
+            .extend(&bytes[..bytes.len().min(remaining_bytes)]);
     }
 
     fn finish(self, status: Option<ProtocolStatus>) -> FinishedRequest {
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,5 +1,5 @@
-//! `doortrack-bench`: a node under load, over either protocol. Everything runs on loopback sockets of this
-//! machine; compare figures within one run only.
+//! `doortrack-bench`: measures a node under load, over FastCGI or uwsgi. All connections use loopback, so only
+//! figures of the same run are comparable.
 
 mod load;
 mod report;
@@ -18,56 +18,57 @@
 use crate::report::{Row, print, write};
 use crate::target::{Backend, Target, TargetOptions};
 
-/// Plays load against nodes in turn, and tells requests a second, latency and time on the core.
+/// Applies load to one node after another, and reports requests per second, latency and CPU time.
 ///
-/// Each node is started anew for each round, on a core of its own, with work behind it that takes no time.
-/// Rounds go through all nodes, fronts and kinds of work in turn, so that what the machine does besides
-/// meets all alike.
+/// Each node is restarted for each round, on a dedicated core, with a backend that answers immediately.
+/// Each round measures every combination of node, listener and backend once, so that other activity of the
+/// machine affects all of them alike.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
-    /// Programs to compare, each as NAME=PATH; one without fronts of its own is asked on the platform's
-    /// listener
+    /// Programs to compare, each as NAME=PATH; a program without listeners of its own supports only the
+    /// platform's listener
     #[arg(long = "node", value_name = "NAME=PATH", required = true, value_parser = parse_node)]
     nodes: Vec<(String, PathBuf)>,
-    /// Listeners to ask
+    /// Listeners to send requests to
     #[arg(long = "front", value_name = "FRONTS", value_enum, default_values = ["platform", "fastcgi", "uwsgi"])]
     listeners: Vec<Listener>,
-    /// What does the work
+    /// Backends that run the requests
     #[arg(long = "work", value_name = "WORKS", value_enum, default_values = ["engine"])]
     work: Vec<Work>,
-    /// Requests a second, begun at their times whatever the node does; absent: as many as it takes, from a
-    /// fixed number of callers that each wait for their answer
+    /// Requests per second of an open loop, sent at their scheduled times whether or not the node keeps up;
+    /// without it a closed loop, in which each caller waits for its answer before its next request
     #[arg(long = "open", value_name = "A_SECOND")]
     open_rate: Option<f64>,
-    /// Requests in flight at once where the loop is closed
+    /// Number of concurrent callers of a closed loop
     #[arg(long, default_value_t = 64)]
     callers: usize,
-    /// Connections, where a protocol has many requests on one
+    /// Number of connections, for a protocol that multiplexes requests
     #[arg(long, default_value_t = 8)]
     connections: usize,
-    /// Threads that play the callers
+    /// Threads that send the requests
     #[arg(long, default_value_t = 2)]
     threads: usize,
-    /// Rules that the installation has, the last of which takes all; not for the platform's listener
+    /// Number of rules in the installation file, the last of which matches every request; not for the
+    /// platform's listener
     #[arg(long, default_value_t = 0)]
     rules: usize,
-    /// Nodes of the fleet that the node is one of; another of them dies and comes anew every 1.5 s; 1 for
-    /// none
+    /// Size of the fleet that the node belongs to, of which another member is killed and restarted every
+    /// 1.5 s; 1 for no fleet
     #[arg(long = "fleet", value_name = "FLEETS", default_values = ["1"])]
     fleet_sizes: Vec<usize>,
-    /// Bytes of each body
+    /// Length of each request body in bytes
     #[arg(long = "body", value_name = "BODY", default_value_t = 64)]
     body_bytes: usize,
-    /// Seconds of each round that count; a fifth more goes before
+    /// Measured seconds of each round, after a warm-up of a fifth of that
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
     #[arg(long, default_value_t = 3)]
     rounds: usize,
-    /// The core that the node has to itself
+    /// Core to which the node is pinned
     #[arg(long, default_value_t = 1)]
     core: usize,
-    /// Writes every round as JSON
+    /// File to which the result of each round is written as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
@@ -86,7 +87,7 @@
     Uwsgi,
 }
 
-/// One combination of what is measured.
+/// One combination of node, listener, backend and fleet size.
 struct Case<'a> {
     name: &'a str,
     program: &'a Path,
@@ -96,7 +97,7 @@
 }
 
 impl Listener {
-    /// The protocol of a listener of the node's own.
+    /// The protocol of one of the node's own listeners, or `None` for the platform's listener.
     fn protocol(self) -> Option<Protocol> {
         match self {
             Listener::Platform => None,
@@ -117,7 +118,7 @@
 }
 
 fn parse_node(argument: &str) -> Result<(String, PathBuf), String> {
-    let (name, path) = argument.split_once('=').ok_or("NAME=PATH is wanted")?;
+    let (name, path) = argument.split_once('=').ok_or("expected NAME=PATH")?;
     Ok((name.to_string(), PathBuf::from(path)))
 }
 
@@ -196,7 +197,7 @@
 }
 
 impl Case<'_> {
-    /// Listener, work and fleet size, as printed.
+    /// The listener, the backend and the fleet size, as printed.
     fn setup(&self) -> String {
         let setup = format!("{:?} before {:?}", self.listener, self.work).to_lowercase();
         match self.fleet_size {
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -1,16 +1,17 @@
-//! Resources that a process used, as the system counts them.
+//! Resource usage of a process, as reported by the kernel.
 
 use std::fs;
 
-/// Fields of `/proc/PID/stat` after the name of the program that precede the processor times.
+/// Number of fields of `/proc/PID/stat` between the program name and the CPU times.
 const FIELDS_BEFORE_CPU: usize = 11;
-/// The system counts hundredths of a second.
+/// Milliseconds per clock tick; the kernel reports CPU time in hundredths of a second.
 const MS_PER_TICK: u64 = 10;
 
-/// Processor time of a process since its start, in user and kernel mode, in ms. 0 if there is no such process.
+/// Returns the CPU time of a process since its start, in user and kernel mode, in ms; 0 if there is no such
+/// process.
 pub fn cpu_ms(pid: u32) -> u64 {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The name of the program may hold spaces; it ends with the last parenthesis.
+    // The program name may contain spaces and parentheses; it ends at the last parenthesis.
     let fields = stat.rsplit(')').next().unwrap_or_default();
     let ticks: u64 = fields
         .split_whitespace()
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! Results of rounds: as lines, as a table of medians, and as JSON.
+//! Output of the results of rounds: as lines, as a table of medians, and as JSON.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,34 +14,34 @@
 pub struct Row {
     /// The name of the program.
     pub node: String,
-    /// Listener, work and fleet size.
+    /// The listener, the backend and the fleet size.
     #[serde(rename = "place")]
     pub setup: String,
-    /// The round, or the number of rounds.
+    /// The index of the round, or the number of rounds for medians.
     pub round: usize,
     /// Requests answered with status 200 per second.
     #[serde(rename = "a_second")]
     pub throughput: f64,
-    /// All other requests.
+    /// The number of all other requests.
     #[serde(rename = "bad")]
     pub failed: u64,
-    /// Latencies in microseconds.
+    /// The median latency in microseconds.
     pub median_us: u64,
-    /// The 99th percentile.
+    /// The 99th percentile of the latencies in microseconds.
     pub p99_us: u64,
-    /// The 99.9th percentile.
+    /// The 99.9th percentile of the latencies in microseconds.
     pub p999_us: u64,
-    /// Processor time of the node per request.
+    /// CPU time of the node per request, in microseconds.
     pub cpu_us: f64,
     /// Fraction of its core that the node used.
     #[serde(rename = "busy")]
     pub cpu_utilization: f64,
-    /// Resident memory of the node at the end.
+    /// Resident memory of the node at the end of the round, in kB.
     pub memory_kb: u64,
 }
 
 impl Row {
-    /// The result of one round.
+    /// Creates the row of one round.
     pub fn new(node: &str, setup: &str, round: usize, result: &LoadResult) -> Row {
         let requests = &result.requests;
         let count = (requests.succeeded + requests.failed).max(1) as f64;
@@ -61,10 +61,10 @@
         }
     }
 
-    /// The medians of several rounds; failed requests are added up.
+    /// Returns the medians of several rounds; failed requests are added up.
     fn median(node: String, setup: String, rows: &[&Row]) -> Row {
-        let median = |figure: &dyn Fn(&Row) -> f64| {
-            let mut values: Vec<f64> = rows.iter().map(|row| figure(row)).collect();
+        let median = |value_of: &dyn Fn(&Row) -> f64| {
+            let mut values: Vec<f64> = rows.iter().map(|row| value_of(row)).collect();
             values.sort_by(f64::total_cmp);
             values[values.len() / 2]
         };
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A line of the table that [`print`] prints.
+    /// Formats the row as a line of the table that [`print`] prints.
     pub fn line(&self) -> String {
         format!(
             "{:<10} {:<26} {:>9.0} {:>7} {:>9} {:>9} {:>9} {:>8.2} {:>6.2} {:>8}",
@@ -101,7 +101,7 @@
     }
 }
 
-/// Prints the medians of each node and setup over the rounds, with the ratio of throughput to the first row.
+/// Prints the medians of each node and setup over all rounds, and the throughput relative to the first row.
 pub fn print(rows: &[Row]) {
     let mut groups: BTreeMap<(String, String), Vec<&Row>> = BTreeMap::new();
     for row in rows {
@@ -135,7 +135,7 @@
 /// Writes all rounds as JSON.
 ///
 /// # Errors
-/// Those of the file.
+/// Returns an error if the file cannot be written.
 pub fn write(path: &Path, rows: &[Row]) -> io::Result<()> {
     fs::write(path, serde_json::to_string_pretty(rows)? + "\n")
 }
--- a/crates/bench/src/request.rs
+++ b/crates/bench/src/request.rs
@@ -1,34 +1,34 @@
-//! A request encoded once and patched for each attempt, so that the callers cost little.
+//! A request that is encoded once and patched for each attempt, which keeps the cost of the callers low.
 
 use doortrack_fakes::caller::CallerRequest;
 use doortrack_protocols::Protocol;
 
-/// Found in the encoded request where the attempt's identifier goes; no other field holds it.
+/// Placeholder of the attempt identifier in the encoded request; it occurs in no other field.
 const ATTEMPT_PLACEHOLDER: u64 = 0xfeed_facc_0bad_cafe;
-/// Hex digits of an attempt's identifier.
+/// Number of hex digits of an attempt identifier.
 const ATTEMPT_DIGITS: usize = 16;
-/// Found where the time goes: as many digits as Unix ms have until the year 2286.
+/// Placeholder of the time in the encoded request. Unix time in ms has this many digits until the year 2286.
 const TIME_PLACEHOLDER: &str = "1111111111111";
 
-/// Layout of a FastCGI record's header.
+/// Layout of a FastCGI record header: its length and the offsets of two fields, in bytes.
 const RECORD_HEADER_BYTES: usize = 8;
 const RECORD_ID_OFFSET: usize = 2;
 const RECORD_LENGTH_OFFSET: usize = 4;
-/// Offset of the flags in the first record, a begin request.
+/// Offset of the flags in the first record, which is `FCGI_BEGIN_REQUEST`.
 const FLAGS_OFFSET: usize = RECORD_HEADER_BYTES + 2;
 const FLAG_KEEP_CONNECTION: u8 = 1;
 
-/// An encoded request and the offsets of what differs between attempts.
+/// An encoded request and the offsets of the fields that differ between attempts.
 pub struct Template {
     bytes: Vec<u8>,
     attempt_offset: usize,
     time_offset: usize,
-    /// Offsets of the request identifiers in FastCGI's record headers.
+    /// Offsets of the request identifiers in the FastCGI record headers.
     id_offsets: Vec<usize>,
 }
 
 impl Template {
-    /// A request with a body of `body_bytes`.
+    /// Encodes a request with a body of `body_bytes`.
     pub fn new(protocol: Protocol, body_bytes: usize) -> Template {
         let body = vec![b'x'; body_bytes];
         let request = CallerRequest::new(ATTEMPT_PLACEHOLDER, "/svc/look", &body)
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Appends a request with these identifiers and this time.
+    /// Appends a request with the given identifiers and time.
     pub fn append(&self, out: &mut Vec<u8>, id: u16, attempt: u64, unix_ms: u64) {
         let start = out.len();
         out.extend(&self.bytes);
@@ -67,12 +67,12 @@
     }
 }
 
-/// Fills `out` with the last digits of a number, base 10 or 16.
+/// Fills `out` with the last digits of a number in base 10 or 16.
 fn write_digits(out: &mut [u8], number: u64, base: u64) {
-    let mut rest = number;
+    let mut remaining = number;
     for digit in out.iter_mut().rev() {
-        *digit = b"0123456789abcdef"[(rest % base) as usize];
-        rest /= base;
+        *digit = b"0123456789abcdef"[(remaining % base) as usize];
+        remaining /= base;
     }
 }
 
--- a/crates/bench/src/target.rs
+++ b/crates/bench/src/target.rs
@@ -1,4 +1,4 @@
-//! A node under load: a process on a core of its own, with work behind it that takes no time.
+//! The node under load: a process pinned to a dedicated core, with a backend that answers immediately.
 
 mod churn;
 
@@ -18,43 +18,43 @@
 
 use self::churn::{ChurningPeers, fleet_settings};
 
-/// Ports of the plan, which maps each to a free one.
+/// Nominal ports; [`NodeSetup::port`] maps each to a free one.
 const LISTENER_PORT: u16 = 9091;
 const FLEET_PORT: u16 = 7400;
-/// A node rejects requests until it has heard from its engine or servers.
+/// Time to wait after the start: a node rejects requests until it has heard from its engine or servers.
 const START_TIME: Duration = Duration::from_millis(300);
-/// Concurrency limit of the application server, and its threads.
+/// Concurrency limit of the application server, and its number of threads.
 const SERVER_CONCURRENCY: usize = 64;
 
-/// What runs the requests.
+/// What runs the requests of the node.
 #[derive(Clone, Copy)]
 pub enum Backend {
     /// An engine.
     Engine,
-    /// An application server over this protocol.
+    /// An application server with this protocol.
     Server(Protocol),
 }
 
-/// How a node is set up.
+/// Options for starting a node under load.
 pub struct TargetOptions<'a> {
-    /// The program of the node and its peers.
+    /// The executable of the node and its peers.
     pub program: &'a Path,
-    /// The protocol of a listener of its own; absent for the platform's.
+    /// The protocol of the node's own listener; `None` for the platform's listener.
     pub listener: Option<Protocol>,
-    /// What runs the requests.
+    /// The backend of the node.
     pub backend: Backend,
-    /// Rules of the installation, the last of which matches. None for the platform's listener.
+    /// Number of rules in the installation file, the last of which matches; unused for the platform's listener.
     pub rules: usize,
-    /// The core that the node has to itself.
+    /// The core to which the node is pinned.
     pub core: usize,
-    /// Nodes of its fleet, itself included; 1 for none.
+    /// Size of the fleet including the node; 1 for no fleet.
     pub fleet_size: usize,
 }
 
-/// A running node. Ends when dropped, with its peers.
+/// A running node and its peers, which are stopped on drop.
 pub struct Target {
     node: NodeFixture,
-    /// Where it takes requests.
+    /// The address at which the node accepts requests.
     pub address: SocketAddr,
     _peers: Option<ChurningPeers>,
 }
@@ -62,33 +62,33 @@
 /// Resources that a process used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceUsage {
-    /// Processor time since its start, in microseconds.
+    /// CPU time since the start of the process, in microseconds.
     pub cpu_us: u64,
-    /// Resident memory now.
+    /// Current resident memory in kB.
     pub memory_kb: u64,
 }
 
 impl Target {
-    /// Starts a node and waits until it takes requests.
+    /// Starts a node and waits until it accepts requests.
     ///
     /// # Errors
-    /// Those of sockets, and of setting the core.
+    /// Returns an error if a socket operation fails or the node cannot be pinned to its core.
     pub fn start(options: &TargetOptions) -> io::Result<Target> {
-        let mut plan = NodeSetup::new(options.program);
-        set_unlimited_resources(&mut plan);
+        let mut setup = NodeSetup::new(options.program);
+        set_unlimited_resources(&mut setup);
         let mut installation = json!({});
         let address = match options.listener {
-            Some(protocol) => add_listener(&mut plan, &mut installation, protocol, options.rules),
-            None => plan.address,
+            Some(protocol) => add_listener(&mut setup, &mut installation, protocol, options.rules),
+            None => setup.address,
         };
-        add_backend(&mut plan, &mut installation, options.backend)?;
-        let fleet_address = plan.port(FLEET_PORT);
+        add_backend(&mut setup, &mut installation, options.backend)?;
+        let fleet_address = setup.port(FLEET_PORT);
         if options.fleet_size > 1 {
             installation["fleet"] = fleet_settings(fleet_address, fleet_address);
         }
-        // Earlier builds know no such file, and are measured on the platform's listener.
-        plan.installation = Some(installation).filter(|file| file != &json!({}));
-        let node = plan.start();
+        // Earlier builds do not support an installation file and are measured on the platform's listener.
+        setup.installation = Some(installation).filter(|file| file != &json!({}));
+        let node = setup.start();
         pin_to_core(&node, options.core)?;
         drop(connect(address));
         thread::sleep(START_TIME);
@@ -101,7 +101,7 @@
         })
     }
 
-    /// What the node has used.
+    /// Returns the resources that the node has used since its start.
     pub fn usage(&self) -> ResourceUsage {
         let process = format!("/proc/{}", self.node.program.id());
         let status = fs::read_to_string(format!("{process}/status")).unwrap_or_default();
@@ -110,7 +110,7 @@
             .find_map(|line| line.strip_prefix("VmRSS:"))
             .and_then(first_number)
             .unwrap_or(0);
-        // The scheduler's own count is finer than the hundredths of a second of `stat`.
+        // `schedstat` counts in nanoseconds, `stat` only in hundredths of a second.
         let schedstat = fs::read_to_string(format!("{process}/schedstat")).unwrap_or_default();
         let cpu_ns = first_number(&schedstat).unwrap_or(0);
         ResourceUsage {
@@ -124,37 +124,42 @@
     text.split_whitespace().next()?.parse().ok()
 }
 
-/// The path of a request is measured, not the decision on it: nothing is to be rejected.
-fn set_unlimited_resources(plan: &mut NodeSetup) {
-    let resources = &mut plan.config["settings"]["family_info"];
+/// Raises the resource limits so that the node rejects no request: the benchmark measures forwarding, not
+/// rejections.
+fn set_unlimited_resources(setup: &mut NodeSetup) {
+    let resources = &mut setup.config["settings"]["family_info"];
     resources["cores"] = json!(1000);
     resources["memory_kb"] = json!(10_000_000);
     resources["keepalive_max"] = json!(3_600_000_000u64);
 }
 
 fn add_listener(
-    plan: &mut NodeSetup,
+    setup: &mut NodeSetup,
     installation: &mut Value,
     protocol: Protocol,
     rules: usize,
 ) -> SocketAddr {
-    let address = plan.port(LISTENER_PORT);
+    let address = setup.port(LISTENER_PORT);
     let listener = json!({"protocol": protocol.name(), "listen": address.to_string()});
     installation["fronts"] = json!([listener]);
     if rules > 0 {
-        let other = |index| json!({"when": format!("path.starts_with(\"/yard-{index}/\")"), "group": "look"});
+        let unmatched = |index| json!({"when": format!("path.starts_with(\"/yard-{index}/\")"), "group": "look"});
         let matching =
             json!({"when": "path == \"/svc/look\" && method == \"POST\"", "group": "look"});
-        installation["rules"] = (1..rules).map(other).chain([matching]).collect();
+        installation["rules"] = (1..rules).map(unmatched).chain([matching]).collect();
     }
     address
 }
 
-fn add_backend(plan: &mut NodeSetup, installation: &mut Value, backend: Backend) -> io::Result<()> {
+fn add_backend(
+    setup: &mut NodeSetup,
+    installation: &mut Value,
+    backend: Backend,
+) -> io::Result<()> {
     match backend {
         Backend::Engine => {
             let listener = TcpListener::bind("127.0.0.1:0")?;
-            plan.config["engine"] = json!(listener.local_addr()?.to_string());
+            setup.config["engine"] = json!(listener.local_addr()?.to_string());
             immediate::start_engine(listener);
         }
         Backend::Server(protocol) => {
--- a/crates/bench/src/typical.rs
+++ b/crates/bench/src/typical.rs
@@ -1,6 +1,6 @@
-//! Ten typical expressions, for the request of `LiteralRequest::example`.
+//! Ten typical expressions, to be evaluated on `LiteralRequest::example`.
 
-/// Names and sources of the expressions.
+/// The name and the source of each expression.
 pub const TYPICAL: [(&str, &str); 10] = [
     ("prefix", "path.starts_with(\"/book/\")"),
     (
