--- a/crates/fault-harness/src/scale/node_cost/caller.rs
+++ b/crates/fault-harness/src/scale/node_cost/caller.rs
@@ -140,7 +140,7 @@
     /// Sends a health check.
     ///
     /// # Errors
-    /// As [`Connection::ask`].
+    /// The same errors as [`Connection::ask`].
     pub fn check_health(&mut self) -> io::Result<Outcome> {
         self.exchange(&[("SCRIPT_NAME", "/status/live"), ("REQUEST_METHOD", "GET")])
     }
--- a/crates/fault-harness/src/scale/node_cost/keys.rs
+++ b/crates/fault-harness/src/scale/node_cost/keys.rs
@@ -18,7 +18,7 @@
 /// Maximum duration of sending requests as fast as possible.
 const MAX_FILL_DURATION: Duration = Duration::from_secs(25);
 
-/// Keys held against resident memory.
+/// Resident memory by number of keys held.
 #[derive(Clone, Debug, Serialize)]
 pub struct KeysHeld {
     /// Resident kB by keys held, at the peak rate of deduplicated requests, with one point per second.
--- a/crates/fault-harness/src/scale/simulated/scenario.rs
+++ b/crates/fault-harness/src/scale/simulated/scenario.rs
@@ -55,7 +55,7 @@
     pub agree_within_ms: u64,
 }
 
-/// One incident at its time.
+/// An incident and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     pub at_ms: u64,
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     pub first: f64,
-    /// Of each other budget.
+    /// Demand for each other budget.
     pub others: f64,
     /// How long a unit of a concurrency budget is held.
     pub held_ms: u64,
@@ -225,7 +225,7 @@
         }
     }
 
-    /// The regions are partitioned for `parted_ms` while nodes of both restart at the daily rate.
+    /// The regions are partitioned for `partition_ms` while nodes of both restart at the daily rate.
     pub fn partitioned(topology: Topology, partition_ms: u64, seed: u64) -> Scenario {
         let mut steps = Steps {
             slot_ms: SLOT_MS,
