--- a/crates/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -50,7 +50,11 @@
         result.history.to_lines()
     );
     assert!(result.violations.is_empty(), "{:#?}", result.violations);
-    assert!(result.traffic.completed > 0, "{:?}", result.traffic);
+    assert!(
+        result.traffic_counts.completed > 0,
+        "{:?}",
+        result.traffic_counts
+    );
 }
 
 /// Cuts the links between two groups of nodes in both directions from `at` until `heal_at`, in ms.
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,31 +1,31 @@
-//! The node: its parts by themselves, and the program on sockets against stand-ins for all it talks to.
+//! Tests of the node: single modules, and the program on sockets against fakes of all its peers.
 
 #![allow(
     clippy::too_many_lines,
-    reason = "a scenario is read from its start to its end"
+    reason = "a test scenario reads best in one piece"
 )]
 
 mod accepts;
 mod backlog;
 mod components;
 mod conformance;
+mod connection_ends;
 mod early_signals;
-mod ends;
-mod fronts;
 mod half_closed;
 mod idle;
-mod instants;
 mod interrupts;
 mod last_moment;
 mod late_answers;
 mod late_repeats;
 mod late_stops;
+mod listeners;
 mod near_stops;
-mod notices;
 mod outages_and_bursts;
 mod panics;
 mod partial_requests;
+mod races;
 mod random_faults;
+mod reload_with_shutdown;
 mod reloads;
 mod restart;
 mod rules;
--- a/crates/node/tests/node/reloads.rs
+++ b/crates/node/tests/node/reloads.rs
@@ -13,7 +13,7 @@
 use doortrack_protocols::{Protocol, Variable, write_request};
 use serde_json::{Value, json};
 
-use super::notices::rewrite;
+use super::reload_with_shutdown::rewrite_config;
 
 const UWSGI: Protocol = Protocol::Uwsgi;
 
@@ -342,10 +342,10 @@
 #[test]
 fn a_draining_node_waits_for_no_build_and_stops_at_the_nearer_stop() {
     let mut node = ReloadFixture::start(LARGE, 2);
-    rewrite(&node.fixture, |config| config["stop_ms"] = json!(600_000));
+    rewrite_config(&node.fixture, |config| config["stop_ms"] = json!(600_000));
     node.fixture.replace_installation(&node.version(1));
     node.wait_until_logged("configuration in force", 1);
-    rewrite(&node.fixture, |config| config["stop_ms"] = json!(1_000));
+    rewrite_config(&node.fixture, |config| config["stop_ms"] = json!(1_000));
     node.fixture.replace_installation(&node.version(2));
     node.fixture.signal("-TERM");
     node.wait_until_logged("draining ", 1);
