--- a/crates/fault-harness/src/relay/forwarder.rs
+++ b/crates/fault-harness/src/relay/forwarder.rs
@@ -70,7 +70,7 @@
 }
 
 impl Forwarder {
-    /// A forwarder between nodes, each given by its proxy socket and its node_addresses address.
+    /// A forwarder between nodes; each node is given by its proxy socket and its real address.
     pub(super) fn new(
         sockets: Vec<UdpSocket>,
         node_addresses: Vec<SocketAddr>,
