--- a/crates/node/tests/node/components.rs
+++ b/crates/node/tests/node/components.rs
@@ -277,7 +277,7 @@
         read_request(&[("SCRIPT_NAME", "/status/live")]),
         Ok(DecodedRequest::HealthCheck)
     );
-    // Caller numbers are never reused, so a limit on them would refuse all callers after some time.
+    // Caller numbers are never reused. With numbers of 16 bits, every caller after number 65,535 was refused.
     look_variables[4].1 = "18446744073709551615";
     assert!(
         matches!(read_request(&look_variables), Ok(DecodedRequest::Request(request)) if request.caller == u64::MAX)
