--- a/crates/config/src/budgets.rs
+++ b/crates/config/src/budgets.rs
@@ -18,41 +18,43 @@
 
 use crate::FleetConfig;
 
-/// One limit of the whole fleet. The same on all nodes.
+/// A limit that applies to the whole fleet. Must be the same on all nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "BudgetFile")]
 pub struct BudgetConfig {
-    /// 1 to 64 bytes, each once.
+    /// Unique name, 1 to 64 bytes.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
     #[expect(missing_docs, reason = "a doc comment would change the schema")]
     pub kind: BudgetKind,
-    /// Exchanges a second, or held at once, of all nodes together.
+    /// Maximum of all nodes together: requests per second for a rate, concurrent requests for a concurrency.
     #[schemars(range(min = 1, max = 10_000_000))]
     #[serde(alias = "whole")]
     pub limit: u32,
-    /// Exchanges beyond `limit` times the span, in any span; at least one for each node that is to have an
-    /// allocation. Needed for a rate, and for no other.
+    /// Number of requests that may exceed `limit` times the length of any time span; at least one for each
+    /// node that is to have an allocation. Required for a rate, not allowed for a concurrency.
     #[serde(default)]
     #[schemars(range(min = 1, max = 10_000_000))]
     pub burst: Option<u32>,
-    /// Which exchanges it is for: one of the five.
+    /// Requests to which the budget applies: exactly one of the five scopes.
     #[serde(rename = "for")]
     pub applies_to: BudgetScope,
-    /// Set aside for each node of `reserved_for`, so that it has this much even when it hears nobody. For a
-    /// rate at least `limit` / `burst`, or it holds no whole exchange.
+    /// Minimum that is reserved for each node in `reserved_for`, which the node has even when it hears from
+    /// no other node. For a rate, at least `limit` / `burst`; a smaller minimum would not hold one whole
+    /// request.
     #[serde(default, alias = "floor")]
     pub reserved: u32,
-    /// Names of the nodes that have a reserved minimum. Absent: the voters.
+    /// Names of the nodes that have a reserved minimum. Default: the voters.
     #[serde(default, alias = "floors_for")]
     pub reserved_for: Option<Vec<String>>,
-    /// The most that one node may have, its reserved minimum included. Absent: the limit.
+    /// Maximum that one node may have, including its reserved minimum. Default: `limit`.
     #[serde(default, alias = "most")]
     #[schemars(range(min = 1, max = 10_000_000))]
     pub max_per_node: Option<u32>,
-    /// What one is held for at the longest, also by a node that died: so long nobody else has it. Absent:
-    /// the longest deadline of all endpoint groups. For a concurrency alone.
+    /// Longest time in ms that a request can hold its part of the budget, also on a node that died; until
+    /// then no other node can use that part. Default: the longest deadline of all endpoint groups. Only for a
+    /// concurrency.
     #[serde(default, alias = "held_most_ms")]
     #[schemars(range(min = 1, max = 3_600_000))]
     pub max_hold_ms: Option<u32>,
@@ -62,14 +64,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum BudgetKind {
-    /// Exchanges a second.
+    /// Requests per second.
     Rate,
-    /// Exchanges held at once, from being taken in to their end.
+    /// Concurrent requests, each counted from its admission until it ends.
     #[serde(alias = "places")]
     Concurrency,
 }
 
-/// By what exchanges fall under a budget; each customer, group and pool under one at the most.
+/// Requests to which a budget applies. Each customer, group and pool can have at most one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 #[schemars(rename = "BudgetFor")]
@@ -79,30 +81,32 @@
     Tenant(String),
     #[expect(missing_docs, reason = "a doc comment would change the schema")]
     Group(String),
-    /// A pool of servers; `servers` is the one without a name.
+    /// A server pool, by name; `servers` is the default pool.
     Pool(String),
-    /// Retries to that pool, beside what each node allows itself: a rate. What is over is not tried again.
+    /// Retries to the named server pool, in addition to the retry limits of each node. Must be a rate.
+    /// Requests over the budget are not retried.
     Retries(String),
-    /// First runs on servers of that pool that were down: a rate, each second `2 * runs / over_ms` of the
-    /// pool's `ramp`.
+    /// Runs during the slow start of servers of the named pool that were down. Must be a rate; per second, a
+    /// slow start uses `2 * runs / over_ms` of the pool's `ramp`.
     #[serde(rename = "ramp")]
     SlowStart(String),
 }
 
-/// How fast budgets are divided; the same on all nodes of a fleet.
+/// Timing of the division of budgets. Must be the same on all nodes of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseTimes {
-    /// Needs are told, and allocations granted, so often.
+    /// Interval in ms at which nodes report their demand and the leader grants allocations.
     #[schemars(range(min = 20, max = 10_000))]
     pub round_ms: u32,
-    /// A leader that is not heard for so long may be replaced; at least 3 rounds.
+    /// Time in ms without a message from the leader after which it may be replaced; at least 3 times
+    /// `round_ms`.
     #[schemars(range(min = 60, max = 60_000))]
     pub vote_ms: u32,
-    /// An allocation that is not prolonged ends after so long; at least `vote_ms`.
+    /// Time in ms after which an allocation that is not renewed expires; at least `vote_ms`.
     #[schemars(range(min = 60, max = 600_000))]
     pub lease_ms: u32,
-    /// How far any clock may gain or lose, in thousandths.
+    /// Maximum drift of any node's clock in either direction, in thousandths.
     #[schemars(range(max = 200))]
     pub drift_permille: u32,
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -19,41 +19,43 @@
 
 use crate::{ConfigErrors, LeaseTimes};
 
-/// The fleet that this node is of. Absent: it knows of no other node and opens no socket for them.
+/// The fleet to which this node belongs. Absent: the node knows no other nodes and opens no socket for them.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "FleetFile")]
 pub struct FleetConfig {
-    /// The fleet's name, 1 to 64 bytes; nodes of another fleet are not listened to.
+    /// Name of the fleet, 1 to 64 bytes. Messages from nodes of other fleets are ignored.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Where other nodes reach this one, IP address and UDP port, as 127.0.0.1:7401.
+    /// IP address and UDP port on which this node receives messages from other nodes, for example
+    /// 127.0.0.1:7401.
     pub listen: SocketAddr,
-    /// What other nodes are told to reach this one at. Absent: `listen`.
+    /// Address that this node announces to other nodes as its own. Default: `listen`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Where the fleet is looked for at start and now and then later; at most 64. This node's own may be
-    /// among them, so that one list serves all.
+    /// Addresses that this node contacts to find the fleet, at start and from time to time afterwards; at
+    /// most 64. The node's own address may be included, so that all nodes can use the same list.
     #[serde(default)]
     #[schemars(length(max = 64))]
     pub seeds: Vec<SocketAddr>,
-    /// A file with 64 hex digits that only nodes of this fleet have; its path starts at this file's folder.
-    /// Absent: whoever knows the fleet's name and reaches `listen` is taken for a member.
+    /// Path of the key file, which contains 64 hex digits that only nodes of this fleet have. The path is
+    /// relative to the folder of the installation file. Absent: anyone who knows the name of the fleet and
+    /// can reach `listen` is accepted as a member.
     #[serde(default)]
     pub key_file: Option<PathBuf>,
-    /// Names of the nodes of whom a majority decides what needs one; at most 9, an odd number is best.
+    /// Names of the nodes that vote on decisions that need a majority; at most 9, preferably an odd number.
     #[serde(default)]
     #[schemars(length(max = 9))]
     pub voters: Vec<String>,
-    /// What this node can do against others, in a unit that all share. Absent: `family_info.cores` of the
-    /// platform's configuration.
+    /// Capacity of this node relative to other nodes, in a unit that all nodes share. Default:
+    /// `family_info.cores` of the platform's configuration.
     #[serde(default)]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub weight: Option<u32>,
     #[expect(missing_docs, reason = "a doc comment would change the schema")]
     #[serde(default)]
     pub times: FleetTimes,
-    /// How fast budgets are divided.
+    /// Timing of the division of budgets.
     #[serde(default)]
     pub leases: LeaseTimes,
     /// Never read from a file.
@@ -70,25 +72,27 @@
     pub safeguards: Safeguards,
 }
 
-/// How fast members are probed and given up.
+/// Timing of the probes of members and of the detection of dead members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetTimes {
-    /// Each node probes one other so often.
+    /// Interval in ms at which each node probes one other node.
     #[schemars(range(min = 20, max = 60_000))]
     pub period_ms: u32,
-    /// An answer that takes longer has indirect probers asked; less than `period_ms`.
+    /// Time in ms to wait for the answer to a probe before other nodes are asked to probe indirectly; less
+    /// than `period_ms`.
     #[schemars(range(min = 5, max = 30_000))]
     pub answer_within_ms: u32,
-    /// How long a member is suspected before it is declared dead, where others suspect it too.
+    /// Time in ms that a member is suspected before it is declared dead, if other nodes suspect it too.
     #[serde(alias = "doubt_least_ms")]
     #[schemars(range(min = 20, max = 600_000))]
     pub suspicion_min_ms: u32,
-    /// The same on one node's word alone; at least `suspicion_min_ms`.
+    /// Time in ms that a member is suspected before it is declared dead, if only one node suspects it; at
+    /// least `suspicion_min_ms`.
     #[serde(alias = "doubt_most_ms")]
     #[schemars(range(min = 20, max = 600_000))]
     pub suspicion_max_ms: u32,
-    /// Dead and left members are shown so long.
+    /// Time in ms for which members that died or left are still shown.
     #[schemars(range(min = 1_000, max = 86_400_000))]
     pub forget_after_ms: u32,
 }
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -30,64 +30,67 @@
 /// Keys whose values are lists of objects.
 const OBJECT_LISTS: [&str; 3] = ["fronts", "rules", "budgets"];
 
-/// What an installation adds to the platform's configuration.
+/// Settings that an installation adds to the platform's configuration.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Installation {
-    /// Where callers may connect beside the platform's own listener, and what is spoken there. At most 8.
+    /// Listeners for callers in addition to the platform's own listener, each with its protocol; at most 8.
     #[serde(default, rename = "fronts")]
     #[schemars(length(max = 8))]
     pub listeners: Vec<ListenerConfig>,
-    /// Application servers that do the work in place of the engine. Absent: the engine does it.
+    /// Default pool of application servers, which execute runs in place of the engine. Absent: the engine
+    /// executes them.
     #[serde(default, rename = "servers")]
     pub default_pool: Option<ServerPool>,
-    /// Further pools of servers, by the names that rules use.
+    /// Additional server pools, by the names that rules use.
     #[serde(default)]
     pub pools: BTreeMap<String, ServerPool>,
-    /// How exchanges of these fronts are classed: the first rule that applies. Absent: by the platform's own
-    /// variables. The platform's listener is not concerned.
+    /// Rules that classify the requests of the listeners in `fronts`; the first matching rule applies.
+    /// Absent: requests are classified by the platform's own variables. The platform's listener does not use
+    /// the rules.
     #[serde(default)]
     #[schemars(length(max = 100_000))]
     pub rules: Vec<RuleConfig>,
-    /// The endpoint group of what no rule takes. Absent: it is answered with 404.
+    /// Endpoint group of requests that match no rule. Absent: they are answered with 404.
     #[serde(default, rename = "otherwise")]
     pub fallback_group: Option<String>,
-    /// What expressions may cost and see.
+    /// Limits on the cost of expressions and on the data that they see.
     #[serde(default)]
     pub expressions: ExpressionLimits,
-    /// Other nodes, and how this one and they know of one another. Absent: it knows of none.
+    /// The fleet of this node: how it and other nodes find one another. Absent: the node knows no other
+    /// nodes.
     #[serde(default)]
     pub fleet: Option<FleetConfig>,
-    /// Limits that belong to the whole fleet; at most 256.
+    /// Limits that apply to the whole fleet; at most 256.
     #[serde(default)]
     #[schemars(length(max = 256))]
     pub budgets: Vec<BudgetConfig>,
 }
 
-/// One address on which callers are taken in.
+/// A listener: an address on which connections from callers are accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Front")]
 pub struct ListenerConfig {
     #[expect(missing_docs, reason = "a doc comment would change the schema")]
     pub protocol: ProtocolName,
-    /// IP address and port, as 127.0.0.1:9091.
+    /// IP address and port, for example 127.0.0.1:9091.
     pub listen: SocketAddr,
-    /// Connections that this front may have open at once. Absent: as many as the node may have in all, which
-    /// bounds all fronts together.
+    /// Maximum number of open connections of this listener. Default: the maximum of the node, which applies
+    /// to all listeners together.
     #[serde(default)]
     #[schemars(range(min = 1))]
     pub connections: Option<u32>,
 }
 
-/// What is spoken on a connection.
+/// Protocol of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 #[schemars(rename = "Spoken")]
 pub enum ProtocolName {
-    /// FastCGI 1.0, many requests on a connection.
+    /// FastCGI 1.0, with many requests on one connection.
     FastCgi,
-    /// uwsgi, a connection for each request.
+    /// uwsgi, with one connection for each request.
     Uwsgi,
 }
 
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -15,49 +15,48 @@
 const MAX_VARIABLE_BYTES: u64 = 8192;
 const MAX_BODY_BYTES: u64 = 2048;
 
-/// One rule. The first whose condition holds says what an exchange is. All but `group` are expressions
-/// (docs/expressions.md).
+/// A rule. The first rule whose condition is true classifies a request. All fields except `group` are
+/// expressions (docs/expressions.md).
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "RuleFile")]
 pub struct RuleConfig {
-    /// When it applies: a bool.
+    /// Condition under which the rule applies, a bool.
     pub when: String,
-    /// The endpoint group, by its name.
+    /// Name of the endpoint group.
     pub group: String,
-    /// The customer's name. Absent: the variable HTTP_X_TENANT.
+    /// Name of the customer. Default: the variable HTTP_X_TENANT.
     #[serde(default, rename = "customer")]
     pub tenant: Option<String>,
-    /// What the exchange is about, as string, bytes or int. Absent: the variable HTTP_X_OBJECT, if there is
-    /// one.
+    /// Session key of the request, a string, bytes or int. Default: the variable HTTP_X_OBJECT, if present.
     #[serde(default, rename = "subject")]
     pub session_key: Option<String>,
-    /// The idempotency key by which a repeat of a deduplicated exchange is known. Absent: the variable
+    /// Idempotency key, by which a repetition of a deduplicated request is recognized. Default: the variable
     /// HTTP_IDEMPOTENCY_KEY.
     #[serde(default, alias = "mark")]
     pub idempotency_key: Option<String>,
-    /// Its rank, a float from 0 to 1. Absent: the variable HTTP_X_RANK, or 0.5.
+    /// Rank of the request, a float from 0 to 1. Default: the variable HTTP_X_RANK, or 0.5 without it.
     #[serde(default)]
     pub rank: Option<String>,
-    /// How long its caller waits, a duration. Absent: the deadline of its group.
+    /// Time that the caller waits for the answer, a duration. Default: the deadline of the endpoint group.
     #[serde(default, rename = "due")]
     pub timeout: Option<String>,
-    /// The pool of servers that it goes to, by its name in `pools`. Absent: `servers`.
+    /// Name in `pools` of the server pool that receives the request. Default: `servers`.
     #[serde(default, rename = "servers")]
     pub pool: Option<String>,
 }
 
-/// What an expression may cost, and what it sees of a request.
+/// Limits on the cost of an expression and on the part of a request that it sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct ExpressionLimits {
-    /// Steps that one evaluation may take.
+    /// Maximum number of steps of one evaluation.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub max_cost: u64,
-    /// Bytes of a variable, the path or the query; what is longer is not seen.
+    /// Maximum length in bytes of a variable, the path or the query; expressions do not see longer values.
     #[schemars(range(min = 1, max = 8192))]
     pub variable_bytes: u64,
-    /// Bytes of the body that are seen.
+    /// Number of bytes of the body that expressions see.
     #[schemars(range(min = 0, max = 2048))]
     pub body_bytes: u64,
 }
--- a/crates/config/src/servers/file_types.rs
+++ b/crates/config/src/servers/file_types.rs
@@ -14,35 +14,37 @@
 const DEFAULT_CONNECT_TIMEOUT_MS: u32 = 250;
 const DEFAULT_MAX_RESPONSE_BYTES: u32 = 65_536;
 
-/// Application servers that do the work: a run is one request to one of them.
+/// A pool of application servers that execute runs; a run is one request to one of the servers.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Servers {
     #[expect(missing_docs, reason = "a doc comment would change the schema")]
     pub protocol: ProtocolName,
-    /// IP addresses and ports, each once; 1 to 1000.
+    /// IP addresses and ports of the servers, without duplicates; 1 to 1000.
     #[schemars(length(min = 1, max = 1000))]
     pub addresses: Vec<SocketAddr>,
-    /// Runs at once on one server, each on a connection of its own. `family_info.cores` of the platform's
-    /// configuration should be what all servers together can do at once.
+    /// Maximum number of concurrent runs on one server, each on its own connection. `family_info.cores` of
+    /// the platform's configuration should be the number of runs that all servers together can execute
+    /// concurrently.
     #[serde(rename = "at_once", default = "default_max_concurrency")]
     #[schemars(range(min = 1, max = 10_000))]
     pub max_concurrency: u32,
-    /// Whether FastCGI connections are kept after an answer, and for how many ms; 0 keeps none. Shorter
-    /// than the servers keep theirs, or runs meet connections that are being closed.
+    /// Time in ms for which an idle FastCGI connection is kept open after an answer; 0 closes it at once.
+    /// Must be shorter than the idle timeout of the servers; otherwise runs are sent on connections that the
+    /// server is closing.
     #[serde(rename = "idle_ms", default = "default_idle_timeout_ms")]
     #[schemars(range(max = 3_600_000))]
     pub idle_timeout_ms: u32,
-    /// A connection that takes longer to open counts as failed.
+    /// Time in ms to open a connection; a connection that takes longer counts as failed.
     #[serde(rename = "open_within_ms", default = "default_connect_timeout_ms")]
     #[schemars(range(min = 1, max = 60_000))]
     pub connect_timeout_ms: u32,
-    /// An answer that takes longer is given up, and its server counts as failed. Absent: the longest async
-    /// timeout of all endpoint groups.
+    /// Time in ms to wait for an answer; if it takes longer, the run is abandoned and counts as a failure of
+    /// the server. Default: the longest async timeout of all endpoint groups.
     #[serde(default, rename = "answer_within_ms")]
     #[schemars(range(min = 1, max = 3_600_000))]
     pub response_timeout_ms: Option<u32>,
-    /// Bytes that the body of an answer may have; one with more counts as failed.
+    /// Maximum length in bytes of the body of an answer; a longer answer counts as failed.
     #[serde(rename = "most_answer_bytes", default = "default_max_response_bytes")]
     #[schemars(range(min = 1, max = 1_048_576))]
     pub max_response_bytes: u32,
@@ -52,19 +54,20 @@
     #[expect(missing_docs, reason = "a doc comment would change the schema")]
     #[serde(default)]
     pub retries: Again,
-    /// How a server that was down is taken into use again. Absent: it is sent all at once.
+    /// Slow start of a server that was down. Absent: the server receives its full load at once.
     #[serde(default, rename = "ramp")]
     pub slow_start: Option<RampFile>,
 }
 
-/// When a server that fails is put aside.
+/// Conditions under which a failing server is ejected, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct PutAside {
-    /// Failures one after the other that put it aside.
+    /// Number of consecutive failures after which a server is ejected.
     #[schemars(range(min = 1, max = 1000))]
     pub failures: u32,
-    /// How long the first time; twice that the next, and so on. Chance takes off up to half of each.
+    /// Duration in ms of the first ejection; each further ejection lasts twice as long as the one before.
+    /// Each duration is randomly shortened by up to half.
     #[serde(rename = "first_ms")]
     #[schemars(range(min = 1, max = 3_600_000))]
     pub base_duration_ms: u32,
@@ -72,38 +75,39 @@
     #[serde(rename = "longest_ms")]
     #[schemars(range(min = 1, max = 3_600_000))]
     pub max_duration_ms: u32,
-    /// Share of the servers that are in use whatever they do; at least one is.
+    /// Share of the servers that stay in use regardless of failures; at least one server always does.
     #[serde(rename = "floor")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub min_share_in_use: f32,
 }
 
-/// Bounds on trying a run again on another server.
+/// Limits on retries of a run on another server.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Again {
-    /// Retries for each run begun, as a share.
+    /// Number of retries allowed for each started run, as a share.
     #[serde(rename = "share")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub retries_per_run: f32,
-    /// Retries that may be saved up.
+    /// Maximum number of unused retries that can accumulate.
     #[schemars(range(max = 100_000))]
     pub burst: u32,
-    /// Tries that one run has in all; 1 means none again.
+    /// Maximum number of attempts of one run, including the first; 1 disables retries.
     #[serde(rename = "tries")]
     #[schemars(range(min = 1, max = 10))]
     pub max_attempts: u32,
 }
 
-/// The first load of a server that was down.
+/// Slow start: limits the load of a server that was down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RampFile {
-    /// How long it is bounded, from the first connection that opens; its rate grows linearly.
+    /// Duration in ms of the limit, from the first connection that opens; the permitted rate grows linearly.
     #[serde(rename = "over_ms")]
     #[schemars(range(min = 10, max = 3_600_000))]
     pub duration_ms: u32,
-    /// Runs that this node sends it meanwhile; of all nodes together where a budget is for this pool's ramp.
+    /// Number of runs that this node sends to the server during the slow start; if a budget applies to the
+    /// `ramp` of this pool, the number that all nodes together send.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub runs: u32,
 }
