--- a/crates/config/src/servers/file_types.rs
+++ b/crates/config/src/servers/file_types.rs
@@ -39,8 +39,8 @@
     #[serde(rename = "open_within_ms", default = "default_connect_timeout_ms")]
     #[schemars(range(min = 1, max = 60_000))]
     pub connect_timeout_ms: u32,
-    /// Time in ms to wait for an answer; if it takes longer, the run is abandoned and counts as a failure of
-    /// the server. Default: the longest async timeout of all endpoint groups.
+    /// Time in ms to wait for an answer; if it takes longer, the wait ends and the server counts as failed.
+    /// Default: the longest async timeout of all endpoint groups.
     #[serde(default, rename = "answer_within_ms")]
     #[schemars(range(min = 1, max = 3_600_000))]
     pub response_timeout_ms: Option<u32>,
