--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The settings of a deployment and their reader.
+//! The deployment settings and their parser.
 
 use std::collections::HashSet;
 
@@ -11,44 +11,46 @@
 };
 use crate::{JsonValue, SettingsError};
 
-/// The position of each gauge in a reading of all of the node's gauges; none where the node lacks it.
+/// The index of each gauge in the list of gauge values that a node reports; `None` if the node doesn't report
+/// the gauge.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GaugeIndices {
-    /// The fraction of the cores that is busy.
+    /// Fraction of the cores that is busy.
     pub busy_cores: Option<usize>,
-    /// The number of tasks that run or wait for a core.
+    /// Number of tasks that run or wait for a core.
     pub runnable_tasks: Option<usize>,
-    /// The fraction of the memory that is used.
+    /// Fraction of the memory that is used.
     pub memory: Option<usize>,
-    /// The number of open connections.
+    /// Number of open connections.
     pub connections: Option<usize>,
 }
 
-/// The settings of a deployment, as far as a node reads them.
+/// The settings of a deployment that a node uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeploymentSettings {
-    /// What the admission controller is configured with.
+    /// The configuration of the admission controller.
     pub admission: AdmissionConfig,
-    /// Where each gauge is found in a reading.
+    /// The index of each gauge in the reported values.
     pub gauges: GaugeIndices,
     /// Names of the endpoint groups, in the order of [`AdmissionConfig::groups`].
     pub group_names: Vec<String>,
     /// Names of the tenants, in the order of [`AdmissionConfig::tenant_quotas`].
     pub tenant_names: Vec<String>,
-    /// The callers' list of endpoints follows the health that a node reports.
+    /// Whether a node that reports itself unhealthy is marked as draining in the registry, so that callers stop
+    /// using it.
     pub drains_when_unhealthy: bool,
-    /// Health checks ask for real work.
+    /// Whether health checks execute real work.
     pub deep_checks: bool,
-    /// Requests carry how long their caller waits.
+    /// Whether requests carry the time for which their caller waits.
     pub passes_deadline: bool,
-    /// There is something downstream that requests may call.
+    /// Whether requests may call a downstream service.
     pub has_downstream: bool,
 }
 
-/// Reads the settings; unknown keys are ignored.
+/// Parses the settings. Unknown keys are ignored.
 ///
 /// # Errors
-/// The first key that is missing or holds a value out of range.
+/// Returns the first key that is missing or has an invalid value.
 pub fn read(root: &JsonValue) -> Result<DeploymentSettings, SettingsError> {
     let sections = Sections::find(root)?;
     let group_entries = root.required(top::ENDPOINT_GROUPS)?.list()?;
@@ -68,7 +70,7 @@
     })
 }
 
-/// The objects that hold most keys.
+/// The root object and its sections.
 struct Sections<'a> {
     root: &'a JsonValue<'a>,
     node: JsonValue<'a>,
@@ -102,7 +104,7 @@
         Ok(groups)
     }
 
-    /// A list of the node's section with one item for each endpoint group.
+    /// Reads a list in the node section with one item for each endpoint group.
     fn list_by_group(&self, key: &str, groups: usize) -> Result<Vec<JsonValue<'a>>, SettingsError> {
         let list = self.node.required(key)?;
         let items = list.list()?;
@@ -115,7 +117,8 @@
         )))
     }
 
-    /// What is downstream, and this node's share of the calls that a shared dependency takes at once.
+    /// Reads the kind of downstream service, and this node's share of the concurrent calls that a shared dependency
+    /// accepts.
     fn downstream(&self) -> Result<(Downstream, Option<f32>), SettingsError> {
         let downstream = self.node.required(node::DOWNSTREAM)?.one_of(&DOWNSTREAMS)?;
         let concurrency = match downstream {
@@ -125,7 +128,8 @@
         Ok((downstream, concurrency))
     }
 
-    /// Times at which others act are rounded down, times that this node has to wait are rounded up.
+    /// Reads the configuration of the admission controller. Times at which others act are rounded down; times that
+    /// this node has to wait are rounded up.
     fn admission(
         &self,
         groups: Vec<EndpointGroup>,
@@ -173,8 +177,8 @@
     }
 
     fn weight_unit(&self) -> Result<WeightUnit, SettingsError> {
-        let word = self.root.required(top::WEIGHT_UNIT)?.string()?;
-        Ok(vocabulary::weight_unit(word))
+        let value = self.root.required(top::WEIGHT_UNIT)?.string()?;
+        Ok(vocabulary::weight_unit(value))
     }
 
     fn gauges(&self) -> Result<GaugeIndices, SettingsError> {
@@ -220,7 +224,7 @@
     names: Vec<String>,
 }
 
-/// There may be no list of tenants at all.
+/// Reads the tenants. The list is optional.
 fn read_tenants(root: &JsonValue) -> Result<Tenants, SettingsError> {
     let entries = match root.get(top::TENANTS) {
         Some(entries) => entries.list()?,
@@ -234,14 +238,15 @@
         .iter()
         .filter_map(|entry| entry.get(tenant::TRAFFIC_SHARE))
     {
-        // Not used, but refused where it is out of range.
+        // Only validated; the value is not used.
         share.fraction()?;
     }
     let names = unique_names(&entries, tenant::NAME)?;
     Ok(Tenants { quotas, names })
 }
 
-/// The names of a list's items; two alike would leave open which one a request means.
+/// Reads the names of the items in a list. Duplicate names are rejected because requests refer to items by
+/// name.
 fn unique_names(list: &[JsonValue], key: &str) -> Result<Vec<String>, SettingsError> {
     let mut names = Vec::with_capacity(list.len());
     let mut seen = HashSet::with_capacity(list.len());
@@ -268,7 +273,7 @@
     Ok(from_micros_ceil(section.required(key)?.micros()?))
 }
 
-/// False where the key is absent.
+/// Reads a boolean, which is false if the key is absent.
 fn optional_boolean(section: &JsonValue, key: &str) -> Result<bool, SettingsError> {
     section.get(key).map_or(Ok(false), |flag| flag.boolean())
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,32 +1,32 @@
-//! What can be wrong with the settings.
+//! Errors in the settings.
 
 use std::borrow::Cow;
 
 use thiserror::Error;
 
-/// What is wrong with one value of a JSON text, and where it is.
+/// An error in one value of a JSON text, with the path of the value.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{path}: {kind}")]
 pub struct SettingsError {
-    /// The name of the text and the keys that lead to the value, as in `settings.lanes[0].worth`.
+    /// The name of the text and the keys that lead to the value, for example `settings.lanes[0].worth`.
     pub path: String,
-    /// What is wrong with the value.
+    /// The kind of the error.
     pub kind: SettingsErrorKind,
 }
 
-/// What is wrong with a value.
+/// The kind of an error in a value.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsErrorKind {
-    /// The object lacks a key, or holds null under it.
+    /// A required key of the object is absent or null.
     #[error("needed key '{key}' is missing")]
     MissingKey {
-        /// The key as the text spells it.
+        /// The key as spelled in the text.
         key: String,
     },
-    /// The value is of another type or out of range.
+    /// The value has the wrong type or is out of range.
     #[error("{expected} is wanted, found {found}")]
     UnexpectedValue {
-        /// The values that are accepted, in words.
+        /// A description of the accepted values.
         expected: Cow<'static, str>,
         /// The value as JSON.
         found: String,
--- a/crates/settings/src/json_value.rs
+++ b/crates/settings/src/json_value.rs
@@ -1,4 +1,4 @@
-//! Access to the values of a JSON text with errors that name their path.
+//! Typed access to the values of a JSON text, with errors that name the path of the value.
 
 use std::borrow::Cow;
 
@@ -6,7 +6,7 @@
 
 use crate::{SettingsError, SettingsErrorKind};
 
-/// A value within a JSON text, and the path at which it is found.
+/// A value in a JSON text, with its path.
 #[derive(Clone, Debug)]
 pub struct JsonValue<'a> {
     value: &'a Value,
@@ -14,7 +14,7 @@
 }
 
 impl<'a> JsonValue<'a> {
-    /// The outermost value of a text; `name` begins the paths of everything inside it.
+    /// The root value of a text. The paths of all values in it begin with `name`.
     pub fn root(name: impl Into<String>, value: &'a Value) -> JsonValue<'a> {
         JsonValue {
             value,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The value under `key`; none where it is absent or null.
+    /// The value of `key`; `None` if it is absent or null.
     pub fn get(&self, key: &str) -> Option<JsonValue<'a>> {
         let value = self.value.get(key).filter(|value| !value.is_null())?;
         Some(JsonValue {
@@ -31,10 +31,10 @@
         })
     }
 
-    /// The value under `key`.
+    /// The value of `key`.
     ///
     /// # Errors
-    /// [`SettingsErrorKind::MissingKey`] where it is absent or null.
+    /// [`SettingsErrorKind::MissingKey`] if the key is absent or null.
     pub fn required(&self, key: &str) -> Result<JsonValue<'a>, SettingsError> {
         self.get(key).ok_or_else(|| SettingsError {
             path: self.path.clone(),
@@ -42,7 +42,7 @@
         })
     }
 
-    /// The error that the value is not one of the `expected` ones.
+    /// An error which says that `expected` was expected in place of this value.
     pub fn unexpected(&self, expected: impl Into<Cow<'static, str>>) -> SettingsError {
         SettingsError {
             path: self.path.clone(),
@@ -53,10 +53,10 @@
         }
     }
 
-    /// A finite number that is not negative.
+    /// The value as a finite, non-negative number.
     ///
     /// # Errors
-    /// The value is anything else.
+    /// The value is not a number or out of range.
     pub fn number(&self) -> Result<f64, SettingsError> {
         match self.value.as_f64() {
             Some(number) if number >= 0.0 && number.is_finite() => Ok(number),
@@ -64,18 +64,18 @@
         }
     }
 
-    /// A duration in whole microseconds; a fraction of one is cut off.
+    /// The value as a duration in microseconds. Fractions of a microsecond are truncated.
     ///
     /// # Errors
-    /// As [`JsonValue::number`].
+    /// See [`JsonValue::number`].
     pub fn micros(&self) -> Result<u64, SettingsError> {
         Ok(self.number()? as u64)
     }
 
-    /// A number from 0 to 1.
+    /// The value as a number from 0 to 1.
     ///
     /// # Errors
-    /// The value is anything else.
+    /// The value is not a number or out of range.
     pub fn fraction(&self) -> Result<f32, SettingsError> {
         match self.value.as_f64() {
             Some(number) if (0.0..=1.0).contains(&number) => Ok(number as f32),
@@ -83,33 +83,33 @@
         }
     }
 
-    /// True or false.
+    /// The value as a boolean.
     ///
     /// # Errors
-    /// The value is anything else.
+    /// The value is not a boolean.
     pub fn boolean(&self) -> Result<bool, SettingsError> {
         self.value
             .as_bool()
             .ok_or_else(|| self.unexpected("true or false"))
     }
 
-    /// A string.
+    /// The value as a string.
     ///
     /// # Errors
-    /// The value is anything else.
+    /// The value is not a string.
     pub fn string(&self) -> Result<&'a str, SettingsError> {
         self.value.as_str().ok_or_else(|| self.unexpected("a word"))
     }
 
-    /// The string, where the value is one.
+    /// The value as a string; `None` if it is not a string.
     pub(crate) fn as_str(&self) -> Option<&'a str> {
         self.value.as_str()
     }
 
-    /// The items of a list, in its order.
+    /// The items of the value, which must be a list.
     ///
     /// # Errors
-    /// The value is no list.
+    /// The value is not a list.
     pub fn list(&self) -> Result<Vec<JsonValue<'a>>, SettingsError> {
         let Some(list) = self.value.as_array() else {
             return Err(self.unexpected("a list"));
@@ -121,23 +121,23 @@
         Ok(list.iter().enumerate().map(item).collect())
     }
 
-    /// What the string means by a table of all strings that are accepted.
+    /// Looks up the string in a table that maps all accepted strings to their meanings.
     ///
     /// # Errors
-    /// The value is no string, or one that is not in the table.
+    /// The value is not a string, or is not in the table.
     pub(crate) fn one_of<T: Copy>(&self, meanings: &[(&str, T)]) -> Result<T, SettingsError> {
-        let word = self.string()?;
-        match meanings.iter().find(|(known, _)| *known == word) {
+        let string = self.string()?;
+        match meanings.iter().find(|(known, _)| *known == string) {
             Some((_, meaning)) => Ok(*meaning),
             None => Err(self.unexpected(alternatives(meanings))),
         }
     }
 }
 
-/// The strings of a table in words: `a, b or c`.
+/// Lists the strings of a table as `a, b or c`.
 fn alternatives<T>(meanings: &[(&str, T)]) -> String {
-    let words: Vec<&str> = meanings.iter().map(|(word, _)| *word).collect();
-    match words.split_last() {
+    let strings: Vec<&str> = meanings.iter().map(|(string, _)| *string).collect();
+    match strings.split_last() {
         Some((last, [])) => (*last).to_string(),
         Some((last, others)) => format!("{} or {last}", others.join(", ")),
         None => String::new(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! Reads the settings of a deployment into the configuration of the admission controller.
+//! Parses the settings of a deployment into the configuration of the admission controller.
 //!
-//! The node and the simulator's adapter both read theirs here. The file's own words are translated in one
-//! module (`vocabulary`); [`SettingsError`]s name the path of the key as the file spells it.
+//! The node and the simulator adapter both use this package. The module `vocabulary` maps the keys and values
+//! of the settings file to the names used in the code. A [`SettingsError`] names the path of a key as the file
+//! spells it.
 
 mod deployment;
 mod error;
--- a/crates/settings/src/vocabulary.rs
+++ b/crates/settings/src/vocabulary.rs
@@ -1,42 +1,43 @@
-//! The words of the settings file (`WIRE-doortrack.md`, "Start-up parameters") and what they are called here.
+//! Keys and values of the settings file, as specified in `WIRE-doortrack.md` ("Start-up parameters"), with the
+//! names used in this code.
 //!
-//! The file's own words are used in this module alone. Durations in the file are in microseconds.
+//! Only this module uses the terms of the file. Durations in the file are in microseconds.
 
 use doortrack_admission::{Backpressure, Cancellation, Effect};
 
-/// What requests may call downstream.
+/// The kind of downstream service that requests may call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Downstream {
     /// One dependency that all nodes share.
     Shared,
     /// The nodes of the next tier.
     NextTier,
-    /// Nothing.
+    /// Requests make no downstream calls.
     None,
 }
 
-/// What a priority weight is counted for.
+/// The unit to which a priority weight applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WeightUnit {
     Request,
     Work,
 }
 
-/// `lanes[].idempotency`.
+/// Values of `lanes[].idempotency`.
 pub(crate) const EFFECTS: [(&str, Effect); 3] = [
     ("safe", Effect::Idempotent),
     ("keyed", Effect::Deduplicated),
     ("unsafe", Effect::Mutating),
 ];
 
-/// `family_info.halt`.
+/// Values of `family_info.halt`.
 pub(crate) const CANCELLATIONS: [(&str, Cancellation); 3] = [
     ("silent", Cancellation::Unsupported),
     ("drop", Cancellation::Drop),
     ("pause", Cancellation::Pause),
 ];
 
-/// `family_info.say`.
+/// Values of `family_info.say`.
 pub(crate) const BACKPRESSURES: [(&str, Backpressure); 4] = [
     ("min_rank", Backpressure::MinRank),
     ("tokens", Backpressure::Credits),
@@ -44,22 +45,22 @@
     ("silent", Backpressure::None),
 ];
 
-/// `family_info.below`.
+/// Values of `family_info.below`.
 pub(crate) const DOWNSTREAMS: [(&str, Downstream); 3] = [
     ("common", Downstream::Shared),
     ("next_hop", Downstream::NextTier),
     ("silent", Downstream::None),
 ];
 
-/// `worth_by`: any other word than that of work counts requests.
-pub(crate) fn weight_unit(word: &str) -> WeightUnit {
-    match word {
+/// The meaning of a value of `worth_by`: any value other than `work` means requests.
+pub(crate) fn weight_unit(value: &str) -> WeightUnit {
+    match value {
         "work" => WeightUnit::Work,
         _ => WeightUnit::Request,
     }
 }
 
-/// Keys at the top.
+/// Keys of the root object.
 pub(crate) mod top {
     pub(crate) const NODE: &str = "family_info";
     pub(crate) const SAFETY: &str = "safety";
@@ -72,7 +73,7 @@
     pub(crate) const TICK: &str = "tick";
 }
 
-/// Keys of an endpoint group.
+/// Keys of an item of `lanes`: an endpoint group.
 pub(crate) mod endpoint_group {
     pub(crate) const NAME: &str = "name";
     pub(crate) const EFFECT: &str = "idempotency";
@@ -84,14 +85,14 @@
     pub(crate) const LATE_WEIGHT: &str = "late_worth";
 }
 
-/// Keys of a tenant.
+/// Keys of an item of `parties`: a tenant.
 pub(crate) mod tenant {
     pub(crate) const NAME: &str = "name";
     pub(crate) const QUOTA: &str = "allowance_per_s";
     pub(crate) const TRAFFIC_SHARE: &str = "share";
 }
 
-/// Keys of the node and its site.
+/// Keys of `family_info`: the node and its environment.
 pub(crate) mod node {
     pub(crate) const CORES: &str = "cores";
     pub(crate) const MEMORY_KB: &str = "memory_kb";
@@ -115,7 +116,7 @@
     pub(crate) const PASSES_DEADLINE: &str = "passes_deadline";
 }
 
-/// Names in the list of gauges.
+/// Values in the list `family_info.gauges`.
 pub(crate) mod gauge {
     pub(crate) const BUSY_CORES: &str = "core_use";
     pub(crate) const RUNNABLE_TASKS: &str = "on_cores";
@@ -123,7 +124,7 @@
     pub(crate) const CONNECTIONS: &str = "links";
 }
 
-/// Keys of the figures on which safety rests.
+/// Keys of `safety`: parameters of warm-up, overload detection and draining.
 pub(crate) mod safety {
     pub(crate) const INITIAL_SPEED: &str = "start_capacity";
     pub(crate) const WARM_UP_TIME: &str = "ramp_time";
@@ -132,7 +133,7 @@
     pub(crate) const DRAIN_GRACE: &str = "drain_grace";
 }
 
-/// Keys of what the site permits.
+/// Keys of `bounds`: what the site permits.
 pub(crate) mod site {
     pub(crate) const PASSES_RETRY_AFTER: &str = "retry_after";
     pub(crate) const MAX_RETRY_AFTER: &str = "max_retry_after";
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,13 +1,13 @@
-//! The unit of time that all packages share: whole tenths of a millisecond, as the clock of the node and the
-//! wire of the simulator both resolve.
+//! The unit of time used by all packages: whole tenths of a millisecond, which is the resolution of both the
+//! node's clock and the simulator's protocol.
 //!
-//! A point in time counts from any fixed zero of the process and never goes back. Conversions from finer units
-//! round so that no promise is broken: a deadline and an age are rounded down, a time window and a wait up.
+//! Points in time are monotonic and count from an arbitrary origin that is fixed within the process. Conversions
+//! from finer units round to the safe side: deadlines and ages are rounded down, time windows and waits up.
 
 /// A point in time or a duration, in tenths of a millisecond (100 microseconds).
 pub type TenthMillis = u64;
 
-/// One microsecond is less than a unit: this many make one.
+/// The number of microseconds in one unit.
 pub const MICROSECONDS_PER_UNIT: u64 = 100;
 
 /// One millisecond.
@@ -16,22 +16,22 @@
 /// One second.
 pub const SECOND: TenthMillis = 1_000 * MILLISECOND;
 
-/// A time of `millis` milliseconds.
+/// Converts milliseconds.
 pub fn from_millis(millis: u32) -> TenthMillis {
     TenthMillis::from(millis) * MILLISECOND
 }
 
-/// A time of `micros` microseconds, rounded down.
+/// Converts microseconds, rounding down.
 pub fn from_micros_floor(micros: u64) -> TenthMillis {
     micros / MICROSECONDS_PER_UNIT
 }
 
-/// A time of `micros` microseconds, rounded up.
+/// Converts microseconds, rounding up.
 pub fn from_micros_ceil(micros: u64) -> TenthMillis {
     micros.div_ceil(MICROSECONDS_PER_UNIT)
 }
 
-/// A time in microseconds; the largest number where it does not fit.
+/// Converts to microseconds, saturating at [`u64::MAX`].
 pub fn to_micros(time: TenthMillis) -> u64 {
     time.saturating_mul(MICROSECONDS_PER_UNIT)
 }
