--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -1,4 +1,4 @@
-//! Reads the batches of events from the input.
+//! Reads batches of records from the input.
 
 use std::io::{self, Read};
 
@@ -6,36 +6,36 @@
 
 use crate::error::AdapterError;
 
-/// A u32 with the length of the records, and a u64 with the clock in microseconds.
+/// Size of a batch header: a `u32` with the length of the records, and a `u64` with the clock in microseconds.
 const HEADER_BYTES: usize = 12;
 
-/// One batch.
+/// One batch of records.
 pub struct Batch<'a> {
-    /// The clock at which all its events happen.
+    /// The time of all events in the batch.
     pub now: TenthMillis,
-    /// The records.
+    /// The encoded records.
     pub records: &'a [u8],
-    /// Where the records begin in the input.
+    /// Offset of the records in the input, in bytes.
     pub offset: u64,
 }
 
 impl Batch<'_> {
-    /// Where the batch ends in the input.
+    /// Offset of the end of the batch in the input, in bytes.
     pub fn end(&self) -> u64 {
         self.offset + self.records.len() as u64
     }
 }
 
-/// Reads batches one after the other.
+/// Reads batches sequentially.
 pub struct BatchReader<R> {
     input: R,
-    /// How far the input was read.
+    /// Number of bytes read from the input.
     offset: u64,
     records: Vec<u8>,
 }
 
 impl<R: Read> BatchReader<R> {
-    /// Reads from the start of `input`.
+    /// Creates a reader at the start of `input`.
     pub fn new(input: R) -> BatchReader<R> {
         BatchReader {
             input,
@@ -44,10 +44,10 @@
         }
     }
 
-    /// The next batch; none at the end of the input.
+    /// Reads the next batch; `None` at the end of the input.
     ///
     /// # Errors
-    /// The input can't be read, or ends within the batch.
+    /// The input can't be read, or ends within a batch.
     pub fn next_batch(&mut self) -> Result<Option<Batch<'_>>, AdapterError> {
         let Some(header) = self.read_header()? else {
             return Ok(None);
@@ -101,7 +101,7 @@
     }
 }
 
-/// Reads until `buffer` is full or the input ends; the number of bytes read.
+/// Reads until `buffer` is full or the input ends. Returns the number of bytes read.
 fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,15 +1,15 @@
-//! Codes of the simulator's records by their names in `WIRE-doortrack.md`, each with the name of ours in its
-//! comment. Fields are named where records are decoded and encoded.
+//! Codes in the simulator's protocol, under their names in `WIRE-doortrack.md`. The comment of each constant
+//! gives the corresponding name in this code. Names of fields are in the modules `decode` and `encode`.
 
-/// Codes of the records in a batch, with the [`Event`](doortrack_admission::Event) that each becomes.
+/// Codes of the records in a batch, with the [`Event`](doortrack_admission::Event) that each is decoded to.
 pub mod event {
-    /// `Started`, with the settings of the node.
+    /// `Started`. The record also holds the settings of the node.
     pub const PROVISION: u8 = 1;
     /// `CallRequired`.
     pub const WANTS_CALL: u8 = 2;
     /// `CallerGone`.
     pub const TIMED_OUT_CLIENT: u8 = 3;
-    /// The node died: the only record without an event.
+    /// The node was killed. The only record that is not decoded to an event.
     pub const KILLED: u8 = 4;
     /// `Timer`.
     pub const ALARM: u8 = 5;
@@ -23,7 +23,7 @@
     pub const LAME_DUCK: u8 = 9;
 }
 
-/// Codes of the records in a reply, with the [`Action`](doortrack_admission::Action) that each stands for.
+/// Codes of the records in a reply, with the [`Action`](doortrack_admission::Action) that each encodes.
 pub mod action {
     /// `Run`.
     pub const TAKE: u8 = 65;
@@ -75,7 +75,7 @@
 
 /// Bits of the field `state_bits` of a request.
 pub mod request_bit {
-    /// `work_hint` is valid.
+    /// `work_hint` is present.
     pub const HINT: u8 = 1;
     /// `retry`.
     pub const RETRY: u8 = 2;
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,6 +1,6 @@
-//! Decodes the records of a batch: little-endian fields without padding.
+//! Decodes the records of a batch, which consist of little-endian fields without padding.
 //!
-//! Errors name fields as `WIRE-doortrack.md` does.
+//! Error messages use the field names of `WIRE-doortrack.md`.
 
 use doortrack_admission::{CallOutcome, Event, Gauges, Request, RunOutcome};
 use doortrack_settings::GaugeIndices;
@@ -12,39 +12,39 @@
 
 /// One record of a batch.
 pub enum Record<'a> {
-    /// A node starts.
+    /// A node has started.
     Started {
         /// The node's number.
         node: u32,
-        /// Of its random numbers.
+        /// Seed of the node's random number generator.
         seed: u64,
-        /// Its settings, as JSON.
+        /// The settings of the node, as JSON.
         settings: &'a [u8],
     },
-    /// A node died.
+    /// A node was killed.
     Killed {
         /// The node's number.
         node: u32,
     },
-    /// Something that the decisions of a node take account of.
+    /// An event for the admission controller of a node.
     Event {
         /// The node's number.
         node: u32,
-        /// What happened.
+        /// The event.
         event: Event,
     },
 }
 
-/// Reads the records of one batch in their order.
+/// Reads the records of one batch in order.
 pub struct RecordReader<'a> {
     bytes: &'a [u8],
     position: usize,
-    /// Where the records begin in the input.
+    /// Offset of the records in the input, in bytes.
     offset: u64,
 }
 
 impl<'a> RecordReader<'a> {
-    /// Reads from the first record of `batch`.
+    /// Creates a reader at the first record of `batch`.
     pub fn new(batch: &Batch<'a>) -> RecordReader<'a> {
         RecordReader {
             bytes: batch.records,
@@ -53,10 +53,10 @@
         }
     }
 
-    /// The next record, none at the end of the batch. `gauges_of` has the indices of a node's gauges.
+    /// Reads the next record; `None` at the end of the batch. `gauges_of` returns the gauge indices of a node.
     ///
     /// # Errors
-    /// The record is truncated, or has an unknown code.
+    /// The record is truncated, or contains an unknown code.
     pub fn next_record<'g>(
         &mut self,
         gauges_of: impl Fn(u32) -> Option<&'g GaugeIndices>,
@@ -128,11 +128,11 @@
         let work_hint = self.u32("hint")?;
         let memory_kb = self.f32("kb")?;
         let rank = self.f32("place")?;
-        let bits = self.u8("state_bits")?;
+        let state_bits = self.u8("state_bits")?;
         let caller = self.u16("who")?;
         let age = self.u32("lay")?;
         let duplicate_of = self.u32("prior")?;
-        let has_hint = bits & request_bit::HINT != 0;
+        let has_hint = state_bits & request_bit::HINT != 0;
         Ok(Request {
             id,
             group,
@@ -142,7 +142,7 @@
             work_hint: has_hint.then(|| from_micros_ceil(work_hint.into())),
             memory_kb,
             rank,
-            retry: bits & request_bit::RETRY != 0,
+            retry: state_bits & request_bit::RETRY != 0,
             caller: caller.into(),
             age: from_micros_floor(age.into()),
             duplicate_of: (duplicate_of > 0).then_some(duplicate_of),
@@ -194,7 +194,7 @@
         })
     }
 
-    /// Where the next field begins in the input.
+    /// Offset of the next field in the input, in bytes.
     fn input_offset(&self) -> u64 {
         self.offset + self.position as u64
     }
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,20 +1,20 @@
-//! Encodes the reply to a batch: its length, and a record for each action.
+//! Encodes the reply to a batch: the length of the records, and one record per action.
 
 use doortrack_admission::Action;
 use doortrack_time::{TenthMillis, to_micros};
 
 use crate::codes::action;
 
-/// A u32 with the length of the records.
+/// Size of a reply header: a `u32` with the length of the records.
 const HEADER_BYTES: usize = 4;
 
-/// One reply; its memory is used again for the next.
+/// A buffer for one reply, reused for further replies.
 pub struct Reply {
     bytes: Vec<u8>,
 }
 
 impl Reply {
-    /// A reply without actions.
+    /// Creates a reply without actions.
     pub fn new() -> Reply {
         Reply {
             bytes: vec![0; HEADER_BYTES],
@@ -26,14 +26,15 @@
         self.bytes.truncate(HEADER_BYTES);
     }
 
-    /// The bytes of the reply; none where the length of its records does not fit into its header.
+    /// Completes the header and returns the bytes of the reply; `None` if the length of the records does not fit
+    /// into the header.
     pub fn finish(&mut self) -> Option<&[u8]> {
         let length = u32::try_from(self.bytes.len() - HEADER_BYTES).ok()?;
         self.bytes[..HEADER_BYTES].copy_from_slice(&length.to_le_bytes());
         Some(&self.bytes)
     }
 
-    /// Adds an action of a node.
+    /// Appends the record of a node's action.
     pub fn push(&mut self, node: u32, action: &Action) {
         match *action {
             Action::Run { id } => self.request_record(action::TAKE, node, id),
@@ -80,13 +81,13 @@
         }
     }
 
-    /// What all records begin with.
+    /// Appends the fields with which each record begins.
     fn record(&mut self, code: u8, node: u32) {
         self.bytes.push(code);
         self.bytes.extend(node.to_le_bytes());
     }
 
-    /// What the records on a request begin with.
+    /// Appends the fields with which each record about a request begins.
     fn request_record(&mut self, code: u8, node: u32, id: u32) {
         self.record(code, node);
         self.bytes.extend(id.to_le_bytes());
@@ -96,7 +97,7 @@
         self.bytes.push(value.into());
     }
 
-    /// In microseconds; the largest number where it does not fit into 32 bits.
+    /// Appends a duration in microseconds, saturating at [`u32::MAX`].
     fn duration(&mut self, duration: TenthMillis) {
         let micros = u32::try_from(to_micros(duration)).unwrap_or(u32::MAX);
         self.bytes.extend(micros.to_le_bytes());
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,73 +1,73 @@
-//! Why the adapter stops.
+//! Errors that stop the adapter.
 
 use std::io;
 
 use doortrack_settings::SettingsError;
 use thiserror::Error;
 
-/// An error in the input, at an offset in bytes from its start, or of the output.
+/// An error in the input or output. Offsets are in bytes from the start of the input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// The input can't be read.
     #[error("byte {offset}: {source}")]
     Input {
-        /// How far it was read.
+        /// Offset at which the read failed.
         offset: u64,
-        /// The system's reason.
+        /// The I/O error.
         source: io::Error,
     },
     /// The input ends within the header of a batch.
     #[error("byte {offset}: a header needs {needed} bytes, the input ends after {found}")]
     TruncatedHeader {
-        /// Where the header begins.
+        /// Offset of the header.
         offset: u64,
-        /// Its length in bytes.
+        /// Length of the header in bytes.
         needed: usize,
-        /// Bytes that there are.
+        /// Number of bytes available.
         found: usize,
     },
-    /// The input ends within a batch.
-    #[error("byte {offset}: the frame says {length} bytes, the input ends after {found}")]
+    /// The input ends within the records of a batch.
+    #[error("byte {offset}: the frame length is {length} bytes, the input ends after {found}")]
     TruncatedBatch {
-        /// Where the records begin.
+        /// Offset of the records.
         offset: u64,
-        /// Bytes of records by the header.
+        /// Length of the records according to the header, in bytes.
         length: usize,
-        /// Bytes that there are.
+        /// Number of bytes available.
         found: usize,
     },
     /// The batch ends within a field.
     #[error("byte {offset}: {field} needs {needed} bytes, the frame has {left} left")]
     TruncatedField {
-        /// Where the field begins.
+        /// Offset of the field.
         offset: u64,
-        /// The field's name.
+        /// The name of the field.
         field: &'static str,
-        /// Its length in bytes.
+        /// Length of the field in bytes.
         needed: usize,
-        /// Bytes that are left of the batch.
+        /// Number of bytes left in the batch.
         left: usize,
     },
-    /// A record has a code that no event has.
+    /// A record has an unknown code.
     #[error("byte {offset}: unknown event code {code}")]
     UnknownEvent {
-        /// Where the record begins.
+        /// Offset of the record.
         offset: u64,
         /// The code.
         code: u8,
     },
-    /// A call ended with a reason that calls do not have.
+    /// The `reason` of a call's end is not one of the reasons defined for calls.
     #[error("byte {offset}: unknown outcome of a call: {reason}")]
     UnknownCallOutcome {
-        /// Where the reason is.
+        /// Offset of the reason.
         offset: u64,
         /// The reason.
         reason: u16,
     },
-    /// A run ended with a reason that runs do not have.
+    /// The `reason` of a run's end is not one of the reasons defined for runs.
     #[error("byte {offset}: unknown outcome of a run: {reason}")]
     UnknownRunOutcome {
-        /// Where the reason is.
+        /// Offset of the reason.
         offset: u64,
         /// The reason.
         reason: u16,
@@ -75,35 +75,35 @@
     /// The settings of a node are not JSON.
     #[error("byte {offset}: node {node}: env is not JSON: {source}")]
     SettingsNotJson {
-        /// Where the batch's records begin.
+        /// Offset of the batch's records.
         offset: u64,
         /// The node.
         node: u32,
-        /// The parser's reason.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// The settings of a node are refused.
+    /// The settings of a node are invalid.
     #[error("byte {offset}: node {node}: {source}")]
     Settings {
-        /// Where the batch's records begin.
+        /// Offset of the batch's records.
         offset: u64,
         /// The node.
         node: u32,
-        /// What is wrong with them.
+        /// The error in the settings.
         source: SettingsError,
     },
-    /// An event is for a node that was never started, or died.
+    /// An event refers to a node that was never started or was killed.
     #[error("byte {offset}: node {node} was never started")]
     UnknownNode {
-        /// Where the batch's records begin.
+        /// Offset of the batch's records.
         offset: u64,
         /// The node.
         node: u32,
     },
-    /// The actions of one reply take more bytes than its header can say.
+    /// The length of the records of a reply does not fit into its header.
     #[error("byte {offset}: the reply is too long")]
     ReplyTooLong {
-        /// Where the batch that it answers ends.
+        /// Offset of the end of the batch that the reply answers.
         offset: u64,
     },
     /// The reply can't be written.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Connects the admission decisions to the simulator (`WIRE-doortrack.md`): a controller for each node, batches
-//! of events on standard input, one reply with actions to each on standard output.
+//! Runs the admission controller against the simulator, with one controller per simulated node. Reads batches of
+//! events from standard input, and writes one reply with actions per batch to standard output. The protocol is
+//! specified in `WIRE-doortrack.md`.
 
 mod batch;
 mod codes;
@@ -26,7 +27,7 @@
     }
 }
 
-/// Replies to every batch until the input ends.
+/// Answers every batch until the input ends.
 fn serve(input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut batches = BatchReader::new(input);
     let mut nodes = Nodes::default();
--- a/crates/simulator-adapter/src/nodes.rs
+++ b/crates/simulator-adapter/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The simulated nodes that this process decides for: an admission controller for each.
+//! The simulated nodes, each with its own admission controller.
 
 use std::collections::BTreeMap;
 
@@ -14,25 +14,27 @@
 struct Node {
     controller: AdmissionController,
     gauges: GaugeIndices,
-    /// Events of the batch at hand.
+    /// Events in the current batch.
     events: Vec<Event>,
 }
 
-/// All nodes that run, by number.
+/// All running nodes, by number.
 #[derive(Default)]
 pub struct Nodes {
     nodes: BTreeMap<u32, Node>,
-    /// Nodes with events in the batch at hand, in the order of their first ones. One that died and started
-    /// again is there twice.
-    with_events: Vec<u32>,
+    /// Nodes with events in the current batch, in the order of their first events. A node that was killed and
+    /// started again may be listed twice.
+    nodes_with_events: Vec<u32>,
     actions: Vec<Action>,
 }
 
 impl Nodes {
-    /// Takes in all records of a batch.
+    /// Decodes all records of a batch. Nodes are started and killed at once; events are stored for
+    /// [`Nodes::decide`].
     ///
     /// # Errors
-    /// A record can't be decoded, a node's settings are refused, or an event is for a node that does not run.
+    /// A record can't be decoded, the settings of a node are invalid, or an event refers to a node that is not
+    /// running.
     pub fn receive(&mut self, batch: &Batch) -> Result<(), AdapterError> {
         let mut records = RecordReader::new(batch);
         loop {
@@ -44,9 +46,9 @@
         }
     }
 
-    /// Has the nodes with events decide, and adds their actions to `reply`.
+    /// Passes the stored events to the controllers of their nodes, and appends the resulting actions to `reply`.
     pub fn decide(&mut self, now: TenthMillis, reply: &mut Reply) {
-        for id in self.with_events.drain(..) {
+        for id in self.nodes_with_events.drain(..) {
             let Some(node) = self.nodes.get_mut(&id) else {
                 continue;
             };
@@ -61,7 +63,7 @@
         }
     }
 
-    /// `offset` is that of the batch's records.
+    /// Applies one record. `offset` is the offset of the batch's records, for errors.
     fn apply(&mut self, record: Record, offset: u64) -> Result<(), AdapterError> {
         match record {
             Record::Started {
@@ -79,7 +81,7 @@
                     .get_mut(&id)
                     .ok_or(AdapterError::UnknownNode { offset, node: id })?;
                 if node.events.is_empty() {
-                    self.with_events.push(id);
+                    self.nodes_with_events.push(id);
                 }
                 node.events.push(event);
                 Ok(())
@@ -101,7 +103,7 @@
             events: vec![Event::Started],
         };
         self.nodes.insert(id, node);
-        self.with_events.push(id);
+        self.nodes_with_events.push(id);
         Ok(())
     }
 }
